--- a/internal/core/job_ends.go
+++ b/internal/core/job_ends.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"maps"
+	"slices"
 
 	"bitternwing/internal/call"
 	"bitternwing/internal/wire"
@@ -54,8 +55,8 @@
 		// blindly would go on for good.
 		w.rereadJob(j)
 	default:
-		for _, ch := range j.chunks {
-			if failed[w.l.runKey(ch)] {
+		for _, index := range slices.Sorted(maps.Keys(j.chunks)) {
+			if ch := j.chunks[index]; failed[w.l.runKey(ch)] {
 				w.reread(ch)
 			}
 		}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -75,6 +75,7 @@
 
 func (w *regionWorld) newRegion(number, regions int) *worldRegion {
 	r := &worldRegion{scaleCluster: newScaleCluster(w.t, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Answer){}}
+	r.digest = newOutputDigest()
 	r.op.IdleBoots = 100
 	r.op.Regions = config.Regions{Name: regionName(number)}
 	for i := range regions {
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -67,6 +67,7 @@
 func newRolloutWorld(t reporter) *rolloutWorld {
 	y := newScaleCluster(t, 3, 0)
 	w := &rolloutWorld{scaleCluster: y}
+	y.digest = newOutputDigest()
 	y.op.Rollouts.Enabled, y.op.Rollouts.CheckIntervalS, y.op.Rollouts.CheckTimeoutS, y.op.Rollouts.RouterLeaseS = true, 0.5, 1, 4
 	y.op.IdleBoots = 100
 	y.intercept = w.interceptCall
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -69,6 +69,7 @@
 	req            uint64
 
 	counted scaleCounts
+	digest  *outputDigest // nil: none is made
 }
 
 type scaleCounts struct {
@@ -168,6 +169,9 @@
 	y.spent += n.took
 	y.longest = max(y.longest, n.took)
 	for _, e := range append([]core.Effect(nil), effects...) {
+		if y.digest != nil {
+			y.digest.add(y.t, y.now, n.name, e)
+		}
 		if r, ok := y.carryOut(n, e); ok {
 			r.Sent = y.now
 			n.results = append(n.results, r)
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -251,6 +251,7 @@
 }
 
 func (s *sim) carryOut(n *simNode, e core.Effect) {
+	s.digest.add(s.t, s.now, n.name, e)
 	switch e := e.(type) {
 	case core.Answer:
 		s.checkRenewal(n, e)
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -50,10 +50,11 @@
 
 	polled map[int]int // answers to many polls, by status
 
-	calm time.Duration // troubles are over
-	end  time.Duration
-	out  strings.Builder // what a reader of the trace is shown
-	all  strings.Builder // everything, to find out why
+	calm   time.Duration // troubles are over
+	end    time.Duration
+	out    strings.Builder // what a reader of the trace is shown
+	digest *outputDigest
+	all    strings.Builder // everything, to find out why
 }
 
 type event struct {
@@ -86,6 +87,7 @@
 
 func newSim(t testing.TB, seed uint64, zones map[string]string) *sim {
 	s := &sim{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: standin.NewStore(),
+		digest: newOutputDigest(),
 		byName: map[string]*simWorker{}, rented: map[string][]string{}, results: map[string]bool{}, perZone: 4}
 	limits := map[string]float64{"red": 8, "blue": 16, "green": 48, "guest": 32}
 	s.ruleChecker = newRuleChecker(limits, simCancel)
