--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.run(job.Needs, func(ctx context.Context, client *userclient.Client) (wire.JobState, error) {
+	return c.run(job.Dependencies, func(ctx context.Context, client *userclient.Client) (wire.JobState, error) {
 		return client.Submit(ctx, body)
 	})
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -31,15 +31,15 @@
 }
 
 // Rent rents machines. A refusal means that nothing was rented.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) (wire.Names, call.Outcome) {
-	var n wire.Names
+func (c *Client) Rent(ctx context.Context, r wire.ScaleOutRequest) (wire.MachineNames, call.Outcome) {
+	var n wire.MachineNames
 	o := c.c.Do(ctx, "POST", "/rentals", r, &n)
 	return n, o
 }
 
 // Release gives machines back.
 func (c *Client) Release(ctx context.Context, names []string) call.Outcome {
-	return c.c.Do(ctx, "POST", "/rentals/release", wire.Names{Machines: names}, nil)
+	return c.c.Do(ctx, "POST", "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
 // List reads a page of the machine list.
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -44,7 +44,7 @@
 	if len(zones) == 0 {
 		return never
 	}
-	if j.Spread && j.Tasks > 1 && (j.OneZone || len(zones) < 2) {
+	if j.SpreadZones && j.Tasks > 1 && (j.SingleZone || len(zones) < 2) {
 		return never
 	}
 	return fits
@@ -54,10 +54,10 @@
 func over(amount, limit float64) bool { return limit > 0 && amount > limit+1e-9 }
 
 func allowsType(j *wire.Job, name string) bool {
-	if j.Types == nil {
+	if j.MachineTypes == nil {
 		return true
 	}
-	for _, t := range j.Types {
+	for _, t := range j.MachineTypes {
 		if t == name {
 			return true
 		}
--- a/internal/core/allowance_test.go
+++ b/internal/core/allowance_test.go
@@ -170,7 +170,7 @@
 	w := newRegionWorldOf(t, 3, 5) // 40 GPUs in each
 	r := w.regions[0]
 	r.hand(r.nodes[0], &wire.Job{ID: "run-900000", Kind: wire.KindArray, Class: "c", Team: "t2", Tasks: 20, CPUs: 4, GPUs: 2, MemoryGB: 20,
-		Priority: "prod", Image: "img-1", ImageGB: 4, EstimateS: 600, Checkpoint: 10, SaveS: 1})
+		Priority: "prod", Image: "img-1", ImageGB: 4, EstimatedRunS: 600, CheckpointIntervalS: 10, CheckpointTimeS: 1})
 	w.until("batch work fills the region", func() bool { return r.used("t2") == 40 })
 	w.submit(0, "t1", 8, 2)
 	took := w.until("the team has 16 of its guarantee of 24", func() bool { return r.used("t1") == 16 })
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -3,7 +3,7 @@
 import "bitternwing/internal/wire"
 
 // commands adds a machine's orders to an answer.
-func (l *leader) commands(m *machine, r *wire.Report, answer *leaseAnswer) {
+func (l *leader) commands(m *machine, r *wire.Heartbeat, answer *leaseAnswer) {
 	for i := range m.exits {
 		t := &m.exits[i]
 		if answer.full() || !l.forgettable(t) {
@@ -28,13 +28,13 @@
 		switch {
 		case p.session != m.session:
 		case p.stop != keep && p.phase >= sent:
-			if p.stop == stopSaving && p.state == wire.TaskSaving {
+			if p.stop == stopSaving && p.state == wire.TaskCheckpointing {
 				continue
 			}
 			l.logCommand(wire.OpStop, p, withAnswer)
 			answer.add(p.stopCommand())
 		case mayStart && p.startable():
-			p.phase, p.sentSeq = sent, r.Seq
+			p.phase, p.sentSeq = sent, r.Sequence
 			l.logCommand(wire.OpStart, p, withAnswer)
 			answer.add(p.startCommand())
 		}
@@ -77,15 +77,15 @@
 func (p *placement) stopCommand() wire.Command {
 	grace := 0.0
 	if p.stop == stopSaving {
-		grace = 1.5 * p.job.spec.SaveS
+		grace = 1.5 * p.job.spec.CheckpointTimeS
 	}
-	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GraceS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &grace}
 }
 
 // forgettable tells whether an exit may be forgotten: only once all that it tells
 // is in the state service, for after that a repeated start would run again.
-func (l *leader) forgettable(t *wire.TaskReport) bool {
-	id, task, ok := wire.ParseTask(t.Task)
+func (l *leader) forgettable(t *wire.TaskStatus) bool {
+	id, task, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return true
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -111,7 +111,7 @@
 	}
 	c := &Core{set: s, op: op, incarnation: incarnation, t: timesOf(s, op),
 		pending: map[uint64]func(Result){}, lastReport: -1}
-	c.pacer = pacing.NewPacer(c.t.report, c.t.lease, wire.ReportTimeout)
+	c.pacer = pacing.NewPacer(c.t.report, c.t.lease, wire.HeartbeatTimeout)
 	c.load = pacing.NewLoad(c.t.heartbeat, c.t.lease)
 	c.backlog = pacing.NewLoad(c.t.heartbeat, c.t.lease)
 	c.dir = newDirectory()
@@ -288,7 +288,7 @@
 	c.stateAsking = true
 	c.probeAt = c.now.Steady + every
 	id := c.stateCall(func(Result) { c.stateAsking = false })
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Cond{c.dir.leadCond()}}})
+	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{c.dir.leadCond()}}})
 }
 
 // Healthy tells whether this node can take requests. A node that alone is refused
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -58,8 +58,8 @@
 }
 
 func dependencyJob(e *entry) dependency.Job {
-	j := dependency.Job{Needs: e.Job.Needs, Cancelled: e.CancelledMS != 0, Priority: e.Job.Priority.Rank(),
-		AcceptedMS: e.AtMS, EstimateMS: milliseconds(e.Job.EstimateS), DeadlineMS: dependency.Never}
+	j := dependency.Job{Needs: e.Job.Dependencies, Cancelled: e.CancelledMS != 0, Priority: e.Job.Priority.Rank(),
+		AcceptedMS: e.AtMS, EstimateMS: milliseconds(e.Job.EstimatedRunS), DeadlineMS: dependency.Never}
 	if e.Job.DeadlineS != nil {
 		j.DeadlineMS = e.AtMS + milliseconds(*e.Job.DeadlineS)
 	}
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -22,7 +22,7 @@
 func (u *users) submitDependent(in Submit) {
 	check := &needsCheck{in: in}
 	var unknown []string
-	for _, id := range in.Job.Needs {
+	for _, id := range in.Job.Dependencies {
 		e, seen := u.c.dir.jobs[id], false
 		if e == nil {
 			_, seen = u.c.dir.finals[id]
@@ -76,7 +76,7 @@
 	switch {
 	case check.refuse != "":
 		// The same words whatever the cause: nothing is told of another's job.
-		u.repeated(check.in, refusal{status: 422, why: wire.FieldNeeds + ": " + check.refuse + " can't be waited for"})
+		u.repeated(check.in, refusal{status: 422, why: wire.FieldDependencies + ": " + check.refuse + " can't be waited for"})
 	case check.failed:
 		u.unsure(check.in.Req)
 	default:
@@ -143,7 +143,7 @@
 		return value, err
 	}
 	short := *v.Job
-	short.Class, short.Image, short.Zone, short.Types, short.Needs = "", "", "", nil, nil
+	short.Class, short.Image, short.Zone, short.MachineTypes, short.Dependencies = "", "", "", nil, nil
 	v.Job = &short
 	return json.Marshal(v)
 }
--- a/internal/core/direct_orders.go
+++ b/internal/core/direct_orders.go
@@ -97,7 +97,7 @@
 		p.waits = false
 		switch r.Outcome {
 		case call.OK:
-			p.answer = r.Report.Seq
+			p.answer = r.Report.Sequence
 		case call.Unknown:
 			// It may be carried out at any later time, or commands don't reach it.
 			l.requireToken(m, o.token+1)
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -127,7 +127,9 @@
 		plans: newPlansOf(), accounts: newAccountsOf(), unreachable: map[string]unreachablePart{}, finals: map[string]finalValue{}}
 }
 
-func (d *directory) leadCond() wire.Cond { return wire.Cond{Key: keyLead, Version: d.leadVersion} }
+func (d *directory) leadCond() wire.Condition {
+	return wire.Condition{Key: keyLead, Version: d.leadVersion}
+}
 
 // apply takes a key's value, or its end where value is nil.
 func (d *directory) apply(key string, value json.RawMessage, version uint64) {
@@ -306,7 +308,7 @@
 	c.send(StateWatch{ID: id, Prefix: watched, After: d.revision, Wait: c.t.lease / 2})
 }
 
-func (c *Core) applyChanges(ch wire.Changes) {
+func (c *Core) applyChanges(ch wire.WatchResponse) {
 	for _, e := range ch.Events {
 		key, value := e.Put, e.Value
 		if e.Delete != "" {
--- a/internal/core/display.go
+++ b/internal/core/display.go
@@ -87,7 +87,7 @@
 	w.countsAt = c.now.Steady
 	shards := l.countShards()
 	w.countsInUse = max(w.countsInUse, len(shards))
-	txn := wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}}
 	keys := map[string]string{}
 	for i := range w.countsInUse {
 		shard := map[string]counts{} // one that is not needed any more is emptied
@@ -138,6 +138,6 @@
 			w.catalogOut = false
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}},
+	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}},
 		Then: []wire.Op{{Put: keyCatalog, Value: value}}}})
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -246,7 +246,7 @@
 			fail()
 		})
 		c.send(StateTxn{ID: id, Txn: wire.Txn{
-			If:   []wire.Cond{{Key: keyLead}, {Key: keyTerm, Version: c.dir.termVersion}},
+			If:   []wire.Condition{{Key: keyLead}, {Key: keyTerm, Version: c.dir.termVersion}},
 			Then: []wire.Op{{Put: keyLead, Value: lead, Lease: g.Lease}, {Put: keyTerm, Value: tv}},
 		}})
 	})
--- a/internal/core/fulfillment.go
+++ b/internal/core/fulfillment.go
@@ -33,7 +33,7 @@
 	if !j.hasDeadline() {
 		return j.latestEnd
 	}
-	return j.latestEnd - milliseconds(j.spec.EstimateS)
+	return j.latestEnd - milliseconds(j.spec.EstimatedRunS)
 }
 
 // pace is how many instances an array needs at work now to be done within its class's
@@ -45,7 +45,7 @@
 	if j.elastic() && j.hasDeadline() {
 		return j.maxInstance()
 	}
-	if !j.elastic() || j.spec.EstimateS <= 0 {
+	if !j.elastic() || j.spec.EstimatedRunS <= 0 {
 		return j.minInstance()
 	}
 	age := float64(l.c.now.WallMS-j.queuedAt) / 1000
@@ -54,14 +54,14 @@
 		if o.Kind != "finished" || o.Class != j.spec.Class {
 			continue
 		}
-		if t := o.WithinS - age; t >= j.spec.EstimateS && (left == 0 || t < left) {
+		if t := o.WithinS - age; t >= j.spec.EstimatedRunS && (left == 0 || t < left) {
 			left = t
 		}
 	}
 	if left == 0 {
 		return j.minInstance()
 	}
-	times := int(left / j.spec.EstimateS)
+	times := int(left / j.spec.EstimatedRunS)
 	return (j.unfinished() + times - 1) / times
 }
 
--- a/internal/core/held_answers.go
+++ b/internal/core/held_answers.go
@@ -10,16 +10,16 @@
 // worker sends no other report. It goes at its time, or as soon as the machine has something to do.
 type heldAnswer struct {
 	req    uint64
-	report *wire.Report
+	report *wire.Heartbeat
 	due    time.Duration
 }
 
 // holdAnswer holds the answer to a report back if it tells nothing and no change is expected that the worker would
 // have to report; false if it has to be answered now.
-func (l *leader) holdAnswer(req uint64, r *wire.Report, token uint64, answer *leaseAnswer) bool {
+func (l *leader) holdAnswer(req uint64, r *wire.Heartbeat, token uint64, answer *leaseAnswer) bool {
 	c := l.c
 	m := l.machines[r.Machine]
-	if !c.op.PaceReports || m == nil || c.stateDown || len(answer.commands) > 0 || token != r.Token || m.held != nil || !l.mayWait(m, r) {
+	if !c.op.PaceReports || m == nil || c.stateDown || len(answer.commands) > 0 || token != r.FencingToken || m.held != nil || !l.mayWait(m, r) {
 		return false
 	}
 	now := c.now.Steady
@@ -35,8 +35,8 @@
 }
 
 // mayWait tells whether a report is the newest of a machine that is to be kept.
-func (l *leader) mayWait(m *machine, r *wire.Report) bool {
-	newest := m.up && m.session == r.Session && m.seq == r.Seq
+func (l *leader) mayWait(m *machine, r *wire.Heartbeat) bool {
+	newest := m.up && m.session == r.Incarnation && m.seq == r.Sequence
 	return newest && l.loaded && m.requiredToken == 0 && !m.notice && !m.releasing && !m.faulty
 }
 
@@ -72,13 +72,13 @@
 	case l.mayWait(m, held.report):
 		l.commands(m, held.report, answer)
 	}
-	l.c.renewLease(held.req, basis, max(l.token(m), held.report.Token), answer)
+	l.c.renewLease(held.req, basis, max(l.token(m), held.report.FencingToken), answer)
 }
 
 // dropHeld ends a held answer whose worker has sent a newer report, and so has given it up.
 func (l *leader) dropHeld(m *machine) {
 	if m.held != nil {
-		l.c.renewLease(m.held.req, LateReportBasis, m.held.report.Token, l.c.newLeaseAnswer(m.held.report))
+		l.c.renewLease(m.held.req, LateReportBasis, m.held.report.FencingToken, l.c.newLeaseAnswer(m.held.report))
 		m.held = nil
 	}
 }
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -85,7 +85,7 @@
 		free.Take(resource.OfTask(p.job.spec))
 	}
 	for _, t := range m.orphanedTasks {
-		if id, _, ok := wire.ParseTask(t.Task); ok && l.jobs[id] != nil {
+		if id, _, ok := wire.ParseTaskName(t.Task); ok && l.jobs[id] != nil {
 			free.Take(resource.OfTask(l.jobs[id].spec))
 		} else {
 			free = resource.Amount{}
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -36,7 +36,7 @@
 	}
 	h.at = c.now.Steady
 	shards := h.shardsOf(l.fleet)
-	txn := wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}}
 	for i, s := range shards {
 		k := keyImages + strconv.Itoa(i)
 		value, err := json.Marshal(s)
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -52,7 +52,7 @@
 // Checkin is a worker's report.
 type Checkin struct {
 	Req    uint64
-	Report *wire.Report
+	Report *wire.Heartbeat
 }
 
 // CancellationsReceived are cancellations that another node sends. The answer says that they are known
@@ -70,13 +70,13 @@
 
 	Item     wire.Item
 	Page     wire.Page
-	Txn      wire.TxnAnswer
+	Txn      wire.TxnResponse
 	Lease    uint64
-	Changes  wire.Changes
+	Changes  wire.WatchResponse
 	Catalog  wire.Catalog
 	Names    []string
 	Machines wire.MachineList
-	Report   wire.Report
+	Report   wire.Heartbeat
 	Peer     PeerStatus
 	Probe    rollout.Answer
 	ReadyS   float64 // until an image is there
@@ -161,7 +161,7 @@
 	// CloudRent asks for machines.
 	CloudRent struct {
 		ID      uint64
-		Request wire.RentRequest
+		Request wire.ScaleOutRequest
 	}
 	// CloudRelease gives machines back.
 	CloudRelease struct {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -193,15 +193,15 @@
 }
 
 // recordKeys gives the keys of all records of a job, with their versions.
-func (l *leader) recordKeys(j *job) []wire.Cond {
-	var keys []wire.Cond
+func (l *leader) recordKeys(j *job) []wire.Condition {
+	var keys []wire.Condition
 	for _, i := range slices.Sorted(maps.Keys(j.chunks)) {
 		if ch := j.chunks[i]; ch.version != 0 {
-			keys = append(keys, wire.Cond{Key: l.runKey(ch), Version: ch.version})
+			keys = append(keys, wire.Condition{Key: l.runKey(ch), Version: ch.version})
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(j.superseded)) {
-		keys = append(keys, wire.Cond{Key: key, Version: j.superseded[key]})
+		keys = append(keys, wire.Condition{Key: key, Version: j.superseded[key]})
 	}
 	return keys
 }
@@ -232,7 +232,7 @@
 func (j *job) counts() counts {
 	running := 0
 	for _, p := range j.placed {
-		if p.state == wire.TaskRunning || p.state == wire.TaskSaving {
+		if p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing {
 			running++
 		}
 	}
@@ -278,7 +278,7 @@
 	j := &job{id: id, spec: e.Job, at: e.AtMS, queuedAt: e.AtMS, version: e.version, team: l.teamOf(e.Job.Team),
 		rank: status.Priority, latestEnd: status.LatestEndMS, chunks: map[int]*chunk{}, placed: map[int]*placement{}, zones: map[string]int{}, replicas: l.replicas}
 	l.jobs[id] = j
-	j.waiting = len(e.Job.Needs) > 0
+	j.waiting = len(e.Job.Dependencies) > 0
 	j.held = l.planHolds(id, e.Job)
 	if !j.waiting && !j.held {
 		l.enqueue(j)
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -84,7 +84,7 @@
 		}
 	})
 	c.send(StateTxn{ID: id, Txn: wire.Txn{
-		If:   []wire.Cond{{Key: keyTerm, Version: l.version}, {Key: keyLayout}},
+		If:   []wire.Condition{{Key: keyTerm, Version: l.version}, {Key: keyLayout}},
 		Then: []wire.Op{{Put: keyLayout, Value: layout}, {Put: keyTerm, Value: term}},
 	}})
 }
--- a/internal/core/lease_answers.go
+++ b/internal/core/lease_answers.go
@@ -57,11 +57,11 @@
 const mostCommands = 400
 
 // newLeaseAnswer begins an answer to a report with stops of the tasks whose jobs this node knows to be cancelled.
-func (c *Core) newLeaseAnswer(r *wire.Report) *leaseAnswer {
+func (c *Core) newLeaseAnswer(r *wire.Heartbeat) *leaseAnswer {
 	a := &leaseAnswer{machine: r.Machine, commands: []wire.Command{}}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		id, _, ok := wire.ParseTask(t.Task)
+		id, _, ok := wire.ParseTaskName(t.Task)
 		if !ok || t.State == wire.TaskExited || a.full() || !c.knowsCancelled(id) {
 			continue
 		}
@@ -75,9 +75,9 @@
 }
 
 // stopAtOnce stops a task without time to save.
-func stopAtOnce(t *wire.TaskReport) wire.Command {
+func stopAtOnce(t *wire.TaskStatus) wire.Command {
 	grace := 0.0
-	return wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &grace}
 }
 
 // full tells whether there is no room for another command.
@@ -97,7 +97,7 @@
 		c.renewals.stops[basis] += uint64(n)
 		c.log(Debug, "stops cancelled tasks", "machine", a.machine, "basis", basis, "tasks", n)
 	}
-	c.answer(req, 200, wire.ReportAnswer{Token: token, Commands: a.commands})
+	c.answer(req, 200, wire.HeartbeatResponse{FencingToken: token, Commands: a.commands})
 }
 
 // knowsCancelled tells whether this node knows that a job is cancelled.
--- a/internal/core/lease_answers_test.go
+++ b/internal/core/lease_answers_test.go
@@ -21,9 +21,9 @@
 
 // drawReport draws a machine's tasks, and makes a part of their jobs known to be cancelled: those that still need attention,
 // and those whose end is known.
-func drawReport(t *rapid.T, c *Core) *wire.Report {
-	states := []wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskRunning, wire.TaskSaving, wire.TaskExited}
-	r := &wire.Report{Machine: "m1", Session: 1}
+func drawReport(t *rapid.T, c *Core) *wire.Heartbeat {
+	states := []wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited}
+	r := &wire.Heartbeat{Machine: "m1", Incarnation: 1}
 	tasks := rapid.IntRange(0, 3*mostCommands).Draw(t, "tasks")
 	cancelledOf10 := rapid.IntRange(0, 10).Draw(t, "cancelled of 10")
 	for i := range tasks {
@@ -37,15 +37,15 @@
 			c.dir.finals[job] = finalValue{State: wire.JobCancelled}
 		}
 		state := states[rapid.IntRange(0, len(states)-1).Draw(t, "state")]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
 	}
 	return r
 }
 
 // cancelledLeft counts the tasks of a report that have not exited and whose jobs are known to be cancelled.
-func cancelledLeft(c *Core, r *wire.Report) (left int) {
+func cancelledLeft(c *Core, r *wire.Heartbeat) (left int) {
 	for _, t := range r.Tasks {
-		job, _, _ := wire.ParseTask(t.Task)
+		job, _, _ := wire.ParseTaskName(t.Task)
 		if t.State != wire.TaskExited && c.knowsCancelled(job) {
 			left++
 		}
@@ -54,7 +54,7 @@
 }
 
 // obey has a worker carry out the stops of an answer.
-func obey(r *wire.Report, a *leaseAnswer) {
+func obey(r *wire.Heartbeat, a *leaseAnswer) {
 	stopped := map[attemptName]bool{}
 	for _, command := range a.commands {
 		stopped[attemptName{command.Task, command.Attempt}] = command.Op == wire.OpStop
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -32,7 +32,7 @@
 }
 
 type relayedWorker struct {
-	report    *wire.Report
+	report    *wire.Heartbeat
 	since, at time.Duration // when its lease was first and last renewed here
 	proven    bool          // it can't reach the leader
 }
@@ -100,12 +100,12 @@
 		// Sent on to the next node, it might wait for one that is down, and lose its lease
 		// before it has found the next leader. The answer repeats its own token, as that of
 		// renewWithoutState does, and is safe for the same reasons.
-		c.renewLease(in.Req, VacancyBasis, r.Token, c.newLeaseAnswer(r))
+		c.renewLease(in.Req, VacancyBasis, r.FencingToken, c.newLeaseAnswer(r))
 		return true
 	}
 	term := c.dir.lead.Term
 	p := k.leader()
-	if p == nil || termOf(r.Token) > term {
+	if p == nil || termOf(r.FencingToken) > term {
 		return false
 	}
 	w := k.workers[r.Machine]
@@ -121,7 +121,7 @@
 	if !k.current(p) {
 		return false
 	}
-	if old := w.report; r.Session > old.Session || r.Session == old.Session && r.Seq > old.Seq {
+	if old := w.report; r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
 		w.report = r
 	}
 	w.at = now
@@ -129,14 +129,14 @@
 		k.term = term
 		c.log(Info, "keeping workers for a leader out of reach", "leader", c.dir.lead.Node, "term", term)
 	}
-	c.renewLease(in.Req, RelayBasis, max(firstToken(term), r.Token), c.newLeaseAnswer(r))
+	c.renewLease(in.Req, RelayBasis, max(firstToken(term), r.FencingToken), c.newLeaseAnswer(r))
 	return true
 }
 
 // adopt begins to keep a worker. It may reach the leader from where it is: its lease is renewed
 // once, for it has lost time already; then it is sent there, and kept if it comes back. One whose
 // zone is cut off as this node's is needs no proof.
-func (k *leaseRelay) adopt(r *wire.Report) *relayedWorker {
+func (k *leaseRelay) adopt(r *wire.Heartbeat) *relayedWorker {
 	c := k.c
 	now := c.now.Steady
 	at, was := k.asked[r.Machine]
@@ -197,7 +197,7 @@
 	if wholeZone {
 		basis = CutZoneBasis
 	}
-	c.renewLease(in.Req, basis, r.Token, c.newLeaseAnswer(r))
+	c.renewLease(in.Req, basis, r.FencingToken, c.newLeaseAnswer(r))
 	return true
 }
 
@@ -219,7 +219,7 @@
 					k.leadOK = r.Sent
 				}
 			})
-			c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Cond{c.dir.leadCond()}}})
+			c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{c.dir.leadCond()}}})
 		}
 	}
 	if k.leader() == nil || k.term != 0 && c.dir.lead.Term != k.term {
@@ -328,7 +328,7 @@
 	}
 	c.noticeRelay(key)
 	for _, r := range decodeRelayed(value) {
-		if r != nil && r.Machine != "" && termOf(r.Token) <= c.lead.term {
+		if r != nil && r.Machine != "" && termOf(r.FencingToken) <= c.lead.term {
 			c.lead.relayed(r, false)
 		}
 	}
@@ -346,17 +346,17 @@
 
 // relayed takes in a report that came by another node, or that the worker was asked for.
 // It is evidence, and the machine is alive; but starts can't reach it that way.
-func (l *leader) relayed(r *wire.Report, asked bool) {
+func (l *leader) relayed(r *wire.Heartbeat, asked bool) {
 	m := l.machines[r.Machine]
-	if !l.loaded || m == nil || m.up && (r.Session < m.session || r.Session == m.session && r.Seq <= m.seq) {
+	if !l.loaded || m == nil || m.up && (r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq) {
 		return
 	}
 	m.relayedAt = l.c.now.Steady
 	m.describe(r.Type, r.Zone, r.Addr, r.Spot)
-	m.enter(r.Session)
+	m.enter(r.Incarnation)
 	m.up, m.seenUp, m.missing = true, true, 0
-	m.seq = r.Seq
+	m.seq = r.Sequence
 	l.rentals.takeBack(m)
-	m.notice = m.notice || r.NoticeS != nil
+	m.notice = m.notice || r.ReclaimNoticeS != nil
 	l.evidence(m, r, asked)
 }
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -59,4 +59,4 @@
 func (l *limits) slowDown(now, pause time.Duration) { l.slowEnd = now + pause }
 
 // mostNeeds bounds the jobs that a job may need.
-func (l *limits) mostNeeds() int { return wire.MaxNeeds(l.valueBytes()) }
+func (l *limits) mostNeeds() int { return wire.MaxDependencies(l.valueBytes()) }
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -207,7 +207,7 @@
 		case p.stop != keep:
 		case p.phase < sent:
 			l.end(p)
-		case p.job.spec.Checkpoint > 0:
+		case p.job.spec.CheckpointIntervalS > 0:
 			p.halt(stopSaving, stopDrain)
 		case m.faulty:
 			p.halt(stopNow, stopDrain)
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -41,7 +41,7 @@
 		u.cancelled(id, e, then)
 		return
 	}
-	if e != nil && len(e.Job.Needs) > 0 && !u.mayTell(id, e, then) {
+	if e != nil && len(e.Job.Dependencies) > 0 && !u.mayTell(id, e, then) {
 		return
 	}
 	l.entry = e
@@ -74,14 +74,14 @@
 		return
 	}
 	most := c.limits.conditions()
-	var conds []wire.Cond
+	var conds []wire.Condition
 	n := 0
 	for ; n < len(u.checks) && len(conds)+2 <= most; n++ {
 		l := u.checks[n]
 		if l.entry != nil {
-			conds = append(conds, wire.Cond{Key: keyActive + l.id, Version: l.entry.version})
+			conds = append(conds, wire.Condition{Key: keyActive + l.id, Version: l.entry.version})
 		} else {
-			conds = append(conds, wire.Cond{Key: keyActive + l.id}, wire.Cond{Key: keyFinal + l.id})
+			conds = append(conds, wire.Condition{Key: keyActive + l.id}, wire.Condition{Key: keyFinal + l.id})
 		}
 	}
 	batch := append([]*lookup(nil), u.checks[:n]...)
@@ -144,7 +144,7 @@
 					u.cancelled(l.id, e, end)
 					return
 				}
-				if len(v.Job.Needs) > 0 {
+				if len(v.Job.Dependencies) > 0 {
 					c.learn(l.id, r.Item.Value, r.Item.Version, fromRead)
 					if !u.mayTell(l.id, e, end) {
 						return
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -41,8 +41,8 @@
 	list          []*placement          // the same, by job and task
 	host          *host                 // its room; nil while it may take no tasks
 	roomChanged   bool                  // since its room was worked out
-	exits         []wire.TaskReport     // exited tasks of the last report
-	orphanedTasks []wire.TaskReport     // tasks it holds that no record explains
+	exits         []wire.TaskStatus     // exited tasks of the last report
+	orphanedTasks []wire.TaskStatus     // tasks it holds that no record explains
 	releasing     bool
 	// Why it is given back, and whether a request for that may have been carried out.
 	releaseWhy  releaseReason
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, j := range services {
-		if j.spec.Zone != "" || j.spec.OneZone || l.planOwns(j.id) {
+		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
 			continue // it has no choice, or its places are a rollout's matter just now
 		}
 		zone := l.replicas.Overfull(model, l.zonesFor(j))
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -10,11 +10,11 @@
 // learns from the cloud's list or from a report. Until then what has to be spread counts as being in each zone.
 func (j *job) zoneRules() func(zone string) bool {
 	s := j.spec
-	if !s.OneZone && !s.Spread {
+	if !s.SingleZone && !s.SpreadZones {
 		return func(zone string) bool { return s.Zone == "" || s.Zone == zone }
 	}
 	unknown := 0
-	if s.Spread {
+	if s.SpreadZones {
 		unknown = j.zones[""]
 	}
 	return func(zone string) bool {
@@ -23,10 +23,10 @@
 			here += unknown
 		}
 		switch {
-		case s.Zone != "" && s.Zone != zone, s.OneZone && here < len(j.placed):
+		case s.Zone != "" && s.Zone != zone, s.SingleZone && here < len(j.placed):
 			return false
 		}
-		return !s.Spread || here < (s.Tasks+1)/2
+		return !s.SpreadZones || here < (s.Tasks+1)/2
 	}
 }
 
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -21,19 +21,19 @@
 	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.kind) || r.l.avoids(j, m) {
 		return false
 	}
-	if !s.OneZone && !s.Spread {
+	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
 	here := 0
 	for _, p := range j.placed {
 		switch {
-		case p.machine.zone == m.zone, s.Spread && p.machine.zone == "":
+		case p.machine.zone == m.zone, s.SpreadZones && p.machine.zone == "":
 			here++
-		case s.OneZone:
+		case s.SingleZone:
 			return false
 		}
 	}
-	return !s.Spread || here < (s.Tasks+1)/2
+	return !s.SpreadZones || here < (s.Tasks+1)/2
 }
 
 // scanWeighed finds the machine for a job's next replica that costs the least, by a look at each.
@@ -177,12 +177,12 @@
 		Team:  rapid.SampledFrom([]string{"red", "blue", "guest", "gone"}).Draw(f.T, "team"),
 		Tasks: f.number("tasks", 1, 6), GPUs: float64(f.number("gpus", 0, 4)) / 2, CPUs: float64(f.number("cpus", 1, 6)), MemoryGB: float64(f.number("memory", 1, 6)),
 		Image: rapid.SampledFrom([]string{"i1", "i2", "i3", "i4"}).Draw(f.T, "image"), ImageGB: 3,
-		OneZone: f.chance("one zone", 4), Spread: f.chance("spread", 4), Spot: f.chance("may be spot", 2)}
+		SingleZone: f.chance("one zone", 4), SpreadZones: f.chance("spread", 4), Spot: f.chance("may be spot", 2)}
 	if f.chance("in a zone", 5) {
 		spec.Zone = "z2"
 	}
 	if f.chance("of a type", 5) {
-		spec.Types = []string{"g4", "c8"}
+		spec.MachineTypes = []string{"g4", "c8"}
 	}
 	team := f.l.c.team(spec.Team)
 	if team == nil && f.chance("of a team that there is", 2) {
@@ -268,13 +268,13 @@
 
 // report has a machine report all that is on it, and perhaps a task that nobody knows of.
 func (f *drawnFleet) report(m *machine) {
-	r := &wire.Report{Machine: m.name, Session: m.session}
+	r := &wire.Heartbeat{Machine: m.name, Incarnation: m.session}
 	for _, p := range m.list {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
 	}
 	if f.chance("stray", 2) {
 		stray := rapid.SampledFrom([]string{f.anyJob().id + "/5", "run-999999/0"}).Draw(f.T, "which")
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: stray, Attempt: 99, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
 	}
 	f.l.evidence(m, r, false)
 }
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -207,9 +207,9 @@
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
 	txn := l.keyTxn(keyPlans+plan.Name, 0, wire.Op{Put: keyPlans + plan.Name, Value: value})
 	for _, id := range plan.Jobs() {
-		cond := wire.Cond{Key: keyFinal + id}
+		cond := wire.Condition{Key: keyFinal + id}
 		if e := l.c.dir.jobs[id]; e != nil {
-			cond = wire.Cond{Key: keyActive + id, Version: e.version}
+			cond = wire.Condition{Key: keyActive + id, Version: e.version}
 		}
 		if len(txn.If) < l.c.limits.conditions() {
 			txn.If = append(txn.If, cond)
--- a/internal/core/plan_runs.go
+++ b/internal/core/plan_runs.go
@@ -336,7 +336,7 @@
 
 // keyTxn is a change of a key, conditional on the term and on the key's version.
 func (l *leader) keyTxn(key string, version uint64, op wire.Op) wire.Txn {
-	return wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}, {Key: key, Version: version}}, Then: []wire.Op{op}}
+	return wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}, {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
--- a/internal/core/production_format_test.go
+++ b/internal/core/production_format_test.go
@@ -81,7 +81,7 @@
 func TestProductionReads(t *testing.T) {
 	deadline := 60.0
 	job := &wire.Job{ID: "run-000001", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 3, CPUs: 2, Image: "i",
-		DeadlineS: &deadline, Needs: []string{"run-000000"}}
+		DeadlineS: &deadline, Dependencies: []string{"run-000000"}}
 	active, ok := decode[productionActive](encoded(t, activeValue{Job: job, AtMS: 7, CancelledMS: 9}, nil))
 	if !ok || active.Job.ID != job.ID || active.Job.Tasks != 3 || *active.Job.DeadlineS != 60 || active.AtMS != 7 || active.CancelledMS != 9 {
 		t.Errorf("a job: %+v %v", active, ok)
@@ -146,9 +146,9 @@
 	const machines, tasks = 20, 64
 	var reports []json.RawMessage
 	for m := range machines {
-		r := wire.Report{Machine: "host-0000" + strconv.Itoa(m), Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 80, Token: 41}
+		r := wire.Heartbeat{Machine: "host-0000" + strconv.Itoa(m), Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Incarnation: 1, Sequence: 80, FencingToken: 41}
 		for i := range tasks {
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("run-00041"+strconv.Itoa(m), i), Attempt: uint64(i), State: wire.TaskRunning})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName("run-00041"+strconv.Itoa(m), i), Attempt: uint64(i), State: wire.TaskRunning})
 		}
 		reports = append(reports, encoded(t, r, nil))
 	}
@@ -162,7 +162,7 @@
 				t.Errorf("a value of %d bytes", len(value))
 			}
 			for _, r := range decodeRelayed(value) {
-				if len(r.Tasks) == tasks && r.Seq == 80 {
+				if len(r.Tasks) == tasks && r.Sequence == 80 {
 					n++
 				}
 			}
@@ -189,7 +189,7 @@
 	long := strings.Repeat("x", 256)
 	job := &wire.Job{ID: "run-000001", Class: long, Team: long, Kind: wire.KindArray, Tasks: 5, Image: long, Zone: long}
 	for range 32 {
-		job.Types = append(job.Types, long)
+		job.MachineTypes = append(job.MachineTypes, long)
 	}
 	value, err := c.encodeActive(activeValue{Job: job, AtMS: 1, CancelledMS: 2})
 	if err != nil || len(value) > 2048 {
@@ -199,7 +199,7 @@
 	if !ok || read.CancelledMS != 2 || read.Job.Tasks != 5 || read.Job.Team != long {
 		t.Errorf("%+v", read)
 	}
-	if len(job.Types) != 32 {
+	if len(job.MachineTypes) != 32 {
 		t.Error("the job itself was changed")
 	}
 }
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -114,14 +114,14 @@
 	if o.Spot && !s.Spot || s.Zone != "" && s.Zone != o.Zone || !allowsType(s, o.Type) {
 		return false
 	}
-	if !s.OneZone && !s.Spread {
+	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
 	z := p.zonesOf(j)
-	if s.OneZone && len(z) > 0 && z[o.Zone] == 0 {
+	if s.SingleZone && len(z) > 0 && z[o.Zone] == 0 {
 		return false
 	}
-	return !s.Spread || z[o.Zone] < (s.Tasks+1)/2
+	return !s.SpreadZones || z[o.Zone] < (s.Tasks+1)/2
 }
 
 // open plans a new machine for a task: of the cheapest type that holds it, in the
@@ -190,10 +190,10 @@
 				n--
 			}
 			share := 1 - b.room.GPUs/max(1, b.mt.GPUs)
-			p.work += share * max(j.spec.EstimateS, 1) / b.mt.BootS
+			p.work += share * max(j.spec.EstimatedRunS, 1) / b.mt.BootS
 			if !spot && j.spec.Spot {
 				// An ordinary machine in place of a cheap one has to be worth more.
-				p.work -= share * max(j.spec.EstimateS, 1) / b.mt.BootS * (1 - b.mt.SpotPrice/b.mt.Price)
+				p.work -= share * max(j.spec.EstimatedRunS, 1) / b.mt.BootS * (1 - b.mt.SpotPrice/b.mt.Price)
 			}
 			if p.work >= 0.5 {
 				p.work -= 1
@@ -260,7 +260,7 @@
 	for i := 0; i < 4 && p.headroom(wanted) < wanted; i++ {
 		var any *job
 		for _, j := range l.order {
-			if !j.array() && !j.cancelled && j.team != nil && !j.spec.Spread && !j.spec.OneZone {
+			if !j.array() && !j.cancelled && j.team != nil && !j.spec.SpreadZones && !j.spec.SingleZone {
 				any = j
 			}
 		}
@@ -287,7 +287,7 @@
 	sort.SliceStable(kinds, func(a, b int) bool { return counts[kinds[a]] > counts[kinds[b]] })
 	for _, o := range kinds {
 		p.t.seq++
-		p.t.requests = append(p.t.requests, &rental{Group: o, count: min(counts[o], wire.MaxRent),
+		p.t.requests = append(p.t.requests, &rental{Group: o, count: min(counts[o], wire.MaxScaleOut),
 			name: fmt.Sprintf("bw-%d-%d", p.r.l.term, p.t.seq), at: c.now.Steady})
 	}
 }
--- a/internal/core/relayed.go
+++ b/internal/core/relayed.go
@@ -83,7 +83,7 @@
 }
 
 // decodeRelayed reads a list of reports in either form; nothing where it can't be read.
-func decodeRelayed(value json.RawMessage) []*wire.Report {
+func decodeRelayed(value json.RawMessage) []*wire.Heartbeat {
 	if packed, ok := decode[string](value); ok {
 		data, err := base64.StdEncoding.DecodeString(packed)
 		if err != nil {
@@ -94,6 +94,6 @@
 			return nil
 		}
 	}
-	reports, _ := decode[[]*wire.Report](value)
+	reports, _ := decode[[]*wire.Heartbeat](value)
 	return reports
 }
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -14,7 +14,7 @@
 func (s *sim) checkRenewal(n *simNode, a core.Answer) {
 	report := n.reports[a.Req]
 	delete(n.reports, a.Req)
-	answer, renews := a.Body.(wire.ReportAnswer)
+	answer, renews := a.Body.(wire.HeartbeatResponse)
 	if report == nil || !renews {
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // leftRunning gives the tasks of a report that an answer should stop and does not.
-func leftRunning(report *wire.Report, answer wire.ReportAnswer, cancelled func(job string) bool) []string {
+func leftRunning(report *wire.Heartbeat, answer wire.HeartbeatResponse, cancelled func(job string) bool) []string {
 	stopped := map[string]bool{}
 	for _, command := range answer.Commands {
 		if command.Op == wire.OpStop {
@@ -37,7 +37,7 @@
 	}
 	var left []string
 	for _, task := range report.Tasks {
-		job, _, ok := wire.ParseTask(task.Task)
+		job, _, ok := wire.ParseTaskName(task.Task)
 		if ok && task.State != wire.TaskExited && cancelled(job) && !stopped[attemptKey(task.Task, task.Attempt)] {
 			left = append(left, task.Task)
 		}
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -157,7 +157,7 @@
 
 func (t *rentals) sendRelease() {
 	l, c := t.l, t.l.c
-	n := min(len(t.names), wire.MaxRelease)
+	n := min(len(t.names), wire.MaxScaleIn)
 	names := append([]string(nil), t.names[:n]...)
 	t.names = append([]string(nil), t.names[n:]...)
 	t.relBusy = true
@@ -217,7 +217,7 @@
 			c.at(q.at)
 		}
 	})
-	c.send(CloudRent{ID: id, Request: wire.RentRequest{Request: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
+	c.send(CloudRent{ID: id, Request: wire.ScaleOutRequest{RequestID: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
 }
 
 // unask drops requests that still wait for the cloud's rate. What is missing is counted
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -26,7 +26,7 @@
 	}
 	// A worker that knows a newer term would drop what this node says; a node
 	// past its deadline is not entitled to say anything.
-	if termOf(r.Token) > l.term || !l.entitled() {
+	if termOf(r.FencingToken) > l.term || !l.entitled() {
 		if len(r.Tasks) > 0 && c.stateDown && c.relay.renewWithoutState(in) {
 			return
 		}
@@ -36,7 +36,7 @@
 	before := l.changes
 	answer := c.newLeaseAnswer(r)
 	basis := l.report(r, answer)
-	token := max(firstToken(l.term), r.Token)
+	token := max(firstToken(l.term), r.FencingToken)
 	if m := l.machines[r.Machine]; m != nil {
 		m.current = max(m.current, token)
 		token = l.token(m)
@@ -48,7 +48,7 @@
 }
 
 // report takes in a report and adds commands to its answer.
-func (l *leader) report(r *wire.Report, answer *leaseAnswer) LeaseBasis {
+func (l *leader) report(r *wire.Heartbeat, answer *leaseAnswer) LeaseBasis {
 	if !l.loaded {
 		return UnreadLeaderBasis // what runs is not yet known
 	}
@@ -56,12 +56,12 @@
 		return GoneMachineBasis
 	}
 	m := l.machine(r.Machine)
-	if m.up && (r.Session < m.session || r.Session == m.session && r.Seq <= m.seq) {
+	if m.up && (r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq) {
 		// A late copy. It proves nothing, and its answer reaches nobody.
 		return LateReportBasis
 	}
 	l.dropHeld(m)
-	if r.Session != m.session || !m.up {
+	if r.Incarnation != m.session || !m.up {
 		l.changes++
 	}
 	now := l.c.now.Steady
@@ -70,10 +70,10 @@
 		l.wantRound()
 	}
 	switch {
-	case !m.up && !m.listed && !m.rented && termOf(r.Token) < l.term:
+	case !m.up && !m.listed && !m.rented && termOf(r.FencingToken) < l.term:
 		// Nobody here knows it: its report may be a late copy, of a machine long gone.
 		l.requireToken(m, firstToken(l.term))
-	case m.up && r.Session > m.session:
+	case m.up && r.Incarnation > m.session:
 		l.c.log(Info, "machine in a new session", "machine", m.name, "tasks", len(m.runs))
 		if now-m.heard < l.c.t.lease/2 {
 			// Its lease ran out although its reports came and were answered.
@@ -84,13 +84,13 @@
 		m.tokenRequiredSince = now
 	}
 	m.describe(r.Type, r.Zone, r.Addr, r.Spot)
-	m.enter(r.Session)
+	m.enter(r.Incarnation)
 	m.up, m.seenUp, m.missing = true, true, 0
-	m.seq, m.heard, m.lastHold = r.Seq, now, 0
+	m.seq, m.heard, m.lastHold = r.Sequence, now, 0
 	l.rentals.takeBack(m)
-	if r.NoticeS != nil && !m.notice {
+	if r.ReclaimNoticeS != nil && !m.notice {
 		m.notice = true
-		l.c.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.NoticeS)
+		l.c.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.ReclaimNoticeS)
 		l.wantRound()
 	}
 	l.evidence(m, r, false)
@@ -104,8 +104,8 @@
 // can still take effect, and each answer of this term before it was either taken
 // or dropped. That does not hold for a report that the worker was asked for: it may come
 // while an answer with a start is still on its way to the worker.
-func (l *leader) evidence(m *machine, r *wire.Report, asked bool) {
-	if m.requiredToken != 0 && r.Token >= m.requiredToken {
+func (l *leader) evidence(m *machine, r *wire.Heartbeat, asked bool) {
+	if m.requiredToken != 0 && r.FencingToken >= m.requiredToken {
 		m.requiredToken = 0
 		l.wantRound()
 	}
@@ -115,17 +115,17 @@
 	m.exits, m.orphanedTasks = m.exits[:0], m.orphanedTasks[:0]
 	l.evidenceCount++
 	for i := range r.Tasks {
-		l.reportedTask(m, r.Session, &r.Tasks[i])
+		l.reportedTask(m, r.Incarnation, &r.Tasks[i])
 	}
 	var missing []*placement
 	for _, p := range m.list {
-		if p.session < r.Session || p.reportedIn != l.evidenceCount && p.session == r.Session && termOf(r.Token) == l.term {
+		if p.session < r.Incarnation || p.reportedIn != l.evidenceCount && p.session == r.Incarnation && termOf(r.FencingToken) == l.term {
 			missing = append(missing, p)
 		}
 	}
 	for _, p := range missing {
 		switch {
-		case p.session < r.Session:
+		case p.session < r.Incarnation:
 			// The worker killed and forgot all of its earlier session.
 			l.c.log(Debug, "task lost with its session", "task", p.name(), "attempt", p.attempt)
 			l.end(p)
@@ -136,7 +136,7 @@
 }
 
 // reportedTask takes in what a report says of a task.
-func (l *leader) reportedTask(m *machine, session uint64, t *wire.TaskReport) {
+func (l *leader) reportedTask(m *machine, session uint64, t *wire.TaskStatus) {
 	p := m.runs[t.Task]
 	if p == nil || p.attempt != t.Attempt || p.session != session {
 		l.changes++
@@ -175,18 +175,18 @@
 
 // unreported draws from a report of this term's token, and of the placement's session, that it
 // lacks the placement.
-func (l *leader) unreported(p *placement, r *wire.Report, asked bool) {
+func (l *leader) unreported(p *placement, r *wire.Heartbeat, asked bool) {
 	switch {
 	case p.waits:
 		return
-	case p.direct != 0 && r.Token <= p.direct:
+	case p.direct != 0 && r.FencingToken <= p.direct:
 		// Its direct start may take effect yet.
-		if p.answer == 0 || r.Seq > p.answer {
+		if p.answer == 0 || r.Sequence > p.answer {
 			l.raise(p.machine, p.direct)
 		}
 		return
 	case p.direct != 0, p.phase == seen:
-	case p.phase == sent && (p.sentSeq == inherited || r.Seq > p.sentSeq && !asked):
+	case p.phase == sent && (p.sentSeq == inherited || r.Sequence > p.sentSeq && !asked):
 	default:
 		return
 	}
@@ -195,8 +195,8 @@
 }
 
 // unexplained handles a task in a report that no placement here explains.
-func (l *leader) unexplained(m *machine, t *wire.TaskReport) {
-	id, task, ok := wire.ParseTask(t.Task)
+func (l *leader) unexplained(m *machine, t *wire.TaskStatus) {
+	id, task, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	m.exits = append(m.exits, *t)
-	if t.Why == wire.WhyDone && j != nil && task < j.spec.Tasks && j.array() && !l.isDone(j, task) {
+	if t.Cause == wire.CauseDone && j != nil && task < j.spec.Tasks && j.array() && !l.isDone(j, task) {
 		// Done is true whichever attempt says it.
 		l.setDone(j, task)
 		if p := j.placed[task]; p != nil {
@@ -221,20 +221,20 @@
 }
 
 // exited ends a placement whose task has exited.
-func (l *leader) exited(p *placement, t *wire.TaskReport) {
+func (l *leader) exited(p *placement, t *wire.TaskStatus) {
 	j := p.job
-	l.c.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "told", p.stopWhy, "machine", p.machine.name)
-	switch t.Why {
-	case wire.WhyDone:
+	l.c.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Cause, "told", p.stopWhy, "machine", p.machine.name)
+	switch t.Cause {
+	case wire.CauseDone:
 		if j.array() {
 			l.setDone(j, p.task)
 		}
 		l.ranWell(p, true)
-	case wire.WhyError:
+	case wire.CauseError:
 		l.erred(p)
-	case wire.WhyNoRoom:
+	case wire.CauseNoCapacity:
 		p.machine.full = l.c.now.Steady + l.c.t.heartbeat*2
-	case wire.WhyBusy, wire.WhyUnknown:
+	case wire.CauseBusy, wire.CauseUnknownTask:
 		j.waitFor = max(j.waitFor, l.c.now.Steady+l.c.t.heartbeat*2)
 	}
 	l.end(p)
--- a/internal/core/resources.go
+++ b/internal/core/resources.go
@@ -12,12 +12,12 @@
 // requestOf gives a job's resource request; false if more than that decides where it may run.
 func requestOf(j *job) (resourceRequest, bool) {
 	s := j.spec
-	if s.OneZone || s.Spread || len(j.failed) > 0 || len(s.Types) > 1 {
+	if s.SingleZone || s.SpreadZones || len(j.failed) > 0 || len(s.MachineTypes) > 1 {
 		return resourceRequest{}, false
 	}
 	a := resourceRequest{Amount: resource.OfTask(s), spot: s.Spot, zone: s.Zone}
-	if len(s.Types) == 1 {
-		a.kind = s.Types[0]
+	if len(s.MachineTypes) == 1 {
+		a.kind = s.MachineTypes[0]
 	}
 	return a, true
 }
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -404,7 +404,7 @@
 	w := newRolloutWorld(t)
 	w.hand(w.nodes[0], replicaJob("run-000060", "t2"))
 	array := replicaJob("run-000061", "t1")
-	array.Kind, array.EstimateS = wire.KindArray, 60
+	array.Kind, array.EstimatedRunS = wire.KindArray, 60
 	w.hand(w.nodes[0], array)
 	w.submitReplica("run-000062")
 	w.advance(8 * time.Second)
--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -57,7 +57,7 @@
 
 // starts takes note of a task that is on a machine from now on.
 func (j *ruleChecker) starts(now time.Duration, task, machine, kind, zone string, spot bool) {
-	id, _, _ := wire.ParseTask(task)
+	id, _, _ := wire.ParseTaskName(task)
 	x := j.jobs[id]
 	if x == nil {
 		j.breaks(now, "invented", "%s starts on %s, which nobody submitted", task, machine)
@@ -72,7 +72,7 @@
 	j.on[task][machine] = onMachine{zone}
 	used, here, elsewhere := 0.0, 0, 0
 	for t, ms := range j.on {
-		jid, _, _ := wire.ParseTask(t)
+		jid, _, _ := wire.ParseTaskName(t)
 		if o := j.jobs[jid]; o != nil && o.spec.Team == x.spec.Team {
 			used += float64(len(ms)) * o.spec.GPUs
 		}
@@ -90,17 +90,17 @@
 	if most := j.limits[x.spec.Team]; most > 0 && used > most+1e-9 {
 		j.breaks(now, "quota", "%s uses %g of %g with %s", x.spec.Team, used, most, task)
 	}
-	for _, need := range x.spec.Needs {
+	for _, need := range x.spec.Dependencies {
 		if y := j.jobs[need]; y == nil || len(y.done) < y.spec.Tasks {
 			j.breaks(now, "too_early", "%s starts on %s before %s is done", task, machine, need)
 		}
 	}
 	s := x.spec
-	allowed := s.Types == nil
-	for _, t := range s.Types {
+	allowed := s.MachineTypes == nil
+	for _, t := range s.MachineTypes {
 		allowed = allowed || t == kind
 	}
-	if !allowed || spot && !s.Spot || s.Zone != "" && s.Zone != zone || s.OneZone && elsewhere > 0 || s.Spread && here > (s.Tasks+1)/2 {
+	if !allowed || spot && !s.Spot || s.Zone != "" && s.Zone != zone || s.SingleZone && elsewhere > 0 || s.SpreadZones && here > (s.Tasks+1)/2 {
 		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", task, machine, kind, zone, spot)
 	}
 	if x.toldAt != 0 {
@@ -115,7 +115,7 @@
 // ends takes note of a task that is on a machine no more; done if it completed there.
 func (j *ruleChecker) ends(task, machine string, done bool) {
 	delete(j.on[task], machine)
-	if id, n, ok := wire.ParseTask(task); ok && done && j.jobs[id] != nil {
+	if id, n, ok := wire.ParseTaskName(task); ok && done && j.jobs[id] != nil {
 		j.jobs[id].done[n] = true
 	}
 }
@@ -123,7 +123,7 @@
 // passes looks for cancelled jobs whose time is over.
 func (j *ruleChecker) passes(now time.Duration) {
 	for _, t := range sortedKeys(j.on) {
-		id, _, _ := wire.ParseTask(t)
+		id, _, _ := wire.ParseTaskName(t)
 		x := j.jobs[id]
 		if x == nil || x.toldAt == 0 || now <= x.toldAt+j.cancel {
 			continue
@@ -189,7 +189,7 @@
 	if x.asked && x.final != wire.JobDone {
 		return true
 	}
-	for _, need := range x.spec.Needs {
+	for _, need := range x.spec.Dependencies {
 		if y := j.jobs[need]; y != nil && y.final != wire.JobDone && j.calledOff(y) {
 			return true
 		}
@@ -201,7 +201,7 @@
 // others, is cancelled; 0 if none was.
 func (j *ruleChecker) neededToldAt(x *checkedJob) time.Duration {
 	first := time.Duration(0)
-	for _, need := range x.spec.Needs {
+	for _, need := range x.spec.Dependencies {
 		y := j.jobs[need]
 		if y == nil {
 			continue
@@ -248,7 +248,7 @@
 	},
 	"wrong_place spot": func(j *ruleChecker) { j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", true) },
 	"wrong_place type": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.Types = []string{"h4"}
+		j.jobs[checkedID].spec.MachineTypes = []string{"h4"}
 		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
 	},
 	"wrong_place zone": func(j *ruleChecker) {
@@ -256,12 +256,12 @@
 		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
 	},
 	"wrong_place one_zone": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.OneZone = true
+		j.jobs[checkedID].spec.SingleZone = true
 		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
 		j.starts(seconds(1), checkedID+"/1", "m2", "g8", "z2", false)
 	},
 	"wrong_place spread": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.Spread, j.jobs[checkedID].spec.GPUs = true, 1
+		j.jobs[checkedID].spec.SpreadZones, j.jobs[checkedID].spec.GPUs = true, 1
 		for i := range 3 {
 			j.starts(seconds(1), wire.TaskName(checkedID, i), "m1", "g8", "z1", false)
 		}
@@ -284,13 +284,13 @@
 	},
 	"too_early": func(j *ruleChecker) {
 		needing := checkedSpec(nil)
-		needing.ID, needing.Needs = otherID, []string{checkedID}
+		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		j.submits(needing)
 		j.starts(seconds(1), otherID+"/0", "m1", "g8", "z1", false)
 	},
 	"orphaned": func(j *ruleChecker) {
 		needing := checkedSpec(nil)
-		needing.ID, needing.Needs = otherID, []string{checkedID}
+		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		j.submits(needing)
 		j.jobs[checkedID].asked = true
 		j.told(seconds(2), seconds(1), "cancel", checkedID, 200, wire.JobCancelled)
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -59,7 +59,7 @@
 // answer hands an answer to the worker or the user that waits for it.
 func (y *scaleCluster) answer(e core.Answer) {
 	switch b := e.Body.(type) {
-	case wire.ReportAnswer:
+	case wire.HeartbeatResponse:
 		if w := y.workers[e.Req&0xffff]; !w.dead && w.answered(e.Req) {
 			w.machine.Answered(y.now, 1, b)
 		}
@@ -196,7 +196,7 @@
 		y.counted.orders++
 		if w := y.direct(n, e.Addr); w != nil {
 			r := core.Result{ID: e.ID, Outcome: call.Conflict}
-			if w.machine.Ordered(y.now, wire.Orders{Token: e.Token, Session: e.Session, Commands: e.Commands}) {
+			if w.machine.Ordered(y.now, wire.DirectCommands{FencingToken: e.Token, Incarnation: e.Session, Commands: e.Commands}) {
 				r.Outcome = call.OK
 			}
 			r.Report = *w.machine.Report(y.now)
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -226,7 +226,7 @@
 	if j.Kind == wire.KindService {
 		y.live = append(y.live, j.ID)
 	} else {
-		j.EstimateS, j.Spot, j.Checkpoint, j.SaveS = 60, true, 15, 3
+		j.EstimatedRunS, j.Spot, j.CheckpointIntervalS, j.CheckpointTimeS = 60, true, 15, 3
 	}
 	y.hand(y.nodes[y.jobs%len(y.nodes)], &j)
 }
@@ -245,7 +245,7 @@
 	}
 	y.most += n
 	for i := range n {
-		y.rent(core.CloudRent{Request: wire.RentRequest{Count: 1, Zone: zones[i%len(zones)]}})
+		y.rent(core.CloudRent{Request: wire.ScaleOutRequest{Count: 1, Zone: zones[i%len(zones)]}})
 	}
 	for _, w := range y.workers {
 		w.up = 0
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -50,7 +50,7 @@
 // live lets a worker's tasks go on and has it report, regularly and when they have changed.
 func (w *scaleWorker) live(y *scaleCluster) {
 	w.machine.Advance(y.now)
-	if w.inFlight != 0 && y.now < w.sent+wire.ReportTimeout {
+	if w.inFlight != 0 && y.now < w.sent+wire.HeartbeatTimeout {
 		return // a worker has one report in flight
 	}
 	due := w.due
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -362,7 +362,7 @@
 	}
 	j.spec = (&traceHarness{t: s.t}).job(append(plain, "team="+team))
 	if j.spec.Kind == wire.KindArray {
-		j.spec.EstimateS = j.runS
+		j.spec.EstimatedRunS = j.runS
 	}
 	return j
 }
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -92,7 +92,7 @@
 	case core.CloudRent:
 		there(e.ID, func() core.Result {
 			q := e.Request
-			names, was := s.rented[q.Request]
+			names, was := s.rented[q.RequestID]
 			if !was {
 				left := s.perZone
 				for _, w := range s.workers {
@@ -113,7 +113,7 @@
 				if len(names) == 0 {
 					return core.Result{Outcome: call.Refused}
 				}
-				s.rented[q.Request] = names
+				s.rented[q.RequestID] = names
 				s.say("%s rents %d in %s", n.name, len(names), q.Zone)
 			}
 			return core.Result{Outcome: call.OK, Names: append([]string(nil), names...)}
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -28,7 +28,7 @@
 	refused, noState, noPeers, noWorkers, noUsers time.Duration
 	req                                           uint64
 	waiting                                       map[uint64]func(core.Answer)
-	reports                                       map[uint64]*wire.Report // that are yet to be answered
+	reports                                       map[uint64]*wire.Heartbeat // that are yet to be answered
 	led                                           bool
 	old                                           bool // of the version before the second layout
 }
@@ -85,7 +85,7 @@
 	n.started, n.tick, n.led, n.busy = s.now, 0, false, 0
 	n.results, n.inputs = nil, nil
 	n.waiting = map[uint64]func(core.Answer){}
-	n.reports = map[uint64]*wire.Report{}
+	n.reports = map[uint64]*wire.Heartbeat{}
 	n.core = core.New(set, fmt.Sprint(n.name, n.life))
 	s.step(n, core.Tick{})
 }
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -98,7 +98,7 @@
 
 // needsAccepted tells whether all jobs that a job needs are accepted: its user waits for that.
 func (s *sim) needsAccepted(j *simJob) bool {
-	for _, need := range j.spec.Needs {
+	for _, need := range j.spec.Dependencies {
 		for _, k := range s.jobs {
 			if k.spec.ID == need && !k.accepted {
 				return false
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -34,7 +34,7 @@
 }
 
 type simTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	on  bool
 	gen int
 }
@@ -121,15 +121,15 @@
 // soon has a worker report as early as it may.
 func (s *sim) soon(w *simWorker) { w.next = min(w.next, w.lastSent+500*time.Millisecond) }
 
-func (s *sim) report(w *simWorker) *wire.Report {
+func (s *sim) report(w *simWorker) *wire.Heartbeat {
 	w.tly++
-	r := &wire.Report{Machine: w.name, Addr: w.name + ":1", Type: "g8", Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.tly, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.name, Addr: w.name + ":1", Type: "g8", Zone: w.zone, Spot: w.spot, Incarnation: w.session, Sequence: w.tly, FencingToken: w.token}
 	if w.notice {
 		left := 5.0
-		r.NoticeS = &left
+		r.ReclaimNoticeS = &left
 	}
 	for _, k := range sortedKeys(w.tasks) {
-		r.Tasks = append(r.Tasks, w.tasks[k].TaskReport)
+		r.Tasks = append(r.Tasks, w.tasks[k].TaskStatus)
 	}
 	return r
 }
@@ -171,20 +171,20 @@
 		}
 		s.handReport(n, r, func(a core.Answer) {
 			s.deliver(func() bool { return s.workerReach(n, w) && s.now >= w.deaf }, false, func() {
-				s.answerTo(w, n, a, gen, sent, r.Session, elsewhere)
+				s.answerTo(w, n, a, gen, sent, r.Incarnation, elsewhere)
 			})
 		})
 	})
 }
 
 // handReport hands a copy of a report to a node that is there; then, if there is one, gets the answer.
-func (s *sim) handReport(n *simNode, r *wire.Report, then func(core.Answer)) {
+func (s *sim) handReport(n *simNode, r *wire.Heartbeat, then func(core.Answer)) {
 	n.req++
 	if then != nil {
 		n.waiting[n.req] = then
 	}
 	copied := *r
-	copied.Tasks = append([]wire.TaskReport(nil), r.Tasks...)
+	copied.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
 	n.reports[n.req] = &copied
 	s.stepUntil(n, core.Checkin{Req: n.req, Report: &copied}, s.now+simWorkerPatience)
 }
@@ -211,16 +211,16 @@
 		return
 	}
 	w.busy = false
-	ra, ok := a.Body.(wire.ReportAnswer)
-	if !ok || session != w.session || ra.Token < w.token {
+	ra, ok := a.Body.(wire.HeartbeatResponse)
+	if !ok || session != w.session || ra.FencingToken < w.token {
 		return
 	}
-	if ra.Token > w.token {
+	if ra.FencingToken > w.token {
 		s.soon(w)
 	}
-	w.token, w.answered = ra.Token, max(w.answered, sent)
+	w.token, w.answered = ra.FencingToken, max(w.answered, sent)
 	if len(ra.Commands) > 0 {
-		s.note("%s: answers %s token %s%s", n.name, w.name, showToken(ra.Token), showCommands(ra.Commands))
+		s.note("%s: answers %s token %s%s", n.name, w.name, showToken(ra.FencingToken), showCommands(ra.Commands))
 	}
 	s.execute(w, ra.Commands)
 }
@@ -241,18 +241,18 @@
 			if t == nil || t.State == wire.TaskExited {
 				break
 			}
-			if j := s.jobOf(t.Task); t.State == wire.TaskRunning && j != nil && j.spec.Checkpoint > 0 && c.GraceS != nil && *c.GraceS >= j.spec.SaveS {
-				t.State = wire.TaskSaving
+			if j := s.jobOf(t.Task); t.State == wire.TaskRunning && j != nil && j.spec.CheckpointIntervalS > 0 && c.GracePeriodS != nil && *c.GracePeriodS >= j.spec.CheckpointTimeS {
+				t.State = wire.TaskCheckpointing
 				t.gen++
 				gen := t.gen
-				s.after(time.Duration(j.spec.SaveS*float64(time.Second)), func() {
+				s.after(time.Duration(j.spec.CheckpointTimeS*float64(time.Second)), func() {
 					if t.gen == gen {
-						s.exit(w, t, wire.WhyStopped)
+						s.exit(w, t, wire.CauseStopped)
 					}
 				})
 				break
 			}
-			s.exit(w, t, wire.WhyStopped)
+			s.exit(w, t, wire.CauseStopped)
 		case wire.OpForget:
 			if t != nil && t.State == wire.TaskExited {
 				delete(w.tasks, key)
@@ -263,7 +263,7 @@
 }
 
 func (s *sim) jobOf(task string) *simJob {
-	id, _, _ := wire.ParseTask(task)
+	id, _, _ := wire.ParseTaskName(task)
 	for _, j := range s.jobs {
 		if j.spec.ID == id {
 			return j
@@ -273,7 +273,7 @@
 }
 
 func (s *sim) begin(w *simWorker, key string, c wire.Command) {
-	t := &simTask{TaskReport: wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
+	t := &simTask{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
 	w.tasks[key] = t
 	j := s.jobOf(c.Task)
 	used := 0.0
@@ -283,7 +283,7 @@
 			continue
 		}
 		if o.Task == c.Task {
-			s.exit(w, t, wire.WhyBusy)
+			s.exit(w, t, wire.CauseBusy)
 			return
 		}
 		if x := s.jobOf(o.Task); x != nil {
@@ -292,10 +292,10 @@
 	}
 	switch {
 	case j == nil:
-		s.exit(w, t, wire.WhyUnknown)
+		s.exit(w, t, wire.CauseUnknownTask)
 		return
 	case used+j.spec.GPUs > 8:
-		s.exit(w, t, wire.WhyNoRoom)
+		s.exit(w, t, wire.CauseNoCapacity)
 		return
 	}
 	fetch := 100 * time.Millisecond
@@ -312,11 +312,11 @@
 		run := time.Duration(j.runS * (0.8 + 0.4*s.rnd.Float64()) * float64(time.Second))
 		switch {
 		case s.results[t.Task]:
-			s.exit(w, t, wire.WhyDone)
+			s.exit(w, t, wire.CauseDone)
 		case j.faulty || w.sick:
-			s.resume(w, t, t.gen, 300*time.Millisecond, func() { s.exit(w, t, wire.WhyError) })
+			s.resume(w, t, t.gen, 300*time.Millisecond, func() { s.exit(w, t, wire.CauseError) })
 		case j.spec.Kind == wire.KindArray:
-			s.resume(w, t, t.gen, run, func() { s.exit(w, t, wire.WhyDone) })
+			s.resume(w, t, t.gen, run, func() { s.exit(w, t, wire.CauseDone) })
 		}
 	})
 }
@@ -342,13 +342,13 @@
 	if t.State == wire.TaskExited {
 		return
 	}
-	t.State, t.Why = wire.TaskExited, why
-	if why == wire.WhyDone {
+	t.State, t.Cause = wire.TaskExited, why
+	if why == wire.CauseDone {
 		s.results[t.Task] = true
 	}
-	if why == wire.WhyStopped && t.on {
+	if why == wire.CauseStopped && t.on {
 		s.say("%s stops %s#%d", w.name, t.Task, t.Attempt)
 	}
-	s.leave(w, t, why == wire.WhyDone)
+	s.leave(w, t, why == wire.CauseDone)
 	s.soon(w)
 }
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -59,7 +59,7 @@
 func (w *spreadWorld) zones(job string) map[string]int {
 	zones := map[string]int{}
 	for task, zone := range w.running {
-		if id, _, _ := wire.ParseTask(task); job == "" || id == job {
+		if id, _, _ := wire.ParseTaskName(task); job == "" || id == job {
 			zones[zone]++
 		}
 	}
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -41,9 +41,9 @@
 		u.repeated(in, refusal{status: 422, why: "the job can never run here"})
 	case admission == undecided:
 		u.repeated(in, refusal{})
-	case len(in.Job.Needs) > c.limits.mostNeeds():
-		u.repeated(in, refusal{status: 400, why: wire.FieldNeeds + ": names too many jobs"})
-	case len(in.Job.Needs) > 0:
+	case len(in.Job.Dependencies) > c.limits.mostNeeds():
+		u.repeated(in, refusal{status: 400, why: wire.FieldDependencies + ": names too many jobs"})
+	case len(in.Job.Dependencies) > 0:
 		u.submitDependent(in)
 	default:
 		u.enqueue(in)
@@ -108,7 +108,7 @@
 			break
 		}
 		id := s.job.ID
-		txn.If = append(txn.If, wire.Cond{Key: keyActive + id}, wire.Cond{Key: keyFinal + id})
+		txn.If = append(txn.If, wire.Condition{Key: keyActive + id}, wire.Condition{Key: keyFinal + id})
 		txn.Then = append(txn.Then, wire.Op{Put: keyActive + id, Value: s.value})
 	}
 	batch := append([]*submission(nil), u.submits[:n]...)
--- a/internal/core/term_guard.go
+++ b/internal/core/term_guard.go
@@ -96,7 +96,7 @@
 			c.elect.stepDown("the form of the term may have changed")
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}},
+	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}},
 		Then: []wire.Op{{Put: keyTerm, Value: value}}}})
 }
 
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -26,15 +26,15 @@
 	nodes   map[string]*node
 	names   []string
 	req     uint64
-	cut     string                  // "cut": no node reaches another, "zones": none in another zone
-	budget  float64                 // the operators' round_budget, for nodes that start after
-	spare   float64                 // the same for spare_share
-	paced   bool                    // the same for pace_reports
-	zones   map[string]string       // of nodes; "": z1
-	hidden  string                  // a machine that lists lack
-	answers map[string]*wire.Report // of workers that are asked directly, by address
-	orders  string                  // what becomes of direct orders; "": carried out
-	next    *config.NextLimits      // in the settings of nodes that start after
+	cut     string                     // "cut": no node reaches another, "zones": none in another zone
+	budget  float64                    // the operators' round_budget, for nodes that start after
+	spare   float64                    // the same for spare_share
+	paced   bool                       // the same for pace_reports
+	zones   map[string]string          // of nodes; "": z1
+	hidden  string                     // a machine that lists lack
+	answers map[string]*wire.Heartbeat // of workers that are asked directly, by address
+	orders  string                     // what becomes of direct orders; "": carried out
+	next    *config.NextLimits         // in the settings of nodes that start after
 
 	cloudDown, cloudNone bool
 	machines             map[string]*wire.Machine
@@ -93,24 +93,24 @@
 	"image":    func(j *wire.Job, value string, _ float64) { j.Image = value },
 	"priority": func(j *wire.Job, value string, _ float64) { j.Priority = wire.Priority(value) },
 	"zone":     func(j *wire.Job, value string, _ float64) { j.Zone = value },
-	"type":     func(j *wire.Job, value string, _ float64) { j.Types = []string{value} },
-	"needs":    func(j *wire.Job, value string, _ float64) { j.Needs = strings.Split(value, ",") },
+	"type":     func(j *wire.Job, value string, _ float64) { j.MachineTypes = []string{value} },
+	"needs":    func(j *wire.Job, value string, _ float64) { j.Dependencies = strings.Split(value, ",") },
 	"deadline": func(j *wire.Job, _ string, number float64) { j.DeadlineS = &number },
-	"estimate": func(j *wire.Job, _ string, number float64) { j.EstimateS = number },
-	"spread":   func(j *wire.Job, _ string, _ float64) { j.Spread = true },
-	"one_zone": func(j *wire.Job, _ string, _ float64) { j.OneZone = true },
+	"estimate": func(j *wire.Job, _ string, number float64) { j.EstimatedRunS = number },
+	"spread":   func(j *wire.Job, _ string, _ float64) { j.SpreadZones = true },
+	"one_zone": func(j *wire.Job, _ string, _ float64) { j.SingleZone = true },
 	"spot":     func(j *wire.Job, _ string, _ float64) { j.Spot = true },
-	"save":     func(j *wire.Job, _ string, number float64) { j.Checkpoint, j.SaveS = 10, number },
+	"save":     func(j *wire.Job, _ string, number float64) { j.CheckpointIntervalS, j.CheckpointTimeS = 10, number },
 	"kind": func(j *wire.Job, value string, _ float64) {
 		if value == "service" {
-			j.Kind, j.EstimateS = wire.KindService, 0
+			j.Kind, j.EstimatedRunS = wire.KindService, 0
 		}
 	},
 }
 
 func (w *traceHarness) job(f []string) *wire.Job {
 	j := &wire.Job{ID: f[0], Class: "c", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 1,
-		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 10, EstimateS: 60}
+		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 10, EstimatedRunS: 60}
 	for _, word := range f[1:] {
 		name, value, _ := strings.Cut(word, "=")
 		set := jobWords[name]
@@ -123,8 +123,8 @@
 	return j
 }
 
-func (w *traceHarness) report(f []string) *wire.Report {
-	r := &wire.Report{Machine: f[0], Type: "g8", Zone: "z1"}
+func (w *traceHarness) report(f []string) *wire.Heartbeat {
+	r := &wire.Heartbeat{Machine: f[0], Type: "g8", Zone: "z1"}
 	if m := w.machines[r.Machine]; m != nil {
 		r.Zone, r.Spot = m.Zone, m.Spot
 	}
@@ -133,17 +133,17 @@
 		num, _ := strconv.ParseFloat(v, 64)
 		switch k {
 		case "session":
-			r.Session = uint64(num)
+			r.Incarnation = uint64(num)
 		case "seq":
-			r.Seq = uint64(num)
+			r.Sequence = uint64(num)
 		case "token":
 			// term, or term.count within the term
 			term, count, _ := strings.Cut(v, ".")
 			a, _ := strconv.ParseUint(term, 10, 64)
 			b, _ := strconv.ParseUint(count, 10, 64)
-			r.Token = a*1_000_000 + b
+			r.FencingToken = a*1_000_000 + b
 		case "notice":
-			r.NoticeS = &num
+			r.ReclaimNoticeS = &num
 		case "spot":
 			r.Spot = true
 		case "zone":
@@ -157,7 +157,7 @@
 				w.t.Fatalf("unknown: %s", kv)
 			}
 			state, why, _ := strings.Cut(v, ":")
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: task, Attempt: a, State: wire.TaskState(state), Why: wire.ExitCause(why)})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: task, Attempt: a, State: wire.TaskState(state), Cause: wire.ExitCause(why)})
 		}
 	}
 	return r
@@ -316,7 +316,7 @@
 			w.machines[name] = &wire.Machine{Name: name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, State: wire.MachineRunning}
 			r.Names = append(r.Names, name)
 		}
-		w.say(n, "rents %s %s spot=%v as %s: %v", q.Type, q.Zone, q.Spot, q.Request, r.Names)
+		w.say(n, "rents %s %s spot=%v as %s: %v", q.Type, q.Zone, q.Spot, q.RequestID, r.Names)
 		return r, true
 	case core.CloudRelease:
 		if w.cloudDown {
@@ -341,7 +341,7 @@
 		sort.Slice(r.Machines.Machines, func(a, b int) bool { return r.Machines.Machines[a].Name < r.Machines.Machines[b].Name })
 		return r, true
 	case core.WorkerOrders:
-		r := core.Result{ID: e.ID, Outcome: call.OK, Report: wire.Report{Seq: 0}}
+		r := core.Result{ID: e.ID, Outcome: call.OK, Report: wire.Heartbeat{Sequence: 0}}
 		if w.orders != "" {
 			r.Outcome = map[string]call.Outcome{"lost": call.Unknown, "refused": call.Refused, "conflict": call.Conflict}[w.orders]
 		}
@@ -421,16 +421,16 @@
 	var b strings.Builder
 	for _, c := range cmds {
 		fmt.Fprintf(&b, ", %s %s#%d", c.Op, c.Task, c.Attempt)
-		if c.GraceS != nil {
-			fmt.Fprintf(&b, " grace %v", *c.GraceS)
+		if c.GracePeriodS != nil {
+			fmt.Fprintf(&b, " grace %v", *c.GracePeriodS)
 		}
 	}
 	return b.String()
 }
 
 func (w *traceHarness) answer(n *node, a core.Answer) {
-	if ra, ok := a.Body.(wire.ReportAnswer); ok {
-		w.say(n, "%d token %s%s", a.Status, showToken(ra.Token), showCommands(ra.Commands))
+	if ra, ok := a.Body.(wire.HeartbeatResponse); ok {
+		w.say(n, "%d token %s%s", a.Status, showToken(ra.FencingToken), showCommands(ra.Commands))
 		return
 	}
 	if a.Body == nil {
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -100,7 +100,7 @@
 			s.last = after
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Cond{{Key: keyTerm, Version: l.version}}, Then: ops}})
+	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}, Then: ops}})
 }
 
 // texts gives the hints as they are to be written, a value for each key.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -162,7 +162,7 @@
 	})
 	key := keyActive + id
 	c.send(StateTxn{ID: request, Txn: wire.Txn{
-		If:   []wire.Cond{{Key: key, Version: e.version}},
+		If:   []wire.Condition{{Key: key, Version: e.version}},
 		Then: []wire.Op{{Put: key, Value: value}},
 	}})
 }
--- a/internal/core/write_rate_test.go
+++ b/internal/core/write_rate_test.go
@@ -18,7 +18,7 @@
 	y.have(20)
 	y.pass(3 * time.Second)
 	sweep := wire.Job{ID: "run-a00001", Class: "sweep", Team: "t0", Kind: wire.KindArray, Priority: wire.PriorityIdle,
-		Tasks: 25000, CPUs: 0.25, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimateS: 60}
+		Tasks: 25000, CPUs: 0.25, MemoryGB: 1, Image: "img-0", ImageGB: 1, EstimatedRunS: 60}
 	y.hand(y.nodes[0], &sweep)
 	for range 6 {
 		y.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 1})
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -18,7 +18,7 @@
 	dirty     []*chunk
 	finishes  []*job
 	cancels   []*job // that need a cancelled job
-	orphans   []wire.Cond
+	orphans   []wire.Condition
 	inFlight  int
 	notBefore time.Duration // after a transaction above the service's rate
 
@@ -56,7 +56,7 @@
 func (ch *chunk) clean() bool { return !ch.dirty && !ch.inFlight }
 
 func (w *writer) orphan(key string, version uint64) {
-	w.orphans = append(w.orphans, wire.Cond{Key: key, Version: version})
+	w.orphans = append(w.orphans, wire.Condition{Key: key, Version: version})
 }
 
 func (w *writer) refill() {
@@ -123,13 +123,13 @@
 	placed []*placement
 	jobs   []*job
 	cancel []cancelledJob
-	orphan []wire.Cond
+	orphan []wire.Condition
 }
 
 func (b *batch) cond(key string, version uint64) {
 	if !b.seen[key] {
 		b.seen[key] = true
-		b.txn.If = append(b.txn.If, wire.Cond{Key: key, Version: version})
+		b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
 	}
 }
 
--- a/internal/hollow/machine.go
+++ b/internal/hollow/machine.go
@@ -76,14 +76,14 @@
 
 // task is an attempt of a task on a machine.
 type task struct {
-	wire.TaskReport
+	wire.TaskStatus
 	job   *wire.Job // nil: it was refused
 	until time.Duration
 }
 
 // onMachine tells whether the task's image is there and it has not ended.
 func (t *task) onMachine() bool {
-	return t.State == wire.TaskRunning || t.State == wire.TaskSaving
+	return t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing
 }
 
 // NewMachine makes a machine without tasks, in its first session.
@@ -115,24 +115,24 @@
 	case wire.TaskFetching:
 		t.State = wire.TaskRunning
 		m.observer.TaskRuns(m.about.Name, t.Task)
-		_, index, _ := wire.ParseTask(t.Task)
+		_, index, _ := wire.ParseTaskName(t.Task)
 		if d := m.jobs.RunTime(t.job, index); d != Never {
 			t.until = at + d
 		}
 	case wire.TaskRunning:
-		m.exit(t, wire.WhyDone)
-	case wire.TaskSaving:
-		t.Saved = true
-		m.exit(t, wire.WhyStopped)
+		m.exit(t, wire.CauseDone)
+	case wire.TaskCheckpointing:
+		t.Checkpointed = true
+		m.exit(t, wire.CauseStopped)
 	}
 }
 
 // exit ends a task; it stays in the reports until it is forgotten.
 func (m *Machine) exit(t *task, why wire.ExitCause) {
 	if t.onMachine() {
-		m.observer.TaskEnds(m.about.Name, t.Task, why == wire.WhyDone)
+		m.observer.TaskEnds(m.about.Name, t.Task, why == wire.CauseDone)
 	}
-	t.State, t.Why, t.until = wire.TaskExited, why, Never
+	t.State, t.Cause, t.until = wire.TaskExited, why, Never
 	m.changed = true
 }
 
@@ -185,34 +185,34 @@
 }
 
 // Report gives the next report.
-func (m *Machine) Report(now time.Duration) *wire.Report {
+func (m *Machine) Report(now time.Duration) *wire.Heartbeat {
 	m.Advance(now)
 	m.seq++
 	m.changed = false
-	r := &wire.Report{Machine: m.about.Name, Addr: m.addr, Type: m.about.Type.Name, Zone: m.about.Zone, Spot: m.about.Spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: make([]wire.TaskReport, 0, len(m.tasks))}
+	r := &wire.Heartbeat{Machine: m.about.Name, Addr: m.addr, Type: m.about.Type.Name, Zone: m.about.Zone, Spot: m.about.Spot,
+		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: make([]wire.TaskStatus, 0, len(m.tasks))}
 	for _, t := range m.sorted() {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
 // Answered takes the answer to a report of a session. False: it was dropped, and renews no lease.
-func (m *Machine) Answered(now time.Duration, session uint64, a wire.ReportAnswer) bool {
-	if a.Token < m.token || session != m.session {
+func (m *Machine) Answered(now time.Duration, session uint64, a wire.HeartbeatResponse) bool {
+	if a.FencingToken < m.token || session != m.session {
 		return false
 	}
-	m.token = a.Token
+	m.token = a.FencingToken
 	m.execute(now, a.Commands)
 	return true
 }
 
 // Ordered takes direct commands. False: nothing was executed.
-func (m *Machine) Ordered(now time.Duration, o wire.Orders) bool {
-	if o.Token < m.token || o.Session != m.session {
+func (m *Machine) Ordered(now time.Duration, o wire.DirectCommands) bool {
+	if o.FencingToken < m.token || o.Incarnation != m.session {
 		return false
 	}
-	m.token = o.Token
+	m.token = o.FencingToken
 	m.execute(now, o.Commands)
 	return true
 }
@@ -226,7 +226,7 @@
 		case c.Op == wire.OpStart && t == nil:
 			m.start(now, name)
 		case c.Op == wire.OpStop && t != nil:
-			m.stop(now, t, c.GraceS)
+			m.stop(now, t, c.GracePeriodS)
 		case c.Op == wire.OpForget && t != nil && t.State == wire.TaskExited:
 			delete(m.tasks, name)
 		}
@@ -236,18 +236,18 @@
 // start begins an attempt, or reports why it is refused.
 func (m *Machine) start(now time.Duration, name attempt) {
 	m.observer.StartReceived(Start{m.about.Name, name.task, name.number, m.token})
-	t := &task{TaskReport: wire.TaskReport{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, until: Never}
-	id, index, ok := wire.ParseTask(name.task)
+	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, until: Never}
+	id, index, ok := wire.ParseTaskName(name.task)
 	job := m.jobs.Job(id)
 	known := ok && job != nil && index < job.Tasks
 	var refusal wire.ExitCause
 	switch {
 	case !known:
-		refusal = wire.WhyUnknown
+		refusal = wire.CauseUnknownTask
 	case m.Holds(name.task):
-		refusal = wire.WhyBusy
+		refusal = wire.CauseBusy
 	case !m.free().Holds(resource.OfTask(job)):
-		refusal = wire.WhyNoRoom
+		refusal = wire.CauseNoCapacity
 	}
 	m.tasks[name] = t
 	m.changed = true
@@ -302,14 +302,14 @@
 	}
 	switch {
 	case t.State == wire.TaskExited:
-	case t.State == wire.TaskSaving && grace > 0:
-	case t.State == wire.TaskRunning && t.job.Checkpoint > 0 && grace >= t.job.SaveS:
-		t.State = wire.TaskSaving
-		t.until = now + config.Seconds(t.job.SaveS)
+	case t.State == wire.TaskCheckpointing && grace > 0:
+	case t.State == wire.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointTimeS:
+		t.State = wire.TaskCheckpointing
+		t.until = now + config.Seconds(t.job.CheckpointTimeS)
 		m.next = min(m.next, t.until)
 		m.changed = true
 	default:
-		m.exit(t, wire.WhyStopped)
+		m.exit(t, wire.CauseStopped)
 	}
 }
 
--- a/internal/hollow/machine_test.go
+++ b/internal/hollow/machine_test.go
@@ -29,7 +29,7 @@
 
 func newTestMachine() (*Machine, *world) {
 	w := &world{jobs: map[string]*wire.Job{
-		"run-000001": {ID: "run-000001", Kind: wire.KindArray, Tasks: 9, GPUs: 1, Image: "a", ImageGB: 4, Checkpoint: 5, SaveS: 2},
+		"run-000001": {ID: "run-000001", Kind: wire.KindArray, Tasks: 9, GPUs: 1, Image: "a", ImageGB: 4, CheckpointIntervalS: 5, CheckpointTimeS: 2},
 		"run-000002": {ID: "run-000002", Kind: wire.KindService, Tasks: 1, GPUs: 1, Image: "a", ImageGB: 4},
 	}}
 	about := Description{Name: "host-1", Zone: "z1", Type: wire.MachineType{Name: "g2", GPUs: 2, CPUs: 8, MemoryGB: 64, FetchGBPerS: 2}}
@@ -41,14 +41,14 @@
 }
 
 func stop(task string, attempt uint64, grace float64) wire.Command {
-	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GraceS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
 // states gives the tasks of a report in short.
 func states(m *Machine, now time.Duration) []string {
 	var all []string
 	for _, t := range m.Report(now).Tasks {
-		all = append(all, fmt.Sprint(t.Task, "#", t.Attempt, " ", t.State, t.Why))
+		all = append(all, fmt.Sprint(t.Task, "#", t.Attempt, " ", t.State, t.Cause))
 	}
 	return all
 }
@@ -65,7 +65,7 @@
 func TestCommands(t *testing.T) {
 	m, _ := newTestMachine()
 	order := func(now time.Duration, commands ...wire.Command) bool {
-		return m.Ordered(now*time.Second, wire.Orders{Token: 5, Session: 1, Commands: commands})
+		return m.Ordered(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands})
 	}
 	order(0, start("run-000001/0", 1), start("run-000002/0", 1), start("run-000001/0", 1))
 	expect(t, m, 1, "run-000001/0#1 pulling", "run-000002/0#1 pulling")
@@ -81,7 +81,7 @@
 	expect(t, m, 7, "run-000001/0#1 saving", "run-000001/0#2 exitedbusy", "run-000001/1#1 exitedstopped",
 		"run-000002/0#1 exitedstopped", "run-000009/0#1 exitedno_such")
 	m.Advance(8 * time.Second)
-	if r := m.Report(8 * time.Second); r.Tasks[0].State != wire.TaskExited || !r.Tasks[0].Saved {
+	if r := m.Report(8 * time.Second); r.Tasks[0].State != wire.TaskExited || !r.Tasks[0].Checkpointed {
 		t.Errorf("what has saved is %+v", r.Tasks[0])
 	}
 }
@@ -89,20 +89,20 @@
 // TestTokensAndSessions drops what is not from who is entitled now, or was meant for an earlier session.
 func TestTokensAndSessions(t *testing.T) {
 	m, w := newTestMachine()
-	if !m.Answered(0, 1, wire.ReportAnswer{Token: 7, Commands: []wire.Command{start("run-000002/0", 1)}}) {
+	if !m.Answered(0, 1, wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{start("run-000002/0", 1)}}) {
 		t.Error("an answer with a higher token was dropped")
 	}
-	if m.Answered(0, 1, wire.ReportAnswer{Token: 6}) || m.Ordered(0, wire.Orders{Token: 6, Session: 1}) {
+	if m.Answered(0, 1, wire.HeartbeatResponse{FencingToken: 6}) || m.Ordered(0, wire.DirectCommands{FencingToken: 6, Incarnation: 1}) {
 		t.Error("a lower token was obeyed")
 	}
 	m.Advance(3 * time.Second)
 	m.Expire()
-	if m.Answered(4*time.Second, 1, wire.ReportAnswer{Token: 8}) || m.Ordered(0, wire.Orders{Token: 8, Session: 1}) {
+	if m.Answered(4*time.Second, 1, wire.HeartbeatResponse{FencingToken: 8}) || m.Ordered(0, wire.DirectCommands{FencingToken: 8, Incarnation: 1}) {
 		t.Error("an earlier session was obeyed")
 	}
 	expect(t, m, 4)
 	want := []string{"start run-000002/0 1\n", "runs run-000002/0\n", "ends run-000002/0 false\n"}
-	if !slices.Equal(w.events, want) || m.Report(0).Session != 2 {
+	if !slices.Equal(w.events, want) || m.Report(0).Incarnation != 2 {
 		t.Errorf("%q", w.events)
 	}
 }
@@ -110,7 +110,7 @@
 // TestCompletion has a task run for its time, to the end.
 func TestCompletion(t *testing.T) {
 	m, w := newTestMachine()
-	m.Ordered(0, wire.Orders{Session: 1, Commands: []wire.Command{start("run-000001/3", 1)}})
+	m.Ordered(0, wire.DirectCommands{Incarnation: 1, Commands: []wire.Command{start("run-000001/3", 1)}})
 	if m.Next() != 2*time.Second {
 		t.Errorf("the image is there after %v", m.Next())
 	}
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -51,7 +51,7 @@
 	sent    time.Duration
 	session uint64
 	status  int // 0: no answer
-	answer  wire.ReportAnswer
+	answer  wire.HeartbeatResponse
 	leader  string
 }
 
@@ -134,7 +134,7 @@
 	report := w.machine.Report(now)
 	cut := w.silent || w.fleet.separated(report.Zone, controller.Zone)
 	go func() {
-		r := reportResult{sent: now, session: report.Session}
+		r := reportResult{sent: now, session: report.Incarnation}
 		if cut {
 			// Nothing that it sends arrives, and nothing comes back.
 			select {
@@ -149,12 +149,12 @@
 }
 
 // exchange sends a report and reads the answer.
-func (w *Worker) exchange(ctx context.Context, to Controller, report *wire.Report, r *reportResult) {
+func (w *Worker) exchange(ctx context.Context, to Controller, report *wire.Heartbeat, r *reportResult) {
 	body, err := json.Marshal(report)
 	if err != nil {
 		return
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Addr+wire.ReportPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Addr+wire.HeartbeatPath, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -232,9 +232,9 @@
 	var status int
 	var kind Kind
 	switch r.Method + " " + r.URL.Path {
-	case http.MethodGet + " " + wire.InspectPath:
+	case http.MethodGet + " " + wire.StatusPath:
 		kind, status = KindInspect, http.StatusOK
-	case http.MethodPost + " " + wire.OrdersPath:
+	case http.MethodPost + " " + wire.CommandsPath:
 		kind, status = KindOrders, w.ordered(body)
 	default:
 		status = http.StatusNotFound
@@ -254,7 +254,7 @@
 
 // prefetch begins to fetch an image ahead of need.
 func (w *Worker) prefetch(rw http.ResponseWriter, body []byte) {
-	var q wire.Prefetch
+	var q wire.PrefetchRequest
 	if json.Unmarshal(body, &q) != nil || q.Image == "" || q.GB < 0 {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -263,7 +263,7 @@
 	now := w.fleet.now()
 	ready := w.machine.Prefetch(now, q.Image, q.GB) - now
 	w.mu.Unlock()
-	answer, _ := json.Marshal(wire.PrefetchAnswer{ReadyS: ready.Seconds()}) // plain values: it can't fail
+	answer, _ := json.Marshal(wire.PrefetchResponse{ReadyS: ready.Seconds()}) // plain values: it can't fail
 	w.fleet.config.Traffic.Count(AnyController, KindPrefetch, len(answer), len(body))
 	rw.Header().Set("Content-Type", "application/json")
 	_, _ = rw.Write(answer) // a caller that has gone away learns nothing
@@ -271,8 +271,8 @@
 
 // ordered carries out direct commands and gives the status of the answer.
 func (w *Worker) ordered(body []byte) int {
-	var o wire.Orders
-	if json.Unmarshal(body, &o) != nil || o.Session == 0 {
+	var o wire.DirectCommands
+	if json.Unmarshal(body, &o) != nil || o.Incarnation == 0 {
 		return http.StatusBadRequest
 	}
 	w.mu.Lock()
--- a/internal/modelserver/modelserver.go
+++ b/internal/modelserver/modelserver.go
@@ -86,7 +86,7 @@
 	path := strings.TrimPrefix(r.URL.Path, "/")
 	task, health := strings.CutSuffix(path, probe.HealthPath)
 	task, completions := strings.CutSuffix(task, probe.CompletionsPath)
-	if _, _, isTask := wire.ParseTask(task); !isTask || !s.machines.Serves(host, task) {
+	if _, _, isTask := wire.ParseTaskName(task); !isTask || !s.machines.Serves(host, task) {
 		http.Error(w, "no such task here", http.StatusNotFound)
 		return
 	}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -107,18 +107,18 @@
 	switch e := e.(type) {
 	case core.WorkerOrders:
 		n.do(ctx, callName{metrics.Worker, "orders"}, e.ID, n.patient, func(ctx context.Context, r *core.Result) {
-			r.Outcome = n.workers.Do(ctx, http.MethodPost, "http://"+e.Addr+wire.OrdersPath,
-				wire.Orders{Token: e.Token, Session: e.Session, Commands: e.Commands}, &r.Report)
+			r.Outcome = n.workers.Do(ctx, http.MethodPost, "http://"+e.Addr+wire.CommandsPath,
+				wire.DirectCommands{FencingToken: e.Token, Incarnation: e.Session, Commands: e.Commands}, &r.Report)
 		})
 	case core.PrefetchImage:
 		n.do(ctx, callName{metrics.Worker, "prefetch"}, e.ID, n.patient, func(ctx context.Context, r *core.Result) {
-			var ready wire.PrefetchAnswer
-			r.Outcome = n.workers.Do(ctx, http.MethodPost, "http://"+e.Addr+wire.PrefetchPath, wire.Prefetch{Image: e.Image, GB: e.GB}, &ready)
+			var ready wire.PrefetchResponse
+			r.Outcome = n.workers.Do(ctx, http.MethodPost, "http://"+e.Addr+wire.PrefetchPath, wire.PrefetchRequest{Image: e.Image, GB: e.GB}, &ready)
 			r.ReadyS = ready.ReadyS
 		})
 	case core.WorkerInspect:
 		n.do(ctx, callName{metrics.Worker, "inspect"}, e.ID, n.patient, func(ctx context.Context, r *core.Result) {
-			r.Outcome = n.workers.Do(ctx, http.MethodGet, "http://"+e.Addr+wire.InspectPath, nil, &r.Report)
+			r.Outcome = n.workers.Do(ctx, http.MethodGet, "http://"+e.Addr+wire.StatusPath, nil, &r.Report)
 		})
 	}
 }
--- a/internal/scalerun/load/generator.go
+++ b/internal/scalerun/load/generator.go
@@ -122,10 +122,10 @@
 		Kind: kinds[c.Kind], Priority: priorities[c.Priority], Tasks: c.Tasks,
 		CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB,
 		Image: fmt.Sprintf("%s-%02d", c.Name, g.rnd.IntN(max(1, c.Images))), ImageGB: c.ImageGB,
-		OneZone: c.OneZone, Spread: c.Spread, Checkpoint: c.Checkpoint,
+		SingleZone: c.OneZone, SpreadZones: c.Spread, CheckpointIntervalS: c.Checkpoint,
 	}
 	if j.Kind == wire.KindArray {
-		j.EstimateS = c.RunS
+		j.EstimatedRunS = c.RunS
 	}
 	return j
 }
--- a/internal/scalerun/load/generator_test.go
+++ b/internal/scalerun/load/generator_test.go
@@ -57,7 +57,7 @@
 
 // TestRunTime has tasks run for about their class's time, and those that have completed before not at all.
 func TestRunTime(t *testing.T) {
-	job := &wire.Job{ID: "run-000001", Kind: wire.KindArray, Tasks: 50, EstimateS: 8}
+	job := &wire.Job{ID: "run-000001", Kind: wire.KindArray, Tasks: 50, EstimatedRunS: 8}
 	uploads := Uploads{completed{3}}
 	for task := range job.Tasks {
 		d := uploads.RunTime(job, task)
--- a/internal/scalerun/load/run_time.go
+++ b/internal/scalerun/load/run_time.go
@@ -32,5 +32,5 @@
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(wire.TaskName(job.ID, task))) // a hash takes all
 	part := float64(h.Sum32()) / (1 << 32)
-	return config.Seconds(job.EstimateS * (1 - spread + 2*spread*part))
+	return config.Seconds(job.EstimatedRunS * (1 - spread + 2*spread*part))
 }
--- a/internal/scalerun/recorder.go
+++ b/internal/scalerun/recorder.go
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onMachine++
-	id, index, _ := wire.ParseTask(task)
+	id, index, _ := wire.ParseTaskName(task)
 	j := r.jobs[id]
 	if j == nil || j.ran[index] {
 		return
--- a/internal/scalerun/rules/ledger.go
+++ b/internal/scalerun/rules/ledger.go
@@ -194,7 +194,7 @@
 }
 
 func (l *Ledger) find(task string) (*job, int) {
-	id, index, ok := wire.ParseTask(task)
+	id, index, ok := wire.ParseTaskName(task)
 	if !ok {
 		return nil, 0
 	}
--- a/internal/scalerun/spreading.go
+++ b/internal/scalerun/spreading.go
@@ -77,7 +77,7 @@
 	zone := x.zone(machine)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	id, _, _ := wire.ParseTask(task)
+	id, _, _ := wire.ParseTaskName(task)
 	if x.jobs[id] == nil {
 		return
 	}
@@ -99,7 +99,7 @@
 func (x *spreading) byModel() map[string]map[string]int {
 	models := map[string]map[string]int{}
 	for task, zone := range x.running {
-		id, _, _ := wire.ParseTask(task)
+		id, _, _ := wire.ParseTaskName(task)
 		job := x.jobs[id]
 		model := job.Team + " " + job.Image
 		if models[model] == nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -62,7 +62,7 @@
 	handle("POST "+wire.JobsPath, "submit", s.forUsers(s.submit))
 	handle("GET "+wire.JobsPath+"/{id}", "poll", s.forUsers(s.poll))
 	handle("POST "+wire.JobsPath+"/{id}"+wire.CancelSuffix, "cancel", s.forUsers(s.cancel))
-	handle("POST "+wire.ReportPath, "report", s.checkin)
+	handle("POST "+wire.HeartbeatPath, "report", s.checkin)
 	s.http = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: 10 * time.Second,
@@ -232,7 +232,7 @@
 	if !ok {
 		return
 	}
-	report, err := wire.ParseReport(data)
+	report, err := wire.ParseHeartbeat(data)
 	if err != nil {
 		reply(w, http.StatusBadRequest, 0, wire.ErrorBody{Error: err.Error()})
 		return
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -80,7 +80,7 @@
 	closed := 0
 	for range 3 {
 		for i, worker := range workers {
-			r, err := worker.Post("http://"+l.Addr().String()+wire.ReportPath, "application/json", strings.NewReader(`{"host":"h","shift":1,"tally":1}`))
+			r, err := worker.Post("http://"+l.Addr().String()+wire.HeartbeatPath, "application/json", strings.NewReader(`{"host":"h","shift":1,"tally":1}`))
 			if err != nil {
 				t.Fatalf("worker %d: %v", i, err)
 			}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -47,7 +47,7 @@
 	boots    bool
 	launch   Launch
 	machines map[string]*rental
-	answers  map[string]wire.Names
+	answers  map[string]wire.MachineNames
 	made     int
 	closed   bool
 	cut      map[string]bool // clients that get no answer
@@ -67,7 +67,7 @@
 // once.
 func NewCloud(types []wire.MachineType, launch Launch) *Cloud {
 	c := &Cloud{types: types, capacity: map[string]int{}, launch: launch,
-		machines: map[string]*rental{}, answers: map[string]wire.Names{}, cut: map[string]bool{}}
+		machines: map[string]*rental{}, answers: map[string]wire.MachineNames{}, cut: map[string]bool{}}
 	c.clientServers.serve(c.serve)
 	return c
 }
@@ -193,15 +193,15 @@
 		limit, _ := strconv.Atoi(q.Get("limit"))
 		answer(w, http.StatusOK, c.list(q.Get("after"), limit))
 	case "POST /rentals":
-		var q wire.RentRequest
-		if json.NewDecoder(r.Body).Decode(&q) != nil || c.typeOf(q.Type) == nil || q.Count < 1 || q.Count > wire.MaxRent {
+		var q wire.ScaleOutRequest
+		if json.NewDecoder(r.Body).Decode(&q) != nil || c.typeOf(q.Type) == nil || q.Count < 1 || q.Count > wire.MaxScaleOut {
 			answer(w, http.StatusBadRequest, nil)
 			return
 		}
 		c.rent(w, q)
 	case "POST /rentals/release":
-		var n wire.Names
-		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > wire.MaxRelease {
+		var n wire.MachineNames
+		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > wire.MaxScaleIn {
 			answer(w, http.StatusBadRequest, nil)
 			return
 		}
@@ -244,7 +244,7 @@
 func (c *Cloud) free(machineType string) int {
 	most, bounded := c.capacity[machineType]
 	if !bounded {
-		return wire.MaxRent
+		return wire.MaxScaleOut
 	}
 	for _, r := range c.machines {
 		if r.spec.Type.Name == machineType && (r.machine == nil || r.machine.State() != wire.MachineFailed) {
@@ -254,8 +254,8 @@
 	return most
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, q wire.RentRequest) {
-	if a, ok := c.answers[q.Request]; ok {
+func (c *Cloud) rent(w http.ResponseWriter, q wire.ScaleOutRequest) {
+	if a, ok := c.answers[q.RequestID]; ok {
 		answer(w, http.StatusOK, a)
 		return
 	}
@@ -264,13 +264,13 @@
 		answer(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 		return
 	}
-	var a wire.Names
+	var a wire.MachineNames
 	for range count {
 		r := c.add(*c.typeOf(q.Type), q.Zone, q.Spot)
 		c.boot(r)
 		a.Machines = append(a.Machines, r.spec.Name)
 	}
-	c.answers[q.Request] = a
+	c.answers[q.RequestID] = a
 	answer(w, http.StatusOK, a)
 }
 
--- a/internal/standin/cloud_test.go
+++ b/internal/standin/cloud_test.go
@@ -29,13 +29,13 @@
 	c.Have("g8", "z1", 498)
 	c.SetCapacity("g8", 502)
 	client, ctx := cloud.New(c.Addr(), 1000, 4), context.Background()
-	want := wire.RentRequest{Request: "r-1", Type: "g8", Zone: "z1", Count: 9}
+	want := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
 	for range 2 {
 		if names, o := client.Rent(ctx, want); o != call.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
 			t.Errorf("%v, %v", names, o)
 		}
 	}
-	want.Request = "r-2"
+	want.RequestID = "r-2"
 	if _, o := client.Rent(ctx, want); o != call.Refused {
 		t.Errorf("more than there are: %v", o)
 	}
--- a/internal/standin/state_server.go
+++ b/internal/standin/state_server.go
@@ -192,7 +192,7 @@
 	case strings.HasPrefix(r.URL.Path, "/kv/"):
 		item, outcome := s.store.Get(strings.TrimPrefix(r.URL.Path, "/kv/"))
 		if outcome == call.Missing {
-			answer(w, http.StatusNotFound, wire.TxnAnswer{Revision: s.store.Revision()})
+			answer(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
 			return
 		}
 		answer(w, http.StatusOK, item)
@@ -204,7 +204,7 @@
 			answer(w, http.StatusBadRequest, nil)
 			return
 		}
-		answer(w, http.StatusOK, wire.LeaseAnswer{Lease: s.store.Grant(time.Duration(g.TTLMillis) * time.Millisecond)})
+		answer(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.Grant(time.Duration(g.TTLMillis) * time.Millisecond)})
 	case strings.HasPrefix(r.URL.Path, "/grants/"):
 		id, extend := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/extend")
 		n, _ := strconv.ParseUint(id, 10, 64)
@@ -240,7 +240,7 @@
 	for end := time.Now().Add(time.Duration(ms) * time.Millisecond); ; {
 		s.mu.Lock()
 		served := !s.down && !s.cut[client]
-		var c wire.Changes
+		var c wire.WatchResponse
 		outcome := call.OK
 		if served {
 			s.catchUp()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -141,13 +141,13 @@
 )
 
 // Txn runs a transaction.
-func (s *Store) Txn(t wire.Txn) (wire.TxnAnswer, call.Outcome) {
+func (s *Store) Txn(t wire.Txn) (wire.TxnResponse, call.Outcome) {
 	if s.beyondLimits(t) {
-		return wire.TxnAnswer{}, call.Invalid
+		return wire.TxnResponse{}, call.Invalid
 	}
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
-			return wire.TxnAnswer{}, call.Invalid
+			return wire.TxnResponse{}, call.Invalid
 		}
 	}
 	var failed []string
@@ -157,7 +157,7 @@
 		}
 	}
 	if failed != nil {
-		return wire.TxnAnswer{Failed: failed, Revision: s.revision}, call.Conflict
+		return wire.TxnResponse{Failed: failed, Revision: s.revision}, call.Conflict
 	}
 	if len(t.Then) > 0 {
 		s.revision++
@@ -171,7 +171,7 @@
 		s.items.ReplaceOrInsert(wire.Item{Key: op.Put, Value: value, Version: s.revision, Lease: op.Lease})
 		s.note(wire.Event{Put: op.Put, Value: value, Version: s.revision})
 	}
-	return wire.TxnAnswer{Revision: s.revision}, call.OK
+	return wire.TxnResponse{Revision: s.revision}, call.OK
 }
 
 func (s *Store) remove(key string) {
@@ -230,12 +230,12 @@
 }
 
 // Changes gives what changed below a prefix after a revision.
-func (s *Store) Changes(prefix string, after uint64) (wire.Changes, call.Outcome) {
+func (s *Store) Changes(prefix string, after uint64) (wire.WatchResponse, call.Outcome) {
 	kept := s.keptLog()
 	if len(kept) == keptChanges && kept[0].revision > after+1 {
-		return wire.Changes{}, call.TooOld
+		return wire.WatchResponse{}, call.TooOld
 	}
-	c := wire.Changes{Revision: s.revision, Events: []wire.Event{}}
+	c := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 	from := sort.Search(len(kept), func(i int) bool { return kept[i].revision > after })
 	for _, ch := range kept[from:] {
 		if strings.HasPrefix(ch.event.Put+ch.event.Delete, prefix) {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -46,11 +46,11 @@
 }
 
 // Txn runs a transaction.
-func (s *Client) Txn(ctx context.Context, txn wire.Txn) (wire.TxnAnswer, call.Outcome) {
+func (s *Client) Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, call.Outcome) {
 	if txn.If == nil {
-		txn.If = []wire.Cond{}
+		txn.If = []wire.Condition{}
 	}
-	var a wire.TxnAnswer
+	var a wire.TxnResponse
 	o := s.c.Do(ctx, "POST", "/txn", txn, &a)
 	if o == call.OK && a.Revision == 0 && len(txn.Then) > 0 {
 		o = call.Unknown
@@ -60,7 +60,7 @@
 
 // Grant makes a lease.
 func (s *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, call.Outcome) {
-	var a wire.LeaseAnswer
+	var a wire.LeaseResponse
 	o := s.c.Do(ctx, "POST", "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &a)
 	if o == call.OK && a.Lease == 0 {
 		o = call.Unknown
@@ -79,10 +79,10 @@
 }
 
 // Watch waits for changes below a prefix after a revision.
-func (s *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Changes, call.Outcome) {
+func (s *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, call.Outcome) {
 	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"block_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	var c wire.Changes
+	var c wire.WatchResponse
 	o := s.c.Do(ctx, "GET", "/changes?"+q.Encode(), nil, &c)
 	return c, o
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,25 +19,25 @@
 	Types []MachineType `json:"rigs"`
 }
 
-// RentRequest asks for machines (POST /rentals).
-type RentRequest struct {
-	Request string `json:"hire"`
-	Type    string `json:"rig"`
-	Zone    string `json:"hall"`
-	Spot    bool   `json:"loaner"`
-	Count   int    `json:"number"`
+// ScaleOutRequest asks for machines (POST /rentals).
+type ScaleOutRequest struct {
+	RequestID string `json:"hire"`
+	Type      string `json:"rig"`
+	Zone      string `json:"hall"`
+	Spot      bool   `json:"loaner"`
+	Count     int    `json:"number"`
 }
 
 // MaxRent is the most machines one request may ask for, MaxRelease the most
 // names one release may hold, MaxList the most machines in one page.
 const (
-	MaxRent    = 50
-	MaxRelease = 100
-	MaxList    = 500
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
+	MaxList     = 500
 )
 
-// Names is a list of machine names: a rental's answer and a release's request.
-type Names struct {
+// MachineNames is a list of machine names: a rental's answer and a release's request.
+type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
 
--- a/internal/wire/prefetch.go
+++ b/internal/wire/prefetch.go
@@ -4,13 +4,13 @@
 // workers' protocol: hollow workers alone have it.
 const PrefetchPath = "/prefetch"
 
-// Prefetch asks for an image.
-type Prefetch struct {
+// PrefetchRequest asks for an image.
+type PrefetchRequest struct {
 	Image string  `json:"image"`
 	GB    float64 `json:"gb"`
 }
 
-// PrefetchAnswer says when the image is there.
-type PrefetchAnswer struct {
+// PrefetchResponse says when the image is there.
+type PrefetchResponse struct {
 	ReadyS float64 `json:"ready_s"`
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -20,8 +20,8 @@
 // MaxItems is the most items in a page.
 const MaxItems = 1000
 
-// Cond is a condition of a transaction; version 0: the key does not exist.
-type Cond struct {
+// Condition is a condition of a transaction; version 0: the key does not exist.
+type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
@@ -36,12 +36,12 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Cond `json:"when"`
-	Then []Op   `json:"apply,omitempty"`
+	If   []Condition `json:"when"`
+	Then []Op        `json:"apply,omitempty"`
 }
 
-// TxnAnswer is the answer to a transaction.
-type TxnAnswer struct {
+// TxnResponse is the answer to a transaction.
+type TxnResponse struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
 }
@@ -51,8 +51,8 @@
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// LeaseAnswer names the lease made.
-type LeaseAnswer struct {
+// LeaseResponse names the lease made.
+type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
 
@@ -64,8 +64,8 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Changes is the answer of a watch.
-type Changes struct {
+// WatchResponse is the answer of a watch.
+type WatchResponse struct {
 	Revision uint64  `json:"epoch"`
 	Events   []Event `json:"log"`
 }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -78,28 +78,28 @@
 
 // Job is a submission (POST /v2/runs). It is stored in this form as well.
 type Job struct {
-	ID         string   `json:"ref"`
-	Class      string   `json:"lane"`
-	Team       string   `json:"broker"`
-	Kind       JobKind  `json:"shape"`
-	Priority   Priority `json:"urgency"`
-	Tasks      int      `json:"parcels"`
-	CPUs       float64  `json:"vcpus"`
-	GPUs       float64  `json:"gpus"`
-	MemoryGB   float64  `json:"memory_gb"`
-	Image      string   `json:"bundle"`
-	ImageGB    float64  `json:"image_gb"`
-	Types      []string `json:"rigs,omitempty"`
-	Zone       string   `json:"hall,omitempty"`
-	OneZone    bool     `json:"one_zone,omitempty"`
-	Spread     bool     `json:"apart,omitempty"`
-	Spot       bool     `json:"loaner,omitempty"`
-	EstimateS  float64  `json:"expect_s"`
-	Checkpoint float64  `json:"stamp_s"`
-	SaveS      float64  `json:"stow_s"`
-	DeadlineS  *float64 `json:"cutoff_s,omitempty"`
-	// Needs are the jobs that have to be done before a task of this one starts.
-	Needs []string `json:"awaits,omitempty"`
+	ID                  string   `json:"ref"`
+	Class               string   `json:"lane"`
+	Team                string   `json:"broker"`
+	Kind                JobKind  `json:"shape"`
+	Priority            Priority `json:"urgency"`
+	Tasks               int      `json:"parcels"`
+	CPUs                float64  `json:"vcpus"`
+	GPUs                float64  `json:"gpus"`
+	MemoryGB            float64  `json:"memory_gb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"image_gb"`
+	MachineTypes        []string `json:"rigs,omitempty"`
+	Zone                string   `json:"hall,omitempty"`
+	SingleZone          bool     `json:"one_zone,omitempty"`
+	SpreadZones         bool     `json:"apart,omitempty"`
+	Spot                bool     `json:"loaner,omitempty"`
+	EstimatedRunS       float64  `json:"expect_s"`
+	CheckpointIntervalS float64  `json:"stamp_s"`
+	CheckpointTimeS     float64  `json:"stow_s"`
+	DeadlineS           *float64 `json:"cutoff_s,omitempty"`
+	// Dependencies are the jobs that have to be done before a task of this one starts.
+	Dependencies []string `json:"awaits,omitempty"`
 }
 
 // Submission gives the body of a user's submission, in which flags are never absent.
@@ -109,7 +109,7 @@
 		OneZone bool `json:"one_zone"`
 		Spread  bool `json:"apart"`
 		Spot    bool `json:"loaner"`
-	}{j, j.OneZone, j.Spread, j.Spot})
+	}{j, j.SingleZone, j.SpreadZones, j.Spot})
 }
 
 // JobState is the answer to users about a job.
@@ -128,8 +128,8 @@
 // TaskName is the protocol's name of a task.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTask takes a task's name apart.
-func ParseTask(name string) (job string, task int, ok bool) {
+// ParseTaskName takes a task's name apart.
+func ParseTaskName(name string) (job string, task int, ok bool) {
 	job, num, found := strings.Cut(name, "/")
 	if !found {
 		return "", 0, false
@@ -141,16 +141,16 @@
 	return job, n, true
 }
 
-// FieldNeeds is the protocol's word for the list of needed jobs, for messages to users.
-const FieldNeeds = "awaits"
+// FieldDependencies is the protocol's word for the list of needed jobs, for messages to users.
+const FieldDependencies = "awaits"
 
-// maxNeedBytes bounds what one entry of the list of needed jobs takes in a stored job: the longest job
+// maxDependencyBytes bounds what one entry of the list of needed jobs takes in a stored job: the longest job
 // id with its quotes and a comma.
-const maxNeedBytes = len(`"run-01234567890123456789",`)
+const maxDependencyBytes = len(`"run-01234567890123456789",`)
 
-// MaxNeeds bounds the list of needed jobs for a value size of the state service: the list takes at most
+// MaxDependencies bounds the list of needed jobs for a value size of the state service: the list takes at most
 // half of a value.
-func MaxNeeds(valueBytes int) int { return max(1, valueBytes/2/maxNeedBytes) }
+func MaxDependencies(valueBytes int) int { return max(1, valueBytes/2/maxDependencyBytes) }
 
 type fields struct {
 	raw map[string]json.RawMessage
@@ -304,27 +304,27 @@
 		return nil, errors.New("body: must be a JSON object")
 	}
 	j := &Job{
-		ID:         f.text("ref", true),
-		Class:      f.text("lane", true),
-		Team:       f.text("broker", true),
-		Kind:       JobKind(f.text("shape", true)),
-		Priority:   Priority(f.text("urgency", true)),
-		CPUs:       f.must("vcpus"),
-		GPUs:       f.must("gpus"),
-		MemoryGB:   f.must("memory_gb"),
-		Image:      f.text("bundle", true),
-		ImageGB:    f.must("image_gb"),
-		Zone:       f.text("hall", false),
-		OneZone:    f.flag("one_zone"),
-		Spread:     f.flag("apart"),
-		Spot:       f.flag("loaner"),
-		EstimateS:  f.must("expect_s"),
-		Checkpoint: f.must("stamp_s"),
-		SaveS:      f.must("stow_s"),
-		DeadlineS:  f.amount("cutoff_s", false),
-		Needs:      f.ids(FieldNeeds),
-		Tasks:      f.taskCount("parcels"),
-		Types:      f.machineTypes("rigs"),
+		ID:                  f.text("ref", true),
+		Class:               f.text("lane", true),
+		Team:                f.text("broker", true),
+		Kind:                JobKind(f.text("shape", true)),
+		Priority:            Priority(f.text("urgency", true)),
+		CPUs:                f.must("vcpus"),
+		GPUs:                f.must("gpus"),
+		MemoryGB:            f.must("memory_gb"),
+		Image:               f.text("bundle", true),
+		ImageGB:             f.must("image_gb"),
+		Zone:                f.text("hall", false),
+		SingleZone:          f.flag("one_zone"),
+		SpreadZones:         f.flag("apart"),
+		Spot:                f.flag("loaner"),
+		EstimatedRunS:       f.must("expect_s"),
+		CheckpointIntervalS: f.must("stamp_s"),
+		CheckpointTimeS:     f.must("stow_s"),
+		DeadlineS:           f.amount("cutoff_s", false),
+		Dependencies:        f.ids(FieldDependencies),
+		Tasks:               f.taskCount("parcels"),
+		MachineTypes:        f.machineTypes("rigs"),
 	}
 	if f.err != nil {
 		return nil, f.err
--- a/internal/wire/user_test.go
+++ b/internal/wire/user_test.go
@@ -13,7 +13,7 @@
 // Everything malformed is refused, whatever the kind of malformation.
 func TestParseJob(t *testing.T) {
 	j, err := ParseJob([]byte(goodJob))
-	if err != nil || j.Tasks != 16 || j.Types[0] != "g8" || *j.DeadlineS != 900 {
+	if err != nil || j.Tasks != 16 || j.MachineTypes[0] != "g8" || *j.DeadlineS != 900 {
 		t.Fatalf("%+v %v", j, err)
 	}
 	for _, c := range [][2]string{
@@ -67,11 +67,11 @@
 		`["nobody",""]`: {"nobody", ""},
 	} {
 		j, err := ParseJob([]byte(strings.Replace(goodJob, `"new":[1]`, `"awaits":`+list, 1)))
-		if err != nil || !slices.Equal(j.Needs, want) {
+		if err != nil || !slices.Equal(j.Dependencies, want) {
 			t.Errorf("%s gives %+v, %v", list, j, err)
 		}
 	}
-	if n := MaxNeeds(2048); n*maxNeedBytes > 1024 || n < 32 {
+	if n := MaxDependencies(2048); n*maxDependencyBytes > 1024 || n < 32 {
 		t.Errorf("%d needed jobs for a value of 2 KiB", n)
 	}
 }
