--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -62,7 +62,7 @@
 
 // Each of the limits to come stands by itself, and the tighter of the two counts.
 func TestNextLimits(t *testing.T) {
-	for next, want := range map[string]StateLimits{
+	for next, want := range map[string]StoreLimits{
 		"":                      {RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		"[params.state.next]\n": {RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		"[params.state.next]\nvalue_kb=2.0\ntxn_ops=4\n":   {RPS: 150, WriteRPS: 60, ValueKB: 2, TxnOps: 4},
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Params.State.Next.Within(s.Params.State); got != want {
+		if got := s.Params.Store.Next.Within(s.Params.Store); got != want {
 			t.Errorf("%q gives %+v", next, got)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -35,7 +35,7 @@
 // Services are the addresses of what the controllers use.
 type Services struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // Params describe the deployment.
@@ -46,18 +46,18 @@
 	Teams      []Team      `toml:"teams"`
 	Objectives []Objective `toml:"objectives"`
 	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
+	Store      Store       `toml:"state"`
 	Cloud      Cloud       `toml:"cloud"`
 	Limits     Limits      `toml:"limits"`
 }
 
 // Team has a guarantee and a limit; a limit of 0 means there is none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective restates an aim.
@@ -70,13 +70,13 @@
 
 // Workers has the times of the workers' protocol.
 type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatIntervalS float64 `toml:"report_s"`
+	LeaseS             float64 `toml:"lease_s"`
+	CancelS            float64 `toml:"cancel_s"`
 }
 
-// State has the limits of the state service.
-type State struct {
+// Store has the limits of the state service.
+type Store struct {
 	RPS      float64     `toml:"rps"`
 	WriteRPS float64     `toml:"write_rps"`
 	ValueKB  float64     `toml:"value_kb"`
@@ -93,8 +93,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// StateLimits are limits of the state service, all of them.
-type StateLimits struct {
+// StoreLimits are limits of the state service, all of them.
+type StoreLimits struct {
 	RPS      float64
 	WriteRPS float64
 	ValueKB  float64
@@ -102,8 +102,8 @@
 }
 
 // Within gives the tighter of the present limits and those to come, each by itself.
-func (n *NextLimits) Within(s State) StateLimits {
-	l := StateLimits{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
+func (n *NextLimits) Within(s Store) StoreLimits {
+	l := StoreLimits{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
 	if n == nil {
 		return l
 	}
@@ -137,9 +137,9 @@
 // Seconds turns a number of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// HeartbeatInterval is how often nodes look at what may fail, and how long a call may take: a tenth
+// FailureCheckInterval is how often nodes look at what may fail, and how long a call may take: a tenth
 // of the workers' lease.
-func HeartbeatInterval(w Workers) time.Duration { return Seconds(w.LeaseS / 10) }
+func FailureCheckInterval(w Workers) time.Duration { return Seconds(w.LeaseS / 10) }
 
 // Load reads and checks the platform's file.
 func Load(path string) (*Settings, error) {
@@ -178,8 +178,8 @@
 	return s, nil
 }
 
-// leastTxnOps is the least number of changes in a transaction that the program can work with.
-const leastTxnOps = 4
+// minTxnOps is the least number of changes in a transaction that the program can work with.
+const minTxnOps = 4
 
 // positiveField is a setting that must be above 0.
 type positiveField struct {
@@ -247,7 +247,7 @@
 func (s *Settings) checkAddresses() error {
 	addresses := []struct{ field, value string }{
 		{"bind", s.Listen}, {"internal_addr", s.PeerListen},
-		{servicesTable + "cloud", s.Services.Cloud}, {servicesTable + "state", s.Services.State},
+		{servicesTable + "cloud", s.Services.Cloud}, {servicesTable + "state", s.Services.Store},
 	}
 	for i, p := range s.Peers {
 		addresses = append(addresses, struct{ field, value string }{fmt.Sprintf("siblings[%d].address", i), p.Addr})
@@ -280,18 +280,18 @@
 // checkPositive checks the settings that must be above 0.
 func (p *Params) checkPositive() error {
 	fields := []positiveField{
-		{"params.workers.report_s", p.Workers.ReportS},
+		{"params.workers.report_s", p.Workers.HeartbeatIntervalS},
 		{"params.workers.lease_s", p.Workers.LeaseS},
 		{"params.workers.cancel_s", p.Workers.CancelS},
-		{"params.state.rps", p.State.RPS},
-		{"params.state.write_rps", p.State.WriteRPS},
-		{"params.state.value_kb", p.State.ValueKB},
-		{"params.state.txn_ops", float64(p.State.TxnOps)},
+		{"params.state.rps", p.Store.RPS},
+		{"params.state.write_rps", p.Store.WriteRPS},
+		{"params.state.value_kb", p.Store.ValueKB},
+		{"params.state.txn_ops", float64(p.Store.TxnOps)},
 		{"params.cloud.rps", p.Cloud.RPS},
 		{"params.cloud.list_lag_s", p.Cloud.ListLagS},
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections)},
 	}
-	for _, f := range append(fields, p.State.Next.positiveFields()...) {
+	for _, f := range append(fields, p.Store.Next.positiveFields()...) {
 		if !(f.v > 0) || f.v > largestSetting {
 			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", f.field, float64(largestSetting), f.v)
 		}
@@ -301,11 +301,11 @@
 
 // checkLimits checks what is bounded otherwise.
 func (p *Params) checkLimits() error {
-	if p.State.TxnOps < leastTxnOps {
-		return fmt.Errorf("params.state.txn_ops: must be at least %d, is %d", leastTxnOps, p.State.TxnOps)
+	if p.Store.TxnOps < minTxnOps {
+		return fmt.Errorf("params.state.txn_ops: must be at least %d, is %d", minTxnOps, p.Store.TxnOps)
 	}
-	if n := p.State.Next; n != nil && n.TxnOps != nil && *n.TxnOps < leastTxnOps {
-		return fmt.Errorf("params.state.next.txn_ops: must be at least %d, is %d", leastTxnOps, *n.TxnOps)
+	if n := p.Store.Next; n != nil && n.TxnOps != nil && *n.TxnOps < minTxnOps {
+		return fmt.Errorf("params.state.next.txn_ops: must be at least %d, is %d", minTxnOps, *n.TxnOps)
 	}
 	for _, bounded := range []struct {
 		field          string
@@ -332,7 +332,7 @@
 			return fmt.Errorf("params.teams[%d].name: is missing or used twice", i)
 		}
 		teams[t.Name] = true
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+		if t.GuaranteedCPUs < 0 || t.MaxCPUs < 0 || t.GuaranteedGPUs < 0 || t.MaxGPUs < 0 {
 			return fmt.Errorf("params.teams[%d]: amounts must not be negative", i)
 		}
 	}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -23,7 +23,7 @@
 	if j.Kind == wire.KindService {
 		n = float64(j.Tasks)
 	}
-	if over(n*j.CPUs, team.CPUsMax) || over(n*j.GPUs, team.GPUsMax) {
+	if over(n*j.CPUs, team.MaxCPUs) || over(n*j.GPUs, team.MaxGPUs) {
 		return never
 	}
 	if c.catalog == nil {
--- a/internal/core/allowance_bench_test.go
+++ b/internal/core/allowance_bench_test.go
@@ -33,7 +33,7 @@
 	y.adjust = func(p *config.Params) {
 		p.Teams = nil
 		for i := range max(12, teams) {
-			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprint("t", i), GPUs: 1000, GPUsMax: 3000})
+			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprint("t", i), GuaranteedGPUs: 1000, MaxGPUs: 3000})
 		}
 	}
 	y.restart()
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -57,7 +57,7 @@
 	for i := range l.c.set.Params.Teams {
 		team := &l.c.set.Params.Teams[i]
 		t := &teamAllowance{effective: *team, settings: team, key: allowanceKey(team.Name), delivering: map[string]bool{},
-			whole: allowance.Share{Limit: allowance.AtMost(team.GPUsMax, team.CPUsMax), Guarantee: allowance.AtMost(team.GPUs, team.CPUs)}}
+			whole: allowance.Share{Limit: allowance.AtMost(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.AtMost(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
 		t.initial = allowance.Initial(t.whole, parts, l.c.op.Regions.Name)
 		t.goBy(allowance.Share{})
 		a.teams[team.Name] = t
@@ -94,8 +94,8 @@
 	}
 	limitGPUs, limitCPUs := held.Limit.Float()
 	guaranteeGPUs, guaranteeCPUs := held.Guarantee.Float()
-	t.effective.GPUsMax, t.effective.CPUsMax = part(team.GPUsMax, limitGPUs), part(team.CPUsMax, limitCPUs)
-	t.effective.GPUs, t.effective.CPUs = part(team.GPUs, guaranteeGPUs), part(team.CPUs, guaranteeCPUs)
+	t.effective.MaxGPUs, t.effective.MaxCPUs = part(team.MaxGPUs, limitGPUs), part(team.MaxCPUs, limitCPUs)
+	t.effective.GuaranteedGPUs, t.effective.GuaranteedCPUs = part(team.GuaranteedGPUs, guaranteeGPUs), part(team.GuaranteedCPUs, guaranteeCPUs)
 }
 
 // usable gives what of the team's limits, as the settings have them now, may be used here.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -80,7 +80,7 @@
 func timesOf(s *config.Settings, op *config.Operator) times {
 	p := s.Params
 	t := times{
-		report:  config.Seconds(p.Workers.ReportS),
+		report:  config.Seconds(p.Workers.HeartbeatIntervalS),
 		lease:   config.Seconds(p.Workers.LeaseS),
 		cancel:  config.Seconds(p.Workers.CancelS),
 		listLag: config.Seconds(p.Cloud.ListLagS),
@@ -90,7 +90,7 @@
 	t.leaderTTL = time.Duration(float64(t.lease) * op.LeaderTTLLeases)
 	// What has to be noticed and made good within workers' leases goes by these, however
 	// seldom workers report.
-	t.heartbeat = config.HeartbeatInterval(p.Workers)
+	t.heartbeat = config.FailureCheckInterval(p.Workers)
 	t.probe = t.heartbeat
 	t.retry = t.heartbeat / 4
 	t.moment = t.heartbeat / 4
@@ -98,8 +98,8 @@
 	t.quiet = max(3*t.report/2, 3*t.heartbeat)
 	// A node's polls use at most a sixth of its share of the requests, a watch
 	// at most a fifth.
-	t.batchGap = config.Seconds(6 * nodes / p.State.Next.Within(p.State).RPS / 3)
-	t.watchGap = config.Seconds(5 * nodes / p.State.Next.Within(p.State).RPS / 2)
+	t.batchGap = config.Seconds(6 * nodes / p.Store.Next.Within(p.Store).RPS / 3)
+	t.watchGap = config.Seconds(5 * nodes / p.Store.Next.Within(p.Store).RPS / 2)
 	return t
 }
 
@@ -116,7 +116,7 @@
 	c.backlog = pacing.NewLoad(c.t.heartbeat, c.t.lease)
 	c.dir = newDirectory()
 	c.deps = newDependencies(c)
-	c.limits = newLimits(s.Params.State)
+	c.limits = newLimits(s.Params.Store)
 	c.users = newUsers(c)
 	c.elect = newElection(c)
 	c.relay = newLeaseRelay(c)
--- a/internal/core/fulfillment.go
+++ b/internal/core/fulfillment.go
@@ -266,7 +266,7 @@
 		return false
 	}
 	x := u.of(j.spec.Team)
-	return !over(x[0]+float64(n)*j.spec.GPUs, j.team.GPUsMax) && !over(x[1]+float64(n)*j.spec.CPUs, j.team.CPUsMax)
+	return !over(x[0]+float64(n)*j.spec.GPUs, j.team.MaxGPUs) && !over(x[1]+float64(n)*j.spec.CPUs, j.team.MaxCPUs)
 }
 
 // beyond tells whether a team uses more than its guarantee.
@@ -277,9 +277,9 @@
 
 func beyondGuarantee(gpus, cpus float64, t *config.Team) bool {
 	const eps = 1e-9
-	if t.GPUs > 0 && gpus > t.GPUs+eps || t.CPUs > 0 && cpus > t.CPUs+eps {
+	if t.GuaranteedGPUs > 0 && gpus > t.GuaranteedGPUs+eps || t.GuaranteedCPUs > 0 && cpus > t.GuaranteedCPUs+eps {
 		return true
 	}
 	// A team without any guarantee is beyond it with all that it runs.
-	return t.GPUs == 0 && t.CPUs == 0 && (gpus > eps || cpus > eps)
+	return t.GuaranteedGPUs == 0 && t.GuaranteedCPUs == 0 && (gpus > eps || cpus > eps)
 }
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -22,11 +22,11 @@
 	y := newLargeScaleCluster(t, nodes, 0)
 	y.op.IdleBoots = 100
 	y.adjust = func(p *config.Params) {
-		p.State = config.State{RPS: 2000, WriteRPS: 1000, ValueKB: 16, TxnOps: 48}
+		p.Store = config.Store{RPS: 2000, WriteRPS: 1000, ValueKB: 16, TxnOps: 48}
 		p.Cloud.RPS = 8
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 3 * machines}
 		for i := range p.Teams {
-			p.Teams[i].GPUsMax = 0
+			p.Teams[i].MaxGPUs = 0
 		}
 	}
 	y.restart()
@@ -154,7 +154,7 @@
 // does not lead.
 func TestCountsOfManyJobs(t *testing.T) {
 	y := newLargeScaleCluster(t, 2, 0)
-	y.adjust = func(p *config.Params) { p.State.ValueKB = 2 }
+	y.adjust = func(p *config.Params) { p.Store.ValueKB = 2 }
 	y.restart()
 	y.have(120)
 	y.pass(10 * time.Second)
@@ -179,7 +179,7 @@
 // answer any more, than a node's status can list. No user is told of any of them.
 func TestManyUnsettledCancellations(t *testing.T) {
 	y := newLargeScaleCluster(t, 2, 0)
-	y.adjust = func(p *config.Params) { p.State.WriteRPS = 1000 }
+	y.adjust = func(p *config.Params) { p.Store.WriteRPS = 1000 }
 	y.restart()
 	y.have(200)
 	y.pass(10 * time.Second)
--- a/internal/core/lease_answers_test.go
+++ b/internal/core/lease_answers_test.go
@@ -13,8 +13,8 @@
 // newIdleCore makes a core that has done nothing yet.
 func newIdleCore() *Core {
 	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator()}
-	set.Params.Workers = config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30}
-	set.Params.State = config.State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
+	set.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}
+	set.Params.Store = config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
 	set.Params.Limits = config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
 	return New(set, "first")
 }
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -11,13 +11,13 @@
 // moment on that it does not tell. Sizes are kept within the tighter of both at all times, so that the
 // moment changes nothing. Rates follow what the service grants.
 type limits struct {
-	present config.State
-	next    config.StateLimits
+	present config.Store
+	next    config.StoreLimits
 	slowEnd time.Duration // until then writes keep to the rate that is to come
 	fallen  bool          // a value above the limit that is to come was refused
 }
 
-func newLimits(s config.State) *limits { return &limits{present: s, next: s.Next.Within(s)} }
+func newLimits(s config.Store) *limits { return &limits{present: s, next: s.Next.Within(s)} }
 
 // valueBytes is the largest value that is written.
 func (l *limits) valueBytes() int { return int(1024 * l.next.ValueKB) }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -128,8 +128,8 @@
 
 func drawFleet(t *rapid.T) *drawnFleet {
 	set := &config.Settings{Node: "a", Zone: "z1", Params: config.Params{Zones: drawnZones[1:],
-		Teams:   []config.Team{{Name: "red", GPUs: 2, GPUsMax: 64}, {Name: "blue", GPUs: 8, GPUsMax: 64}, {Name: "guest"}},
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30}, State: config.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
+		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 2, MaxGPUs: 64}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 64}, {Name: "guest"}},
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
 		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
 	c := New(set, "test")
 	c.now = Time{Steady: time.Hour, WallMS: 3_600_000}
@@ -250,7 +250,7 @@
 	case 17:
 		// Limits and guarantees fall and rise.
 		team := &l.c.set.Params.Teams[f.number("team", 0, 2)]
-		team.GPUs, team.GPUsMax = float64(f.number("guarantee", 0, 12)), float64(f.number("limit", 0, 40))
+		team.GuaranteedGPUs, team.MaxGPUs = float64(f.number("guarantee", 0, 12)), float64(f.number("limit", 0, 40))
 	case 18:
 		// The catalog has another size for the type, which the machine has from now on.
 		mt := *m.mt
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -152,7 +152,7 @@
 	if whole := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > whole {
 		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", whole)}
 	}
-	if over(cpus, team.CPUsMax) || over(gpus, team.GPUsMax) {
+	if over(cpus, team.MaxCPUs) || over(gpus, team.MaxGPUs) {
 		return &rollout.FieldError{Field: "/new/jobs", Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit",
 			cpus, gpus)}
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -166,8 +166,8 @@
 // array plans machines for an array's n further waiting tasks. A machine costs its boot time
 // before it helps, so one is rented only for about as much work as that.
 func (p *planner) array(j *job, n int) {
-	if x := p.r.use.of(j.spec.Team); j.team.GPUsMax > 0 && j.spec.GPUs > 0 {
-		n = min(n, int((j.team.GPUsMax-x[0])/j.spec.GPUs))
+	if x := p.r.use.of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
+		n = min(n, int((j.team.MaxGPUs-x[0])/j.spec.GPUs))
 	}
 	for i := 0; n > 0 && i < len(p.bins); i++ {
 		for b := p.bins[i]; n > 0 && b.room.Holds(resource.OfTask(j.spec)) && p.suits(j, b.Group); n-- {
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -82,7 +82,7 @@
 		r.op.Regions.All = append(r.op.Regions.All, config.Region{Name: regionName(i), Part: 1 / float64(regions)})
 	}
 	r.adjust = func(p *config.Params) {
-		p.Teams = []config.Team{{Name: "t1", GPUs: regionGuarantee, GPUsMax: r.limit}, {Name: "t2", GPUs: regionGuarantee, GPUsMax: r.limit}}
+		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}}
 	}
 	r.intercept = func(n *scaleNode, e core.Effect) (core.Result, bool) {
 		if e, ok := e.(core.RegionCall); ok {
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -29,7 +29,7 @@
 	w.op.Rollouts.Enabled, w.op.Rollouts.CheckIntervalS, w.op.IdleBoots = true, 1, 100
 	w.intercept = w.interceptCall
 	w.adjust = func(p *config.Params) {
-		p.State = config.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 64, TxnOps: 128}
+		p.Store = config.Store{RPS: 10_000, WriteRPS: 10_000, ValueKB: 64, TxnOps: 128}
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 10_000}
 		p.Teams = []config.Team{{Name: "t1"}}
 	}
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -371,7 +371,7 @@
 
 // params gives the teams their limits.
 func (w *rolloutWorld) limitTeam(gpus float64) {
-	w.adjust = func(p *config.Params) { p.Teams[1].GPUsMax = gpus }
+	w.adjust = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
 	w.restart()
 	w.advance(10 * time.Second)
 }
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -22,13 +22,13 @@
 func newTargetCluster(b *testing.B, machines int) *scaleCluster {
 	y := newLargeScaleCluster(b, 1, 0)
 	y.adjust = func(p *config.Params) {
-		p.State = config.State{RPS: 100_000, WriteRPS: 100_000, ValueKB: 64, TxnOps: 128}
+		p.Store = config.Store{RPS: 100_000, WriteRPS: 100_000, ValueKB: 64, TxnOps: 128}
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 4000, MaxConnections: 3 * targetMachines}
 		share := float64(machines) / targetMachines
 		p.Teams = nil
 		for i := range 12 {
 			// Every other team runs beyond its guarantee on a full fleet, the rest within it.
-			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprintf("t%d", i), GPUs: []float64{1000, 9000}[i%2] * share})
+			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprintf("t%d", i), GuaranteedGPUs: []float64{1000, 9000}[i%2] * share})
 		}
 	}
 	y.start(0)
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -115,7 +115,7 @@
 		c.bytes += len(op.Value)
 	}
 	body, err := json.Marshal(e.Txn)
-	if err != nil || len(body) > wire.MaxBody || len(e.Txn.If) > 4*y.set.Params.State.TxnOps {
+	if err != nil || len(body) > wire.MaxBody || len(e.Txn.If) > 4*y.set.Params.Store.TxnOps {
 		y.t.Errorf("a transaction of %d bytes, %d conditions: %v", len(body), len(e.Txn.If), err)
 	}
 	c.body = max(c.body, len(body))
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -130,19 +130,19 @@
 		}
 	}
 	s.Params = config.Params{Nodes: len(y.nodes), Zones: []string{"z1", "z2"}, ClockOffMS: 5,
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
-		State:   config.State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
+		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: y.memory, MaxConnections: 600}}
 	share := 1.0
 	if y.large {
 		share = 5
-		s.Params.Workers = config.Workers{ReportS: 2.5, LeaseS: 15, CancelS: 35}
-		s.Params.State.RPS, s.Params.State.WriteRPS, s.Params.Cloud.RPS = 600, 220, 4
+		s.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelS: 35}
+		s.Params.Store.RPS, s.Params.Store.WriteRPS, s.Params.Cloud.RPS = 600, 220, 4
 		s.Params.Limits = config.Limits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}
 	}
 	for k := 0; k < 12; k++ {
-		s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", k), GPUs: 100 * share, GPUsMax: 300 * share})
+		s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", k), GuaranteedGPUs: 100 * share, MaxGPUs: 300 * share})
 	}
 	if y.adjust != nil {
 		y.adjust(&s.Params)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -22,7 +22,7 @@
 	y.crash()
 	const seconds = 60
 	y.day(0, 0, seconds)
-	c, p := y.counted, y.set.Params.State
+	c, p := y.counted, y.set.Params.Store
 	t.Logf("%d machines, %d reports, %+v", y.rented, c.checkins, c)
 	if c.checkins < seconds*200 {
 		t.Errorf("%d reports: the workers do not report", c.checkins)
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -60,7 +60,7 @@
 	if y.now < due {
 		return
 	}
-	report := config.Seconds(y.set.Params.Workers.ReportS)
+	report := config.Seconds(y.set.Params.Workers.HeartbeatIntervalS)
 	w.sent = y.now
 	w.due = y.now + report*3/4 + time.Duration(y.rnd.Int63n(int64(report/2)))
 	if y.blocked(y.nodes[w.node], w) {
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -74,7 +74,7 @@
 // prepare begins the day with nodes of the old version, or with limits to come in the settings.
 func (s *sim) prepare(f []string) {
 	if f[0] == "next" {
-		s.set.State.Next = nextLimits(s.t, f[1:])
+		s.set.Store.Next = nextLimits(s.t, f[1:])
 	}
 	for _, n := range s.nodes {
 		n.old = n.old || f[0] == "old"
@@ -186,7 +186,7 @@
 				}
 			}
 		case "limits":
-			next := s.set.State.Next
+			next := s.set.Store.Next
 			s.store.SetLimits(int(1024**next.ValueKB), *next.TxnOps)
 		case "kill", "upgrade":
 			for _, n := range nodes() {
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -74,7 +74,7 @@
 	set := &config.Settings{Node: n.name, Zone: n.zone, Operator: config.DefaultOperator(), Params: s.set}
 	set.Operator.SpareShare = 0
 	if n.old {
-		set.Params.State.Next = nil
+		set.Params.Store.Next = nil
 	}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != n.name {
@@ -364,7 +364,7 @@
 }
 
 func (s *sim) txn(n *simNode, e core.StateTxn) {
-	if len(e.Txn.Then) > s.set.State.TxnOps || len(e.Txn.If) > 4*s.set.State.TxnOps {
+	if len(e.Txn.Then) > s.set.Store.TxnOps || len(e.Txn.If) > 4*s.set.Store.TxnOps {
 		s.t.Errorf("a transaction of %d changes, %d conditions", len(e.Txn.Then), len(e.Txn.If))
 	}
 	if s.lateWrites > 0 && s.rnd.Float64() < s.lateWrites && s.now >= n.refused && s.now >= s.outage {
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -92,9 +92,9 @@
 	limits := map[string]float64{"red": 8, "blue": 16, "green": 48, "guest": 32}
 	s.ruleChecker = newRuleChecker(limits, simCancel)
 	s.set = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockOffMS: 5,
-		Teams:   []config.Team{{Name: "red", GPUs: 4, GPUsMax: 8}, {Name: "blue", GPUs: 8, GPUsMax: 16}, {Name: "green", GPUs: 16, GPUsMax: 48}, {Name: "guest", GPUsMax: 32}},
-		Workers: config.Workers{ReportS: simReport.Seconds(), LeaseS: simLease.Seconds(), CancelS: simCancel.Seconds()},
-		State:   config.State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
+		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 16, MaxGPUs: 48}, {Name: "guest", MaxGPUs: 32}},
+		Workers: config.Workers{HeartbeatIntervalS: simReport.Seconds(), LeaseS: simLease.Seconds(), CancelS: simCancel.Seconds()},
+		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 2},
 		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -29,9 +29,9 @@
 	y.op.IdleBoots = 100
 	y.op.Spread = spread
 	y.adjust = func(p *config.Params) {
-		p.State.RPS, p.State.WriteRPS = 1000, 1000
+		p.Store.RPS, p.Store.WriteRPS = 1000, 1000
 		for i := range p.Teams {
-			p.Teams[i].GPUsMax = 0
+			p.Teams[i].MaxGPUs = 0
 		}
 	}
 	y.onRuns = func(machine, task string) { w.running[task] = y.byName[machine].zone; w.starts++ }
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -65,13 +65,13 @@
 		}
 	}
 	s.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockOffMS: 5,
-		Teams:      []config.Team{{Name: "red", GPUs: 4, GPUsMax: 8}, {Name: "blue", GPUs: 8, GPUsMax: 16}, {Name: "green", GPUs: 40, GPUsMax: 80}},
+		Teams:      []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 40, MaxGPUs: 80}},
 		Objectives: []config.Objective{{Kind: "finished", Class: "rush", WithinS: 150, Share: 0.9}},
-		Workers:    config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
-		State:      config.State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
+		Workers:    config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
+		Store:      config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:     config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
-	s.Params.State.Next = w.next
+	s.Params.Store.Next = w.next
 	s.Operator.SpareShare = w.spare
 	s.Operator.PaceReports = w.paced
 	if w.budget > 0 {
@@ -379,7 +379,7 @@
 
 // withinLimits checks a transaction against the protocol's limits.
 func (w *traceHarness) withinLimits(t wire.Txn) {
-	p := w.settings("a").Params.State
+	p := w.settings("a").Params.Store
 	body, err := json.Marshal(t)
 	if err != nil || len(body) > wire.MaxBody || len(t.Then) > p.TxnOps || len(t.If) > 4*p.TxnOps {
 		w.t.Errorf("a transaction of %d changes, %d conditions, %d bytes: %v", len(t.Then), len(t.If), len(body), err)
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -135,7 +135,7 @@
 		n := &node{name: arg(1), mode: "serve", old: len(f) > 2}
 		set := w.settings(n.name)
 		if n.old {
-			set.Params.State.Next = nil
+			set.Params.Store.Next = nil
 		}
 		n.core = core.New(set, fmt.Sprint(n.name, w.now))
 		w.nodes[n.name] = n
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 		results: make(chan core.Result, pendingResults),
 		waiting: map[uint64]chan core.Answer{},
 		// The leader needs more than the others; all of them never need all.
-		state: state.New(set.Services.State, p.State.Next.Within(p.State).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
+		state: state.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
 			int64(p.Limits.MemoryMB*(1<<20)/32)),
 		cloud: cloud.New(set.Services.Cloud, p.Cloud.RPS, 4),
 		// One connection a worker; the core bounds how many are in use at once.
@@ -91,7 +91,7 @@
 		probes:  probe.New(max(4, p.Limits.MaxConnections/40)),
 		// Workers wait four seconds at the most, users two for a poll, and a leader's lease
 		// is twice as long.
-		patient: config.HeartbeatInterval(p.Workers),
+		patient: config.FailureCheckInterval(p.Workers),
 	}
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
 		n.core.OmitDebugLines()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -143,16 +143,16 @@
 
 func (s *site) run(name string) {
 	set := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
-		Services: config.Services{Cloud: s.cloud.Addr(), State: s.state.Addr()}, Operator: config.DefaultOperator()}
+		Services: config.Services{Cloud: s.cloud.Addr(), Store: s.state.Addr()}, Operator: config.DefaultOperator()}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != name {
 			set.Peers = append(set.Peers, config.Peer{Node: p, Addr: s.peers[p]})
 		}
 	}
 	set.Params = config.Params{Nodes: 3, Zones: []string{"z1"},
-		Teams:   []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}},
-		Workers: config.Workers{ReportS: 0.2, LeaseS: 2, CancelS: 10},
-		State:   config.State{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: s.next},
+		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 8, MaxGPUs: 16}},
+		Workers: config.Workers{HeartbeatIntervalS: 0.2, LeaseS: 2, CancelS: 10},
+		Store:   config.Store{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: s.next},
 		Cloud:   config.Cloud{RPS: 20, ListLagS: 0.2},
 		Limits:  config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
 	if s.model != nil {
--- a/internal/node/standstill_test.go
+++ b/internal/node/standstill_test.go
@@ -17,9 +17,9 @@
 // and sends nothing that was decided on what was known before.
 func TestStandstill(t *testing.T) {
 	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator(), Params: config.Params{Nodes: 1,
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30}, State: config.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
 		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
-	set.Services.State, set.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+	set.Services.Store, set.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
 	n, err := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -107,7 +107,7 @@
 	}
 	for _, x := range c.all {
 		settings := config.Settings{Node: x.name, Zone: x.zone, Listen: x.listen, PeerListen: x.internal,
-			Services: config.Services{Cloud: x.cloud, State: x.state}, Params: params}
+			Services: config.Services{Cloud: x.cloud, Store: x.state}, Params: params}
 		for _, r := range x.relays {
 			settings.Peers = append(settings.Peers, config.Peer{Node: r.to, Zone: c.named(r.to).zone, Addr: r.addr()})
 		}
--- a/internal/scalerun/rules/ledger.go
+++ b/internal/scalerun/rules/ledger.go
@@ -209,8 +209,8 @@
 
 func (l *Ledger) checkLimit(j *job) {
 	t, u := l.teams[j.spec.Team], l.used[j.spec.Team]
-	if t.GPUsMax > 0 && u.gpus > t.GPUsMax+tolerance || t.CPUsMax > 0 && u.cpus > t.CPUsMax+tolerance {
-		l.broken(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", t.Name, u.gpus, t.GPUsMax, u.cpus, t.CPUsMax)
+	if t.MaxGPUs > 0 && u.gpus > t.MaxGPUs+tolerance || t.MaxCPUs > 0 && u.cpus > t.MaxCPUs+tolerance {
+		l.broken(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", t.Name, u.gpus, t.MaxGPUs, u.cpus, t.MaxCPUs)
 	}
 }
 
--- a/internal/scalerun/rules/ledger_test.go
+++ b/internal/scalerun/rules/ledger_test.go
@@ -53,7 +53,7 @@
 		}, func(s setup) { s.ledger.Told(job, wire.JobDone) }},
 	} {
 		now := time.Duration(0)
-		l := NewLedger([]config.Team{{Name: "red", GPUsMax: 2}}, 30*time.Second, func() time.Duration { return now })
+		l := NewLedger([]config.Team{{Name: "red", MaxGPUs: 2}}, 30*time.Second, func() time.Duration { return now })
 		l.Submit(&wire.Job{ID: job, Team: "red", Tasks: 3, GPUs: 1})
 		s := setup{l, &now}
 		test.close(s)
--- a/internal/scalerun/settings.go
+++ b/internal/scalerun/settings.go
@@ -25,15 +25,15 @@
 		cpus += float64(g.Count) * g.CPUs
 	}
 	p := config.Params{Nodes: s.Controllers.Count, Zones: s.Zones, ClockOffMS: 5,
-		Workers: config.Workers{ReportS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
-		State:   config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
+		Workers: config.Workers{HeartbeatIntervalS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
+		Store:   config.Store{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
 		Cloud:   config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
 		Limits: config.Limits{CPUShare: s.Controllers.Cores, MemoryMB: s.Controllers.MemoryMB,
 			MaxConnections: s.Controllers.MaxConnections}}
 	for i := range s.Teams.Count {
 		p.Teams = append(p.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i),
-			GPUs: gpus * s.Teams.GuaranteedShare, GPUsMax: gpus * s.Teams.LimitShare,
-			CPUs: cpus * s.Teams.GuaranteedShare, CPUsMax: cpus * s.Teams.LimitShare})
+			GuaranteedGPUs: gpus * s.Teams.GuaranteedShare, MaxGPUs: gpus * s.Teams.LimitShare,
+			GuaranteedCPUs: cpus * s.Teams.GuaranteedShare, MaxCPUs: cpus * s.Teams.LimitShare})
 	}
 	return p
 }
