--- a/internal/core/allowance_messages.go
+++ b/internal/core/allowance_messages.go
@@ -22,7 +22,7 @@
 				a.settle(t, to, transfer.Number)
 			}
 		})
-		c.send(RegionCall{ID: id, Region: to, Attempt: t.attempts, Deliver: &DeliverAllowance{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
+		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.attempts, Deliver: &DeliverQuota{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
 	}
 }
 
@@ -30,7 +30,7 @@
 // delivery, which the receiver knows already.
 func (a *allowances) settle(t *teamAllowance, to string, number uint64) {
 	c := a.l.c
-	if t.writing || t.account == nil || !a.mayWrite() || !c.elect.inTime() || c.stateDown {
+	if t.writing || t.account == nil || !a.mayWrite() || !c.election.leaseValid() || c.storeDown {
 		return
 	}
 	if next := t.account.Settle(to, number); next != t.account {
@@ -51,7 +51,7 @@
 	if missing.Zero() {
 		return
 	}
-	others := c.op.Regions.Others()
+	others := c.operator.Regions.Others()
 	if len(others) == 0 {
 		return
 	}
@@ -62,19 +62,19 @@
 	id := a.l.call(func(Result) {
 		t.asking = false
 		t.asked++
-		t.askAt = c.now.Steady + c.t.heartbeat*time.Duration(min(1+t.asked/len(others), mostAskHeartbeats))
+		t.askAt = c.now.Steady + c.times.checkInterval*time.Duration(min(1+t.asked/len(others), mostAskHeartbeats))
 	})
-	c.send(RegionCall{ID: id, Region: region, Attempt: t.attempts,
-		Ask: &AskAllowance{From: c.op.Regions.Name, Team: t.settings.Name, Whole: t.whole, Share: missing}})
+	c.emit(CallRegion{CallID: id, Region: region, Attempt: t.attempts,
+		Request: &RequestQuota{From: c.operator.Regions.Name, Team: t.settings.Name, Whole: t.whole, Share: missing}})
 }
 
 // refuse tells the regions whose messages wait to come back.
 func (t *teamAllowance) refuse(c *Core) {
 	for _, in := range t.asks {
-		c.later(in.Req, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	}
 	for _, in := range t.deliveries {
-		c.later(in.Req, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	}
 	t.asks, t.deliveries = nil, nil
 }
--- a/internal/core/allowance_requests.go
+++ b/internal/core/allowance_requests.go
@@ -7,36 +7,36 @@
 
 // Messages between regions about a team's allowance. Only the node that leads answers them; others say who that is.
 type (
-	// AskAllowance is a region whose work of a team waits.
-	AskAllowance struct {
-		Req   uint64
-		From  string
-		Team  string
-		Whole allowance.Share // as the asking region knows it
-		Share allowance.Share // what it lacks
+	// RequestQuota is a region whose work of a team waits.
+	RequestQuota struct {
+		RequestID uint64
+		From      string
+		Team      string
+		Whole     allowance.Share // as the asking region knows it
+		Share     allowance.Share // what it lacks
 	}
-	// DeliverAllowance is a transfer that comes in. The answer says that it is committed.
-	DeliverAllowance struct {
-		Req      uint64
-		Team     string
-		Whole    allowance.Share
-		Transfer allowance.Transfer
+	// DeliverQuota is a transfer that comes in. The answer says that it is committed.
+	DeliverQuota struct {
+		RequestID uint64
+		Team      string
+		Whole     allowance.Share
+		Transfer  allowance.Transfer
 	}
 )
 
-func (AskAllowance) input()     {}
-func (DeliverAllowance) input() {}
+func (RequestQuota) input() {}
+func (DeliverQuota) input() {}
 
-// RegionCall sends one of the messages to a region. Attempt chooses among the addresses of its controllers.
-type RegionCall struct {
-	ID      uint64
+// CallRegion sends one of the messages to a region. Attempt chooses among the addresses of its controllers.
+type CallRegion struct {
+	CallID  uint64
 	Region  string
 	Attempt int
-	Ask     *AskAllowance
-	Deliver *DeliverAllowance
+	Request *RequestQuota
+	Deliver *DeliverQuota
 }
 
-func (RegionCall) effect() {}
+func (CallRegion) effect() {}
 
 const (
 	noRegions     = "this region's limits are not divided"
@@ -46,50 +46,50 @@
 	transferFirst = "an earlier transfer is missing"
 )
 
-// allowancesFor gives the account that a message is about; nil if the message is answered.
-func (c *Core) allowancesFor(req uint64, from, team string, whole allowance.Share) *teamAllowance {
-	l := c.answeringLeader(req)
+// quotaForMessage gives the account that a message is about; nil if the message is answered.
+func (c *Core) quotaForMessage(req uint64, from, team string, whole allowance.Share) *teamAllowance {
+	l := c.leaderForRequest(req)
 	if l == nil {
 		return nil
 	}
 	t := l.allowances.teams[team]
 	switch {
-	case !c.op.Regions.Enabled():
-		c.refuse(req, noRegions)
-	case !c.op.Regions.Other(from):
-		c.refuse(req, noSuchRegion)
+	case !c.operator.Regions.Enabled():
+		c.respondRefused(req, noRegions)
+	case !c.operator.Regions.Other(from):
+		c.respondRefused(req, noSuchRegion)
 	case t == nil:
-		c.answer(req, 404, wire.ErrorBody{Error: noSuchTeam})
+		c.respond(req, 404, wire.ErrorBody{Error: noSuchTeam})
 	case t.whole != whole:
 		if !t.differs {
 			t.differs = true // it is logged once a term
 			c.log(Error, "regions have different limits of a team", "team", team, "region", from)
 		}
-		c.refuse(req, otherWhole)
-	case t.account == nil || !c.elect.inTime() || c.stateDown || len(t.asks)+len(t.deliveries) >= c.op.MaxPendingRequests:
-		c.later(req, 503, notAvailable)
+		c.respondRefused(req, otherWhole)
+	case t.account == nil || !c.election.leaseValid() || c.storeDown || len(t.asks)+len(t.deliveries) >= c.operator.MaxPendingRequests:
+		c.respondRetryLater(req, 503, notAvailable)
 	default:
 		return t
 	}
 	return nil
 }
 
-// askAllowance takes a region's request for a part of a team's allowance.
-func (c *Core) askAllowance(in AskAllowance) {
-	if t := c.allowancesFor(in.Req, in.From, in.Team, in.Whole); t != nil {
+// handleQuotaRequest takes a region's request for a part of a team's allowance.
+func (c *Core) handleQuotaRequest(in RequestQuota) {
+	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Whole); t != nil {
 		t.asks = append(t.asks, in)
-		c.lead.allowances.at = c.now.Steady
+		c.leader.allowances.at = c.now.Steady
 	}
 }
 
-// deliverAllowance takes a transfer in.
-func (c *Core) deliverAllowance(in DeliverAllowance) {
-	if in.Transfer.To != c.op.Regions.Name {
-		c.refuse(in.Req, noSuchRegion)
+// handleQuotaDelivery takes a transfer in.
+func (c *Core) handleQuotaDelivery(in DeliverQuota) {
+	if in.Transfer.To != c.operator.Regions.Name {
+		c.respondRefused(in.RequestID, noSuchRegion)
 		return
 	}
-	if t := c.allowancesFor(in.Req, in.Transfer.From, in.Team, in.Whole); t != nil {
+	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Whole); t != nil {
 		t.deliveries = append(t.deliveries, in)
-		c.lead.allowances.at = c.now.Steady
+		c.leader.allowances.at = c.now.Steady
 	}
 }
--- a/internal/core/allowance_test.go
+++ b/internal/core/allowance_test.go
@@ -132,7 +132,7 @@
 	case 2:
 		for _, id := range r.live {
 			r.req++
-			r.step(r.nodes[0], core.Cancel{Req: r.req << 16, ID: id})
+			r.step(r.nodes[0], core.CancelJob{RequestID: r.req << 16, ID: id})
 		}
 		r.live = nil
 	case 3:
@@ -225,7 +225,7 @@
 	r.op = with
 	r.frozen, r.refused = r.nodes[0].name, r.nodes[2].name
 	w.advance(20 * time.Second)
-	if r.nodes[1].core.PeerStatus().Leads {
+	if r.nodes[1].core.PeerStatus().Leading {
 		t.Fatal("a node that knows no regions leads")
 	}
 	w.heal()
@@ -273,18 +273,18 @@
 // TestOtherLimits has a region whose settings give a team another limit: it gets nothing of it, and gives nothing.
 func TestOtherLimits(t *testing.T) {
 	w := newRegionWorld(t, 2)
-	ask := core.AskAllowance{From: regionName(1), Team: "t1", Share: w.regions[0].account("t1").Whole}
+	ask := core.RequestQuota{From: regionName(1), Team: "t1", Share: w.regions[0].account("t1").Whole}
 	r := w.regions[0]
 	var statuses []int
-	for _, change := range []func(*core.AskAllowance){
-		func(in *core.AskAllowance) { in.Whole = ask.Share; in.Whole.Limit.GPUs++ },
-		func(in *core.AskAllowance) { in.From = "elsewhere" },
-		func(in *core.AskAllowance) { in.Whole = ask.Share; in.Team = "t9" },
+	for _, change := range []func(*core.RequestQuota){
+		func(in *core.RequestQuota) { in.Whole = ask.Share; in.Whole.Limit.GPUs++ },
+		func(in *core.RequestQuota) { in.From = "elsewhere" },
+		func(in *core.RequestQuota) { in.Whole = ask.Share; in.Team = "t9" },
 	} {
 		in := ask
 		r.req++
-		in.Req = r.req << 16
-		r.pending[in.Req] = func(a core.Answer) { statuses = append(statuses, a.Status) }
+		in.RequestID = r.req << 16
+		r.pending[in.RequestID] = func(a core.Response) { statuses = append(statuses, a.Status) }
 		change(&in)
 		r.step(r.leaderNode(), in)
 	}
--- a/internal/core/allowance_writes.go
+++ b/internal/core/allowance_writes.go
@@ -21,9 +21,9 @@
 func (a *allowances) write(t *teamAllowance, need teamNeed) {
 	c := a.l.c
 	switch {
-	case t.account == nil && c.dir.accounts.byKey[t.key] == nil && c.dir.termForm < regionsTerm:
-		a.l.guard.want(regionsTerm)
-	case t.account == nil && c.dir.accounts.byKey[t.key] == nil:
+	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil && c.cache.termForm < quotasTermFormat:
+		a.l.guard.request(quotasTermFormat)
+	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil:
 		a.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
 		t.refuse(c) // it can't be read
@@ -43,11 +43,11 @@
 	next, receipt := t.account.Take(in.Transfer)
 	switch receipt {
 	case allowance.OutOfOrder:
-		c.later(in.Req, 503, transferFirst)
+		c.respondRetryLater(in.RequestID, 503, transferFirst)
 	case allowance.Known:
-		c.answer(in.Req, 200, nil)
+		c.respond(in.RequestID, 200, nil)
 	case allowance.Taken:
-		a.commit(t, next, func(r Result) { c.confirm(in.Req, r) })
+		a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 	}
 }
 
@@ -55,22 +55,22 @@
 func (a *allowances) grant(t *teamAllowance, need teamNeed) {
 	c, in := a.l.c, t.asks[0]
 	t.asks = t.asks[1:]
-	next := t.account.Give(c.op.Regions.Name, in.From, in.Share, t.kept(need))
+	next := t.account.Give(c.operator.Regions.Name, in.From, in.Share, t.kept(need))
 	if next == nil {
-		c.answer(in.Req, 200, nil)
+		c.respond(in.RequestID, 200, nil)
 		return
 	}
 	c.log(Debug, "allowance given", "team", t.settings.Name, "region", in.From, "gpus", next.Outgoing[len(next.Outgoing)-1].Share.Limit.GPUs)
-	a.commit(t, next, func(r Result) { c.confirm(in.Req, r) })
+	a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
-// confirm answers a region whose message took a commit.
-func (c *Core) confirm(req uint64, r Result) {
+// respondCommitted answers a region whose message took a commit.
+func (c *Core) respondCommitted(req uint64, r Result) {
 	if r.Outcome == call.OK {
-		c.answer(req, 200, nil)
+		c.respond(req, 200, nil)
 		return
 	}
-	c.later(req, 503, notAvailable)
+	c.respondRetryLater(req, 503, notAvailable)
 }
 
 // commit writes an account, on the term and on what it was before. Until that is settled the lesser of both counts.
@@ -91,7 +91,7 @@
 		a.written(t, next, r)
 		then(r)
 	})
-	l.c.send(StateTxn{ID: id, Txn: l.keyTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
+	l.c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
 
 // written takes what became of a write of an account.
@@ -100,15 +100,15 @@
 	switch {
 	case r.Outcome == call.OK:
 		a.take(t, next, r.Txn.Revision)
-	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, keyTerm):
-		c.elect.stepDown("the term moved on")
+	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+		c.election.stepDown("the term moved on")
 	case r.Outcome == call.Conflict, r.Outcome == call.Unknown:
 		a.reread(t)
 	default:
 		// It was certainly not carried out.
 		t.unsettled = t.unsettled[:len(t.unsettled)-1]
 		a.refresh(t)
-		t.retryAt = c.now.Steady + c.t.retry
+		t.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
 
@@ -118,11 +118,11 @@
 	t.writing = true
 	id := a.l.stateCall(func(r Result) {
 		t.writing = false
-		t.retryAt = c.now.Steady + c.t.retry
+		t.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == call.OK && r.Item.Version > t.version {
-			c.dir.accounts.apply(t.key, r.Item.Value, r.Item.Version)
+			c.cache.quotaAccounts.apply(t.key, r.Item.Value, r.Item.Version)
 			a.readStored()
 		}
 	})
-	c.send(StateGet{ID: id, Key: t.key})
+	c.emit(StoreGet{CallID: id, Key: t.key})
 }
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -33,8 +33,8 @@
 	writing   bool
 	retryAt   time.Duration
 
-	asks       []AskAllowance
-	deliveries []DeliverAllowance
+	asks       []RequestQuota
+	deliveries []DeliverQuota
 	delivering map[string]bool // a transfer is on its way to these regions
 	asking     bool
 	nextRegion int // that is asked
@@ -50,15 +50,15 @@
 // newAllowances takes the teams up; nobody has an allowance before its account is read.
 func newAllowances(l *leader) *allowances {
 	a := &allowances{l: l, teams: map[string]*teamAllowance{}}
-	if !l.c.op.Regions.Enabled() {
+	if !l.c.operator.Regions.Enabled() {
 		return a
 	}
-	parts := l.c.regionParts()
-	for i := range l.c.set.Params.Teams {
-		team := &l.c.set.Params.Teams[i]
+	parts := l.c.regionShares()
+	for i := range l.c.settings.Params.Teams {
+		team := &l.c.settings.Params.Teams[i]
 		t := &teamAllowance{effective: *team, settings: team, key: allowanceKey(team.Name), delivering: map[string]bool{},
 			whole: allowance.Share{Limit: allowance.AtMost(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.AtMost(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
-		t.initial = allowance.Initial(t.whole, parts, l.c.op.Regions.Name)
+		t.initial = allowance.Initial(t.whole, parts, l.c.operator.Regions.Name)
 		t.goBy(allowance.Share{})
 		a.teams[team.Name] = t
 		a.inOrder = append(a.inOrder, t)
@@ -66,10 +66,10 @@
 	return a
 }
 
-// regionParts gives the regions with the part of each limit that they begin with.
-func (c *Core) regionParts() []allowance.Region {
+// regionShares gives the regions with the part of each limit that they begin with.
+func (c *Core) regionShares() []allowance.Region {
 	var parts []allowance.Region
-	for _, r := range c.op.Regions.All {
+	for _, r := range c.operator.Regions.All {
 		parts = append(parts, allowance.Region{Name: r.Name, Part: r.Part})
 	}
 	return parts
@@ -124,17 +124,17 @@
 	if len(a.teams) == 0 {
 		return
 	}
-	if a.seen != c.dir.accounts.changes {
-		a.seen = c.dir.accounts.changes
+	if a.seen != c.cache.quotaAccounts.changes {
+		a.seen = c.cache.quotaAccounts.changes
 		a.readStored()
 	}
 	if c.now.Steady < a.at {
-		c.at(a.at)
+		c.wakeBy(a.at)
 		return
 	}
-	a.at = c.now.Steady + c.t.moment
-	c.at(a.at)
-	mayWrite := c.elect.inTime() && !c.stateDown
+	a.at = c.now.Steady + c.times.timerCoalescing
+	c.wakeBy(a.at)
+	mayWrite := c.election.leaseValid() && !c.storeDown
 	needs := a.needs()
 	for _, t := range a.inOrder {
 		if !mayWrite {
@@ -155,7 +155,7 @@
 // readStored takes in the accounts as the watch shows them.
 func (a *allowances) readStored() {
 	for _, t := range a.inOrder {
-		stored := a.l.c.dir.accounts.byKey[t.key]
+		stored := a.l.c.cache.quotaAccounts.byKey[t.key]
 		if stored == nil || stored.version <= t.version {
 			continue
 		}
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -2,7 +2,7 @@
 
 // evaluationsPerSecond is what the operators' share of the processor allows.
 func (c *Core) evaluationsPerSecond() float64 {
-	return c.op.RoundBudget * c.set.Params.Limits.CPUShare / c.evaluations.Seconds()
+	return c.operator.RoundBudget * c.settings.Params.Limits.CPUShare / c.evaluationCost.Seconds()
 }
 
 // roundsInHeartbeat is how many rounds fit into a heartbeat interval if each takes the most that a single one
@@ -15,8 +15,8 @@
 func (l *leader) budget() int {
 	rate := l.c.evaluationsPerSecond()
 	rs := &l.rounds
-	rs.evaluations = min(rate*l.c.t.heartbeat.Seconds(), rs.evaluations+rate*(l.c.now.Steady-rs.lastAt).Seconds())
-	rs.evaluations = max(rs.evaluations, -rate*l.c.t.round.Seconds()) // no debt outlasts the next regular round
-	most := l.c.t.heartbeat.Seconds() / roundsInHeartbeat / l.c.evaluations.Seconds()
+	rs.evaluations = min(rate*l.c.times.checkInterval.Seconds(), rs.evaluations+rate*(l.c.now.Steady-rs.lastAt).Seconds())
+	rs.evaluations = max(rs.evaluations, -rate*l.c.times.cycleInterval.Seconds()) // no debt outlasts the next regular round
+	most := l.c.times.checkInterval.Seconds() / roundsInHeartbeat / l.c.evaluationCost.Seconds()
 	return max(32, int(min(rs.evaluations, most)))
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -27,16 +27,16 @@
 // the write of whatever its earlier process had said that it knows; but for those of its own
 // zone while that is cut off, where nothing is left of a job whose user was told.
 type cancellationReplicator struct {
-	c    *Core
-	open []*pendingCancellation // in the order in which they came
+	core    *Core
+	pending []*pendingCancellation // in the order in which they came
 }
 
 // pendingCancellation is a cancellation that not all other nodes are known to know.
 type pendingCancellation struct {
-	item    Cancellation
-	since   time.Duration // when the first of those came who wait
-	known   map[*peer]bool
-	waiting []func(acknowledged bool)
+	cancellation   Cancellation
+	since          time.Duration // when the first of those came who wait
+	acknowledgedBy map[*peer]bool
+	waiters        []func(acknowledged bool)
 }
 
 // Cancellation is a cancelled job's key as it stands in the state service.
@@ -52,67 +52,67 @@
 // maxUnsettledBytes bounds the unsettled jobs in a node's status, in bytes, and listedJobBytes is what each
 // takes beside its id.
 const (
-	maxUnsettledBytes = 32 << 10
-	listedJobBytes    = 2
+	maxUnresolvedBytes = 32 << 10
+	listedJobBytes     = 2
 )
 
 // maxPendingCancellations bounds the pending cancellations that are remembered. Beyond it the oldest goes: its
 // users have had their 503, and asking again begins anew.
-func (c *Core) maxPendingCancellations() int { return 4 * c.op.MaxPendingRequests }
+func (c *Core) maxPendingCancellations() int { return 4 * c.operator.MaxPendingRequests }
 
-// confirm hands over whether users may be told of a job's cancellation: at once where that is
+// awaitAcknowledgement hands over whether users may be told of a job's cancellation: at once where that is
 // known, else with the other nodes' answers.
-func (b *cancellationReplicator) confirm(id string, e *entry, then func(acknowledged bool)) {
-	if b.acknowledged(e.version, nil) && b.settled(id) {
+func (b *cancellationReplicator) awaitAcknowledgement(id string, e *cachedJob, then func(acknowledged bool)) {
+	if b.acknowledgedByAll(e.version, nil) && b.resolvedByLeaders(id) {
 		then(true)
 		return
 	}
-	i := slices.IndexFunc(b.open, func(a *pendingCancellation) bool { return a.item.Job == id })
+	i := slices.IndexFunc(b.pending, func(a *pendingCancellation) bool { return a.cancellation.Job == id })
 	if i < 0 {
-		value, err := json.Marshal(e.activeValue)
+		value, err := json.Marshal(e.activeJob)
 		if err != nil {
 			then(false)
 			return
 		}
-		if len(b.open) >= b.c.maxPendingCancellations() {
-			b.end(b.open[0], false)
-			b.open = slices.Delete(b.open, 0, 1)
+		if len(b.pending) >= b.core.maxPendingCancellations() {
+			b.complete(b.pending[0], false)
+			b.pending = slices.Delete(b.pending, 0, 1)
 		}
-		i = len(b.open)
-		b.open = append(b.open, &pendingCancellation{item: Cancellation{Job: id, Value: value, Version: e.version}, known: map[*peer]bool{}})
+		i = len(b.pending)
+		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.version}, acknowledgedBy: map[*peer]bool{}})
 	}
-	a := b.open[i]
-	if len(a.waiting) == 0 {
-		a.since = b.c.now.Steady
+	a := b.pending[i]
+	if len(a.waiters) == 0 {
+		a.since = b.core.now.Steady
 	}
-	a.waiting = append(a.waiting, then)
-	b.settlePending()
+	a.waiters = append(a.waiters, then)
+	b.resolvePending()
 }
 
-// acknowledged tells whether all other nodes know a cancellation of this version.
-func (b *cancellationReplicator) acknowledged(version uint64, a *pendingCancellation) bool {
-	for _, p := range b.c.peers {
-		if p.revision < version && (a == nil || !a.known[p]) {
+// acknowledgedByAll tells whether all other nodes know a cancellation of this version.
+func (b *cancellationReplicator) acknowledgedByAll(version uint64, a *pendingCancellation) bool {
+	for _, p := range b.core.peers {
+		if p.revision < version && (a == nil || !a.acknowledgedBy[p]) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled tells whether all who lead say that a cancelled job is settled. Without a leader nobody
+// resolvedByLeaders tells whether all who lead say that a cancelled job is settled. Without a leader nobody
 // can say.
-func (b *cancellationReplicator) settled(id string) bool {
-	c := b.c
-	if l := c.lead; l != nil && (!l.loaded || l.jobs[id] != nil && l.unsettled(l.jobs[id])) {
+func (b *cancellationReplicator) resolvedByLeaders(id string) bool {
+	c := b.core
+	if l := c.leader; l != nil && (!l.loaded || l.jobs[id] != nil && l.unsettled(l.jobs[id])) {
 		return false
 	}
-	led := c.lead != nil
+	led := c.leader != nil
 	for _, p := range c.peers {
-		if !c.leads(p) {
+		if !c.peerLeads(p) {
 			continue
 		}
 		led = true
-		if p.status.UnsettledMore || p.unsettled[id] {
+		if p.status.MoreUnresolved || p.unresolved[id] {
 			return false
 		}
 	}
@@ -123,16 +123,16 @@
 // on the way, or is left in a zone whose nodes answer its workers while it is cut off.
 func (l *leader) unsettled(j *job) bool {
 	for _, p := range j.placed {
-		if p.phase < seen || p.state == wire.TaskFetching || l.c.keepsItself(p.machine.zone) {
+		if p.phase < seen || p.state == wire.TaskFetching || l.c.zoneRenewsOwnLeases(p.machine.zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// keepsItself tells whether a zone has nodes, and others are elsewhere: see zoneCut.
-func (c *Core) keepsItself(zone string) bool {
-	inside, outside := zone == c.set.Zone, zone != c.set.Zone
+// zoneRenewsOwnLeases tells whether a zone has nodes, and others are elsewhere: see zoneCut.
+func (c *Core) zoneRenewsOwnLeases(zone string) bool {
+	inside, outside := zone == c.settings.Zone, zone != c.settings.Zone
 	for _, p := range c.peers {
 		inside, outside = inside || p.zone == zone, outside || p.zone != zone
 	}
@@ -144,15 +144,15 @@
 func (l *leader) unsettledJobs() (listed []string, more bool) {
 	size := 0
 	add := func(id string) {
-		if size += len(id) + listedJobBytes; size > maxUnsettledBytes {
+		if size += len(id) + listedJobBytes; size > maxUnresolvedBytes {
 			more = true
 			return
 		}
 		listed = append(listed, id)
 	}
 	if !l.loaded {
-		for _, id := range slices.Sorted(maps.Keys(l.c.dir.jobs)) {
-			if l.c.dir.jobs[id].CancelledMS != 0 {
+		for _, id := range slices.Sorted(maps.Keys(l.c.cache.jobs)) {
+			if l.c.cache.jobs[id].CancelledMS != 0 {
 				add(id)
 			}
 		}
@@ -166,49 +166,51 @@
 	return listed, more
 }
 
-// patience is how long a user waits until a leader's stops have settled a job. They take a
+// resolveTimeout is how long a user waits until a leader's stops have settled a job. They take a
 // message to the machine and back.
-func (b *cancellationReplicator) patience() time.Duration { return b.c.t.heartbeat / 2 }
+func (b *cancellationReplicator) resolveTimeout() time.Duration {
+	return b.core.times.checkInterval / 2
+}
 
-// stopping tells whether users wait for a leader to say that a job is settled.
-func (b *cancellationReplicator) stopping(p *peer) bool {
-	return p.status.Leads && slices.ContainsFunc(b.open, func(a *pendingCancellation) bool { return len(a.waiting) > 0 })
+// awaitingLeader tells whether users wait for a leader to say that a job is settled.
+func (b *cancellationReplicator) awaitingLeader(p *peer) bool {
+	return p.status.Leading && slices.ContainsFunc(b.pending, func(a *pendingCancellation) bool { return len(a.waiters) > 0 })
 }
 
-func (b *cancellationReplicator) end(a *pendingCancellation, acknowledged bool) {
-	waiting := a.waiting
-	a.waiting = nil
+func (b *cancellationReplicator) complete(a *pendingCancellation, acknowledged bool) {
+	waiting := a.waiters
+	a.waiters = nil
 	for _, then := range waiting {
 		then(acknowledged)
 	}
 }
 
-// settlePending answers who waits: with yes where all nodes know and no task can start, with no where
+// resolvePending answers who waits: with yes where all nodes know and no task can start, with no where
 // one of those that don't know can't be reached, or a start is not settled in time.
-func (b *cancellationReplicator) settlePending() {
-	keep := b.open[:0]
-	for _, a := range b.open {
+func (b *cancellationReplicator) resolvePending() {
+	keep := b.pending[:0]
+	for _, a := range b.pending {
 		switch {
-		case !b.acknowledged(a.item.Version, a):
-		case b.settled(a.item.Job):
-			b.end(a, true)
+		case !b.acknowledgedByAll(a.cancellation.Version, a):
+		case b.resolvedByLeaders(a.cancellation.Job):
+			b.complete(a, true)
 			continue
-		case len(a.waiting) == 0:
-		case b.c.now.Steady < a.since+b.patience():
-			b.c.at(a.since + b.patience())
+		case len(a.waiters) == 0:
+		case b.core.now.Steady < a.since+b.resolveTimeout():
+			b.core.wakeBy(a.since + b.resolveTimeout())
 		default:
-			b.end(a, false)
+			b.complete(a, false)
 		}
 		keep = append(keep, a)
-		for _, p := range b.c.peers {
-			if p.revision < a.item.Version && !a.known[p] && !p.reached {
-				b.end(a, false)
+		for _, p := range b.core.peers {
+			if p.revision < a.cancellation.Version && !a.acknowledgedBy[p] && !p.reachable {
+				b.complete(a, false)
 				break
 			}
 		}
 	}
-	clear(b.open[len(keep):])
-	b.open = keep
+	clear(b.pending[len(keep):])
+	b.pending = keep
 }
 
 // unacknowledgedBy gives the pending cancellations that a node is not known to know, as many as a message
@@ -216,11 +218,11 @@
 func (b *cancellationReplicator) unacknowledgedBy(p *peer) []*pendingCancellation {
 	var as []*pendingCancellation
 	size := 0
-	for _, a := range b.open {
-		if p.revision >= a.item.Version || a.known[p] {
+	for _, a := range b.pending {
+		if p.revision >= a.cancellation.Version || a.acknowledgedBy[p] {
 			continue
 		}
-		if size += len(a.item.Value) + 64; size > maxCancellationBytes && len(as) > 0 {
+		if size += len(a.cancellation.Value) + 64; size > maxCancellationBytes && len(as) > 0 {
 			break
 		}
 		as = append(as, a)
@@ -228,55 +230,55 @@
 	return as
 }
 
-// over drops what need not be replicated any more: its job's end has been written.
-func (b *cancellationReplicator) over(id string) {
-	for i, a := range b.open {
-		if a.item.Job == id {
-			b.open = slices.Delete(b.open, i, i+1)
-			b.end(a, true)
+// drop drops what need not be replicated any more: its job's end has been written.
+func (b *cancellationReplicator) drop(id string) {
+	for i, a := range b.pending {
+		if a.cancellation.Job == id {
+			b.pending = slices.Delete(b.pending, i, i+1)
+			b.complete(a, true)
 			return
 		}
 	}
 }
 
-// receiveCancellations takes in cancellations that another node sent. They act at once, whoever
+// handleReplicatedCancellations takes in cancellations that another node sent. They act at once, whoever
 // serves this node.
-func (c *Core) receiveCancellations(items []Cancellation) {
+func (c *Core) handleReplicatedCancellations(items []Cancellation) {
 	for _, it := range items {
-		c.learn(it.Job, it.Value, it.Version, fromPeer)
+		c.applyJobIfNewer(it.Job, it.Value, it.Version, fromPeer)
 	}
 }
 
-// learn takes in a job's key as it was read, written or heard of, without waiting for the
+// applyJobIfNewer takes in a job's key as it was read, written or heard of, without waiting for the
 // watch. What is no newer than the watch has come to is in the directory already, or was
 // deleted since.
-func (c *Core) learn(id string, value json.RawMessage, version uint64, source knowledgeSource) {
-	if version <= c.dir.revision && c.dir.ready {
+func (c *Core) applyJobIfNewer(id string, value json.RawMessage, version uint64, source updateSource) {
+	if version <= c.cache.revision && c.cache.ready {
 		return
 	}
 	c.applyJob(id, value, version, source)
 }
 
-// logConfirmed logs that a user is told of a cancellation, and who led by then as far as this node knows: they have said
+// logConfirmedCancellation logs that a user is told of a cancellation, and who led by then as far as this node knows: they have said
 // that nothing of the job can start any more.
-func (c *Core) logConfirmed(job string, version uint64) {
+func (c *Core) logConfirmedCancellation(job string, version uint64) {
 	if c.omitDebug {
 		return
 	}
 	var leaders []string
-	if c.lead != nil {
-		leaders = append(leaders, fmt.Sprintf("%s:%d", c.set.Node, c.lead.term))
+	if c.leader != nil {
+		leaders = append(leaders, fmt.Sprintf("%s:%d", c.settings.Node, c.leader.term))
 	}
 	for _, p := range c.peers {
-		if c.leads(p) {
-			leaders = append(leaders, fmt.Sprintf("%s:%d", p.node, p.status.Term))
+		if c.peerLeads(p) {
+			leaders = append(leaders, fmt.Sprintf("%s:%d", p.name, p.status.Term))
 		}
 	}
 	c.log(Debug, "cancellation confirmed", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
 }
 
-// setOf gives the set of some names; nil for none.
-func setOf(names []string) map[string]bool {
+// newNameSet gives the set of some names; nil for none.
+func newNameSet(names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
 	}
@@ -287,34 +289,34 @@
 	return set
 }
 
-// askPeer asks another node for its status and sends the cancellations that it may not know.
-func (c *Core) askPeer(p *peer) {
-	as := c.cancels.unacknowledgedBy(p)
-	p.asking = true
-	p.askedAt = c.now.Steady
-	id := c.call(func(r Result) {
-		p.asking, p.tried = false, true
-		was := p.reached
-		p.reached = r.Outcome == call.OK
-		if p.reached {
+// queryPeer asks another node for its status and sends the cancellations that it may not know.
+func (c *Core) queryPeer(p *peer) {
+	as := c.cancellations.unacknowledgedBy(p)
+	p.queryInFlight = true
+	p.queriedAt = c.now.Steady
+	id := c.registerCall(func(r Result) {
+		p.queryInFlight, p.queried = false, true
+		was := p.reachable
+		p.reachable = r.Outcome == call.OK
+		if p.reachable {
 			if !was {
-				p.backAt = c.now.Steady
+				p.reachableSince = c.now.Steady
 			}
 			p.heardAt = c.now.Steady
 			p.status = r.Peer
-			p.unsettled = setOf(r.Peer.Unsettled)
+			p.unresolved = newNameSet(r.Peer.UnresolvedCancellations)
 			p.revision = max(p.revision, r.Peer.Revision)
-			p.layouts = max(p.layouts, r.Peer.Layouts)
-			p.knowsPlans = p.knowsPlans || r.Peer.KnowsPlans
+			p.recordLayouts = max(p.recordLayouts, r.Peer.RecordLayouts)
+			p.supportsRollouts = p.supportsRollouts || r.Peer.SupportsRollouts
 			for _, a := range as {
-				a.known[p] = true
+				a.acknowledgedBy[p] = true
 			}
 		}
-		c.cancels.settlePending()
+		c.cancellations.resolvePending()
 	})
-	ask := PeerAsk{ID: id, Node: p.node}
+	ask := QueryPeer{CallID: id, Node: p.name}
 	for _, a := range as {
-		ask.Cancellations = append(ask.Cancellations, a.item)
+		ask.Cancellations = append(ask.Cancellations, a.cancellation)
 	}
-	c.send(ask)
+	c.emit(ask)
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -20,7 +20,7 @@
 		// No record explains it, and it has no right to run.
 		answer.add(stopAtOnce(&m.orphanedTasks[i]))
 	}
-	mayStart := l.c.elect.inTime()
+	mayStart := l.c.election.leaseValid()
 	for _, p := range m.list {
 		if answer.full() {
 			break
@@ -56,11 +56,11 @@
 		return
 	}
 	right := "lease"
-	if !l.c.elect.leaseGood(l.c.now.Steady) {
+	if !l.c.election.leaseValidAt(l.c.now.Steady) {
 		right = "all nodes refused"
 	}
 	l.c.log(Debug, "command", "op", op, "task", p.name(), "attempt", p.attempt, "machine", p.machine.name, "token", max(p.machine.current, firstToken(l.term)),
-		"term", l.term, "way", way, "right", right, "why", p.stopWhy, "state_served", !l.c.stateDown)
+		"term", l.term, "way", way, "right", right, "why", p.stopWhy, "state_served", !l.c.storeDown)
 }
 
 // startable tells whether a task is committed and is to start.
@@ -91,7 +91,7 @@
 	}
 	j := l.jobs[id]
 	if j == nil || task >= j.spec.Tasks {
-		return l.c.dir.jobs[id] == nil || task >= l.c.dir.jobs[id].Job.Tasks
+		return l.c.cache.jobs[id] == nil || task >= l.c.cache.jobs[id].Spec.Tasks
 	}
 	if j.final {
 		// Its end holds what this exit tells, and is yet to be written: no record is written of it
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,58 +10,58 @@
 	"bitternwing/internal/wire"
 )
 
-// dependencies keeps the graph of the jobs that need others, on every node. It follows the directory:
+// dependencyTracker keeps the graph of the jobs that need others, on every node. It follows the directory:
 // a needed job that is active there is not done, one that has ended counts by its committed end. Ends
 // that this node did not see are read, and until then nothing is told of the jobs that depend on them.
 //
 // A job that needs a cancelled one is cancelled by a write of its own, like any other, by the leader or
 // by the node that is asked about it. So all that holds for a cancellation holds for it: it wins or
 // loses against nothing else on the job's key, and users hear of it once all nodes know.
-type dependencies struct {
-	c       *Core
+type dependencyTracker struct {
+	core    *Core
 	graph   *dependency.Graph
 	reading map[string]bool
-	notNow  time.Duration // no reading before this
+	retryAt time.Duration // no reading before this
 }
 
-// mostEndReads bounds the ends that are read at once.
-const mostEndReads = 4
+// maxEndReads bounds the ends that are read at once.
+const maxEndReads = 4
 
-func newDependencies(c *Core) *dependencies {
-	return &dependencies{c: c, graph: dependency.New(), reading: map[string]bool{}}
+func newDependencyTracker(c *Core) *dependencyTracker {
+	return &dependencyTracker{core: c, graph: dependency.New(), reading: map[string]bool{}}
 }
 
-// noticeJob takes in a change of an active job.
-func (d *dependencies) noticeJob(id string) {
-	if e := d.c.dir.jobs[id]; e != nil {
+// observeJob takes in a change of an active job.
+func (d *dependencyTracker) observeJob(id string) {
+	if e := d.core.cache.jobs[id]; e != nil {
 		d.graph.Put(id, dependencyJob(e))
 	} else {
 		d.graph.Remove(id)
 	}
 }
 
-// noticeEnd takes in the committed end of a job.
-func (d *dependencies) noticeEnd(id string, f finalValue) {
-	d.graph.End(id, dependency.End{Done: f.State == wire.JobDone, AtMS: f.AtMS})
+// observeEnd takes in the committed end of a job.
+func (d *dependencyTracker) observeEnd(id string, f finalState) {
+	d.graph.End(id, dependency.End{Done: f.State == wire.JobDone, AtMS: f.EndedMS})
 }
 
 // reload takes in a directory that was read anew.
-func (d *dependencies) reload() {
+func (d *dependencyTracker) reload() {
 	for _, id := range d.graph.Active() {
-		if d.c.dir.jobs[id] == nil {
+		if d.core.cache.jobs[id] == nil {
 			d.graph.Remove(id)
 		}
 	}
-	for id := range d.c.dir.jobs {
-		d.noticeJob(id)
+	for id := range d.core.cache.jobs {
+		d.observeJob(id)
 	}
 }
 
-func dependencyJob(e *entry) dependency.Job {
-	j := dependency.Job{Needs: e.Job.Dependencies, Cancelled: e.CancelledMS != 0, Priority: e.Job.Priority.Rank(),
-		AcceptedMS: e.AtMS, EstimateMS: milliseconds(e.Job.EstimatedRunS), DeadlineMS: dependency.Never}
-	if e.Job.DeadlineS != nil {
-		j.DeadlineMS = e.AtMS + milliseconds(*e.Job.DeadlineS)
+func dependencyJob(e *cachedJob) dependency.Job {
+	j := dependency.Job{Needs: e.Spec.Dependencies, Cancelled: e.CancelledMS != 0, Priority: e.Spec.Priority.Rank(),
+		AcceptedMS: e.AcceptedMS, EstimateMS: milliseconds(e.Spec.EstimatedRunS), DeadlineMS: dependency.Never}
+	if e.Spec.DeadlineS != nil {
+		j.DeadlineMS = e.AcceptedMS + milliseconds(*e.Spec.DeadlineS)
 	}
 	return j
 }
@@ -69,48 +69,48 @@
 func milliseconds(s float64) int64 { return int64(math.Ceil(1000 * s)) }
 
 // run reads the ends that have to be known.
-func (d *dependencies) run() {
-	c := d.c
-	if !c.dir.ready {
+func (d *dependencyTracker) run() {
+	c := d.core
+	if !c.cache.ready {
 		return
 	}
 	for _, id := range d.graph.Unresolved() {
-		if f, ok := c.dir.finals[id]; ok {
-			d.noticeEnd(id, f)
+		if f, ok := c.cache.finals[id]; ok {
+			d.observeEnd(id, f)
 			continue
 		}
-		if c.now.Steady < d.notNow {
-			c.at(d.notNow)
+		if c.now.Steady < d.retryAt {
+			c.wakeBy(d.retryAt)
 			return
 		}
-		if !d.reading[id] && len(d.reading) < mostEndReads {
-			d.read(id)
+		if !d.reading[id] && len(d.reading) < maxEndReads {
+			d.readEnd(id)
 		}
 	}
 }
 
-// read reads the end of a needed job. Where there is none this node's directory is behind: it does not
+// readEnd reads the end of a needed job. Where there is none this node's directory is behind: it does not
 // know the job yet.
-func (d *dependencies) read(id string) {
-	c := d.c
+func (d *dependencyTracker) readEnd(id string) {
+	c := d.core
 	d.reading[id] = true
-	request := c.stateCall(func(r Result) {
+	request := c.registerStoreCall(func(r Result) {
 		delete(d.reading, id)
-		var f finalValue
+		var f finalState
 		if r.Outcome == call.OK && json.Unmarshal(r.Item.Value, &f) == nil {
-			c.keepFinal(id, f)
+			c.cacheFinalState(id, f)
 			return
 		}
-		d.notNow = c.now.Steady + c.t.retry
+		d.retryAt = c.now.Steady + c.times.retryPause
 	})
-	c.send(StateGet{ID: request, Key: keyFinal + id})
+	c.emit(StoreGet{CallID: request, Key: finalStatePrefix + id})
 }
 
 // followDependencies takes in what has changed of the jobs that need others: those that are ready are
 // queued, those that are cancelled with a job that they need get that written, and priorities and
 // deadlines are lent to the jobs that are needed, for as long as they are.
 func (l *leader) followDependencies() {
-	graph := l.c.deps.graph
+	graph := l.c.dependencies.graph
 	evaluations := graph.Evaluations()
 	if evaluations == l.evaluated {
 		return
@@ -149,7 +149,7 @@
 // admit queues a job that has waited for others. From here on it counts for its team, and its waits
 // count.
 func (l *leader) admit(j *job) {
-	status := l.c.deps.graph.Of(j.id)
+	status := l.c.dependencies.graph.Of(j.id)
 	j.waiting = false
 	j.rank, j.latestEnd = status.Priority, status.LatestEndMS
 	if status.State == dependency.Ready {
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -27,17 +27,17 @@
 	n := 0
 	for ; n < len(w.cancels) && len(b.txn.Then) < ops; n++ {
 		j := w.cancels[n]
-		e := c.dir.jobs[j.id]
+		e := c.cache.jobs[j.id]
 		if l.jobs[j.id] != j || j.cancelled || e == nil {
 			continue
 		}
-		v := e.activeValue
+		v := e.activeJob
 		v.CancelledMS = max(1, c.now.WallMS)
 		value, err := c.encodeActive(v)
 		if err != nil {
 			continue
 		}
-		key := keyActive + j.id
+		key := activeJobPrefix + j.id
 		b.cond(key, e.version)
 		b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
 		b.size += len(value) + 128
@@ -50,8 +50,8 @@
 func (w *writer) settleCancel(x cancelledJob, r Result, failed map[string]bool) {
 	switch {
 	case r.Outcome == call.OK:
-		w.l.c.learn(x.job.id, x.value, r.Txn.Revision, fromWrite)
-	case failed[keyActive+x.job.id]:
+		w.l.c.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
+	case failed[activeJobPrefix+x.job.id]:
 		w.rereadJob(x.job) // another node was quicker
 	}
 	if w.l.jobs[x.job.id] == x.job && !x.job.cancelled {
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -9,88 +9,88 @@
 
 // This file is what users' requests do about jobs that need others.
 
-// needsCheck finds out whether all jobs that a submission names were accepted.
-type needsCheck struct {
-	in     Submit
-	open   int    // reads without an answer
-	failed bool   // one could not be answered
-	refuse string // a job that can't be needed
+// dependencyCheck finds out whether all jobs that a submission names were accepted.
+type dependencyCheck struct {
+	request       SubmitJob
+	pendingReads  int    // reads without an answer
+	indeterminate bool   // one could not be answered
+	rejected      string // a job that can't be needed
 }
 
-// submitDependent takes a submission that needs other jobs, once the state service has said of each that
+// submitWithDependencies takes a submission that needs other jobs, once the state service has said of each that
 // it was accepted: this node's own view may be behind another's, and a job may have ended long ago.
-func (u *users) submitDependent(in Submit) {
-	check := &needsCheck{in: in}
+func (u *userRequests) submitWithDependencies(in SubmitJob) {
+	check := &dependencyCheck{request: in}
 	var unknown []string
 	for _, id := range in.Job.Dependencies {
-		e, seen := u.c.dir.jobs[id], false
+		e, seen := u.core.cache.jobs[id], false
 		if e == nil {
-			_, seen = u.c.dir.finals[id]
+			_, seen = u.core.cache.finals[id]
 		}
 		switch {
 		case e != nil:
 			check.examine(id, e)
 		case !seen && !wire.ValidJobID(id):
-			check.refuse = id
+			check.rejected = id
 		case !seen:
 			unknown = append(unknown, id)
 		}
 	}
-	if check.refuse != "" {
+	if check.rejected != "" {
 		unknown = nil
 	}
-	if len(unknown) > 0 && len(u.reads) > u.c.op.MaxPendingRequests {
-		u.unsure(in.Req) // the queue of reads is full
+	if len(unknown) > 0 && len(u.reads) > u.core.operator.MaxPendingRequests {
+		u.respondIndeterminate(in.RequestID) // the queue of reads is full
 		return
 	}
-	check.open = len(unknown)
+	check.pendingReads = len(unknown)
 	for _, id := range unknown {
-		u.reads = append(u.reads, &lookup{id: id, existence: true, then: func(f found) {
-			check.open--
+		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, then: func(f lookupResult) {
+			check.pendingReads--
 			switch {
-			case f.failed:
-				check.failed = true
+			case f.indeterminate:
+				check.indeterminate = true
 			case f.entry != nil:
 				check.examine(id, f.entry)
 			case f.final == nil:
-				check.refuse = id
+				check.rejected = id
 			}
-			if check.open == 0 {
-				u.decideDependent(check)
+			if check.pendingReads == 0 {
+				u.decideSubmission(check)
 			}
 		}})
 	}
-	if check.open == 0 {
-		u.decideDependent(check)
+	if check.pendingReads == 0 {
+		u.decideSubmission(check)
 	}
 }
 
 // examine refuses a needed job that never ends by itself.
-func (n *needsCheck) examine(id string, e *entry) {
-	if e.Job.Kind == wire.KindService {
-		n.refuse = id
+func (n *dependencyCheck) examine(id string, e *cachedJob) {
+	if e.Spec.Kind == wire.KindService {
+		n.rejected = id
 	}
 }
 
-func (u *users) decideDependent(check *needsCheck) {
+func (u *userRequests) decideSubmission(check *dependencyCheck) {
 	switch {
-	case check.refuse != "":
+	case check.rejected != "":
 		// The same words whatever the cause: nothing is told of another's job.
-		u.repeated(check.in, refusal{status: 422, why: wire.FieldDependencies + ": " + check.refuse + " can't be waited for"})
-	case check.failed:
-		u.unsure(check.in.Req)
+		u.respondIdempotent(check.request, rejection{status: 422, reason: wire.FieldDependencies + ": " + check.rejected + " can't be waited for"})
+	case check.indeterminate:
+		u.respondIndeterminate(check.request.RequestID)
 	default:
-		u.enqueue(check.in)
+		u.enqueue(check.request)
 	}
 }
 
-// mayTell tells whether users may be told the state of an active job as its own key has it. If not, it
+// mayDisclose tells whether users may be told the state of an active job as its own key has it. If not, it
 // sees to the answer: a job that needs a cancelled one is cancelled with it, and where the end of one
 // that it needs is not known here yet nothing can be said.
-func (u *users) mayTell(id string, e *entry, then func(found)) bool {
-	switch u.c.deps.graph.Of(id).State {
+func (u *userRequests) mayDisclose(id string, e *cachedJob, then func(lookupResult)) bool {
+	switch u.core.dependencies.graph.Of(id).State {
 	case dependency.Unresolved:
-		then(found{failed: true})
+		then(lookupResult{indeterminate: true})
 		return false
 	case dependency.Cancelled:
 		u.cancelDependent(id, e, then)
@@ -102,7 +102,7 @@
 
 // cancelDependent cancels a job that needs a cancelled one, for whoever asks about it. The leader does so
 // as well, in its own time. Several who ask at once share one write.
-func (u *users) cancelDependent(id string, e *entry, then func(found)) {
+func (u *userRequests) cancelDependent(id string, e *cachedJob, then func(lookupResult)) {
 	asking, busy := u.cancelling[id]
 	u.cancelling[id] = append(asking, then)
 	if busy {
@@ -113,20 +113,20 @@
 		delete(u.cancelling, id)
 		for _, then := range asking {
 			switch r {
-			case cancelTold:
-				then(found{entry: u.c.cancelledEntry(id, e)})
-			case cancelChanged:
+			case cancelAcknowledged:
+				then(lookupResult{entry: u.core.entryAfterCancellation(id, e)})
+			case cancelConflict:
 				u.reads = append(u.reads, &lookup{id: id, then: then})
-			case cancelUnsure:
-				then(found{failed: true})
+			case cancelIndeterminate:
+				then(lookupResult{indeterminate: true})
 			}
 		}
 	})
 }
 
-// cancelledEntry gives a job as it is after its cancellation was written.
-func (c *Core) cancelledEntry(id string, before *entry) *entry {
-	if e := c.dir.jobs[id]; e.cancelled() {
+// entryAfterCancellation gives a job as it is after its cancellation was written.
+func (c *Core) entryAfterCancellation(id string, before *cachedJob) *cachedJob {
+	if e := c.cache.jobs[id]; e.cancelled() {
 		return e
 	}
 	e := *before
@@ -137,13 +137,13 @@
 // encodeActive gives an active job as it is stored. A cancellation rewrites the whole of it, and the
 // value that was accepted may be larger than what the state service takes by now: what only tells where
 // the job may start is of no use any more and goes.
-func (c *Core) encodeActive(v activeValue) (json.RawMessage, error) {
+func (c *Core) encodeActive(v activeJob) (json.RawMessage, error) {
 	value, err := json.Marshal(v)
-	if err != nil || len(value) <= c.limits.valueBytes() || v.CancelledMS == 0 {
+	if err != nil || len(value) <= c.limits.maxValueBytes() || v.CancelledMS == 0 {
 		return value, err
 	}
-	short := *v.Job
+	short := *v.Spec
 	short.Class, short.Image, short.Zone, short.MachineTypes, short.Dependencies = "", "", "", nil, nil
-	v.Job = &short
+	v.Spec = &short
 	return json.Marshal(v)
 }
--- a/internal/core/direct_orders.go
+++ b/internal/core/direct_orders.go
@@ -11,12 +11,12 @@
 	for _, m := range l.due {
 		l.answerHeld(m)
 	}
-	if !l.c.op.DirectStarts || !l.entitled() {
+	if !l.c.operator.DirectStarts || !l.entitled() {
 		l.due = l.due[:0]
 		return
 	}
 	for i, m := range l.due {
-		if l.ordering >= l.c.mostOrders() {
+		if l.ordering >= l.c.maxDirectCommands() {
 			// Hundreds of machines at once, many of them silent, would use up the sockets.
 			// The rest follows with the answers, or goes with those to reports.
 			l.due = append(l.due[:0], l.due[i:]...)
@@ -45,7 +45,7 @@
 func (l *leader) directOrder(m *machine) *directOrder {
 	o := &directOrder{machine: m, token: l.token(m), session: m.session}
 	// Through an outage stops still go out, of jobs that other nodes know to be cancelled.
-	mayStart := l.c.elect.inTime() && !l.c.stateDown
+	mayStart := l.c.election.leaseValid() && !l.c.storeDown
 	for _, p := range m.sorted() {
 		if len(o.commands) >= mostCommands {
 			break
@@ -79,16 +79,16 @@
 		l.ordering--
 		l.ordered(o, r)
 	})
-	l.c.send(WorkerOrders{ID: id, Addr: o.machine.addr, Token: o.token, Session: o.session, Commands: o.commands})
+	l.c.emit(SendCommands{CallID: id, Addr: o.machine.addr, FencingToken: o.token, Incarnation: o.session, Commands: o.commands})
 }
 
 // ordered takes in what became of a direct order.
 func (l *leader) ordered(o *directOrder, r Result) {
 	m := o.machine
 	stops := len(o.commands) > len(o.starts)
-	if stops && r.Outcome == call.OK && r.Report.Machine == m.name {
+	if stops && r.Outcome == call.OK && r.Heartbeat.Machine == m.name {
 		// What was stopped shows at once: users may wait to be told that nothing starts.
-		l.relayed(&r.Report, true)
+		l.relayed(&r.Heartbeat, true)
 	}
 	if r.Outcome == call.OK {
 		l.due = append(l.due, m) // for what was decided meanwhile
@@ -97,7 +97,7 @@
 		p.waits = false
 		switch r.Outcome {
 		case call.OK:
-			p.answer = r.Report.Sequence
+			p.answer = r.Heartbeat.Sequence
 		case call.Unknown:
 			// It may be carried out at any later time, or commands don't reach it.
 			l.requireToken(m, o.token+1)
--- a/internal/core/display.go
+++ b/internal/core/display.go
@@ -22,14 +22,14 @@
 }
 
 // countKey is the key of a shard.
-func countKey(shard int) string { return keyCounts + strconv.Itoa(shard) }
+func countKey(shard int) string { return taskCountPrefix + strconv.Itoa(shard) }
 
 // countsOf finds the counts of a job among the shards.
-func (d *directory) countsOf(id string) counts {
+func (d *watchCache) countsOf(id string) taskCounts {
 	for shard := firstCountShard(id); ; shard += countShards {
 		jobs, used := d.countShards[countKey(shard)]
 		if !used {
-			return counts{}
+			return taskCounts{}
 		}
 		if n, ok := jobs.get()[id]; ok {
 			return n
@@ -38,8 +38,8 @@
 }
 
 // countShards gives the counts of all jobs that have any, by shard. Each is within the limit of a value.
-func (l *leader) countShards() []map[string]counts {
-	var shards []map[string]counts
+func (l *leader) countShards() []map[string]taskCounts {
+	var shards []map[string]taskCounts
 	last := [countShards]int{} // by first shard, the one that is being filled
 	sizes := [countShards]int{}
 	for i := range last {
@@ -47,11 +47,11 @@
 	}
 	for _, j := range l.order {
 		n := j.counts()
-		if n == (counts{}) {
+		if n == (taskCounts{}) {
 			continue
 		}
 		first, size := firstCountShard(j.id), len(j.id)+countBytes
-		if sizes[first] += size; sizes[first] >= l.c.mostValue() {
+		if sizes[first] += size; sizes[first] >= l.c.maxValueBytes() {
 			last[first] += countShards
 			sizes[first] = size
 		}
@@ -60,7 +60,7 @@
 			shards = append(shards, nil)
 		}
 		if shards[shard] == nil {
-			shards[shard] = map[string]counts{}
+			shards[shard] = map[string]taskCounts{}
 		}
 		shards[shard][j.id] = n
 	}
@@ -74,11 +74,11 @@
 // most every other report interval and only with writes to spare.
 func (w *writer) counts() {
 	l, c := w.l, w.l.c
-	if w.countsBusy || c.stateDown {
+	if w.countsBusy || c.storeDown {
 		return
 	}
-	if due := c.aligned(w.countsAt + 2*c.t.report); c.now.Steady < due {
-		c.at(due)
+	if due := c.coalesce(w.countsAt + 2*c.times.heartbeatInterval); c.now.Steady < due {
+		c.wakeBy(due)
 		return
 	}
 	if w.tokens < w.rate()/2 {
@@ -87,10 +87,10 @@
 	w.countsAt = c.now.Steady
 	shards := l.countShards()
 	w.countsInUse = max(w.countsInUse, len(shards))
-	txn := wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}}
 	keys := map[string]string{}
 	for i := range w.countsInUse {
-		shard := map[string]counts{} // one that is not needed any more is emptied
+		shard := map[string]taskCounts{} // one that is not needed any more is emptied
 		if i < len(shards) && shards[i] != nil {
 			shard = shards[i]
 		}
@@ -102,8 +102,8 @@
 		keys[k] = string(value)
 		txn.Then = append(txn.Then, wire.Op{Put: k, Value: value})
 	}
-	if len(txn.Then) > c.mostValues() {
-		txn.Then = txn.Then[:c.mostValues()] // the rest goes next
+	if len(txn.Then) > c.maxValuesPerTxn() {
+		txn.Then = txn.Then[:c.maxValuesPerTxn()] // the rest goes next
 	}
 	if len(txn.Then) == 0 {
 		return
@@ -118,18 +118,18 @@
 			}
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: txn})
+	c.emit(StoreTxn{CallID: id, Txn: txn})
 }
 
 // writeCatalog keeps the machine types where a node finds them while the cloud is
 // down.
 func (w *writer) writeCatalog() {
 	l, c := w.l, w.l.c
-	if w.catalogOut || c.catalog == nil || c.dir.catalog != nil || c.stateDown {
+	if w.catalogOut || c.catalog == nil || c.cache.catalog != nil || c.storeDown {
 		return
 	}
 	value, err := json.Marshal(c.catalog)
-	if err != nil || len(value) > c.limits.valueBytes() {
+	if err != nil || len(value) > c.limits.maxValueBytes() {
 		return
 	}
 	w.catalogOut = true
@@ -138,6 +138,6 @@
 			w.catalogOut = false
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}},
-		Then: []wire.Op{{Put: keyCatalog, Value: value}}}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}},
+		Then: []wire.Op{{Put: catalogKey, Value: value}}}})
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -16,67 +16,67 @@
 // and the term is the token that workers compare. The lease only keeps two nodes
 // from taking turns.
 type election struct {
-	c    *Core
-	busy bool
+	core             *Core
+	campaignInFlight bool
 
-	lease    uint64
-	deadline time.Duration // the lease is good until here, by this node's clock
-	notNow   time.Duration // no candidacy before this
-	extendAt time.Duration
-	extend   bool          // an extend is under way
-	vacantAt time.Duration // since when no leader is known; 0: one is
-	ttl      time.Duration // of the lease
-	ledTerm  uint64        // the last term that this process led
-	barred   bool          // it is logged that this node must not lead
-	termsLed uint64        // by this process, all in all
-	history  termHistory
+	lease           uint64
+	deadline        time.Duration // the lease is good until here, by this node's clock
+	nextCampaign    time.Duration // no candidacy before this
+	nextRenewal     time.Duration
+	renewalInFlight bool          // an extend is under way
+	vacantSince     time.Duration // since when no leader is known; 0: one is
+	ttl             time.Duration // of the lease
+	lastTermLed     uint64        // the last term that this process led
+	barredLogged    bool          // it is logged that this node must not lead
+	termsLed        uint64        // by this process, all in all
+	history         termHistory
 }
 
-func newElection(c *Core) *election { return &election{c: c} }
+func newElection(c *Core) *election { return &election{core: c} }
 
-// drift is what the steady clock may be off, doubled for safety.
-const drift = 0.001
+// maxClockDrift is what the steady clock may be off, doubled for safety.
+const maxClockDrift = 0.001
 
-// leaseDuration is for how long the lease is certainly good once it is renewed.
-func (e *election) leaseDuration() time.Duration {
-	return time.Duration(float64(e.ttl) * (1 - drift))
+// safeLeaseDuration is for how long the lease is certainly good once it is renewed.
+func (e *election) safeLeaseDuration() time.Duration {
+	return time.Duration(float64(e.ttl) * (1 - maxClockDrift))
 }
 
 func (e *election) run() {
-	c := e.c
-	e.history.notice(c.now.Steady, c.dir.term.Term)
-	if c.lead != nil {
-		e.keep()
+	c := e.core
+	e.history.observe(c.now.Steady, c.cache.term.Term)
+	if c.leader != nil {
+		e.maintainLease()
 		return
 	}
-	if e.busy || !c.dir.ready {
+	if e.campaignInFlight || !c.cache.ready {
 		return
 	}
-	if c.dir.leadVersion != 0 {
-		e.vacantAt = 0
+	if c.cache.leaderVersion != 0 {
+		e.vacantSince = 0
 		// An earlier process of this very node still holds the lease: it is dead,
 		// so its lease may end now. The same goes for a win of our own that we
 		// only learn of here.
-		if l := c.dir.lead; l.Node == c.set.Node && c.now.Steady >= e.notNow {
-			e.busy = true
-			e.notNow = c.now.Steady + c.t.retry
-			e.revoke(l.Lease, func() { e.busy = false })
+		if l := c.cache.leader; l.Node == c.settings.Node && c.now.Steady >= e.nextCampaign {
+			e.campaignInFlight = true
+			e.nextCampaign = c.now.Steady + c.times.retryPause
+			e.revoke(l.Lease, func() { e.campaignInFlight = false })
 		}
 		return
 	}
-	if e.vacantAt == 0 {
-		e.vacantAt = c.now.Steady
+	if e.vacantSince == 0 {
+		e.vacantSince = c.now.Steady
 	}
-	if due := max(e.notNow, e.vacantAt+e.electionDelay()); c.now.Steady < due {
-		c.at(due)
+	if due := max(e.nextCampaign, e.vacantSince+e.campaignDelay()); c.now.Steady < due {
+		c.wakeBy(due)
 		return
 	}
-	if c.stateDown {
+	if c.storeDown {
 		return
 	}
-	if c.dividedElsewhere() {
-		if !e.barred {
-			e.barred = true
+	if c.quotasDividedElsewhere() {
+		if !e.barredLogged {
+			e.barredLogged = true
 			c.log(Error, "this node must not lead: the teams' limits are divided among regions, and its settings name none")
 		}
 		return
@@ -85,73 +85,73 @@
 }
 
 func (e *election) revoke(lease uint64, then func()) {
-	id := e.c.stateCall(func(Result) {
+	id := e.core.registerStoreCall(func(Result) {
 		if then != nil {
 			then()
 		}
 	})
-	e.c.send(StateRevoke{ID: id, Lease: lease})
+	e.core.emit(StoreRevokeLease{CallID: id, Lease: lease})
 }
 
-// electionDelay makes a node wait a little where another would lead better.
-func (e *election) electionDelay() time.Duration {
-	wait := e.c.t.heartbeat / 4 * time.Duration(min(2, max(0, e.detour(e.c.set.Node)-1)))
-	if e.exposed(e.c.set.Node) || e.beforeGap(e.c.set.Node, 0) && e.other(func(node string) bool { return !e.beforeGap(node, 0) }) {
-		wait += e.c.t.heartbeat / 2
+// campaignDelay makes a node wait a little where another would lead better.
+func (e *election) campaignDelay() time.Duration {
+	wait := e.core.times.checkInterval / 4 * time.Duration(min(2, max(0, e.failoverHops(e.core.settings.Node)-1)))
+	if e.sharesZoneWithNext(e.core.settings.Node) || e.precedesDeadNode(e.core.settings.Node, 0) && e.anyOtherCandidate(func(node string) bool { return !e.precedesDeadNode(node, 0) }) {
+		wait += e.core.times.checkInterval / 2
 	}
 	return wait
 }
 
-// other tells whether another node that could lead is of a kind.
-func (e *election) other(of func(node string) bool) bool {
-	for _, p := range e.c.peers {
-		if e.c.fresh(p) && !p.status.StateDown && of(p.node) {
+// anyOtherCandidate tells whether another node that could lead is of a kind.
+func (e *election) anyOtherCandidate(of func(node string) bool) bool {
+	for _, p := range e.core.peers {
+		if e.core.recentlyHeard(p) && !p.status.StoreDown && of(p.name) {
 			return true
 		}
 	}
 	return false
 }
 
-// beforeGap tells whether the node that workers try after this one has not answered for a
+// precedesDeadNode tells whether the node that workers try after this one has not answered for a
 // while. Were this one to lead and then to stand still, its workers would wait for both in
 // turn, which takes all of their lease. A node that keeps workers, as while two zones are apart, is there
 // although it is out of reach.
-func (e *election) beforeGap(node string, quiet time.Duration) bool {
-	c := e.c
+func (e *election) precedesDeadNode(node string, quiet time.Duration) bool {
+	c := e.core
 	next := ""
-	for _, n := range e.ring() {
+	for _, n := range e.failoverOrder() {
 		if n.Node > node {
 			next = n.Node
 			break
 		}
 	}
 	if next == "" {
-		next = e.ring()[0].Node
+		next = e.failoverOrder()[0].Node
 	}
 	for _, p := range c.peers {
-		if p.node == next {
-			keeps := p.relayedAt != 0 && c.now.Steady-p.relayedAt < c.t.lease
-			return p.tried && !p.reached && c.now.Steady-p.heardAt > quiet && !keeps
+		if p.name == next {
+			keeps := p.relayedAt != 0 && c.now.Steady-p.relayedAt < c.times.lease
+			return p.queried && !p.reachable && c.now.Steady-p.heardAt > quiet && !keeps
 		}
 	}
 	return false
 }
 
-// ring gives all nodes in the order in which workers try them.
-func (e *election) ring() []config.Peer {
-	set := e.c.set
+// failoverOrder gives all nodes in the order in which workers try them.
+func (e *election) failoverOrder() []config.Peer {
+	set := e.core.settings
 	ring := append([]config.Peer{{Node: set.Node, Zone: set.Zone}}, set.Peers...)
 	sort.Slice(ring, func(a, b int) bool { return ring[a].Node < ring[b].Node })
 	return ring
 }
 
-// following gives the zones of a node and of those that workers try after it, in turn;
+// zonesAfter gives the zones of a node and of those that workers try after it, in turn;
 // none if all are in one zone.
-func (e *election) following(node string) (own string, next []string) {
-	ring := e.ring()
+func (e *election) zonesAfter(node string) (own string, next []string) {
+	ring := e.failoverOrder()
 	at, several := 0, false
 	for i, n := range ring {
-		several = several || n.Zone != e.c.set.Zone
+		several = several || n.Zone != e.core.settings.Zone
 		if n.Node == node {
 			at = i
 		}
@@ -165,11 +165,11 @@
 	return ring[at].Zone, next
 }
 
-// detour tells how many nodes in a row, after a leader's end, workers may try in vain
+// failoverHops tells how many nodes in a row, after a leader's end, workers may try in vain
 // when a zone is cut off: each that doesn't answer costs them almost half of their lease.
 // It is the run of nodes of one zone that follows the leader.
-func (e *election) detour(node string) int {
-	_, next := e.following(node)
+func (e *election) failoverHops(node string) int {
+	_, next := e.zonesAfter(node)
 	run := min(1, len(next))
 	for run > 0 && run < len(next) && next[run] == next[0] {
 		run++
@@ -177,67 +177,67 @@
 	return run
 }
 
-// exposed tells whether a node would lead badly: the next one is in its own zone, and
+// sharesZoneWithNext tells whether a node would lead badly: the next one is in its own zone, and
 // both are lost when that is cut off.
-func (e *election) exposed(node string) bool {
-	own, next := e.following(node)
+func (e *election) sharesZoneWithNext(node string) bool {
+	own, next := e.zonesAfter(node)
 	return len(next) > 0 && next[0] == own
 }
 
-// betterPlaced tells whether this leader is exposed, or the node after it is gone, while another
+// betterCandidateExists tells whether this leader is exposed, or the node after it is gone, while another
 // node of which neither holds has been there for a while.
-func (e *election) betterPlaced() bool {
-	c := e.c
-	if c.load.Level(c.now.Steady) > shedBelow {
+func (e *election) betterCandidateExists() bool {
+	c := e.core
+	if c.timerLoad.Level(c.now.Steady) > shedBelow {
 		return false // a takeover takes more processor time than there is
 	}
-	worse := func(node string) bool { return e.exposed(node) || e.beforeGap(node, c.t.lease) }
-	if c.now.Steady-c.lead.since < 2*c.t.lease || !worse(c.set.Node) {
+	worse := func(node string) bool { return e.sharesZoneWithNext(node) || e.precedesDeadNode(node, c.times.lease) }
+	if c.now.Steady-c.leader.since < 2*c.times.lease || !worse(c.settings.Node) {
 		return false
 	}
 	for _, p := range c.peers {
 		// After a cut the nodes are heard again one after the other.
-		if c.fresh(p) && c.now.Steady-p.backAt < 3*c.t.heartbeat {
+		if c.recentlyHeard(p) && c.now.Steady-p.reachableSince < 3*c.times.checkInterval {
 			return false
 		}
 	}
-	return e.other(func(node string) bool { return !worse(node) })
+	return e.anyOtherCandidate(func(node string) bool { return !worse(node) })
 }
 
 // campaign runs for the next term: a lease, then the lead and the term in one
 // transaction.
 func (e *election) campaign() {
-	c := e.c
-	e.busy = true
-	ttl := c.t.leaderTTL
-	if e.lastLeaderIsThere() {
-		ttl = e.history.leaseTTL(c.now.Steady, c.t)
+	c := e.core
+	e.campaignInFlight = true
+	ttl := c.times.leaderTTL
+	if e.lastLeaderAlive() {
+		ttl = e.history.leaseTTL(c.now.Steady, c.times)
 	}
 	fail := func() {
-		e.busy = false
-		e.notNow = c.now.Steady + c.t.retry
+		e.campaignInFlight = false
+		e.nextCampaign = c.now.Steady + c.times.retryPause
 	}
-	id := c.stateCall(func(g Result) {
+	id := c.registerStoreCall(func(g Result) {
 		if g.Outcome != call.OK {
 			fail()
 			return
 		}
-		if c.dir.leadVersion != 0 {
+		if c.cache.leaderVersion != 0 {
 			e.revoke(g.Lease, nil)
 			fail()
 			return
 		}
-		term := c.dir.term.Term + 1
-		lead, err1 := json.Marshal(leadValue{c.set.Node, c.incarnation, g.Lease, term})
-		tv, err2 := c.encodeTermIn(termValue{term, c.set.Node}, c.layout())
+		term := c.cache.term.Term + 1
+		lead, err1 := json.Marshal(leaderRecord{c.settings.Node, c.incarnation, g.Lease, term})
+		tv, err2 := c.encodeTermForStore(termRecord{term, c.settings.Node}, c.layout())
 		if err1 != nil || err2 != nil {
 			fail()
 			return
 		}
-		id := c.stateCall(func(r Result) {
+		id := c.registerStoreCall(func(r Result) {
 			if r.Outcome == call.OK {
-				e.busy = false
-				e.win(term, r.Txn.Revision, g, ttl)
+				e.campaignInFlight = false
+				e.becomeLeader(term, r.Txn.Revision, g, ttl)
 				return
 			}
 			// Unknown: if the transaction was or gets applied, the watch shows
@@ -245,123 +245,123 @@
 			e.revoke(g.Lease, nil)
 			fail()
 		})
-		c.send(StateTxn{ID: id, Txn: wire.Txn{
-			If:   []wire.Condition{{Key: keyLead}, {Key: keyTerm, Version: c.dir.termVersion}},
-			Then: []wire.Op{{Put: keyLead, Value: lead, Lease: g.Lease}, {Put: keyTerm, Value: tv}},
+		c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
+			If:   []wire.Condition{{Key: leaderKey}, {Key: termKey, Version: c.cache.termVersion}},
+			Then: []wire.Op{{Put: leaderKey, Value: lead, Lease: g.Lease}, {Put: termKey, Value: tv}},
 		}})
 	})
-	c.send(StateGrant{ID: id, TTL: ttl})
+	c.emit(StoreGrantLease{CallID: id, TTL: ttl})
 }
 
-// lastLeaderIsThere tells whether the process that led last has not ended: it lost its lease all the same.
-func (e *election) lastLeaderIsThere() bool {
-	c := e.c
-	last := c.dir.term
-	if last.Node == c.set.Node {
-		return e.ledTerm != 0 && e.ledTerm == last.Term
+// lastLeaderAlive tells whether the process that led last has not ended: it lost its lease all the same.
+func (e *election) lastLeaderAlive() bool {
+	c := e.core
+	last := c.cache.term
+	if last.Node == c.settings.Node {
+		return e.lastTermLed != 0 && e.lastTermLed == last.Term
 	}
 	for _, p := range c.peers {
-		if p.node == last.Node {
-			return c.fresh(p) && p.status.Term >= last.Term
+		if p.name == last.Node {
+			return c.recentlyHeard(p) && p.status.Term >= last.Term
 		}
 	}
 	return false
 }
 
-func (e *election) win(term, version uint64, grant Result, ttl time.Duration) {
-	c := e.c
-	e.lease, e.ttl, e.ledTerm = grant.Lease, ttl, term
+func (e *election) becomeLeader(term, version uint64, grant Result, ttl time.Duration) {
+	c := e.core
+	e.lease, e.ttl, e.lastTermLed = grant.Lease, ttl, term
 	e.termsLed++
 	// The lease's time began when the service made it, which was no earlier than
 	// the request was sent.
-	e.deadline = grant.Sent + e.leaseDuration()
-	e.extendAt = c.now.Steady
-	e.extend = false
+	e.deadline = grant.SentAt + e.safeLeaseDuration()
+	e.nextRenewal = c.now.Steady
+	e.renewalInFlight = false
 	c.log(Info, "leading", "term", term)
 	c.log(Debug, "term begins", "term", term, "token", firstToken(term), "entitled_ms", (e.deadline - c.now.Steady).Milliseconds(),
-		"won_at_revision", version, "read_up_to", c.dir.revision)
-	c.lead = newLeader(c, term, version)
-	if version > c.dir.termVersion {
-		c.dir.term, c.dir.termVersion = termValue{term, c.set.Node}, version
+		"won_at_revision", version, "read_up_to", c.cache.revision)
+	c.leader = newLeader(c, term, version)
+	if version > c.cache.termVersion {
+		c.cache.term, c.cache.termVersion = termRecord{term, c.settings.Node}, version
 	}
 }
 
-// keep renews the lease of a leader. Past its deadline a leader only waits: it
+// maintainLease renews the lease of a leader. Past its deadline a leader only waits: it
 // neither writes nor starts anything until an extend tells that it still holds
 // the lease, as after an outage of the state service, or that it lost it.
-func (e *election) keep() {
-	c := e.c
-	if c.dir.term.Term > c.lead.term {
+func (e *election) maintainLease() {
+	c := e.core
+	if c.cache.term.Term > c.leader.term {
 		e.stepDown("a newer term is known")
 		return
 	}
 	why := ""
 	switch {
-	case !e.inTime():
-	case c.workersElsewhere(c.lead.since) && len(c.lead.machines) > 0:
+	case !e.leaseValid():
+	case c.workersReachOnlyPeers(c.leader.since) && len(c.leader.machines) > 0:
 		why = "workers report to other nodes only"
-	case e.betterPlaced():
+	case e.betterCandidateExists():
 		why = "another node is better placed"
 	}
 	if why != "" {
 		lease := e.lease
 		e.stepDown(why)
-		e.notNow = c.now.Steady + c.t.lease
+		e.nextCampaign = c.now.Steady + c.times.lease
 		e.revoke(lease, nil)
 		return
 	}
-	if e.extend {
+	if e.renewalInFlight {
 		return
 	}
-	if c.now.Steady < e.extendAt {
-		c.at(e.extendAt)
+	if c.now.Steady < e.nextRenewal {
+		c.wakeBy(e.nextRenewal)
 		return
 	}
-	e.extend = true
+	e.renewalInFlight = true
 	lease := e.lease
-	id := c.stateCall(func(r Result) {
-		if c.lead == nil || e.lease != lease {
+	id := c.registerStoreCall(func(r Result) {
+		if c.leader == nil || e.lease != lease {
 			return
 		}
-		e.extend = false
+		e.renewalInFlight = false
 		switch r.Outcome {
 		case call.OK:
-			if !e.leaseGood(c.now.Steady) {
-				c.log(Debug, "entitled again", "term", c.lead.term, "after_ms", (c.now.Steady - e.deadline).Milliseconds())
+			if !e.leaseValidAt(c.now.Steady) {
+				c.log(Debug, "entitled again", "term", c.leader.term, "after_ms", (c.now.Steady - e.deadline).Milliseconds())
 			}
-			e.deadline = max(e.deadline, r.Sent+e.leaseDuration())
-			e.extendAt = r.Sent + e.ttl/4
+			e.deadline = max(e.deadline, r.SentAt+e.safeLeaseDuration())
+			e.nextRenewal = r.SentAt + e.ttl/4
 		case call.Missing:
 			e.stepDown("the lease ended")
 		default:
-			e.extendAt = c.now.Steady + e.ttl/12
+			e.nextRenewal = c.now.Steady + e.ttl/12
 		}
 	})
-	c.send(StateExtend{ID: id, Lease: e.lease})
+	c.emit(StoreRenewLease{CallID: id, Lease: e.lease})
 }
 
-// leaseGood tells whether this leader's lease is certainly good at a time.
-func (e *election) leaseGood(now time.Duration) bool { return now < e.deadline }
+// leaseValidAt tells whether this leader's lease is certainly good at a time.
+func (e *election) leaseValidAt(now time.Duration) bool { return now < e.deadline }
 
-// inTime tells whether this leader's lease is certainly good now, and has the core wake when it is no more.
-func (e *election) inTime() bool {
-	if e.leaseGood(e.c.now.Steady) {
-		e.c.at(e.deadline)
+// leaseValid tells whether this leader's lease is certainly good now, and has the core wake when it is no more.
+func (e *election) leaseValid() bool {
+	if e.leaseValidAt(e.core.now.Steady) {
+		e.core.wakeBy(e.deadline)
 		return true
 	}
 	return false
 }
 
 func (e *election) stepDown(why string) {
-	c := e.c
-	if c.lead == nil {
+	c := e.core
+	if c.leader == nil {
 		return
 	}
-	c.log(Info, "no longer leading", "term", c.lead.term, "why", why)
-	c.lead.refuseHeld()
-	c.lead.plans.refuseWaiting()
-	c.lead.allowances.refuseWaiting()
-	c.lead = nil
+	c.log(Info, "no longer leading", "term", c.leader.term, "why", why)
+	c.leader.refuseHeld()
+	c.leader.plans.refuseWaiting()
+	c.leader.allowances.refuseWaiting()
+	c.leader = nil
 	e.lease = 0
-	e.notNow = c.now.Steady + c.t.retry
+	e.nextCampaign = c.now.Steady + c.times.retryPause
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -12,31 +12,31 @@
 
 // Evaluations is how many the rounds of this node's present term took.
 func (c *Core) Evaluations() int {
-	if c.lead == nil {
+	if c.leader == nil {
 		return 0
 	}
-	return c.lead.rounds.spent
+	return c.leader.rounds.spent
 }
 
 // EvaluationsPerSecond is what the settings allow of them, at the cost that was measured.
 func (c *Core) EvaluationsPerSecond() float64 { return c.evaluationsPerSecond() }
 
 // LastEvaluations is how many the last step took.
-func (c *Core) LastEvaluations() int { return c.evaluations.Taken() }
+func (c *Core) LastEvaluations() int { return c.evaluationCost.Taken() }
 
 // KnowsCancelled tells whether this node knows that a job is cancelled.
 func (c *Core) KnowsCancelled(id string) bool {
-	e, final := c.dir.jobs[id], c.dir.finals[id]
+	e, final := c.cache.jobs[id], c.cache.finals[id]
 	return e != nil && e.CancelledMS != 0 || final.State == wire.JobCancelled
 }
 
 // Finals is how many final states this node remembers.
-func (c *Core) Finals() int { return len(c.dir.finals) }
+func (c *Core) Finals() int { return len(c.cache.finals) }
 
 // CheckRoom compares the index of room, and the counts of jobs' tasks by zone, with what they would be if they
 // were built anew.
 func (c *Core) CheckRoom() error {
-	l := c.lead
+	l := c.leader
 	if l == nil {
 		return nil
 	}
@@ -100,14 +100,14 @@
 
 // ReadableBefore tells whether the version before plans can read a term.
 func ReadableBefore(value json.RawMessage) bool {
-	_, plain := decode[termValue](value)
-	_, fenced := decode[fencedTerm](value)
+	_, plain := decode[termRecord](value)
+	_, fenced := decode[layoutFencedTerm](value)
 	return plain || fenced
 }
 
 // ReadableWithPlans tells whether the version before allowances can read a term.
 func ReadableWithPlans(value json.RawMessage) bool {
-	_, plans := decode[plansTermValue](value)
+	_, plans := decode[rolloutsTermRecord](value)
 	return plans || ReadableBefore(value)
 }
 
@@ -115,7 +115,7 @@
 func LeaseTTL(now, lease, leaderTTL time.Duration, begins []time.Duration) time.Duration {
 	h := &termHistory{}
 	for i, at := range begins {
-		h.notice(at, uint64(i+1))
+		h.observe(at, uint64(i+1))
 	}
 	return h.leaseTTL(now, times{lease: lease, leaderTTL: leaderTTL})
 }
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -16,7 +16,7 @@
 // ranWell clears a machine and a job of suspicion: a task was done, or has been
 // running for a while.
 func (l *leader) ranWell(p *placement, done bool) {
-	if !done && l.c.now.Steady-p.ranAt < 3*l.c.t.heartbeat {
+	if !done && l.c.now.Steady-p.ranAt < 3*l.c.times.checkInterval {
 		return
 	}
 	j := p.job
@@ -64,8 +64,8 @@
 	if !j.proven && len(j.failed) >= 2 {
 		// Suspect: it may be the job. Double the pause up to three of the workers'
 		// leases, and take back what it says of machines.
-		pause := l.c.t.heartbeat << min(len(j.failed)-1, 6)
-		j.waitFor = max(j.waitFor, now+min(pause, 3*l.c.t.lease))
+		pause := l.c.times.checkInterval << min(len(j.failed)-1, 6)
+		j.waitFor = max(j.waitFor, now+min(pause, 3*l.c.times.lease))
 		for name := range j.failed {
 			if x := l.machines[name]; x != nil && !x.faulty {
 				delete(x.errors, j.id)
--- a/internal/core/fulfillment.go
+++ b/internal/core/fulfillment.go
@@ -50,7 +50,7 @@
 	}
 	age := float64(l.c.now.WallMS-j.queuedAt) / 1000
 	left := 0.0
-	for _, o := range l.c.set.Params.Objectives {
+	for _, o := range l.c.settings.Params.Objectives {
 		if o.Kind != "finished" || o.Class != j.spec.Class {
 			continue
 		}
--- a/internal/core/held_answers.go
+++ b/internal/core/held_answers.go
@@ -19,18 +19,18 @@
 func (l *leader) holdAnswer(req uint64, r *wire.Heartbeat, token uint64, answer *leaseAnswer) bool {
 	c := l.c
 	m := l.machines[r.Machine]
-	if !c.op.PaceReports || m == nil || c.stateDown || len(answer.commands) > 0 || token != r.FencingToken || m.held != nil || !l.mayWait(m, r) {
+	if !c.operator.PaceReports || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.held != nil || !l.mayWait(m, r) {
 		return false
 	}
 	now := c.now.Steady
-	hold := c.pacer.Hold(m.settled(), c.load.Level(now))
+	hold := c.pacer.Hold(m.settled(), c.timerLoad.Level(now))
 	if hold == 0 {
 		return false
 	}
 	m.lastHold = hold
 	m.held = &heldAnswer{req: req, report: r, due: c.pacer.Release(now, hold)}
 	l.releaseAt = min(l.releaseAt, m.held.due)
-	c.at(l.releaseAt)
+	c.wakeBy(l.releaseAt)
 	return true
 }
 
@@ -62,13 +62,13 @@
 	}
 	m.held = nil
 	if !l.entitled() {
-		l.c.answer(held.req, 421, wire.Redirect{})
+		l.c.respond(held.req, 421, wire.Redirect{})
 		return
 	}
 	basis, answer := LeaderBasis, l.c.newLeaseAnswer(held.report)
 	switch {
 	case l.machines[m.name] != m:
-		basis = GoneMachineBasis
+		basis = RemovedMachineBasis
 	case l.mayWait(m, held.report):
 		l.commands(m, held.report, answer)
 	}
@@ -78,7 +78,7 @@
 // dropHeld ends a held answer whose worker has sent a newer report, and so has given it up.
 func (l *leader) dropHeld(m *machine) {
 	if m.held != nil {
-		l.c.renewLease(m.held.req, LateReportBasis, m.held.report.FencingToken, l.c.newLeaseAnswer(m.held.report))
+		l.c.renewLease(m.held.req, StaleHeartbeatBasis, m.held.report.FencingToken, l.c.newLeaseAnswer(m.held.report))
 		m.held = nil
 	}
 }
@@ -87,7 +87,7 @@
 func (l *leader) releaseAnswers() {
 	now := l.c.now.Steady
 	if now < l.releaseAt {
-		l.c.at(l.releaseAt)
+		l.c.wakeBy(l.releaseAt)
 		return
 	}
 	l.releaseAt = farFuture
@@ -100,14 +100,14 @@
 			l.releaseAt = min(l.releaseAt, m.held.due)
 		}
 	}
-	l.c.at(l.releaseAt)
+	l.c.wakeBy(l.releaseAt)
 }
 
 // refuseHeld sends the workers with held answers to the next leader, at the end of this term.
 func (l *leader) refuseHeld() {
 	for _, m := range l.fleet {
 		if m.held != nil {
-			l.c.answer(m.held.req, 421, wire.Redirect{})
+			l.c.respond(m.held.req, 421, wire.Redirect{})
 			m.held = nil
 		}
 	}
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -12,7 +12,7 @@
 // Workers don't report which images they have. The leader remembers what it placed
 // where, and keeps it in the state service as a hint for its successors; being
 // wrong costs a fetch and breaks nothing.
-const keyImages = "w/i/"
+const imageHintPrefix = "w/i/"
 
 type imageHints struct {
 	l      *leader
@@ -24,11 +24,11 @@
 
 func (h *imageHints) run() {
 	l, c := h.l, h.l.c
-	if h.busy || c.stateDown {
+	if h.busy || c.storeDown {
 		return
 	}
-	if due := h.at + c.t.lease/2; c.now.Steady < due {
-		c.at(due)
+	if due := h.at + c.times.lease/2; c.now.Steady < due {
+		c.wakeBy(due)
 		return
 	}
 	if l.writes.tokens < l.writes.rate()/2 {
@@ -36,16 +36,16 @@
 	}
 	h.at = c.now.Steady
 	shards := h.shardsOf(l.fleet)
-	txn := wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}}
 	for i, s := range shards {
-		k := keyImages + strconv.Itoa(i)
+		k := imageHintPrefix + strconv.Itoa(i)
 		value, err := json.Marshal(s)
 		if err != nil || string(value) == h.last[k] || len(s) == 0 && h.last[k] == "" {
 			continue
 		}
 		txn.Then = append(txn.Then, wire.Op{Put: k, Value: value})
-		if len(txn.Then) >= c.mostValues() {
-			h.at = c.now.Steady - c.t.lease/2 + c.t.heartbeat // the rest goes next
+		if len(txn.Then) >= c.maxValuesPerTxn() {
+			h.at = c.now.Steady - c.times.lease/2 + c.times.checkInterval // the rest goes next
 			break
 		}
 	}
@@ -62,14 +62,14 @@
 			}
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: txn})
+	c.emit(StoreTxn{CallID: id, Txn: txn})
 }
 
 // shardsOf gives the images of all machines, in as many keys as the fleet needs, each within the
 // limit of a value.
 func (h *imageHints) shardsOf(fleet []*machine) []map[string][]string {
 	shards := []map[string][]string{{}}
-	most := h.l.c.mostValue()
+	most := h.l.c.maxValueBytes()
 	sum := 0
 	for _, m := range fleet {
 		names := []string{}
@@ -99,11 +99,11 @@
 // hint gives a machine, when first seen in this term, the images that the last
 // leader knew of.
 func (l *leader) hint(m *machine) {
-	for _, shard := range l.c.dir.images {
+	for _, shard := range l.c.cache.images {
 		for _, name := range shard.get()[m.name] {
 			img := newImage(name, l.imageGB(name))
 			// What a place costs is worked out from what is known; without weighing the hint is believed.
-			img.unknown = l.c.op.Spread.Enabled
+			img.unknown = l.c.operator.Spread.Enabled
 			img.ready = !img.unknown
 			m.images = append(m.images, img)
 			m.roomChanged = true
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -32,174 +32,174 @@
 
 // Requests of users. Req names the waiting request.
 type (
-	// Submit hands in a job.
-	Submit struct {
-		Req uint64
-		Job *wire.Job
+	// SubmitJob hands in a job.
+	SubmitJob struct {
+		RequestID uint64
+		Job       *wire.Job
 	}
-	// Poll asks for a job's state.
-	Poll struct {
-		Req uint64
-		ID  string
+	// GetJob asks for a job's state.
+	GetJob struct {
+		RequestID uint64
+		ID        string
 	}
-	// Cancel calls a job off.
-	Cancel struct {
-		Req uint64
-		ID  string
+	// CancelJob calls a job off.
+	CancelJob struct {
+		RequestID uint64
+		ID        string
 	}
 )
 
-// Checkin is a worker's report.
-type Checkin struct {
-	Req    uint64
-	Report *wire.Heartbeat
+// WorkerHeartbeat is a worker's report.
+type WorkerHeartbeat struct {
+	RequestID uint64
+	Heartbeat *wire.Heartbeat
 }
 
-// CancellationsReceived are cancellations that another node sends. The answer says that they are known
+// ReplicateCancellations are cancellations that another node sends. The answer says that they are known
 // here from now on.
-type CancellationsReceived struct {
-	Req           uint64
+type ReplicateCancellations struct {
+	RequestID     uint64
 	Cancellations []Cancellation
 }
 
 // Result is the result of a call this core asked for.
 type Result struct {
-	ID      uint64
+	CallID  uint64
 	Outcome call.Outcome
-	Sent    time.Duration // steady time just before the request was sent
-
-	Item     wire.Item
-	Page     wire.Page
-	Txn      wire.TxnResponse
-	Lease    uint64
-	Changes  wire.WatchResponse
-	Catalog  wire.Catalog
-	Names    []string
-	Machines wire.MachineList
-	Report   wire.Heartbeat
-	Peer     PeerStatus
-	Probe    rollout.Answer
-	ReadyS   float64 // until an image is there
+	SentAt  time.Duration // steady time just before the request was sent
+
+	Item         wire.Item
+	Page         wire.Page
+	Txn          wire.TxnResponse
+	Lease        uint64
+	Changes      wire.WatchResponse
+	Catalog      wire.Catalog
+	MachineNames []string
+	Machines     wire.MachineList
+	Heartbeat    wire.Heartbeat
+	Peer         PeerStatus
+	Probe        rollout.Answer
+	ReadyS       float64 // until an image is there
 }
 
 // PeerStatus is what another node says of itself.
 type PeerStatus struct {
-	StateDown bool
-	Term      uint64
-	Leads     bool
-	ReportAge time.Duration // negative: no worker ever reported to it
-	// ZonesApart are zones whose workers a leader can't reach, nor they it.
-	ZonesApart []string
-	// Unsettled are cancelled jobs of which a leader says that users may not be told yet.
-	Unsettled []string
-	// UnsettledMore tells that there are more of them than are listed.
-	UnsettledMore bool
+	StoreDown    bool
+	Term         uint64
+	Leading      bool
+	HeartbeatAge time.Duration // negative: no worker ever reported to it
+	// UnreachableZones are zones whose workers a leader can't reach, nor they it.
+	UnreachableZones []string
+	// UnresolvedCancellations are cancelled jobs of which a leader says that users may not be told yet.
+	UnresolvedCancellations []string
+	// MoreUnresolved tells that there are more of them than are listed.
+	MoreUnresolved bool
 	// Revision is how far it has read the changes of jobs; 0: not yet.
 	Revision uint64
-	// Layouts is the newest layout of run records that its version knows; 0 in version 1, which does
+	// RecordLayouts is the newest layout of run records that its version knows; 0 in version 1, which does
 	// not say.
-	Layouts uint32
-	// KnowsPlans tells that its version knows plans of rollouts.
-	KnowsPlans bool
+	RecordLayouts uint32
+	// SupportsRollouts tells that its version knows plans of rollouts.
+	SupportsRollouts bool
 }
 
-func (Tick) input()                  {}
-func (Submit) input()                {}
-func (Poll) input()                  {}
-func (Cancel) input()                {}
-func (Checkin) input()               {}
-func (CancellationsReceived) input() {}
-func (Result) input()                {}
+func (Tick) input()                   {}
+func (SubmitJob) input()              {}
+func (GetJob) input()                 {}
+func (CancelJob) input()              {}
+func (WorkerHeartbeat) input()        {}
+func (ReplicateCancellations) input() {}
+func (Result) input()                 {}
 
 // Effect is something to do.
 type Effect interface{ effect() }
 
-// Answer ends a waiting request. A RetryAfter above 0 goes into the header of
+// Response ends a waiting request. A RetryAfter above 0 goes into the header of
 // that name, in seconds.
-type Answer struct {
-	Req        uint64
-	Status     int
-	Body       any
-	RetryAfter int
+type Response struct {
+	RequestID   uint64
+	Status      int
+	Body        any
+	RetryAfterS int
 }
 
 // The calls; each is answered by one Result with its ID.
 type (
-	// StateGet reads a key.
-	StateGet struct {
-		ID  uint64
-		Key string
+	// StoreGet reads a key.
+	StoreGet struct {
+		CallID uint64
+		Key    string
 	}
-	// StateList reads the keys below a prefix, a page at a time.
-	StateList struct {
-		ID            uint64
+	// StoreList reads the keys below a prefix, a page at a time.
+	StoreList struct {
+		CallID        uint64
 		Prefix, After string
 	}
-	// StateTxn carries out a transaction.
-	StateTxn struct {
-		ID  uint64
-		Txn wire.Txn
+	// StoreTxn carries out a transaction.
+	StoreTxn struct {
+		CallID uint64
+		Txn    wire.Txn
 	}
-	// StateGrant asks for a lease.
-	StateGrant struct {
-		ID  uint64
-		TTL time.Duration
+	// StoreGrantLease asks for a lease.
+	StoreGrantLease struct {
+		CallID uint64
+		TTL    time.Duration
 	}
-	// StateExtend renews a lease.
-	StateExtend struct{ ID, Lease uint64 }
-	// StateRevoke ends a lease.
-	StateRevoke struct{ ID, Lease uint64 }
-	// StateWatch waits for changes of the keys below a prefix.
-	StateWatch struct {
-		ID     uint64
+	// StoreRenewLease renews a lease.
+	StoreRenewLease struct{ CallID, Lease uint64 }
+	// StoreRevokeLease ends a lease.
+	StoreRevokeLease struct{ CallID, Lease uint64 }
+	// StoreWatch waits for changes of the keys below a prefix.
+	StoreWatch struct {
+		CallID uint64
 		Prefix string
 		After  uint64
 		Wait   time.Duration
 	}
 	// CloudCatalog reads the machine types.
-	CloudCatalog struct{ ID uint64 }
-	// CloudRent asks for machines.
-	CloudRent struct {
-		ID      uint64
+	CloudCatalog struct{ CallID uint64 }
+	// CloudScaleOut asks for machines.
+	CloudScaleOut struct {
+		CallID  uint64
 		Request wire.ScaleOutRequest
 	}
-	// CloudRelease gives machines back.
-	CloudRelease struct {
-		ID    uint64
-		Names []string
+	// CloudScaleIn gives machines back.
+	CloudScaleIn struct {
+		CallID uint64
+		Names  []string
 	}
 	// CloudList reads a page of the machines that the cloud lists.
 	CloudList struct {
-		ID    uint64
-		After string
+		CallID uint64
+		After  string
 	}
-	// WorkerOrders sends commands to a worker directly. Its Result is OK or Conflict
+	// SendCommands sends commands to a worker directly. Its Result is OK or Conflict
 	// (nothing was executed) with the worker's report, Refused if it was certainly not
 	// sent, or Unknown: it may be executed at any later time.
-	WorkerOrders struct {
-		ID       uint64
-		Addr     string
-		Token    uint64
-		Session  uint64
-		Commands []wire.Command
+	SendCommands struct {
+		CallID       uint64
+		Addr         string
+		FencingToken uint64
+		Incarnation  uint64
+		Commands     []wire.Command
 	}
-	// WorkerInspect asks a worker directly for its report. Its Result is OK with it, or
+	// QueryWorker asks a worker directly for its report. Its Result is OK with it, or
 	// anything else: no answer came.
-	WorkerInspect struct {
-		ID   uint64
-		Addr string
+	QueryWorker struct {
+		CallID uint64
+		Addr   string
 	}
 	// ProbeReplica asks a replica of a plan whether it is healthy and answers rightly.
 	ProbeReplica struct {
-		ID      uint64
+		CallID  uint64
 		Probe   rollout.Probe
 		Checks  []rollout.Check
 		Timeout time.Duration
 	}
-	// PeerAsk asks another node for its status and hands it cancellations, as Heard: an OK
+	// QueryPeer asks another node for its status and hands it cancellations, as Heard: an OK
 	// means that it has taken them in.
-	PeerAsk struct {
-		ID            uint64
+	QueryPeer struct {
+		CallID        uint64
 		Node          string
 		Cancellations []Cancellation
 	}
@@ -219,23 +219,23 @@
 type Log struct {
 	Level   Level
 	Message string
-	Pairs   []any
+	Fields  []any
 }
 
-func (Answer) effect()        {}
-func (StateGet) effect()      {}
-func (StateList) effect()     {}
-func (StateTxn) effect()      {}
-func (StateGrant) effect()    {}
-func (StateExtend) effect()   {}
-func (StateRevoke) effect()   {}
-func (StateWatch) effect()    {}
-func (CloudCatalog) effect()  {}
-func (CloudRent) effect()     {}
-func (CloudRelease) effect()  {}
-func (CloudList) effect()     {}
-func (WorkerOrders) effect()  {}
-func (WorkerInspect) effect() {}
-func (PeerAsk) effect()       {}
-func (ProbeReplica) effect()  {}
-func (Log) effect()           {}
+func (Response) effect()         {}
+func (StoreGet) effect()         {}
+func (StoreList) effect()        {}
+func (StoreTxn) effect()         {}
+func (StoreGrantLease) effect()  {}
+func (StoreRenewLease) effect()  {}
+func (StoreRevokeLease) effect() {}
+func (StoreWatch) effect()       {}
+func (CloudCatalog) effect()     {}
+func (CloudScaleOut) effect()    {}
+func (CloudScaleIn) effect()     {}
+func (CloudList) effect()        {}
+func (SendCommands) effect()     {}
+func (QueryWorker) effect()      {}
+func (QueryPeer) effect()        {}
+func (ProbeReplica) effect()     {}
+func (Log) effect()              {}
--- a/internal/core/job_ends.go
+++ b/internal/core/job_ends.go
@@ -23,7 +23,7 @@
 		}
 	}
 	records := w.l.recordKeys(j)
-	j.end = finalValue{State: wire.JobDone, Done: j.done, AtMS: w.l.c.now.WallMS}
+	j.end = finalState{State: wire.JobDone, Done: j.done, EndedMS: w.l.c.now.WallMS}
 	if j.cancelled {
 		j.end.State = wire.JobCancelled
 	}
@@ -31,10 +31,10 @@
 	if err != nil {
 		return false
 	}
-	b.cond(keyActive+j.id, j.version)
-	b.txn.Then = append(b.txn.Then, wire.Op{Put: keyFinal + j.id, Value: value}, wire.Op{Delete: keyActive + j.id})
+	b.cond(activeJobPrefix+j.id, j.version)
+	b.txn.Then = append(b.txn.Then, wire.Op{Put: finalStatePrefix + j.id, Value: value}, wire.Op{Delete: activeJobPrefix + j.id})
 	for _, r := range records {
-		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.l.c.limits.conditions() {
+		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.l.c.limits.maxConditions() {
 			b.cond(r.Key, r.Version)
 			b.txn.Then = append(b.txn.Then, wire.Op{Delete: r.Key})
 		}
@@ -49,7 +49,7 @@
 	switch {
 	case r.Outcome == call.OK:
 		w.ended(j, b)
-	case failed[keyActive+j.id]:
+	case failed[activeJobPrefix+j.id]:
 		// A cancel came first, or this very end was applied before, its outcome
 		// unknown. It is written again only once that is known: repeating it
 		// blindly would go on for good.
@@ -69,7 +69,7 @@
 // transaction.
 func (w *writer) ended(j *job, b *batch) {
 	l, c := w.l, w.l.c
-	c.keepFinal(j.id, j.end)
+	c.cacheFinalState(j.id, j.end)
 	for _, r := range l.recordKeys(j) {
 		if !b.seen[r.Key] {
 			w.orphan(r.Key, r.Version)
@@ -86,7 +86,7 @@
 	id := l.stateCall(func(r Result) {
 		switch r.Outcome {
 		case call.OK:
-			c.learn(j.id, r.Item.Value, r.Item.Version, fromRead)
+			c.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
 			l.jobChanged(j.id)
 			if j.final {
 				w.finish(j)
@@ -105,5 +105,5 @@
 			}
 		}
 	})
-	c.send(StateGet{ID: id, Key: keyActive + j.id})
+	c.emit(StoreGet{CallID: id, Key: activeJobPrefix + j.id})
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -30,7 +30,7 @@
 	cancelled   bool
 	cancelledAt time.Duration // on the steady clock
 	final       bool          // its last write is on the way
-	end         finalValue    // as it is written then
+	end         finalState    // as it is written then
 
 	team   *config.Team
 	chunks map[int]*chunk
@@ -164,7 +164,7 @@
 
 // runKey is the key of a chunk's record.
 func (l *leader) runKey(ch *chunk) string {
-	return keyRuns + l.layout.Key(ch.job.id, ch.index).String()
+	return runRecordPrefix + l.layout.Key(ch.job.id, ch.index).String()
 }
 
 func (l *leader) chunkOf(j *job, task int) *chunk {
@@ -229,14 +229,14 @@
 
 func (j *job) array() bool { return j.spec.Kind == wire.KindArray }
 
-func (j *job) counts() counts {
+func (j *job) counts() taskCounts {
 	running := 0
 	for _, p := range j.placed {
 		if p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing {
 			running++
 		}
 	}
-	return counts{running, j.done}
+	return taskCounts{running, j.done}
 }
 
 func (j *job) before(k *job) bool {
@@ -273,13 +273,13 @@
 }
 
 // addJob takes a job up. One that needs others waits until they are done.
-func (l *leader) addJob(id string, e *entry) *job {
-	status := l.c.deps.graph.Of(id)
-	j := &job{id: id, spec: e.Job, at: e.AtMS, queuedAt: e.AtMS, version: e.version, team: l.teamOf(e.Job.Team),
+func (l *leader) addJob(id string, e *cachedJob) *job {
+	status := l.c.dependencies.graph.Of(id)
+	j := &job{id: id, spec: e.Spec, at: e.AcceptedMS, queuedAt: e.AcceptedMS, version: e.version, team: l.teamOf(e.Spec.Team),
 		rank: status.Priority, latestEnd: status.LatestEndMS, chunks: map[int]*chunk{}, placed: map[int]*placement{}, zones: map[string]int{}, replicas: l.replicas}
 	l.jobs[id] = j
-	j.waiting = len(e.Job.Dependencies) > 0
-	j.held = l.planHolds(id, e.Job)
+	j.waiting = len(e.Spec.Dependencies) > 0
+	j.held = l.planHolds(id, e.Spec)
 	if !j.waiting && !j.held {
 		l.enqueue(j)
 	}
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -56,7 +56,7 @@
 // leaderNode gives the node that leads; nil if none does.
 func (y *scaleCluster) leaderNode() *scaleNode {
 	for _, n := range y.nodes {
-		if n.core.PeerStatus().Leads {
+		if n.core.PeerStatus().Leading {
 			return n
 		}
 	}
@@ -66,7 +66,7 @@
 // follower gives a node that does not lead.
 func (y *scaleCluster) follower() *scaleNode {
 	for _, n := range y.nodes {
-		if !n.core.PeerStatus().Leads {
+		if !n.core.PeerStatus().Leading {
 			return n
 		}
 	}
@@ -164,7 +164,7 @@
 	n, pending := y.follower(), 0
 	for _, id := range y.live {
 		y.req++
-		y.step(n, core.Poll{Req: y.req << 16, ID: id})
+		y.step(n, core.GetJob{RequestID: y.req << 16, ID: id})
 		y.pass(100 * time.Millisecond)
 		if s, ok := y.polled.(wire.JobState); !ok || s.State != wire.JobRunning {
 			pending++
@@ -205,7 +205,7 @@
 	y.told = map[uint64]int{}
 	for i, id := range ids {
 		y.req++
-		y.step(n, core.Cancel{Req: y.req << 16, ID: id})
+		y.step(n, core.CancelJob{RequestID: y.req << 16, ID: id})
 		if i%100 == 99 {
 			y.pass(600 * time.Millisecond)
 		}
@@ -220,9 +220,9 @@
 	}
 	for _, x := range y.nodes {
 		s := x.core.PeerStatus()
-		listed := len(strings.Join(s.Unsettled, ",,"))
-		if s.Leads && (!s.UnsettledMore || listed > 32<<10) {
-			t.Errorf("%d unsettled jobs in %d bytes, more: %v", len(s.Unsettled), listed, s.UnsettledMore)
+		listed := len(strings.Join(s.UnresolvedCancellations, ",,"))
+		if s.Leading && (!s.MoreUnresolved || listed > 32<<10) {
+			t.Errorf("%d unsettled jobs in %d bytes, more: %v", len(s.UnresolvedCancellations), listed, s.MoreUnresolved)
 		}
 	}
 }
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -35,22 +35,22 @@
 
 // layout gives the layout that the state service says is in use.
 func (c *Core) layout() record.Layout {
-	if c.dir.layoutAt != 0 {
-		return c.dir.layout
+	if c.cache.layoutVersion != 0 {
+		return c.cache.layout
 	}
 	return record.Layout{ByIndex: record.ByIndexFor(c.limits.present.ValueKB)}
 }
 
-// allKnowLayout tells whether all other nodes have said that they know the second layout.
-func (c *Core) allKnowLayout() bool {
-	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return p.layouts < layoutByTask })
+// allPeersSupportRecordLayout tells whether all other nodes have said that they know the second layout.
+func (c *Core) allPeersSupportRecordLayout() bool {
+	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return p.recordLayouts < layoutByTask })
 }
 
 // changeLayout writes the decision once it may be taken and no record is on its way. A record written
 // late, after the change, would else tell of tasks what newer ones don't.
 func (l *leader) changeLayout() {
 	c, x := l.c, &l.change
-	if l.layout.ByTask > 0 || !c.limits.valuesShrink() || !c.allKnowLayout() || c.stateDown || !c.elect.inTime() {
+	if l.layout.ByTask > 0 || !c.limits.valuesShrink() || !c.allPeersSupportRecordLayout() || c.storeDown || !c.election.leaseValid() {
 		x.wanted = x.busy
 		return
 	}
@@ -59,12 +59,12 @@
 		return
 	}
 	if c.now.Steady < x.notNow {
-		c.at(x.notNow)
+		c.wakeBy(x.notNow)
 		return
 	}
-	next := record.Layout{ByIndex: l.layout.ByIndex, ByTask: record.ByTaskFor(c.limits.valueBytes())}
+	next := record.Layout{ByIndex: l.layout.ByIndex, ByTask: record.ByTaskFor(c.limits.maxValueBytes())}
 	layout, err1 := json.Marshal(next)
-	term, err2 := c.encodeTermIn(termValue{l.term, c.set.Node}, next)
+	term, err2 := c.encodeTermForStore(termRecord{l.term, c.settings.Node}, next)
 	if err1 != nil || err2 != nil {
 		return
 	}
@@ -77,15 +77,15 @@
 		case call.Conflict:
 			// It was applied before, its outcome unknown, or the term has moved on. The next leader
 			// finds out.
-			c.elect.stepDown("the layout of records may have changed")
+			c.election.stepDown("the layout of records may have changed")
 		default:
-			x.notNow = c.now.Steady + c.t.retry
-			c.at(x.notNow)
+			x.notNow = c.now.Steady + c.times.retryPause
+			c.wakeBy(x.notNow)
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: keyTerm, Version: l.version}, {Key: keyLayout}},
-		Then: []wire.Op{{Put: keyLayout, Value: layout}, {Put: keyTerm, Value: term}},
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
+		If:   []wire.Condition{{Key: termKey, Version: l.version}, {Key: recordLayoutKey}},
+		Then: []wire.Op{{Put: recordLayoutKey, Value: layout}, {Put: termKey, Value: term}},
 	}})
 }
 
@@ -95,11 +95,11 @@
 	c, old := l.c, l.layout
 	l.version, l.layout = version, next
 	l.change.wanted = false
-	if version > c.dir.termVersion {
-		c.dir.term, c.dir.termVersion = termValue{l.term, c.set.Node}, version
+	if version > c.cache.termVersion {
+		c.cache.term, c.cache.termVersion = termRecord{l.term, c.settings.Node}, version
 	}
-	if version > c.dir.layoutAt {
-		c.dir.layout, c.dir.layoutAt = next, version
+	if version > c.cache.layoutVersion {
+		c.cache.layout, c.cache.layoutVersion = next, version
 	}
 	l.writes.dirty = nil
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
@@ -116,7 +116,7 @@
 	for _, index := range slices.Sorted(maps.Keys(chunks)) {
 		ch := chunks[index]
 		if ch.version != 0 {
-			j.supersede(keyRuns+old.Key(j.id, index).String(), ch.version)
+			j.supersede(runRecordPrefix+old.Key(j.id, index).String(), ch.version)
 		}
 		stale := !ch.clean() || ch.reading
 		ch.dirty = false
@@ -145,9 +145,9 @@
 // mostRecord is how large a record may be.
 func (l *leader) mostRecord() int {
 	if l.layout.ByTask > 0 {
-		return l.c.limits.valueBytes()
+		return l.c.limits.maxValueBytes()
 	}
-	return l.c.limits.largestValue()
+	return l.c.limits.largestAcceptedValue()
 }
 
 // shed takes back what was placed and not written, in a record of the first layout that is too large by
@@ -163,9 +163,9 @@
 // crowded tells whether the record of a task had better take no further placement: the limits have
 // fallen before the layout could change.
 func (l *leader) crowded(j *job, task int) bool {
-	if l.layout.ByTask > 0 || !l.c.limits.fallen {
+	if l.layout.ByTask > 0 || !l.c.limits.lowered {
 		return false
 	}
 	ch := j.chunks[task/l.chunkSize()]
-	return ch != nil && len(l.placedIn(ch)) >= l.c.limits.valueBytes()/record.PlacementBytes
+	return ch != nil && len(l.placedIn(ch)) >= l.c.limits.maxValueBytes()/record.PlacementBytes
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -42,7 +42,7 @@
 	due        []*machine    // with starts that were just committed
 	layout     record.Layout // of the run records
 	change     layoutChange
-	guard      termGuard
+	guard      termFormatUpgrade
 	plans      *planRuns
 	allowances *allowances
 	evaluated  uint64                   // evaluations of the dependency graph that are taken in
@@ -69,29 +69,29 @@
 	l := &leader{c: c, term: term, version: version, since: c.now.Steady, releaseAt: farFuture,
 		runs: map[string]wire.Item{}, jobs: map[string]*job{}, machines: map[string]*machine{},
 		room: capacity.NewIndex[*host](), replicas: spread.NewLedger(), released: map[string]time.Duration{}, cutZones: map[string]bool{}, outAt: map[string]time.Duration{}}
-	l.unread.renewedBefore = c.renewals.answers[UnreadLeaderBasis]
+	l.unread.renewedBefore = c.leaseRenewals.answers[RecoveringLeaderBasis]
 	l.plans = newPlanRuns(l)
 	l.allowances = newAllowances(l)
 	l.writes.init(l)
 	l.rentals.init(l)
 	l.rounds.at = c.now.Steady
-	l.unreachable = unreachableHints{l: l, at: c.now.Steady + c.t.heartbeat}
+	l.unreachable = unreachableHints{l: l, at: c.now.Steady + c.times.checkInterval}
 	l.images = imageHints{l: l, at: c.now.Steady, last: map[string]string{}}
 	return l
 }
 
 // call registers a result that counts only while this term lasts.
 func (l *leader) call(f func(Result)) uint64 {
-	return l.c.call(func(r Result) {
-		if l.c.lead == l {
+	return l.c.registerCall(func(r Result) {
+		if l.c.leader == l {
 			f(r)
 		}
 	})
 }
 
 func (l *leader) stateCall(f func(Result)) uint64 {
-	return l.c.stateCall(func(r Result) {
-		if l.c.lead == l {
+	return l.c.registerStoreCall(func(r Result) {
+		if l.c.leader == l {
 			f(r)
 		}
 	})
@@ -107,16 +107,16 @@
 	l.followDependencies()
 	l.allowances.run()
 	if now := l.c.now.Steady; now >= l.tendAt {
-		l.tendAt = l.c.aligned(now + 1)
+		l.tendAt = l.c.coalesce(now + 1)
 		l.watchMachines()
 		l.cancels()
 		l.rentals.stuck()
-		l.c.warnOfSize(len(l.fleet))
+		l.c.warnOfUndersizedSettings(len(l.fleet))
 	}
-	l.c.at(l.tendAt)
+	l.c.wakeBy(l.tendAt)
 	l.round()
 	l.changeLayout()
-	l.guardTerm()
+	l.upgradeTermFormat()
 	l.plans.run()
 	l.runPrefetches()
 	l.writes.run()
@@ -130,31 +130,31 @@
 // entitled tells whether this leader may act for the controllers: in time, or in
 // an outage of the state service that all nodes confirm, in which nobody can win
 // a term.
-func (l *leader) entitled() bool { return l.c.elect.inTime() || l.c.allRefused() }
+func (l *leader) entitled() bool { return l.c.election.leaseValid() || l.c.storeOutageConfirmed() }
 
 // load reads the run records and waits until the watch has come as far as the
 // win. Both are then complete: later writes of earlier terms fail.
 func (l *leader) load() {
 	if !l.reading && !l.runsAll {
 		if l.c.now.Steady < l.readAt {
-			l.c.at(l.readAt)
+			l.c.wakeBy(l.readAt)
 			return
 		}
 		l.readRuns()
 	}
-	if !l.runsAll || l.c.dir.revision < l.version {
+	if !l.runsAll || l.c.cache.revision < l.version {
 		l.warnUnread()
 		return
 	}
 	l.layout = l.c.layout()
-	l.unreachable.last = l.c.dir.unreachableTexts()
-	ids := make([]string, 0, len(l.c.dir.jobs))
-	for id := range l.c.dir.jobs {
+	l.unreachable.last = l.c.cache.unreachableHintTexts()
+	ids := make([]string, 0, len(l.c.cache.jobs))
+	for id := range l.c.cache.jobs {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		l.addJob(id, l.c.dir.jobs[id])
+		l.addJob(id, l.c.cache.jobs[id])
 	}
 	l.takeRecords(l.runs)
 	l.runs = nil
@@ -176,8 +176,8 @@
 		l.reading = false
 		if r.Outcome != call.OK {
 			// What was read stays as it is: nobody but this leader writes records in its term.
-			l.readAt = l.c.now.Steady + l.c.t.retry
-			l.c.at(l.readAt)
+			l.readAt = l.c.now.Steady + l.c.times.retryPause
+			l.c.wakeBy(l.readAt)
 			return
 		}
 		for _, it := range r.Page.Items {
@@ -190,7 +190,7 @@
 		}
 		l.runsAll, l.runsAllAt = true, l.c.now.Steady
 	})
-	l.c.send(StateList{ID: id, Prefix: keyRuns, After: l.runsAfter})
+	l.c.emit(StoreList{CallID: id, Prefix: runRecordPrefix, After: l.runsAfter})
 }
 
 // takeRecords takes the run records of earlier terms.
@@ -198,7 +198,7 @@
 	found := map[string][]record.Stored{}
 	for _, name := range slices.Sorted(maps.Keys(items)) {
 		it := items[name]
-		key, ok := record.ParseKey(strings.TrimPrefix(name, keyRuns))
+		key, ok := record.ParseKey(strings.TrimPrefix(name, runRecordPrefix))
 		if !ok {
 			l.c.log(Error, "a run record of another version", "key", name)
 			continue
@@ -231,7 +231,7 @@
 	}
 	for _, s := range found {
 		if l.layout.ByTask > 0 && !s.Key.ByTask {
-			j.supersede(keyRuns+s.Key.String(), s.Version)
+			j.supersede(runRecordPrefix+s.Key.String(), s.Version)
 		}
 	}
 	parts := l.layout.Assemble(found)
@@ -263,12 +263,12 @@
 	if !l.loaded {
 		return
 	}
-	e, j := l.c.dir.jobs[id], l.jobs[id]
+	e, j := l.c.cache.jobs[id], l.jobs[id]
 	if e == nil {
 		return // only the leader ends jobs, and drops them itself
 	}
 	if j == nil {
-		if _, over := l.c.dir.finals[id]; over {
+		if _, over := l.c.cache.finals[id]; over {
 			return
 		}
 		j = l.addJob(id, e)
@@ -347,9 +347,9 @@
 // recorded may long be gone, its end not yet written: the machine gets the time to say so here,
 // as far as there is any.
 func (l *leader) cancelDue(p *placement) time.Duration {
-	due := p.job.cancelledAt + l.c.t.cancel*4/10
+	due := p.job.cancelledAt + l.c.times.cancelDeadline*4/10
 	if !p.machine.up {
-		due = max(due, min(l.since+l.c.t.lease/2, p.job.cancelledAt+l.c.t.cancel*6/10))
+		due = max(due, min(l.since+l.c.times.lease/2, p.job.cancelledAt+l.c.times.cancelDeadline*6/10))
 	}
 	return due
 }
--- a/internal/core/lease_answers.go
+++ b/internal/core/lease_answers.go
@@ -14,33 +14,33 @@
 	// LeaderBasis: this node leads and has read the records.
 	LeaderBasis LeaseBasis = iota
 	// UnreadLeaderBasis: it leads, and has yet to read the records.
-	UnreadLeaderBasis
+	RecoveringLeaderBasis
 	// LateReportBasis: it leads, and the report is older than one that it has taken in.
-	LateReportBasis
+	StaleHeartbeatBasis
 	// GoneMachineBasis: it leads, and the machine was given back or is gone otherwise.
-	GoneMachineBasis
+	RemovedMachineBasis
 	// RelayBasis: another node leads that the worker can't reach.
 	RelayBasis
 	// VacancyBasis: nobody leads, between two terms.
 	VacancyBasis
 	// NoStateBasis: the state service serves no node that answers, and none of them leads.
-	NoStateBasis
+	StoreOutageBasis
 	// CutZoneBasis: the zone of this node and of the worker is cut off.
-	CutZoneBasis
-	LeaseBases
+	IsolatedZoneBasis
+	LeaseBasisCount
 )
 
 // leaseBasisNames are the names in logs and metrics.
-var leaseBasisNames = [LeaseBases]string{"leader", "unread_leader", "late_report", "gone_machine", "relay", "vacancy", "no_state", "cut_zone"}
+var leaseBasisNames = [LeaseBasisCount]string{"leader", "unread_leader", "late_report", "gone_machine", "relay", "vacancy", "no_state", "cut_zone"}
 
 // String names a basis in logs and metrics.
 func (b LeaseBasis) String() string { return leaseBasisNames[b] }
 
 // leaseRenewals counts the answers that renew leases, and the stops of cancelled tasks in them, by their basis.
 type leaseRenewals struct {
-	answers [LeaseBases]uint64
-	stops   [LeaseBases]uint64
-	lastAt  [LeaseBases]time.Duration
+	answers [LeaseBasisCount]uint64
+	stops   [LeaseBasisCount]uint64
+	lastAt  [LeaseBasisCount]time.Duration
 }
 
 // leaseAnswer is an answer to a report that renews the worker's lease. Whoever renews a lease lets the worker's tasks go
@@ -62,7 +62,7 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		id, _, ok := wire.ParseTaskName(t.Task)
-		if !ok || t.State == wire.TaskExited || a.full() || !c.knowsCancelled(id) {
+		if !ok || t.State == wire.TaskExited || a.full() || !c.isKnownCancelled(id) {
 			continue
 		}
 		if a.stopped == nil {
@@ -92,25 +92,25 @@
 
 // renewLease answers a report with 200, which renews the worker's lease. No other code does.
 func (c *Core) renewLease(req uint64, basis LeaseBasis, token uint64, a *leaseAnswer) {
-	c.countRenewal(basis)
+	c.countLeaseRenewal(basis)
 	if n := len(a.stopped); n > 0 {
-		c.renewals.stops[basis] += uint64(n)
+		c.leaseRenewals.stops[basis] += uint64(n)
 		c.log(Debug, "stops cancelled tasks", "machine", a.machine, "basis", basis, "tasks", n)
 	}
-	c.answer(req, 200, wire.HeartbeatResponse{FencingToken: token, Commands: a.commands})
+	c.respond(req, 200, wire.HeartbeatResponse{FencingToken: token, Commands: a.commands})
 }
 
-// knowsCancelled tells whether this node knows that a job is cancelled.
-func (c *Core) knowsCancelled(job string) bool {
-	return c.dir.jobs[job].cancelled() || c.dir.finals[job].State == wire.JobCancelled
+// isKnownCancelled tells whether this node knows that a job is cancelled.
+func (c *Core) isKnownCancelled(job string) bool {
+	return c.cache.jobs[job].cancelled() || c.cache.finals[job].State == wire.JobCancelled
 }
 
-// countRenewal counts an answer. The first one on a basis, or the first for a lease, is logged.
-func (c *Core) countRenewal(basis LeaseBasis) {
-	last := &c.renewals.lastAt[basis]
-	if *last == 0 || c.now.Steady-*last > c.t.lease {
-		c.log(Debug, "renews leases", "basis", basis, "answers_before", c.renewals.answers[basis])
+// countLeaseRenewal counts an answer. The first one on a basis, or the first for a lease, is logged.
+func (c *Core) countLeaseRenewal(basis LeaseBasis) {
+	last := &c.leaseRenewals.lastAt[basis]
+	if *last == 0 || c.now.Steady-*last > c.times.lease {
+		c.log(Debug, "renews leases", "basis", basis, "answers_before", c.leaseRenewals.answers[basis])
 	}
 	*last = c.now.Steady
-	c.renewals.answers[basis]++
+	c.leaseRenewals.answers[basis]++
 }
--- a/internal/core/lease_answers_test.go
+++ b/internal/core/lease_answers_test.go
@@ -30,11 +30,11 @@
 		job := fmt.Sprintf("run-%06d", i)
 		switch {
 		case i%10 >= cancelledOf10:
-			c.dir.jobs[job] = &entry{activeValue: activeValue{Job: &wire.Job{ID: job, Tasks: 1}}}
+			c.cache.jobs[job] = &cachedJob{activeJob: activeJob{Spec: &wire.Job{ID: job, Tasks: 1}}}
 		case i%2 == 0:
-			c.dir.jobs[job] = &entry{activeValue: activeValue{Job: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1}}
+			c.cache.jobs[job] = &cachedJob{activeJob: activeJob{Spec: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1}}
 		default:
-			c.dir.finals[job] = finalValue{State: wire.JobCancelled}
+			c.cache.finals[job] = finalState{State: wire.JobCancelled}
 		}
 		state := states[rapid.IntRange(0, len(states)-1).Draw(t, "state")]
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
@@ -46,7 +46,7 @@
 func cancelledLeft(c *Core, r *wire.Heartbeat) (left int) {
 	for _, t := range r.Tasks {
 		job, _, _ := wire.ParseTaskName(t.Task)
-		if t.State != wire.TaskExited && c.knowsCancelled(job) {
+		if t.State != wire.TaskExited && c.isKnownCancelled(job) {
 			left++
 		}
 	}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -37,7 +37,7 @@
 	proven    bool          // it can't reach the leader
 }
 
-const keyRelayed = "w/k/"
+const relayedHeartbeatPrefix = "w/k/"
 
 func newLeaseRelay(c *Core) *leaseRelay {
 	return &leaseRelay{c: c, workers: map[string]*relayedWorker{}, asked: map[string]time.Duration{}}
@@ -46,11 +46,11 @@
 // leader gives the other node that leads, as far as this node knows.
 func (k *leaseRelay) leader() *peer {
 	c := k.c
-	if c.lead != nil || c.dir.leadVersion == 0 || c.dir.lead.Node == c.set.Node || c.stateDown {
+	if c.leader != nil || c.cache.leaderVersion == 0 || c.cache.leader.Node == c.settings.Node || c.storeDown {
 		return nil
 	}
 	for _, p := range c.peers {
-		if p.node == c.dir.lead.Node {
+		if p.name == c.cache.leader.Node {
 			return p
 		}
 	}
@@ -60,50 +60,50 @@
 // vacant tells whether nobody leads, between two terms: the state service serves this node and
 // shows no leader, or an earlier process of this very node.
 func (k *leaseRelay) vacant() bool {
-	d := k.c.dir
-	return d.ready && (d.leadVersion == 0 || d.lead.Node == k.c.set.Node)
+	d := k.c.cache
+	return d.ready && (d.leaderVersion == 0 || d.leader.Node == k.c.settings.Node)
 }
 
 // cutOff tells whether the leader leads but can't be reached from here.
 func (k *leaseRelay) cutOff() bool {
 	p := k.leader()
-	return p != nil && p.askedAt != 0 && !p.reached
+	return p != nil && p.queriedAt != 0 && !p.reachable
 }
 
 // apart tells whether the leader says that workers of a zone can't reach it: they need
 // not try, which would cost them much of their lease.
 func (k *leaseRelay) apart(zone string) bool {
 	p := k.leader()
-	return p != nil && k.c.leads(p) && slices.Contains(p.status.ZonesApart, zone)
+	return p != nil && k.c.peerLeads(p) && slices.Contains(p.status.UnreachableZones, zone)
 }
 
 // current tells whether the leader's term was seen to be current just now, in the
 // state service or by the leader's own word.
 func (k *leaseRelay) current(p *peer) bool {
 	c := k.c
-	return k.leadOK != 0 && c.now.Steady-k.leadOK < 2*c.t.heartbeat ||
-		c.leads(p) && p.status.Term == c.dir.lead.Term
+	return k.leadOK != 0 && c.now.Steady-k.leadOK < 2*c.times.checkInterval ||
+		c.peerLeads(p) && p.status.Term == c.cache.leader.Term
 }
 
 // checkin answers a worker in the leader's place; false if that is not due.
-func (k *leaseRelay) checkin(in Checkin) bool {
-	c, r := k.c, in.Report
+func (k *leaseRelay) checkin(in WorkerHeartbeat) bool {
+	c, r := k.c, in.Heartbeat
 	now := c.now.Steady
 	if len(r.Tasks) == 0 {
 		// There is nothing to keep alive: it had better find the leader.
 		return false
 	}
-	if c.stateDown {
+	if c.storeDown {
 		return k.renewWithoutState(in)
 	}
 	if k.vacant() {
 		// Sent on to the next node, it might wait for one that is down, and lose its lease
 		// before it has found the next leader. The answer repeats its own token, as that of
 		// renewWithoutState does, and is safe for the same reasons.
-		c.renewLease(in.Req, VacancyBasis, r.FencingToken, c.newLeaseAnswer(r))
+		c.renewLease(in.RequestID, VacancyBasis, r.FencingToken, c.newLeaseAnswer(r))
 		return true
 	}
-	term := c.dir.lead.Term
+	term := c.cache.leader.Term
 	p := k.leader()
 	if p == nil || termOf(r.FencingToken) > term {
 		return false
@@ -127,9 +127,9 @@
 	w.at = now
 	if k.term != term {
 		k.term = term
-		c.log(Info, "keeping workers for a leader out of reach", "leader", c.dir.lead.Node, "term", term)
+		c.log(Info, "keeping workers for a leader out of reach", "leader", c.cache.leader.Node, "term", term)
 	}
-	c.renewLease(in.Req, RelayBasis, max(firstToken(term), r.FencingToken), c.newLeaseAnswer(r))
+	c.renewLease(in.RequestID, RelayBasis, max(firstToken(term), r.FencingToken), c.newLeaseAnswer(r))
 	return true
 }
 
@@ -141,13 +141,13 @@
 	now := c.now.Steady
 	at, was := k.asked[r.Machine]
 	w := &relayedWorker{report: r, since: now}
-	w.proven = was && now-at < c.t.lease || k.cutOff() && r.Zone == c.set.Zone || k.apart(r.Zone)
+	w.proven = was && now-at < c.times.lease || k.cutOff() && r.Zone == c.settings.Zone || k.apart(r.Zone)
 	k.workers[r.Machine] = w
 	k.names = append(k.names, r.Machine)
 	// With its next report it is sent to the leader, which must have heard of it by
 	// then: else it counts as silent there while it is on its way.
-	k.writeAt = min(k.writeAt, now+c.t.heartbeat/2)
-	c.log(Debug, "keeping worker for the leader", "machine", r.Machine, "leader", c.dir.lead.Node)
+	k.writeAt = min(k.writeAt, now+c.times.checkInterval/2)
+	c.log(Debug, "keeping worker for the leader", "machine", r.Machine, "leader", c.cache.leader.Node)
 	return w
 }
 
@@ -157,7 +157,7 @@
 	if k.apart(zone) {
 		return false
 	}
-	return !w.proven || !k.cutOff() && k.c.now.Steady-w.since > 2*k.c.t.lease
+	return !w.proven || !k.cutOff() && k.c.now.Steady-w.since > 2*k.c.times.lease
 }
 
 // mostAsked bounds the workers that are remembered as sent to the leader.
@@ -182,22 +182,22 @@
 // It may go on for as long as the trouble lasts. In a zone that is cut off nothing is left of jobs
 // whose users were told of a cancellation; elsewhere only a node that knew the jobs before does
 // this, which lacks no such cancellation (cancellationReplicator).
-func (k *leaseRelay) renewWithoutState(in Checkin) bool {
-	c, r := k.c, in.Report
-	cut := c.zoneCut()
-	if cut && r.Zone != c.set.Zone {
+func (k *leaseRelay) renewWithoutState(in WorkerHeartbeat) bool {
+	c, r := k.c, in.Heartbeat
+	cut := c.ownZoneIsolated()
+	if cut && r.Zone != c.settings.Zone {
 		k.foreign = true
 	}
-	alone := c.noneServed() && c.leadingPeer() == ""
-	wholeZone, lastWord := cut && !k.foreign, alone && c.dir.ready
+	alone := c.noPeerServed() && c.leadingPeer() == ""
+	wholeZone, lastWord := cut && !k.foreign, alone && c.cache.ready
 	if !wholeZone && !lastWord {
 		return false
 	}
-	basis := NoStateBasis
+	basis := StoreOutageBasis
 	if wholeZone {
-		basis = CutZoneBasis
+		basis = IsolatedZoneBasis
 	}
-	c.renewLease(in.Req, basis, r.FencingToken, c.newLeaseAnswer(r))
+	c.renewLease(in.RequestID, basis, r.FencingToken, c.newLeaseAnswer(r))
 	return true
 }
 
@@ -206,29 +206,29 @@
 func (k *leaseRelay) run() {
 	c := k.c
 	now := c.now.Steady
-	k.foreign = k.foreign && c.stateDown
+	k.foreign = k.foreign && c.storeDown
 	if (len(k.workers) > 0 || k.cutOff()) && !k.asking {
 		if now < k.askAt {
-			c.at(k.askAt)
+			c.wakeBy(k.askAt)
 		} else {
 			k.asking = true
-			k.askAt = now + c.t.heartbeat/2
-			id := c.stateCall(func(r Result) {
+			k.askAt = now + c.times.checkInterval/2
+			id := c.registerStoreCall(func(r Result) {
 				k.asking = false
 				if r.Outcome == call.OK {
-					k.leadOK = r.Sent
+					k.leadOK = r.SentAt
 				}
 			})
-			c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{c.dir.leadCond()}}})
+			c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.leaderCondition()}}})
 		}
 	}
-	if k.leader() == nil || k.term != 0 && c.dir.lead.Term != k.term {
+	if k.leader() == nil || k.term != 0 && c.cache.leader.Term != k.term {
 		clear(k.workers)
 		clear(k.asked)
 		k.names = k.names[:0]
 	}
 	for _, name := range append([]string(nil), k.names...) {
-		if now-k.workers[name].at > c.t.lease {
+		if now-k.workers[name].at > c.times.lease {
 			k.drop(name)
 		}
 	}
@@ -236,14 +236,14 @@
 		c.log(Info, "no longer keeping workers")
 		k.term = 0
 	}
-	if k.writing || len(k.names) == 0 && k.shards == 0 || c.stateDown {
+	if k.writing || len(k.names) == 0 && k.shards == 0 || c.storeDown {
 		return
 	}
 	if now < k.writeAt {
-		c.at(k.writeAt)
+		c.wakeBy(k.writeAt)
 		return
 	}
-	k.writeAt = now + 2*c.t.heartbeat
+	k.writeAt = now + 2*c.times.checkInterval
 	k.write()
 }
 
@@ -266,10 +266,10 @@
 			reports = append(reports, b)
 		}
 	}
-	packer := &relayPacker{most: withRoom(c.limits.largestValue())}
+	packer := &relayPacker{most: usableValueBytes(c.limits.largestAcceptedValue())}
 	if c.layout().ByTask > 0 {
 		// All nodes are known to read the compressed form.
-		packer.most, packer.compressed = c.mostValue(), true
+		packer.most, packer.compressed = c.maxValueBytes(), true
 	}
 	if tooLarge := packer.pack(reports); tooLarge > 0 {
 		c.log(Debug, "reports of workers are too large to be passed on", "machines", tooLarge)
@@ -287,13 +287,13 @@
 	k.shards = max(k.shards, n)
 	left, good := len(ops), true
 	for len(ops) > 0 {
-		part := ops[:min(len(ops), c.limits.changes(), wire.MaxBody*9/10/packer.most)]
+		part := ops[:min(len(ops), c.limits.maxChanges(), wire.MaxBody*9/10/packer.most)]
 		ops = ops[len(part):]
 		k.writing = true
-		id := c.stateCall(func(r Result) {
+		id := c.registerStoreCall(func(r Result) {
 			good = good && r.Outcome == call.OK
 			if r.Outcome == call.Invalid {
-				c.limits.noticeRefused(wire.Txn{Then: part})
+				c.limits.observeInvalid(wire.Txn{Then: part})
 			}
 			if left -= len(part); left == 0 {
 				k.writing = false
@@ -302,43 +302,45 @@
 				}
 			}
 		})
-		c.send(StateTxn{ID: id, Txn: wire.Txn{Then: part}})
+		c.emit(StoreTxn{CallID: id, Txn: wire.Txn{Then: part}})
 	}
 }
 
-// mostValue is how large a value is made, and mostValues how many such values a
+// maxValueBytes is how large a value is made, and mostValues how many such values a
 // transaction holds.
-func (c *Core) mostValue() int {
-	return withRoom(c.limits.valueBytes())
+func (c *Core) maxValueBytes() int {
+	return usableValueBytes(c.limits.maxValueBytes())
 }
 
-// withRoom gives what is used of a value's limit.
-func withRoom(valueBytes int) int { return min(valueBytes, wire.MaxBody/4) * 9 / 10 }
+// usableValueBytes gives what is used of a value's limit.
+func usableValueBytes(valueBytes int) int { return min(valueBytes, wire.MaxBody/4) * 9 / 10 }
 
-func (c *Core) mostValues() int {
-	return min(c.limits.changes(), wire.MaxBody*9/10/c.mostValue())
+func (c *Core) maxValuesPerTxn() int {
+	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.maxValueBytes())
 }
 
-func (k *leaseRelay) key(i int) string { return keyRelayed + k.c.set.Node + "/" + strconv.Itoa(i) }
+func (k *leaseRelay) key(i int) string {
+	return relayedHeartbeatPrefix + k.c.settings.Node + "/" + strconv.Itoa(i)
+}
 
-// noticeRelayed hands reports that another node passed on to the leader.
-func (c *Core) noticeRelayed(key string, value json.RawMessage) {
-	if c.lead == nil || value == nil || !strings.HasPrefix(key, keyRelayed) {
+// applyRelayedHeartbeats hands reports that another node passed on to the leader.
+func (c *Core) applyRelayedHeartbeats(key string, value json.RawMessage) {
+	if c.leader == nil || value == nil || !strings.HasPrefix(key, relayedHeartbeatPrefix) {
 		return
 	}
-	c.noticeRelay(key)
+	c.observeRelay(key)
 	for _, r := range decodeRelayed(value) {
-		if r != nil && r.Machine != "" && termOf(r.FencingToken) <= c.lead.term {
-			c.lead.relayed(r, false)
+		if r != nil && r.Machine != "" && termOf(r.FencingToken) <= c.leader.term {
+			c.leader.relayed(r, false)
 		}
 	}
 }
 
-// noticeRelay notes that a node keeps workers, whether this one reaches it or not.
-func (c *Core) noticeRelay(key string) {
-	node, _, _ := strings.Cut(strings.TrimPrefix(key, keyRelayed), "/")
+// observeRelay notes that a node keeps workers, whether this one reaches it or not.
+func (c *Core) observeRelay(key string) {
+	node, _, _ := strings.Cut(strings.TrimPrefix(key, relayedHeartbeatPrefix), "/")
 	for _, p := range c.peers {
-		if p.node == node {
+		if p.name == node {
 			p.relayedAt = c.now.Steady
 		}
 	}
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -24,7 +24,7 @@
 // that answers reach it.
 func (l *leader) answersLost(m *machine) bool {
 	now := l.c.now.Steady
-	return m.requiredToken != 0 && now-m.heard < l.c.t.quiet && now-max(m.tokenRequiredSince, l.idleAt) > l.c.t.lease/2
+	return m.requiredToken != 0 && now-m.heard < l.c.times.heartbeatTimeout && now-max(m.tokenRequiredSince, l.idleAt) > l.c.times.lease/2
 }
 
 // watchMachines looks for machines that are silent too long and stops what runs on
@@ -95,10 +95,10 @@
 		if z.manyUnheard() {
 			l.apart = append(l.apart, zone)
 		}
-		if !z.manySilent(zone == l.c.set.Zone) {
+		if !z.manySilent(zone == l.c.settings.Zone) {
 			continue
 		}
-		l.cutZones[zone] = l.c.zoneOut(zone)
+		l.cutZones[zone] = l.c.zoneIsolated(zone)
 		if l.cutZones[zone] {
 			l.outAt[zone] = now
 		}
@@ -129,7 +129,7 @@
 
 // quietSince tells whether a machine has been silent since a moment a third of a lease ago.
 func (l *leader) quietSince(m *machine, at time.Duration) bool {
-	return l.c.now.Steady-at > l.c.pacer.Patience(l.c.t.lease/3, m.lastHold)
+	return l.c.now.Steady-at > l.c.pacer.Patience(l.c.times.lease/3, m.lastHold)
 }
 
 // inspect asks a machine directly that has not reported here for a while: one that hangs,
@@ -140,8 +140,8 @@
 	if m.lastHeard() > m.inspectedAt {
 		m.unansweredInspections = 0
 	}
-	if !m.up && !m.seenUp || m.releasing || m.inspecting || m.addr == "" || l.inspecting >= l.c.mostInspections() ||
-		now-max(m.heard, m.reached) < l.c.pacer.Patience(l.c.t.lease/4, m.lastHold) || now-m.inspectedAt < l.c.t.heartbeat {
+	if !m.up && !m.seenUp || m.releasing || m.inspecting || m.addr == "" || l.inspecting >= l.c.maxStatusQueries() ||
+		now-max(m.heard, m.reached) < l.c.pacer.Patience(l.c.times.lease/4, m.lastHold) || now-m.inspectedAt < l.c.times.checkInterval {
 		return
 	}
 	m.inspecting, m.inspectedAt = true, now
@@ -154,30 +154,30 @@
 			// It was not asked at all.
 		case r.Outcome != call.OK:
 			m.unansweredInspections++
-		case r.Report.Machine == m.name:
+		case r.Heartbeat.Machine == m.name:
 			m.reached = l.c.now.Steady
-			l.relayed(&r.Report, true)
+			l.relayed(&r.Heartbeat, true)
 		}
 	})
-	l.c.send(WorkerInspect{ID: id, Addr: m.addr})
+	l.c.emit(QueryWorker{CallID: id, Addr: m.addr})
 }
 
-// mostInspections and mostOrders bound the sockets that questions to silent machines and
+// maxStatusQueries and mostOrders bound the sockets that questions to silent machines and
 // direct orders take.
-func (c *Core) mostInspections() int { return max(4, c.set.Params.Limits.MaxConnections/40) }
-func (c *Core) mostOrders() int      { return max(4, c.set.Params.Limits.MaxConnections/12) }
+func (c *Core) maxStatusQueries() int  { return max(4, c.settings.Params.Limits.MaxConnections/40) }
+func (c *Core) maxDirectCommands() int { return max(4, c.settings.Params.Limits.MaxConnections/12) }
 
 // silentUntil tells until when a machine may be silent.
 func (l *leader) silentUntil(m *machine) time.Duration {
-	limit := time.Duration(float64(l.c.t.lease) * l.c.op.SilentLeases)
-	lease := max(limit, l.c.t.lease)
+	limit := time.Duration(float64(l.c.times.lease) * l.c.operator.SilentLeases)
+	lease := max(limit, l.c.times.lease)
 	due := m.lastHeard() + limit
 	out, many := l.cutZones[m.zone]
 	switch {
 	case out:
 		// Its own nodes keep its workers alive; dead machines show in the cloud's list.
-		due = m.lastHeard() + time.Duration(float64(lease)*l.c.op.CutLeases)
-	case many, m.zone != l.c.set.Zone && slices.Contains(l.apart, m.zone), !m.up && m.unansweredInspections < 2:
+		due = m.lastHeard() + time.Duration(float64(lease)*l.c.operator.CutLeases)
+	case many, m.zone != l.c.settings.Zone && slices.Contains(l.apart, m.zone), !m.up && m.unansweredInspections < 2:
 		// Much of a zone is silent, or out of this node's reach and kept by others: its workers
 		// may be on their way to a node that keeps them, the last few as well. Or a worker has yet to find
 		// this leader. By then its tasks are gone with its lease, or it was heard of: who
--- a/internal/core/load.go
+++ b/internal/core/load.go
@@ -15,37 +15,37 @@
 // slowestFactor is how much longer at full load things wait that can.
 const slowestFactor = 4
 
-// slower is the factor by which things wait longer that can.
-func (c *Core) slower() float64 {
-	return 1 + (slowestFactor-1)*c.load.Level(c.now.Steady)
+// slowdown is the factor by which things wait longer that can.
+func (c *Core) slowdown() float64 {
+	return 1 + (slowestFactor-1)*c.timerLoad.Level(c.now.Steady)
 }
 
 // observeLoad takes in how late this step comes: the last one asked to be woken before. Its input may have waited besides.
 func (c *Core) observeLoad() {
 	late := time.Duration(0)
-	if c.wake != 0 {
-		late = max(0, c.now.Steady-c.wake)
+	if c.wakeAt != 0 {
+		late = max(0, c.now.Steady-c.wakeAt)
 	}
 	if late > 0 {
-		c.load.Observe(c.now.Steady, late)
+		c.timerLoad.Observe(c.now.Steady, late)
 	}
 	if waited := max(late, c.now.Waited); waited > 0 {
-		c.backlog.Observe(c.now.Steady, waited)
+		c.requestLoad.Observe(c.now.Steady, waited)
 	}
-	c.shedUsers()
+	c.updateShedding()
 }
 
 // overloaded tells whether this node has so little processor time to spare that a larger fleet would be too much for it.
 // Requests that have waited tell it as well as late timers: a core that takes one input after the other has its timers in
 // time. They tell nothing else, since a moment with many requests is no reason to decide later.
-func (c *Core) overloaded() bool { return c.backlog.Level(c.now.Steady) > shedAbove }
+func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
 
-// shedUsers decides whether the load balancer is to send users elsewhere. The leader alone does: it has work that
+// updateShedding decides whether the load balancer is to send users elsewhere. The leader alone does: it has work that
 // nobody else can do, and the others keep each other's users.
-func (c *Core) shedUsers() {
-	level := c.load.Level(c.now.Steady)
+func (c *Core) updateShedding() {
+	level := c.timerLoad.Level(c.now.Steady)
 	switch {
-	case c.lead == nil || !c.op.PaceReports || !c.otherServes():
+	case c.leader == nil || !c.operator.PaceReports || !c.anotherNodeServes():
 		c.shedding = false
 	case level > shedAbove:
 		c.shedding = true
@@ -54,10 +54,10 @@
 	}
 }
 
-// otherServes tells whether another node is there that the state service serves.
-func (c *Core) otherServes() bool {
+// anotherNodeServes tells whether another node is there that the state service serves.
+func (c *Core) anotherNodeServes() bool {
 	for _, p := range c.peers {
-		if c.fresh(p) && !p.status.StateDown {
+		if c.recentlyHeard(p) && !p.status.StoreDown {
 			return true
 		}
 	}
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -18,7 +18,7 @@
 // moveReplicas makes the moves that are worth it.
 func (r *round) moveReplicas() {
 	l := r.l
-	s := l.c.op.Spread
+	s := l.c.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
 		return
 	}
@@ -77,11 +77,11 @@
 		gain = stay - there.loadS - there.lossS
 	}
 	j.hold(p)
-	return gain > l.c.t.report.Seconds()
+	return gain > l.c.times.heartbeatInterval.Seconds()
 }
 
 // planOwns tells whether a job is one of a rollout's plan.
 func (l *leader) planOwns(id string) bool {
-	_, owned := l.c.dir.plans.byJob[id]
+	_, owned := l.c.cache.plans.byJob[id]
 	return owned
 }
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -10,6 +10,8 @@
 	"hash"
 	"math/rand/v2"
 	"os"
+	"reflect"
+	"regexp"
 	"strconv"
 	"strings"
 	"testing"
@@ -57,53 +59,70 @@
 	switch e := e.(type) {
 	case core.Log:
 		return nil, false
-	case core.Answer:
-		return []any{"answer", e.Status, e.RetryAfter, e.Body}, true
+	case core.Response:
+		return []any{"answer", e.Status, e.RetryAfterS, bodyContent(t, e.Body)}, true
 	case core.CloudCatalog:
 		return []any{"cloud catalog"}, true
-	case core.CloudRent:
+	case core.CloudScaleOut:
 		return []any{"cloud rent", e.Request}, true
-	case core.CloudRelease:
+	case core.CloudScaleIn:
 		return []any{"cloud release", e.Names}, true
 	case core.CloudList:
 		return []any{"cloud list", e.After}, true
-	case core.WorkerOrders:
-		return []any{"worker orders", e.Addr, e.Token, e.Session, e.Commands}, true
-	case core.WorkerInspect:
+	case core.SendCommands:
+		return []any{"worker orders", e.Addr, e.FencingToken, e.Incarnation, e.Commands}, true
+	case core.QueryWorker:
 		return []any{"worker inspect", e.Addr}, true
 	case core.PrefetchImage:
 		return []any{"prefetch", e.Addr, e.Image, e.GB}, true
 	case core.ProbeReplica:
 		return []any{"probe", e.Probe.Replica.Task, e.Probe.Replica.Attempt, e.Probe.Replica.Address, len(e.Checks), e.Timeout}, true
-	case core.PeerAsk:
+	case core.QueryPeer:
 		content := []any{"peer", e.Node}
 		for _, c := range e.Cancellations {
 			content = append(content, c.Job, c.Value, c.Version)
 		}
 		return content, true
-	case core.RegionCall:
-		return []any{"region", e.Region, e.Attempt, e.Ask != nil, e.Deliver != nil}, true
+	case core.CallRegion:
+		return []any{"region", e.Region, e.Attempt, e.Request != nil, e.Deliver != nil}, true
 	}
 	return storeContent(t, e), true
 }
 
+// bodyContent gives the body of an answer: as it is for the protocol's messages, and without the names of fields for what
+// another package turns into a message.
+func bodyContent(t reporter, body any) any {
+	t.Helper()
+	if body == nil || strings.HasSuffix(reflect.TypeOf(body).PkgPath(), "/wire") {
+		return body
+	}
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		t.Fatalf("a body can't be digested: %v", err)
+	}
+	return fieldNames.ReplaceAllString(string(encoded), "")
+}
+
+// fieldNames finds the names of exported fields in JSON.
+var fieldNames = regexp.MustCompile(`"[A-Z][A-Za-z]*":`)
+
 // storeContent gives what is sent to the state service.
 func storeContent(t reporter, e core.Effect) []any {
 	t.Helper()
 	switch e := e.(type) {
-	case core.StateGet:
+	case core.StoreGet:
 		return []any{"state get", e.Key}
-	case core.StateList:
+	case core.StoreList:
 		return []any{"state list", e.Prefix, e.After}
-	case core.StateTxn:
+	case core.StoreTxn:
 		return []any{"state txn", e.Txn}
-	case core.StateGrant:
+	case core.StoreGrantLease:
 		return []any{"state grant", e.TTL}
-	case core.StateExtend:
+	case core.StoreRenewLease:
 		return []any{"state extend", e.Lease}
-	case core.StateRevoke:
+	case core.StoreRevokeLease:
 		return []any{"state revoke", e.Lease}
-	case core.StateWatch:
+	case core.StoreWatch:
 		return []any{"state watch", e.Prefix, e.After, e.Wait}
 	}
 	t.Fatalf("an effect %T is not digested", e)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -136,14 +136,14 @@
 	l := newLeader(c, 1, 1)
 	l.loaded = true
 	l.layout = c.layout()
-	c.lead = l
+	c.leader = l
 	f := &drawnFleet{T: t, l: l, types: []*wire.MachineType{
 		{Name: "g4", GPUs: 4, CPUs: 16, MemoryGB: 64, CacheGB: 8, FetchGBPerS: 0.2}, {Name: "g2", GPUs: 2, CPUs: 16, MemoryGB: 16, CacheGB: 8, FetchGBPerS: 0.5}, {Name: "c8", CPUs: 8, MemoryGB: 32, CacheGB: 8}}}
 	for _, mt := range f.types {
 		c.catalog = append(c.catalog, *mt)
 	}
 	rates := []float64{0, 0.001, 0.02, 1}
-	c.op.Spread = config.Spread{Enabled: f.chance("places are weighed", 2), ZoneLossesPerDay: rapid.SampledFrom(rates).Draw(t, "zone losses"),
+	c.operator.Spread = config.Spread{Enabled: f.chance("places are weighed", 2), ZoneLossesPerDay: rapid.SampledFrom(rates).Draw(t, "zone losses"),
 		MachineLossesPerDay: rapid.SampledFrom(rates).Draw(t, "machine losses"), ReplicaDays: 30}
 	for range rapid.SampledFrom([]int{1, 3, 8, 20, 60}).Draw(t, "machines") {
 		f.addMachine()
@@ -192,7 +192,7 @@
 }
 
 func (f *drawnFleet) queue(spec *wire.Job, rank int, team *config.Team) *job {
-	j := f.l.addJob(spec.ID, &entry{activeValue: activeValue{Job: spec}})
+	j := f.l.addJob(spec.ID, &cachedJob{activeJob: activeJob{Spec: spec}})
 	j.rank, j.team = rank, team
 	return j
 }
@@ -249,7 +249,7 @@
 		j.rank = f.number("rank now", 0, capacity.Ranks-1)
 	case 17:
 		// Limits and guarantees fall and rise.
-		team := &l.c.set.Params.Teams[f.number("team", 0, 2)]
+		team := &l.c.settings.Params.Teams[f.number("team", 0, 2)]
 		team.GuaranteedGPUs, team.MaxGPUs = float64(f.number("guarantee", 0, 12)), float64(f.number("limit", 0, 40))
 	case 18:
 		// The catalog has another size for the type, which the machine has from now on.
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -2,16 +2,16 @@
 
 import "bitternwing/internal/wire"
 
-// ShowPlacements asks where the replicas of a job are, and what each place cost. Only the node that leads answers.
-type ShowPlacements struct {
-	Req uint64
-	Job string
+// GetPlacements asks where the replicas of a job are, and what each place cost. Only the node that leads answers.
+type GetPlacements struct {
+	RequestID uint64
+	Job       string
 }
 
-func (ShowPlacements) input() {}
+func (GetPlacements) input() {}
 
-// Place is where a replica is. Costs are in seconds of replica time, see package spread.
-type Place struct {
+// ReplicaPlacement is where a replica is. Costs are in seconds of replica time, see package spread.
+type ReplicaPlacement struct {
 	Task    string
 	Attempt uint64
 	Machine string
@@ -27,23 +27,23 @@
 	AvoidedS     float64
 }
 
-// showPlacements answers with the places of a job's replicas, and tells of that job alone.
-func (c *Core) showPlacements(in ShowPlacements) {
-	l := c.answeringLeader(in.Req)
+// handleGetPlacements answers with the places of a job's replicas, and tells of that job alone.
+func (c *Core) handleGetPlacements(in GetPlacements) {
+	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
 	j := l.jobs[in.Job]
 	if j == nil {
-		c.answer(in.Req, 404, wire.ErrorBody{Error: "no such job, or it is over"})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job, or it is over"})
 		return
 	}
-	places := []Place{}
+	places := []ReplicaPlacement{}
 	for _, p := range j.byTask() {
 		t := p.trade
-		places = append(places, Place{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
+		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
 			Chosen: p.sentSeq != inherited, Weighed: t.weighed, LoadS: t.loadS, LossS: t.lossS,
 			Warmest: t.warmest, WarmestLoadS: t.warmestLoadS, AvoidedS: t.avoided})
 	}
-	c.answer(in.Req, 200, places)
+	c.respond(in.RequestID, 200, places)
 }
--- a/internal/core/plan_holds.go
+++ b/internal/core/plan_holds.go
@@ -17,7 +17,7 @@
 // planHolds tells whether a job may not be started because of a plan.
 func (l *leader) planHolds(id string, spec *wire.Job) bool {
 	records := make([]*rollout.Record, 0, 2)
-	if stored := l.c.dir.plans.byName[l.c.dir.plans.byJob[id]]; stored != nil {
+	if stored := l.c.cache.plans.byName[l.c.cache.plans.byJob[id]]; stored != nil {
 		records = append(records, stored.record)
 	}
 	for _, applying := range l.plans.applying {
--- a/internal/core/plan_records.go
+++ b/internal/core/plan_records.go
@@ -8,29 +8,29 @@
 	"bitternwing/internal/rollout"
 )
 
-// keyPlans is where the plans of rollouts are, by name. Without plans there is no key.
-const keyPlans = "w/p/"
+// planPrefix is where the plans of rollouts are, by name. Without plans there is no key.
+const planPrefix = "w/p/"
 
-// storedPlan is a plan as a node has read it.
-type storedPlan struct {
+// cachedPlan is a plan as a node has read it.
+type cachedPlan struct {
 	record  *rollout.Record // nil: nothing of it can be read
 	problem error           // why the plan is left alone; nil: it can be read
 	version uint64
 }
 
-// plansOf keeps the plans that are watched, and which plan a job belongs to.
-type plansOf struct {
-	byName map[string]*storedPlan
+// cachedPlans keeps the plans that are watched, and which plan a job belongs to.
+type cachedPlans struct {
+	byName map[string]*cachedPlan
 	byJob  map[string]string
 }
 
-func newPlansOf() plansOf {
-	return plansOf{byName: map[string]*storedPlan{}, byJob: map[string]string{}}
+func newCachedPlans() cachedPlans {
+	return cachedPlans{byName: map[string]*cachedPlan{}, byJob: map[string]string{}}
 }
 
 // apply takes a plan's value, or its end where value is nil. What can't be read any more leaves the jobs as
 // they were: its last readable record goes on holding them.
-func (p *plansOf) apply(name string, value json.RawMessage, version uint64) {
+func (p *cachedPlans) apply(name string, value json.RawMessage, version uint64) {
 	old := p.byName[name]
 	if old != nil && old.version >= version {
 		return
@@ -42,13 +42,13 @@
 		if record == nil && old != nil {
 			record = old.record
 		}
-		p.byName[name] = &storedPlan{record: record, problem: err, version: version}
+		p.byName[name] = &cachedPlan{record: record, problem: err, version: version}
 	}
 	p.index()
 }
 
 // index works out anew which plan each job belongs to.
-func (p *plansOf) index() {
+func (p *cachedPlans) index() {
 	clear(p.byJob)
 	for _, name := range slices.Sorted(maps.Keys(p.byName)) {
 		if record := p.byName[name].record; record != nil {
@@ -59,14 +59,14 @@
 	}
 }
 
-// reread takes plans that were read anew, up to a revision. What was heard of since stays.
-func (p *plansOf) reread(read plansOf, revision uint64) {
-	keepHeardSince(read.byName, p.byName, revision)
+// replace takes plans that were read anew, up to a revision. What was heard of since stays.
+func (p *cachedPlans) replace(read cachedPlans, revision uint64) {
+	retainNewer(read.byName, p.byName, revision)
 	*p = read
 	p.index()
 }
 
-// allKnowPlans tells whether all other nodes have said that their version knows plans.
-func (c *Core) allKnowPlans() bool {
-	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return !p.knowsPlans })
+// allPeersSupportRollouts tells whether all other nodes have said that their version knows plans.
+func (c *Core) allPeersSupportRollouts() bool {
+	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return !p.supportsRollouts })
 }
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -15,23 +15,23 @@
 type (
 	// ApplyPlan hands in a plan.
 	ApplyPlan struct {
-		Req  uint64
-		Plan *rollout.Plan
+		RequestID uint64
+		Plan      *rollout.Plan
 	}
 	// ChangePlan pauses, resumes or aborts a plan.
 	ChangePlan struct {
-		Req    uint64
-		Name   string
-		Change rollout.Change
+		RequestID uint64
+		Name      string
+		Change    rollout.Change
 	}
-	// ShowPlan asks how a plan stands.
-	ShowPlan struct {
-		Req  uint64
-		Name string
+	// GetPlan asks how a plan stands.
+	GetPlan struct {
+		RequestID uint64
+		Name      string
 	}
-	// RoutePlan is a router that asks how to share traffic, and tells which generation it goes by.
-	RoutePlan struct {
-		Req        uint64
+	// GetRouting is a router that asks how to share traffic, and tells which generation it goes by.
+	GetRouting struct {
+		RequestID  uint64
 		Name       string
 		Router     string
 		Generation rollout.Generation
@@ -40,18 +40,18 @@
 
 func (ApplyPlan) input()  {}
 func (ChangePlan) input() {}
-func (ShowPlan) input()   {}
-func (RoutePlan) input()  {}
+func (GetPlan) input()    {}
+func (GetRouting) input() {}
 
 // PlanStatus is how a plan stands.
 type PlanStatus struct {
-	Record   *rollout.Record
-	Problem  string // why the plan is left alone; "": it is carried out
-	Settled  bool   // what follows is known
-	Capacity rollout.Capacity
-	Routing  rollout.Routing
-	Replicas []rollout.ReplicaState
-	Routers  []string
+	Record     *rollout.Record
+	Problem    string // why the plan is left alone; "": it is carried out
+	Reconciled bool   // what follows is known
+	Capacity   rollout.Capacity
+	Routing    rollout.Routing
+	Replicas   []rollout.ReplicaState
+	Routers    []string
 }
 
 // RoutingGrant is a routing with the time for which it may be gone by.
@@ -66,53 +66,55 @@
 	notAvailable = "can't be confirmed now"
 )
 
-// answeringLeader gives the leader if it may answer; else the request is answered.
-func (c *Core) answeringLeader(req uint64) *leader {
-	l := c.lead
+// leaderForRequest gives the leader if it may answer; else the request is answered.
+func (c *Core) leaderForRequest(req uint64) *leader {
+	l := c.leader
 	if l == nil {
 		to := ""
-		if c.dir.leadVersion != 0 && c.dir.lead.Node != c.set.Node {
-			to = c.dir.lead.Node
+		if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
+			to = c.cache.leader.Node
 		}
-		c.answer(req, 421, wire.Redirect{Leader: to})
+		c.respond(req, 421, wire.Redirect{Leader: to})
 		return nil
 	}
 	if !l.loaded || !l.entitled() {
-		c.later(req, 503, notAvailable)
+		c.respondRetryLater(req, 503, notAvailable)
 		return nil
 	}
 	return l
 }
 
-// refuse answers that a request will not be carried out.
-func (c *Core) refuse(req uint64, why string) { c.answer(req, 422, wire.ErrorBody{Error: why}) }
+// respondRefused answers that a request will not be carried out.
+func (c *Core) respondRefused(req uint64, why string) {
+	c.respond(req, 422, wire.ErrorBody{Error: why})
+}
 
-// applyPlanRequest takes a plan, if its jobs and its team allow it.
-func (c *Core) applyPlanRequest(in ApplyPlan) {
-	l := c.answeringLeader(in.Req)
+// handleApplyPlan takes a plan, if its jobs and its team allow it.
+func (c *Core) handleApplyPlan(in ApplyPlan) {
+	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
-	stored := c.dir.plans.byName[in.Plan.Name]
+	stored := c.cache.plans.byName[in.Plan.Name]
 	switch {
-	case !c.op.Rollouts.Enabled:
-		c.refuse(in.Req, plansAreOff)
+	case !c.operator.Rollouts.Enabled:
+		c.respondRefused(in.RequestID, plansAreOff)
 	case stored != nil && stored.record != nil && reflect.DeepEqual(&stored.record.Plan, in.Plan):
-		c.answer(in.Req, 200, l.planStatus(in.Plan.Name))
+		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
 	case stored != nil:
-		c.refuse(in.Req, "/name: another plan has this name")
-	case len(c.dir.plans.byName) >= c.op.Rollouts.MostPlans:
-		c.refuse(in.Req, fmt.Sprintf("there are %d plans already", len(c.dir.plans.byName)))
-	case !c.elect.inTime() || c.stateDown || len(l.plans.applying) > 0:
-		c.later(in.Req, 503, notAvailable)
-	case !c.allKnowPlans():
-		c.later(in.Req, 503, "not every controller is known to run a version with rollouts")
-	case c.dir.termForm < plansTerm:
-		l.guard.want(plansTerm)
-		c.later(in.Req, 503, notAvailable)
+		c.respondRefused(in.RequestID, "/name: another plan has this name")
+	case len(c.cache.plans.byName) >= c.operator.Rollouts.MostPlans:
+		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
+	case !c.election.leaseValid() || c.storeDown || len(l.plans.applying) > 0:
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
+	case !c.allPeersSupportRollouts():
+		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
+	case c.cache.termForm < rolloutsTermFormat:
+		l.guard.request(rolloutsTermFormat)
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
-			c.refuse(in.Req, err.Error())
+			c.respondRefused(in.RequestID, err.Error())
 			return
 		}
 		l.commitNewPlan(in)
@@ -129,24 +131,24 @@
 	replicas := 0
 	var cpus, gpus float64
 	for i, id := range plan.Old.Jobs {
-		e := c.dir.jobs[id]
+		e := c.cache.jobs[id]
 		if e == nil || !l.freeForPlan(plan, id) || e.CancelledMS != 0 {
 			return &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: "is no service of this team that a plan may have"}
 		}
-		replicas += e.Job.Tasks
-		cpus, gpus = cpus+float64(e.Job.Tasks)*e.Job.CPUs, gpus+float64(e.Job.Tasks)*e.Job.GPUs
+		replicas += e.Spec.Tasks
+		cpus, gpus = cpus+float64(e.Spec.Tasks)*e.Spec.CPUs, gpus+float64(e.Spec.Tasks)*e.Spec.GPUs
 	}
 	for i, id := range plan.New.Jobs {
 		field := fmt.Sprintf("/new/jobs/%d", i)
-		e, j := c.dir.jobs[id], l.jobs[id]
-		_, ended := c.dir.finals[id]
+		e, j := c.cache.jobs[id], l.jobs[id]
+		_, ended := c.cache.finals[id]
 		switch {
 		case !l.freeForPlan(plan, id) || ended || e.cancelled():
 			return &rollout.FieldError{Field: field, Problem: "is no service of this team that a plan may have"}
 		case j != nil && (len(j.placed) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
 		case e != nil:
-			cpus, gpus = cpus+float64(e.Job.Tasks)*e.Job.CPUs, gpus+float64(e.Job.Tasks)*e.Job.GPUs
+			cpus, gpus = cpus+float64(e.Spec.Tasks)*e.Spec.CPUs, gpus+float64(e.Spec.Tasks)*e.Spec.GPUs
 		}
 	}
 	if whole := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > whole {
@@ -162,11 +164,11 @@
 // freeForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
 // the team.
 func (l *leader) freeForPlan(plan *rollout.Plan, id string) bool {
-	if _, taken := l.c.dir.plans.byJob[id]; taken {
+	if _, taken := l.c.cache.plans.byJob[id]; taken {
 		return false
 	}
-	e := l.c.dir.jobs[id]
-	return e == nil || planMayOwn(plan, e.Job)
+	e := l.c.cache.jobs[id]
+	return e == nil || planMayOwn(plan, e.Spec)
 }
 
 // commitNewPlan writes a plan. Its new jobs are held from here on, and let go again if it turns out not to be written.
@@ -174,8 +176,8 @@
 	c := l.c
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
 	value, err := json.Marshal(record)
-	if err != nil || len(value) > c.mostValue() {
-		c.refuse(in.Req, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.mostValue()))
+	if err != nil || len(value) > c.maxValueBytes() {
+		c.respondRefused(in.RequestID, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.maxValueBytes()))
 		return
 	}
 	name := in.Plan.Name
@@ -185,33 +187,33 @@
 	id := l.stateCall(func(r Result) {
 		switch {
 		case r.Outcome == call.OK:
-			c.applyPlan(keyPlans+name, value, r.Txn.Revision)
+			c.applyPlanKey(planPrefix+name, value, r.Txn.Revision)
 			l.planApplied(in.Plan)
 			c.log(Info, "rollout", "plan", name, "phase", string(record.Phase))
-			c.answer(in.Req, 200, l.planStatus(name))
+			c.respond(in.RequestID, 200, l.planStatus(name))
 		case r.Outcome == call.Unknown:
-			c.later(in.Req, 503, notAvailable)
+			c.respondRetryLater(in.RequestID, 503, notAvailable)
 			l.findPlan(in.Plan)
-		case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, keyTerm):
-			c.later(in.Req, 503, notAvailable)
-			c.elect.stepDown("the term moved on")
+		case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+			c.respondRetryLater(in.RequestID, 503, notAvailable)
+			c.election.stepDown("the term moved on")
 		default:
 			l.planApplied(in.Plan)
-			c.later(in.Req, 503, notAvailable)
+			c.respondRetryLater(in.RequestID, 503, notAvailable)
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: l.newPlanTxn(in.Plan, value)})
+	c.emit(StoreTxn{CallID: id, Txn: l.newPlanTxn(in.Plan, value)})
 }
 
 // newPlanTxn writes a plan on the condition that its jobs are as they were seen.
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
-	txn := l.keyTxn(keyPlans+plan.Name, 0, wire.Op{Put: keyPlans + plan.Name, Value: value})
+	txn := l.keyTxn(planPrefix+plan.Name, 0, wire.Op{Put: planPrefix + plan.Name, Value: value})
 	for _, id := range plan.Jobs() {
-		cond := wire.Condition{Key: keyFinal + id}
-		if e := l.c.dir.jobs[id]; e != nil {
-			cond = wire.Condition{Key: keyActive + id, Version: e.version}
+		cond := wire.Condition{Key: finalStatePrefix + id}
+		if e := l.c.cache.jobs[id]; e != nil {
+			cond = wire.Condition{Key: activeJobPrefix + id, Version: e.version}
 		}
-		if len(txn.If) < l.c.limits.conditions() {
+		if len(txn.If) < l.c.limits.maxConditions() {
 			txn.If = append(txn.If, cond)
 		}
 	}
@@ -230,72 +232,72 @@
 	c := l.c
 	id := l.stateCall(func(r Result) {
 		if r.Outcome == call.OK {
-			c.applyPlan(keyPlans+plan.Name, r.Item.Value, r.Item.Version)
+			c.applyPlanKey(planPrefix+plan.Name, r.Item.Value, r.Item.Version)
 			l.planApplied(plan)
 			return
 		}
-		c.elect.stepDown("a plan may yet be written")
+		c.election.stepDown("a plan may yet be written")
 	})
-	c.send(StateGet{ID: id, Key: keyPlans + plan.Name})
+	c.emit(StoreGet{CallID: id, Key: planPrefix + plan.Name})
 }
 
-// changePlan takes a change of an operator, which is answered once it is committed.
-func (c *Core) changePlan(in ChangePlan) {
-	l := c.answeringLeader(in.Req)
+// handleChangePlan takes a change of an operator, which is answered once it is committed.
+func (c *Core) handleChangePlan(in ChangePlan) {
+	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
-	stored, run := c.dir.plans.byName[in.Name], l.plans.runs[in.Name]
+	stored, run := c.cache.plans.byName[in.Name], l.plans.runs[in.Name]
 	switch {
 	case stored == nil:
-		c.answer(in.Req, 404, wire.ErrorBody{Error: noSuchPlan})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
 	case stored.problem != nil:
-		c.refuse(in.Req, stored.problem.Error())
-	case run == nil || !c.elect.inTime() || c.stateDown || len(run.changes) >= c.op.MaxPendingRequests:
-		c.later(in.Req, 503, notAvailable)
+		c.respondRefused(in.RequestID, stored.problem.Error())
+	case run == nil || !c.election.leaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
-		run.changes = append(run.changes, planChange{in.Req, in.Change})
+		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
 		l.plans.at = c.now.Steady
 	}
 }
 
 // commitChange commits the first change that waits.
-func (l *leader) commitChange(run *planRun, stored *storedPlan) {
+func (l *leader) commitChange(run *planRun, stored *cachedPlan) {
 	c, x := l.c, run.changes[0]
 	run.changes = run.changes[1:]
 	next, err := stored.record.Change(x.change, c.now.WallMS)
 	switch {
 	case err != nil:
-		c.refuse(x.req, err.Error())
+		c.respondRefused(x.req, err.Error())
 	case next == stored.record:
-		c.answer(x.req, 200, l.planStatus(run.name))
+		c.respond(x.req, 200, l.planStatus(run.name))
 	default:
 		l.commitTransition(run, stored, next, func(r Result) {
 			if r.Outcome == call.OK {
-				c.answer(x.req, 200, l.planStatus(run.name))
+				c.respond(x.req, 200, l.planStatus(run.name))
 			} else {
-				c.later(x.req, 503, notAvailable)
+				c.respondRetryLater(x.req, 503, notAvailable)
 			}
 		})
 	}
 }
 
-// showPlan answers how a plan stands.
-func (c *Core) showPlan(in ShowPlan) {
-	l := c.answeringLeader(in.Req)
+// handleGetPlan answers how a plan stands.
+func (c *Core) handleGetPlan(in GetPlan) {
+	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
-	if c.dir.plans.byName[in.Name] == nil {
-		c.answer(in.Req, 404, wire.ErrorBody{Error: noSuchPlan})
+	if c.cache.plans.byName[in.Name] == nil {
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
 		return
 	}
-	c.answer(in.Req, 200, l.planStatus(in.Name))
+	c.respond(in.RequestID, 200, l.planStatus(in.Name))
 }
 
 // planStatus gives how a plan stands.
 func (l *leader) planStatus(name string) PlanStatus {
-	stored, run := l.c.dir.plans.byName[name], l.plans.runs[name]
+	stored, run := l.c.cache.plans.byName[name], l.plans.runs[name]
 	status := PlanStatus{Record: stored.record}
 	if stored.problem != nil {
 		status.Problem = stored.problem.Error()
@@ -305,8 +307,8 @@
 		return status
 	}
 	o := l.observe(run, stored.record)
-	status.Settled, status.Capacity, status.Routing = run.settled, stored.record.Plan.CapacityOf(o), run.routing
+	status.Reconciled, status.Capacity, status.Routing = run.settled, stored.record.Plan.CapacityOf(o), run.routing
 	status.Replicas = run.proofs.States(l.c.now.Steady)
-	status.Routers = run.routers.Present(nil, l.c.heldLease(), l.c.now.Steady)
+	status.Routers = run.routers.Present(nil, l.c.routingHoldTime(), l.c.now.Steady)
 	return status
 }
--- a/internal/core/plan_routers.go
+++ b/internal/core/plan_routers.go
@@ -26,23 +26,23 @@
 // recordReserve is the part of the largest stored value that the names of routers leave to later transitions of the plan.
 const recordReserve = 16
 
-// routePlan gives a router its routing, with a lease.
-func (c *Core) routePlan(in RoutePlan) {
-	l := c.answeringLeader(in.Req)
+// handleGetRouting gives a router its routing, with a lease.
+func (c *Core) handleGetRouting(in GetRouting) {
+	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
-	stored, run := c.dir.plans.byName[in.Name], l.plans.runs[in.Name]
-	join := routerJoin{in.Req, in.Router, in.Generation}
+	stored, run := c.cache.plans.byName[in.Name], l.plans.runs[in.Name]
+	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case stored == nil:
-		c.answer(in.Req, 404, wire.ErrorBody{Error: noSuchPlan})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
 	case stored.problem != nil || run == nil || run.routing.Generation.Revision == 0:
-		c.later(in.Req, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	case run.recorded(stored.record, in.Router):
 		l.grantRouting(run, join)
-	case !c.elect.inTime() || c.stateDown || len(run.joins) >= c.op.MaxPendingRequests:
-		c.later(in.Req, 503, notAvailable)
+	case !c.election.leaseValid() || c.storeDown || len(run.joins) >= c.operator.MaxPendingRequests:
+		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
 		run.joins = append(run.joins, join)
 		l.plans.at = c.now.Steady
@@ -75,14 +75,14 @@
 func (l *leader) grantRouting(run *planRun, join routerJoin) {
 	c := l.c
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
-		c.later(join.req, 429, tooManyRouters)
+		c.respondRetryLater(join.req, 429, tooManyRouters)
 		return
 	}
-	c.answer(join.req, 200, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
+	c.respond(join.req, 200, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
 // commitJoins records the names of the routers that wait, and then answers them. Routers that are gone make room.
-func (l *leader) commitJoins(run *planRun, stored *storedPlan, o *rollout.Observation) {
+func (l *leader) commitJoins(run *planRun, stored *cachedPlan, o *rollout.Observation) {
 	next := l.joined(run, stored.record, o)
 	if next == nil {
 		return
@@ -117,7 +117,7 @@
 			return next
 		}
 		last := len(run.joins) - 1
-		l.c.later(run.joins[last].req, 429, tooManyRouters)
+		l.c.respondRetryLater(run.joins[last].req, 429, tooManyRouters)
 		run.joins = run.joins[:last]
 	}
 	return nil
@@ -126,14 +126,14 @@
 // holdsRouters tells whether a record has no more routers than are allowed, and leaves room for later transitions.
 func (l *leader) holdsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
-	most := l.c.mostValue()
-	return err == nil && len(r.Routers) <= l.c.op.Rollouts.MostRouters && len(value) <= most-most/recordReserve
+	most := l.c.maxValueBytes()
+	return err == nil && len(r.Routers) <= l.c.operator.Rollouts.MostRouters && len(value) <= most-most/recordReserve
 }
 
 // refuseJoins tells routers to come back: their names can't be recorded now.
 func (c *Core) refuseJoins(joins []routerJoin) {
 	for _, join := range joins {
-		c.later(join.req, 503, notAvailable)
+		c.respondRetryLater(join.req, 503, notAvailable)
 	}
 }
 
--- a/internal/core/plan_runs.go
+++ b/internal/core/plan_runs.go
@@ -54,37 +54,39 @@
 }
 
 // The times of rollouts, from the operators' settings.
-func (c *Core) probeInterval() time.Duration { return config.Seconds(c.op.Rollouts.CheckIntervalS) }
-func (c *Core) probeTimeout() time.Duration  { return config.Seconds(c.op.Rollouts.CheckTimeoutS) }
+func (c *Core) probeInterval() time.Duration {
+	return config.Seconds(c.operator.Rollouts.CheckIntervalS)
+}
+func (c *Core) probeTimeout() time.Duration { return config.Seconds(c.operator.Rollouts.CheckTimeoutS) }
 
 // routerLease is how long a router may go by a routing, by its own clock; heldLease by this node's.
-func (c *Core) routerLease() time.Duration { return config.Seconds(c.op.Rollouts.RouterLeaseS) }
-func (c *Core) heldLease() time.Duration {
-	return time.Duration(float64(c.routerLease()) * (1 + drift))
+func (c *Core) routerLease() time.Duration { return config.Seconds(c.operator.Rollouts.RouterLeaseS) }
+func (c *Core) routingHoldTime() time.Duration {
+	return time.Duration(float64(c.routerLease()) * (1 + maxClockDrift))
 }
 
-// mostProbes bounds the sockets that questions to replicas take.
-func (c *Core) mostProbes() int { return max(4, c.set.Params.Limits.MaxConnections/40) }
+// maxReplicaProbes bounds the sockets that questions to replicas take.
+func (c *Core) maxReplicaProbes() int { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 
 // run looks after all plans.
 func (t *planRuns) run() {
 	l, c := t.l, t.l.c
-	if len(c.dir.plans.byName) == 0 && len(t.runs) == 0 {
+	if len(c.cache.plans.byName) == 0 && len(t.runs) == 0 {
 		return
 	}
 	if c.now.Steady < t.at {
-		c.at(t.at)
+		c.wakeBy(t.at)
 		return
 	}
-	t.at = c.now.Steady + c.t.eventGap
-	c.at(t.at)
+	t.at = c.now.Steady + c.times.minCycleGap
+	c.wakeBy(t.at)
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
-		if c.dir.plans.byName[name] == nil {
+		if c.cache.plans.byName[name] == nil {
 			t.end(t.runs[name])
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.dir.plans.byName)) {
-		stored := c.dir.plans.byName[name]
+	for _, name := range slices.Sorted(maps.Keys(c.cache.plans.byName)) {
+		stored := c.cache.plans.byName[name]
 		run := t.runs[name]
 		if run == nil {
 			run = t.begin(name, stored)
@@ -96,10 +98,10 @@
 }
 
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
-func (t *planRuns) begin(name string, stored *storedPlan) *planRun {
+func (t *planRuns) begin(name string, stored *cachedPlan) *planRun {
 	c := t.l.c
 	run := &planRun{name: name, since: c.now.Steady, proofs: rollout.NewProofs(c.probeInterval()),
-		routers: rollout.NewRouters(c.heldLease(), c.now.Steady, c.op.Rollouts.MostRouters),
+		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MostRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.l.term}}, dropped: map[string]bool{}}
 	t.runs[name] = run
 	if stored.problem != nil {
@@ -111,7 +113,7 @@
 func (t *planRuns) end(run *planRun) {
 	delete(t.runs, run.name)
 	for _, req := range run.waiting() {
-		t.l.c.answer(req, 404, wire.ErrorBody{Error: noSuchPlan})
+		t.l.c.respond(req, 404, wire.ErrorBody{Error: noSuchPlan})
 	}
 }
 
@@ -131,17 +133,17 @@
 func (t *planRuns) refuseWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
 		for _, req := range t.runs[name].waiting() {
-			t.l.c.later(req, 503, notAvailable)
+			t.l.c.respondRetryLater(req, 503, notAvailable)
 		}
 	}
 }
 
 // planChanged brings up to date which jobs are held after a plan has changed.
-func (l *leader) planChanged(before, after *storedPlan) {
+func (l *leader) planChanged(before, after *cachedPlan) {
 	if !l.loaded {
 		return
 	}
-	for _, stored := range []*storedPlan{before, after} {
+	for _, stored := range []*cachedPlan{before, after} {
 		if stored != nil && stored.record != nil {
 			l.holdJobs(stored.record.Plan.New.Jobs)
 		}
@@ -149,7 +151,7 @@
 }
 
 // carryOutPlan does what a plan is due to do.
-func (l *leader) carryOutPlan(run *planRun, stored *storedPlan) {
+func (l *leader) carryOutPlan(run *planRun, stored *cachedPlan) {
 	c, r := l.c, stored.record
 	replicas := l.replicasOf(&r.Plan)
 	run.proofs.Track(replicas)
@@ -168,7 +170,7 @@
 			l.writes.cancel(j)
 		}
 	}
-	if c.stateDown || !c.elect.inTime() {
+	if c.storeDown || !c.election.leaseValid() {
 		c.refuseJoins(run.joins)
 		run.joins = nil
 		return
@@ -197,8 +199,8 @@
 	if run.settled {
 		return
 	}
-	late := run.since + c.t.lease + 2*c.probeInterval() + c.probeTimeout()
-	heard := c.now.Steady >= run.since+c.t.quiet && l.heardOfAll(plan)
+	late := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
+	heard := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.heardOfAll(plan)
 	run.settled = c.now.Steady >= late || heard && run.proofs.AllAnswered()
 }
 
@@ -246,7 +248,7 @@
 	if err != nil {
 		return "", false
 	}
-	return net.JoinHostPort(host, strconv.Itoa(c.op.Rollouts.ModelPort)), true
+	return net.JoinHostPort(host, strconv.Itoa(c.operator.Rollouts.ModelPort)), true
 }
 
 // observe gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
@@ -274,16 +276,16 @@
 // observeJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
 // over.
 func (l *leader) observeJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
-	e := l.c.dir.jobs[id]
+	e := l.c.cache.jobs[id]
 	if e == nil {
-		_, ended := l.c.dir.finals[id]
+		_, ended := l.c.cache.finals[id]
 		over := wasAccepted || ended
 		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
 	}
-	if !planMayOwn(plan, e.Job) {
+	if !planMayOwn(plan, e.Spec) {
 		return rollout.Job{}
 	}
-	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Job.Tasks}
+	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Spec.Tasks}
 }
 
 // mayRoute tells whether enough is known to share traffic by. A plan that goes back does not wait for proofs once so
@@ -312,7 +314,7 @@
 // probe asks the replicas whose time it is.
 func (l *leader) probe(run *planRun, record *rollout.Record) {
 	t := l.plans
-	for _, probe := range run.proofs.Due(l.c.now.Steady, l.c.mostProbes()-t.probing) {
+	for _, probe := range run.proofs.Due(l.c.now.Steady, l.c.maxReplicaProbes()-t.probing) {
 		t.probing++
 		id := l.call(func(r Result) {
 			t.probing--
@@ -326,21 +328,21 @@
 					"check", r.Probe.Check)
 			}
 		})
-		effect := ProbeReplica{ID: id, Probe: probe, Timeout: l.c.probeTimeout()}
+		effect := ProbeReplica{CallID: id, Probe: probe, Timeout: l.c.probeTimeout()}
 		if probe.Replica.Version == rollout.NewVersion {
 			effect.Checks = record.Checks()
 		}
-		l.c.send(effect)
+		l.c.emit(effect)
 	}
 }
 
 // keyTxn is a change of a key, conditional on the term and on the key's version.
 func (l *leader) keyTxn(key string, version uint64, op wire.Op) wire.Txn {
-	return wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}, {Key: key, Version: version}}, Then: []wire.Op{op}}
+	return wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}, {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
-func (l *leader) commitPlan(run *planRun, stored *storedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitPlan(run *planRun, stored *cachedPlan, next *rollout.Record, then func(Result)) {
 	c := l.c
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -357,11 +359,11 @@
 		}
 		then(r)
 	})
-	c.send(StateTxn{ID: id, Txn: l.keyTxn(keyPlans+run.name, stored.version, wire.Op{Put: keyPlans + run.name, Value: value})})
+	c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(planPrefix+run.name, stored.version, wire.Op{Put: planPrefix + run.name, Value: value})})
 }
 
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
-func (l *leader) commitTransition(run *planRun, stored *storedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitTransition(run *planRun, stored *cachedPlan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, stored, next, func(r Result) {
 		if r.Outcome == call.OK {
 			l.logPlan(run, next)
@@ -376,7 +378,7 @@
 	l.c.log(Info, "rollout", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
-		"routers", len(run.routers.Present(nil, l.c.heldLease(), l.c.now.Steady)))
+		"routers", len(run.routers.Present(nil, l.c.routingHoldTime(), l.c.now.Steady)))
 }
 
 // planWritten takes what became of a write of a plan; value is nil if it was removed.
@@ -384,15 +386,15 @@
 	c := l.c
 	switch {
 	case r.Outcome == call.OK:
-		c.applyPlan(keyPlans+run.name, value, r.Txn.Revision)
-	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, keyTerm):
-		c.elect.stepDown("the term moved on")
+		c.applyPlanKey(planPrefix+run.name, value, r.Txn.Revision)
+	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+		c.election.stepDown("the term moved on")
 	case r.Outcome == call.Conflict, r.Outcome == call.Unknown:
 		// A write of before was applied after all, or this one may be yet: what is there counts.
 		l.rereadPlan(run)
 	default:
-		run.retryAt = c.now.Steady + c.t.retry
-		c.at(run.retryAt)
+		run.retryAt = c.now.Steady + c.times.retryPause
+		c.wakeBy(run.retryAt)
 	}
 }
 
@@ -402,31 +404,31 @@
 	run.writing = true
 	id := l.stateCall(func(r Result) {
 		run.writing = false
-		run.retryAt = c.now.Steady + c.t.retry
+		run.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == call.OK {
-			c.applyPlan(keyPlans+run.name, r.Item.Value, r.Item.Version)
+			c.applyPlanKey(planPrefix+run.name, r.Item.Value, r.Item.Version)
 		}
 	})
-	c.send(StateGet{ID: id, Key: keyPlans + run.name})
+	c.emit(StoreGet{CallID: id, Key: planPrefix + run.name})
 }
 
 // removePlan forgets a plan that has ended a while ago.
-func (l *leader) removePlan(run *planRun, stored *storedPlan) {
+func (l *leader) removePlan(run *planRun, stored *cachedPlan) {
 	run.writing = true
 	l.writes.tokens--
 	id := l.stateCall(func(r Result) {
 		run.writing = false
 		l.planWritten(run, r, nil)
 	})
-	l.c.send(StateTxn{ID: id, Txn: l.keyTxn(keyPlans+run.name, stored.version, wire.Op{Delete: keyPlans + run.name})})
+	l.c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(planPrefix+run.name, stored.version, wire.Op{Delete: planPrefix + run.name})})
 }
 
-// applyPlan takes a plan's key as it was read, written or heard of.
-func (c *Core) applyPlan(key string, value json.RawMessage, version uint64) {
-	name := key[len(keyPlans):]
-	before := c.dir.plans.byName[name]
-	c.dir.apply(key, value, version)
-	if c.lead != nil {
-		c.lead.planChanged(before, c.dir.plans.byName[name])
+// applyPlanKey takes a plan's key as it was read, written or heard of.
+func (c *Core) applyPlanKey(key string, value json.RawMessage, version uint64) {
+	name := key[len(planPrefix):]
+	before := c.cache.plans.byName[name]
+	c.cache.apply(key, value, version)
+	if c.leader != nil {
+		c.leader.planChanged(before, c.cache.plans.byName[name])
 	}
 }
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -13,10 +13,10 @@
 // PrefetchImage asks a worker to fetch an image that no task there waits for. The workers' protocol has no such request: it is
 // sent only where operators' settings allow it, to workers that know it. Its Result is OK with the time until the image is there.
 type PrefetchImage struct {
-	ID    uint64
-	Addr  string
-	Image string
-	GB    float64
+	CallID uint64
+	Addr   string
+	Image  string
+	GB     float64
 }
 
 func (PrefetchImage) effect() {}
@@ -39,16 +39,16 @@
 // runPrefetches notes which images are there, and asks for those that are missing.
 func (l *leader) runPrefetches() {
 	c, p := l.c, &l.prefetches
-	perHour := c.op.Spread.PrefetchGBPerHour
-	if !c.op.Spread.Enabled || perHour <= 0 || p.refused {
+	perHour := c.operator.Spread.PrefetchGBPerHour
+	if !c.operator.Spread.Enabled || perHour <= 0 || p.refused {
 		return
 	}
 	l.takeArrivals()
-	if c.now.Steady < p.lookAt || !c.elect.inTime() || c.stateDown {
-		c.at(p.lookAt)
+	if c.now.Steady < p.lookAt || !c.election.leaseValid() || c.storeDown {
+		c.wakeBy(p.lookAt)
 		return
 	}
-	p.lookAt = c.now.Steady + c.t.heartbeat
+	p.lookAt = c.now.Steady + c.times.checkInterval
 	now := c.now.Steady.Seconds()
 	if p.budget.at == 0 {
 		p.budget = hourlyBudget{left: perHour, at: now} // an hour's worth to begin with
@@ -81,7 +81,7 @@
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
 	for _, zone := range l.zonesFor(j) {
-		if j.spec.ImageGB > p.budget.left || p.asking >= l.c.mostProbes() {
+		if j.spec.ImageGB > p.budget.left || p.asking >= l.c.maxReplicaProbes() {
 			return
 		}
 		if m := l.copyPlace(j, zone); m != nil {
@@ -140,5 +140,5 @@
 			m.roomChanged = true
 		}
 	})
-	l.c.send(PrefetchImage{ID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
+	l.c.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
 }
--- a/internal/core/production_format_test.go
+++ b/internal/core/production_format_test.go
@@ -82,15 +82,15 @@
 	deadline := 60.0
 	job := &wire.Job{ID: "run-000001", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 3, CPUs: 2, Image: "i",
 		DeadlineS: &deadline, Dependencies: []string{"run-000000"}}
-	active, ok := decode[productionActive](encoded(t, activeValue{Job: job, AtMS: 7, CancelledMS: 9}, nil))
+	active, ok := decode[productionActive](encoded(t, activeJob{Spec: job, AcceptedMS: 7, CancelledMS: 9}, nil))
 	if !ok || active.Job.ID != job.ID || active.Job.Tasks != 3 || *active.Job.DeadlineS != 60 || active.AtMS != 7 || active.CancelledMS != 9 {
 		t.Errorf("a job: %+v %v", active, ok)
 	}
-	final, ok := decode[productionFinal](encoded(t, finalValue{State: wire.JobDone, Done: 3, AtMS: 12}, nil))
+	final, ok := decode[productionFinal](encoded(t, finalState{State: wire.JobDone, Done: 3, EndedMS: 12}, nil))
 	if !ok || final.State != string(wire.JobDone) || final.Done != 3 {
 		t.Errorf("an end: %+v %v", final, ok)
 	}
-	lead, ok := decode[productionLead](encoded(t, leadValue{"a", "a1", 4, 5}, nil))
+	lead, ok := decode[productionLead](encoded(t, leaderRecord{"a", "a1", 4, 5}, nil))
 	if !ok || lead != (productionLead{"a", "a1", 4, 5}) {
 		t.Errorf("the leader: %+v %v", lead, ok)
 	}
@@ -113,14 +113,14 @@
 		layout record.Layout
 		reads  bool
 	}{{record.Layout{ByIndex: 128}, true}, {record.Layout{ByIndex: 128, ByTask: 16}, false}} {
-		value, err := encodeTerm(termValue{12, "a"}, c.layout)
+		value, err := encodeTerm(termRecord{12, "a"}, c.layout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, ok := decode[productionTerm](value); ok != c.reads {
 			t.Errorf("%s is read: %v", value, ok)
 		}
-		if term, _, ok := decodeTerm(value); !ok || term != (termValue{12, "a"}) {
+		if term, _, ok := decodeTerm(value); !ok || term != (termRecord{12, "a"}) {
 			t.Errorf("%s is %+v here", value, term)
 		}
 	}
@@ -129,12 +129,12 @@
 		t.Errorf("%s would be taken for an index", key)
 	}
 	for _, prefix := range productionPrefixes {
-		if strings.HasPrefix(keyLayout, prefix) {
-			t.Errorf("%s lies below %s", keyLayout, prefix)
+		if strings.HasPrefix(recordLayoutKey, prefix) {
+			t.Errorf("%s lies below %s", recordLayoutKey, prefix)
 		}
 	}
 	for _, key := range productionKeys {
-		if key == keyLayout {
+		if key == recordLayoutKey {
 			t.Errorf("%s has another meaning there", key)
 		}
 	}
@@ -184,19 +184,19 @@
 
 // A cancellation rewrites a job whole, which may have been accepted as larger than values may be by now.
 func TestCancellationFits(t *testing.T) {
-	c := &Core{limits: &limits{}}
+	c := &Core{limits: &storeLimits{}}
 	c.limits.next.ValueKB = 2
 	long := strings.Repeat("x", 256)
 	job := &wire.Job{ID: "run-000001", Class: long, Team: long, Kind: wire.KindArray, Tasks: 5, Image: long, Zone: long}
 	for range 32 {
 		job.MachineTypes = append(job.MachineTypes, long)
 	}
-	value, err := c.encodeActive(activeValue{Job: job, AtMS: 1, CancelledMS: 2})
+	value, err := c.encodeActive(activeJob{Spec: job, AcceptedMS: 1, CancelledMS: 2})
 	if err != nil || len(value) > 2048 {
 		t.Fatalf("%d bytes, %v", len(value), err)
 	}
-	read, ok := decode[activeValue](value)
-	if !ok || read.CancelledMS != 2 || read.Job.Tasks != 5 || read.Job.Team != long {
+	read, ok := decode[activeJob](value)
+	if !ok || read.CancelledMS != 2 || read.Spec.Tasks != 5 || read.Spec.Team != long {
 		t.Errorf("%+v", read)
 	}
 	if len(job.MachineTypes) != 32 {
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -217,10 +217,10 @@
 			largest = max(largest, all)
 		}
 	}
-	if inUse == 0 || p.r.l.c.op.SpareShare == 0 {
+	if inUse == 0 || p.r.l.c.operator.SpareShare == 0 {
 		return 0
 	}
-	return max(largest, inUse*p.r.l.c.op.SpareShare)
+	return max(largest, inUse*p.r.l.c.operator.SpareShare)
 }
 
 // headroom is the room on ordinary machines that services could have: free, to
@@ -301,7 +301,7 @@
 	var idle []*machine
 	for _, m := range l.fleet {
 		if m.host != nil && len(m.list) == 0 && len(m.orphanedTasks) == 0 && !m.releasing &&
-			now >= m.idleSince+config.Seconds(m.mt.BootS*l.c.op.IdleBoots) {
+			now >= m.idleSince+config.Seconds(m.mt.BootS*l.c.operator.IdleBoots) {
 			idle = append(idle, m)
 		}
 	}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -34,10 +34,10 @@
 	*scaleCluster
 	stateTroubles
 	number  int
-	limit   float64                      // of each team, by its settings
-	pending map[uint64]func(core.Answer) // answers that other regions wait for
-	waiting []string                     // jobs that are not known to be accepted: users hand them in again
-	askedAt time.Duration                // when they did
+	limit   float64                        // of each team, by its settings
+	pending map[uint64]func(core.Response) // answers that other regions wait for
+	waiting []string                       // jobs that are not known to be accepted: users hand them in again
+	askedAt time.Duration                  // when they did
 }
 
 // regionMessage is a message on its way to a region.
@@ -74,7 +74,7 @@
 }
 
 func (w *regionWorld) newRegion(number, regions int) *worldRegion {
-	r := &worldRegion{scaleCluster: newScaleCluster(w.t, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Answer){}}
+	r := &worldRegion{scaleCluster: newScaleCluster(w.t, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Response){}}
 	r.digest = newOutputDigest()
 	r.op.IdleBoots = 100
 	r.op.Regions = config.Regions{Name: regionName(number)}
@@ -85,15 +85,15 @@
 		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}}
 	}
 	r.intercept = func(n *scaleNode, e core.Effect) (core.Result, bool) {
-		if e, ok := e.(core.RegionCall); ok {
+		if e, ok := e.(core.CallRegion); ok {
 			w.send(r, n, e)
 			return core.Result{}, false
 		}
 		return r.interceptState(n.name, r.store, e)
 	}
-	r.onAnswer = func(a core.Answer) bool {
-		answered := r.pending[a.Req]
-		delete(r.pending, a.Req)
+	r.onAnswer = func(a core.Response) bool {
+		answered := r.pending[a.RequestID]
+		delete(r.pending, a.RequestID)
 		if answered != nil {
 			answered(a)
 		}
@@ -105,7 +105,7 @@
 }
 
 // send puts a message on its way, and a copy where messages are repeated.
-func (w *regionWorld) send(from *worldRegion, n *scaleNode, e core.RegionCall) {
+func (w *regionWorld) send(from *worldRegion, n *scaleNode, e core.CallRegion) {
 	to := slices.IndexFunc(w.regions, func(r *worldRegion) bool { return regionName(r.number) == e.Region })
 	if to < 0 {
 		return // it is being set up
@@ -115,13 +115,13 @@
 	}
 	process, sent, over := n.core, from.now, false
 	message := regionMessage{due: from.now + regionLatency, to: to, node: e.Attempt % 3, input: func(req uint64) core.Input {
-		if e.Ask != nil {
-			ask := *e.Ask
-			ask.Req = req
+		if e.Request != nil {
+			ask := *e.Request
+			ask.RequestID = req
 			return ask
 		}
 		deliver := *e.Deliver
-		deliver.Req = req
+		deliver.RequestID = req
 		return deliver
 	}, answered: func(outcome call.Outcome) {
 		// The answer goes back to the process that asked, if it is still there.
@@ -130,7 +130,7 @@
 			if w.cut[[2]int{to, from.number}] {
 				outcome = call.Unknown
 			}
-			n.results = append(n.results, core.Result{ID: e.ID, Outcome: outcome, Sent: sent})
+			n.results = append(n.results, core.Result{CallID: e.CallID, Outcome: outcome, SentAt: sent})
 		}
 	}}
 	if w.cut[[2]int{from.number, to}] {
@@ -168,7 +168,7 @@
 	}
 	r.req++
 	req := r.req << 16
-	r.pending[req] = func(a core.Answer) {
+	r.pending[req] = func(a core.Response) {
 		to, redirected := a.Body.(wire.Redirect)
 		leader := slices.IndexFunc(r.nodes, func(x *scaleNode) bool { return redirected && x.name == to.Leader })
 		switch {
@@ -249,7 +249,7 @@
 				break
 			}
 			r.req++
-			r.step(r.nodes[w.jobs%3], core.Cancel{Req: r.req << 16, ID: id})
+			r.step(r.nodes[w.jobs%3], core.CancelJob{RequestID: r.req << 16, ID: id})
 			w.advance(100 * time.Millisecond)
 		}
 	}
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -11,16 +11,16 @@
 // checkRenewal checks an answer to a report: if it renews the worker's lease, it stops each task of the report whose job
 // the node knows to be cancelled, up to the bound of commands. Whether any other node leads, is served, or has told a
 // user does not matter.
-func (s *sim) checkRenewal(n *simNode, a core.Answer) {
-	report := n.reports[a.Req]
-	delete(n.reports, a.Req)
+func (s *sim) checkRenewal(n *simNode, a core.Response) {
+	report := n.reports[a.RequestID]
+	delete(n.reports, a.RequestID)
 	answer, renews := a.Body.(wire.HeartbeatResponse)
 	if report == nil || !renews {
 		return
 	}
 	for _, task := range leftRunning(report, answer, n.core.KnowsCancelled) {
 		s.ruleChecker.breaks(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
-			n.name, report.Machine, task, n.core.Status(n.steady(s.now)).Unread > 0)
+			n.name, report.Machine, task, n.core.Status(n.steady(s.now)).Recovering > 0)
 	}
 }
 
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -46,17 +46,17 @@
 func (t *rentals) init(l *leader) {
 	t.l = l
 	t.tokensAt = l.c.now.Steady
-	t.tokens = l.c.set.Params.Cloud.RPS
+	t.tokens = l.c.settings.Params.Cloud.RPS
 	t.exhausted = map[capacity.Group]time.Duration{}
 }
 
 func (t *rentals) spend() bool {
 	now := t.l.c.now.Steady
-	rps := 0.8 * t.l.c.set.Params.Cloud.RPS
+	rps := 0.8 * t.l.c.settings.Params.Cloud.RPS
 	t.tokens = min(max(1, rps), t.tokens+rps*(now-t.tokensAt).Seconds())
 	t.tokensAt = now
 	if t.tokens < 1 {
-		t.l.c.at(now + config.Seconds((1-t.tokens)/rps))
+		t.l.c.wakeBy(now + config.Seconds((1-t.tokens)/rps))
 		return false
 	}
 	t.tokens--
@@ -78,7 +78,7 @@
 			continue
 		}
 		if now < q.at {
-			c.at(q.at)
+			c.wakeBy(q.at)
 			continue
 		}
 		if !t.spend() {
@@ -100,9 +100,9 @@
 			t.list(t.nextPage)
 		}
 	case now < t.listAt:
-		t.l.c.at(t.listAt)
+		t.l.c.wakeBy(t.listAt)
 	case t.spend():
-		t.listAt = t.l.c.aligned(now + t.l.c.t.listLag)
+		t.listAt = t.l.c.coalesce(now + t.l.c.times.listLag)
 		t.listSent = now
 		t.page = map[string]bool{}
 		t.list("")
@@ -177,10 +177,10 @@
 		}
 		// Releasing again does no harm.
 		t.names = append(names, t.names...)
-		t.retryAt = c.now.Steady + c.t.heartbeat
-		c.at(t.retryAt)
+		t.retryAt = c.now.Steady + c.times.checkInterval
+		c.wakeBy(t.retryAt)
 	})
-	c.send(CloudRelease{ID: id, Names: names})
+	c.emit(CloudScaleIn{CallID: id, Names: names})
 }
 
 func (t *rentals) sendRent(q *rental) {
@@ -191,33 +191,33 @@
 		now := c.now.Steady
 		switch r.Outcome {
 		case call.OK:
-			for _, name := range r.Names {
+			for _, name := range r.MachineNames {
 				m := l.machine(name)
-				m.rentedAt, m.rented = r.Sent, true
+				m.rentedAt, m.rented = r.SentAt, true
 				m.describe(q.Type, q.Zone, "", q.Spot)
 				m.setType(c.machineType(q.Type))
 			}
-			if len(r.Names) < q.count {
-				t.exhausted[q.Group] = now + 2*c.t.listLag
+			if len(r.MachineNames) < q.count {
+				t.exhausted[q.Group] = now + 2*c.times.listLag
 			}
 			t.drop(q)
 			l.wantRound()
-			c.log(Info, "rented", "asked", q.count, "got", len(r.Names), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+			c.log(Info, "rented", "asked", q.count, "got", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case call.Refused:
-			t.exhausted[q.Group] = now + 2*c.t.listLag
+			t.exhausted[q.Group] = now + 2*c.times.listLag
 			t.drop(q)
 			l.wantRound()
 			c.log(Debug, "rental refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case call.Invalid:
-			t.exhausted[q.Group] = now + 20*c.t.listLag
+			t.exhausted[q.Group] = now + 20*c.times.listLag
 			t.drop(q)
 			c.log(Error, "rental was malformed", "type", q.Type, "zone", q.Zone)
 		default:
-			q.at = now + c.t.heartbeat
-			c.at(q.at)
+			q.at = now + c.times.checkInterval
+			c.wakeBy(q.at)
 		}
 	})
-	c.send(CloudRent{ID: id, Request: wire.ScaleOutRequest{RequestID: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
+	c.emit(CloudScaleOut{CallID: id, Request: wire.ScaleOutRequest{RequestID: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
 }
 
 // unask drops requests that still wait for the cloud's rate. What is missing is counted
@@ -271,7 +271,7 @@
 		t.absent()
 		l.wantRound()
 	})
-	c.send(CloudList{ID: id, After: after})
+	c.emit(CloudList{CallID: id, After: after})
 }
 
 // listed takes an entry of the cloud's list.
@@ -279,7 +279,7 @@
 	l, c := t.l, t.l.c
 	now := c.now.Steady
 	if at, was := l.released[e.Name]; was {
-		if now-at < 10*c.t.listLag {
+		if now-at < 10*c.times.listLag {
 			return // the list lags
 		}
 		delete(l.released, e.Name)
@@ -320,10 +320,10 @@
 		if m.listed {
 			known = m.listedAt
 		}
-		if t.listSent < known+3*c.t.listLag {
+		if t.listSent < known+3*c.times.listLag {
 			continue
 		}
-		if m.up && c.now.Steady-m.lastHeard() < 3*c.t.listLag {
+		if m.up && c.now.Steady-m.lastHeard() < 3*c.times.listLag {
 			continue
 		}
 		m.missing++
@@ -333,7 +333,7 @@
 	}
 	if len(l.released) > 1000 {
 		for name, at := range l.released {
-			if c.now.Steady-at > 30*c.t.lease {
+			if c.now.Steady-at > 30*c.times.lease {
 				delete(l.released, name)
 			}
 		}
@@ -350,10 +350,10 @@
 		if m.up || m.seenUp || m.mt == nil || m.releasing {
 			continue
 		}
-		due := m.rentedAt + config.Seconds(m.mt.BootS*c.op.StuckBoots)
-		if m.since == l.since || m.since < l.since+c.t.lease {
+		due := m.rentedAt + config.Seconds(m.mt.BootS*c.operator.StuckBoots)
+		if m.since == l.since || m.since < l.since+c.times.lease {
 			// Known from before this term: it may be up and yet to report here.
-			due = max(due, l.since+2*c.t.lease)
+			due = max(due, l.since+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
 			t.release(m, releaseNeverUp)
@@ -372,11 +372,11 @@
 	if l.term == 1 {
 		return true
 	}
-	if c.now.Steady-l.since < 2*c.t.listLag {
-		c.at(l.since + 2*c.t.listLag)
+	if c.now.Steady-l.since < 2*c.times.listLag {
+		c.wakeBy(l.since + 2*c.times.listLag)
 		return false
 	}
-	if c.now.Steady-l.since > c.t.lease {
+	if c.now.Steady-l.since > c.times.lease {
 		return true
 	}
 	awaited, up := 0, 0
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -6,31 +6,31 @@
 	"bitternwing/internal/wire"
 )
 
-// checkin answers a worker's report.
-func (c *Core) checkin(in Checkin) {
-	r := in.Report
-	c.lastReport = c.now.Steady
-	l := c.lead
+// handleHeartbeat answers a worker's report.
+func (c *Core) handleHeartbeat(in WorkerHeartbeat) {
+	r := in.Heartbeat
+	c.lastHeartbeat = c.now.Steady
+	l := c.leader
 	if l == nil {
-		if c.relay.checkin(in) {
+		if c.leaseRelay.checkin(in) {
 			return
 		}
 		to := ""
-		if c.dir.leadVersion != 0 && c.dir.lead.Node != c.set.Node {
-			to = c.dir.lead.Node
-		} else if !c.dir.ready {
+		if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
+			to = c.cache.leader.Node
+		} else if !c.cache.ready {
 			to = c.leadingPeer() // started while the state service is down
 		}
-		c.answer(in.Req, 421, wire.Redirect{Leader: to})
+		c.respond(in.RequestID, 421, wire.Redirect{Leader: to})
 		return
 	}
 	// A worker that knows a newer term would drop what this node says; a node
 	// past its deadline is not entitled to say anything.
 	if termOf(r.FencingToken) > l.term || !l.entitled() {
-		if len(r.Tasks) > 0 && c.stateDown && c.relay.renewWithoutState(in) {
+		if len(r.Tasks) > 0 && c.storeDown && c.leaseRelay.renewWithoutState(in) {
 			return
 		}
-		c.answer(in.Req, 421, wire.Redirect{})
+		c.respond(in.RequestID, 421, wire.Redirect{})
 		return
 	}
 	before := l.changes
@@ -41,24 +41,24 @@
 		m.current = max(m.current, token)
 		token = l.token(m)
 	}
-	if !l.holdAnswer(in.Req, r, token, answer) {
-		c.renewLease(in.Req, basis, token, answer)
+	if !l.holdAnswer(in.RequestID, r, token, answer) {
+		c.renewLease(in.RequestID, basis, token, answer)
 	}
-	c.eventless = l.loaded && l.changes == before && len(answer.commands) == 0
+	c.nothingChanged = l.loaded && l.changes == before && len(answer.commands) == 0
 }
 
 // report takes in a report and adds commands to its answer.
 func (l *leader) report(r *wire.Heartbeat, answer *leaseAnswer) LeaseBasis {
 	if !l.loaded {
-		return UnreadLeaderBasis // what runs is not yet known
+		return RecoveringLeaderBasis // what runs is not yet known
 	}
 	if _, was := l.released[r.Machine]; was {
-		return GoneMachineBasis
+		return RemovedMachineBasis
 	}
 	m := l.machine(r.Machine)
 	if m.up && (r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq) {
 		// A late copy. It proves nothing, and its answer reaches nobody.
-		return LateReportBasis
+		return StaleHeartbeatBasis
 	}
 	l.dropHeld(m)
 	if r.Incarnation != m.session || !m.up {
@@ -75,12 +75,12 @@
 		l.requireToken(m, firstToken(l.term))
 	case m.up && r.Incarnation > m.session:
 		l.c.log(Info, "machine in a new session", "machine", m.name, "tasks", len(m.runs))
-		if now-m.heard < l.c.t.lease/2 {
+		if now-m.heard < l.c.times.lease/2 {
 			// Its lease ran out although its reports came and were answered.
 			l.requireToken(m, l.token(m)+1)
 		}
 	}
-	if now-m.heard > l.c.t.quiet {
+	if now-m.heard > l.c.times.heartbeatTimeout {
 		m.tokenRequiredSince = now
 	}
 	m.describe(r.Type, r.Zone, r.Addr, r.Spot)
@@ -233,9 +233,9 @@
 	case wire.CauseError:
 		l.erred(p)
 	case wire.CauseNoCapacity:
-		p.machine.full = l.c.now.Steady + l.c.t.heartbeat*2
+		p.machine.full = l.c.now.Steady + l.c.times.checkInterval*2
 	case wire.CauseBusy, wire.CauseUnknownTask:
-		j.waitFor = max(j.waitFor, l.c.now.Steady+l.c.t.heartbeat*2)
+		j.waitFor = max(j.waitFor, l.c.now.Steady+l.c.times.checkInterval*2)
 	}
 	l.end(p)
 }
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -63,7 +63,7 @@
 		w.submitReplica(job)
 	}
 	w.pass(200 * time.Millisecond)
-	w.order(func(req uint64) core.Input { return core.ApplyPlan{Req: req, Plan: plan} })
+	w.order(func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} })
 	for _, job := range plan.New.Jobs {
 		w.submitReplica(job)
 	}
@@ -74,7 +74,7 @@
 func (w *rolloutWorld) routeAll(plans int) {
 	for i := range plans {
 		w.req++
-		w.step(w.nodes[0], core.RoutePlan{Req: w.req << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
+		w.step(w.nodes[0], core.GetRouting{RequestID: w.req << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
 	}
 }
 
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	w.advance(20 * time.Second) // routers still go by it, until it is removed
-	a := w.order(func(req uint64) core.Input { return core.ShowPlan{Req: req, Name: "reader"} })
+	a := w.order(func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: "reader"} })
 	if status, ok := a.Body.(core.PlanStatus); !ok || status.Capacity.New != 10*newJobs*replicasOfJob {
 		t.Errorf("an ended plan does not know its replicas: %+v", a.Body)
 	}
@@ -224,7 +224,7 @@
 		Steps: []rollout.Step{{Jobs: []string{"run-000111"}, Share: 1, BakeS: 1}}}
 	w.hand(w.nodes[0], replicaJob("run-000101", "t2"))
 	w.advance(8 * time.Second)
-	if a := w.order(func(req uint64) core.Input { return core.ApplyPlan{Req: req, Plan: other} }); a.Status != 200 {
+	if a := w.order(func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: other} }); a.Status != 200 {
 		t.Fatalf("the second plan is refused: %+v", a)
 	}
 	w.hand(w.nodes[0], replicaJob("run-000111", "t2"))
@@ -248,7 +248,7 @@
 		w.advance(8 * time.Second)
 	}
 	for range 5 {
-		a := w.ask(w.nodes[0], func(req uint64) core.Input { return core.ApplyPlan{Req: req, Plan: w.plan} })
+		a := w.ask(w.nodes[0], func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: w.plan} })
 		if a == nil || a.Status != 503 {
 			t.Errorf("a plan is taken: %+v", a)
 		}
@@ -341,10 +341,10 @@
 		t.Error(a)
 	}
 	w.checkRolledBack(rollout.Aborted)
-	if a := w.order(func(req uint64) core.Input { return core.ShowPlan{Req: req, Name: "writer"} }); a.Status != 404 {
+	if a := w.order(func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: "writer"} }); a.Status != 404 {
 		t.Errorf("an unknown plan: %+v", a)
 	}
-	a := w.order(func(req uint64) core.Input { return core.ShowPlan{Req: req, Name: "reader"} })
+	a := w.order(func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: "reader"} })
 	if status, ok := a.Body.(core.PlanStatus); !ok || status.Record.Phase != rollout.RolledBack {
 		t.Errorf("shown: %+v", a)
 	}
@@ -355,14 +355,14 @@
 	w := newRolloutWorld(t)
 	w.start()
 	w.until(rollout.Baking)
-	w.ask(w.nodes[1], func(req uint64) core.Input { return core.Cancel{Req: req, ID: newJob(1)} })
+	w.ask(w.nodes[1], func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: newJob(1)} })
 	w.checkRolledBack(rollout.NewCancelled)
 
 	w = newRolloutWorld(t)
 	w.start()
 	w.until(rollout.Baking)
 	w.taken = true // by its owner
-	w.ask(w.nodes[1], func(req uint64) core.Input { return core.Cancel{Req: req, ID: oldJob(1)} })
+	w.ask(w.nodes[1], func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: oldJob(1)} })
 	w.until(rollout.Completed)
 }
 
@@ -376,7 +376,7 @@
 	w.unreachable = func(task string) bool { return task < "run-000010" } // the old version is not whole
 	w.advance(10 * time.Second)
 	for i := range newJobs {
-		a := w.ask(w.nodes[i], func(req uint64) core.Input { return core.Poll{Req: req, ID: newJob(i)} })
+		a := w.ask(w.nodes[i], func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: newJob(i)} })
 		if s, ok := a.Body.(wire.JobState); !ok || s.State != wire.JobPending {
 			t.Errorf("%s: %+v", newJob(i), a)
 		}
@@ -555,7 +555,7 @@
 
 // tryChange asks for a change once.
 func (w *rolloutWorld) tryChange(change rollout.Change) {
-	w.ask(w.nodes[0], func(req uint64) core.Input { return core.ChangePlan{Req: req, Name: w.plan.Name, Change: change} })
+	w.ask(w.nodes[0], func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: w.plan.Name, Change: change} })
 }
 
 // TestGoesBackBeforeProofs ends two leaders in a row while the plan goes back. The next one has heard of the new replicas
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -115,11 +115,11 @@
 // interceptCall plays what the state service and the replicas do.
 func (w *rolloutWorld) interceptCall(n *scaleNode, e core.Effect) (core.Result, bool) {
 	switch e := e.(type) {
-	case core.PeerAsk:
+	case core.QueryPeer:
 		if e.Node == w.outdated {
 			// A version without plans: it says nothing of them.
 			r, ok := w.askPeer(e)
-			r.Peer.KnowsPlans = false
+			r.Peer.SupportsRollouts = false
 			return r, ok
 		}
 	case core.ProbeReplica:
@@ -128,7 +128,7 @@
 		if answer.Verdict == rollout.Right && compares && (e.Probe.Reference == nil || w.probe(*e.Probe.Reference).Verdict != rollout.Right) {
 			answer = rollout.Answer{Verdict: rollout.NotCompared, Check: "as before"}
 		}
-		return core.Result{ID: e.ID, Outcome: call.OK, Probe: answer}, true
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Probe: answer}, true
 	}
 	return w.interceptState(n.name, w.store, e)
 }
@@ -136,7 +136,7 @@
 // stateCallID gives the id of a call to the state service; watches stay open through an outage.
 func stateCallID(e core.Effect) (uint64, bool) {
 	switch e.(type) {
-	case core.StateGet, core.StateList, core.StateTxn, core.StateGrant, core.StateExtend, core.StateRevoke:
+	case core.StoreGet, core.StoreList, core.StoreTxn, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
 		return idOf(e), true
 	}
 	return 0, false
@@ -164,15 +164,15 @@
 }
 
 // ask hands a request to a node, which relays it to the leader once, and gives the answer.
-func (w *rolloutWorld) ask(n *scaleNode, input func(req uint64) core.Input) *core.Answer {
+func (w *rolloutWorld) ask(n *scaleNode, input func(req uint64) core.Input) *core.Response {
 	w.req++
 	req := w.req << 16
-	var got *core.Answer
-	w.onAnswer = func(a core.Answer) bool {
-		if a.Req == req {
+	var got *core.Response
+	w.onAnswer = func(a core.Response) bool {
+		if a.RequestID == req {
 			got = &a
 		}
-		return a.Req == req
+		return a.RequestID == req
 	}
 	if n.name == w.frozen {
 		return nil
@@ -192,7 +192,7 @@
 }
 
 // order hands a request in until it is answered for good.
-func (w *rolloutWorld) order(input func(req uint64) core.Input) *core.Answer {
+func (w *rolloutWorld) order(input func(req uint64) core.Input) *core.Response {
 	for range 60 {
 		if a := w.ask(w.nodes[0], input); a != nil && a.Status != 503 && a.Status != 421 {
 			return a
@@ -203,8 +203,8 @@
 	return nil
 }
 
-func (w *rolloutWorld) apply() *core.Answer {
-	return w.order(func(req uint64) core.Input { return core.ApplyPlan{Req: req, Plan: w.plan} })
+func (w *rolloutWorld) apply() *core.Response {
+	return w.order(func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: w.plan} })
 }
 
 // start has the owner apply the plan and submit the new jobs.
@@ -216,8 +216,8 @@
 	w.submitNew()
 }
 
-func (w *rolloutWorld) change(change rollout.Change) *core.Answer {
-	return w.order(func(req uint64) core.Input { return core.ChangePlan{Req: req, Name: w.plan.Name, Change: change} })
+func (w *rolloutWorld) change(change rollout.Change) *core.Response {
+	return w.order(func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: w.plan.Name, Change: change} })
 }
 
 // record gives the plan as the state service holds it; nil: there is none.
@@ -255,7 +255,7 @@
 		return
 	}
 	a := w.ask(n, func(req uint64) core.Input {
-		return core.RoutePlan{Req: req, Name: w.plan.Name, Router: r.name, Generation: r.held.Routing.Generation}
+		return core.GetRouting{RequestID: req, Name: w.plan.Name, Router: r.name, Generation: r.held.Routing.Generation}
 	})
 	if a == nil || a.Status != 200 {
 		return
