--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -23,10 +23,10 @@
 // design, for starts that are due within seconds.
 func (l *leader) wantRound() {
 	l.changes++
-	if !l.c.op.EventRounds {
+	if !l.c.operator.EventRounds {
 		return
 	}
-	gap := time.Duration(float64(l.c.t.eventGap) * l.c.slower())
+	gap := time.Duration(float64(l.c.times.minCycleGap) * l.c.slowdown())
 	l.rounds.at = min(l.rounds.at, l.rounds.lastAt+max(gap, l.rounds.pause))
 }
 
@@ -60,7 +60,7 @@
 // its way out.
 func (l *leader) usable(m *machine) bool {
 	return m.up && m.mt != nil && !m.releasing && !m.notice && !m.faulty && m.requiredToken == 0 &&
-		l.c.now.Steady-m.heard < l.c.pacer.Patience(l.c.t.quiet, m.lastHold) && l.c.now.Steady >= m.full
+		l.c.now.Steady-m.heard < l.c.pacer.Patience(l.c.times.heartbeatTimeout, m.lastHold) && l.c.now.Steady >= m.full
 }
 
 // ready tells whether a job may be given tasks now.
@@ -72,16 +72,16 @@
 func (l *leader) round() {
 	now := l.c.now.Steady
 	if now < l.rounds.at {
-		l.c.at(l.rounds.at)
+		l.c.wakeBy(l.rounds.at)
 		return
 	}
-	l.rounds.at = now + l.c.t.round
+	l.rounds.at = now + l.c.times.cycleInterval
 	l.rounds.pause = 0
-	l.c.at(l.rounds.at)
-	if l.c.catalog == nil || !l.c.elect.inTime() || l.c.stateDown {
+	l.c.wakeBy(l.rounds.at)
+	if l.c.catalog == nil || !l.c.election.leaseValid() || l.c.storeDown {
 		l.rounds.lastAt = now
-		l.rounds.at = now + l.c.t.heartbeat
-		l.c.at(l.rounds.at)
+		l.rounds.at = now + l.c.times.checkInterval
+		l.c.wakeBy(l.rounds.at)
 		return
 	}
 	budget := l.budget()
@@ -106,13 +106,13 @@
 	spent := budget - r.evaluations
 	l.rounds.evaluations -= float64(spent)
 	l.rounds.spent += spent
-	l.c.evaluations.Spend(spent)
+	l.c.evaluationCost.Spend(spent)
 	if r.evaluations <= 0 {
 		// Out of budget: go on from where this round stopped, once what it took beyond
 		// its budget is made good.
 		l.rounds.pause = l.rounds.pauseAfter(l.c)
 		l.rounds.at = now + l.rounds.pause
-		l.c.at(l.rounds.at)
+		l.c.wakeBy(l.rounds.at)
 	}
 }
 
@@ -120,10 +120,10 @@
 // have, while there is more, goes on soon.
 func (rs *rounds) pauseAfter(c *Core) time.Duration {
 	if rs.evaluations > 0 {
-		return c.t.eventGap
+		return c.times.minCycleGap
 	}
 	debt := config.Seconds(-rs.evaluations / c.evaluationsPerSecond())
-	return min(max(c.t.heartbeat/2, debt), c.t.round)
+	return min(max(c.times.checkInterval/2, debt), c.times.cycleInterval)
 }
 
 // note writes what a round came to, for whoever looks for the cause of a wait: tasks
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -17,55 +17,55 @@
 		}
 	}
 	switch e := e.(type) {
-	case core.Answer:
+	case core.Response:
 		if y.onAnswer == nil || !y.onAnswer(e) {
 			y.answer(e)
 		}
-	case core.StateWatch:
+	case core.StoreWatch:
 		n.watches = append(n.watches, scaleWatch{e, y.now})
-	case core.StateGet, core.StateList, core.StateTxn, core.StateGrant, core.StateExtend, core.StateRevoke:
+	case core.StoreGet, core.StoreList, core.StoreTxn, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
 		return y.askState(e), true
-	case core.CloudCatalog, core.CloudRent, core.CloudRelease, core.CloudList:
+	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
 		return y.askCloud(e), true
-	case core.WorkerOrders, core.WorkerInspect, core.PrefetchImage:
+	case core.SendCommands, core.QueryWorker, core.PrefetchImage:
 		n.asked++
 		y.counted.atOnce = max(y.counted.atOnce, n.asked)
 		return y.askWorker(n, e), true
 	case core.Log:
-		if len(e.Pairs) > 1 && e.Pairs[0] == "field" {
-			y.logged[e.Pairs[1].(string)]++
+		if len(e.Fields) > 1 && e.Fields[0] == "field" {
+			y.logged[e.Fields[1].(string)]++
 		}
-	case core.PeerAsk:
+	case core.QueryPeer:
 		return y.askPeer(e)
 	}
 	return core.Result{}, false
 }
 
 // askPeer asks another node for its status. One that stands still does not answer.
-func (y *scaleCluster) askPeer(e core.PeerAsk) (core.Result, bool) {
+func (y *scaleCluster) askPeer(e core.QueryPeer) (core.Result, bool) {
 	for _, p := range y.nodes {
 		if p.name == e.Node && p.name != y.frozen {
 			if len(e.Cancellations) > 0 {
 				// The answer says that they are known from now on.
 				y.req++
-				y.step(p, core.CancellationsReceived{Req: y.req << 16, Cancellations: e.Cancellations})
+				y.step(p, core.ReplicateCancellations{RequestID: y.req << 16, Cancellations: e.Cancellations})
 			}
-			return core.Result{ID: e.ID, Outcome: call.OK, Peer: p.core.PeerStatus()}, true
+			return core.Result{CallID: e.CallID, Outcome: call.OK, Peer: p.core.PeerStatus()}, true
 		}
 	}
-	return core.Result{ID: e.ID, Outcome: call.Unknown}, true
+	return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
 }
 
 // answer hands an answer to the worker or the user that waits for it.
-func (y *scaleCluster) answer(e core.Answer) {
+func (y *scaleCluster) answer(e core.Response) {
 	switch b := e.Body.(type) {
 	case wire.HeartbeatResponse:
-		if w := y.workers[e.Req&0xffff]; !w.dead && w.answered(e.Req) {
+		if w := y.workers[e.RequestID&0xffff]; !w.dead && w.answered(e.RequestID) {
 			w.machine.Answered(y.now, 1, b)
 		}
 	case wire.Redirect:
-		w := y.workers[e.Req&0xffff]
-		w.answered(e.Req)
+		w := y.workers[e.RequestID&0xffff]
+		w.answered(e.RequestID)
 		w.node = (w.node + 1) % len(y.nodes)
 		for i, x := range y.nodes {
 			if x.name == b.Leader {
@@ -76,7 +76,7 @@
 	default:
 		y.polled = e.Body
 		if y.told != nil {
-			y.told[e.Req] = e.Status
+			y.told[e.RequestID] = e.Status
 		}
 	}
 }
@@ -84,29 +84,29 @@
 // askState makes a call to the state service.
 func (y *scaleCluster) askState(e core.Effect) core.Result {
 	switch e := e.(type) {
-	case core.StateTxn:
+	case core.StoreTxn:
 		y.countTxn(e)
-		r := core.Result{ID: e.ID}
+		r := core.Result{CallID: e.CallID}
 		r.Txn, r.Outcome = y.store.Txn(e.Txn)
 		return r
-	case core.StateGet:
+	case core.StoreGet:
 		y.counted.gets++
 		it, o := y.store.Get(e.Key)
-		return core.Result{ID: e.ID, Outcome: o, Item: it}
-	case core.StateList:
+		return core.Result{CallID: e.CallID, Outcome: o, Item: it}
+	case core.StoreList:
 		y.counted.lists++
-		return core.Result{ID: e.ID, Outcome: call.OK, Page: y.store.List(e.Prefix, e.After, 500)}
-	case core.StateGrant:
-		return core.Result{ID: e.ID, Outcome: call.OK, Lease: y.store.Grant(e.TTL)}
-	case core.StateExtend:
-		return core.Result{ID: e.ID, Outcome: y.store.Extend(e.Lease)}
-	case core.StateRevoke:
-		return core.Result{ID: e.ID, Outcome: y.store.Revoke(e.Lease)}
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Page: y.store.List(e.Prefix, e.After, 500)}
+	case core.StoreGrantLease:
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Lease: y.store.Grant(e.TTL)}
+	case core.StoreRenewLease:
+		return core.Result{CallID: e.CallID, Outcome: y.store.Extend(e.Lease)}
+	case core.StoreRevokeLease:
+		return core.Result{CallID: e.CallID, Outcome: y.store.Revoke(e.Lease)}
 	}
 	return core.Result{}
 }
 
-func (y *scaleCluster) countTxn(e core.StateTxn) {
+func (y *scaleCluster) countTxn(e core.StoreTxn) {
 	c := &y.counted
 	c.txns++
 	c.writes += len(e.Txn.Then)
@@ -125,18 +125,18 @@
 func (y *scaleCluster) askCloud(e core.Effect) core.Result {
 	if !y.cloudTakes() {
 		y.tooMany++
-		return core.Result{ID: idOf(e), Outcome: call.Dropped}
+		return core.Result{CallID: idOf(e), Outcome: call.Dropped}
 	}
 	switch e := e.(type) {
 	case core.CloudCatalog:
-		return core.Result{ID: e.ID, Outcome: call.OK, Catalog: catalog}
-	case core.CloudRent:
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Catalog: catalog}
+	case core.CloudScaleOut:
 		return y.rent(e)
-	case core.CloudRelease:
+	case core.CloudScaleIn:
 		for _, name := range e.Names {
 			y.release(y.byName[name])
 		}
-		return core.Result{ID: e.ID, Outcome: call.OK}
+		return core.Result{CallID: e.CallID, Outcome: call.OK}
 	case core.CloudList:
 		y.counted.pages++
 		return y.list(e)
@@ -159,7 +159,7 @@
 }
 
 // idOf gives the id of a call.
-func idOf(e core.Effect) uint64 { return reflect.ValueOf(e).FieldByName("ID").Uint() }
+func idOf(e core.Effect) uint64 { return reflect.ValueOf(e).FieldByName("CallID").Uint() }
 
 func (y *scaleCluster) release(w *scaleWorker) {
 	if w == nil || w.dead {
@@ -173,7 +173,7 @@
 }
 
 func (y *scaleCluster) list(e core.CloudList) core.Result {
-	r := core.Result{ID: e.ID, Outcome: call.OK}
+	r := core.Result{CallID: e.CallID, Outcome: call.OK}
 	for _, w := range y.workers {
 		if w.dead || w.name <= e.After {
 			continue
@@ -192,29 +192,29 @@
 // askWorker sends a worker commands or a question.
 func (y *scaleCluster) askWorker(n *scaleNode, e core.Effect) core.Result {
 	switch e := e.(type) {
-	case core.WorkerOrders:
+	case core.SendCommands:
 		y.counted.orders++
 		if w := y.direct(n, e.Addr); w != nil {
-			r := core.Result{ID: e.ID, Outcome: call.Conflict}
-			if w.machine.Ordered(y.now, wire.DirectCommands{FencingToken: e.Token, Incarnation: e.Session, Commands: e.Commands}) {
+			r := core.Result{CallID: e.CallID, Outcome: call.Conflict}
+			if w.machine.Ordered(y.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
 				r.Outcome = call.OK
 			}
-			r.Report = *w.machine.Report(y.now)
+			r.Heartbeat = *w.machine.Report(y.now)
 			return r
 		}
-		return core.Result{ID: e.ID, Outcome: call.Unknown}
+		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
 	case core.PrefetchImage:
 		y.prefetched++
 		if w := y.direct(n, e.Addr); w != nil {
 			ready := w.machine.Prefetch(y.now, e.Image, e.GB) - y.now
-			return core.Result{ID: e.ID, Outcome: y.prefetchOutcome, ReadyS: ready.Seconds()}
+			return core.Result{CallID: e.CallID, Outcome: y.prefetchOutcome, ReadyS: ready.Seconds()}
 		}
-		return core.Result{ID: e.ID, Outcome: call.Unknown}
-	case core.WorkerInspect:
+		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
+	case core.QueryWorker:
 		if w := y.direct(n, e.Addr); w != nil {
-			return core.Result{ID: e.ID, Outcome: call.OK, Report: *w.machine.Report(y.now)}
+			return core.Result{CallID: e.CallID, Outcome: call.OK, Heartbeat: *w.machine.Report(y.now)}
 		}
-		return core.Result{ID: e.ID, Outcome: call.Unknown}
+		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
 	}
 	return core.Result{}
 }
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -48,7 +48,7 @@
 	cloudTokens    float64
 	// intercept may give the result of a call in place of the world, and onAnswer take an answer.
 	intercept func(*scaleNode, core.Effect) (core.Result, bool)
-	onAnswer  func(core.Answer) bool
+	onAnswer  func(core.Response) bool
 	frozen    string // a node whose process stands still
 	// prefetched counts the images that are asked for ahead of need, and prefetchOutcome is what becomes of that.
 	prefetched      int
@@ -90,7 +90,7 @@
 }
 
 type scaleWatch struct {
-	core.StateWatch
+	core.StoreWatch
 	opened time.Duration
 }
 
@@ -173,7 +173,7 @@
 			y.digest.add(y.t, y.now, n.name, e)
 		}
 		if r, ok := y.carryOut(n, e); ok {
-			r.Sent = y.now
+			r.SentAt = y.now
 			n.results = append(n.results, r)
 		}
 	}
@@ -201,7 +201,7 @@
 					n.watches = append(n.watches, w)
 					continue
 				}
-				y.step(n, core.Result{ID: w.ID, Outcome: o, Changes: ch, Sent: w.opened})
+				y.step(n, core.Result{CallID: w.CallID, Outcome: o, Changes: ch, SentAt: w.opened})
 			}
 			if n.core.Wake() <= y.now {
 				y.step(n, core.Tick{})
@@ -235,7 +235,7 @@
 func (y *scaleCluster) hand(n *scaleNode, j *wire.Job) {
 	y.req++
 	y.specs[j.ID] = j
-	y.step(n, core.Submit{Req: y.req << 16, Job: j})
+	y.step(n, core.SubmitJob{RequestID: y.req << 16, Job: j})
 }
 
 // have brings machines up that were there before, in some zones in turn, or in the first one.
@@ -245,7 +245,7 @@
 	}
 	y.most += n
 	for i := range n {
-		y.rent(core.CloudRent{Request: wire.ScaleOutRequest{Count: 1, Zone: zones[i%len(zones)]}})
+		y.rent(core.CloudScaleOut{Request: wire.ScaleOutRequest{Count: 1, Zone: zones[i%len(zones)]}})
 	}
 	for _, w := range y.workers {
 		w.up = 0
@@ -255,7 +255,7 @@
 // crash ends the process of the node that leads, and starts it anew.
 func (y *scaleCluster) crash() {
 	for i, n := range y.nodes {
-		if n.core.PeerStatus().Leads {
+		if n.core.PeerStatus().Leading {
 			y.start(i)
 			y.step(n, core.Tick{})
 			return
@@ -285,7 +285,7 @@
 			y.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[s/3%5], GPUs: []float64{4, 2, 1, 1, 1}[s/3%5]})
 			if len(y.live) > services {
 				y.req++
-				y.step(y.nodes[s%len(y.nodes)], core.Cancel{Req: y.req << 16, ID: y.live[0]})
+				y.step(y.nodes[s%len(y.nodes)], core.CancelJob{RequestID: y.req << 16, ID: y.live[0]})
 				y.live = y.live[1:]
 			}
 		}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -151,7 +151,7 @@
 		y.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 1})
 		y.pass(200 * time.Millisecond)
 		y.req++
-		y.step(y.nodes[0], core.Cancel{Req: y.req << 16, ID: y.live[i]})
+		y.step(y.nodes[0], core.CancelJob{RequestID: y.req << 16, ID: y.live[i]})
 	}
 	y.pass(40 * time.Second)
 	if n := len(y.store.Keys("f/")); n != 60 {
@@ -165,7 +165,7 @@
 	gets := y.counted.gets
 	y.req++
 	y.polled = nil
-	y.step(y.nodes[1], core.Poll{Req: y.req << 16, ID: y.live[0]})
+	y.step(y.nodes[1], core.GetJob{RequestID: y.req << 16, ID: y.live[0]})
 	y.pass(time.Second)
 	if s, ok := y.polled.(wire.JobState); !ok || s.State != wire.JobCancelled || y.counted.gets == gets {
 		t.Errorf("the first job is answered %+v after %d reads", y.polled, y.counted.gets-gets)
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -28,8 +28,8 @@
 const leastBetweenReports = 500 * time.Millisecond
 
 // rent brings machines up.
-func (y *scaleCluster) rent(e core.CloudRent) core.Result {
-	r := core.Result{ID: e.ID, Outcome: call.OK}
+func (y *scaleCluster) rent(e core.CloudScaleOut) core.Result {
+	r := core.Result{CallID: e.CallID, Outcome: call.OK}
 	for i := 0; i < e.Request.Count && y.rented < y.most; i++ {
 		y.rented++
 		w := &scaleWorker{index: len(y.workers), name: fmt.Sprintf("m%04d", len(y.workers)+1), zone: e.Request.Zone,
@@ -39,9 +39,9 @@
 		y.byAddr[w.addr] = w
 		y.byName[w.name] = w
 		y.workers = append(y.workers, w)
-		r.Names = append(r.Names, w.name)
+		r.MachineNames = append(r.MachineNames, w.name)
 	}
-	if len(r.Names) == 0 {
+	if len(r.MachineNames) == 0 {
 		r.Outcome = call.Refused
 	}
 	return r
@@ -72,7 +72,7 @@
 	y.counted.checkins++
 	y.req++
 	w.inFlight = y.req<<16 | uint64(w.index)
-	y.step(y.nodes[w.node], core.Checkin{Req: w.inFlight, Report: w.machine.Report(y.now)})
+	y.step(y.nodes[w.node], core.WorkerHeartbeat{RequestID: w.inFlight, Heartbeat: w.machine.Report(y.now)})
 }
 
 // answered takes the answer to a report; false if the worker does not wait for it any more.
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -307,7 +307,7 @@
 	if s.polled == nil {
 		s.polled = map[int]int{}
 	}
-	s.ask(func(req uint64) core.Input { return core.Poll{Req: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
 		s.ruleChecker.told(s.now, sent, "poll", j.spec.ID, status, state)
 		s.polled[status]++
 	})
@@ -318,12 +318,12 @@
 	sent := s.now
 	big := &simJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
 	s.ruleChecker.submits(big.spec)
-	s.ask(func(req uint64) core.Input { return core.Submit{Req: req, Job: big.spec} }, func(status int, _ wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: big.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
 			s.ruleChecker.breaks(s.now, "odd", "a job that fits no machine gets %d", status)
 		}
 	})
-	s.ask(func(req uint64) core.Input { return core.Poll{Req: req, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
 		s.ruleChecker.told(s.now, sent, "poll", "run-999002", status, state)
 	})
 	for _, j := range s.jobs {
@@ -331,12 +331,12 @@
 			continue
 		}
 		spec := *j.spec
-		s.ask(func(req uint64) core.Input { return core.Submit{Req: req, Job: &spec} }, func(status int, state wire.JobStatus) {
+		s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
 			s.ruleChecker.told(s.now, sent, "submit", j.spec.ID, status, state)
 		})
 		if j.told == wire.JobDone {
 			s.ruleChecker.jobs[j.spec.ID].asked = true
-			s.ask(func(req uint64) core.Input { return core.Cancel{Req: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+			s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
 				s.ruleChecker.told(s.now, sent, "cancel", j.spec.ID, status, state)
 			})
 		}
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -74,7 +74,7 @@
 			life := n.life
 			s.after(4*simPatience, func() {
 				if n.life == life {
-					s.step(n, core.Result{ID: id, Outcome: call.Unknown})
+					s.step(n, core.Result{CallID: id, Outcome: call.Unknown})
 				}
 			})
 			return
@@ -88,9 +88,9 @@
 	}
 	switch e := e.(type) {
 	case core.CloudCatalog:
-		there(e.ID, func() core.Result { return core.Result{Outcome: call.OK, Catalog: simCatalog} })
-	case core.CloudRent:
-		there(e.ID, func() core.Result {
+		there(e.CallID, func() core.Result { return core.Result{Outcome: call.OK, Catalog: simCatalog} })
+	case core.CloudScaleOut:
+		there(e.CallID, func() core.Result {
 			q := e.Request
 			names, was := s.rented[q.RequestID]
 			if !was {
@@ -116,10 +116,10 @@
 				s.rented[q.RequestID] = names
 				s.say("%s rents %d in %s", n.name, len(names), q.Zone)
 			}
-			return core.Result{Outcome: call.OK, Names: append([]string(nil), names...)}
+			return core.Result{Outcome: call.OK, MachineNames: append([]string(nil), names...)}
 		})
-	case core.CloudRelease:
-		there(e.ID, func() core.Result {
+	case core.CloudScaleIn:
+		there(e.CallID, func() core.Result {
 			for _, name := range e.Names {
 				if w := s.byName[name]; w != nil && !w.gone {
 					s.say("%s releases %s", n.name, name)
@@ -129,7 +129,7 @@
 			return core.Result{Outcome: call.OK}
 		})
 	case core.CloudList:
-		there(e.ID, func() core.Result {
+		there(e.CallID, func() core.Result {
 			seen := s.now - time.Duration(s.set.Cloud.ListLagS*(0.5+1.5*s.rnd.Float64())*float64(time.Second))
 			i := sort.Search(len(s.lists), func(i int) bool { return s.lists[i].at > seen })
 			r := core.Result{Outcome: call.OK}
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -27,7 +27,7 @@
 	// What it is cut off from, and until when.
 	refused, noState, noPeers, noWorkers, noUsers time.Duration
 	req                                           uint64
-	waiting                                       map[uint64]func(core.Answer)
+	waiting                                       map[uint64]func(core.Response)
 	reports                                       map[uint64]*wire.Heartbeat // that are yet to be answered
 	led                                           bool
 	old                                           bool // of the version before the second layout
@@ -36,7 +36,7 @@
 type simWatch struct {
 	n     *simNode
 	life  int
-	e     core.StateWatch
+	e     core.StoreWatch
 	until time.Duration
 }
 
@@ -84,7 +84,7 @@
 	n.life++
 	n.started, n.tick, n.led, n.busy = s.now, 0, false, 0
 	n.results, n.inputs = nil, nil
-	n.waiting = map[uint64]func(core.Answer){}
+	n.waiting = map[uint64]func(core.Response){}
 	n.reports = map[uint64]*wire.Heartbeat{}
 	n.core = core.New(set, fmt.Sprint(n.name, n.life))
 	s.step(n, core.Tick{})
@@ -178,7 +178,7 @@
 			}
 		})
 	}
-	if leads := n.core.PeerStatus().Leads; leads != n.led {
+	if leads := n.core.PeerStatus().Leading; leads != n.led {
 		n.led = leads
 		if leads {
 			s.say("%s leads term %d", n.name, n.core.PeerStatus().Term)
@@ -198,7 +198,7 @@
 			return
 		}
 		over = true
-		r.ID, r.Sent = id, sent
+		r.CallID, r.SentAt = id, sent
 		s.step(n, r)
 	}
 	s.after(patience, func() { give(core.Result{Outcome: call.Unknown}) })
@@ -237,7 +237,7 @@
 	give := func(r core.Result) {
 		if !over && n.life == life {
 			over = true
-			r.ID, r.Sent = id, sent
+			r.CallID, r.SentAt = id, sent
 			s.step(n, r)
 		}
 	}
@@ -253,39 +253,39 @@
 func (s *sim) carryOut(n *simNode, e core.Effect) {
 	s.digest.add(s.t, s.now, n.name, e)
 	switch e := e.(type) {
-	case core.Answer:
+	case core.Response:
 		s.checkRenewal(n, e)
-		if f := n.waiting[e.Req]; f != nil {
-			delete(n.waiting, e.Req)
+		if f := n.waiting[e.RequestID]; f != nil {
+			delete(n.waiting, e.RequestID)
 			f(e)
 		}
 	case core.Log:
 		var b strings.Builder
-		for i := 0; i+1 < len(e.Pairs); i += 2 {
-			fmt.Fprintf(&b, " %v=%v", e.Pairs[i], e.Pairs[i+1])
+		for i := 0; i+1 < len(e.Fields); i += 2 {
+			fmt.Fprintf(&b, " %v=%v", e.Fields[i], e.Fields[i+1])
 		}
 		s.note("%s: %s%s", n.name, e.Message, b.String())
 		if e.Message == "machine is faulty" {
 			s.say("%s: a machine is faulty", n.name)
 		}
-	case core.StateTxn:
+	case core.StoreTxn:
 		s.txn(n, e)
-	case core.StateGet:
-		s.stateCall(n, e.ID, func() core.Result {
+	case core.StoreGet:
+		s.stateCall(n, e.CallID, func() core.Result {
 			it, o := s.store.Get(e.Key)
 			return core.Result{Outcome: o, Item: it}
 		})
-	case core.StateList:
-		s.stateCall(n, e.ID, func() core.Result {
+	case core.StoreList:
+		s.stateCall(n, e.CallID, func() core.Result {
 			return core.Result{Outcome: call.OK, Page: s.store.List(e.Prefix, e.After, 50)}
 		})
-	case core.StateGrant:
-		s.stateCall(n, e.ID, func() core.Result { return core.Result{Outcome: call.OK, Lease: s.store.Grant(e.TTL)} })
-	case core.StateExtend:
-		s.stateCall(n, e.ID, func() core.Result { return core.Result{Outcome: s.store.Extend(e.Lease)} })
-	case core.StateRevoke:
-		s.stateCall(n, e.ID, func() core.Result { return core.Result{Outcome: s.store.Revoke(e.Lease)} })
-	case core.StateWatch:
+	case core.StoreGrantLease:
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: call.OK, Lease: s.store.Grant(e.TTL)} })
+	case core.StoreRenewLease:
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.Extend(e.Lease)} })
+	case core.StoreRevokeLease:
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.Revoke(e.Lease)} })
+	case core.StoreWatch:
 		life := n.life
 		s.deliver(func() bool { return s.stateReach(n) }, true, func() {
 			if n.life == life {
@@ -294,46 +294,46 @@
 		})
 		s.after(e.Wait+2*simPatience, func() {
 			for i, w := range s.watches {
-				if w.n == n && w.life == life && w.e.ID == e.ID {
+				if w.n == n && w.life == life && w.e.CallID == e.CallID {
 					s.watches = append(s.watches[:i:i], s.watches[i+1:]...)
-					s.step(n, core.Result{ID: e.ID, Outcome: call.Unknown})
+					s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown})
 					return
 				}
 			}
 			if n.life == life {
-				s.step(n, core.Result{ID: e.ID, Outcome: call.Unknown}) // ignored if it was answered
+				s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown}) // ignored if it was answered
 			}
 		})
-	case core.CloudCatalog, core.CloudRent, core.CloudRelease, core.CloudList:
+	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
 		s.cloud(n, e)
-	case core.WorkerOrders:
-		s.note("%s: orders %s token %s%s", n.name, e.Addr, showToken(e.Token), showCommands(e.Commands))
-		s.direct(n, e.ID, e.Addr, func(w *simWorker) core.Result {
-			if e.Token < w.token || e.Session != w.session {
-				return core.Result{Outcome: call.Conflict, Report: *s.report(w)}
+	case core.SendCommands:
+		s.note("%s: orders %s token %s%s", n.name, e.Addr, showToken(e.FencingToken), showCommands(e.Commands))
+		s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
+			if e.FencingToken < w.token || e.Incarnation != w.session {
+				return core.Result{Outcome: call.Conflict, Heartbeat: *s.report(w)}
 			}
-			w.token = e.Token
+			w.token = e.FencingToken
 			s.execute(w, e.Commands)
 			s.soon(w)
-			return core.Result{Outcome: call.OK, Report: *s.report(w)}
+			return core.Result{Outcome: call.OK, Heartbeat: *s.report(w)}
 		})
-	case core.WorkerInspect:
-		s.direct(n, e.ID, e.Addr, func(w *simWorker) core.Result {
-			return core.Result{Outcome: call.OK, Report: *s.report(w)}
+	case core.QueryWorker:
+		s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
+			return core.Result{Outcome: call.OK, Heartbeat: *s.report(w)}
 		})
-	case core.PeerAsk:
+	case core.QueryPeer:
 		m := s.node(e.Node)
-		s.call(n, e.ID, simPatience, func() bool { return s.peerReach(n, m) && s.now >= max(m.frozen, m.busy) }, true, func() (core.Result, bool) {
+		s.call(n, e.CallID, simPatience, func() bool { return s.peerReach(n, m) && s.now >= max(m.frozen, m.busy) }, true, func() (core.Result, bool) {
 			if m.core == nil {
 				return core.Result{Outcome: call.Unknown}, true
 			}
 			if len(e.Cancellations) > 0 {
 				m.req++
-				s.step(m, core.CancellationsReceived{Req: m.req, Cancellations: e.Cancellations})
+				s.step(m, core.ReplicateCancellations{RequestID: m.req, Cancellations: e.Cancellations})
 			}
 			status := m.core.PeerStatus()
 			if m.old {
-				status.Layouts = 0
+				status.RecordLayouts = 0
 			}
 			return core.Result{Outcome: call.OK, Peer: status}, true
 		})
@@ -355,7 +355,7 @@
 	best, term := s.nodes[0], uint64(0)
 	for _, n := range s.nodes {
 		if n.core != nil {
-			if st := n.core.PeerStatus(); st.Leads && st.Term > term {
+			if st := n.core.PeerStatus(); st.Leading && st.Term > term {
 				best, term = n, st.Term
 			}
 		}
@@ -363,7 +363,7 @@
 	return best
 }
 
-func (s *sim) txn(n *simNode, e core.StateTxn) {
+func (s *sim) txn(n *simNode, e core.StoreTxn) {
 	if len(e.Txn.Then) > s.set.Store.TxnOps || len(e.Txn.If) > 4*s.set.Store.TxnOps {
 		s.t.Errorf("a transaction of %d changes, %d conditions", len(e.Txn.Then), len(e.Txn.If))
 	}
@@ -381,12 +381,12 @@
 		life := n.life
 		s.after(simPatience, func() {
 			if n.life == life {
-				s.step(n, core.Result{ID: e.ID, Outcome: call.Unknown, Sent: n.steady(s.now - simPatience)})
+				s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown, SentAt: n.steady(s.now - simPatience)})
 			}
 		})
 		return
 	}
-	s.stateCall(n, e.ID, func() core.Result {
+	s.stateCall(n, e.CallID, func() core.Result {
 		a, o := s.store.Txn(e.Txn)
 		if k := keysOf(e.Txn); k != "" {
 			s.note("%s: writes %s: %s", n.name, k, o)
@@ -421,7 +421,7 @@
 		ready = append(ready, func() {
 			s.after(slow+s.latency(), func() {
 				if w.n.life == w.life {
-					s.step(w.n, core.Result{ID: w.e.ID, Outcome: o, Changes: ch})
+					s.step(w.n, core.Result{CallID: w.e.CallID, Outcome: o, Changes: ch})
 				}
 			})
 		})
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -58,7 +58,7 @@
 			return
 		}
 		n.req++
-		n.waiting[n.req] = func(a core.Answer) {
+		n.waiting[n.req] = func(a core.Response) {
 			// What a standstill has made late is not told any more: see node.Ask.
 			s.after(s.latency(), func() {
 				st := wire.JobStatus("")
@@ -79,7 +79,7 @@
 	}
 	s.ruleChecker.submits(j.spec)
 	spec, sent := *j.spec, s.now
-	s.ask(func(req uint64) core.Input { return core.Submit{Req: req, Job: &spec} }, func(status int, state wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
 		s.ruleChecker.told(s.now, sent, "submit", j.spec.ID, status, state)
 		switch status {
 		case 200, 201:
@@ -110,7 +110,7 @@
 
 func (s *sim) poll(j *simJob) {
 	sent := s.now
-	s.ask(func(req uint64) core.Input { return core.Poll{Req: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
 		s.ruleChecker.told(s.now, sent, "poll", j.spec.ID, status, state)
 		if status == 200 {
 			if state != j.told && (state == wire.JobDone || state == wire.JobCancelled) {
@@ -132,7 +132,7 @@
 	}
 	s.ruleChecker.submits(j.spec).asked = true
 	sent := s.now
-	s.ask(func(req uint64) core.Input { return core.Cancel{Req: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+	s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
 		s.ruleChecker.told(s.now, sent, "cancel", j.spec.ID, status, state)
 		if status == 200 {
 			s.say("cancel of %s: %s", j.spec.ID, state)
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -169,7 +169,7 @@
 			}
 			return
 		}
-		s.handReport(n, r, func(a core.Answer) {
+		s.handReport(n, r, func(a core.Response) {
 			s.deliver(func() bool { return s.workerReach(n, w) && s.now >= w.deaf }, false, func() {
 				s.answerTo(w, n, a, gen, sent, r.Incarnation, elsewhere)
 			})
@@ -178,7 +178,7 @@
 }
 
 // handReport hands a copy of a report to a node that is there; then, if there is one, gets the answer.
-func (s *sim) handReport(n *simNode, r *wire.Heartbeat, then func(core.Answer)) {
+func (s *sim) handReport(n *simNode, r *wire.Heartbeat, then func(core.Response)) {
 	n.req++
 	if then != nil {
 		n.waiting[n.req] = then
@@ -186,10 +186,10 @@
 	copied := *r
 	copied.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
 	n.reports[n.req] = &copied
-	s.stepUntil(n, core.Checkin{Req: n.req, Report: &copied}, s.now+simWorkerPatience)
+	s.stepUntil(n, core.WorkerHeartbeat{RequestID: n.req, Heartbeat: &copied}, s.now+simWorkerPatience)
 }
 
-func (s *sim) answerTo(w *simWorker, n *simNode, a core.Answer, gen int, sent time.Duration, session uint64, elsewhere func(time.Duration)) {
+func (s *sim) answerTo(w *simWorker, n *simNode, a core.Response, gen int, sent time.Duration, session uint64, elsewhere func(time.Duration)) {
 	if w.gone || w.gen != gen || !w.busy {
 		return
 	}
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -8,21 +8,21 @@
 	told     map[string]bool
 }
 
-// warnOfSize logs the settings that are too small for the fleet, or for the one that operators expect, each once.
-func (c *Core) warnOfSize(machines int) {
-	machines = max(machines, c.op.ExpectedMachines)
-	if machines <= c.sized.machines {
+// warnOfUndersizedSettings logs the settings that are too small for the fleet, or for the one that operators expect, each once.
+func (c *Core) warnOfUndersizedSettings(machines int) {
+	machines = max(machines, c.operator.ExpectedMachines)
+	if machines <= c.sizeWarnings.machines {
 		return
 	}
-	c.sized.machines = machines
-	for _, short := range sizing.Check(&c.set.Params, machines) {
-		if c.sized.told[short.Field] {
+	c.sizeWarnings.machines = machines
+	for _, short := range sizing.Check(&c.settings.Params, machines) {
+		if c.sizeWarnings.told[short.Field] {
 			continue
 		}
-		if c.sized.told == nil {
-			c.sized.told = map[string]bool{}
+		if c.sizeWarnings.told == nil {
+			c.sizeWarnings.told = map[string]bool{}
 		}
-		c.sized.told[short.Field] = true
+		c.sizeWarnings.told[short.Field] = true
 		c.log(Info, "setting is too small for the fleet", "field", short.Field, "value", short.Value, "least", short.Least,
 			"machines", machines, "effect", short.Effect)
 	}
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -269,14 +269,14 @@
 	w.service("run-000001", 1, "img-a", 8)
 	w.service("run-000002", 1, "img-b", 8)
 	w.service("run-000003", 3, "img-a", 8)
-	ask := func(id string) core.Answer {
-		var got core.Answer
-		w.onAnswer = func(a core.Answer) bool { got = a; return true }
-		w.step(w.leaderNode(), core.ShowPlacements{Req: 1 << 40, Job: id})
+	ask := func(id string) core.Response {
+		var got core.Response
+		w.onAnswer = func(a core.Response) bool { got = a; return true }
+		w.step(w.leaderNode(), core.GetPlacements{RequestID: 1 << 40, Job: id})
 		w.onAnswer = nil
 		return got
 	}
-	places, ok := ask("run-000003").Body.([]core.Place)
+	places, ok := ask("run-000003").Body.([]core.ReplicaPlacement)
 	if !ok || len(places) != 3 {
 		t.Fatalf("%+v", places)
 	}
@@ -297,7 +297,7 @@
 	}
 	w.crash()
 	w.pass(8 * time.Second)
-	if places, ok := ask("run-000003").Body.([]core.Place); !ok || len(places) != 3 || places[0].Chosen {
+	if places, ok := ask("run-000003").Body.([]core.ReplicaPlacement); !ok || len(places) != 3 || places[0].Chosen {
 		t.Errorf("after a leader's end: %+v", places)
 	}
 }
--- a/internal/core/spreading.go
+++ b/internal/core/spreading.go
@@ -53,9 +53,9 @@
 	warmestLoadS, avoided float64
 }
 
-// rates are the losses that operators expect.
-func (c *Core) rates() spread.Rates {
-	s := c.op.Spread
+// lossRates are the losses that operators expect.
+func (c *Core) lossRates() spread.Rates {
+	s := c.operator.Spread
 	return spread.Rates{ZoneLossesPerDay: s.ZoneLossesPerDay, MachineLossesPerDay: s.MachineLossesPerDay, ReplicaDays: s.ReplicaDays}
 }
 
@@ -94,17 +94,17 @@
 func (r *round) weigherFor(j *job) (weigher, bool) {
 	l := r.l
 	model, ok := j.model()
-	if !ok || !l.c.op.Spread.Enabled || j.replicas == nil {
+	if !ok || !l.c.operator.Spread.Enabled || j.replicas == nil {
 		return weigher{}, false
 	}
 	if w := r.weighing; w.job != j || r.weighedAt != j.replicas.Changes() {
 		// What does not depend on where replicas are is worked out once for a run of the same job's tasks.
 		if w.job != j {
-			w.away = time.Duration(noticedLeases*float64(l.c.t.lease)) + l.slowestLoad(j)
+			w.away = time.Duration(noticedLeases*float64(l.c.times.lease)) + l.slowestLoad(j)
 			w.fleet = spread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.room.Len()}
 		}
 		w.l, w.job = l, j
-		w.Weigher = j.replicas.Weigh(model, l.c.rates(), w.fleet, w.away)
+		w.Weigher = j.replicas.Weigh(model, l.c.lossRates(), w.fleet, w.away)
 		r.weighing, r.weighedAt = w, j.replicas.Changes()
 	}
 	return r.weighing, true
--- a/internal/core/state_troubles_test.go
+++ b/internal/core/state_troubles_test.go
@@ -13,7 +13,7 @@
 	loseAnswers int    // transactions that are carried out without an answer
 	delay       int    // transactions without an answer that are carried out later
 	delayKey    string // only those that write this key are; empty: any
-	late        []core.StateTxn
+	late        []core.StoreTxn
 }
 
 // interceptState gives what becomes of a call to the state service in its troubles; false if nothing is the matter.
@@ -23,9 +23,9 @@
 		return core.Result{}, false
 	}
 	if s.stateDown || s.refused == node {
-		return core.Result{ID: id, Outcome: call.Refused}, true
+		return core.Result{CallID: id, Outcome: call.Refused}, true
 	}
-	txn, ok := e.(core.StateTxn)
+	txn, ok := e.(core.StoreTxn)
 	if !ok || len(txn.Txn.Then) == 0 {
 		return core.Result{}, false
 	}
@@ -39,7 +39,7 @@
 	default:
 		return core.Result{}, false
 	}
-	return core.Result{ID: id, Outcome: call.Unknown}, true
+	return core.Result{CallID: id, Outcome: call.Unknown}, true
 }
 
 // settleLate carries out the transactions that were held up.
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -46,8 +46,8 @@
 	old     bool // of the version before the second layout
 	core    *core.Core
 	mode    string // of its requests to the state service
-	held    []core.StateTxn
-	watches []core.StateWatch
+	held    []core.StoreTxn
+	watches []core.StoreWatch
 	opened  time.Duration
 }
 
@@ -203,7 +203,7 @@
 					continue
 				}
 				again = true
-				w.step(n, core.Result{ID: e.ID, Outcome: o, Changes: ch, Sent: n.opened})
+				w.step(n, core.Result{CallID: e.CallID, Outcome: o, Changes: ch, SentAt: n.opened})
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 	var results []core.Result
 	for _, e := range effects {
 		if r, ok := w.carryOut(n, e); ok {
-			r.Sent = w.now
+			r.SentAt = w.now
 			results = append(results, r)
 		}
 	}
@@ -231,30 +231,30 @@
 func (w *traceHarness) lost(n *node, r core.Result) (core.Result, bool) {
 	switch {
 	case w.refused(n):
-		r = core.Result{ID: r.ID, Outcome: call.Refused}
+		r = core.Result{CallID: r.CallID, Outcome: call.Refused}
 	case n.mode == "hold" || n.mode == "lose":
-		r = core.Result{ID: r.ID, Outcome: call.Unknown}
+		r = core.Result{CallID: r.CallID, Outcome: call.Unknown}
 	case n.mode == "limit":
-		r = core.Result{ID: r.ID, Outcome: call.Dropped}
+		r = core.Result{CallID: r.CallID, Outcome: call.Dropped}
 	}
 	return r, true
 }
 
 func (w *traceHarness) carryOut(n *node, e core.Effect) (core.Result, bool) {
 	switch e := e.(type) {
-	case core.Answer:
+	case core.Response:
 		w.answer(n, e)
 	case core.Log:
 		if e.Level > core.Debug {
 			var b strings.Builder
-			for i := 0; i+1 < len(e.Pairs); i += 2 {
-				fmt.Fprintf(&b, " %v=%v", e.Pairs[i], e.Pairs[i+1])
+			for i := 0; i+1 < len(e.Fields); i += 2 {
+				fmt.Fprintf(&b, " %v=%v", e.Fields[i], e.Fields[i+1])
 			}
 			w.say(n, "log %s%s", e.Message, b.String())
 		}
-	case core.StateTxn:
+	case core.StoreTxn:
 		w.withinLimits(e.Txn)
-		r := core.Result{ID: e.ID}
+		r := core.Result{CallID: e.CallID}
 		switch {
 		case w.refused(n):
 			r.Outcome = call.Refused
@@ -266,72 +266,72 @@
 		default:
 			r.Txn, r.Outcome = w.store.Txn(e.Txn)
 			if n.mode == "lose" {
-				r = core.Result{ID: e.ID, Outcome: call.Unknown}
+				r = core.Result{CallID: e.CallID, Outcome: call.Unknown}
 			}
 		}
 		if k := keysOf(e.Txn); k != "" {
 			w.say(n, "writes %s: %s", k, r.Outcome)
 		}
 		return r, true
-	case core.StateGet:
+	case core.StoreGet:
 		it, o := w.store.Get(e.Key)
-		return w.lost(n, core.Result{ID: e.ID, Outcome: o, Item: it})
-	case core.StateList:
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: o, Item: it})
+	case core.StoreList:
 		if n.mode == "nolist" {
-			return core.Result{ID: e.ID, Outcome: call.Unknown}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
 		}
-		return w.lost(n, core.Result{ID: e.ID, Outcome: call.OK, Page: w.store.List(e.Prefix, e.After, 500)})
-	case core.StateGrant:
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: call.OK, Page: w.store.List(e.Prefix, e.After, 500)})
+	case core.StoreGrantLease:
 		if w.refused(n) || n.mode == "limit" {
-			return w.lost(n, core.Result{ID: e.ID})
+			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{ID: e.ID, Outcome: call.OK, Lease: w.store.Grant(e.TTL)})
-	case core.StateExtend:
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: call.OK, Lease: w.store.Grant(e.TTL)})
+	case core.StoreRenewLease:
 		if w.refused(n) || n.mode == "hold" || n.mode == "limit" {
-			return w.lost(n, core.Result{ID: e.ID})
+			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{ID: e.ID, Outcome: w.store.Extend(e.Lease)})
-	case core.StateRevoke:
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.Extend(e.Lease)})
+	case core.StoreRevokeLease:
 		if w.refused(n) || n.mode == "hold" || n.mode == "limit" {
-			return w.lost(n, core.Result{ID: e.ID})
+			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{ID: e.ID, Outcome: w.store.Revoke(e.Lease)})
-	case core.StateWatch:
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.Revoke(e.Lease)})
+	case core.StoreWatch:
 		n.watches = append(n.watches, e)
 		n.opened = w.now
 	case core.CloudCatalog:
 		if w.cloudDown {
-			return core.Result{ID: e.ID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
 		}
-		return core.Result{ID: e.ID, Outcome: call.OK, Catalog: catalog}, true
-	case core.CloudRent:
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Catalog: catalog}, true
+	case core.CloudScaleOut:
 		q := e.Request
 		if w.cloudDown || w.cloudNone {
-			return core.Result{ID: e.ID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
 		}
-		r := core.Result{ID: e.ID, Outcome: call.OK}
+		r := core.Result{CallID: e.CallID, Outcome: call.OK}
 		for i := 0; i < q.Count; i++ {
 			w.rented++
 			name := fmt.Sprintf("m%d", w.rented)
 			w.machines[name] = &wire.Machine{Name: name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, State: wire.MachineRunning}
-			r.Names = append(r.Names, name)
+			r.MachineNames = append(r.MachineNames, name)
 		}
-		w.say(n, "rents %s %s spot=%v as %s: %v", q.Type, q.Zone, q.Spot, q.RequestID, r.Names)
+		w.say(n, "rents %s %s spot=%v as %s: %v", q.Type, q.Zone, q.Spot, q.RequestID, r.MachineNames)
 		return r, true
-	case core.CloudRelease:
+	case core.CloudScaleIn:
 		if w.cloudDown {
-			return core.Result{ID: e.ID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
 		}
 		for _, m := range e.Names {
 			delete(w.machines, m)
 		}
 		w.say(n, "releases %v", e.Names)
-		return core.Result{ID: e.ID, Outcome: call.OK}, true
+		return core.Result{CallID: e.CallID, Outcome: call.OK}, true
 	case core.CloudList:
 		if w.cloudDown {
-			return core.Result{ID: e.ID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
 		}
-		r := core.Result{ID: e.ID, Outcome: call.OK}
+		r := core.Result{CallID: e.CallID, Outcome: call.OK}
 		for _, m := range w.machines {
 			if m.Name == w.hidden {
 				continue
@@ -340,39 +340,39 @@
 		}
 		sort.Slice(r.Machines.Machines, func(a, b int) bool { return r.Machines.Machines[a].Name < r.Machines.Machines[b].Name })
 		return r, true
-	case core.WorkerOrders:
-		r := core.Result{ID: e.ID, Outcome: call.OK, Report: wire.Heartbeat{Sequence: 0}}
+	case core.SendCommands:
+		r := core.Result{CallID: e.CallID, Outcome: call.OK, Heartbeat: wire.Heartbeat{Sequence: 0}}
 		if w.orders != "" {
 			r.Outcome = map[string]call.Outcome{"lost": call.Unknown, "refused": call.Refused, "conflict": call.Conflict}[w.orders]
 		}
-		w.say(n, "orders %s token %s%s: %s", e.Addr, showToken(e.Token), showCommands(e.Commands), r.Outcome)
+		w.say(n, "orders %s token %s%s: %s", e.Addr, showToken(e.FencingToken), showCommands(e.Commands), r.Outcome)
 		return r, true
-	case core.WorkerInspect:
-		r := core.Result{ID: e.ID, Outcome: call.Unknown}
+	case core.QueryWorker:
+		r := core.Result{CallID: e.CallID, Outcome: call.Unknown}
 		if n.mode == "limit" {
 			r.Outcome = call.Dropped
 		} else if w.answers[e.Addr] != nil {
-			r.Outcome, r.Report = call.OK, *w.answers[e.Addr]
+			r.Outcome, r.Heartbeat = call.OK, *w.answers[e.Addr]
 		}
 		w.say(n, "inspects %s: %s", e.Addr, r.Outcome)
 		return r, true
-	case core.PeerAsk:
+	case core.QueryPeer:
 		p := w.nodes[e.Node]
 		if p == nil || w.cut == "cut" || w.cut == e.Node || w.cut == n.name || w.cut == "zones" && w.zones[n.name] != w.zones[e.Node] {
-			return core.Result{ID: e.ID, Outcome: call.Unknown}, true
+			return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
 		}
 		if len(e.Cancellations) > 0 {
 			w.req++
 			for _, it := range e.Cancellations {
 				w.say(p, "hears that %s is cancelled", it.Job)
 			}
-			w.step(p, core.CancellationsReceived{Req: w.req, Cancellations: e.Cancellations})
+			w.step(p, core.ReplicateCancellations{RequestID: w.req, Cancellations: e.Cancellations})
 		}
 		status := p.core.PeerStatus()
 		if p.old {
-			status.Layouts = 0
+			status.RecordLayouts = 0
 		}
-		return core.Result{ID: e.ID, Outcome: call.OK, Peer: status}, true
+		return core.Result{CallID: e.CallID, Outcome: call.OK, Peer: status}, true
 	}
 	return core.Result{}, false
 }
@@ -428,7 +428,7 @@
 	return b.String()
 }
 
-func (w *traceHarness) answer(n *node, a core.Answer) {
+func (w *traceHarness) answer(n *node, a core.Response) {
 	if ra, ok := a.Body.(wire.HeartbeatResponse); ok {
 		w.say(n, "%d token %s%s", a.Status, showToken(ra.FencingToken), showCommands(ra.Commands))
 		return
@@ -441,8 +441,8 @@
 		w.t.Fatal(err)
 	}
 	retry := ""
-	if a.RetryAfter > 0 {
-		retry = fmt.Sprintf(" retry after %d s", a.RetryAfter)
+	if a.RetryAfterS > 0 {
+		retry = fmt.Sprintf(" retry after %d s", a.RetryAfterS)
 	}
 	w.say(n, "%d %s%s", a.Status, body, retry)
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -233,13 +233,13 @@
 	w.req++
 	switch f[0] {
 	case "submit":
-		w.step(n, core.Submit{Req: w.req, Job: w.job(f[2:])})
+		w.step(n, core.SubmitJob{RequestID: w.req, Job: w.job(f[2:])})
 	case "poll":
-		w.step(n, core.Poll{Req: w.req, ID: arg(2)})
+		w.step(n, core.GetJob{RequestID: w.req, ID: arg(2)})
 	case "cancel":
-		w.step(n, core.Cancel{Req: w.req, ID: arg(2)})
+		w.step(n, core.CancelJob{RequestID: w.req, ID: arg(2)})
 	case "report":
-		w.step(n, core.Checkin{Req: w.req, Report: w.report(f[2:])})
+		w.step(n, core.WorkerHeartbeat{RequestID: w.req, Heartbeat: w.report(f[2:])})
 	case "answers":
 		r := w.report(f[2:])
 		w.answers[r.Addr] = r
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -18,8 +18,8 @@
 // One value holds some 500 machines, so a large fleet's hints take several keys: the first one, which is
 // all that older versions read, and more below it.
 const (
-	keyUnreachable     = "w/s"
-	keyUnreachableMore = keyUnreachable + "/"
+	unreachableHintKey    = "w/s"
+	unreachableHintPrefix = unreachableHintKey + "/"
 )
 
 // unreachableEntryBytes is what a machine takes in a hint at most, beside its name.
@@ -32,28 +32,28 @@
 	last []string // as written, a value for each key
 }
 
-// unreachableKey is the key of a part of the hints.
-func unreachableKey(part int) string {
+// unreachableHintShardKey is the key of a part of the hints.
+func unreachableHintShardKey(part int) string {
 	if part == 0 {
-		return keyUnreachable
+		return unreachableHintKey
 	}
-	return keyUnreachableMore + strconv.Itoa(part)
+	return unreachableHintPrefix + strconv.Itoa(part)
 }
 
-// unreachablePart is a part of the hints as a node has read it.
-type unreachablePart struct {
-	since map[string]int64 // time of day when these machines were last heard
-	text  string           // the same, as written
+// unreachableHintShard is a part of the hints as a node has read it.
+type unreachableHintShard struct {
+	since   map[string]int64 // time of day when these machines were last heard
+	encoded string           // the same, as written
 }
 
-// isUnreachableKey tells whether a key holds a part of the hints.
-func isUnreachableKey(key string) bool {
-	return key == keyUnreachable || below(key, keyUnreachableMore)
+// isUnreachableHintKey tells whether a key holds a part of the hints.
+func isUnreachableHintKey(key string) bool {
+	return key == unreachableHintKey || hasKeyPrefix(key, unreachableHintPrefix)
 }
 
 // lastHeardMS gives the time of day when the last leader last heard a machine, if it told. Of two parts that
 // name the machine, one was to be written anew.
-func (d *directory) lastHeardMS(machine string) (at int64, told bool) {
+func (d *watchCache) lastHeardMS(machine string) (at int64, told bool) {
 	for _, part := range d.unreachable {
 		if heard, named := part.since[machine]; named {
 			at, told = max(at, heard), true
@@ -62,28 +62,28 @@
 	return at, told
 }
 
-// unreachableTexts gives the parts of the hints as they are written.
-func (d *directory) unreachableTexts() []string {
+// unreachableHintTexts gives the parts of the hints as they are written.
+func (d *watchCache) unreachableHintTexts() []string {
 	var texts []string
 	for part := 0; ; part++ {
-		p, ok := d.unreachable[unreachableKey(part)]
+		p, ok := d.unreachable[unreachableHintShardKey(part)]
 		if !ok {
 			return texts
 		}
-		texts = append(texts, p.text)
+		texts = append(texts, p.encoded)
 	}
 }
 
 func (s *unreachableHints) run() {
 	l, c := s.l, s.l.c
-	if s.busy || c.stateDown || !l.entitled() || len(l.cutZones) == 0 && len(s.last) == 0 {
+	if s.busy || c.storeDown || !l.entitled() || len(l.cutZones) == 0 && len(s.last) == 0 {
 		return
 	}
 	if c.now.Steady < s.at {
-		c.at(s.at)
+		c.wakeBy(s.at)
 		return
 	}
-	s.at = c.now.Steady + c.t.heartbeat
+	s.at = c.now.Steady + c.times.checkInterval
 	next, err := s.texts()
 	if err != nil {
 		return
@@ -100,21 +100,21 @@
 			s.last = after
 		}
 	})
-	c.send(StateTxn{ID: id, Txn: wire.Txn{If: []wire.Condition{{Key: keyTerm, Version: l.version}}, Then: ops}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}, Then: ops}})
 }
 
 // texts gives the hints as they are to be written, a value for each key.
 func (s *unreachableHints) texts() ([]string, error) {
 	l, c := s.l, s.l.c
 	var parts []map[string]int64
-	size := c.mostValue()
+	size := c.maxValueBytes()
 	for _, m := range l.fleet {
 		quiet := c.now.Steady - m.lastHeard()
-		if _, many := l.cutZones[m.zone]; !many || m.releasing || quiet < c.t.lease/3 {
+		if _, many := l.cutZones[m.zone]; !many || m.releasing || quiet < c.times.lease/3 {
 			continue
 		}
 		entry := len(m.name) + unreachableEntryBytes
-		if size += entry; size > c.mostValue() {
+		if size += entry; size > c.maxValueBytes() {
 			parts = append(parts, map[string]int64{})
 			size = entry
 		}
@@ -136,10 +136,10 @@
 // that those in use have no gap.
 func (s *unreachableHints) changes(next []string) (ops []wire.Op, after []string) {
 	after = slices.Clone(s.last)
-	most := s.l.c.mostValues()
+	most := s.l.c.maxValuesPerTxn()
 	for len(after) > len(next) && len(ops) < most {
 		after = after[:len(after)-1]
-		ops = append(ops, wire.Op{Delete: unreachableKey(len(after))})
+		ops = append(ops, wire.Op{Delete: unreachableHintShardKey(len(after))})
 	}
 	for part, text := range next {
 		if len(ops) >= most || part < len(after) && after[part] == text {
@@ -149,7 +149,7 @@
 			after = append(after, "")
 		}
 		after[part] = text
-		ops = append(ops, wire.Op{Put: unreachableKey(part), Value: json.RawMessage(text)})
+		ops = append(ops, wire.Op{Put: unreachableHintShardKey(part), Value: json.RawMessage(text)})
 	}
 	return ops, after
 }
@@ -158,7 +158,7 @@
 // the last one told.
 func (l *leader) heardBefore(name string) time.Duration {
 	now := l.c.now
-	at, told := l.c.dir.lastHeardMS(name)
+	at, told := l.c.cache.lastHeardMS(name)
 	if !told {
 		return now.Steady
 	}
@@ -168,5 +168,5 @@
 
 // clockError is what the time of day of a node may be off.
 func (c *Core) clockError() time.Duration {
-	return time.Duration(c.set.Params.ClockOffMS * float64(time.Millisecond))
+	return time.Duration(c.settings.Params.ClockOffMS * float64(time.Millisecond))
 }
--- a/internal/core/unread_leader.go
+++ b/internal/core/unread_leader.go
@@ -12,24 +12,24 @@
 
 // unreadRenewals is how many leases were renewed in this term before the records were read.
 func (l *leader) unreadRenewals() uint64 {
-	return l.c.renewals.answers[UnreadLeaderBasis] - l.unread.renewedBefore
+	return l.c.leaseRenewals.answers[RecoveringLeaderBasis] - l.unread.renewedBefore
 }
 
 // warnUnread logs, once, that a leader is unread for longer than reading should take.
 func (l *leader) warnUnread() {
 	c := l.c
 	since := c.now.Steady - l.since
-	if l.unread.warned || since < c.t.heartbeat {
+	if l.unread.warned || since < c.times.checkInterval {
 		return
 	}
 	l.unread.warned = true
 	c.log(Info, "leading without the records", "term", l.term, "records_read", l.runsAll,
-		"read_up_to", c.dir.revision, "needed", l.version, "leases_renewed", l.unreadRenewals())
+		"read_up_to", c.cache.revision, "needed", l.version, "leases_renewed", l.unreadRenewals())
 }
 
 // logTakeover logs what a new leader has waited for, and what it did meanwhile.
 func (l *leader) logTakeover() {
 	now := l.c.now.Steady
 	l.c.log(Debug, "took over", "term", l.term, "after_ms", (now - l.since).Milliseconds(),
-		"records_ms", (l.runsAllAt - l.since).Milliseconds(), "read_up_to", l.c.dir.revision, "leases_renewed", l.unreadRenewals())
+		"records_ms", (l.runsAllAt - l.since).Milliseconds(), "read_up_to", l.c.cache.revision, "leases_renewed", l.unreadRenewals())
 }
--- a/internal/core/unread_leader_test.go
+++ b/internal/core/unread_leader_test.go
@@ -9,9 +9,9 @@
 )
 
 // nextRecordsPage gives the reading of a page of records among effects; nil if there is none.
-func nextRecordsPage(effects []Effect) *StateList {
+func nextRecordsPage(effects []Effect) *StoreList {
 	for _, effect := range effects {
-		if list, ok := effect.(StateList); ok && list.Prefix == keyRuns {
+		if list, ok := effect.(StoreList); ok && list.Prefix == runRecordPrefix {
 			return &list
 		}
 	}
@@ -23,24 +23,24 @@
 func TestReadingGoesOnWhereItFailed(t *testing.T) {
 	const pages = 6
 	c := newIdleCore()
-	c.lead = newLeader(c, 1, 1)
+	c.leader = newLeader(c, 1, 1)
 	failed, read := map[string]bool{}, map[string]int{}
-	for step := 0; !c.lead.runsAll && step < 4*pages; step++ {
-		list := nextRecordsPage(c.Step(Time{Steady: c.now.Steady + c.t.retry}, Tick{}))
+	for step := 0; !c.leader.runsAll && step < 4*pages; step++ {
+		list := nextRecordsPage(c.Step(Time{Steady: c.now.Steady + c.times.retryPause}, Tick{}))
 		for list != nil {
 			page := len(read)
 			if page%2 == 1 && !failed[list.After] {
 				failed[list.After] = true
-				list = nextRecordsPage(c.Step(c.now, Result{ID: list.ID, Outcome: call.Unknown}))
+				list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: call.Unknown}))
 				continue
 			}
 			read[list.After]++
-			items := []wire.Item{{Key: fmt.Sprintf("%srun-%06d/0", keyRuns, page), Version: 1}}
-			list = nextRecordsPage(c.Step(c.now, Result{ID: list.ID, Outcome: call.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
+			items := []wire.Item{{Key: fmt.Sprintf("%srun-%06d/0", runRecordPrefix, page), Version: 1}}
+			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: call.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
 		}
 	}
-	if !c.lead.runsAll || len(c.lead.runs) != pages || len(read) != pages {
-		t.Errorf("%d records are read in %d pages, all: %v", len(c.lead.runs), len(read), c.lead.runsAll)
+	if !c.leader.runsAll || len(c.leader.runs) != pages || len(read) != pages {
+		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.runs), len(read), c.leader.runsAll)
 	}
 	for after, times := range read {
 		if times != 1 {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -7,88 +7,88 @@
 	"bitternwing/internal/wire"
 )
 
-// users answers users' requests. Nothing is told that the state service has not
+// userRequests answers users' requests. Nothing is told that the state service has not
 // confirmed at that moment, except final states and cancellations, which never
 // change. What can't be confirmed gets 503 at once.
-type users struct {
-	c       *Core
+type userRequests struct {
+	core    *Core
 	waiting int // requests without an answer yet
 
-	checks    []*lookup // to confirm by a comparison
-	checkBusy bool
-	checkAt   time.Duration // no comparison before this
-	checkedAt time.Duration // when the last one went out
+	comparisons     []*lookup // to confirm by a comparison
+	compareInFlight bool
+	nextCompare     time.Duration // no comparison before this
+	lastCompare     time.Duration // when the last one went out
 
-	reads    []*lookup // to read
-	readBusy int
+	reads         []*lookup // to read
+	readsInFlight int
 
-	submits    []*submission
-	submitting map[string]*submission
-	submitBusy bool
+	submissions    []*submission
+	submissionByID map[string]*submission
+	submitInFlight bool
 
-	cancelling map[string][]func(found) // dependents whose cancellation is being written
+	cancelling map[string][]func(lookupResult) // dependents whose cancellation is being written
 }
 
-func newUsers(c *Core) *users {
-	return &users{c: c, submitting: map[string]*submission{}, cancelling: map[string][]func(found){}}
+func newUserRequests(c *Core) *userRequests {
+	return &userRequests{core: c, submissionByID: map[string]*submission{}, cancelling: map[string][]func(lookupResult){}}
 }
 
-// full answers 429 when too many requests wait already.
-func (u *users) full(req uint64) bool {
-	if u.waiting >= u.c.op.MaxPendingRequests {
-		u.c.later(req, 429, "too many requests")
+// rejectIfOverloaded answers 429 when too many requests wait already.
+func (u *userRequests) rejectIfOverloaded(req uint64) bool {
+	if u.waiting >= u.core.operator.MaxPendingRequests {
+		u.core.respondRetryLater(req, 429, "too many requests")
 		return true
 	}
 	u.waiting++
 	return false
 }
 
-func (u *users) done(req uint64, status int, body any) {
+func (u *userRequests) respond(req uint64, status int, body any) {
 	u.waiting--
-	u.c.answer(req, status, body)
+	u.core.respond(req, status, body)
 }
 
-func (u *users) unsure(req uint64) {
+func (u *userRequests) respondIndeterminate(req uint64) {
 	u.waiting--
-	u.c.later(req, 503, "can't be confirmed now")
+	u.core.respondRetryLater(req, 503, "can't be confirmed now")
 }
 
-func (u *users) poll(in Poll) {
-	c := u.c
+func (u *userRequests) getJob(in GetJob) {
+	c := u.core
 	if !wire.ValidJobID(in.ID) {
-		c.answer(in.Req, 404, wire.ErrorBody{Error: "no such job"})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job"})
 		return
 	}
-	if f, ok := c.dir.finals[in.ID]; ok {
-		c.answer(in.Req, 200, finalState(in.ID, f))
+	if f, ok := c.cache.finals[in.ID]; ok {
+		c.respond(in.RequestID, 200, finalJobState(in.ID, f))
 		return
 	}
-	if u.full(in.Req) {
+	if u.rejectIfOverloaded(in.RequestID) {
 		return
 	}
-	u.look(&lookup{id: in.ID, patient: true, then: func(f found) {
+	u.startLookup(&lookup{id: in.ID, batchable: true, then: func(f lookupResult) {
 		switch {
-		case f.failed:
-			u.unsure(in.Req)
+		case f.indeterminate:
+			u.respondIndeterminate(in.RequestID)
 		case f.entry == nil && f.final == nil:
-			u.done(in.Req, 404, wire.ErrorBody{Error: "no such job"})
+			u.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job"})
 		default:
-			u.done(in.Req, 200, c.stateOf(in.ID, f))
+			u.respond(in.RequestID, 200, c.jobStateOf(in.ID, f))
 		}
 	}})
 }
 
-func (u *users) cancel(in Cancel) {
-	c := u.c
+func (u *userRequests) cancel(in CancelJob) {
+	c := u.core
 	if !wire.ValidJobID(in.ID) {
-		c.answer(in.Req, 404, wire.ErrorBody{Error: "no such job"})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job"})
 		return
 	}
-	if f, ok := c.dir.finals[in.ID]; ok {
-		c.answer(in.Req, 200, wire.JobState{ID: in.ID, State: f.State})
+	if f, ok := c.cache.finals[in.ID]; ok {
+		c.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: f.State})
 		return
 	}
-	if u.full(in.Req) {
+	if u.rejectIfOverloaded(in.RequestID) {
 		return
 	}
 	u.tryCancel(in, 0)
@@ -96,26 +96,26 @@
 
 // tryCancel commits a cancellation by comparing and setting the job's key, which
 // is also what a done has to pass: one of the two wins.
-func (u *users) tryCancel(in Cancel, tries int) {
-	u.find(in.ID, func(f found) {
+func (u *userRequests) tryCancel(in CancelJob, tries int) {
+	u.lookUp(in.ID, func(f lookupResult) {
 		switch {
-		case f.failed || tries > 3:
-			u.unsure(in.Req)
+		case f.indeterminate || tries > 3:
+			u.respondIndeterminate(in.RequestID)
 		case f.final != nil:
-			u.done(in.Req, 200, wire.JobState{ID: in.ID, State: f.final.State})
+			u.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: f.final.State})
 		case f.entry == nil:
-			u.done(in.Req, 404, wire.ErrorBody{Error: "no such job"})
+			u.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job"})
 		case f.entry.CancelledMS != 0:
-			u.done(in.Req, 200, wire.JobState{ID: in.ID, State: wire.JobCancelled})
+			u.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: wire.JobCancelled})
 		default:
 			u.commitCancel(in.ID, f.entry, func(r cancelResult) {
 				switch r {
-				case cancelTold:
-					u.done(in.Req, 200, wire.JobState{ID: in.ID, State: wire.JobCancelled})
-				case cancelChanged:
+				case cancelAcknowledged:
+					u.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: wire.JobCancelled})
+				case cancelConflict:
 					u.tryCancel(in, tries+1)
 				default:
-					u.unsure(in.Req)
+					u.respondIndeterminate(in.RequestID)
 				}
 			})
 		}
@@ -126,62 +126,62 @@
 type cancelResult int
 
 const (
-	cancelUnsure  cancelResult = iota
-	cancelTold                 // written, and known to all nodes
-	cancelChanged              // the job's key has changed before
+	cancelIndeterminate cancelResult = iota
+	cancelAcknowledged               // written, and known to all nodes
+	cancelConflict                   // the job's key has changed before
 )
 
 // commitCancel writes a job's cancellation, on the condition that its key is as it was seen, and has
 // all nodes know it.
-func (u *users) commitCancel(id string, e *entry, then func(cancelResult)) {
-	c := u.c
-	v := e.activeValue
+func (u *userRequests) commitCancel(id string, e *cachedJob, then func(cancelResult)) {
+	c := u.core
+	v := e.activeJob
 	v.CancelledMS = max(1, c.now.WallMS)
 	value, err := c.encodeActive(v)
 	if err != nil {
-		then(cancelUnsure)
+		then(cancelIndeterminate)
 		return
 	}
-	request := c.stateCall(func(r Result) {
+	request := c.registerStoreCall(func(r Result) {
 		switch r.Outcome {
 		case call.OK:
-			c.learn(id, value, r.Txn.Revision, fromWrite)
-			c.cancels.confirm(id, &entry{v, r.Txn.Revision}, func(acknowledged bool) {
+			c.applyJobIfNewer(id, value, r.Txn.Revision, fromWrite)
+			c.cancellations.awaitAcknowledgement(id, &cachedJob{v, r.Txn.Revision}, func(acknowledged bool) {
 				if acknowledged {
-					c.logConfirmed(id, r.Txn.Revision)
-					then(cancelTold)
+					c.logConfirmedCancellation(id, r.Txn.Revision)
+					then(cancelAcknowledged)
 				} else {
-					then(cancelUnsure)
+					then(cancelIndeterminate)
 				}
 			})
 		case call.Conflict:
-			then(cancelChanged)
+			then(cancelConflict)
 		default:
-			then(cancelUnsure)
+			then(cancelIndeterminate)
 		}
 	})
-	key := keyActive + id
-	c.send(StateTxn{ID: request, Txn: wire.Txn{
+	key := activeJobPrefix + id
+	c.emit(StoreTxn{CallID: request, Txn: wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: e.version}},
 		Then: []wire.Op{{Put: key, Value: value}},
 	}})
 }
 
-func (u *users) run() {
-	u.runChecks()
+func (u *userRequests) run() {
+	u.runComparisons()
 	u.runReads()
-	u.runSubmits()
+	u.commitSubmissions()
 }
 
-func finalState(id string, f finalValue) wire.JobState {
+func finalJobState(id string, f finalState) wire.JobState {
 	zero := 0
 	return wire.JobState{ID: id, State: f.State, Done: &f.Done, Running: &zero}
 }
 
-// stateOf is what users are told of a job that was found.
-func (c *Core) stateOf(id string, f found) wire.JobState {
+// jobStateOf is what users are told of a job that was found.
+func (c *Core) jobStateOf(id string, f lookupResult) wire.JobState {
 	if f.final != nil {
-		return finalState(id, *f.final)
+		return finalJobState(id, *f.final)
 	}
 	n := c.countsOf(id)
 	s := wire.JobState{ID: id, State: wire.JobPending, Running: &n[0], Done: &n[1]}
@@ -194,11 +194,11 @@
 	return s
 }
 
-func (c *Core) countsOf(id string) counts {
-	if c.lead != nil {
-		if j := c.lead.jobs[id]; j != nil {
+func (c *Core) countsOf(id string) taskCounts {
+	if c.leader != nil {
+		if j := c.leader.jobs[id]; j != nil {
 			return j.counts()
 		}
 	}
-	return c.dir.countsOf(id)
+	return c.cache.countsOf(id)
 }
--- a/internal/core/write_rate_test.go
+++ b/internal/core/write_rate_test.go
@@ -26,7 +26,7 @@
 	y.pass(90 * time.Second)
 
 	for i, id := range y.live {
-		y.step(y.nodes[0], core.Cancel{Req: uint64(100+i) << 16, ID: id})
+		y.step(y.nodes[0], core.CancelJob{RequestID: uint64(100+i) << 16, ID: id})
 	}
 	cancelled := y.live
 	y.live = nil
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -69,13 +69,13 @@
 	c := w.l.c
 	w.refill()
 	if c.now.Steady < w.notBefore {
-		c.at(w.notBefore)
+		c.wakeBy(w.notBefore)
 		return
 	}
-	if w.l.change.wanted || w.l.guard.wanted != openTerm {
+	if w.l.change.wanted || w.l.guard.target != baseTermFormat {
 		return
 	}
-	for w.inFlight < 2 && !c.stateDown {
+	for w.inFlight < 2 && !c.storeDown {
 		if need := w.least(); w.tokens < need {
 			w.wakeAt(need)
 			return
@@ -111,7 +111,7 @@
 // wakeAt has the core woken when there are so many tokens.
 func (w *writer) wakeAt(tokens float64) {
 	c := w.l.c
-	c.at(c.now.Steady + max(time.Millisecond, config.Seconds((tokens-w.tokens)/w.rate())))
+	c.wakeBy(c.now.Steady + max(time.Millisecond, config.Seconds((tokens-w.tokens)/w.rate())))
 }
 
 // batch is a transaction being put together.
@@ -136,9 +136,9 @@
 // one sends one transaction; false if there is nothing to write.
 func (w *writer) one() bool {
 	l, c := w.l, w.l.c
-	ops := min(c.limits.changes(), int(w.tokens))
+	ops := min(c.limits.maxChanges(), int(w.tokens))
 	b := &batch{seen: map[string]bool{}}
-	b.cond(keyTerm, l.version)
+	b.cond(termKey, l.version)
 
 	// Ends of jobs first: users wait for them.
 	var laterJobs []*job
@@ -167,7 +167,7 @@
 			ch.dirty = false
 			continue
 		}
-		if ch.inFlight || ch.reading || len(b.txn.Then) >= ops || len(b.txn.If)+2 > c.limits.conditions() ||
+		if ch.inFlight || ch.reading || len(b.txn.Then) >= ops || len(b.txn.If)+2 > c.limits.maxConditions() ||
 			b.size > wire.MaxBody/2 || ch.job.idleTime() && len(b.txn.Then) >= idleOps {
 			laterChunks = append(laterChunks, ch)
 			continue
@@ -194,7 +194,7 @@
 		w.inFlight--
 		w.settle(b, r)
 	})
-	c.send(StateTxn{ID: id, Txn: b.txn})
+	c.emit(StoreTxn{CallID: id, Txn: b.txn})
 	return true
 }
 
@@ -212,7 +212,7 @@
 	for _, p := range placed {
 		if p.phase == uncommitted {
 			// A new placement stands only while the job is not cancelled.
-			b.cond(keyActive+ch.job.id, ch.job.version)
+			b.cond(activeJobPrefix+ch.job.id, ch.job.version)
 			b.placed = append(b.placed, p)
 		}
 	}
@@ -232,8 +232,8 @@
 		for _, k := range r.Txn.Failed {
 			failed[k] = true
 		}
-		if failed[keyTerm] {
-			w.l.c.elect.stepDown("the term moved on")
+		if failed[termKey] {
+			w.l.c.election.stepDown("the term moved on")
 			return
 		}
 	}
@@ -261,8 +261,8 @@
 	}
 	if r.Outcome == call.Dropped {
 		w.tokens += float64(len(b.txn.Then))
-		w.notBefore = w.l.c.now.Steady + w.l.c.t.retry
-		w.l.c.limits.slowDown(w.l.c.now.Steady, slowLeases*w.l.c.t.lease)
+		w.notBefore = w.l.c.now.Steady + w.l.c.times.retryPause
+		w.l.c.limits.throttle(w.l.c.now.Steady, slowLeases*w.l.c.times.lease)
 	}
 	for _, o := range b.orphan {
 		if !failed[o.Key] {
@@ -270,7 +270,7 @@
 		}
 	}
 	if r.Outcome == call.Invalid {
-		w.l.c.limits.noticeRefused(b.txn)
+		w.l.c.limits.observeInvalid(b.txn)
 		w.l.c.log(Error, "a transaction was malformed", "ops", len(b.txn.Then))
 	}
 }
@@ -288,7 +288,7 @@
 	default:
 		w.l.mark(ch)
 	}
-	if failed[keyActive+ch.job.id] {
+	if failed[activeJobPrefix+ch.job.id] {
 		w.rereadJob(ch.job)
 	}
 }
@@ -309,5 +309,5 @@
 			ch.version = 0
 		}
 	})
-	w.l.c.send(StateGet{ID: id, Key: w.l.runKey(ch)})
+	w.l.c.emit(StoreGet{CallID: id, Key: w.l.runKey(ch)})
 }
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -90,7 +90,7 @@
 // basisCounter is a counter in a node's status for each basis on which leases are renewed.
 type basisCounter struct {
 	desc   *prometheus.Desc
-	values func(core.Status) [core.LeaseBases]uint64
+	values func(core.Status) [core.LeaseBasisCount]uint64
 }
 
 // statusCollector gives a node's status as metrics.
@@ -108,26 +108,26 @@
 	gauge := func(name, help string, value func(core.Status) float64) {
 		c.metrics = append(c.metrics, statusMetric{desc(name, help), prometheus.GaugeValue, value})
 	}
-	byBasis := func(name, help string, values func(core.Status) [core.LeaseBases]uint64) {
+	byBasis := func(name, help string, values func(core.Status) [core.LeaseBasisCount]uint64) {
 		c.counters = append(c.counters, basisCounter{desc(name, help, "basis"), values})
 	}
 	gauge("leading", "1 while this node leads.", func(s core.Status) float64 { return oneIf(s.Leading) })
 	gauge("load_ratio", "How short of processor time this node is: 0 it keeps up, 1 it is overloaded.", func(s core.Status) float64 { return s.Load })
-	gauge("held_answers", "Answers to reports that are held back now.", func(s core.Status) float64 { return float64(s.HeldAnswers) })
+	gauge("held_answers", "Answers to reports that are held back now.", func(s core.Status) float64 { return float64(s.HeldResponses) })
 	gauge("machines", "Machines that this node looks after; 0 while it does not lead.", func(s core.Status) float64 { return float64(s.Machines) })
 	gauge("term", "Newest term that this node knows.", func(s core.Status) float64 { return float64(s.Term) })
-	gauge("leader_entitled", "1 while this node leads and may act for the controllers.", func(s core.Status) float64 { return oneIf(s.Entitled) })
+	gauge("leader_entitled", "1 while this node leads and may act for the controllers.", func(s core.Status) float64 { return oneIf(s.HasAuthority) })
 	gauge("leader_unread_seconds", "How long this node has led without the records; 0 once it has read them.",
-		func(s core.Status) float64 { return s.Unread.Seconds() })
+		func(s core.Status) float64 { return s.Recovering.Seconds() })
 	gauge("read_revision", "Revision of the state service up to which this node has read the changes of jobs.",
 		func(s core.Status) float64 { return float64(s.Revision) })
-	gauge("state_served", "1 while the state service serves this node.", func(s core.Status) float64 { return oneIf(!s.StateDown) })
+	gauge("state_served", "1 while the state service serves this node.", func(s core.Status) float64 { return oneIf(!s.StoreDown) })
 	c.metrics = append(c.metrics, statusMetric{desc("terms_led_total", "Terms that this process has led."), prometheus.CounterValue,
 		func(s core.Status) float64 { return float64(s.TermsLed) }})
 	byBasis("lease_renewals_total", "Answers to reports that renewed a worker's lease, by why this node may answer.",
-		func(s core.Status) [core.LeaseBases]uint64 { return s.Renewals })
+		func(s core.Status) [core.LeaseBasisCount]uint64 { return s.LeaseRenewals })
 	byBasis("cancelled_stops_total", "Stops of tasks of cancelled jobs in such answers, by the same.",
-		func(s core.Status) [core.LeaseBases]uint64 { return s.CancelledStops })
+		func(s core.Status) [core.LeaseBasisCount]uint64 { return s.CancelledStops })
 	return c
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -68,15 +68,15 @@
 	switch in.(type) {
 	case core.Tick:
 		return "tick"
-	case core.Submit:
+	case core.SubmitJob:
 		return "submit"
-	case core.Poll:
+	case core.GetJob:
 		return "poll"
-	case core.Cancel:
+	case core.CancelJob:
 		return "cancel"
-	case core.Checkin:
+	case core.WorkerHeartbeat:
 		return "report"
-	case core.CancellationsReceived:
+	case core.ReplicateCancellations:
 		return "cancellations"
 	case core.Result:
 		return "result"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 
 	reqMu   sync.Mutex
 	nextReq uint64
-	waiting map[uint64]chan core.Answer
+	waiting map[uint64]chan core.Response
 
 	state   *state.Client
 	cloud   *cloud.Client
@@ -78,7 +78,7 @@
 		core:    core.New(set, hex.EncodeToString(inc[:])),
 		inputs:  make(chan arrival, max(4*set.Operator.MaxPendingRequests, publicSockets(set))),
 		results: make(chan core.Result, pendingResults),
-		waiting: map[uint64]chan core.Answer{},
+		waiting: map[uint64]chan core.Response{},
 		// The leader needs more than the others; all of them never need all.
 		state: state.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
 			int64(p.Limits.MemoryMB*(1<<20)/32)),
@@ -235,7 +235,7 @@
 
 // heard hands the core the cancellations that another node sends; false if it did not take it in.
 func (n *Node) heard(ctx context.Context, items []core.Cancellation) bool {
-	_, ok := n.Ask(ctx, func(req uint64) core.Input { return core.CancellationsReceived{Req: req, Cancellations: items} })
+	_, ok := n.Ask(ctx, func(req uint64) core.Input { return core.ReplicateCancellations{RequestID: req, Cancellations: items} })
 	return ok
 }
 
@@ -247,8 +247,8 @@
 
 // Ask hands the core a request and waits for its answer. ok is false if there is
 // none in time or too much waits already.
-func (n *Node) Ask(ctx context.Context, input func(req uint64) core.Input) (core.Answer, bool) {
-	ch := make(chan core.Answer, 1)
+func (n *Node) Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool) {
+	ch := make(chan core.Response, 1)
 	n.reqMu.Lock()
 	n.nextReq++
 	req := n.nextReq
@@ -263,18 +263,18 @@
 	select {
 	case n.inputs <- arrival{input(req), time.Now(), until}:
 	default:
-		return core.Answer{}, false
+		return core.Response{}, false
 	}
 	select {
 	case a := <-ch:
 		// After a standstill both may be there, and the timer may come last. What was true then
 		// may be told no more.
 		if ctx.Err() != nil || !until.IsZero() && !time.Now().Before(until) {
-			return core.Answer{}, false
+			return core.Response{}, false
 		}
 		return a, true
 	case <-ctx.Done():
-		return core.Answer{}, false
+		return core.Response{}, false
 	}
 }
 
@@ -288,7 +288,7 @@
 	go func() {
 		callCtx, cancel := context.WithDeadline(ctx, until)
 		defer cancel()
-		r := core.Result{ID: id, Sent: sent, Outcome: call.Dropped}
+		r := core.Result{CallID: id, SentAt: sent, Outcome: call.Dropped}
 		if time.Now().Before(until) {
 			r.Outcome = call.Unknown
 			f(callCtx, &r)
--- a/internal/operators/placements.go
+++ b/internal/operators/placements.go
@@ -23,15 +23,15 @@
 	if !wire.ValidJobID(q.GetJob()) {
 		return nil, status.Error(codes.InvalidArgument, "job: is no job id")
 	}
-	return ask(ctx, p.server, q.GetRelayed(), func(req uint64) core.Input { return core.ShowPlacements{Req: req, Job: q.GetJob()} },
+	return ask(ctx, p.server, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlacements{RequestID: req, Job: q.GetJob()} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
 			return operatorpb.NewPlacementsClient(leader).Show(ctx, &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}, anySize)
 		}, placementReply)
 }
 
 // placementReply gives the places of a job's replicas on the wire.
-func placementReply(a core.Answer) (*operatorpb.PlacementReply, error) {
-	places, ok := a.Body.([]core.Place)
+func placementReply(a core.Response) (*operatorpb.PlacementReply, error) {
+	places, ok := a.Body.([]core.ReplicaPlacement)
 	if !ok {
 		return nil, errUnexpected
 	}
--- a/internal/operators/regions.go
+++ b/internal/operators/regions.go
@@ -20,7 +20,7 @@
 // Ask implements the service.
 func (r *regions) Ask(ctx context.Context, q *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
 	return ask(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
-		return core.AskAllowance{Req: req, From: q.GetFrom(), Team: q.GetTeam(), Whole: shareOf(q.GetWhole()), Share: shareOf(q.GetShare())}
+		return core.RequestQuota{RequestID: req, From: q.GetFrom(), Team: q.GetTeam(), Whole: shareOf(q.GetWhole()), Share: shareOf(q.GetShare())}
 	}, func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 		q.Relayed = true
 		return operatorpb.NewRegionsClient(leader).Ask(ctx, q)
@@ -30,7 +30,7 @@
 // Deliver implements the service.
 func (r *regions) Deliver(ctx context.Context, q *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
 	return ask(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
-		return core.DeliverAllowance{Req: req, Team: q.GetTeam(), Whole: shareOf(q.GetWhole()),
+		return core.DeliverQuota{RequestID: req, Team: q.GetTeam(), Whole: shareOf(q.GetWhole()),
 			Transfer: allowance.Transfer{From: q.GetFrom(), To: q.GetTo(), Number: q.GetNumber(), Share: shareOf(q.GetShare())}}
 	}, func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 		q.Relayed = true
@@ -38,17 +38,17 @@
 	}, allowanceReply)
 }
 
-func allowanceReply(core.Answer) (*operatorpb.AllowanceReply, error) {
+func allowanceReply(core.Response) (*operatorpb.AllowanceReply, error) {
 	return &operatorpb.AllowanceReply{}, nil
 }
 
 // CallRegion sends a message to a controller of another region and says what became of it.
-func CallRegion(ctx context.Context, conn grpc.ClientConnInterface, e core.RegionCall) call.Outcome {
+func CallRegion(ctx context.Context, conn grpc.ClientConnInterface, e core.CallRegion) call.Outcome {
 	client := operatorpb.NewRegionsClient(conn)
 	var err error
 	switch {
-	case e.Ask != nil:
-		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{From: e.Ask.From, Team: e.Ask.Team, Whole: shareMessage(e.Ask.Whole), Share: shareMessage(e.Ask.Share)})
+	case e.Request != nil:
+		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{From: e.Request.From, Team: e.Request.Team, Whole: shareMessage(e.Request.Whole), Share: shareMessage(e.Request.Share)})
 	case e.Deliver != nil:
 		t := e.Deliver.Transfer
 		_, err = client.Deliver(ctx, &operatorpb.AllowanceDelivery{From: t.From, To: t.To, Team: e.Deliver.Team, Number: t.Number,
--- a/internal/operators/server.go
+++ b/internal/operators/server.go
@@ -19,7 +19,7 @@
 
 // Core answers requests; it is the one of server.Core.
 type Core interface {
-	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Answer, bool)
+	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
 }
 
 // patience is how long a request waits for its answer here.
@@ -49,7 +49,7 @@
 
 // ask has the core answer, or the leader where the core names it; a request that was handed on goes no further.
 func ask[Reply any](ctx context.Context, s *Server, relayed bool, input func(uint64) core.Input,
-	relay func(context.Context, grpc.ClientConnInterface) (Reply, error), convert func(core.Answer) (Reply, error)) (Reply, error) {
+	relay func(context.Context, grpc.ClientConnInterface) (Reply, error), convert func(core.Response) (Reply, error)) (Reply, error) {
 	var none Reply
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -70,7 +70,7 @@
 }
 
 // refusal gives the error for an answer that is not 200.
-func refusal(a core.Answer) error {
+func refusal(a core.Response) error {
 	why := "no reason is given"
 	if body, ok := a.Body.(wire.ErrorBody); ok {
 		why = body.Error
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ApplyPlan{Req: req, Plan: plan} },
+	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
 			return operatorpb.NewRolloutsClient(leader).Apply(ctx, &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}, anySize)
 		}, planStatus)
@@ -130,7 +130,7 @@
 	if !ok {
 		return nil, status.Error(codes.InvalidArgument, "change: is not known")
 	}
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ChangePlan{Req: req, Name: q.GetName(), Change: change} },
+	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: q.GetName(), Change: change} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
 			return operatorpb.NewRolloutsClient(leader).Change(ctx, &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}, anySize)
 		}, planStatus)
@@ -138,7 +138,7 @@
 
 // Show implements the service.
 func (s *Server) Show(ctx context.Context, q *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ShowPlan{Req: req, Name: q.GetName()} },
+	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: q.GetName()} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
 			return operatorpb.NewRolloutsClient(leader).Show(ctx, &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}, anySize)
 		}, planStatus)
@@ -158,7 +158,7 @@
 	generation := rollout.Generation{Term: q.GetGeneration().GetTerm(), Revision: q.GetGeneration().GetRevision()}
 	return ask(ctx, s, q.GetRelayed(),
 		func(req uint64) core.Input {
-			return core.RoutePlan{Req: req, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
+			return core.GetRouting{RequestID: req, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
 		},
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.RouteReply, error) {
 			return operatorpb.NewRolloutsClient(leader).Route(ctx, &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}, anySize)
@@ -169,12 +169,12 @@
 var errUnexpected = errors.New("an answer of an unexpected kind")
 
 // planStatus gives a plan's status on the wire.
-func planStatus(a core.Answer) (*operatorpb.PlanStatus, error) {
+func planStatus(a core.Response) (*operatorpb.PlanStatus, error) {
 	s, ok := a.Body.(core.PlanStatus)
 	if !ok {
 		return nil, errUnexpected
 	}
-	reply := &operatorpb.PlanStatus{Problem: s.Problem, Settled: s.Settled, OldCapacity: s.Capacity.Old, NewCapacity: s.Capacity.New,
+	reply := &operatorpb.PlanStatus{Problem: s.Problem, Settled: s.Reconciled, OldCapacity: s.Capacity.Old, NewCapacity: s.Capacity.New,
 		PromisedCapacity: s.Capacity.Promised, Generation: generation(s.Routing.Generation), Routers: s.Routers}
 	if r := s.Record; r != nil {
 		reply.Name, reply.Phase, reply.Step, reply.Steps = r.Plan.Name, string(r.Phase), int32(r.Step+1), int32(len(r.Plan.Steps))
@@ -195,7 +195,7 @@
 }
 
 // routeReply gives a routing on the wire.
-func routeReply(a core.Answer) (*operatorpb.RouteReply, error) {
+func routeReply(a core.Response) (*operatorpb.RouteReply, error) {
 	g, ok := a.Body.(core.RoutingGrant)
 	if !ok {
 		return nil, errUnexpected
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -67,12 +67,12 @@
 	}
 	st := s.status()
 	age := int64(-1)
-	if st.ReportAge >= 0 {
-		age = st.ReportAge.Milliseconds()
+	if st.HeartbeatAge >= 0 {
+		age = st.HeartbeatAge.Milliseconds()
 	}
-	return &peerpb.StatusReply{Node: s.node, StateDown: st.StateDown, Term: st.Term, Leads: st.Leads, ReportAgeMs: age, ZonesApart: st.ZonesApart,
-		Revision: st.Revision, Unsettled: st.Unsettled, UnsettledMore: st.UnsettledMore, Layouts: st.Layouts,
-		KnowsPlans: st.KnowsPlans}, nil
+	return &peerpb.StatusReply{Node: s.node, StateDown: st.StoreDown, Term: st.Term, Leads: st.Leading, ReportAgeMs: age, ZonesApart: st.UnreachableZones,
+		Revision: st.Revision, Unsettled: st.UnresolvedCancellations, UnsettledMore: st.MoreUnresolved, Layouts: st.RecordLayouts,
+		KnowsPlans: st.SupportsRollouts}, nil
 }
 
 // Client asks one other node.
@@ -115,11 +115,11 @@
 	if err != nil {
 		return core.PeerStatus{}, call.Unknown
 	}
-	st := core.PeerStatus{StateDown: r.GetStateDown(), Term: r.GetTerm(), Leads: r.GetLeads(), ReportAge: -1, ZonesApart: r.GetZonesApart(),
-		Revision: r.GetRevision(), Unsettled: r.GetUnsettled(), UnsettledMore: r.GetUnsettledMore(), Layouts: r.GetLayouts(),
-		KnowsPlans: r.GetKnowsPlans()}
+	st := core.PeerStatus{StoreDown: r.GetStateDown(), Term: r.GetTerm(), Leading: r.GetLeads(), HeartbeatAge: -1, UnreachableZones: r.GetZonesApart(),
+		Revision: r.GetRevision(), UnresolvedCancellations: r.GetUnsettled(), MoreUnresolved: r.GetUnsettledMore(), RecordLayouts: r.GetLayouts(),
+		SupportsRollouts: r.GetKnowsPlans()}
 	if r.GetReportAgeMs() >= 0 {
-		st.ReportAge = time.Duration(r.GetReportAgeMs()) * time.Millisecond
+		st.HeartbeatAge = time.Duration(r.GetReportAgeMs()) * time.Millisecond
 	}
 	return st, call.OK
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,7 +20,7 @@
 // Core answers requests.
 type Core interface {
 	// Ask hands over a request and waits for the answer.
-	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Answer, bool)
+	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
 	Healthy() bool
 }
 
@@ -178,7 +178,7 @@
 		reply(w, http.StatusServiceUnavailable, 1, wire.ErrorBody{Error: "no answer in time"})
 		return
 	}
-	reply(w, a.Status, a.RetryAfter, a.Body)
+	reply(w, a.Status, a.RetryAfterS, a.Body)
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
@@ -210,18 +210,18 @@
 		reply(w, http.StatusBadRequest, 0, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.Submit{Req: req, Job: job} })
+	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: job} })
 }
 
 func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.Poll{Req: req, ID: id} })
+	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} })
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBody))
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.Cancel{Req: req, ID: id} })
+	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id} })
 }
 
 func (s *Server) checkin(w http.ResponseWriter, r *http.Request) {
@@ -237,5 +237,5 @@
 		reply(w, http.StatusBadRequest, 0, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	s.ask(w, r, workerPatience, func(req uint64) core.Input { return core.Checkin{Req: req, Report: report} })
+	s.ask(w, r, workerPatience, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: report} })
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -15,8 +15,8 @@
 
 type fixed struct{}
 
-func (fixed) Ask(context.Context, func(uint64) core.Input) (core.Answer, bool) {
-	return core.Answer{Status: 200, Body: struct{}{}}, true
+func (fixed) Ask(context.Context, func(uint64) core.Input) (core.Response, bool) {
+	return core.Response{Status: 200, Body: struct{}{}}, true
 }
 func (fixed) Healthy() bool { return true }
 
