--- a/internal/core/allowance_messages.go
+++ b/internal/core/allowance_messages.go
@@ -8,7 +8,7 @@
 
 // deliver sends the transfers that are on their way, the oldest to each region, until their receivers have them.
 func (a *allowances) deliver(t *teamAllowance) {
-	c := a.l.c
+	c := a.l.core
 	for _, transfer := range t.account.Outgoing {
 		to := transfer.To
 		if t.delivering[to] {
@@ -29,7 +29,7 @@
 // settle takes a transfer out of the account whose receiver has it. A write that can't be made now is made after the next
 // delivery, which the receiver knows already.
 func (a *allowances) settle(t *teamAllowance, to string, number uint64) {
-	c := a.l.c
+	c := a.l.core
 	if t.writing || t.account == nil || !a.mayWrite() || !c.election.leaseValid() || c.storeDown {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // ask asks the other regions, one after the other, for what this one's work lacks.
 func (a *allowances) ask(t *teamAllowance, need teamNeed) {
-	c := a.l.c
+	c := a.l.core
 	if t.asking || c.now.Steady < t.askAt {
 		return
 	}
@@ -82,6 +82,6 @@
 // refuseWaiting tells all regions whose messages wait to come back, at the end of this term.
 func (a *allowances) refuseWaiting() {
 	for _, t := range a.inOrder {
-		t.refuse(a.l.c)
+		t.refuse(a.l.core)
 	}
 }
--- a/internal/core/allowance_requests.go
+++ b/internal/core/allowance_requests.go
@@ -52,7 +52,7 @@
 	if l == nil {
 		return nil
 	}
-	t := l.allowances.teams[team]
+	t := l.quotas.teams[team]
 	switch {
 	case !c.operator.Regions.Enabled():
 		c.respondRefused(req, noRegions)
@@ -78,7 +78,7 @@
 func (c *Core) handleQuotaRequest(in RequestQuota) {
 	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Whole); t != nil {
 		t.asks = append(t.asks, in)
-		c.leader.allowances.at = c.now.Steady
+		c.leader.quotas.at = c.now.Steady
 	}
 }
 
@@ -90,6 +90,6 @@
 	}
 	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Whole); t != nil {
 		t.deliveries = append(t.deliveries, in)
-		c.leader.allowances.at = c.now.Steady
+		c.leader.quotas.at = c.now.Steady
 	}
 }
--- a/internal/core/allowance_writes.go
+++ b/internal/core/allowance_writes.go
@@ -14,15 +14,15 @@
 
 // mayWrite tells whether one more account may be written now.
 func (a *allowances) mayWrite() bool {
-	return a.inFlight < mostAccountWrites && a.l.writes.tokens >= 1
+	return a.inFlight < mostAccountWrites && a.l.writer.rateTokens >= 1
 }
 
 // write commits the first change that an account waits for: the beginning, transfers that came in, requests of others.
 func (a *allowances) write(t *teamAllowance, need teamNeed) {
-	c := a.l.c
+	c := a.l.core
 	switch {
 	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil && c.cache.termForm < quotasTermFormat:
-		a.l.guard.request(quotasTermFormat)
+		a.l.termUpgrade.request(quotasTermFormat)
 	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil:
 		a.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
@@ -38,7 +38,7 @@
 
 // takeDelivery commits a transfer that came in, and then says so.
 func (a *allowances) takeDelivery(t *teamAllowance) {
-	c, in := a.l.c, t.deliveries[0]
+	c, in := a.l.core, t.deliveries[0]
 	t.deliveries = t.deliveries[1:]
 	next, receipt := t.account.Take(in.Transfer)
 	switch receipt {
@@ -53,7 +53,7 @@
 
 // grant commits a transfer to a region that asks, if there is something to give.
 func (a *allowances) grant(t *teamAllowance, need teamNeed) {
-	c, in := a.l.c, t.asks[0]
+	c, in := a.l.core, t.asks[0]
 	t.asks = t.asks[1:]
 	next := t.account.Give(c.operator.Regions.Name, in.From, in.Share, t.kept(need))
 	if next == nil {
@@ -84,19 +84,19 @@
 	a.inFlight++
 	t.unsettled = append(t.unsettled, next)
 	a.refresh(t)
-	l.writes.tokens--
+	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		t.writing = false
 		a.inFlight--
 		a.written(t, next, r)
 		then(r)
 	})
-	l.c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
+	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
 
 // written takes what became of a write of an account.
 func (a *allowances) written(t *teamAllowance, next *allowance.Account, r Result) {
-	c := a.l.c
+	c := a.l.core
 	switch {
 	case r.Outcome == call.OK:
 		a.take(t, next, r.Txn.Revision)
@@ -114,7 +114,7 @@
 
 // reread finds out how an account stands. One that is as it was may yet be changed by the write in doubt.
 func (a *allowances) reread(t *teamAllowance) {
-	c := a.l.c
+	c := a.l.core
 	t.writing = true
 	id := a.l.stateCall(func(r Result) {
 		t.writing = false
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -50,15 +50,15 @@
 // newAllowances takes the teams up; nobody has an allowance before its account is read.
 func newAllowances(l *leader) *allowances {
 	a := &allowances{l: l, teams: map[string]*teamAllowance{}}
-	if !l.c.operator.Regions.Enabled() {
+	if !l.core.operator.Regions.Enabled() {
 		return a
 	}
-	parts := l.c.regionShares()
-	for i := range l.c.settings.Params.Teams {
-		team := &l.c.settings.Params.Teams[i]
+	parts := l.core.regionShares()
+	for i := range l.core.settings.Params.Teams {
+		team := &l.core.settings.Params.Teams[i]
 		t := &teamAllowance{effective: *team, settings: team, key: allowanceKey(team.Name), delivering: map[string]bool{},
 			whole: allowance.Share{Limit: allowance.AtMost(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.AtMost(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
-		t.initial = allowance.Initial(t.whole, parts, l.c.operator.Regions.Name)
+		t.initial = allowance.Initial(t.whole, parts, l.core.operator.Regions.Name)
 		t.goBy(allowance.Share{})
 		a.teams[team.Name] = t
 		a.inOrder = append(a.inOrder, t)
@@ -77,10 +77,10 @@
 
 // teamOf gives the limits and guarantees that a job's team may go by in this region.
 func (l *leader) teamOf(name string) *config.Team {
-	if t := l.allowances.teams[name]; t != nil {
+	if t := l.quotas.teams[name]; t != nil {
 		return &t.effective
 	}
-	return l.c.team(name)
+	return l.core.team(name)
 }
 
 // goBy sets the effective limits and guarantees to what is held; where the whole has none there is none.
@@ -120,7 +120,7 @@
 
 // run looks after all accounts.
 func (a *allowances) run() {
-	c := a.l.c
+	c := a.l.core
 	if len(a.teams) == 0 {
 		return
 	}
@@ -155,12 +155,12 @@
 // readStored takes in the accounts as the watch shows them.
 func (a *allowances) readStored() {
 	for _, t := range a.inOrder {
-		stored := a.l.c.cache.quotaAccounts.byKey[t.key]
+		stored := a.l.core.cache.quotaAccounts.byKey[t.key]
 		if stored == nil || stored.version <= t.version {
 			continue
 		}
 		if stored.problem != nil {
-			a.l.c.log(Error, "a team's allowance can't be read: nothing of the team is started", "key", t.key, "error", stored.problem.Error())
+			a.l.core.log(Error, "a team's allowance can't be read: nothing of the team is started", "key", t.key, "error", stored.problem.Error())
 		}
 		a.take(t, stored.account, stored.version)
 	}
@@ -197,8 +197,8 @@
 			s = &sum{}
 			sums[j.spec.Team] = s
 		}
-		placed, all := float64(len(j.placed)), float64(len(j.placed))
-		if j.queued && !j.cancelled && !j.final && !j.held {
+		placed, all := float64(len(j.placements)), float64(len(j.placements))
+		if j.queued && !j.cancelled && !j.ending && !j.heldByRollout {
 			all = max(all, float64(j.unfinished()))
 		}
 		s.usedGPUs, s.usedCPUs = s.usedGPUs+placed*j.spec.GPUs, s.usedCPUs+placed*j.spec.CPUs
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -13,10 +13,10 @@
 // operators allow for rounds, over the time since the last one, at most that of a
 // report interval, and no more than a single round may take; and always a few.
 func (l *leader) budget() int {
-	rate := l.c.evaluationsPerSecond()
-	rs := &l.rounds
-	rs.evaluations = min(rate*l.c.times.checkInterval.Seconds(), rs.evaluations+rate*(l.c.now.Steady-rs.lastAt).Seconds())
-	rs.evaluations = max(rs.evaluations, -rate*l.c.times.cycleInterval.Seconds()) // no debt outlasts the next regular round
-	most := l.c.times.checkInterval.Seconds() / roundsInHeartbeat / l.c.evaluationCost.Seconds()
+	rate := l.core.evaluationsPerSecond()
+	rs := &l.cycles
+	rs.evaluations = min(rate*l.core.times.checkInterval.Seconds(), rs.evaluations+rate*(l.core.now.Steady-rs.lastAt).Seconds())
+	rs.evaluations = max(rs.evaluations, -rate*l.core.times.cycleInterval.Seconds()) // no debt outlasts the next regular round
+	most := l.core.times.checkInterval.Seconds() / roundsInHeartbeat / l.core.evaluationCost.Seconds()
 	return max(32, int(min(rs.evaluations, most)))
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -103,7 +103,7 @@
 // can say.
 func (b *cancellationReplicator) resolvedByLeaders(id string) bool {
 	c := b.core
-	if l := c.leader; l != nil && (!l.loaded || l.jobs[id] != nil && l.unsettled(l.jobs[id])) {
+	if l := c.leader; l != nil && (!l.recovered || l.jobs[id] != nil && l.unsettled(l.jobs[id])) {
 		return false
 	}
 	led := c.leader != nil
@@ -122,8 +122,8 @@
 // unsettled tells whether a task of a cancelled job may start yet, its start or its image being
 // on the way, or is left in a zone whose nodes answer its workers while it is cut off.
 func (l *leader) unsettled(j *job) bool {
-	for _, p := range j.placed {
-		if p.phase < seen || p.state == wire.TaskFetching || l.c.zoneRenewsOwnLeases(p.machine.zone) {
+	for _, p := range j.placements {
+		if p.phase < phaseReported || p.state == wire.TaskFetching || l.core.zoneRenewsOwnLeases(p.machine.zone) {
 			return true
 		}
 	}
@@ -150,15 +150,15 @@
 		}
 		listed = append(listed, id)
 	}
-	if !l.loaded {
-		for _, id := range slices.Sorted(maps.Keys(l.c.cache.jobs)) {
-			if l.c.cache.jobs[id].CancelledMS != 0 {
+	if !l.recovered {
+		for _, id := range slices.Sorted(maps.Keys(l.core.cache.jobs)) {
+			if l.core.cache.jobs[id].CancelledMS != 0 {
 				add(id)
 			}
 		}
 		return listed, more
 	}
-	for _, j := range l.order {
+	for _, j := range l.queue {
 		if j.cancelled && l.unsettled(j) {
 			add(j.id)
 		}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -2,70 +2,70 @@
 
 import "bitternwing/internal/wire"
 
-// commands adds a machine's orders to an answer.
-func (l *leader) commands(m *machine, r *wire.Heartbeat, answer *leaseAnswer) {
-	for i := range m.exits {
-		t := &m.exits[i]
-		if answer.full() || !l.forgettable(t) {
+// addCommands adds a machine's orders to an answer.
+func (l *leader) addCommands(m *machine, r *wire.Heartbeat, answer *leaseResponse) {
+	for i := range m.exitedTasks {
+		t := &m.exitedTasks[i]
+		if answer.full() || !l.mayForgetExit(t) {
 			continue
 		}
 		name := attemptName{t.Task, t.Attempt}
-		if used, ok := m.direct[name]; ok {
-			l.raise(m, used)
-			delete(m.direct, name)
+		if used, ok := m.directStarts[name]; ok {
+			l.raiseFencingToken(m, used)
+			delete(m.directStarts, name)
 		}
 		answer.add(wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 	}
 	for i := range m.orphanedTasks {
 		// No record explains it, and it has no right to run.
-		answer.add(stopAtOnce(&m.orphanedTasks[i]))
+		answer.add(stopImmediately(&m.orphanedTasks[i]))
 	}
-	mayStart := l.c.election.leaseValid()
-	for _, p := range m.list {
+	mayStart := l.core.election.leaseValid()
+	for _, p := range m.placementsInOrder {
 		if answer.full() {
 			break
 		}
 		switch {
-		case p.session != m.session:
-		case p.stop != keep && p.phase >= sent:
-			if p.stop == stopSaving && p.state == wire.TaskCheckpointing {
+		case p.incarnation != m.incarnation:
+		case p.stop != stopNone && p.phase >= phaseSent:
+			if p.stop == stopAfterCheckpoint && p.state == wire.TaskCheckpointing {
 				continue
 			}
-			l.logCommand(wire.OpStop, p, withAnswer)
+			l.logCommand(wire.OpStop, p, viaHeartbeatResponse)
 			answer.add(p.stopCommand())
 		case mayStart && p.startable():
-			p.phase, p.sentSeq = sent, r.Sequence
-			l.logCommand(wire.OpStart, p, withAnswer)
+			p.phase, p.startSequence = phaseSent, r.Sequence
+			l.logCommand(wire.OpStart, p, viaHeartbeatResponse)
 			answer.add(p.startCommand())
 		}
 	}
 }
 
-// commandWay is how a command goes to a machine.
-type commandWay string
+// commandPath is how a command goes to a machine.
+type commandPath string
 
 // The ways.
 const (
-	withAnswer commandWay = "answer" // to a report
-	directly   commandWay = "direct" // to the worker's address
+	viaHeartbeatResponse commandPath = "answer" // to a report
+	viaDirectCommand     commandPath = "direct" // to the worker's address
 )
 
 // logCommand logs a command for a machine, and by which right it is given.
-func (l *leader) logCommand(op wire.CommandOp, p *placement, way commandWay) {
-	if l.c.omitDebug {
+func (l *leader) logCommand(op wire.CommandOp, p *placement, way commandPath) {
+	if l.core.omitDebug {
 		return
 	}
 	right := "lease"
-	if !l.c.election.leaseValidAt(l.c.now.Steady) {
+	if !l.core.election.leaseValidAt(l.core.now.Steady) {
 		right = "all nodes refused"
 	}
-	l.c.log(Debug, "command", "op", op, "task", p.name(), "attempt", p.attempt, "machine", p.machine.name, "token", max(p.machine.current, firstToken(l.term)),
-		"term", l.term, "way", way, "right", right, "why", p.stopWhy, "state_served", !l.c.storeDown)
+	l.core.log(Debug, "command", "op", op, "task", p.name(), "attempt", p.attempt, "machine", p.machine.name, "token", max(p.machine.fencingToken, firstFencingToken(l.term)),
+		"term", l.term, "way", way, "right", right, "why", p.stopReason, "state_served", !l.core.storeDown)
 }
 
 // startable tells whether a task is committed and is to start.
 func (p *placement) startable() bool {
-	return p.phase == committed && p.stop == keep && !p.job.cancelled
+	return p.phase == phaseCommitted && p.stop == stopNone && !p.job.cancelled
 }
 
 // startCommand starts a task.
@@ -76,32 +76,32 @@
 // stopCommand stops a task, with time to save where it is to save.
 func (p *placement) stopCommand() wire.Command {
 	grace := 0.0
-	if p.stop == stopSaving {
+	if p.stop == stopAfterCheckpoint {
 		grace = 1.5 * p.job.spec.CheckpointTimeS
 	}
 	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &grace}
 }
 
-// forgettable tells whether an exit may be forgotten: only once all that it tells
+// mayForgetExit tells whether an exit may be forgotten: only once all that it tells
 // is in the state service, for after that a repeated start would run again.
-func (l *leader) forgettable(t *wire.TaskStatus) bool {
+func (l *leader) mayForgetExit(t *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return true
 	}
 	j := l.jobs[id]
 	if j == nil || task >= j.spec.Tasks {
-		return l.c.cache.jobs[id] == nil || task >= l.c.cache.jobs[id].Spec.Tasks
+		return l.core.cache.jobs[id] == nil || task >= l.core.cache.jobs[id].Spec.Tasks
 	}
-	if j.final {
+	if j.ending {
 		// Its end holds what this exit tells, and is yet to be written: no record is written of it
 		// any more, so a clean one proves nothing.
 		return false
 	}
-	ch := j.chunks[task/l.chunkSize()]
-	if ch != nil && !ch.clean() {
+	ch := j.chunks[task/l.tasksPerRecord()]
+	if ch != nil && !ch.persisted() {
 		return false
 	}
-	p := j.placed[task]
+	p := j.placements[task]
 	return p == nil || p.attempt != t.Attempt
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -313,13 +313,13 @@
 
 // PeerStatus is what this node tells the others of itself.
 func (c *Core) PeerStatus() PeerStatus {
-	s := PeerStatus{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Term, HeartbeatAge: -1, RecordLayouts: layoutByTask, SupportsRollouts: true}
+	s := PeerStatus{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Term, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
 	if c.cache.ready {
 		s.Revision = c.cache.revision
 	}
 	if c.leader != nil {
 		s.Leading = true
-		s.UnreachableZones = c.leader.apart
+		s.UnreachableZones = c.leader.unreachableZones
 		s.UnresolvedCancellations, s.MoreUnresolved = c.leader.unsettledJobs()
 		s.Term = max(s.Term, c.leader.term)
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -110,15 +110,15 @@
 // queued, those that are cancelled with a job that they need get that written, and priorities and
 // deadlines are lent to the jobs that are needed, for as long as they are.
 func (l *leader) followDependencies() {
-	graph := l.c.dependencies.graph
+	graph := l.core.dependencies.graph
 	evaluations := graph.Evaluations()
-	if evaluations == l.evaluated {
+	if evaluations == l.dependenciesSeen {
 		return
 	}
-	l.evaluated = evaluations
+	l.dependenciesSeen = evaluations
 	for _, id := range graph.InOrder() {
 		j := l.jobs[id]
-		if j == nil || !j.waiting || j.cancelled {
+		if j == nil || !j.waitingForDependencies || j.cancelled {
 			continue
 		}
 		switch graph.Of(id).State {
@@ -126,36 +126,36 @@
 			l.admit(j)
 			l.wantRound()
 		case dependency.Cancelled:
-			l.writes.cancel(j)
+			l.writer.queueCancel(j)
 		case dependency.Waiting, dependency.Unresolved:
 		}
 	}
-	for _, j := range l.order {
+	for _, j := range l.queue {
 		status := graph.Of(j.id)
 		if j.rank != status.Priority {
 			j.rankChanged()
 		}
-		j.rank, j.latestEnd = status.Priority, status.LatestEndMS
+		j.rank, j.latestEndMS = status.Priority, status.LatestEndMS
 	}
 }
 
 // rankChanged notes that what could be stopped on the job's machines has to be worked out anew.
 func (j *job) rankChanged() {
-	for _, p := range j.placed {
-		p.machine.roomChanged = true
+	for _, p := range j.placements {
+		p.machine.capacityChanged = true
 	}
 }
 
 // admit queues a job that has waited for others. From here on it counts for its team, and its waits
 // count.
 func (l *leader) admit(j *job) {
-	status := l.c.dependencies.graph.Of(j.id)
-	j.waiting = false
-	j.rank, j.latestEnd = status.Priority, status.LatestEndMS
+	status := l.core.dependencies.graph.Of(j.id)
+	j.waitingForDependencies = false
+	j.rank, j.latestEndMS = status.Priority, status.LatestEndMS
 	if status.State == dependency.Ready {
-		j.queuedAt = max(j.at, status.ReadyMS)
+		j.queuedMS = max(j.acceptedMS, status.ReadyMS)
 	}
-	if !j.held {
+	if !j.heldByRollout {
 		l.enqueue(j)
 	}
 }
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -8,8 +8,8 @@
 	"bitternwing/internal/wire"
 )
 
-// cancel has a job cancelled that needs a cancelled one.
-func (w *writer) cancel(j *job) {
+// queueCancel has a job cancelled that needs a cancelled one.
+func (w *writer) queueCancel(j *job) {
 	if !slices.Contains(w.cancels, j) {
 		w.cancels = append(w.cancels, j)
 	}
@@ -22,8 +22,8 @@
 }
 
 // addCancels adds the cancellations of jobs that need a cancelled one.
-func (w *writer) addCancels(b *batch, ops int) {
-	l, c := w.l, w.l.c
+func (w *writer) addCancels(b *writeBatch, ops int) {
+	l, c := w.leader, w.leader.core
 	n := 0
 	for ; n < len(w.cancels) && len(b.txn.Then) < ops; n++ {
 		j := w.cancels[n]
@@ -38,23 +38,23 @@
 			continue
 		}
 		key := activeJobPrefix + j.id
-		b.cond(key, e.version)
+		b.addCondition(key, e.version)
 		b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
 		b.size += len(value) + 128
-		b.cancel = append(b.cancel, cancelledJob{j, value})
+		b.cancels = append(b.cancels, cancelledJob{j, value})
 	}
 	w.cancels = append(w.cancels[:0], w.cancels[n:]...)
 }
 
-// settleCancel takes what became of the cancellation of a job that needs a cancelled one.
-func (w *writer) settleCancel(x cancelledJob, r Result, failed map[string]bool) {
+// applyCancelResult takes what became of the cancellation of a job that needs a cancelled one.
+func (w *writer) applyCancelResult(x cancelledJob, r Result, failed map[string]bool) {
 	switch {
 	case r.Outcome == call.OK:
-		w.l.c.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
+		w.leader.core.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
 	case failed[activeJobPrefix+x.job.id]:
 		w.rereadJob(x.job) // another node was quicker
 	}
-	if w.l.jobs[x.job.id] == x.job && !x.job.cancelled {
-		w.cancel(x.job)
+	if w.leader.jobs[x.job.id] == x.job && !x.job.cancelled {
+		w.queueCancel(x.job)
 	}
 }
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -260,7 +260,7 @@
 
 // nextWatchAt tells from when on the next watch may be opened, or a reading that takes its place begin.
 func (c *Core) nextWatchAt() time.Duration {
-	if l := c.leader; l != nil && !l.loaded && c.cache.revision < l.version {
+	if l := c.leader; l != nil && !l.recovered && c.cache.revision < l.termVersion {
 		// It decides nothing until it has read up to its win: the gap that it had as a follower is not for it.
 		return c.cache.watchOpenedAt + c.times.minWatchGap
 	}
@@ -351,7 +351,7 @@
 	}
 	c.dependencies.observeJob(id)
 	if c.leader != nil {
-		c.leader.jobChanged(id)
+		c.leader.applyJobChange(id)
 	}
 }
 
@@ -415,11 +415,11 @@
 		if c.leader != nil {
 			for id := range old {
 				if d.jobs[id] == nil {
-					c.leader.jobChanged(id)
+					c.leader.applyJobChange(id)
 				}
 			}
 			for id := range d.jobs {
-				c.leader.jobChanged(id)
+				c.leader.applyJobChange(id)
 			}
 			c.leader.holdAll()
 		}
--- a/internal/core/display.go
+++ b/internal/core/display.go
@@ -45,13 +45,13 @@
 	for i := range last {
 		last[i] = i
 	}
-	for _, j := range l.order {
-		n := j.counts()
+	for _, j := range l.queue {
+		n := j.taskCounts()
 		if n == (taskCounts{}) {
 			continue
 		}
 		first, size := firstCountShard(j.id), len(j.id)+countBytes
-		if sizes[first] += size; sizes[first] >= l.c.maxValueBytes() {
+		if sizes[first] += size; sizes[first] >= l.core.maxValueBytes() {
 			last[first] += countShards
 			sizes[first] = size
 		}
@@ -70,33 +70,33 @@
 // countBytes is what the counts of a job take at most, beside its id.
 const countBytes = len(`"":[100000,100000],`)
 
-// counts writes how many tasks run and are done, for display at other nodes, at
+// writeCounts writes how many tasks run and are done, for display at other nodes, at
 // most every other report interval and only with writes to spare.
-func (w *writer) counts() {
-	l, c := w.l, w.l.c
-	if w.countsBusy || c.storeDown {
+func (w *writer) writeCounts() {
+	l, c := w.leader, w.leader.core
+	if w.countsInFlight || c.storeDown {
 		return
 	}
-	if due := c.coalesce(w.countsAt + 2*c.times.heartbeatInterval); c.now.Steady < due {
+	if due := c.coalesce(w.nextCounts + 2*c.times.heartbeatInterval); c.now.Steady < due {
 		c.wakeBy(due)
 		return
 	}
-	if w.tokens < w.rate()/2 {
+	if w.rateTokens < w.rate()/2 {
 		return
 	}
-	w.countsAt = c.now.Steady
+	w.nextCounts = c.now.Steady
 	shards := l.countShards()
-	w.countsInUse = max(w.countsInUse, len(shards))
-	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}}
+	w.countShardsInUse = max(w.countShardsInUse, len(shards))
+	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}}
 	keys := map[string]string{}
-	for i := range w.countsInUse {
+	for i := range w.countShardsInUse {
 		shard := map[string]taskCounts{} // one that is not needed any more is emptied
 		if i < len(shards) && shards[i] != nil {
 			shard = shards[i]
 		}
 		k := countKey(i)
 		value, err := json.Marshal(shard)
-		if err != nil || string(value) == w.countsLast[k] || len(shard) == 0 && w.countsLast[k] == "" {
+		if err != nil || string(value) == w.countsWritten[k] || len(shard) == 0 && w.countsWritten[k] == "" {
 			continue
 		}
 		keys[k] = string(value)
@@ -108,13 +108,13 @@
 	if len(txn.Then) == 0 {
 		return
 	}
-	w.tokens -= float64(len(txn.Then))
-	w.countsBusy = true
+	w.rateTokens -= float64(len(txn.Then))
+	w.countsInFlight = true
 	id := l.stateCall(func(r Result) {
-		w.countsBusy = false
+		w.countsInFlight = false
 		if r.Outcome == call.OK {
 			for _, op := range txn.Then {
-				w.countsLast[op.Put] = keys[op.Put]
+				w.countsWritten[op.Put] = keys[op.Put]
 			}
 		}
 	})
@@ -124,20 +124,20 @@
 // writeCatalog keeps the machine types where a node finds them while the cloud is
 // down.
 func (w *writer) writeCatalog() {
-	l, c := w.l, w.l.c
-	if w.catalogOut || c.catalog == nil || c.cache.catalog != nil || c.storeDown {
+	l, c := w.leader, w.leader.core
+	if w.catalogInFlight || c.catalog == nil || c.cache.catalog != nil || c.storeDown {
 		return
 	}
 	value, err := json.Marshal(c.catalog)
 	if err != nil || len(value) > c.limits.maxValueBytes() {
 		return
 	}
-	w.catalogOut = true
+	w.catalogInFlight = true
 	id := l.stateCall(func(r Result) {
 		if r.Outcome != call.OK {
-			w.catalogOut = false
+			w.catalogInFlight = false
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}},
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}},
 		Then: []wire.Op{{Put: catalogKey, Value: value}}}})
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -192,7 +192,7 @@
 		return false // a takeover takes more processor time than there is
 	}
 	worse := func(node string) bool { return e.sharesZoneWithNext(node) || e.precedesDeadNode(node, c.times.lease) }
-	if c.now.Steady-c.leader.since < 2*c.times.lease || !worse(c.settings.Node) {
+	if c.now.Steady-c.leader.startedAt < 2*c.times.lease || !worse(c.settings.Node) {
 		return false
 	}
 	for _, p := range c.peers {
@@ -278,7 +278,7 @@
 	e.nextRenewal = c.now.Steady
 	e.renewalInFlight = false
 	c.log(Info, "leading", "term", term)
-	c.log(Debug, "term begins", "term", term, "token", firstToken(term), "entitled_ms", (e.deadline - c.now.Steady).Milliseconds(),
+	c.log(Debug, "term begins", "term", term, "token", firstFencingToken(term), "entitled_ms", (e.deadline - c.now.Steady).Milliseconds(),
 		"won_at_revision", version, "read_up_to", c.cache.revision)
 	c.leader = newLeader(c, term, version)
 	if version > c.cache.termVersion {
@@ -298,7 +298,7 @@
 	why := ""
 	switch {
 	case !e.leaseValid():
-	case c.workersReachOnlyPeers(c.leader.since) && len(c.leader.machines) > 0:
+	case c.workersReachOnlyPeers(c.leader.startedAt) && len(c.leader.machines) > 0:
 		why = "workers report to other nodes only"
 	case e.betterCandidateExists():
 		why = "another node is better placed"
@@ -358,9 +358,9 @@
 		return
 	}
 	c.log(Info, "no longer leading", "term", c.leader.term, "why", why)
-	c.leader.refuseHeld()
-	c.leader.plans.refuseWaiting()
-	c.leader.allowances.refuseWaiting()
+	c.leader.redirectHeldResponses()
+	c.leader.rollouts.refuseWaiting()
+	c.leader.quotas.refuseWaiting()
 	c.leader = nil
 	e.lease = 0
 	e.nextCampaign = c.now.Steady + c.times.retryPause
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -15,7 +15,7 @@
 	if c.leader == nil {
 		return 0
 	}
-	return c.leader.rounds.spent
+	return c.leader.cycles.spent
 }
 
 // EvaluationsPerSecond is what the settings allow of them, at the cost that was measured.
@@ -41,34 +41,34 @@
 		return nil
 	}
 	hosts := 0
-	for _, m := range l.fleet {
-		if m.host == nil {
+	for _, m := range l.machinesByName {
+		if m.schedulable == nil {
 			continue
 		}
 		hosts++
-		if m.roomChanged || len(m.orphanedTasks) > 0 {
+		if m.capacityChanged || len(m.orphanedTasks) > 0 {
 			continue // the next round works it out
 		}
 		free, soon := l.freeOf(m)
 		want := (&host{m: m, free: free, soon: soon}).room()
-		group, got, ok := l.room.Room(m.name)
+		group, got, ok := l.capacityIndex.Room(m.name)
 		if !ok || got != want || group != m.group() {
 			return fmt.Errorf("%s: %+v %+v in the index, %+v built anew", m.name, group, got, want)
 		}
 	}
-	if l.room.Len() != hosts {
-		return fmt.Errorf("%d machines in the index, of %d", l.room.Len(), hosts)
+	if l.capacityIndex.Len() != hosts {
+		return fmt.Errorf("%d machines in the index, of %d", l.capacityIndex.Len(), hosts)
 	}
 	if err := l.checkReplicas(); err != nil {
 		return err
 	}
 	for _, j := range l.jobs {
 		zones := map[string]int{}
-		for _, p := range j.placed {
+		for _, p := range j.placements {
 			zones[p.machine.zone]++
 		}
-		if !maps.Equal(zones, j.zones) {
-			return fmt.Errorf("%s: tasks by zone %v, built anew %v", j.id, j.zones, zones)
+		if !maps.Equal(zones, j.placementsByZone) {
+			return fmt.Errorf("%s: tasks by zone %v, built anew %v", j.id, j.placementsByZone, zones)
 		}
 	}
 	return nil
@@ -78,19 +78,19 @@
 func (l *leader) checkReplicas() error {
 	anew := spread.NewLedger()
 	models := map[spread.Model]bool{}
-	for _, m := range l.fleet {
-		for _, p := range m.list {
-			if model, ok := p.job.model(); ok && p.job.placed[p.task] == p {
+	for _, m := range l.machinesByName {
+		for _, p := range m.placementsInOrder {
+			if model, ok := p.job.model(); ok && p.job.placements[p.task] == p {
 				anew.Add(model, m.zone, m.name)
 				models[model] = true
 			}
 		}
 	}
-	if anew.Models() != l.replicas.Models() {
-		return fmt.Errorf("%d models have replicas, built anew %d", l.replicas.Models(), anew.Models())
+	if anew.Models() != l.replicaLedger.Models() {
+		return fmt.Errorf("%d models have replicas, built anew %d", l.replicaLedger.Models(), anew.Models())
 	}
 	for model := range models {
-		total, zone, machine := l.replicas.Replicas(model)
+		total, zone, machine := l.replicaLedger.Replicas(model)
 		if wantTotal, wantZone, wantMachine := anew.Replicas(model); total != wantTotal || zone != wantZone || machine != wantMachine {
 			return fmt.Errorf("%v has %d replicas, %d in a zone, %d on a machine; built anew %d, %d, %d", model, total, zone, machine, wantTotal, wantZone, wantMachine)
 		}
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -13,27 +13,27 @@
 // meet several such machines: what a suspect's failures say of machines counts once it
 // runs somewhere.
 
-// ranWell clears a machine and a job of suspicion: a task was done, or has been
+// recordSuccess clears a machine and a job of suspicion: a task was done, or has been
 // running for a while.
-func (l *leader) ranWell(p *placement, done bool) {
-	if !done && l.c.now.Steady-p.ranAt < 3*l.c.times.checkInterval {
+func (l *leader) recordSuccess(p *placement, done bool) {
+	if !done && l.core.now.Steady-p.runningSince < 3*l.core.times.checkInterval {
 		return
 	}
 	j := p.job
-	if p.since > p.machine.erredAt {
+	if p.placedAt > p.machine.lastFailure {
 		// One that was there before tells nothing: a faulty machine may fail only what it
 		// starts.
-		clear(p.machine.errors)
+		clear(p.machine.failures)
 	}
-	failed := j.failed
-	j.failed = nil
-	if j.proven {
+	failed := j.failedOn
+	j.failedOn = nil
+	if j.ranSuccessfully {
 		return
 	}
-	j.proven = true
+	j.ranSuccessfully = true
 	for _, name := range slices.Sorted(maps.Keys(failed)) {
 		if x := l.machines[name]; x != nil && x != p.machine {
-			x.errors[j.id] = max(1, x.errors[j.id])
+			x.failures[j.id] = max(1, x.failures[j.id])
 			l.assessMachine(x)
 		}
 	}
@@ -42,33 +42,33 @@
 // assessMachine finds a machine faulty by the jobs that failed on it.
 func (l *leader) assessMachine(m *machine) {
 	repeated := false
-	for id, n := range m.errors {
-		repeated = repeated || n >= 2 && l.jobs[id] != nil && l.jobs[id].proven
+	for id, n := range m.failures {
+		repeated = repeated || n >= 2 && l.jobs[id] != nil && l.jobs[id].ranSuccessfully
 	}
-	if !m.faulty && (len(m.errors) >= 2 || repeated) {
-		m.faulty = true
-		l.c.log(Info, "machine is faulty", "machine", m.name, "jobs", len(m.errors))
+	if !m.quarantined && (len(m.failures) >= 2 || repeated) {
+		m.quarantined = true
+		l.core.log(Info, "machine is faulty", "machine", m.name, "jobs", len(m.failures))
 	}
 }
 
-// erred counts a failure.
-func (l *leader) erred(p *placement) {
+// recordFailure counts a failure.
+func (l *leader) recordFailure(p *placement) {
 	j, m := p.job, p.machine
-	if j.failed == nil {
-		j.failed = map[string]bool{}
+	if j.failedOn == nil {
+		j.failedOn = map[string]bool{}
 	}
-	j.failed[m.name] = true
-	m.errors[j.id]++
-	m.erredAt = l.c.now.Steady
-	now := l.c.now.Steady
-	if !j.proven && len(j.failed) >= 2 {
+	j.failedOn[m.name] = true
+	m.failures[j.id]++
+	m.lastFailure = l.core.now.Steady
+	now := l.core.now.Steady
+	if !j.ranSuccessfully && len(j.failedOn) >= 2 {
 		// Suspect: it may be the job. Double the pause up to three of the workers'
 		// leases, and take back what it says of machines.
-		pause := l.c.times.checkInterval << min(len(j.failed)-1, 6)
-		j.waitFor = max(j.waitFor, now+min(pause, 3*l.c.times.lease))
-		for name := range j.failed {
-			if x := l.machines[name]; x != nil && !x.faulty {
-				delete(x.errors, j.id)
+		pause := l.core.times.checkInterval << min(len(j.failedOn)-1, 6)
+		j.retryAt = max(j.retryAt, now+min(pause, 3*l.core.times.lease))
+		for name := range j.failedOn {
+			if x := l.machines[name]; x != nil && !x.quarantined {
+				delete(x.failures, j.id)
 			}
 		}
 		return
@@ -79,5 +79,5 @@
 // avoids tells whether a job should rather not be tried on a machine again. Where
 // it failed on much of the fleet the machines are not to blame.
 func (l *leader) avoids(j *job, m *machine) bool {
-	return j.failed[m.name] && 2*len(j.failed) <= len(l.fleet)
+	return j.failedOn[m.name] && 2*len(j.failedOn) <= len(l.machinesByName)
 }
--- a/internal/core/fulfillment.go
+++ b/internal/core/fulfillment.go
@@ -17,23 +17,23 @@
 // single unfinished task (its bounds are equal, and the score would divide by
 // zero).
 
-func (j *job) minInstance() int { return min(1, j.unfinished()) }
-func (j *job) maxInstance() int { return j.unfinished() }
+func (j *job) minInstances() int { return min(1, j.unfinished()) }
+func (j *job) maxInstances() int { return j.unfinished() }
 
 func (j *job) elastic() bool {
-	return j.array() && !j.cancelled && j.maxInstance() > j.minInstance()
+	return j.isArray() && !j.cancelled && j.maxInstances() > j.minInstances()
 }
 
 // hasDeadline tells whether a pipeline's deadline depends on a job.
-func (j *job) hasDeadline() bool { return j.latestEnd != dependency.Never }
+func (j *job) hasDeadline() bool { return j.latestEndMS != dependency.Never }
 
 // latestStart is the time of day at which a job has to start at the latest for the deadlines that depend
 // on it, as far as its owner's estimate tells.
 func (j *job) latestStart() int64 {
 	if !j.hasDeadline() {
-		return j.latestEnd
+		return j.latestEndMS
 	}
-	return j.latestEnd - milliseconds(j.spec.EstimatedRunS)
+	return j.latestEndMS - milliseconds(j.spec.EstimatedRunS)
 }
 
 // pace is how many instances an array needs at work now to be done within its class's
@@ -43,14 +43,14 @@
 // time to give away to those after it: its pace is all of it.
 func (l *leader) pace(j *job) int {
 	if j.elastic() && j.hasDeadline() {
-		return j.maxInstance()
+		return j.maxInstances()
 	}
 	if !j.elastic() || j.spec.EstimatedRunS <= 0 {
-		return j.minInstance()
+		return j.minInstances()
 	}
-	age := float64(l.c.now.WallMS-j.queuedAt) / 1000
+	age := float64(l.core.now.WallMS-j.queuedMS) / 1000
 	left := 0.0
-	for _, o := range l.c.settings.Params.Objectives {
+	for _, o := range l.core.settings.Params.Objectives {
 		if o.Kind != "finished" || o.Class != j.spec.Class {
 			continue
 		}
@@ -59,15 +59,15 @@
 		}
 	}
 	if left == 0 {
-		return j.minInstance()
+		return j.minInstances()
 	}
 	times := int(left / j.spec.EstimatedRunS)
 	return (j.unfinished() + times - 1) / times
 }
 
-// instances counts what a job holds and is to keep: what was told to stop is
+// activeInstances counts what a job holds and is to keep: what was told to stop is
 // taken away already, although its room is not free yet.
-func (j *job) instances() int { return len(j.placed) - j.halted }
+func (j *job) activeInstances() int { return len(j.placements) - j.stopping }
 
 // score is the fulfillment score: current less minimum, over maximum less minimum.
 func score(current, least, most int) float64 {
@@ -82,7 +82,7 @@
 }
 
 func (h *candidate) score() float64 {
-	return score(h.current, h.job.minInstance(), h.job.maxInstance())
+	return score(h.current, h.job.minInstances(), h.job.maxInstances())
 }
 
 // lessFulfilled orders elastic jobs: by score, then by what an instance asks of
@@ -100,7 +100,7 @@
 	case s.MemoryGB != t.MemoryGB:
 		return s.MemoryGB < t.MemoryGB
 	}
-	return a.job.before(b.job)
+	return a.job.queuedBefore(b.job)
 }
 
 // candidateQueue has the least fulfilled job on top.
@@ -125,20 +125,20 @@
 	l := r.l
 	var late []*job
 	for _, j := range jobs {
-		if j.instances() < l.pace(j) {
+		if j.activeInstances() < l.pace(j) {
 			late = append(late, j)
 		}
 	}
 	sort.SliceStable(late, func(a, b int) bool {
 		x, y := late[a], late[b]
-		if g, h := x.guaranteed, y.guaranteed; g != h {
+		if g, h := x.withinGuarantee, y.withinGuarantee; g != h {
 			return g
 		}
 		return x.latestStart() < y.latestStart()
 	})
 	for _, j := range late {
 		from := 0
-		for n := l.pace(j) - j.instances(); n > 0 && r.budget() && r.use.allows(j, 1); n-- {
+		for n := l.pace(j) - j.activeInstances(); n > 0 && r.budget() && r.use.allows(j, 1); n-- {
 			task := l.nextTask(j, from)
 			if task < 0 {
 				break
@@ -148,7 +148,7 @@
 				break
 			}
 			r.place(j, task, m)
-			l.mark(l.chunkOf(j, task))
+			l.markDirty(l.chunkOf(j, task))
 			from = task + 1
 		}
 	}
@@ -158,10 +158,10 @@
 // and gives way to what found no room.
 func (r *round) allocateElastic() {
 	var wanted, idle []*job
-	for _, j := range r.l.order {
+	for _, j := range r.l.queue {
 		switch {
-		case !j.array() || !r.ready(j) || j.unplaced() == 0:
-		case j.idleTime():
+		case !j.isArray() || !r.ready(j) || j.unplaced() == 0:
+		case j.isIdlePriority():
 			idle = append(idle, j)
 		default:
 			wanted = append(wanted, j)
@@ -183,7 +183,7 @@
 	q := candidateQueue{}
 	for _, j := range jobs {
 		if j.unplaced() > 0 {
-			q = append(q, &candidate{job: j, current: j.instances()})
+			q = append(q, &candidate{job: j, current: j.activeInstances()})
 		}
 	}
 	var lacking []*candidate
@@ -191,7 +191,7 @@
 	for len(q) > 0 && r.budget() {
 		h := q[0]
 		task := l.nextTask(h.job, h.from)
-		if task < 0 || h.current >= h.job.maxInstance() || !r.use.allows(h.job, 1) {
+		if task < 0 || h.current >= h.job.maxInstances() || !r.use.allows(h.job, 1) {
 			heap.Pop(&q)
 			continue
 		}
@@ -202,7 +202,7 @@
 			continue
 		}
 		r.place(h.job, task, m)
-		l.mark(l.chunkOf(h.job, task))
+		l.markDirty(l.chunkOf(h.job, task))
 		h.current++
 		h.from = task + 1
 		heap.Fix(&q, 0)
@@ -215,15 +215,15 @@
 // is to run when nobody else wants the machines must not keep them from anybody, and its
 // tasks can hold all the CPUs of a fleet whose GPUs are free.
 func (r *round) preemptIdle(h *candidate) {
-	lacks := h.job.maxInstance() - h.current
+	lacks := h.job.maxInstances() - h.current
 	for lacks > 0 && r.budget() && r.use.allows(h.job, 1) && r.shrinkFor(h.job, 1, true) {
 		r.use.add(h.job, 1) // it is as good as placed: its team's limit holds for the next one
 		lacks--
 	}
 }
 
-// idleTime tells whether a job is to run only on what nobody else wants.
-func (j *job) idleTime() bool { return priority(j) == wire.PriorityIdle.Rank() }
+// isIdlePriority tells whether a job is to run only on what nobody else wants.
+func (j *job) isIdlePriority() bool { return priority(j) == wire.PriorityIdle.Rank() }
 
 // mayStop tells whether the protocol lets a task of victim be stopped for job j: j
 // is of higher priority, or j lies within its team's guarantee and the victim's
@@ -235,11 +235,11 @@
 	if priority(j) > priority(victim) {
 		return true
 	}
-	return j.guaranteed && j.spec.Team != victim.spec.Team && r.use.beyond(victim.team)
+	return j.withinGuarantee && j.spec.Team != victim.spec.Team && r.use.beyond(victim.team)
 }
 
 // shrinkable tells whether a job is elastic and above its minimum.
-func (j *job) shrinkable() bool { return j.elastic() && j.instances() > j.minInstance() }
+func (j *job) shrinkable() bool { return j.elastic() && j.activeInstances() > j.minInstances() }
 
 // usage is what the teams' tasks use, whatever state they are in: until there is
 // evidence that a task is gone it counts.
--- a/internal/core/held_answers.go
+++ b/internal/core/held_answers.go
@@ -6,109 +6,109 @@
 	"bitternwing/internal/wire"
 )
 
-// heldAnswer is the answer to a report that is held back: there is nothing to tell, and until it is answered the
+// heldResponse is the answer to a report that is held back: there is nothing to tell, and until it is answered the
 // worker sends no other report. It goes at its time, or as soon as the machine has something to do.
-type heldAnswer struct {
-	req    uint64
-	report *wire.Heartbeat
-	due    time.Duration
+type heldResponse struct {
+	requestID uint64
+	heartbeat *wire.Heartbeat
+	due       time.Duration
 }
 
-// holdAnswer holds the answer to a report back if it tells nothing and no change is expected that the worker would
+// holdResponse holds the answer to a report back if it tells nothing and no change is expected that the worker would
 // have to report; false if it has to be answered now.
-func (l *leader) holdAnswer(req uint64, r *wire.Heartbeat, token uint64, answer *leaseAnswer) bool {
-	c := l.c
+func (l *leader) holdResponse(req uint64, r *wire.Heartbeat, token uint64, answer *leaseResponse) bool {
+	c := l.core
 	m := l.machines[r.Machine]
-	if !c.operator.PaceReports || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.held != nil || !l.mayWait(m, r) {
+	if !c.operator.PaceReports || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.heldResponse != nil || !l.mayHold(m, r) {
 		return false
 	}
 	now := c.now.Steady
-	hold := c.pacer.Hold(m.settled(), c.timerLoad.Level(now))
+	hold := c.pacer.Hold(m.steady(), c.timerLoad.Level(now))
 	if hold == 0 {
 		return false
 	}
-	m.lastHold = hold
-	m.held = &heldAnswer{req: req, report: r, due: c.pacer.Release(now, hold)}
-	l.releaseAt = min(l.releaseAt, m.held.due)
-	c.wakeBy(l.releaseAt)
+	m.lastHoldTime = hold
+	m.heldResponse = &heldResponse{requestID: req, heartbeat: r, due: c.pacer.Release(now, hold)}
+	l.nextHeldResponse = min(l.nextHeldResponse, m.heldResponse.due)
+	c.wakeBy(l.nextHeldResponse)
 	return true
 }
 
-// mayWait tells whether a report is the newest of a machine that is to be kept.
-func (l *leader) mayWait(m *machine, r *wire.Heartbeat) bool {
-	newest := m.up && m.session == r.Incarnation && m.seq == r.Sequence
-	return newest && l.loaded && m.requiredToken == 0 && !m.notice && !m.releasing && !m.faulty
+// mayHold tells whether a report is the newest of a machine that is to be kept.
+func (l *leader) mayHold(m *machine, r *wire.Heartbeat) bool {
+	newest := m.reported && m.incarnation == r.Incarnation && m.sequence == r.Sequence
+	return newest && l.recovered && m.requiredFencingToken == 0 && !m.reclaiming && !m.releasing && !m.quarantined
 }
 
-// settled tells whether nothing is under way on a machine that its next report would show: it has no task, or tasks that run
+// steady tells whether nothing is under way on a machine that its next report would show: it has no task, or tasks that run
 // and are to go on.
-func (m *machine) settled() bool {
-	if len(m.exits) > 0 || len(m.orphanedTasks) > 0 {
+func (m *machine) steady() bool {
+	if len(m.exitedTasks) > 0 || len(m.orphanedTasks) > 0 {
 		return false
 	}
-	for _, p := range m.list {
-		if p.stop != keep || p.state != wire.TaskRunning {
+	for _, p := range m.placementsInOrder {
+		if p.stop != stopNone || p.state != wire.TaskRunning {
 			return false
 		}
 	}
 	return true
 }
 
-// answerHeld gives a machine's held answer, with all that it is to do by now.
-func (l *leader) answerHeld(m *machine) {
-	held := m.held
+// sendHeldResponse gives a machine's held answer, with all that it is to do by now.
+func (l *leader) sendHeldResponse(m *machine) {
+	held := m.heldResponse
 	if held == nil {
 		return
 	}
-	m.held = nil
-	if !l.entitled() {
-		l.c.respond(held.req, 421, wire.Redirect{})
+	m.heldResponse = nil
+	if !l.hasAuthority() {
+		l.core.respond(held.requestID, 421, wire.Redirect{})
 		return
 	}
-	basis, answer := LeaderBasis, l.c.newLeaseAnswer(held.report)
+	basis, answer := LeaderBasis, l.core.newLeaseResponse(held.heartbeat)
 	switch {
 	case l.machines[m.name] != m:
 		basis = RemovedMachineBasis
-	case l.mayWait(m, held.report):
-		l.commands(m, held.report, answer)
+	case l.mayHold(m, held.heartbeat):
+		l.addCommands(m, held.heartbeat, answer)
 	}
-	l.c.renewLease(held.req, basis, max(l.token(m), held.report.FencingToken), answer)
+	l.core.renewLease(held.requestID, basis, max(l.fencingToken(m), held.heartbeat.FencingToken), answer)
 }
 
-// dropHeld ends a held answer whose worker has sent a newer report, and so has given it up.
-func (l *leader) dropHeld(m *machine) {
-	if m.held != nil {
-		l.c.renewLease(m.held.req, StaleHeartbeatBasis, m.held.report.FencingToken, l.c.newLeaseAnswer(m.held.report))
-		m.held = nil
+// supersedeHeldResponse ends a held answer whose worker has sent a newer report, and so has given it up.
+func (l *leader) supersedeHeldResponse(m *machine) {
+	if m.heldResponse != nil {
+		l.core.renewLease(m.heldResponse.requestID, StaleHeartbeatBasis, m.heldResponse.heartbeat.FencingToken, l.core.newLeaseResponse(m.heldResponse.heartbeat))
+		m.heldResponse = nil
 	}
 }
 
-// releaseAnswers gives the held answers whose time has come.
-func (l *leader) releaseAnswers() {
-	now := l.c.now.Steady
-	if now < l.releaseAt {
-		l.c.wakeBy(l.releaseAt)
+// sendDueHeldResponses gives the held answers whose time has come.
+func (l *leader) sendDueHeldResponses() {
+	now := l.core.now.Steady
+	if now < l.nextHeldResponse {
+		l.core.wakeBy(l.nextHeldResponse)
 		return
 	}
-	l.releaseAt = farFuture
-	for _, m := range l.fleet {
+	l.nextHeldResponse = farFuture
+	for _, m := range l.machinesByName {
 		switch {
-		case m.held == nil:
-		case now >= m.held.due:
-			l.answerHeld(m)
+		case m.heldResponse == nil:
+		case now >= m.heldResponse.due:
+			l.sendHeldResponse(m)
 		default:
-			l.releaseAt = min(l.releaseAt, m.held.due)
+			l.nextHeldResponse = min(l.nextHeldResponse, m.heldResponse.due)
 		}
 	}
-	l.c.wakeBy(l.releaseAt)
+	l.core.wakeBy(l.nextHeldResponse)
 }
 
-// refuseHeld sends the workers with held answers to the next leader, at the end of this term.
-func (l *leader) refuseHeld() {
-	for _, m := range l.fleet {
-		if m.held != nil {
-			l.c.respond(m.held.req, 421, wire.Redirect{})
-			m.held = nil
+// redirectHeldResponses sends the workers with held answers to the next leader, at the end of this term.
+func (l *leader) redirectHeldResponses() {
+	for _, m := range l.machinesByName {
+		if m.heldResponse != nil {
+			l.core.respond(m.heldResponse.requestID, 421, wire.Redirect{})
+			m.heldResponse = nil
 		}
 	}
 }
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -17,14 +17,14 @@
 // refreshHosts brings the index of room up to date for a round: machines that may take tasks now and could not
 // before, or the other way, and those whose room has changed.
 func (l *leader) refreshHosts() {
-	for _, m := range l.fleet {
-		if m.mt == nil {
-			m.setType(l.c.machineType(m.kind))
+	for _, m := range l.machinesByName {
+		if m.machineType == nil {
+			m.setType(l.core.machineType(m.typeName))
 		}
 		switch usable := l.usable(m); {
-		case !usable && m.host != nil:
+		case !usable && m.schedulable != nil:
 			l.dropHost(m)
-		case usable && (m.host == nil || m.roomChanged || len(m.orphanedTasks) > 0):
+		case usable && (m.schedulable == nil || m.capacityChanged || len(m.orphanedTasks) > 0):
 			l.refreshHost(m)
 		}
 	}
@@ -32,36 +32,36 @@
 
 // refreshHost works out a machine's room.
 func (l *leader) refreshHost(m *machine) {
-	if m.host == nil {
-		m.host = &host{m: m}
+	if m.schedulable == nil {
+		m.schedulable = &host{m: m}
 	}
-	m.host.free, m.host.soon = l.freeOf(m)
-	m.roomChanged = false
-	l.updateHost(m.host)
+	m.schedulable.free, m.schedulable.soon = l.freeOf(m)
+	m.capacityChanged = false
+	l.updateHost(m.schedulable)
 }
 
 // updateHost has the index know of a change of a host's room.
 func (l *leader) updateHost(h *host) {
-	l.room.Put(h.m.group(), resource.OfMachine(h.m.mt), h.room(), h)
+	l.capacityIndex.Put(h.m.group(), resource.OfMachine(h.m.machineType), h.room(), h)
 }
 
 // group is the machines among which the index has this one.
 func (m *machine) group() capacity.Group {
-	return capacity.Group{Type: m.kind, Zone: m.zone, Spot: m.spot}
+	return capacity.Group{Type: m.typeName, Zone: m.zone, Spot: m.spot}
 }
 
 // dropHost takes a machine out of those that may take tasks.
 func (l *leader) dropHost(m *machine) {
-	m.host = nil
-	l.room.Remove(m.name)
+	m.schedulable = nil
+	l.capacityIndex.Remove(m.name)
 }
 
 // room gives what the index is to know of a host.
 func (h *host) room() capacity.Room {
 	room := capacity.Room{Name: h.m.name, Free: h.free, Soon: h.soon}
-	for _, p := range h.m.list {
+	for _, p := range h.m.placementsInOrder {
 		// Which of them can be shrunk, and for whom, is for the search to find out.
-		if p.stop == keep && p.job.array() {
+		if p.stop == stopNone && p.job.isArray() {
 			room.Stoppable[priority(p.job)].Add(resource.OfTask(p.job.spec))
 		}
 	}
@@ -80,8 +80,8 @@
 
 // freeOf gives what is free of a machine now, and once all that stops is gone.
 func (l *leader) freeOf(m *machine) (free, soon resource.Amount) {
-	free = resource.OfMachine(m.mt)
-	for _, p := range m.list {
+	free = resource.OfMachine(m.machineType)
+	for _, p := range m.placementsInOrder {
 		free.Take(resource.OfTask(p.job.spec))
 	}
 	for _, t := range m.orphanedTasks {
@@ -92,8 +92,8 @@
 		}
 	}
 	soon = free
-	for _, p := range m.list {
-		if p.stop != keep {
+	for _, p := range m.placementsInOrder {
+		if p.stop != stopNone {
 			soon.Give(resource.OfTask(p.job.spec))
 		}
 	}
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -15,50 +15,50 @@
 const imageHintPrefix = "w/i/"
 
 type imageHints struct {
-	l      *leader
-	at     time.Duration
-	busy   bool
-	last   map[string]string // by key, as written
-	shards int               // keys in use
+	leader    *leader
+	nextWrite time.Duration
+	inFlight  bool
+	written   map[string]string // by key, as written
+	shards    int               // keys in use
 }
 
 func (h *imageHints) run() {
-	l, c := h.l, h.l.c
-	if h.busy || c.storeDown {
+	l, c := h.leader, h.leader.core
+	if h.inFlight || c.storeDown {
 		return
 	}
-	if due := h.at + c.times.lease/2; c.now.Steady < due {
+	if due := h.nextWrite + c.times.lease/2; c.now.Steady < due {
 		c.wakeBy(due)
 		return
 	}
-	if l.writes.tokens < l.writes.rate()/2 {
+	if l.writer.rateTokens < l.writer.rate()/2 {
 		return
 	}
-	h.at = c.now.Steady
-	shards := h.shardsOf(l.fleet)
-	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}}
+	h.nextWrite = c.now.Steady
+	shards := h.shardsOf(l.machinesByName)
+	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}}
 	for i, s := range shards {
 		k := imageHintPrefix + strconv.Itoa(i)
 		value, err := json.Marshal(s)
-		if err != nil || string(value) == h.last[k] || len(s) == 0 && h.last[k] == "" {
+		if err != nil || string(value) == h.written[k] || len(s) == 0 && h.written[k] == "" {
 			continue
 		}
 		txn.Then = append(txn.Then, wire.Op{Put: k, Value: value})
 		if len(txn.Then) >= c.maxValuesPerTxn() {
-			h.at = c.now.Steady - c.times.lease/2 + c.times.checkInterval // the rest goes next
+			h.nextWrite = c.now.Steady - c.times.lease/2 + c.times.checkInterval // the rest goes next
 			break
 		}
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	l.writes.tokens -= float64(len(txn.Then))
-	h.busy = true
+	l.writer.rateTokens -= float64(len(txn.Then))
+	h.inFlight = true
 	id := l.stateCall(func(r Result) {
-		h.busy = false
+		h.inFlight = false
 		if r.Outcome == call.OK {
 			for _, op := range txn.Then {
-				h.last[op.Put] = string(op.Value)
+				h.written[op.Put] = string(op.Value)
 			}
 		}
 	})
@@ -69,7 +69,7 @@
 // limit of a value.
 func (h *imageHints) shardsOf(fleet []*machine) []map[string][]string {
 	shards := []map[string][]string{{}}
-	most := h.l.c.maxValueBytes()
+	most := h.leader.core.maxValueBytes()
 	sum := 0
 	for _, m := range fleet {
 		names := []string{}
@@ -96,23 +96,23 @@
 	return shards
 }
 
-// hint gives a machine, when first seen in this term, the images that the last
+// applyImageHints gives a machine, when first seen in this term, the images that the last
 // leader knew of.
-func (l *leader) hint(m *machine) {
-	for _, shard := range l.c.cache.images {
+func (l *leader) applyImageHints(m *machine) {
+	for _, shard := range l.core.cache.images {
 		for _, name := range shard.get()[m.name] {
 			img := newImage(name, l.imageGB(name))
 			// What a place costs is worked out from what is known; without weighing the hint is believed.
-			img.unknown = l.c.operator.Spread.Enabled
+			img.unknown = l.core.operator.Spread.Enabled
 			img.ready = !img.unknown
 			m.images = append(m.images, img)
-			m.roomChanged = true
+			m.capacityChanged = true
 		}
 	}
 }
 
 func (l *leader) imageGB(name string) float64 {
-	for _, j := range l.order {
+	for _, j := range l.queue {
 		if j.spec.Image == name {
 			return j.spec.ImageGB
 		}
--- a/internal/core/job_ends.go
+++ b/internal/core/job_ends.go
@@ -9,46 +9,46 @@
 	"bitternwing/internal/wire"
 )
 
-func (w *writer) finish(j *job) { w.finishes = append(w.finishes, j) }
+func (w *writer) queueEnd(j *job) { w.endings = append(w.endings, j) }
 
 // endWrites is what the end of a job takes at least: its final state is put, its key deleted.
 const endWrites = 2
 
-// addFinish adds a job's end: its final state is put, its other keys go. Records
+// addEnd adds a job's end: its final state is put, its other keys go. Records
 // that don't fit any more are left to be swept as orphans.
-func (w *writer) addFinish(b *batch, j *job, ops int) bool {
+func (w *writer) addEnd(b *writeBatch, j *job, ops int) bool {
 	for _, ch := range j.chunks {
-		if ch.inFlight || ch.reading {
+		if ch.inFlight || ch.rereadInFlight {
 			return false
 		}
 	}
-	records := w.l.recordKeys(j)
-	j.end = finalState{State: wire.JobDone, Done: j.done, EndedMS: w.l.c.now.WallMS}
+	records := w.leader.recordKeys(j)
+	j.finalState = finalState{State: wire.JobDone, Done: j.done, EndedMS: w.leader.core.now.WallMS}
 	if j.cancelled {
-		j.end.State = wire.JobCancelled
+		j.finalState.State = wire.JobCancelled
 	}
-	value, err := json.Marshal(j.end)
+	value, err := json.Marshal(j.finalState)
 	if err != nil {
 		return false
 	}
-	b.cond(activeJobPrefix+j.id, j.version)
+	b.addCondition(activeJobPrefix+j.id, j.version)
 	b.txn.Then = append(b.txn.Then, wire.Op{Put: finalStatePrefix + j.id, Value: value}, wire.Op{Delete: activeJobPrefix + j.id})
 	for _, r := range records {
-		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.l.c.limits.maxConditions() {
-			b.cond(r.Key, r.Version)
+		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.leader.core.limits.maxConditions() {
+			b.addCondition(r.Key, r.Version)
 			b.txn.Then = append(b.txn.Then, wire.Op{Delete: r.Key})
 		}
 	}
 	b.size += 256 * (2 + len(records))
-	b.jobs = append(b.jobs, j)
+	b.endings = append(b.endings, j)
 	return true
 }
 
-// settleEnd takes what became of the end of a job.
-func (w *writer) settleEnd(j *job, b *batch, r Result, failed map[string]bool) {
+// applyEndResult takes what became of the end of a job.
+func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failed map[string]bool) {
 	switch {
 	case r.Outcome == call.OK:
-		w.ended(j, b)
+		w.completeEnd(j, b)
 	case failed[activeJobPrefix+j.id]:
 		// A cancel came first, or this very end was applied before, its outcome
 		// unknown. It is written again only once that is known: repeating it
@@ -56,52 +56,52 @@
 		w.rereadJob(j)
 	default:
 		for _, index := range slices.Sorted(maps.Keys(j.chunks)) {
-			if ch := j.chunks[index]; failed[w.l.runKey(ch)] {
+			if ch := j.chunks[index]; failed[w.leader.recordKey(ch)] {
 				w.reread(ch)
 			}
 		}
 		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failed[key] })
-		w.finish(j)
+		w.queueEnd(j)
 	}
 }
 
-// ended drops a job whose end is written, and sweeps the records that did not fit into that
+// completeEnd drops a job whose end is written, and sweeps the records that did not fit into that
 // transaction.
-func (w *writer) ended(j *job, b *batch) {
-	l, c := w.l, w.l.c
-	c.cacheFinalState(j.id, j.end)
+func (w *writer) completeEnd(j *job, b *writeBatch) {
+	l, c := w.leader, w.leader.core
+	c.cacheFinalState(j.id, j.finalState)
 	for _, r := range l.recordKeys(j) {
-		if !b.seen[r.Key] {
-			w.orphan(r.Key, r.Version)
+		if !b.conditions[r.Key] {
+			w.deleteOrphan(r.Key, r.Version)
 		}
 	}
 	l.dropJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
-	c.log(Debug, "ended job", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.at)/1000)
+	c.log(Debug, "ended job", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
 }
 
 // rereadJob finds out what became of a job's key without waiting for the watch.
 func (w *writer) rereadJob(j *job) {
-	l, c := w.l, w.l.c
+	l, c := w.leader, w.leader.core
 	id := l.stateCall(func(r Result) {
 		switch r.Outcome {
 		case call.OK:
 			c.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
-			l.jobChanged(j.id)
-			if j.final {
-				w.finish(j)
+			l.applyJobChange(j.id)
+			if j.ending {
+				w.queueEnd(j)
 			}
 		case call.Missing:
 			// Its end, whose outcome was unknown, was applied.
-			if j.final && l.jobs[j.id] == j {
+			if j.ending && l.jobs[j.id] == j {
 				for _, r := range l.recordKeys(j) {
-					w.orphan(r.Key, r.Version)
+					w.deleteOrphan(r.Key, r.Version)
 				}
 				l.dropJob(j)
 			}
 		default:
-			if j.final {
-				w.finish(j)
+			if j.ending {
+				w.queueEnd(j)
 			}
 		}
 	})
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -17,138 +17,138 @@
 
 // job is a job as the leader works on it.
 type job struct {
-	id          string
-	spec        *wire.Job
-	at          int64  // time of day of its acceptance, in milliseconds
-	queuedAt    int64  // the same, or of the end of the last job that it needed: its waits count from here
-	waiting     bool   // for jobs that it needs: it is in no order and holds nothing
-	held        bool   // by the plan of a rollout: nothing of it may be started
-	queued      bool   // it is in the order
-	rank        int    // its priority, or the highest of the jobs that need it
-	latestEnd   int64  // time of day by which deadlines need it to be done
-	version     uint64 // of its key
-	cancelled   bool
-	cancelledAt time.Duration // on the steady clock
-	final       bool          // its last write is on the way
-	end         finalState    // as it is written then
+	id                     string
+	spec                   *wire.Job
+	acceptedMS             int64  // time of day of its acceptance, in milliseconds
+	queuedMS               int64  // the same, or of the end of the last job that it needed: its waits count from here
+	waitingForDependencies bool   // for jobs that it needs: it is in no order and holds nothing
+	heldByRollout          bool   // by the plan of a rollout: nothing of it may be started
+	queued                 bool   // it is in the order
+	rank                   int    // its priority, or the highest of the jobs that need it
+	latestEndMS            int64  // time of day by which deadlines need it to be done
+	version                uint64 // of its key
+	cancelled              bool
+	cancelledAt            time.Duration // on the steady clock
+	ending                 bool          // its last write is on the way
+	finalState             finalState    // as it is written then
 
 	team   *config.Team
-	chunks map[int]*chunk
+	chunks map[int]*recordChunk
 	// superseded are the job's records of a layout that is not written any more, with their versions.
-	superseded map[string]uint64
-	placed     map[int]*placement // by task
-	zones      map[string]int     // of these, how many are in each zone
-	replicas   *spread.Ledger     // of all models
-	guaranteed bool               // in this round: it fits into its team's guarantee
-	halted     int                // of these, told to stop
-	done       int
-	cursor     int // no task below this is both undone and unplaced
+	superseded       map[string]uint64
+	placements       map[int]*placement // by task
+	placementsByZone map[string]int     // of these, how many are in each zone
+	replicaLedger    *spread.Ledger     // of all models
+	withinGuarantee  bool               // in this round: it fits into its team's guarantee
+	stopping         int                // of these, told to stop
+	done             int
+	nextUnplaced     int // no task below this is both undone and unplaced
 
 	// Failure accounting, see faults.go.
-	proven  bool // a task of it ran well somewhere
-	failed  map[string]bool
-	waitFor time.Duration // no start before this
+	ranSuccessfully bool // a task of it ran well somewhere
+	failedOn        map[string]bool
+	retryAt         time.Duration // no start before this
 }
 
-// chunk is the run record of a range of tasks: what must not be forgotten about
+// recordChunk is the run record of a range of tasks: what must not be forgotten about
 // them. next is the highest attempt used for any task of the range, so that no
 // attempt is ever used twice.
-type chunk struct {
-	job      *job
-	index    int // the range begins at this many times the tasks of a record
-	next     uint64
-	done     record.Bits
-	version  uint64 // of its key; 0: not written yet
-	dirty    bool
-	inFlight bool
-	reading  bool
+type recordChunk struct {
+	job            *job
+	index          int // the range begins at this many times the tasks of a record
+	highestAttempt uint64
+	done           record.Bits
+	version        uint64 // of its key; 0: not written yet
+	dirty          bool
+	inFlight       bool
+	rereadInFlight bool
 }
 
 // placement is an attempt of a task on a machine. It lives from the moment it is
 // decided until there is evidence that the attempt is not and will not be there.
 type placement struct {
-	job     *job
-	task    int
-	attempt uint64
-	machine *machine
-	session uint64
-	phase   phase
-	sentSeq uint64          // the report in whose answer its start went out
-	direct  uint64          // the token with which its start was sent directly; 0: it was not
-	waits   bool            // for the answer to a direct start
-	answer  uint64          // seq of that answer; 0: none came
-	warmth  capacity.Warmth // of its machine when it was placed
-	trade   trade           // of a replica: what its place cost
-	state   wire.TaskState  // as last reported
-	since   time.Duration
-	ranAt   time.Duration // when first seen running; 0: not yet
-	// reportedIn is the last of the leader's evidence, by its count, that shows the placement.
-	reportedIn uint64
-	taskName   string // of the protocol; empty: not asked for yet
-	stop       stopKind
-	stopWhy    stopReason
-	stopOut    bool // the stop went out directly; reports' answers repeat it
+	job                 *job
+	task                int
+	attempt             uint64
+	machine             *machine
+	incarnation         uint64
+	phase               placementPhase
+	startSequence       uint64          // the report in whose answer its start went out
+	directStartToken    uint64          // the token with which its start was sent directly; 0: it was not
+	directStartInFlight bool            // for the answer to a direct start
+	directStartSequence uint64          // seq of that answer; 0: none came
+	imageState          capacity.Warmth // of its machine when it was placed
+	cost                trade           // of a replica: what its place cost
+	state               wire.TaskState  // as last reported
+	placedAt            time.Duration
+	runningSince        time.Duration // when first seen running; 0: not yet
+	// lastReconciliation is the last of the leader's evidence, by its count, that shows the placement.
+	lastReconciliation uint64
+	taskName           string // of the protocol; empty: not asked for yet
+	stop               stopMode
+	stopReason         stopReason
+	stopSent           bool // the stop went out directly; reports' answers repeat it
 }
 
-type phase int
+type placementPhase int
 
 const (
-	uncommitted phase = iota // not yet in the state service: nothing was sent
-	committed                // may be sent
-	sent                     // sent by this leader, or perhaps by an earlier one
-	seen                     // reported by the machine
+	phaseUncommitted placementPhase = iota // not yet in the state service: nothing was sent
+	phaseCommitted                         // may be sent
+	phaseSent                              // sent by this leader, or perhaps by an earlier one
+	phaseReported                          // reported by the machine
 )
 
-type stopKind int
+type stopMode int
 
 const (
-	keep stopKind = iota
-	stopSaving
-	stopNow
+	stopNone stopMode = iota
+	stopAfterCheckpoint
+	stopImmediate
 )
 
 // stopReason is why a placement was told to stop, for the log.
 type stopReason string
 
 const (
-	stopCancelled     stopReason = "cancelled"
-	stopDrain         stopReason = "drain"          // its machine is to be returned, or will be taken
-	stopShrunk        stopReason = "shrunk"         // another job lacks its minimum
-	stopMoved         stopReason = "moved"          // its model's replicas are to be in balance
-	stopDoneElsewhere stopReason = "done elsewhere" // another attempt has completed
+	stopCancelled          stopReason = "cancelled"
+	stopDrain              stopReason = "drain"          // its machine is to be returned, or will be taken
+	stopPreempted          stopReason = "shrunk"         // another job lacks its minimum
+	stopRebalanced         stopReason = "moved"          // its model's replicas are to be in balance
+	stopCompletedElsewhere stopReason = "done elsewhere" // another attempt has completed
 )
 
-// inherited marks a placement of an earlier term, whose start may have gone out.
-const inherited = ^uint64(0)
+// startSequenceUnknown marks a placement of an earlier term, whose start may have gone out.
+const startSequenceUnknown = ^uint64(0)
 
-// halt has a placement stopped, from now on or, if it is being stopped, with this kind.
-func (p *placement) halt(kind stopKind, why stopReason) {
-	if p.stop == keep {
-		p.job.halted++
+// requestStop has a placement stopped, from now on or, if it is being stopped, with this kind.
+func (p *placement) requestStop(kind stopMode, why stopReason) {
+	if p.stop == stopNone {
+		p.job.stopping++
 	}
-	p.stop, p.stopWhy = kind, why
-	p.machine.roomChanged = true
+	p.stop, p.stopReason = kind, why
+	p.machine.capacityChanged = true
 }
 
-// hold takes up a placement.
-func (j *job) hold(p *placement) {
-	j.placed[p.task] = p
-	j.zones[p.machine.zone]++
+// addPlacement takes up a placement.
+func (j *job) addPlacement(p *placement) {
+	j.placements[p.task] = p
+	j.placementsByZone[p.machine.zone]++
 	p.countReplica(true)
 	p.machine.add(p)
 }
 
-// drop takes away the placement that the job has of a task.
-func (j *job) drop(p *placement) {
-	delete(j.placed, p.task)
+// removePlacement takes away the placement that the job has of a task.
+func (j *job) removePlacement(p *placement) {
+	delete(j.placements, p.task)
 	j.leaveZone(p.machine.zone)
 	p.countReplica(false)
 	p.machine.remove(p)
 }
 
 func (j *job) leaveZone(zone string) {
-	if j.zones[zone]--; j.zones[zone] == 0 {
-		delete(j.zones, zone)
+	if j.placementsByZone[zone]--; j.placementsByZone[zone] == 0 {
+		delete(j.placementsByZone, zone)
 	}
 }
 
@@ -159,27 +159,27 @@
 	return p.taskName
 }
 
-// chunkSize is how many tasks a run record holds.
-func (l *leader) chunkSize() int { return l.layout.Tasks() }
+// tasksPerRecord is how many tasks a run record holds.
+func (l *leader) tasksPerRecord() int { return l.recordLayout.Tasks() }
 
-// runKey is the key of a chunk's record.
-func (l *leader) runKey(ch *chunk) string {
-	return runRecordPrefix + l.layout.Key(ch.job.id, ch.index).String()
+// recordKey is the key of a chunk's record.
+func (l *leader) recordKey(ch *recordChunk) string {
+	return runRecordPrefix + l.recordLayout.Key(ch.job.id, ch.index).String()
 }
 
-func (l *leader) chunkOf(j *job, task int) *chunk {
-	i := task / l.chunkSize()
+func (l *leader) chunkOf(j *job, task int) *recordChunk {
+	i := task / l.tasksPerRecord()
 	ch := j.chunks[i]
 	if ch == nil {
-		ch = &chunk{job: j, index: i, done: record.NewBits(l.chunkSize())}
+		ch = &recordChunk{job: j, index: i, done: record.NewBits(l.tasksPerRecord())}
 		j.chunks[i] = ch
 	}
 	return ch
 }
 
 func (l *leader) isDone(j *job, task int) bool {
-	ch := j.chunks[task/l.chunkSize()]
-	return ch != nil && ch.done.Has(task%l.chunkSize())
+	ch := j.chunks[task/l.tasksPerRecord()]
+	return ch != nil && ch.done.Has(task%l.tasksPerRecord())
 }
 
 func (l *leader) setDone(j *job, task int) {
@@ -187,9 +187,9 @@
 		return
 	}
 	ch := l.chunkOf(j, task)
-	ch.done.Set(task % l.chunkSize())
+	ch.done.Set(task % l.tasksPerRecord())
 	j.done++
-	l.mark(ch)
+	l.markDirty(ch)
 }
 
 // recordKeys gives the keys of all records of a job, with their versions.
@@ -197,7 +197,7 @@
 	var keys []wire.Condition
 	for _, i := range slices.Sorted(maps.Keys(j.chunks)) {
 		if ch := j.chunks[i]; ch.version != 0 {
-			keys = append(keys, wire.Condition{Key: l.runKey(ch), Version: ch.version})
+			keys = append(keys, wire.Condition{Key: l.recordKey(ch), Version: ch.version})
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(j.superseded)) {
@@ -209,29 +209,29 @@
 // nextTask gives the lowest task from a number on that is neither done nor
 // placed; -1 if there is none.
 func (l *leader) nextTask(j *job, from int) int {
-	for t := max(from, j.cursor); t < j.spec.Tasks; t++ {
-		open := j.placed[t] == nil && !l.isDone(j, t)
-		if open && !l.crowded(j, t) {
+	for t := max(from, j.nextUnplaced); t < j.spec.Tasks; t++ {
+		open := j.placements[t] == nil && !l.isDone(j, t)
+		if open && !l.recordFull(j, t) {
 			return t
 		}
-		if t == j.cursor && !open {
-			j.cursor++
+		if t == j.nextUnplaced && !open {
+			j.nextUnplaced++
 		}
 	}
 	return -1
 }
 
 // unplaced counts the tasks that still need a place.
-func (j *job) unplaced() int { return j.spec.Tasks - j.done - len(j.placed) }
+func (j *job) unplaced() int { return j.spec.Tasks - j.done - len(j.placements) }
 
 // unfinished counts the tasks that are not done.
 func (j *job) unfinished() int { return j.spec.Tasks - j.done }
 
-func (j *job) array() bool { return j.spec.Kind == wire.KindArray }
+func (j *job) isArray() bool { return j.spec.Kind == wire.KindArray }
 
-func (j *job) counts() taskCounts {
+func (j *job) taskCounts() taskCounts {
 	running := 0
-	for _, p := range j.placed {
+	for _, p := range j.placements {
 		if p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing {
 			running++
 		}
@@ -239,19 +239,19 @@
 	return taskCounts{running, j.done}
 }
 
-func (j *job) before(k *job) bool {
-	if j.queuedAt != k.queuedAt {
-		return j.queuedAt < k.queuedAt
+func (j *job) queuedBefore(k *job) bool {
+	if j.queuedMS != k.queuedMS {
+		return j.queuedMS < k.queuedMS
 	}
 	return j.id < k.id
 }
 
-// encode gives a chunk's record and the placements in it.
-func (l *leader) encode(ch *chunk) (json.RawMessage, []*placement) {
-	r := record.Record{Next: ch.next, Done: ch.done, Placed: map[int]record.Run{}}
+// encodeRecord gives a chunk's record and the placements in it.
+func (l *leader) encodeRecord(ch *recordChunk) (json.RawMessage, []*placement) {
+	r := record.Record{Next: ch.highestAttempt, Done: ch.done, Placed: map[int]record.Run{}}
 	ps := l.placedIn(ch)
 	for _, p := range ps {
-		r.Placed[p.task] = record.Run{Attempt: p.attempt, Machine: p.machine.name, Session: p.session}
+		r.Placed[p.task] = record.Run{Attempt: p.attempt, Machine: p.machine.name, Session: p.incarnation}
 	}
 	b, err := r.Encode()
 	if err != nil {
@@ -261,11 +261,11 @@
 }
 
 // placedIn gives the placements of a chunk's tasks, in order.
-func (l *leader) placedIn(ch *chunk) []*placement {
+func (l *leader) placedIn(ch *recordChunk) []*placement {
 	var ps []*placement
-	first := ch.index * l.chunkSize()
-	for t := first; t < min(first+l.chunkSize(), ch.job.spec.Tasks); t++ {
-		if p := ch.job.placed[t]; p != nil {
+	first := ch.index * l.tasksPerRecord()
+	for t := first; t < min(first+l.tasksPerRecord(), ch.job.spec.Tasks); t++ {
+		if p := ch.job.placements[t]; p != nil {
 			ps = append(ps, p)
 		}
 	}
@@ -274,13 +274,13 @@
 
 // addJob takes a job up. One that needs others waits until they are done.
 func (l *leader) addJob(id string, e *cachedJob) *job {
-	status := l.c.dependencies.graph.Of(id)
-	j := &job{id: id, spec: e.Spec, at: e.AcceptedMS, queuedAt: e.AcceptedMS, version: e.version, team: l.teamOf(e.Spec.Team),
-		rank: status.Priority, latestEnd: status.LatestEndMS, chunks: map[int]*chunk{}, placed: map[int]*placement{}, zones: map[string]int{}, replicas: l.replicas}
+	status := l.core.dependencies.graph.Of(id)
+	j := &job{id: id, spec: e.Spec, acceptedMS: e.AcceptedMS, queuedMS: e.AcceptedMS, version: e.version, team: l.teamOf(e.Spec.Team),
+		rank: status.Priority, latestEndMS: status.LatestEndMS, chunks: map[int]*recordChunk{}, placements: map[int]*placement{}, placementsByZone: map[string]int{}, replicaLedger: l.replicaLedger}
 	l.jobs[id] = j
-	j.waiting = len(e.Spec.Dependencies) > 0
-	j.held = l.planHolds(id, e.Spec)
-	if !j.waiting && !j.held {
+	j.waitingForDependencies = len(e.Spec.Dependencies) > 0
+	j.heldByRollout = l.planHolds(id, e.Spec)
+	if !j.waitingForDependencies && !j.heldByRollout {
 		l.enqueue(j)
 	}
 	return j
@@ -288,15 +288,15 @@
 
 // enqueue puts a job into the order of those that are to run.
 func (l *leader) enqueue(j *job) {
-	i := sort.Search(len(l.order), func(i int) bool { return j.before(l.order[i]) })
-	l.order = slices.Insert(l.order, i, j)
+	i := sort.Search(len(l.queue), func(i int) bool { return j.queuedBefore(l.queue[i]) })
+	l.queue = slices.Insert(l.queue, i, j)
 	j.queued = true
 }
 
 // dequeue takes a job out of the order, if it is in there.
 func (l *leader) dequeue(j *job) {
-	if i := slices.Index(l.order, j); i >= 0 {
-		l.order = slices.Delete(l.order, i, i+1)
+	if i := slices.Index(l.queue, j); i >= 0 {
+		l.queue = slices.Delete(l.queue, i, i+1)
 	}
 	j.queued = false
 }
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -23,14 +23,14 @@
 //
 // Until then records are written as before, and may turn out too large: see shed and crowded.
 
-// layoutByTask is the second layout, as nodes tell each other that they know it.
-const layoutByTask = 2
+// recordLayoutByTask is the second layout, as nodes tell each other that they know it.
+const recordLayoutByTask = 2
 
-// layoutChange is the state of the change.
-type layoutChange struct {
-	wanted bool // nothing else is written until it is settled
-	busy   bool
-	notNow time.Duration // not before
+// layoutMigration is the state of the change.
+type layoutMigration struct {
+	requested bool // nothing else is written until it is settled
+	inFlight  bool
+	retryAt   time.Duration // not before
 }
 
 // layout gives the layout that the state service says is in use.
@@ -43,92 +43,92 @@
 
 // allPeersSupportRecordLayout tells whether all other nodes have said that they know the second layout.
 func (c *Core) allPeersSupportRecordLayout() bool {
-	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return p.recordLayouts < layoutByTask })
+	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return p.recordLayouts < recordLayoutByTask })
 }
 
-// changeLayout writes the decision once it may be taken and no record is on its way. A record written
+// migrateLayout writes the decision once it may be taken and no record is on its way. A record written
 // late, after the change, would else tell of tasks what newer ones don't.
-func (l *leader) changeLayout() {
-	c, x := l.c, &l.change
-	if l.layout.ByTask > 0 || !c.limits.valuesShrink() || !c.allPeersSupportRecordLayout() || c.storeDown || !c.election.leaseValid() {
-		x.wanted = x.busy
+func (l *leader) migrateLayout() {
+	c, x := l.core, &l.layoutMigration
+	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.allPeersSupportRecordLayout() || c.storeDown || !c.election.leaseValid() {
+		x.requested = x.inFlight
 		return
 	}
-	x.wanted = true
-	if x.busy || l.writes.inFlight > 0 {
+	x.requested = true
+	if x.inFlight || l.writer.inFlight > 0 {
 		return
 	}
-	if c.now.Steady < x.notNow {
-		c.wakeBy(x.notNow)
+	if c.now.Steady < x.retryAt {
+		c.wakeBy(x.retryAt)
 		return
 	}
-	next := record.Layout{ByIndex: l.layout.ByIndex, ByTask: record.ByTaskFor(c.limits.maxValueBytes())}
+	next := record.Layout{ByIndex: l.recordLayout.ByIndex, ByTask: record.ByTaskFor(c.limits.maxValueBytes())}
 	layout, err1 := json.Marshal(next)
 	term, err2 := c.encodeTermForStore(termRecord{l.term, c.settings.Node}, next)
 	if err1 != nil || err2 != nil {
 		return
 	}
-	x.busy = true
+	x.inFlight = true
 	id := l.stateCall(func(r Result) {
-		x.busy = false
+		x.inFlight = false
 		switch r.Outcome {
 		case call.OK:
-			l.layoutChanged(next, r.Txn.Revision)
+			l.applyLayout(next, r.Txn.Revision)
 		case call.Conflict:
 			// It was applied before, its outcome unknown, or the term has moved on. The next leader
 			// finds out.
 			c.election.stepDown("the layout of records may have changed")
 		default:
-			x.notNow = c.now.Steady + c.times.retryPause
-			c.wakeBy(x.notNow)
+			x.retryAt = c.now.Steady + c.times.retryPause
+			c.wakeBy(x.retryAt)
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: termKey, Version: l.version}, {Key: recordLayoutKey}},
+		If:   []wire.Condition{{Key: termKey, Version: l.termVersion}, {Key: recordLayoutKey}},
 		Then: []wire.Op{{Put: recordLayoutKey, Value: layout}, {Put: termKey, Value: term}},
 	}})
 }
 
-// layoutChanged goes on in the second layout. What was written stays where it is, and is overridden
+// applyLayout goes on in the second layout. What was written stays where it is, and is overridden
 // where something changes.
-func (l *leader) layoutChanged(next record.Layout, version uint64) {
-	c, old := l.c, l.layout
-	l.version, l.layout = version, next
-	l.change.wanted = false
+func (l *leader) applyLayout(next record.Layout, version uint64) {
+	c, old := l.core, l.recordLayout
+	l.termVersion, l.recordLayout = version, next
+	l.layoutMigration.requested = false
 	if version > c.cache.termVersion {
 		c.cache.term, c.cache.termVersion = termRecord{l.term, c.settings.Node}, version
 	}
 	if version > c.cache.layoutVersion {
 		c.cache.layout, c.cache.layoutVersion = next, version
 	}
-	l.writes.dirty = nil
+	l.writer.dirty = nil
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
-		l.relayout(l.jobs[id], old)
+		l.migrateChunks(l.jobs[id], old)
 	}
 	c.log(Info, "layout of run records changed", "by_index", next.ByIndex, "by_task", next.ByTask)
 }
 
-// relayout spreads a job's chunks over those of the new layout. What the old records don't tell yet is
+// migrateChunks spreads a job's chunks over those of the new layout. What the old records don't tell yet is
 // written anew.
-func (l *leader) relayout(j *job, old record.Layout) {
+func (l *leader) migrateChunks(j *job, old record.Layout) {
 	chunks := j.chunks
-	j.chunks = map[int]*chunk{}
+	j.chunks = map[int]*recordChunk{}
 	for _, index := range slices.Sorted(maps.Keys(chunks)) {
 		ch := chunks[index]
 		if ch.version != 0 {
 			j.supersede(runRecordPrefix+old.Key(j.id, index).String(), ch.version)
 		}
-		stale := !ch.clean() || ch.reading
+		stale := !ch.persisted() || ch.rereadInFlight
 		ch.dirty = false
 		first := index * old.ByIndex
 		for task := first; task < min(first+old.ByIndex, j.spec.Tasks); task++ {
 			part := l.chunkOf(j, task)
-			part.next = max(part.next, ch.next)
+			part.highestAttempt = max(part.highestAttempt, ch.highestAttempt)
 			if ch.done.Has(task - first) {
-				part.done.Set(task % l.chunkSize())
+				part.done.Set(task % l.tasksPerRecord())
 			}
 			if stale {
-				l.mark(part)
+				l.markDirty(part)
 			}
 		}
 	}
@@ -142,30 +142,30 @@
 	j.superseded[key] = version
 }
 
-// mostRecord is how large a record may be.
-func (l *leader) mostRecord() int {
-	if l.layout.ByTask > 0 {
-		return l.c.limits.maxValueBytes()
+// maxRecordBytes is how large a record may be.
+func (l *leader) maxRecordBytes() int {
+	if l.recordLayout.ByTask > 0 {
+		return l.core.limits.maxValueBytes()
 	}
-	return l.c.limits.largestAcceptedValue()
+	return l.core.limits.largestAcceptedValue()
 }
 
-// shed takes back what was placed and not written, in a record of the first layout that is too large by
+// revertUnwritten takes back what was placed and not written, in a record of the first layout that is too large by
 // now. The rest of it gets smaller as its tasks end, and is written then.
-func (l *leader) shed(ch *chunk) {
+func (l *leader) revertUnwritten(ch *recordChunk) {
 	for _, p := range l.placedIn(ch) {
-		if p.phase == uncommitted {
-			l.end(p)
+		if p.phase == phaseUncommitted {
+			l.endPlacement(p)
 		}
 	}
 }
 
-// crowded tells whether the record of a task had better take no further placement: the limits have
+// recordFull tells whether the record of a task had better take no further placement: the limits have
 // fallen before the layout could change.
-func (l *leader) crowded(j *job, task int) bool {
-	if l.layout.ByTask > 0 || !l.c.limits.lowered {
+func (l *leader) recordFull(j *job, task int) bool {
+	if l.recordLayout.ByTask > 0 || !l.core.limits.lowered {
 		return false
 	}
-	ch := j.chunks[task/l.chunkSize()]
-	return ch != nil && len(l.placedIn(ch)) >= l.c.limits.maxValueBytes()/record.PlacementBytes
+	ch := j.chunks[task/l.tasksPerRecord()]
+	return ch != nil && len(l.placedIn(ch)) >= l.core.limits.maxValueBytes()/record.PlacementBytes
 }
--- a/internal/core/lease_answers.go
+++ b/internal/core/lease_answers.go
@@ -38,27 +38,27 @@
 
 // leaseRenewals counts the answers that renew leases, and the stops of cancelled tasks in them, by their basis.
 type leaseRenewals struct {
-	answers [LeaseBasisCount]uint64
-	stops   [LeaseBasisCount]uint64
-	lastAt  [LeaseBasisCount]time.Duration
+	responses [LeaseBasisCount]uint64
+	stops     [LeaseBasisCount]uint64
+	lastAt    [LeaseBasisCount]time.Duration
 }
 
-// leaseAnswer is an answer to a report that renews the worker's lease. Whoever renews a lease lets the worker's tasks go
+// leaseResponse is an answer to a report that renews the worker's lease. Whoever renews a lease lets the worker's tasks go
 // on, so it has to stop what it knows to be cancelled: whether it leads, has read the records, or knows of the placements.
 // newLeaseAnswer alone makes them, with these stops in front; what else the worker is told follows as far as there is room.
-type leaseAnswer struct {
+type leaseResponse struct {
 	machine  string
 	commands []wire.Command
 	stopped  map[attemptName]bool // attempts of cancelled jobs that it stops
 }
 
-// mostCommands bounds the commands in an answer, so that its one line stays within the protocol's 64 KiB; the rest
+// maxCommands bounds the commands in an answer, so that its one line stays within the protocol's 64 KiB; the rest
 // follows with the next. Tasks that are stopped exit, so the same ones don't take the room of others twice.
-const mostCommands = 400
+const maxCommands = 400
 
-// newLeaseAnswer begins an answer to a report with stops of the tasks whose jobs this node knows to be cancelled.
-func (c *Core) newLeaseAnswer(r *wire.Heartbeat) *leaseAnswer {
-	a := &leaseAnswer{machine: r.Machine, commands: []wire.Command{}}
+// newLeaseResponse begins an answer to a report with stops of the tasks whose jobs this node knows to be cancelled.
+func (c *Core) newLeaseResponse(r *wire.Heartbeat) *leaseResponse {
+	a := &leaseResponse{machine: r.Machine, commands: []wire.Command{}}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		id, _, ok := wire.ParseTaskName(t.Task)
@@ -69,29 +69,29 @@
 			a.stopped = map[attemptName]bool{}
 		}
 		a.stopped[attemptName{t.Task, t.Attempt}] = true
-		a.commands = append(a.commands, stopAtOnce(t))
+		a.commands = append(a.commands, stopImmediately(t))
 	}
 	return a
 }
 
-// stopAtOnce stops a task without time to save.
-func stopAtOnce(t *wire.TaskStatus) wire.Command {
+// stopImmediately stops a task without time to save.
+func stopImmediately(t *wire.TaskStatus) wire.Command {
 	grace := 0.0
 	return wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &grace}
 }
 
 // full tells whether there is no room for another command.
-func (a *leaseAnswer) full() bool { return len(a.commands) >= mostCommands }
+func (a *leaseResponse) full() bool { return len(a.commands) >= maxCommands }
 
 // add adds a command, unless there is no room or its attempt is stopped already.
-func (a *leaseAnswer) add(command wire.Command) {
+func (a *leaseResponse) add(command wire.Command) {
 	if !a.full() && !a.stopped[attemptName{command.Task, command.Attempt}] {
 		a.commands = append(a.commands, command)
 	}
 }
 
 // renewLease answers a report with 200, which renews the worker's lease. No other code does.
-func (c *Core) renewLease(req uint64, basis LeaseBasis, token uint64, a *leaseAnswer) {
+func (c *Core) renewLease(req uint64, basis LeaseBasis, token uint64, a *leaseResponse) {
 	c.countLeaseRenewal(basis)
 	if n := len(a.stopped); n > 0 {
 		c.leaseRenewals.stops[basis] += uint64(n)
@@ -109,8 +109,8 @@
 func (c *Core) countLeaseRenewal(basis LeaseBasis) {
 	last := &c.leaseRenewals.lastAt[basis]
 	if *last == 0 || c.now.Steady-*last > c.times.lease {
-		c.log(Debug, "renews leases", "basis", basis, "answers_before", c.leaseRenewals.answers[basis])
+		c.log(Debug, "renews leases", "basis", basis, "answers_before", c.leaseRenewals.responses[basis])
 	}
 	*last = c.now.Steady
-	c.leaseRenewals.answers[basis]++
+	c.leaseRenewals.responses[basis]++
 }
--- a/internal/core/lease_answers_test.go
+++ b/internal/core/lease_answers_test.go
@@ -24,7 +24,7 @@
 func drawReport(t *rapid.T, c *Core) *wire.Heartbeat {
 	states := []wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited}
 	r := &wire.Heartbeat{Machine: "m1", Incarnation: 1}
-	tasks := rapid.IntRange(0, 3*mostCommands).Draw(t, "tasks")
+	tasks := rapid.IntRange(0, 3*maxCommands).Draw(t, "tasks")
 	cancelledOf10 := rapid.IntRange(0, 10).Draw(t, "cancelled of 10")
 	for i := range tasks {
 		job := fmt.Sprintf("run-%06d", i)
@@ -54,7 +54,7 @@
 }
 
 // obey has a worker carry out the stops of an answer.
-func obey(r *wire.Heartbeat, a *leaseAnswer) {
+func obey(r *wire.Heartbeat, a *leaseResponse) {
 	stopped := map[attemptName]bool{}
 	for _, command := range a.commands {
 		stopped[attemptName{command.Task, command.Attempt}] = command.Op == wire.OpStop
@@ -72,14 +72,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := newIdleCore()
 		r := drawReport(t, c)
-		others := rapid.IntRange(0, 2*mostCommands).Draw(t, "other commands")
+		others := rapid.IntRange(0, 2*maxCommands).Draw(t, "other commands")
 		for left := cancelledLeft(c, r); ; left = cancelledLeft(c, r) {
-			a := c.newLeaseAnswer(r)
+			a := c.newLeaseResponse(r)
 			for i := range others {
 				a.add(wire.Command{Op: wire.OpForget, Task: wire.TaskName("run-900000", i), Attempt: 1})
 			}
 			for i := range r.Tasks {
-				a.add(stopAtOnce(&r.Tasks[i])) // the leader's own
+				a.add(stopImmediately(&r.Tasks[i])) // the leader's own
 			}
 			seen := map[attemptName]bool{}
 			for _, command := range a.commands {
@@ -89,14 +89,14 @@
 				}
 				seen[name] = true
 			}
-			if len(a.commands) > mostCommands {
+			if len(a.commands) > maxCommands {
 				t.Fatalf("%d commands", len(a.commands))
 			}
 			if left == 0 {
 				return
 			}
 			obey(r, a)
-			if after, most := cancelledLeft(c, r), max(0, left-mostCommands); after > most {
+			if after, most := cancelledLeft(c, r), max(0, left-maxCommands); after > most {
 				t.Fatalf("%d of %d cancelled tasks are left after an answer, not %d at most", after, left, most)
 			}
 		}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -17,35 +17,35 @@
 // them as evidence like any other. It starts nothing. The one thing it orders by
 // itself is to stop tasks of cancelled jobs, which is right whoever leads.
 type leaseRelay struct {
-	c       *Core
-	term    uint64
-	workers map[string]*relayedWorker
-	names   []string                 // of workers, in the order in which they came
-	asked   map[string]time.Duration // workers sent to the leader, and when
-	leadOK  time.Duration            // when the lead key was last seen to be current
-	asking  bool
-	askAt   time.Duration
-	writing bool
-	writeAt time.Duration
-	shards  int  // keys written last
-	foreign bool // a worker of another zone came while this zone seemed cut off
+	core            *Core
+	term            uint64
+	workers         map[string]*relayedWorker
+	order           []string                 // of workers, in the order in which they came
+	redirected      map[string]time.Duration // workers sent to the leader, and when
+	termConfirmedAt time.Duration            // when the lead key was last seen to be current
+	confirmInFlight bool
+	nextConfirm     time.Duration
+	writeInFlight   bool
+	nextWrite       time.Duration
+	shards          int  // keys written last
+	servesOtherZone bool // a worker of another zone came while this zone seemed cut off
 }
 
 type relayedWorker struct {
-	report    *wire.Heartbeat
-	since, at time.Duration // when its lease was first and last renewed here
-	proven    bool          // it can't reach the leader
+	heartbeat         *wire.Heartbeat
+	since, at         time.Duration // when its lease was first and last renewed here
+	leaderUnreachable bool          // it can't reach the leader
 }
 
 const relayedHeartbeatPrefix = "w/k/"
 
 func newLeaseRelay(c *Core) *leaseRelay {
-	return &leaseRelay{c: c, workers: map[string]*relayedWorker{}, asked: map[string]time.Duration{}}
+	return &leaseRelay{core: c, workers: map[string]*relayedWorker{}, redirected: map[string]time.Duration{}}
 }
 
-// leader gives the other node that leads, as far as this node knows.
-func (k *leaseRelay) leader() *peer {
-	c := k.c
+// leadingPeer gives the other node that leads, as far as this node knows.
+func (k *leaseRelay) leadingPeer() *peer {
+	c := k.core
 	if c.leader != nil || c.cache.leaderVersion == 0 || c.cache.leader.Node == c.settings.Node || c.storeDown {
 		return nil
 	}
@@ -57,121 +57,121 @@
 	return nil
 }
 
-// vacant tells whether nobody leads, between two terms: the state service serves this node and
+// leadershipVacant tells whether nobody leads, between two terms: the state service serves this node and
 // shows no leader, or an earlier process of this very node.
-func (k *leaseRelay) vacant() bool {
-	d := k.c.cache
-	return d.ready && (d.leaderVersion == 0 || d.leader.Node == k.c.settings.Node)
+func (k *leaseRelay) leadershipVacant() bool {
+	d := k.core.cache
+	return d.ready && (d.leaderVersion == 0 || d.leader.Node == k.core.settings.Node)
 }
 
-// cutOff tells whether the leader leads but can't be reached from here.
-func (k *leaseRelay) cutOff() bool {
-	p := k.leader()
+// leaderUnreachable tells whether the leader leads but can't be reached from here.
+func (k *leaseRelay) leaderUnreachable() bool {
+	p := k.leadingPeer()
 	return p != nil && p.queriedAt != 0 && !p.reachable
 }
 
-// apart tells whether the leader says that workers of a zone can't reach it: they need
+// leaderCannotReach tells whether the leader says that workers of a zone can't reach it: they need
 // not try, which would cost them much of their lease.
-func (k *leaseRelay) apart(zone string) bool {
-	p := k.leader()
-	return p != nil && k.c.peerLeads(p) && slices.Contains(p.status.UnreachableZones, zone)
+func (k *leaseRelay) leaderCannotReach(zone string) bool {
+	p := k.leadingPeer()
+	return p != nil && k.core.peerLeads(p) && slices.Contains(p.status.UnreachableZones, zone)
 }
 
-// current tells whether the leader's term was seen to be current just now, in the
+// termIsCurrent tells whether the leader's term was seen to be current just now, in the
 // state service or by the leader's own word.
-func (k *leaseRelay) current(p *peer) bool {
-	c := k.c
-	return k.leadOK != 0 && c.now.Steady-k.leadOK < 2*c.times.checkInterval ||
+func (k *leaseRelay) termIsCurrent(p *peer) bool {
+	c := k.core
+	return k.termConfirmedAt != 0 && c.now.Steady-k.termConfirmedAt < 2*c.times.checkInterval ||
 		c.peerLeads(p) && p.status.Term == c.cache.leader.Term
 }
 
-// checkin answers a worker in the leader's place; false if that is not due.
-func (k *leaseRelay) checkin(in WorkerHeartbeat) bool {
-	c, r := k.c, in.Heartbeat
+// handleHeartbeat answers a worker in the leader's place; false if that is not due.
+func (k *leaseRelay) handleHeartbeat(in WorkerHeartbeat) bool {
+	c, r := k.core, in.Heartbeat
 	now := c.now.Steady
 	if len(r.Tasks) == 0 {
 		// There is nothing to keep alive: it had better find the leader.
 		return false
 	}
 	if c.storeDown {
-		return k.renewWithoutState(in)
+		return k.renewDuringStoreOutage(in)
 	}
-	if k.vacant() {
+	if k.leadershipVacant() {
 		// Sent on to the next node, it might wait for one that is down, and lose its lease
 		// before it has found the next leader. The answer repeats its own token, as that of
 		// renewWithoutState does, and is safe for the same reasons.
-		c.renewLease(in.RequestID, VacancyBasis, r.FencingToken, c.newLeaseAnswer(r))
+		c.renewLease(in.RequestID, VacancyBasis, r.FencingToken, c.newLeaseResponse(r))
 		return true
 	}
 	term := c.cache.leader.Term
-	p := k.leader()
-	if p == nil || termOf(r.FencingToken) > term {
+	p := k.leadingPeer()
+	if p == nil || termOfFencingToken(r.FencingToken) > term {
 		return false
 	}
 	w := k.workers[r.Machine]
 	switch {
-	case w == nil && !k.current(p):
+	case w == nil && !k.termIsCurrent(p):
 		return false
 	case w == nil:
-		w = k.adopt(r)
-	case k.mayTryLeader(w, r.Zone):
-		k.sendToLeader(r.Machine)
+		w = k.adoptWorker(r)
+	case k.shouldRetryLeader(w, r.Zone):
+		k.redirectToLeader(r.Machine)
 		return false
 	}
-	if !k.current(p) {
+	if !k.termIsCurrent(p) {
 		return false
 	}
-	if old := w.report; r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
-		w.report = r
+	if old := w.heartbeat; r.Incarnation > old.Incarnation || r.Incarnation == old.Incarnation && r.Sequence > old.Sequence {
+		w.heartbeat = r
 	}
 	w.at = now
 	if k.term != term {
 		k.term = term
 		c.log(Info, "keeping workers for a leader out of reach", "leader", c.cache.leader.Node, "term", term)
 	}
-	c.renewLease(in.RequestID, RelayBasis, max(firstToken(term), r.FencingToken), c.newLeaseAnswer(r))
+	c.renewLease(in.RequestID, RelayBasis, max(firstFencingToken(term), r.FencingToken), c.newLeaseResponse(r))
 	return true
 }
 
-// adopt begins to keep a worker. It may reach the leader from where it is: its lease is renewed
+// adoptWorker begins to keep a worker. It may reach the leader from where it is: its lease is renewed
 // once, for it has lost time already; then it is sent there, and kept if it comes back. One whose
 // zone is cut off as this node's is needs no proof.
-func (k *leaseRelay) adopt(r *wire.Heartbeat) *relayedWorker {
-	c := k.c
+func (k *leaseRelay) adoptWorker(r *wire.Heartbeat) *relayedWorker {
+	c := k.core
 	now := c.now.Steady
-	at, was := k.asked[r.Machine]
-	w := &relayedWorker{report: r, since: now}
-	w.proven = was && now-at < c.times.lease || k.cutOff() && r.Zone == c.settings.Zone || k.apart(r.Zone)
+	at, was := k.redirected[r.Machine]
+	w := &relayedWorker{heartbeat: r, since: now}
+	w.leaderUnreachable = was && now-at < c.times.lease || k.leaderUnreachable() && r.Zone == c.settings.Zone || k.leaderCannotReach(r.Zone)
 	k.workers[r.Machine] = w
-	k.names = append(k.names, r.Machine)
+	k.order = append(k.order, r.Machine)
 	// With its next report it is sent to the leader, which must have heard of it by
 	// then: else it counts as silent there while it is on its way.
-	k.writeAt = min(k.writeAt, now+c.times.checkInterval/2)
+	k.nextWrite = min(k.nextWrite, now+c.times.checkInterval/2)
 	c.log(Debug, "keeping worker for the leader", "machine", r.Machine, "leader", c.cache.leader.Node)
 	return w
 }
 
-// mayTryLeader tells whether a kept worker had better look for the leader: it has not yet, or the
+// shouldRetryLeader tells whether a kept worker had better look for the leader: it has not yet, or the
 // leader is there for others, and it tries again now and then.
-func (k *leaseRelay) mayTryLeader(w *relayedWorker, zone string) bool {
-	if k.apart(zone) {
+func (k *leaseRelay) shouldRetryLeader(w *relayedWorker, zone string) bool {
+	if k.leaderCannotReach(zone) {
 		return false
 	}
-	return !w.proven || !k.cutOff() && k.c.now.Steady-w.since > 2*k.c.times.lease
+	return !w.leaderUnreachable || !k.leaderUnreachable() && k.core.now.Steady-w.since > 2*k.core.times.lease
 }
 
-// mostAsked bounds the workers that are remembered as sent to the leader.
-const mostAsked = 10_000
+// maxRedirected bounds the workers that are remembered as sent to the leader.
+const maxRedirected = 10_000
 
-func (k *leaseRelay) sendToLeader(machine string) {
-	k.drop(machine)
-	if len(k.asked) > mostAsked {
-		clear(k.asked)
+func (k *leaseRelay) redirectToLeader(machine string) {
+	k.dropWorker(machine)
+	if len(k.redirected) > maxRedirected {
+		clear(k.redirected)
 	}
-	k.asked[machine] = k.c.now.Steady
+	k.redirected[machine] = k.core.now.Steady
 }
 
-// renewWithoutState keeps a worker alive while this node can't reach the state service and so
+// renewDuringStoreOutage keeps a worker alive while this node can't reach the state service and so
 // can't know who leads: with the whole zone cut off, or with every node refused and
 // none left that leads. The answer repeats the worker's own token, so it overrules
 // nobody, and it starts nothing. It is safe whoever leads, since a placement never
@@ -182,14 +182,14 @@
 // It may go on for as long as the trouble lasts. In a zone that is cut off nothing is left of jobs
 // whose users were told of a cancellation; elsewhere only a node that knew the jobs before does
 // this, which lacks no such cancellation (cancellationReplicator).
-func (k *leaseRelay) renewWithoutState(in WorkerHeartbeat) bool {
-	c, r := k.c, in.Heartbeat
+func (k *leaseRelay) renewDuringStoreOutage(in WorkerHeartbeat) bool {
+	c, r := k.core, in.Heartbeat
 	cut := c.ownZoneIsolated()
 	if cut && r.Zone != c.settings.Zone {
-		k.foreign = true
+		k.servesOtherZone = true
 	}
 	alone := c.noPeerServed() && c.leadingPeer() == ""
-	wholeZone, lastWord := cut && !k.foreign, alone && c.cache.ready
+	wholeZone, lastWord := cut && !k.servesOtherZone, alone && c.cache.ready
 	if !wholeZone && !lastWord {
 		return false
 	}
@@ -197,79 +197,79 @@
 	if wholeZone {
 		basis = IsolatedZoneBasis
 	}
-	c.renewLease(in.RequestID, basis, r.FencingToken, c.newLeaseAnswer(r))
+	c.renewLease(in.RequestID, basis, r.FencingToken, c.newLeaseResponse(r))
 	return true
 }
 
 // run keeps the knowledge of the leader's term fresh while it is needed, and writes
 // the reports of kept workers.
 func (k *leaseRelay) run() {
-	c := k.c
+	c := k.core
 	now := c.now.Steady
-	k.foreign = k.foreign && c.storeDown
-	if (len(k.workers) > 0 || k.cutOff()) && !k.asking {
-		if now < k.askAt {
-			c.wakeBy(k.askAt)
+	k.servesOtherZone = k.servesOtherZone && c.storeDown
+	if (len(k.workers) > 0 || k.leaderUnreachable()) && !k.confirmInFlight {
+		if now < k.nextConfirm {
+			c.wakeBy(k.nextConfirm)
 		} else {
-			k.asking = true
-			k.askAt = now + c.times.checkInterval/2
+			k.confirmInFlight = true
+			k.nextConfirm = now + c.times.checkInterval/2
 			id := c.registerStoreCall(func(r Result) {
-				k.asking = false
+				k.confirmInFlight = false
 				if r.Outcome == call.OK {
-					k.leadOK = r.SentAt
+					k.termConfirmedAt = r.SentAt
 				}
 			})
 			c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.leaderCondition()}}})
 		}
 	}
-	if k.leader() == nil || k.term != 0 && c.cache.leader.Term != k.term {
+	if k.leadingPeer() == nil || k.term != 0 && c.cache.leader.Term != k.term {
 		clear(k.workers)
-		clear(k.asked)
-		k.names = k.names[:0]
+		clear(k.redirected)
+		k.order = k.order[:0]
 	}
-	for _, name := range append([]string(nil), k.names...) {
+	for _, name := range append([]string(nil), k.order...) {
 		if now-k.workers[name].at > c.times.lease {
-			k.drop(name)
+			k.dropWorker(name)
 		}
 	}
 	if k.term != 0 && len(k.workers) == 0 {
 		c.log(Info, "no longer keeping workers")
 		k.term = 0
 	}
-	if k.writing || len(k.names) == 0 && k.shards == 0 || c.storeDown {
+	if k.writeInFlight || len(k.order) == 0 && k.shards == 0 || c.storeDown {
 		return
 	}
-	if now < k.writeAt {
-		c.wakeBy(k.writeAt)
+	if now < k.nextWrite {
+		c.wakeBy(k.nextWrite)
 		return
 	}
-	k.writeAt = now + 2*c.times.checkInterval
-	k.write()
+	k.nextWrite = now + 2*c.times.checkInterval
+	k.writeRelayed()
 }
 
-func (k *leaseRelay) drop(name string) {
+func (k *leaseRelay) dropWorker(name string) {
 	delete(k.workers, name)
-	for i, n := range k.names {
+	for i, n := range k.order {
 		if n == name {
-			k.names = append(k.names[:i], k.names[i+1:]...)
+			k.order = append(k.order[:i], k.order[i+1:]...)
 			return
 		}
 	}
 }
 
-// write passes the reports on, as many to a key as fit.
-func (k *leaseRelay) write() {
-	c := k.c
-	reports := make([]json.RawMessage, 0, len(k.names))
-	for _, name := range k.names {
-		if b, err := json.Marshal(k.workers[name].report); err == nil {
+// writeRelayed passes the reports on, as many to a key as fit.
+func (k *leaseRelay) writeRelayed() {
+	c := k.core
+	reports := make([]json.RawMessage, 0, len(k.order))
+	for _, name := range k.order {
+		if b, err := json.Marshal(k.workers[name].heartbeat); err == nil {
 			reports = append(reports, b)
 		}
 	}
-	packer := &relayPacker{most: usableValueBytes(c.limits.largestAcceptedValue())}
+	packer := &relayPacker{maxBytes: usableValueBytes(c.limits.largestAcceptedValue())}
 	if c.layout().ByTask > 0 {
 		// All nodes are known to read the compressed form.
-		packer.most, packer.compressed = c.maxValueBytes(), true
+		packer.maxBytes, packer.compressed = c.maxValueBytes(), true
 	}
 	if tooLarge := packer.pack(reports); tooLarge > 0 {
 		c.log(Debug, "reports of workers are too large to be passed on", "machines", tooLarge)
@@ -287,16 +287,16 @@
 	k.shards = max(k.shards, n)
 	left, good := len(ops), true
 	for len(ops) > 0 {
-		part := ops[:min(len(ops), c.limits.maxChanges(), wire.MaxBody*9/10/packer.most)]
+		part := ops[:min(len(ops), c.limits.maxChanges(), wire.MaxBody*9/10/packer.maxBytes)]
 		ops = ops[len(part):]
-		k.writing = true
+		k.writeInFlight = true
 		id := c.registerStoreCall(func(r Result) {
 			good = good && r.Outcome == call.OK
 			if r.Outcome == call.Invalid {
 				c.limits.observeInvalid(wire.Txn{Then: part})
 			}
 			if left -= len(part); left == 0 {
-				k.writing = false
+				k.writeInFlight = false
 				if good {
 					k.shards = n
 				}
@@ -320,7 +320,7 @@
 }
 
 func (k *leaseRelay) key(i int) string {
-	return relayedHeartbeatPrefix + k.c.settings.Node + "/" + strconv.Itoa(i)
+	return relayedHeartbeatPrefix + k.core.settings.Node + "/" + strconv.Itoa(i)
 }
 
 // applyRelayedHeartbeats hands reports that another node passed on to the leader.
@@ -330,8 +330,8 @@
 	}
 	c.observeRelay(key)
 	for _, r := range decodeRelayed(value) {
-		if r != nil && r.Machine != "" && termOf(r.FencingToken) <= c.leader.term {
-			c.leader.relayed(r, false)
+		if r != nil && r.Machine != "" && termOfFencingToken(r.FencingToken) <= c.leader.term {
+			c.leader.reconcileIndirect(r, false)
 		}
 	}
 }
@@ -346,19 +346,19 @@
 	}
 }
 
-// relayed takes in a report that came by another node, or that the worker was asked for.
+// reconcileIndirect takes in a report that came by another node, or that the worker was asked for.
 // It is evidence, and the machine is alive; but starts can't reach it that way.
-func (l *leader) relayed(r *wire.Heartbeat, asked bool) {
+func (l *leader) reconcileIndirect(r *wire.Heartbeat, asked bool) {
 	m := l.machines[r.Machine]
-	if !l.loaded || m == nil || m.up && (r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq) {
+	if !l.recovered || m == nil || m.reported && (r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
 		return
 	}
-	m.relayedAt = l.c.now.Steady
-	m.describe(r.Type, r.Zone, r.Addr, r.Spot)
-	m.enter(r.Incarnation)
-	m.up, m.seenUp, m.missing = true, true, 0
-	m.seq = r.Sequence
-	l.rentals.takeBack(m)
-	m.notice = m.notice || r.ReclaimNoticeS != nil
-	l.evidence(m, r, asked)
+	m.lastRelayed = l.core.now.Steady
+	m.setIdentity(r.Type, r.Zone, r.Addr, r.Spot)
+	m.enterIncarnation(r.Incarnation)
+	m.reported, m.everReported, m.missedLists = true, true, 0
+	m.sequence = r.Sequence
+	l.provisioner.takeBack(m)
+	m.reclaiming = m.reclaiming || r.ReclaimNoticeS != nil
+	l.reconcileTasks(m, r, asked)
 }
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -8,158 +8,160 @@
 	"bitternwing/internal/call"
 )
 
-// requireToken makes a machine show a token before it gets work: answers and commands may not
+// requireFencingToken makes a machine show a token before it gets work: answers and commands may not
 // reach it although its reports come. A worker that is reached shows the token at once,
 // or with its next report; one that does not for half a lease is given back.
-func (l *leader) requireToken(m *machine, token uint64) {
-	m.current = max(m.current, token)
-	if m.requiredToken == 0 {
-		m.tokenRequiredSince = l.c.now.Steady
+func (l *leader) requireFencingToken(m *machine, token uint64) {
+	m.fencingToken = max(m.fencingToken, token)
+	if m.requiredFencingToken == 0 {
+		m.fencingTokenRequiredSince = l.core.now.Steady
 	}
-	m.requiredToken = max(m.requiredToken, token)
-	l.changes++
+	m.requiredFencingToken = max(m.requiredFencingToken, token)
+	l.observedChanges++
 }
 
-// answersLost tells whether a machine's reports have come for half a lease without showing
+// responsesLost tells whether a machine's reports have come for half a lease without showing
 // that answers reach it.
-func (l *leader) answersLost(m *machine) bool {
-	now := l.c.now.Steady
-	return m.requiredToken != 0 && now-m.heard < l.c.times.heartbeatTimeout && now-max(m.tokenRequiredSince, l.idleAt) > l.c.times.lease/2
+func (l *leader) responsesLost(m *machine) bool {
+	now := l.core.now.Steady
+	return m.requiredFencingToken != 0 && now-m.lastHeartbeat < l.core.times.heartbeatTimeout && now-max(m.fencingTokenRequiredSince, l.lastWithoutAuthority) > l.core.times.lease/2
 }
 
-// watchMachines looks for machines that are silent too long and stops what runs on
+// checkMachines looks for machines that are silent too long and stops what runs on
 // those that will be taken.
-func (l *leader) watchMachines() {
-	l.watchZones()
-	entitled := l.entitled()
+func (l *leader) checkMachines() {
+	l.checkZones()
+	entitled := l.hasAuthority()
 	if !entitled {
-		l.idleAt = l.c.now.Steady
+		l.lastWithoutAuthority = l.core.now.Steady
 	}
-	for _, m := range l.fleet {
+	for _, m := range l.machinesByName {
 		if entitled {
-			l.releaseUnheard(m)
+			l.releaseUnreachable(m)
 		}
-		if m.notice || m.faulty {
+		if m.reclaiming || m.quarantined {
 			l.drain(m)
 		}
 		if entitled {
-			l.inspect(m)
+			l.queryStatus(m)
 		}
 	}
 }
 
-// releaseUnheard gives back a machine that is silent too long, or that answers don't reach.
-func (l *leader) releaseUnheard(m *machine) {
-	if (m.up || m.seenUp) && !m.releasing && l.c.now.Steady >= l.silentUntil(m) {
-		l.rentals.release(m, releaseSilent)
+// releaseUnreachable gives back a machine that is silent too long, or that answers don't reach.
+func (l *leader) releaseUnreachable(m *machine) {
+	if (m.reported || m.everReported) && !m.releasing && l.core.now.Steady >= l.releaseDeadline(m) {
+		l.provisioner.release(m, releaseSilent)
 	}
-	if l.answersLost(m) {
-		l.rentals.release(m, releaseUnreached)
+	if l.responsesLost(m) {
+		l.provisioner.release(m, releaseUnreached)
 	}
 }
 
-// zoneSilence counts a zone's machines that have reported at some time.
-type zoneSilence struct {
-	total   int
-	silent  int // not heard of lately, here or by another node
-	unheard int // not heard lately by this node itself
+// zoneReachability counts a zone's machines that have reported at some time.
+type zoneReachability struct {
+	total       int
+	silent      int // not heard of lately, here or by another node
+	unreachable int // not heard lately by this node itself
 }
 
-// manySilent tells whether it is rather the network or a change of leaders than the machines. In
+// mostlySilent tells whether it is rather the network or a change of leaders than the machines. In
 // the leader's own zone it is the network only where nearly all are out of its reach: what cuts
 // zones apart takes none out of reach there, so the rest is dead, hangs or is cut off from
 // everybody. There it counts what this node itself hears. Were reports that others pass on to
 // count, the first of them would turn all that have yet to find another node into single
 // silent machines, to be released at once.
-func (z *zoneSilence) manySilent(ownZone bool) bool {
+func (z *zoneReachability) mostlySilent(ownZone bool) bool {
 	if ownZone {
-		return z.unheard > fewMachines && z.unheard*4 > 3*z.total
+		return z.unreachable > maxSingleFailures && z.unreachable*4 > 3*z.total
 	}
-	return z.silent > fewMachines && z.silent*4 > z.total
+	return z.silent > maxSingleFailures && z.silent*4 > z.total
 }
 
-// manyUnheard tells whether much of a zone is out of this node's reach, whoever keeps it.
-func (z *zoneSilence) manyUnheard() bool { return z.unheard > fewMachines && z.unheard*4 > z.total }
+// mostlyUnreachable tells whether much of a zone is out of this node's reach, whoever keeps it.
+func (z *zoneReachability) mostlyUnreachable() bool {
+	return z.unreachable > maxSingleFailures && z.unreachable*4 > z.total
+}
 
-// fewMachines of a zone that are silent at once are taken for single ones, whatever share they are.
-const fewMachines = 3
+// maxSingleFailures of a zone that are silent at once are taken for single ones, whatever share they are.
+const maxSingleFailures = 3
 
-// watchZones finds the zones much of which is silent or out of this node's reach.
-func (l *leader) watchZones() {
-	now := l.c.now.Steady
-	zones := l.zoneSilences()
-	l.apart = nil
-	clear(l.cutZones)
+// checkZones finds the zones much of which is silent or out of this node's reach.
+func (l *leader) checkZones() {
+	now := l.core.now.Steady
+	zones := l.zoneReachability()
+	l.unreachableZones = nil
+	clear(l.silentZones)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		z := zones[zone]
-		if z.manyUnheard() {
-			l.apart = append(l.apart, zone)
+		if z.mostlyUnreachable() {
+			l.unreachableZones = append(l.unreachableZones, zone)
 		}
-		if !z.manySilent(zone == l.c.settings.Zone) {
+		if !z.mostlySilent(zone == l.core.settings.Zone) {
 			continue
 		}
-		l.cutZones[zone] = l.c.zoneIsolated(zone)
-		if l.cutZones[zone] {
-			l.outAt[zone] = now
+		l.silentZones[zone] = l.core.zoneIsolated(zone)
+		if l.silentZones[zone] {
+			l.zoneIsolatedAt[zone] = now
 		}
 	}
 }
 
-func (l *leader) zoneSilences() map[string]*zoneSilence {
-	zones := map[string]*zoneSilence{}
-	for _, m := range l.fleet {
-		if !m.up && !m.seenUp {
+func (l *leader) zoneReachability() map[string]*zoneReachability {
+	zones := map[string]*zoneReachability{}
+	for _, m := range l.machinesByName {
+		if !m.reported && !m.everReported {
 			continue
 		}
 		z := zones[m.zone]
 		if z == nil {
-			z = &zoneSilence{}
+			z = &zoneReachability{}
 			zones[m.zone] = z
 		}
 		z.total++
-		if l.quietSince(m, m.lastHeard()) {
+		if l.silentSince(m, m.lastHeardDirectlyOrRelayed()) {
 			z.silent++
 		}
-		if l.quietSince(m, max(m.heard, m.reached)) {
-			z.unheard++
+		if l.silentSince(m, max(m.lastHeartbeat, m.queryAnsweredAt)) {
+			z.unreachable++
 		}
 	}
 	return zones
 }
 
-// quietSince tells whether a machine has been silent since a moment a third of a lease ago.
-func (l *leader) quietSince(m *machine, at time.Duration) bool {
-	return l.c.now.Steady-at > l.c.pacer.Patience(l.c.times.lease/3, m.lastHold)
+// silentSince tells whether a machine has been silent since a moment a third of a lease ago.
+func (l *leader) silentSince(m *machine, at time.Duration) bool {
+	return l.core.now.Steady-at > l.core.pacer.Patience(l.core.times.lease/3, m.lastHoldTime)
 }
 
-// inspect asks a machine directly that has not reported here for a while: one that hangs,
+// queryStatus asks a machine directly that has not reported here for a while: one that hangs,
 // is dead or out of reach does not answer; one that has yet to find the leader does, and
 // shows what it has.
-func (l *leader) inspect(m *machine) {
-	now := l.c.now.Steady
-	if m.lastHeard() > m.inspectedAt {
-		m.unansweredInspections = 0
+func (l *leader) queryStatus(m *machine) {
+	now := l.core.now.Steady
+	if m.lastHeardDirectlyOrRelayed() > m.queriedAt {
+		m.unansweredQueries = 0
 	}
-	if !m.up && !m.seenUp || m.releasing || m.inspecting || m.addr == "" || l.inspecting >= l.c.maxStatusQueries() ||
-		now-max(m.heard, m.reached) < l.c.pacer.Patience(l.c.times.lease/4, m.lastHold) || now-m.inspectedAt < l.c.times.checkInterval {
+	if !m.reported && !m.everReported || m.releasing || m.queryInFlight || m.addr == "" || l.statusQueriesInFlight >= l.core.maxStatusQueries() ||
+		now-max(m.lastHeartbeat, m.queryAnsweredAt) < l.core.pacer.Patience(l.core.times.lease/4, m.lastHoldTime) || now-m.queriedAt < l.core.times.checkInterval {
 		return
 	}
-	m.inspecting, m.inspectedAt = true, now
-	l.inspecting++
+	m.queryInFlight, m.queriedAt = true, now
+	l.statusQueriesInFlight++
 	id := l.call(func(r Result) {
-		m.inspecting = false
-		l.inspecting--
+		m.queryInFlight = false
+		l.statusQueriesInFlight--
 		switch {
 		case r.Outcome == call.Dropped:
 			// It was not asked at all.
 		case r.Outcome != call.OK:
-			m.unansweredInspections++
+			m.unansweredQueries++
 		case r.Heartbeat.Machine == m.name:
-			m.reached = l.c.now.Steady
-			l.relayed(&r.Heartbeat, true)
+			m.queryAnsweredAt = l.core.now.Steady
+			l.reconcileIndirect(&r.Heartbeat, true)
 		}
 	})
-	l.c.emit(QueryWorker{CallID: id, Addr: m.addr})
+	l.core.emit(QueryWorker{CallID: id, Addr: m.addr})
 }
 
 // maxStatusQueries and mostOrders bound the sockets that questions to silent machines and
@@ -167,33 +169,33 @@
 func (c *Core) maxStatusQueries() int  { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 func (c *Core) maxDirectCommands() int { return max(4, c.settings.Params.Limits.MaxConnections/12) }
 
-// silentUntil tells until when a machine may be silent.
-func (l *leader) silentUntil(m *machine) time.Duration {
-	limit := time.Duration(float64(l.c.times.lease) * l.c.operator.SilentLeases)
-	lease := max(limit, l.c.times.lease)
-	due := m.lastHeard() + limit
-	out, many := l.cutZones[m.zone]
+// releaseDeadline tells until when a machine may be silent.
+func (l *leader) releaseDeadline(m *machine) time.Duration {
+	limit := time.Duration(float64(l.core.times.lease) * l.core.operator.SilentLeases)
+	lease := max(limit, l.core.times.lease)
+	due := m.lastHeardDirectlyOrRelayed() + limit
+	out, many := l.silentZones[m.zone]
 	switch {
 	case out:
 		// Its own nodes keep its workers alive; dead machines show in the cloud's list.
-		due = m.lastHeard() + time.Duration(float64(lease)*l.c.operator.CutLeases)
-	case many, m.zone != l.c.settings.Zone && slices.Contains(l.apart, m.zone), !m.up && m.unansweredInspections < 2:
+		due = m.lastHeardDirectlyOrRelayed() + time.Duration(float64(lease)*l.core.operator.CutLeases)
+	case many, m.zone != l.core.settings.Zone && slices.Contains(l.unreachableZones, m.zone), !m.reported && m.unansweredQueries < 2:
 		// Much of a zone is silent, or out of this node's reach and kept by others: its workers
 		// may be on their way to a node that keeps them, the last few as well. Or a worker has yet to find
 		// this leader. By then its tasks are gone with its lease, or it was heard of: who
 		// keeps it tells within half a heartbeat interval.
-		due = m.lastHeard() + lease*11/10
-	case m.unansweredInspections >= 2 && (m.relayedAt == 0 || l.c.now.Steady-m.relayedAt > 2*lease):
-		due = m.lastHeard() + limit*5/8
+		due = m.lastHeardDirectlyOrRelayed() + lease*11/10
+	case m.unansweredQueries >= 2 && (m.lastRelayed == 0 || l.core.now.Steady-m.lastRelayed > 2*lease):
+		due = m.lastHeardDirectlyOrRelayed() + limit*5/8
 	}
 	// Workers have to find their way back first: those of a zone that was cut off, and all
 	// after a time in which this leader could not answer.
-	due = max(due, l.idleAt+limit)
-	if !m.up {
+	due = max(due, l.lastWithoutAuthority+limit)
+	if !m.reported {
 		// What the last leader told of it may be a heartbeat interval old, and it has to find this one.
-		due = max(due, l.since+lease/2)
+		due = max(due, l.startedAt+lease/2)
 	}
-	if at, was := l.outAt[m.zone]; was {
+	if at, was := l.zoneIsolatedAt[m.zone]; was {
 		due = max(due, at+lease)
 	}
 	return due
@@ -202,18 +204,18 @@
 // drain stops what can save its progress on a machine that will be taken, and all on one
 // that is faulty.
 func (l *leader) drain(m *machine) {
-	for _, p := range m.sorted() {
+	for _, p := range m.placementsSnapshot() {
 		switch {
-		case p.stop != keep:
-		case p.phase < sent:
-			l.end(p)
+		case p.stop != stopNone:
+		case p.phase < phaseSent:
+			l.endPlacement(p)
 		case p.job.spec.CheckpointIntervalS > 0:
-			p.halt(stopSaving, stopDrain)
-		case m.faulty:
-			p.halt(stopNow, stopDrain)
+			p.requestStop(stopAfterCheckpoint, stopDrain)
+		case m.quarantined:
+			p.requestStop(stopImmediate, stopDrain)
 		}
 	}
-	if m.faulty && len(m.runs) == 0 {
-		l.rentals.release(m, releaseFaulty)
+	if m.quarantined && len(m.placements) == 0 {
+		l.provisioner.release(m, releaseFaulty)
 	}
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -18,26 +18,26 @@
 // moveReplicas makes the moves that are worth it.
 func (r *round) moveReplicas() {
 	l := r.l
-	s := l.c.operator.Spread
+	s := l.core.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
 		return
 	}
 	most := max(1, s.MovesPerHour/secondsAnHour*secondsOfMoves)
-	l.moves.budget.refill(l.c.now.Steady.Seconds(), s.MovesPerHour, most)
-	if l.moves.budget.left < 1 || !l.rentals.settled() {
+	l.rebalancing.budget.refill(l.core.now.Steady.Seconds(), s.MovesPerHour, most)
+	if l.rebalancing.budget.left < 1 || !l.provisioner.settled() {
 		return
 	}
 	services := l.servicesByModel()
-	for _, model := range l.replicas.All() {
-		if l.moves.budget.left < 1 || !r.budget() {
+	for _, model := range l.replicaLedger.All() {
+		if l.rebalancing.budget.left < 1 || !r.budget() {
 			return
 		}
 		if p := r.worthMoving(model, services[model]); p != nil {
-			l.moves.budget.left--
-			p.halt(stopNow, stopMoved)
-			p.machine.roomChanged = true
-			l.due = append(l.due, p.machine)
-			l.c.log(Info, "moving a replica", "task", p.name(), "machine", p.machine.name, "zone", p.machine.zone)
+			l.rebalancing.budget.left--
+			p.requestStop(stopImmediate, stopRebalanced)
+			p.machine.capacityChanged = true
+			l.pendingDispatch = append(l.pendingDispatch, p.machine)
+			l.core.log(Info, "moving a replica", "task", p.name(), "machine", p.machine.name, "zone", p.machine.zone)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 func (r *round) worthMoving(model spread.Model, services []*job) *placement {
 	l := r.l
 	for _, j := range services {
-		if !r.ready(j) || j.unplaced() > 0 || j.halted > 0 || slices.ContainsFunc(j.byTask(), func(p *placement) bool { return p.ranAt == 0 || p.stop != keep }) {
+		if !r.ready(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
 			return nil
 		}
 	}
@@ -54,8 +54,8 @@
 		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
 			continue // it has no choice, or its places are a rollout's matter just now
 		}
-		zone := l.replicas.Overfull(model, l.zonesFor(j))
-		for _, p := range j.byTask() {
+		zone := l.replicaLedger.Overfull(model, l.zonesFor(j))
+		for _, p := range j.placementsByTask() {
 			if zone != "" && p.machine.zone == zone && r.gains(j, p) {
 				return p
 			}
@@ -67,7 +67,7 @@
 // gains tells whether a replica would cost less elsewhere, its restart and the load of its weights included.
 func (r *round) gains(j *job, p *placement) bool {
 	l := r.l
-	j.drop(p)
+	j.removePlacement(p)
 	w, _ := r.weigherFor(j)
 	stay := w.tradeOn(p.machine).lossS
 	to := r.weigh(j, w)
@@ -76,12 +76,12 @@
 		there := w.tradeOn(to)
 		gain = stay - there.loadS - there.lossS
 	}
-	j.hold(p)
-	return gain > l.c.times.heartbeatInterval.Seconds()
+	j.addPlacement(p)
+	return gain > l.core.times.heartbeatInterval.Seconds()
 }
 
 // planOwns tells whether a job is one of a rollout's plan.
 func (l *leader) planOwns(id string) bool {
-	_, owned := l.c.cache.plans.byJob[id]
+	_, owned := l.core.cache.plans.byJob[id]
 	return owned
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -15,15 +15,15 @@
 	}
 	unknown := 0
 	if s.SpreadZones {
-		unknown = j.zones[""]
+		unknown = j.placementsByZone[""]
 	}
 	return func(zone string) bool {
-		here := j.zones[zone]
+		here := j.placementsByZone[zone]
 		if zone != "" {
 			here += unknown
 		}
 		switch {
-		case s.Zone != "" && s.Zone != zone, s.SingleZone && here < len(j.placed):
+		case s.Zone != "" && s.Zone != zone, s.SingleZone && here < len(j.placements):
 			return false
 		}
 		return !s.SpreadZones || here < (s.Tasks+1)/2
@@ -66,7 +66,7 @@
 // warmest finds the warmest machine for a job's next task, and of these the tightest.
 func (r *round) warmest(j *job) *machine {
 	allowed := j.groupRules()
-	h, found, looked := r.l.room.Tightest(capacity.Request[*host]{
+	h, found, looked := r.l.capacityIndex.Tightest(capacity.Request[*host]{
 		Need:  resource.OfTask(j.spec),
 		Image: j.spec.Image,
 		Penalty: func(g capacity.Group) (capacity.Warmth, bool) {
@@ -76,7 +76,7 @@
 			return 0, allowed(g)
 		},
 		Suits: func(h *host) (capacity.Warmth, bool) {
-			return h.m.warmth(j.spec.Image), !r.l.avoids(j, h.m)
+			return h.m.imageState(j.spec.Image), !r.l.avoids(j, h.m)
 		},
 	})
 	r.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
@@ -95,18 +95,18 @@
 func (r *round) place(j *job, task int, m *machine) *placement {
 	l := r.l
 	ch := l.chunkOf(j, task)
-	ch.next++
-	p := &placement{job: j, task: task, attempt: ch.next, machine: m, session: m.session, since: l.c.now.Steady, warmth: m.warmth(j.spec.Image)}
-	if !j.array() {
-		p.trade = r.explain(j, m)
+	ch.highestAttempt++
+	p := &placement{job: j, task: task, attempt: ch.highestAttempt, machine: m, incarnation: m.incarnation, placedAt: l.core.now.Steady, imageState: m.imageState(j.spec.Image)}
+	if !j.isArray() {
+		p.cost = r.explain(j, m)
 	}
-	j.hold(p)
-	m.touch(j.spec.Image, j.spec.ImageGB)
-	h := m.host
+	j.addPlacement(p)
+	m.addImage(j.spec.Image, j.spec.ImageGB)
+	h := m.schedulable
 	h.free.Take(resource.OfTask(j.spec))
 	h.soon.Take(resource.OfTask(j.spec))
 	l.updateHost(h)
-	r.evaluations -= changeLooks * (l.room.Height() - 1)
+	r.evaluations -= changeLooks * (l.capacityIndex.Height() - 1)
 	r.use.add(j, 1)
 	clear(r.unyielding)
 	r.placed++
@@ -116,12 +116,12 @@
 // unplace takes back the last placement of this very round. Its attempt was never
 // written, so its number is free again.
 func (r *round) unplace(p *placement) {
-	if ch := r.l.chunkOf(p.job, p.task); ch.next == p.attempt && !ch.inFlight && !ch.dirty {
-		ch.next--
+	if ch := r.l.chunkOf(p.job, p.task); ch.highestAttempt == p.attempt && !ch.inFlight && !ch.dirty {
+		ch.highestAttempt--
 	}
-	p.job.drop(p)
-	p.job.cursor = min(p.job.cursor, p.task)
-	h := p.machine.host
+	p.job.removePlacement(p)
+	p.job.nextUnplaced = min(p.job.nextUnplaced, p.task)
+	h := p.machine.schedulable
 	h.free.Give(resource.OfTask(p.job.spec))
 	h.soon.Give(resource.OfTask(p.job.spec))
 	r.l.updateHost(h)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -18,14 +18,14 @@
 // scanAllowed tells whether a job's next task may run on a machine, from where its tasks are.
 func scanAllowed(r *round, j *job, m *machine) bool {
 	s := j.spec
-	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.kind) || r.l.avoids(j, m) {
+	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || r.l.avoids(j, m) {
 		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
 	here := 0
-	for _, p := range j.placed {
+	for _, p := range j.placements {
 		switch {
 		case p.machine.zone == m.zone, s.SpreadZones && p.machine.zone == "":
 			here++
@@ -41,19 +41,19 @@
 	var best *host
 	bestCost, bestLeft := 0.0, 0.0
 	need := resource.OfTask(j.spec)
-	for _, m := range r.l.fleet {
-		h := m.host
+	for _, m := range r.l.machinesByName {
+		h := m.schedulable
 		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
 			continue
 		}
-		cost, left := w.cost(m.group(), m.warmth(j.spec.Image)), 1.0
+		cost, left := w.cost(m.group(), m.imageState(j.spec.Image)), 1.0
 		if w.Crowded(m.name) {
 			cost += w.Machine()
 		}
-		if m.mt.GPUs > 0 {
-			left = (h.free.GPUs - j.spec.GPUs) / m.mt.GPUs
-		} else if m.mt.CPUs > 0 {
-			left = (h.free.CPUs - j.spec.CPUs) / m.mt.CPUs
+		if m.machineType.GPUs > 0 {
+			left = (h.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+		} else if m.machineType.CPUs > 0 {
+			left = (h.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
 		if best == nil || cost < bestCost || cost == bestCost && left < bestLeft {
 			best, bestCost, bestLeft = h, cost, left
@@ -73,18 +73,18 @@
 	var best *host
 	bestScore := math.Inf(1)
 	need := resource.OfTask(j.spec)
-	for _, m := range r.l.fleet {
-		h := m.host
+	for _, m := range r.l.machinesByName {
+		h := m.schedulable
 		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
 			continue
 		}
 		left := 1.0
-		if m.mt.GPUs > 0 {
-			left = (h.free.GPUs - j.spec.GPUs) / m.mt.GPUs
-		} else if m.mt.CPUs > 0 {
-			left = (h.free.CPUs - j.spec.CPUs) / m.mt.CPUs
+		if m.machineType.GPUs > 0 {
+			left = (h.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+		} else if m.machineType.CPUs > 0 {
+			left = (h.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
-		score := left + 2*float64(m.warmth(j.spec.Image))
+		score := left + 2*float64(m.imageState(j.spec.Image))
 		if j.spec.Spot && !m.spot {
 			score += 4
 		}
@@ -101,16 +101,16 @@
 // scanCheapest finds the machine on which room costs the least by a look at each.
 func scanCheapest(r *round, j *job, victim func(*job, *placement) bool) *shrinkChoice {
 	var best *shrinkChoice
-	for _, m := range r.l.fleet {
-		if m.host == nil || !scanAllowed(r, j, m) {
+	for _, m := range r.l.machinesByName {
+		if m.schedulable == nil || !scanAllowed(r, j, m) {
 			continue
 		}
-		stops, ok := r.stopsFor(j, m.host, victim)
+		stops, ok := r.stopsFor(j, m.schedulable, victim)
 		if !ok {
 			continue
 		}
-		if cost := costOf(stops, m.host, j); best == nil || cost.Less(best.cost) {
-			best = &shrinkChoice{m.host, stops, cost}
+		if cost := costOf(stops, m.schedulable, j); best == nil || cost.Less(best.cost) {
+			best = &shrinkChoice{m.schedulable, stops, cost}
 		}
 	}
 	return best
@@ -134,8 +134,8 @@
 	c := New(set, "test")
 	c.now = Time{Steady: time.Hour, WallMS: 3_600_000}
 	l := newLeader(c, 1, 1)
-	l.loaded = true
-	l.layout = c.layout()
+	l.recovered = true
+	l.recordLayout = c.layout()
 	c.leader = l
 	f := &drawnFleet{T: t, l: l, types: []*wire.MachineType{
 		{Name: "g4", GPUs: 4, CPUs: 16, MemoryGB: 64, CacheGB: 8, FetchGBPerS: 0.2}, {Name: "g2", GPUs: 2, CPUs: 16, MemoryGB: 16, CacheGB: 8, FetchGBPerS: 0.5}, {Name: "c8", CPUs: 8, MemoryGB: 32, CacheGB: 8}}}
@@ -159,15 +159,15 @@
 
 func (f *drawnFleet) addMachine() {
 	f.made++
-	m := f.l.machine(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
+	m := f.l.machineNamed(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
 	m.setType(rapid.SampledFrom(f.types).Draw(f.T, "type"))
-	m.describe(m.mt.Name, rapid.SampledFrom(drawnZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
-	m.up, m.heard = true, f.l.c.now.Steady
+	m.setIdentity(m.machineType.Name, rapid.SampledFrom(drawnZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
+	m.reported, m.lastHeartbeat = true, f.l.core.now.Steady
 }
 
 func (f *drawnFleet) addJob() *job {
 	f.made++
-	if len(f.l.order) > 0 && f.chance("like another", 2) {
+	if len(f.l.queue) > 0 && f.chance("like another", 2) {
 		like := f.anyJob()
 		spec := *like.spec
 		spec.ID = fmt.Sprintf("run-%06d", f.made)
@@ -184,9 +184,9 @@
 	if f.chance("of a type", 5) {
 		spec.MachineTypes = []string{"g4", "c8"}
 	}
-	team := f.l.c.team(spec.Team)
+	team := f.l.core.team(spec.Team)
 	if team == nil && f.chance("of a team that there is", 2) {
-		team = f.l.c.team("guest")
+		team = f.l.core.team("guest")
 	}
 	return f.queue(spec, f.number("rank", 0, capacity.Ranks-1), team)
 }
@@ -198,19 +198,19 @@
 }
 
 func (f *drawnFleet) anyJob() *job {
-	return f.l.order[f.number("job", 0, len(f.l.order)-1)]
+	return f.l.queue[f.number("job", 0, len(f.l.queue)-1)]
 }
 
 func (f *drawnFleet) anyMachine() *machine {
-	return f.l.fleet[f.number("machine", 0, len(f.l.fleet)-1)]
+	return f.l.machinesByName[f.number("machine", 0, len(f.l.machinesByName)-1)]
 }
 
 func (f *drawnFleet) anyPlacement() *placement {
 	m := f.anyMachine()
-	if len(m.list) == 0 {
+	if len(m.placementsInOrder) == 0 {
 		return nil
 	}
-	return m.list[f.number("placement", 0, len(m.list)-1)]
+	return m.placementsInOrder[f.number("placement", 0, len(m.placementsInOrder)-1)]
 }
 
 // happens changes something between two rounds.
@@ -220,47 +220,47 @@
 	case 0:
 		f.addMachine()
 	case 1:
-		if len(l.fleet) > 1 {
+		if len(l.machinesByName) > 1 {
 			l.removeMachine(m, "gone")
 		}
 	case 2, 3, 4:
 		if p := f.anyPlacement(); p != nil {
-			l.end(p)
+			l.endPlacement(p)
 		}
 	case 5, 13, 14:
-		if p := f.anyPlacement(); p != nil && p.stop == keep {
-			p.phase = sent
-			p.halt(stopSaving, stopDrain)
+		if p := f.anyPlacement(); p != nil && p.stop == stopNone {
+			p.phase = phaseSent
+			p.requestStop(stopAfterCheckpoint, stopDrain)
 		}
 	case 6:
-		m.notice = !m.notice
+		m.reclaiming = !m.reclaiming
 	case 7:
-		m.heard -= time.Minute
+		m.lastHeartbeat -= time.Minute
 	case 8:
-		m.heard = l.c.now.Steady
+		m.lastHeartbeat = l.core.now.Steady
 	case 9:
-		m.describe(m.kind, rapid.SampledFrom(drawnZones).Draw(f.T, "its zone"), m.addr, f.chance("spot now", 3))
+		m.setIdentity(m.typeName, rapid.SampledFrom(drawnZones).Draw(f.T, "its zone"), m.addr, f.chance("spot now", 3))
 	case 10:
-		m.imageReady(rapid.SampledFrom([]string{"i1", "i2", "i3", "i4"}).Draw(f.T, "ready"))
+		m.markImageReady(rapid.SampledFrom([]string{"i1", "i2", "i3", "i4"}).Draw(f.T, "ready"))
 	case 11:
 		j := f.anyJob()
-		j.failed = map[string]bool{m.name: true}
+		j.failedOn = map[string]bool{m.name: true}
 		j.rankChanged()
 		j.rank = f.number("rank now", 0, capacity.Ranks-1)
 	case 17:
 		// Limits and guarantees fall and rise.
-		team := &l.c.settings.Params.Teams[f.number("team", 0, 2)]
+		team := &l.core.settings.Params.Teams[f.number("team", 0, 2)]
 		team.GuaranteedGPUs, team.MaxGPUs = float64(f.number("guarantee", 0, 12)), float64(f.number("limit", 0, 40))
 	case 18:
 		// The catalog has another size for the type, which the machine has from now on.
-		mt := *m.mt
+		mt := *m.machineType
 		mt.GPUs, mt.CPUs = float64(f.number("its gpus", 0, 6)), float64(f.number("its cpus", 1, 20))
 		m.setType(&mt)
 	case 19:
 		for i := range m.images {
 			m.images[i].ready, m.images[i].unknown = false, f.chance("unknown", 2)
 		}
-		m.roomChanged = true
+		m.capacityChanged = true
 	case 12, 15, 16:
 		f.report(m)
 	}
@@ -268,15 +268,15 @@
 
 // report has a machine report all that is on it, and perhaps a task that nobody knows of.
 func (f *drawnFleet) report(m *machine) {
-	r := &wire.Heartbeat{Machine: m.name, Incarnation: m.session}
-	for _, p := range m.list {
+	r := &wire.Heartbeat{Machine: m.name, Incarnation: m.incarnation}
+	for _, p := range m.placementsInOrder {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
 	}
 	if f.chance("stray", 2) {
 		stray := rapid.SampledFrom([]string{f.anyJob().id + "/5", "run-999999/0"}).Draw(f.T, "which")
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
 	}
-	f.l.evidence(m, r, false)
+	f.l.reconcileTasks(m, r, false)
 }
 
 // round compares what index and scan choose for some jobs, and does as they say.
@@ -284,8 +284,8 @@
 	l := f.l
 	r := &round{l: l, use: usage{}, evaluations: math.MaxInt32, full: map[resourceRequest]bool{}, unyielding: map[stopRequest]bool{}}
 	l.refreshHosts()
-	for _, j := range l.order {
-		r.use.add(j, len(j.placed))
+	for _, j := range l.queue {
+		r.use.add(j, len(j.placements))
 	}
 	l.findGuaranteed()
 	for range f.number("decisions", 1, 30) {
@@ -303,7 +303,7 @@
 			if f.chance("taken back", 5) {
 				r.unplace(p)
 			}
-		case j.array() && j.instances() >= j.minInstance():
+		case j.isArray() && j.activeInstances() >= j.minInstances():
 		default:
 			f.shrink(r, j)
 		}
@@ -358,7 +358,7 @@
 			for range f.number("events", 0, 12) {
 				f.happens()
 			}
-			if err := f.l.c.CheckRoom(); err != nil {
+			if err := f.l.core.CheckRoom(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -39,10 +39,10 @@
 		return
 	}
 	places := []ReplicaPlacement{}
-	for _, p := range j.byTask() {
-		t := p.trade
+	for _, p := range j.placementsByTask() {
+		t := p.cost
 		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
-			Chosen: p.sentSeq != inherited, Weighed: t.weighed, LoadS: t.loadS, LossS: t.lossS,
+			Chosen: p.startSequence != startSequenceUnknown, Weighed: t.weighed, LoadS: t.loadS, LossS: t.lossS,
 			Warmest: t.warmest, WarmestLoadS: t.warmestLoadS, AvoidedS: t.avoided})
 	}
 	c.respond(in.RequestID, 200, places)
--- a/internal/core/plan_holds.go
+++ b/internal/core/plan_holds.go
@@ -17,10 +17,10 @@
 // planHolds tells whether a job may not be started because of a plan.
 func (l *leader) planHolds(id string, spec *wire.Job) bool {
 	records := make([]*rollout.Record, 0, 2)
-	if stored := l.c.cache.plans.byName[l.c.cache.plans.byJob[id]]; stored != nil {
+	if stored := l.core.cache.plans.byName[l.core.cache.plans.byJob[id]]; stored != nil {
 		records = append(records, stored.record)
 	}
-	for _, applying := range l.plans.applying {
+	for _, applying := range l.rollouts.applying {
 		records = append(records, applying)
 	}
 	return slices.ContainsFunc(records, func(r *rollout.Record) bool {
@@ -39,7 +39,7 @@
 
 // holdAll brings up to date which jobs are held.
 func (l *leader) holdAll() {
-	if l.loaded {
+	if l.recovered {
 		l.holdJobs(slices.Sorted(maps.Keys(l.jobs)))
 	}
 }
@@ -48,18 +48,18 @@
 // no longer held into it. Its waits count from then.
 func (l *leader) holdJob(j *job) {
 	held := l.planHolds(j.id, j.spec)
-	if held == j.held {
+	if held == j.heldByRollout {
 		return
 	}
-	j.held = held
+	j.heldByRollout = held
 	if held {
-		if len(j.placed) == 0 {
+		if len(j.placements) == 0 {
 			l.dequeue(j)
 		}
 		return
 	}
-	if !j.waiting && !j.queued {
-		j.queuedAt = max(j.queuedAt, l.c.now.WallMS)
+	if !j.waitingForDependencies && !j.queued {
+		j.queuedMS = max(j.queuedMS, l.core.now.WallMS)
 		l.enqueue(j)
 	}
 	l.wantRound()
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -77,7 +77,7 @@
 		c.respond(req, 421, wire.Redirect{Leader: to})
 		return nil
 	}
-	if !l.loaded || !l.entitled() {
+	if !l.recovered || !l.hasAuthority() {
 		c.respondRetryLater(req, 503, notAvailable)
 		return nil
 	}
@@ -105,12 +105,12 @@
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case len(c.cache.plans.byName) >= c.operator.Rollouts.MostPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
-	case !c.election.leaseValid() || c.storeDown || len(l.plans.applying) > 0:
+	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.applying) > 0:
 		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	case !c.allPeersSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
 	case c.cache.termForm < rolloutsTermFormat:
-		l.guard.request(rolloutsTermFormat)
+		l.termUpgrade.request(rolloutsTermFormat)
 		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
@@ -123,7 +123,7 @@
 
 // checkPlan checks a plan against the teams and the jobs. Nothing is told of jobs of other teams.
 func (l *leader) checkPlan(plan *rollout.Plan) error {
-	c := l.c
+	c := l.core
 	team := c.team(plan.Team)
 	if team == nil {
 		return &rollout.FieldError{Field: "/team", Problem: "there is no such team"}
@@ -145,7 +145,7 @@
 		switch {
 		case !l.freeForPlan(plan, id) || ended || e.cancelled():
 			return &rollout.FieldError{Field: field, Problem: "is no service of this team that a plan may have"}
-		case j != nil && (len(j.placed) > 0 || len(j.chunks) > 0):
+		case j != nil && (len(j.placements) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
 		case e != nil:
 			cpus, gpus = cpus+float64(e.Spec.Tasks)*e.Spec.CPUs, gpus+float64(e.Spec.Tasks)*e.Spec.GPUs
@@ -164,16 +164,16 @@
 // freeForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
 // the team.
 func (l *leader) freeForPlan(plan *rollout.Plan, id string) bool {
-	if _, taken := l.c.cache.plans.byJob[id]; taken {
+	if _, taken := l.core.cache.plans.byJob[id]; taken {
 		return false
 	}
-	e := l.c.cache.jobs[id]
+	e := l.core.cache.jobs[id]
 	return e == nil || planMayOwn(plan, e.Spec)
 }
 
 // commitNewPlan writes a plan. Its new jobs are held from here on, and let go again if it turns out not to be written.
 func (l *leader) commitNewPlan(in ApplyPlan) {
-	c := l.c
+	c := l.core
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
 	value, err := json.Marshal(record)
 	if err != nil || len(value) > c.maxValueBytes() {
@@ -181,9 +181,9 @@
 		return
 	}
 	name := in.Plan.Name
-	l.plans.applying[name] = record
+	l.rollouts.applying[name] = record
 	l.holdJobs(in.Plan.New.Jobs)
-	l.writes.tokens--
+	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		switch {
 		case r.Outcome == call.OK:
@@ -207,13 +207,13 @@
 
 // newPlanTxn writes a plan on the condition that its jobs are as they were seen.
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
-	txn := l.keyTxn(planPrefix+plan.Name, 0, wire.Op{Put: planPrefix + plan.Name, Value: value})
+	txn := l.conditionalTxn(planPrefix+plan.Name, 0, wire.Op{Put: planPrefix + plan.Name, Value: value})
 	for _, id := range plan.Jobs() {
 		cond := wire.Condition{Key: finalStatePrefix + id}
-		if e := l.c.cache.jobs[id]; e != nil {
+		if e := l.core.cache.jobs[id]; e != nil {
 			cond = wire.Condition{Key: activeJobPrefix + id, Version: e.version}
 		}
-		if len(txn.If) < l.c.limits.maxConditions() {
+		if len(txn.If) < l.core.limits.maxConditions() {
 			txn.If = append(txn.If, cond)
 		}
 	}
@@ -222,14 +222,14 @@
 
 // planApplied ends the time in which a plan holds its jobs without being known to be written.
 func (l *leader) planApplied(plan *rollout.Plan) {
-	delete(l.plans.applying, plan.Name)
+	delete(l.rollouts.applying, plan.Name)
 	l.holdJobs(plan.New.Jobs)
 }
 
 // findPlan finds out whether a plan was written. Until then it holds its jobs: its write may come late. A read that
 // shows nothing does not end that, so the leader makes way for one whose term the late write can't pass.
 func (l *leader) findPlan(plan *rollout.Plan) {
-	c := l.c
+	c := l.core
 	id := l.stateCall(func(r Result) {
 		if r.Outcome == call.OK {
 			c.applyPlanKey(planPrefix+plan.Name, r.Item.Value, r.Item.Version)
@@ -247,7 +247,7 @@
 	if l == nil {
 		return
 	}
-	stored, run := c.cache.plans.byName[in.Name], l.plans.runs[in.Name]
+	stored, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
 	switch {
 	case stored == nil:
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
@@ -257,13 +257,13 @@
 		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
 		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
-		l.plans.at = c.now.Steady
+		l.rollouts.at = c.now.Steady
 	}
 }
 
 // commitChange commits the first change that waits.
 func (l *leader) commitChange(run *planRun, stored *cachedPlan) {
-	c, x := l.c, run.changes[0]
+	c, x := l.core, run.changes[0]
 	run.changes = run.changes[1:]
 	next, err := stored.record.Change(x.change, c.now.WallMS)
 	switch {
@@ -297,7 +297,7 @@
 
 // planStatus gives how a plan stands.
 func (l *leader) planStatus(name string) PlanStatus {
-	stored, run := l.c.cache.plans.byName[name], l.plans.runs[name]
+	stored, run := l.core.cache.plans.byName[name], l.rollouts.runs[name]
 	status := PlanStatus{Record: stored.record}
 	if stored.problem != nil {
 		status.Problem = stored.problem.Error()
@@ -308,7 +308,7 @@
 	}
 	o := l.observe(run, stored.record)
 	status.Reconciled, status.Capacity, status.Routing = run.settled, stored.record.Plan.CapacityOf(o), run.routing
-	status.Replicas = run.proofs.States(l.c.now.Steady)
-	status.Routers = run.routers.Present(nil, l.c.routingHoldTime(), l.c.now.Steady)
+	status.Replicas = run.proofs.States(l.core.now.Steady)
+	status.Routers = run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
 }
--- a/internal/core/plan_routers.go
+++ b/internal/core/plan_routers.go
@@ -32,7 +32,7 @@
 	if l == nil {
 		return
 	}
-	stored, run := c.cache.plans.byName[in.Name], l.plans.runs[in.Name]
+	stored, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case stored == nil:
@@ -45,7 +45,7 @@
 		c.respondRetryLater(in.RequestID, 503, notAvailable)
 	default:
 		run.joins = append(run.joins, join)
-		l.plans.at = c.now.Steady
+		l.rollouts.at = c.now.Steady
 	}
 }
 
@@ -73,7 +73,7 @@
 
 // grantRouting answers a router whose name is recorded.
 func (l *leader) grantRouting(run *planRun, join routerJoin) {
-	c := l.c
+	c := l.core
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
 		c.respondRetryLater(join.req, 429, tooManyRouters)
 		return
@@ -91,8 +91,8 @@
 	l.commitPlan(run, stored, next, func(r Result) {
 		joined := run.joining
 		run.joining = nil
-		if r.Outcome != call.OK || !l.entitled() {
-			l.c.refuseJoins(joined)
+		if r.Outcome != call.OK || !l.hasAuthority() {
+			l.core.refuseJoins(joined)
 			return
 		}
 		for _, join := range joined {
@@ -117,7 +117,7 @@
 			return next
 		}
 		last := len(run.joins) - 1
-		l.c.respondRetryLater(run.joins[last].req, 429, tooManyRouters)
+		l.core.respondRetryLater(run.joins[last].req, 429, tooManyRouters)
 		run.joins = run.joins[:last]
 	}
 	return nil
@@ -126,8 +126,8 @@
 // holdsRouters tells whether a record has no more routers than are allowed, and leaves room for later transitions.
 func (l *leader) holdsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
-	most := l.c.maxValueBytes()
-	return err == nil && len(r.Routers) <= l.c.operator.Rollouts.MostRouters && len(value) <= most-most/recordReserve
+	most := l.core.maxValueBytes()
+	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MostRouters && len(value) <= most-most/recordReserve
 }
 
 // refuseJoins tells routers to come back: their names can't be recorded now.
@@ -139,7 +139,7 @@
 
 // takeRoutersIn adds to an observation what is known of the routers.
 func (l *leader) takeRoutersIn(run *planRun, r *rollout.Record, o *rollout.Observation) {
-	now, generation := l.c.now.Steady, run.routing.Generation
+	now, generation := l.core.now.Steady, run.routing.Generation
 	gone := config.Seconds(r.Plan.Limits.RouterGoneS)
 	if !run.settled {
 		return
--- a/internal/core/plan_runs.go
+++ b/internal/core/plan_runs.go
@@ -50,7 +50,7 @@
 }
 
 func newPlanRuns(l *leader) *planRuns {
-	return &planRuns{l: l, at: l.c.now.Steady, runs: map[string]*planRun{}, applying: map[string]*rollout.Record{}}
+	return &planRuns{l: l, at: l.core.now.Steady, runs: map[string]*planRun{}, applying: map[string]*rollout.Record{}}
 }
 
 // The times of rollouts, from the operators' settings.
@@ -70,7 +70,7 @@
 
 // run looks after all plans.
 func (t *planRuns) run() {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	if len(c.cache.plans.byName) == 0 && len(t.runs) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
 func (t *planRuns) begin(name string, stored *cachedPlan) *planRun {
-	c := t.l.c
+	c := t.l.core
 	run := &planRun{name: name, since: c.now.Steady, proofs: rollout.NewProofs(c.probeInterval()),
 		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MostRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.l.term}}, dropped: map[string]bool{}}
@@ -113,7 +113,7 @@
 func (t *planRuns) end(run *planRun) {
 	delete(t.runs, run.name)
 	for _, req := range run.waiting() {
-		t.l.c.respond(req, 404, wire.ErrorBody{Error: noSuchPlan})
+		t.l.core.respond(req, 404, wire.ErrorBody{Error: noSuchPlan})
 	}
 }
 
@@ -133,14 +133,14 @@
 func (t *planRuns) refuseWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
 		for _, req := range t.runs[name].waiting() {
-			t.l.c.respondRetryLater(req, 503, notAvailable)
+			t.l.core.respondRetryLater(req, 503, notAvailable)
 		}
 	}
 }
 
 // planChanged brings up to date which jobs are held after a plan has changed.
 func (l *leader) planChanged(before, after *cachedPlan) {
-	if !l.loaded {
+	if !l.recovered {
 		return
 	}
 	for _, stored := range []*cachedPlan{before, after} {
@@ -152,7 +152,7 @@
 
 // carryOutPlan does what a plan is due to do.
 func (l *leader) carryOutPlan(run *planRun, stored *cachedPlan) {
-	c, r := l.c, stored.record
+	c, r := l.core, stored.record
 	replicas := l.replicasOf(&r.Plan)
 	run.proofs.Track(replicas)
 	run.settle(l, &r.Plan)
@@ -161,13 +161,13 @@
 	}
 	l.probe(run, r) // of an ended plan too: routers go by it until it is removed
 	o := l.observe(run, r)
-	if run.mayRoute(r, o) && l.entitled() {
+	if run.mayRoute(r, o) && l.hasAuthority() {
 		run.route(c, r, o)
 		l.takeRoutersIn(run, r, o)
 	}
 	for _, id := range r.Cancels(o) {
 		if j := l.jobs[id]; j != nil && !j.cancelled {
-			l.writes.cancel(j)
+			l.writer.queueCancel(j)
 		}
 	}
 	if c.storeDown || !c.election.leaseValid() {
@@ -195,24 +195,24 @@
 // settle notes when this leader has heard of all machines with tasks of the plan and has asked all replicas. A worker
 // that has not found it within a lease has lost its tasks.
 func (run *planRun) settle(l *leader, plan *rollout.Plan) {
-	c := l.c
+	c := l.core
 	if run.settled {
 		return
 	}
 	late := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
-	heard := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.heardOfAll(plan)
+	heard := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
 	run.settled = c.now.Steady >= late || heard && run.proofs.AllAnswered()
 }
 
-// heardOfAll tells whether each machine with a task of a plan has reported in this term.
-func (l *leader) heardOfAll(plan *rollout.Plan) bool {
+// allPlanMachinesReported tells whether each machine with a task of a plan has reported in this term.
+func (l *leader) allPlanMachinesReported(plan *rollout.Plan) bool {
 	for _, id := range plan.Jobs() {
 		j := l.jobs[id]
 		if j == nil {
 			continue
 		}
-		for _, p := range j.placed {
-			if !p.machine.up {
+		for _, p := range j.placements {
+			if !p.machine.reported {
 				return false
 			}
 		}
@@ -229,9 +229,9 @@
 			if j == nil || j.cancelled || !planMayOwn(plan, j.spec) {
 				continue
 			}
-			for _, p := range j.byTask() {
-				address, ok := l.c.modelAddress(p.machine.addr)
-				if p.state == wire.TaskRunning && p.stop == keep && ok {
+			for _, p := range j.placementsByTask() {
+				address, ok := l.core.modelAddress(p.machine.addr)
+				if p.state == wire.TaskRunning && p.stop == stopNone && ok {
 					replicas = append(replicas, rollout.Replica{Job: id, Task: p.name(), Attempt: p.attempt, Address: address, Version: version})
 				}
 			}
@@ -253,7 +253,7 @@
 
 // observe gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
 func (l *leader) observe(run *planRun, r *rollout.Record) *rollout.Observation {
-	c := l.c
+	c := l.core
 	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Settled: run.settled,
 		Jobs: map[string]rollout.Job{}, ProvedAnew: run.proofs.NewProvedSince(run.phaseAt, c.now.Steady), Wrong: run.proofs.Wrong(), NewServes: true, RoutersMissing: true}
 	for _, id := range r.Plan.Old.Jobs {
@@ -276,9 +276,9 @@
 // observeJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
 // over.
 func (l *leader) observeJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
-	e := l.c.cache.jobs[id]
+	e := l.core.cache.jobs[id]
 	if e == nil {
-		_, ended := l.c.cache.finals[id]
+		_, ended := l.core.cache.finals[id]
 		over := wasAccepted || ended
 		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
 	}
@@ -313,8 +313,8 @@
 
 // probe asks the replicas whose time it is.
 func (l *leader) probe(run *planRun, record *rollout.Record) {
-	t := l.plans
-	for _, probe := range run.proofs.Due(l.c.now.Steady, l.c.maxReplicaProbes()-t.probing) {
+	t := l.rollouts
+	for _, probe := range run.proofs.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probing) {
 		t.probing++
 		id := l.call(func(r Result) {
 			t.probing--
@@ -322,35 +322,35 @@
 				run.proofs.Missed(probe.Replica)
 				return
 			}
-			run.proofs.Take(probe.Replica, r.Probe, l.c.now.Steady)
+			run.proofs.Take(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Right {
-				l.c.log(Debug, "replica not proved", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
+				l.core.log(Debug, "replica not proved", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
 			}
 		})
-		effect := ProbeReplica{CallID: id, Probe: probe, Timeout: l.c.probeTimeout()}
+		effect := ProbeReplica{CallID: id, Probe: probe, Timeout: l.core.probeTimeout()}
 		if probe.Replica.Version == rollout.NewVersion {
 			effect.Checks = record.Checks()
 		}
-		l.c.emit(effect)
+		l.core.emit(effect)
 	}
 }
 
-// keyTxn is a change of a key, conditional on the term and on the key's version.
-func (l *leader) keyTxn(key string, version uint64, op wire.Op) wire.Txn {
-	return wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}, {Key: key, Version: version}}, Then: []wire.Op{op}}
+// conditionalTxn is a change of a key, conditional on the term and on the key's version.
+func (l *leader) conditionalTxn(key string, version uint64, op wire.Op) wire.Txn {
+	return wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}, {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
 func (l *leader) commitPlan(run *planRun, stored *cachedPlan, next *rollout.Record, then func(Result)) {
-	c := l.c
+	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	run.writing = true
 	run.noteDropped(stored.record, next)
-	l.writes.tokens--
+	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writing = false
 		l.planWritten(run, r, value)
@@ -359,7 +359,7 @@
 		}
 		then(r)
 	})
-	c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(planPrefix+run.name, stored.version, wire.Op{Put: planPrefix + run.name, Value: value})})
+	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(planPrefix+run.name, stored.version, wire.Op{Put: planPrefix + run.name, Value: value})})
 }
 
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
@@ -375,15 +375,15 @@
 // logPlan logs a transition that was committed, with what the plan could serve then.
 func (l *leader) logPlan(run *planRun, record *rollout.Record) {
 	capacity := record.Plan.CapacityOf(l.observe(run, record))
-	l.c.log(Info, "rollout", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
+	l.core.log(Info, "rollout", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
-		"routers", len(run.routers.Present(nil, l.c.routingHoldTime(), l.c.now.Steady)))
+		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
 // planWritten takes what became of a write of a plan; value is nil if it was removed.
 func (l *leader) planWritten(run *planRun, r Result, value json.RawMessage) {
-	c := l.c
+	c := l.core
 	switch {
 	case r.Outcome == call.OK:
 		c.applyPlanKey(planPrefix+run.name, value, r.Txn.Revision)
@@ -400,7 +400,7 @@
 
 // rereadPlan finds out how a plan stands.
 func (l *leader) rereadPlan(run *planRun) {
-	c := l.c
+	c := l.core
 	run.writing = true
 	id := l.stateCall(func(r Result) {
 		run.writing = false
@@ -415,12 +415,12 @@
 // removePlan forgets a plan that has ended a while ago.
 func (l *leader) removePlan(run *planRun, stored *cachedPlan) {
 	run.writing = true
-	l.writes.tokens--
+	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writing = false
 		l.planWritten(run, r, nil)
 	})
-	l.c.emit(StoreTxn{CallID: id, Txn: l.keyTxn(planPrefix+run.name, stored.version, wire.Op{Delete: planPrefix + run.name})})
+	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(planPrefix+run.name, stored.version, wire.Op{Delete: planPrefix + run.name})})
 }
 
 // applyPlanKey takes a plan's key as it was read, written or heard of.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -42,20 +42,20 @@
 func (r *round) makeRoom(j *job, c *shrinkChoice) {
 	h := c.host
 	for _, p := range c.stops {
-		p.halt(r.haste(j, p), stopShrunk)
-		r.l.due = append(r.l.due, p.machine)
-		if p.phase < sent {
-			r.l.end(p)
+		p.requestStop(r.haste(j, p), stopPreempted)
+		r.l.pendingDispatch = append(r.l.pendingDispatch, p.machine)
+		if p.phase < phaseSent {
+			r.l.endPlacement(p)
 			h.free.Give(resource.OfTask(p.job.spec))
 			r.roomGrew()
 		}
 		h.soon.Give(resource.OfTask(p.job.spec))
-		r.l.c.log(Debug, "shrunk", "task", p.name(), "for", j.id)
+		r.l.core.log(Debug, "shrunk", "task", p.name(), "for", j.id)
 	}
 	h.soon.Take(resource.OfTask(j.spec))
 	// What is free there now is for this job too, as far as it needs it.
 	h.free = h.free.Within(h.soon)
-	h.m.roomChanged = true // what is held back is so for this round only
+	h.m.capacityChanged = true // what is held back is so for this round only
 	r.l.updateHost(h)
 }
 
@@ -73,7 +73,7 @@
 		// Few jobs can be shrunk: the machines of their tasks are all that there is, beside those where room
 		// will be free anyway.
 		for _, victim := range rule.among {
-			for _, p := range victim.placed {
+			for _, p := range victim.placements {
 				s.consider(p.machine)
 			}
 		}
@@ -97,7 +97,7 @@
 
 // walk looks through all machines that may be better than the best so far, if work below a rank can be stopped.
 func (s *shrinkSearch) walk(below int) {
-	looked := s.round.l.room.Walk(s.allowed, func(b *capacity.Bounds) bool {
+	looked := s.round.l.capacityIndex.Walk(s.allowed, func(b *capacity.Bounds) bool {
 		least, possible := b.LeastCost(s.need, below, s.image)
 		return !possible || !s.better(least, b.First)
 	}, s.evaluate)
@@ -115,8 +115,8 @@
 // consider evaluates a machine if a task of the job may run there.
 func (s *shrinkSearch) consider(m *machine) {
 	s.round.evaluations--
-	if m.host != nil && s.allowed(m.group()) {
-		s.evaluate(m.host)
+	if m.schedulable != nil && s.allowed(m.group()) {
+		s.evaluate(m.schedulable)
 	}
 }
 
@@ -137,19 +137,19 @@
 // haste tells how a placement is stopped for a job. A service waits for each of its replicas, and
 // idle-time work, which loses at most what it did since its last checkpoint, does not
 // make it wait for one more.
-func (r *round) haste(j *job, p *placement) stopKind {
-	if p.job.idleTime() && !j.array() {
-		return stopNow
+func (r *round) haste(j *job, p *placement) stopMode {
+	if p.job.isIdlePriority() && !j.isArray() {
+		return stopImmediate
 	}
-	return stopSaving
+	return stopAfterCheckpoint
 }
 
 // costOf gives what it costs to make room on a machine: work that is stopped, but for idle-time
 // work; then how long the image takes; then all that is stopped.
 func costOf(stops []*placement, h *host, j *job) capacity.Cost {
-	cost := capacity.Cost{Warmth: h.m.warmth(j.spec.Image)}
+	cost := capacity.Cost{Warmth: h.m.imageState(j.spec.Image)}
 	for _, p := range stops {
-		if p.job.idleTime() {
+		if p.job.isIdlePriority() {
 			cost.IdleStops++
 		} else {
 			cost.Stops++
@@ -167,12 +167,12 @@
 	}
 	// Mostly all that could stop there would not be enough; that is seen first.
 	most := soon
-	for _, p := range h.m.list {
+	for _, p := range h.m.placementsInOrder {
 		if victim(j, p) {
 			most.Give(resource.OfTask(p.job.spec))
 		}
 	}
-	r.evaluations -= len(h.m.list) / 4
+	r.evaluations -= len(h.m.placementsInOrder) / 4
 	if !most.Holds(resource.OfTask(j.spec)) {
 		return nil, false
 	}
@@ -182,11 +182,11 @@
 	}
 	var vs []scoredVictim
 	left := map[*job]int{}
-	for _, p := range h.m.list {
+	for _, p := range h.m.placementsInOrder {
 		if victim(j, p) {
-			n := p.job.instances()
-			vs = append(vs, scoredVictim{p, score(n, p.job.minInstance(), p.job.maxInstance())})
-			left[p.job] = n - p.job.minInstance()
+			n := p.job.activeInstances()
+			vs = append(vs, scoredVictim{p, score(n, p.job.minInstances(), p.job.maxInstances())})
+			left[p.job] = n - p.job.minInstances()
 		}
 	}
 	r.evaluations -= 4 * len(vs)
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -38,7 +38,7 @@
 
 // runPrefetches notes which images are there, and asks for those that are missing.
 func (l *leader) runPrefetches() {
-	c, p := l.c, &l.prefetches
+	c, p := l.core, &l.prefetches
 	perHour := c.operator.Spread.PrefetchGBPerHour
 	if !c.operator.Spread.Enabled || perHour <= 0 || p.refused {
 		return
@@ -55,7 +55,7 @@
 	}
 	p.budget.refill(now, perHour, perHour)
 	services := l.servicesByModel()
-	for _, model := range l.replicas.All() {
+	for _, model := range l.replicaLedger.All() {
 		if i := slices.IndexFunc(services[model], func(j *job) bool { return !j.cancelled }); i >= 0 {
 			l.prefetchModel(services[model][i])
 		}
@@ -66,12 +66,12 @@
 func (l *leader) takeArrivals() {
 	keep := l.prefetches.arrive[:0]
 	for _, a := range l.prefetches.arrive {
-		if l.c.now.Steady < a.at {
+		if l.core.now.Steady < a.at {
 			keep = append(keep, a)
 			continue
 		}
 		if m := l.machines[a.machine]; m != nil {
-			m.imageReady(a.image)
+			m.markImageReady(a.image)
 		}
 	}
 	l.prefetches.arrive = keep
@@ -81,7 +81,7 @@
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
 	for _, zone := range l.zonesFor(j) {
-		if j.spec.ImageGB > p.budget.left || p.asking >= l.c.maxReplicaProbes() {
+		if j.spec.ImageGB > p.budget.left || p.asking >= l.core.maxReplicaProbes() {
 			return
 		}
 		if m := l.copyPlace(j, zone); m != nil {
@@ -96,21 +96,21 @@
 func (l *leader) copyPlace(j *job, zone string) *machine {
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.Warmth, bool) { return 0, g.Zone == zone && allowed(g) }
-	_, copied, _ := l.room.Tightest(capacity.Request[*host]{Image: j.spec.Image, Penalty: within,
+	_, copied, _ := l.capacityIndex.Tightest(capacity.Request[*host]{Image: j.spec.Image, Penalty: within,
 		Suits: func(h *host) (capacity.Warmth, bool) {
-			w := h.m.warmth(j.spec.Image)
+			w := h.m.imageState(j.spec.Image)
 			return w, w <= capacity.Fetching
 		}})
 	if copied {
 		return nil
 	}
-	h, found, _ := l.room.Tightest(capacity.Request[*host]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
+	h, found, _ := l.capacityIndex.Tightest(capacity.Request[*host]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
 		Suits: func(h *host) (capacity.Warmth, bool) {
 			sum := j.spec.ImageGB
 			for i := range h.m.images {
 				sum += h.m.images[i].gb
 			}
-			return capacity.Cold, h.m.warmth(j.spec.Image) == capacity.Cold && sum <= h.m.mt.CacheGB && h.m.addr != ""
+			return capacity.Cold, h.m.imageState(j.spec.Image) == capacity.Cold && sum <= h.m.machineType.CacheGB && h.m.addr != ""
 		}})
 	if !found {
 		return nil
@@ -121,24 +121,24 @@
 // prefetch asks a machine for an image. Until it is there the machine counts as fetching it.
 func (l *leader) prefetch(j *job, m *machine) {
 	p, image := &l.prefetches, j.spec.Image
-	m.touch(image, j.spec.ImageGB)
+	m.addImage(image, j.spec.ImageGB)
 	p.asking++
 	id := l.call(func(r Result) {
 		p.asking--
 		switch r.Outcome {
 		case call.OK:
-			p.arrive = append(p.arrive, arrival{m.name, image, l.c.now.Steady + config.Seconds(r.ReadyS)})
+			p.arrive = append(p.arrive, arrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
 		case call.Missing:
 			if !p.refused {
-				l.c.log(Error, "workers don't know the request to fetch an image ahead", "machine", m.name)
+				l.core.log(Error, "workers don't know the request to fetch an image ahead", "machine", m.name)
 			}
 			p.refused = true
-			m.takeImage(image)
-			m.roomChanged = true
+			m.removeImage(image)
+			m.capacityChanged = true
 		default:
-			m.takeImage(image)
-			m.roomChanged = true
+			m.removeImage(image)
+			m.capacityChanged = true
 		}
 	})
-	l.c.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
+	l.core.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
 }
--- a/internal/core/production_format_test.go
+++ b/internal/core/production_format_test.go
@@ -152,13 +152,13 @@
 		}
 		reports = append(reports, encoded(t, r, nil))
 	}
-	for _, packer := range []*relayPacker{{most: 16 << 10}, {most: 1800, compressed: true}} {
+	for _, packer := range []*relayPacker{{maxBytes: 16 << 10}, {maxBytes: 1800, compressed: true}} {
 		if tooLarge := packer.pack(reports); tooLarge != 0 {
-			t.Errorf("%d reports fit into no value of %d bytes", tooLarge, packer.most)
+			t.Errorf("%d reports fit into no value of %d bytes", tooLarge, packer.maxBytes)
 		}
 		n := 0
 		for _, value := range packer.values {
-			if len(value) > packer.most {
+			if len(value) > packer.maxBytes {
 				t.Errorf("a value of %d bytes", len(value))
 			}
 			for _, r := range decodeRelayed(value) {
@@ -171,7 +171,7 @@
 			t.Errorf("%d of %d reports are read back", n, machines)
 		}
 	}
-	small := &relayPacker{most: 1800}
+	small := &relayPacker{maxBytes: 1800}
 	if tooLarge := small.pack(reports); tooLarge != machines {
 		t.Errorf("%d reports of %d are too large", tooLarge, machines)
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -33,27 +33,27 @@
 
 // plan rents and returns machines after a round.
 func (l *leader) plan(r *round) {
-	t := &l.rentals
+	t := &l.provisioner
 	if !t.settled() {
 		return
 	}
-	now := l.c.now.Steady
+	now := l.core.now.Steady
 	t.unask()
 	p := &planner{r: r, t: t, count: map[capacity.Group]int{}, zones: map[*job]map[string]int{}}
-	for _, m := range l.fleet {
-		if m.mt == nil || m.releasing {
+	for _, m := range l.machinesByName {
+		if m.machineType == nil || m.releasing {
 			continue
 		}
 		o := m.group()
 		p.count[o]++
 		// A machine overdue may never come; what it should have taken is not
 		// left waiting for it.
-		if !m.up && !m.seenUp && now-m.rentedAt < config.Seconds(1.5*m.mt.BootS) {
-			p.bins = append(p.bins, &bin{Group: o, mt: m.mt, room: resource.OfMachine(m.mt)})
+		if !m.reported && !m.everReported && now-m.requestedAt < config.Seconds(1.5*m.machineType.BootS) {
+			p.bins = append(p.bins, &bin{Group: o, mt: m.machineType, room: resource.OfMachine(m.machineType)})
 		}
 	}
 	for _, q := range t.requests {
-		mt := l.c.machineType(q.Type)
+		mt := l.core.machineType(q.Type)
 		for i := 0; mt != nil && i < q.count; i++ {
 			p.count[q.Group]++
 			p.bins = append(p.bins, &bin{Group: q.Group, mt: mt, room: resource.OfMachine(mt)})
@@ -68,8 +68,8 @@
 			}
 		}
 	}
-	for _, j := range l.order {
-		if j.array() && r.ready(j) {
+	for _, j := range l.queue {
+		if j.isArray() && r.ready(j) {
 			p.array(j, j.unplaced()-counted[j])
 		}
 	}
@@ -103,7 +103,7 @@
 func (p *planner) zonesOf(j *job) map[string]int {
 	z := p.zones[j]
 	if z == nil {
-		z = maps.Clone(j.zones)
+		z = maps.Clone(j.placementsByZone)
 		p.zones[j] = z
 	}
 	return z
@@ -128,14 +128,14 @@
 // zone with the fewest machines of that kind.
 func (p *planner) open(j *job, spot bool) *bin {
 	l := p.r.l
-	if l.c.overloaded() {
+	if l.core.overloaded() {
 		return nil // more machines would report than this node can answer
 	}
 	var best capacity.Group
 	var bestType *wire.MachineType
 	bestCost, bestCount := math.Inf(1), 0
-	for i := range l.c.catalog {
-		mt := &l.c.catalog[i]
+	for i := range l.core.catalog {
+		mt := &l.core.catalog[i]
 		if !resource.OfMachine(mt).Holds(resource.OfTask(j.spec)) {
 			continue
 		}
@@ -146,7 +146,7 @@
 		cost /= max(1, mt.GPUs)
 		for _, z := range mt.Zones {
 			o := capacity.Group{Type: mt.Name, Zone: z, Spot: spot}
-			if _, cut := l.cutZones[z]; cut || l.c.now.Steady < p.t.exhausted[o] || !p.suits(j, o) {
+			if _, cut := l.silentZones[z]; cut || l.core.now.Steady < p.t.exhausted[o] || !p.suits(j, o) {
 				continue
 			}
 			if cost < bestCost || cost == bestCost && p.count[o] < bestCount {
@@ -210,17 +210,17 @@
 // headroomWanted is the room on ordinary machines to keep free for services to come.
 func (p *planner) headroomWanted() float64 {
 	inUse, largest := 0.0, 0.0
-	for _, j := range p.r.l.order {
-		if !j.array() && !j.cancelled {
+	for _, j := range p.r.l.queue {
+		if !j.isArray() && !j.cancelled {
 			all := float64(j.spec.Tasks) * j.spec.GPUs
 			inUse += all
 			largest = max(largest, all)
 		}
 	}
-	if inUse == 0 || p.r.l.c.operator.SpareShare == 0 {
+	if inUse == 0 || p.r.l.core.operator.SpareShare == 0 {
 		return 0
 	}
-	return max(largest, inUse*p.r.l.c.operator.SpareShare)
+	return max(largest, inUse*p.r.l.core.operator.SpareShare)
 }
 
 // headroom is the room on ordinary machines that services could have: free, to
@@ -233,12 +233,12 @@
 			sum += max(0, b.room.GPUs)
 		}
 	}
-	for _, m := range p.r.l.fleet {
+	for _, m := range p.r.l.machinesByName {
 		if sum >= enough {
 			break
 		}
-		if m.host != nil && !m.spot {
-			sum += p.headroomOn(m.host)
+		if m.schedulable != nil && !m.spot {
+			sum += p.headroomOn(m.schedulable)
 		}
 	}
 	return sum
@@ -246,7 +246,7 @@
 
 func (p *planner) headroomOn(h *host) float64 {
 	sum := max(0, h.free.GPUs)
-	for _, x := range h.m.list {
+	for _, x := range h.m.placementsInOrder {
 		if x.job.shrinkable() {
 			sum += x.job.spec.GPUs / 2
 		}
@@ -259,8 +259,8 @@
 	wanted := p.headroomWanted()
 	for i := 0; i < 4 && p.headroom(wanted) < wanted; i++ {
 		var any *job
-		for _, j := range l.order {
-			if !j.array() && !j.cancelled && j.team != nil && !j.spec.SpreadZones && !j.spec.SingleZone {
+		for _, j := range l.queue {
+			if !j.isArray() && !j.cancelled && j.team != nil && !j.spec.SpreadZones && !j.spec.SingleZone {
 				any = j
 			}
 		}
@@ -272,7 +272,7 @@
 
 // order sends the new bins as requests, one for each kind and zone.
 func (p *planner) order() {
-	c := p.r.l.c
+	c := p.r.l.core
 	counts := map[capacity.Group]int{}
 	var kinds []capacity.Group
 	for _, b := range p.bins {
@@ -297,11 +297,11 @@
 // their caches go first, since what the next service needs may be in the others'.
 func (p *planner) giveBack() {
 	l := p.r.l
-	now := l.c.now.Steady
+	now := l.core.now.Steady
 	var idle []*machine
-	for _, m := range l.fleet {
-		if m.host != nil && len(m.list) == 0 && len(m.orphanedTasks) == 0 && !m.releasing &&
-			now >= m.idleSince+config.Seconds(m.mt.BootS*l.c.operator.IdleBoots) {
+	for _, m := range l.machinesByName {
+		if m.schedulable != nil && len(m.placementsInOrder) == 0 && len(m.orphanedTasks) == 0 && !m.releasing &&
+			now >= m.idleSince+config.Seconds(m.machineType.BootS*l.core.operator.IdleBoots) {
 			idle = append(idle, m)
 		}
 	}
@@ -309,13 +309,13 @@
 		return
 	}
 	surplus := p.headroom(math.Inf(1)) - p.headroomWanted()
-	sort.SliceStable(idle, func(a, b int) bool { return idle[a].cached() < idle[b].cached() })
+	sort.SliceStable(idle, func(a, b int) bool { return idle[a].cachedGB() < idle[b].cachedGB() })
 	for _, m := range idle {
 		if !m.spot {
-			if surplus < m.mt.GPUs {
+			if surplus < m.machineType.GPUs {
 				continue
 			}
-			surplus -= m.mt.GPUs
+			surplus -= m.machineType.GPUs
 		}
 		p.t.release(m, releaseIdle)
 	}
--- a/internal/core/relayed.go
+++ b/internal/core/relayed.go
@@ -20,7 +20,7 @@
 
 // relayPacker puts reports into values, as many into each as fit.
 type relayPacker struct {
-	most       int
+	maxBytes   int
 	compressed bool
 	values     []json.RawMessage
 }
@@ -31,11 +31,11 @@
 	for len(reports) > 0 {
 		n := p.firstGuess(reports)
 		value, err := p.encode(reports[:n])
-		for n > 1 && (err != nil || len(value) > p.most) {
+		for n > 1 && (err != nil || len(value) > p.maxBytes) {
 			n = (n + 1) / 2
 			value, err = p.encode(reports[:n])
 		}
-		if err != nil || len(value) > p.most {
+		if err != nil || len(value) > p.maxBytes {
 			tooLarge++
 		} else {
 			p.values = append(p.values, value)
@@ -45,14 +45,14 @@
 	return tooLarge
 }
 
-// usualRatio is how much smaller reports mostly get by compression.
-const usualRatio = 4
+// typicalCompression is how much smaller reports mostly get by compression.
+const typicalCompression = 4
 
 // firstGuess gives how many reports may fit into a value, at least one.
 func (p *relayPacker) firstGuess(reports []json.RawMessage) int {
-	most := p.most
+	most := p.maxBytes
 	if p.compressed {
-		most = min(usualRatio*most, maxRelayedBytes)
+		most = min(typicalCompression*most, maxRelayedBytes)
 	}
 	n, size := 0, len("[]")
 	for ; n < len(reports); n++ {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -45,18 +45,18 @@
 
 func (t *rentals) init(l *leader) {
 	t.l = l
-	t.tokensAt = l.c.now.Steady
-	t.tokens = l.c.settings.Params.Cloud.RPS
+	t.tokensAt = l.core.now.Steady
+	t.tokens = l.core.settings.Params.Cloud.RPS
 	t.exhausted = map[capacity.Group]time.Duration{}
 }
 
 func (t *rentals) spend() bool {
-	now := t.l.c.now.Steady
-	rps := 0.8 * t.l.c.settings.Params.Cloud.RPS
+	now := t.l.core.now.Steady
+	rps := 0.8 * t.l.core.settings.Params.Cloud.RPS
 	t.tokens = min(max(1, rps), t.tokens+rps*(now-t.tokensAt).Seconds())
 	t.tokensAt = now
 	if t.tokens < 1 {
-		t.l.c.wakeBy(now + config.Seconds((1-t.tokens)/rps))
+		t.l.core.wakeBy(now + config.Seconds((1-t.tokens)/rps))
 		return false
 	}
 	t.tokens--
@@ -64,8 +64,8 @@
 }
 
 func (t *rentals) run() {
-	l, c := t.l, t.l.c
-	if !l.entitled() {
+	l, c := t.l, t.l.core
+	if !l.hasAuthority() {
 		return
 	}
 	now := c.now.Steady
@@ -92,7 +92,7 @@
 // runList begins to read the cloud's list when that is due, and goes on with its pages as the cloud's rate
 // allows: a large fleet has more of them than may be asked for in a second.
 func (t *rentals) runList() {
-	now := t.l.c.now.Steady
+	now := t.l.core.now.Steady
 	switch {
 	case t.listBusy:
 	case t.nextPage != "":
@@ -100,9 +100,9 @@
 			t.list(t.nextPage)
 		}
 	case now < t.listAt:
-		t.l.c.wakeBy(t.listAt)
+		t.l.core.wakeBy(t.listAt)
 	case t.spend():
-		t.listAt = t.l.c.coalesce(now + t.l.c.times.listLag)
+		t.listAt = t.l.core.coalesce(now + t.l.core.times.listLag)
 		t.listSent = now
 		t.page = map[string]bool{}
 		t.list("")
@@ -127,9 +127,9 @@
 	if m.releasing {
 		return
 	}
-	m.releasing, m.releaseWhy = true, why
+	m.releasing, m.releaseReason = true, why
 	t.names = append(t.names, m.name)
-	t.l.c.log(Info, "releasing machine", "machine", m.name, "why", why, "tasks", len(m.runs))
+	t.l.core.log(Info, "releasing machine", "machine", m.name, "why", why, "tasks", len(m.placements))
 	t.l.wantRound()
 }
 
@@ -137,12 +137,12 @@
 // request for it can have been carried out: while the cloud is out of reach its tasks may have gone
 // on all the time.
 func (t *rentals) takeBack(m *machine) {
-	if !m.releasing || m.releaseWhy != releaseSilent || m.releaseSent {
+	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
 		return
 	}
 	m.releasing = false
 	t.names = slices.DeleteFunc(t.names, func(name string) bool { return name == m.name })
-	t.l.c.log(Info, "release taken back", "machine", m.name)
+	t.l.core.log(Info, "release taken back", "machine", m.name)
 	t.l.wantRound()
 }
 
@@ -156,7 +156,7 @@
 }
 
 func (t *rentals) sendRelease() {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	n := min(len(t.names), wire.MaxScaleIn)
 	names := append([]string(nil), t.names[:n]...)
 	t.names = append([]string(nil), t.names[n:]...)
@@ -184,7 +184,7 @@
 }
 
 func (t *rentals) sendRent(q *rental) {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	q.busy, q.tried = true, true
 	id := l.call(func(r Result) {
 		q.busy = false
@@ -192,9 +192,9 @@
 		switch r.Outcome {
 		case call.OK:
 			for _, name := range r.MachineNames {
-				m := l.machine(name)
-				m.rentedAt, m.rented = r.SentAt, true
-				m.describe(q.Type, q.Zone, "", q.Spot)
+				m := l.machineNamed(name)
+				m.requestedAt, m.requestedHere = r.SentAt, true
+				m.setIdentity(q.Type, q.Zone, "", q.Spot)
 				m.setType(c.machineType(q.Type))
 			}
 			if len(r.MachineNames) < q.count {
@@ -246,7 +246,7 @@
 // list reads a page of the cloud's list. One above the cloud's rate is asked for again; after any other
 // failure the list is read anew when the next one is due.
 func (t *rentals) list(after string) {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	t.listBusy = true
 	id := l.call(func(r Result) {
 		t.listBusy = false
@@ -276,34 +276,34 @@
 
 // listed takes an entry of the cloud's list.
 func (t *rentals) listed(e *wire.Machine) {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	now := c.now.Steady
-	if at, was := l.released[e.Name]; was {
+	if at, was := l.releasedMachines[e.Name]; was {
 		if now-at < 10*c.times.listLag {
 			return // the list lags
 		}
-		delete(l.released, e.Name)
+		delete(l.releasedMachines, e.Name)
 	}
 	if e.State == wire.MachineFailed {
 		if m := l.machines[e.Name]; m != nil {
 			l.removeMachine(m, "failed")
 		} else {
-			l.released[e.Name] = now
+			l.releasedMachines[e.Name] = now
 		}
 		t.names = append(t.names, e.Name)
 		return
 	}
 	_, known := l.machines[e.Name]
-	m := l.machine(e.Name)
+	m := l.machineNamed(e.Name)
 	if !known {
 		c.log(Info, "machine found in the list", "machine", e.Name, "state", e.State)
 	}
-	if !m.listed {
-		m.listed, m.listedAt = true, now
-		m.rentedAt = min(m.rentedAt, now-config.Seconds(e.AgeS))
+	if !m.inCloudList {
+		m.inCloudList, m.listedAt = true, now
+		m.requestedAt = min(m.requestedAt, now-config.Seconds(e.AgeS))
 	}
-	m.describe(e.Type, e.Zone, e.Addr, e.Spot)
-	m.missing = 0
+	m.setIdentity(e.Type, e.Zone, e.Addr, e.Spot)
+	m.missedLists = 0
 }
 
 // absent looks for machines that a complete list lacks. A list may describe a
@@ -311,30 +311,30 @@
 // so a machine counts as gone only if the list was asked for well after it must
 // have been listed, and if two lists in a row lack it.
 func (t *rentals) absent() {
-	l, c := t.l, t.l.c
-	for _, m := range append([]*machine(nil), l.fleet...) {
+	l, c := t.l, t.l.core
+	for _, m := range append([]*machine(nil), l.machinesByName...) {
 		if t.page[m.name] {
 			continue
 		}
-		known := m.since
-		if m.listed {
+		known := m.firstSeen
+		if m.inCloudList {
 			known = m.listedAt
 		}
 		if t.listSent < known+3*c.times.listLag {
 			continue
 		}
-		if m.up && c.now.Steady-m.lastHeard() < 3*c.times.listLag {
+		if m.reported && c.now.Steady-m.lastHeardDirectlyOrRelayed() < 3*c.times.listLag {
 			continue
 		}
-		m.missing++
-		if m.missing >= 2 {
+		m.missedLists++
+		if m.missedLists >= 2 {
 			l.removeMachine(m, "no longer listed")
 		}
 	}
-	if len(l.released) > 1000 {
-		for name, at := range l.released {
+	if len(l.releasedMachines) > 1000 {
+		for name, at := range l.releasedMachines {
 			if c.now.Steady-at > 30*c.times.lease {
-				delete(l.released, name)
+				delete(l.releasedMachines, name)
 			}
 		}
 	}
@@ -342,18 +342,18 @@
 
 // stuck returns machines that don't come up.
 func (t *rentals) stuck() {
-	l, c := t.l, t.l.c
-	if !l.entitled() {
+	l, c := t.l, t.l.core
+	if !l.hasAuthority() {
 		return
 	}
-	for _, m := range l.fleet {
-		if m.up || m.seenUp || m.mt == nil || m.releasing {
+	for _, m := range l.machinesByName {
+		if m.reported || m.everReported || m.machineType == nil || m.releasing {
 			continue
 		}
-		due := m.rentedAt + config.Seconds(m.mt.BootS*c.operator.StuckBoots)
-		if m.since == l.since || m.since < l.since+c.times.lease {
+		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
+		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
 			// Known from before this term: it may be up and yet to report here.
-			due = max(due, l.since+2*c.times.lease)
+			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
 			t.release(m, releaseNeverUp)
@@ -365,25 +365,25 @@
 // and return by: the list has been read, and the machines of earlier terms have
 // had time to be listed and to report.
 func (t *rentals) settled() bool {
-	l, c := t.l, t.l.c
+	l, c := t.l, t.l.core
 	if !t.everRead {
 		return false
 	}
 	if l.term == 1 {
 		return true
 	}
-	if c.now.Steady-l.since < 2*c.times.listLag {
-		c.wakeBy(l.since + 2*c.times.listLag)
+	if c.now.Steady-l.startedAt < 2*c.times.listLag {
+		c.wakeBy(l.startedAt + 2*c.times.listLag)
 		return false
 	}
-	if c.now.Steady-l.since > c.times.lease {
+	if c.now.Steady-l.startedAt > c.times.lease {
 		return true
 	}
 	awaited, up := 0, 0
-	for _, m := range l.fleet {
-		if m.seenUp && (m.up || m.unansweredInspections < 2) {
+	for _, m := range l.machinesByName {
+		if m.everReported && (m.reported || m.unansweredQueries < 2) {
 			awaited++
-			if m.up {
+			if m.reported {
 				up++
 			}
 		}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -12,7 +12,7 @@
 	c.lastHeartbeat = c.now.Steady
 	l := c.leader
 	if l == nil {
-		if c.leaseRelay.checkin(in) {
+		if c.leaseRelay.handleHeartbeat(in) {
 			return
 		}
 		to := ""
@@ -26,176 +26,176 @@
 	}
 	// A worker that knows a newer term would drop what this node says; a node
 	// past its deadline is not entitled to say anything.
-	if termOf(r.FencingToken) > l.term || !l.entitled() {
-		if len(r.Tasks) > 0 && c.storeDown && c.leaseRelay.renewWithoutState(in) {
+	if termOfFencingToken(r.FencingToken) > l.term || !l.hasAuthority() {
+		if len(r.Tasks) > 0 && c.storeDown && c.leaseRelay.renewDuringStoreOutage(in) {
 			return
 		}
 		c.respond(in.RequestID, 421, wire.Redirect{})
 		return
 	}
-	before := l.changes
-	answer := c.newLeaseAnswer(r)
-	basis := l.report(r, answer)
-	token := max(firstToken(l.term), r.FencingToken)
+	before := l.observedChanges
+	answer := c.newLeaseResponse(r)
+	basis := l.reconcileHeartbeat(r, answer)
+	token := max(firstFencingToken(l.term), r.FencingToken)
 	if m := l.machines[r.Machine]; m != nil {
-		m.current = max(m.current, token)
-		token = l.token(m)
+		m.fencingToken = max(m.fencingToken, token)
+		token = l.fencingToken(m)
 	}
-	if !l.holdAnswer(in.RequestID, r, token, answer) {
+	if !l.holdResponse(in.RequestID, r, token, answer) {
 		c.renewLease(in.RequestID, basis, token, answer)
 	}
-	c.nothingChanged = l.loaded && l.changes == before && len(answer.commands) == 0
+	c.nothingChanged = l.recovered && l.observedChanges == before && len(answer.commands) == 0
 }
 
-// report takes in a report and adds commands to its answer.
-func (l *leader) report(r *wire.Heartbeat, answer *leaseAnswer) LeaseBasis {
-	if !l.loaded {
+// reconcileHeartbeat takes in a report and adds commands to its answer.
+func (l *leader) reconcileHeartbeat(r *wire.Heartbeat, answer *leaseResponse) LeaseBasis {
+	if !l.recovered {
 		return RecoveringLeaderBasis // what runs is not yet known
 	}
-	if _, was := l.released[r.Machine]; was {
+	if _, was := l.releasedMachines[r.Machine]; was {
 		return RemovedMachineBasis
 	}
-	m := l.machine(r.Machine)
-	if m.up && (r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq) {
+	m := l.machineNamed(r.Machine)
+	if m.reported && (r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence) {
 		// A late copy. It proves nothing, and its answer reaches nobody.
 		return StaleHeartbeatBasis
 	}
-	l.dropHeld(m)
-	if r.Incarnation != m.session || !m.up {
-		l.changes++
+	l.supersedeHeldResponse(m)
+	if r.Incarnation != m.incarnation || !m.reported {
+		l.observedChanges++
 	}
-	now := l.c.now.Steady
-	if !m.up {
-		l.c.log(Debug, "machine up", "machine", m.name, "after", (now - m.rentedAt).String())
+	now := l.core.now.Steady
+	if !m.reported {
+		l.core.log(Debug, "machine up", "machine", m.name, "after", (now - m.requestedAt).String())
 		l.wantRound()
 	}
 	switch {
-	case !m.up && !m.listed && !m.rented && termOf(r.FencingToken) < l.term:
+	case !m.reported && !m.inCloudList && !m.requestedHere && termOfFencingToken(r.FencingToken) < l.term:
 		// Nobody here knows it: its report may be a late copy, of a machine long gone.
-		l.requireToken(m, firstToken(l.term))
-	case m.up && r.Incarnation > m.session:
-		l.c.log(Info, "machine in a new session", "machine", m.name, "tasks", len(m.runs))
-		if now-m.heard < l.c.times.lease/2 {
+		l.requireFencingToken(m, firstFencingToken(l.term))
+	case m.reported && r.Incarnation > m.incarnation:
+		l.core.log(Info, "machine in a new session", "machine", m.name, "tasks", len(m.placements))
+		if now-m.lastHeartbeat < l.core.times.lease/2 {
 			// Its lease ran out although its reports came and were answered.
-			l.requireToken(m, l.token(m)+1)
+			l.requireFencingToken(m, l.fencingToken(m)+1)
 		}
 	}
-	if now-m.heard > l.c.times.heartbeatTimeout {
-		m.tokenRequiredSince = now
-	}
-	m.describe(r.Type, r.Zone, r.Addr, r.Spot)
-	m.enter(r.Incarnation)
-	m.up, m.seenUp, m.missing = true, true, 0
-	m.seq, m.heard, m.lastHold = r.Sequence, now, 0
-	l.rentals.takeBack(m)
-	if r.ReclaimNoticeS != nil && !m.notice {
-		m.notice = true
-		l.c.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.ReclaimNoticeS)
+	if now-m.lastHeartbeat > l.core.times.heartbeatTimeout {
+		m.fencingTokenRequiredSince = now
+	}
+	m.setIdentity(r.Type, r.Zone, r.Addr, r.Spot)
+	m.enterIncarnation(r.Incarnation)
+	m.reported, m.everReported, m.missedLists = true, true, 0
+	m.sequence, m.lastHeartbeat, m.lastHoldTime = r.Sequence, now, 0
+	l.provisioner.takeBack(m)
+	if r.ReclaimNoticeS != nil && !m.reclaiming {
+		m.reclaiming = true
+		l.core.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.ReclaimNoticeS)
 		l.wantRound()
 	}
-	l.evidence(m, r, false)
-	l.commands(m, r, answer)
+	l.reconcileTasks(m, r, false)
+	l.addCommands(m, r, answer)
 	return LeaderBasis
 }
 
-// evidence draws from a report what has ended. A report is newer than all before
+// reconcileTasks draws from a report what has ended. A report is newer than all before
 // it here. What it lacks is proven absent only if it carries this term's token:
 // the worker then had taken an answer of this term, after which no earlier start
 // can still take effect, and each answer of this term before it was either taken
 // or dropped. That does not hold for a report that the worker was asked for: it may come
 // while an answer with a start is still on its way to the worker.
-func (l *leader) evidence(m *machine, r *wire.Heartbeat, asked bool) {
-	if m.requiredToken != 0 && r.FencingToken >= m.requiredToken {
-		m.requiredToken = 0
+func (l *leader) reconcileTasks(m *machine, r *wire.Heartbeat, asked bool) {
+	if m.requiredFencingToken != 0 && r.FencingToken >= m.requiredFencingToken {
+		m.requiredFencingToken = 0
 		l.wantRound()
 	}
 	if len(m.orphanedTasks) > 0 {
-		m.roomChanged = true // they may be gone
+		m.capacityChanged = true // they may be gone
 	}
-	m.exits, m.orphanedTasks = m.exits[:0], m.orphanedTasks[:0]
-	l.evidenceCount++
+	m.exitedTasks, m.orphanedTasks = m.exitedTasks[:0], m.orphanedTasks[:0]
+	l.reconciliations++
 	for i := range r.Tasks {
-		l.reportedTask(m, r.Incarnation, &r.Tasks[i])
+		l.reconcileTask(m, r.Incarnation, &r.Tasks[i])
 	}
 	var missing []*placement
-	for _, p := range m.list {
-		if p.session < r.Incarnation || p.reportedIn != l.evidenceCount && p.session == r.Incarnation && termOf(r.FencingToken) == l.term {
+	for _, p := range m.placementsInOrder {
+		if p.incarnation < r.Incarnation || p.lastReconciliation != l.reconciliations && p.incarnation == r.Incarnation && termOfFencingToken(r.FencingToken) == l.term {
 			missing = append(missing, p)
 		}
 	}
 	for _, p := range missing {
 		switch {
-		case p.session < r.Incarnation:
+		case p.incarnation < r.Incarnation:
 			// The worker killed and forgot all of its earlier session.
-			l.c.log(Debug, "task lost with its session", "task", p.name(), "attempt", p.attempt)
-			l.end(p)
+			l.core.log(Debug, "task lost with its session", "task", p.name(), "attempt", p.attempt)
+			l.endPlacement(p)
 		default:
-			l.unreported(p, r, asked)
+			l.reconcileMissingTask(p, r, asked)
 		}
 	}
 }
 
-// reportedTask takes in what a report says of a task.
-func (l *leader) reportedTask(m *machine, session uint64, t *wire.TaskStatus) {
-	p := m.runs[t.Task]
-	if p == nil || p.attempt != t.Attempt || p.session != session {
-		l.changes++
-		l.unexplained(m, t)
+// reconcileTask takes in what a report says of a task.
+func (l *leader) reconcileTask(m *machine, session uint64, t *wire.TaskStatus) {
+	p := m.placements[t.Task]
+	if p == nil || p.attempt != t.Attempt || p.incarnation != session {
+		l.observedChanges++
+		l.reconcileUnknownTask(m, t)
 		return
 	}
-	p.reportedIn = l.evidenceCount
+	p.lastReconciliation = l.reconciliations
 	if t.State == wire.TaskExited {
-		l.changes++
-		m.exits = append(m.exits, *t)
-		l.exited(p, t)
+		l.observedChanges++
+		m.exitedTasks = append(m.exitedTasks, *t)
+		l.observeTaskExit(p, t)
 		return
 	}
-	p.phase = max(p.phase, seen)
+	p.phase = max(p.phase, phaseReported)
 	if p.state != t.State {
-		l.changes++
+		l.observedChanges++
 		p.state = t.State
-		if t.State == wire.TaskRunning && p.ranAt == 0 {
-			l.firstRuns(p)
+		if t.State == wire.TaskRunning && p.runningSince == 0 {
+			l.observeTaskStart(p)
 		}
 	}
-	if p.ranAt != 0 && (!p.job.proven || len(m.errors) > 0) {
-		l.ranWell(p, false)
+	if p.runningSince != 0 && (!p.job.ranSuccessfully || len(m.failures) > 0) {
+		l.recordSuccess(p, false)
 	}
 }
 
-// firstRuns notes that a task is seen running for the first time.
-func (l *leader) firstRuns(p *placement) {
-	now := l.c.now
-	p.ranAt = now.Steady
-	p.machine.imageReady(p.job.spec.Image)
-	accepted := now.Steady - time.Duration(now.WallMS-p.job.queuedAt)*time.Millisecond
-	l.c.log(Debug, "task runs", "task", p.name(), "class", p.job.spec.Class, "machine", p.machine.name, "warmth", p.warmth,
-		"placed_ms", (p.since - accepted).Milliseconds(), "ran_ms", (now.Steady - p.since).Milliseconds())
+// observeTaskStart notes that a task is seen running for the first time.
+func (l *leader) observeTaskStart(p *placement) {
+	now := l.core.now
+	p.runningSince = now.Steady
+	p.machine.markImageReady(p.job.spec.Image)
+	accepted := now.Steady - time.Duration(now.WallMS-p.job.queuedMS)*time.Millisecond
+	l.core.log(Debug, "task runs", "task", p.name(), "class", p.job.spec.Class, "machine", p.machine.name, "warmth", p.imageState,
+		"placed_ms", (p.placedAt - accepted).Milliseconds(), "ran_ms", (now.Steady - p.placedAt).Milliseconds())
 }
 
-// unreported draws from a report of this term's token, and of the placement's session, that it
+// reconcileMissingTask draws from a report of this term's token, and of the placement's session, that it
 // lacks the placement.
-func (l *leader) unreported(p *placement, r *wire.Heartbeat, asked bool) {
+func (l *leader) reconcileMissingTask(p *placement, r *wire.Heartbeat, asked bool) {
 	switch {
-	case p.waits:
+	case p.directStartInFlight:
 		return
-	case p.direct != 0 && r.FencingToken <= p.direct:
+	case p.directStartToken != 0 && r.FencingToken <= p.directStartToken:
 		// Its direct start may take effect yet.
-		if p.answer == 0 || r.Sequence > p.answer {
-			l.raise(p.machine, p.direct)
+		if p.directStartSequence == 0 || r.Sequence > p.directStartSequence {
+			l.raiseFencingToken(p.machine, p.directStartToken)
 		}
 		return
-	case p.direct != 0, p.phase == seen:
-	case p.phase == sent && (p.sentSeq == inherited || r.Sequence > p.sentSeq && !asked):
+	case p.directStartToken != 0, p.phase == phaseReported:
+	case p.phase == phaseSent && (p.startSequence == startSequenceUnknown || r.Sequence > p.startSequence && !asked):
 	default:
 		return
 	}
-	l.c.log(Debug, "task absent", "task", p.name(), "attempt", p.attempt)
-	l.end(p)
+	l.core.log(Debug, "task absent", "task", p.name(), "attempt", p.attempt)
+	l.endPlacement(p)
 }
 
-// unexplained handles a task in a report that no placement here explains.
-func (l *leader) unexplained(m *machine, t *wire.TaskStatus) {
+// reconcileUnknownTask handles a task in a report that no placement here explains.
+func (l *leader) reconcileUnknownTask(m *machine, t *wire.TaskStatus) {
 	id, task, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return
@@ -205,37 +205,37 @@
 		m.orphanedTasks = append(m.orphanedTasks, *t)
 		return
 	}
-	m.exits = append(m.exits, *t)
-	if t.Cause == wire.CauseDone && j != nil && task < j.spec.Tasks && j.array() && !l.isDone(j, task) {
+	m.exitedTasks = append(m.exitedTasks, *t)
+	if t.Cause == wire.CauseDone && j != nil && task < j.spec.Tasks && j.isArray() && !l.isDone(j, task) {
 		// Done is true whichever attempt says it.
 		l.setDone(j, task)
-		if p := j.placed[task]; p != nil {
-			if p.phase < sent {
-				l.end(p)
+		if p := j.placements[task]; p != nil {
+			if p.phase < phaseSent {
+				l.endPlacement(p)
 			} else {
-				p.halt(stopNow, stopDoneElsewhere)
+				p.requestStop(stopImmediate, stopCompletedElsewhere)
 			}
 		}
 		l.finishIfDone(j)
 	}
 }
 
-// exited ends a placement whose task has exited.
-func (l *leader) exited(p *placement, t *wire.TaskStatus) {
+// observeTaskExit ends a placement whose task has exited.
+func (l *leader) observeTaskExit(p *placement, t *wire.TaskStatus) {
 	j := p.job
-	l.c.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Cause, "told", p.stopWhy, "machine", p.machine.name)
+	l.core.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Cause, "told", p.stopReason, "machine", p.machine.name)
 	switch t.Cause {
 	case wire.CauseDone:
-		if j.array() {
+		if j.isArray() {
 			l.setDone(j, p.task)
 		}
-		l.ranWell(p, true)
+		l.recordSuccess(p, true)
 	case wire.CauseError:
-		l.erred(p)
+		l.recordFailure(p)
 	case wire.CauseNoCapacity:
-		p.machine.full = l.c.now.Steady + l.c.times.checkInterval*2
+		p.machine.noCapacityUntil = l.core.now.Steady + l.core.times.checkInterval*2
 	case wire.CauseBusy, wire.CauseUnknownTask:
-		j.waitFor = max(j.waitFor, l.c.now.Steady+l.c.times.checkInterval*2)
+		j.retryAt = max(j.retryAt, l.core.now.Steady+l.core.times.checkInterval*2)
 	}
-	l.end(p)
+	l.endPlacement(p)
 }
--- a/internal/core/resources.go
+++ b/internal/core/resources.go
@@ -12,7 +12,7 @@
 // requestOf gives a job's resource request; false if more than that decides where it may run.
 func requestOf(j *job) (resourceRequest, bool) {
 	s := j.spec
-	if s.SingleZone || s.SpreadZones || len(j.failed) > 0 || len(s.MachineTypes) > 1 {
+	if s.SingleZone || s.SpreadZones || len(j.failedOn) > 0 || len(s.MachineTypes) > 1 {
 		return resourceRequest{}, false
 	}
 	a := resourceRequest{Amount: resource.OfTask(s), spot: s.Spot, zone: s.Zone}
