--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -22,12 +22,12 @@
 // wantRound asks for a round soon: a recorded exception to the round length of the
 // design, for starts that are due within seconds.
 func (l *leader) wantRound() {
-	l.changes++
-	if !l.c.operator.EventRounds {
+	l.observedChanges++
+	if !l.core.operator.EventRounds {
 		return
 	}
-	gap := time.Duration(float64(l.c.times.minCycleGap) * l.c.slowdown())
-	l.rounds.at = min(l.rounds.at, l.rounds.lastAt+max(gap, l.rounds.pause))
+	gap := time.Duration(float64(l.core.times.minCycleGap) * l.core.slowdown())
+	l.cycles.at = min(l.cycles.at, l.cycles.lastAt+max(gap, l.cycles.pause))
 }
 
 // round is one decision round.
@@ -59,60 +59,60 @@
 // usable tells whether a machine may be given tasks: heard of lately, and not on
 // its way out.
 func (l *leader) usable(m *machine) bool {
-	return m.up && m.mt != nil && !m.releasing && !m.notice && !m.faulty && m.requiredToken == 0 &&
-		l.c.now.Steady-m.heard < l.c.pacer.Patience(l.c.times.heartbeatTimeout, m.lastHold) && l.c.now.Steady >= m.full
+	return m.reported && m.machineType != nil && !m.releasing && !m.reclaiming && !m.quarantined && m.requiredFencingToken == 0 &&
+		l.core.now.Steady-m.lastHeartbeat < l.core.pacer.Patience(l.core.times.heartbeatTimeout, m.lastHoldTime) && l.core.now.Steady >= m.noCapacityUntil
 }
 
 // ready tells whether a job may be given tasks now.
 func (r *round) ready(j *job) bool {
-	return !j.cancelled && !j.final && !j.held && j.team != nil && r.l.c.now.Steady >= j.waitFor
+	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && r.l.core.now.Steady >= j.retryAt
 }
 
 // round decides what starts and what stops.
 func (l *leader) round() {
-	now := l.c.now.Steady
-	if now < l.rounds.at {
-		l.c.wakeBy(l.rounds.at)
+	now := l.core.now.Steady
+	if now < l.cycles.at {
+		l.core.wakeBy(l.cycles.at)
 		return
 	}
-	l.rounds.at = now + l.c.times.cycleInterval
-	l.rounds.pause = 0
-	l.c.wakeBy(l.rounds.at)
-	if l.c.catalog == nil || !l.c.election.leaseValid() || l.c.storeDown {
-		l.rounds.lastAt = now
-		l.rounds.at = now + l.c.times.checkInterval
-		l.c.wakeBy(l.rounds.at)
+	l.cycles.at = now + l.core.times.cycleInterval
+	l.cycles.pause = 0
+	l.core.wakeBy(l.cycles.at)
+	if l.core.catalog == nil || !l.core.election.leaseValid() || l.core.storeDown {
+		l.cycles.lastAt = now
+		l.cycles.at = now + l.core.times.checkInterval
+		l.core.wakeBy(l.cycles.at)
 		return
 	}
 	budget := l.budget()
 	r := &round{l: l, use: usage{}, evaluations: budget, full: map[resourceRequest]bool{}, unyielding: map[stopRequest]bool{}}
-	l.rounds.lastAt = now
+	l.cycles.lastAt = now
 	l.refreshHosts()
-	for _, j := range l.order {
-		if len(j.placed) > 0 {
-			r.use.add(j, len(j.placed))
+	for _, j := range l.queue {
+		if len(j.placements) > 0 {
+			r.use.add(j, len(j.placements))
 		}
 	}
 	l.findGuaranteed()
-	l.rounds.resume = r.minimums()
-	if l.rounds.resume == nil {
+	l.cycles.resume = r.minimums()
+	if l.cycles.resume == nil {
 		r.allocateElastic()
 	}
-	if l.rounds.resume == nil {
+	if l.cycles.resume == nil {
 		r.moveReplicas()
 	}
 	l.plan(r)
 	r.note()
 	spent := budget - r.evaluations
-	l.rounds.evaluations -= float64(spent)
-	l.rounds.spent += spent
-	l.c.evaluationCost.Spend(spent)
+	l.cycles.evaluations -= float64(spent)
+	l.cycles.spent += spent
+	l.core.evaluationCost.Spend(spent)
 	if r.evaluations <= 0 {
 		// Out of budget: go on from where this round stopped, once what it took beyond
 		// its budget is made good.
-		l.rounds.pause = l.rounds.pauseAfter(l.c)
-		l.rounds.at = now + l.rounds.pause
-		l.c.wakeBy(l.rounds.at)
+		l.cycles.pause = l.cycles.pauseAfter(l.core)
+		l.cycles.at = now + l.cycles.pause
+		l.core.wakeBy(l.cycles.at)
 	}
 }
 
@@ -134,8 +134,8 @@
 		return
 	}
 	unplaced, limited := 0, 0
-	for _, j := range r.l.order {
-		if j.array() && r.ready(j) && j.unplaced() > 0 {
+	for _, j := range r.l.queue {
+		if j.isArray() && r.ready(j) && j.unplaced() > 0 {
 			unplaced += j.unplaced()
 			if !r.use.allows(j, 1) {
 				limited += j.unplaced()
@@ -143,20 +143,20 @@
 		}
 	}
 	free, spot, idle := 0.0, 0.0, 0
-	for _, m := range r.l.fleet {
+	for _, m := range r.l.machinesByName {
 		switch {
-		case m.host == nil:
+		case m.schedulable == nil:
 			continue
 		case m.spot:
-			spot += m.host.free.GPUs
+			spot += m.schedulable.free.GPUs
 		default:
-			free += m.host.free.GPUs
+			free += m.schedulable.free.GPUs
 		}
-		if len(m.list) == 0 {
+		if len(m.placementsInOrder) == 0 {
 			idle++
 		}
 	}
-	r.l.c.log(Debug, "round", "placed", r.placed, "waiting", len(r.unmet), "array_tasks", unplaced,
+	r.l.core.log(Debug, "round", "placed", r.placed, "waiting", len(r.unmet), "array_tasks", unplaced,
 		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", r.evaluations)
 }
 
@@ -164,13 +164,13 @@
 // the team's earlier unfinished jobs.
 func (l *leader) findGuaranteed() {
 	sums := usage{}
-	for _, j := range l.order {
-		j.guaranteed = false
+	for _, j := range l.queue {
+		j.withinGuarantee = false
 		if j.cancelled || j.team == nil {
 			continue
 		}
 		sums.add(j, j.unfinished())
-		j.guaranteed = !sums.beyond(j.team)
+		j.withinGuarantee = !sums.beyond(j.team)
 	}
 }
 
@@ -181,16 +181,16 @@
 func (r *round) minimums() *job {
 	l := r.l
 	var lacking []*job
-	for _, j := range l.order {
+	for _, j := range l.queue {
 		if !r.ready(j) || j.unplaced() == 0 {
 			continue
 		}
-		if !j.array() || j.instances() < j.minInstance() {
+		if !j.isArray() || j.activeInstances() < j.minInstances() {
 			lacking = append(lacking, j)
 		}
 	}
 	before := func(x, y *job) bool {
-		if g, h := x.guaranteed, y.guaranteed; g != h {
+		if g, h := x.withinGuarantee, y.withinGuarantee; g != h {
 			return g
 		}
 		if p, q := priority(x), priority(y); p != q {
@@ -199,19 +199,19 @@
 		if s, t := x.latestStart(), y.latestStart(); s != t {
 			return s < t
 		}
-		return x.before(y)
+		return x.queuedBefore(y)
 	}
 	sort.SliceStable(lacking, func(a, b int) bool { return before(lacking[a], lacking[b]) })
 	var stopped *job
 	for _, j := range lacking {
 		need := 1
-		if !j.array() {
+		if !j.isArray() {
 			need = j.unplaced()
 		}
 		switch {
 		case !r.use.allows(j, need):
 			continue
-		case l.rounds.resume != nil && before(j, l.rounds.resume):
+		case l.cycles.resume != nil && before(j, l.cycles.resume):
 			// It had its turn; what it lacks is still to be rented.
 		case !r.budget():
 			if stopped == nil {
@@ -249,7 +249,7 @@
 		from = task + 1
 	}
 	for _, p := range done {
-		l.mark(l.chunkOf(j, p.task))
+		l.markDirty(l.chunkOf(j, p.task))
 	}
 	return true
 }
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -5,7 +5,7 @@
 // sizeWarnings are the settings of which the log has told that they are too small for the fleet.
 type sizeWarnings struct {
 	machines int // the largest fleet that was checked
-	told     map[string]bool
+	logged   map[string]bool
 }
 
 // warnOfUndersizedSettings logs the settings that are too small for the fleet, or for the one that operators expect, each once.
@@ -16,13 +16,13 @@
 	}
 	c.sizeWarnings.machines = machines
 	for _, short := range sizing.Check(&c.settings.Params, machines) {
-		if c.sizeWarnings.told[short.Field] {
+		if c.sizeWarnings.logged[short.Field] {
 			continue
 		}
-		if c.sizeWarnings.told == nil {
-			c.sizeWarnings.told = map[string]bool{}
+		if c.sizeWarnings.logged == nil {
+			c.sizeWarnings.logged = map[string]bool{}
 		}
-		c.sizeWarnings.told[short.Field] = true
+		c.sizeWarnings.logged[short.Field] = true
 		c.log(Info, "setting is too small for the fleet", "field", short.Field, "value", short.Value, "least", short.Least,
 			"machines", machines, "effect", short.Effect)
 	}
--- a/internal/core/spreading.go
+++ b/internal/core/spreading.go
@@ -12,7 +12,7 @@
 
 // model gives what a job's replicas belong to; false if the job's tasks are not spread: it is no service.
 func (j *job) model() (spread.Model, bool) {
-	if j.array() {
+	if j.isArray() {
 		return spread.Model{}, false
 	}
 	return spread.Model{Team: j.spec.Team, Image: j.spec.Image}, true
@@ -21,7 +21,7 @@
 // servicesByModel gives the services that are to run, by what their replicas belong to.
 func (l *leader) servicesByModel() map[spread.Model][]*job {
 	services := map[spread.Model][]*job{}
-	for _, j := range l.order {
+	for _, j := range l.queue {
 		if model, ok := j.model(); ok {
 			services[model] = append(services[model], j)
 		}
@@ -33,13 +33,13 @@
 // spread is weighed or not, so that it can be shown.
 func (p *placement) countReplica(present bool) {
 	model, ok := p.job.model()
-	if !ok || p.job.replicas == nil {
+	if !ok || p.job.replicaLedger == nil {
 		return
 	}
 	if present {
-		p.job.replicas.Add(model, p.machine.zone, p.machine.name)
+		p.job.replicaLedger.Add(model, p.machine.zone, p.machine.name)
 	} else {
-		p.job.replicas.Remove(model, p.machine.zone, p.machine.name)
+		p.job.replicaLedger.Remove(model, p.machine.zone, p.machine.name)
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // coldSeconds is how long a job's image takes on a machine of a type that fetches nothing else.
 func (l *leader) coldSeconds(j *job, kind string) float64 {
-	if mt := l.c.machineType(kind); mt != nil && mt.FetchGBPerS > 0 {
+	if mt := l.core.machineType(kind); mt != nil && mt.FetchGBPerS > 0 {
 		return j.spec.ImageGB / mt.FetchGBPerS
 	}
 	return 0
@@ -73,8 +73,8 @@
 // slowestLoad is the longest that a job's image takes on any type that the job may run on.
 func (l *leader) slowestLoad(j *job) time.Duration {
 	slowest := 0.0
-	for i := range l.c.catalog {
-		if kind := l.c.catalog[i].Name; allowsType(j.spec, kind) {
+	for i := range l.core.catalog {
+		if kind := l.core.catalog[i].Name; allowsType(j.spec, kind) {
 			slowest = max(slowest, l.coldSeconds(j, kind))
 		}
 	}
@@ -94,18 +94,18 @@
 func (r *round) weigherFor(j *job) (weigher, bool) {
 	l := r.l
 	model, ok := j.model()
-	if !ok || !l.c.operator.Spread.Enabled || j.replicas == nil {
+	if !ok || !l.core.operator.Spread.Enabled || j.replicaLedger == nil {
 		return weigher{}, false
 	}
-	if w := r.weighing; w.job != j || r.weighedAt != j.replicas.Changes() {
+	if w := r.weighing; w.job != j || r.weighedAt != j.replicaLedger.Changes() {
 		// What does not depend on where replicas are is worked out once for a run of the same job's tasks.
 		if w.job != j {
-			w.away = time.Duration(noticedLeases*float64(l.c.times.lease)) + l.slowestLoad(j)
-			w.fleet = spread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.room.Len()}
+			w.away = time.Duration(noticedLeases*float64(l.core.times.lease)) + l.slowestLoad(j)
+			w.fleet = spread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.capacityIndex.Len()}
 		}
 		w.l, w.job = l, j
-		w.Weigher = j.replicas.Weigh(model, l.c.lossRates(), w.fleet, w.away)
-		r.weighing, r.weighedAt = w, j.replicas.Changes()
+		w.Weigher = j.replicaLedger.Weigh(model, l.core.lossRates(), w.fleet, w.away)
+		r.weighing, r.weighedAt = w, j.replicaLedger.Changes()
 	}
 	return r.weighing, true
 }
@@ -113,7 +113,7 @@
 // zonesFor gives the zones in which a job may run and there are machines that take tasks.
 func (l *leader) zonesFor(j *job) []string {
 	var zones []string
-	for _, g := range l.room.Groups() {
+	for _, g := range l.capacityIndex.Groups() {
 		if (j.spec.Spot || !g.Spot) && allowsType(j.spec, g.Type) && (j.spec.Zone == "" || j.spec.Zone == g.Zone) && !slices.Contains(zones, g.Zone) {
 			zones = append(zones, g.Zone)
 		}
@@ -138,7 +138,7 @@
 // weigh finds the machine for a job's next replica that costs the least.
 func (r *round) weigh(j *job, w weigher) *machine {
 	allowed := j.groupRules()
-	h, _, found, looked := r.l.room.Cheapest(capacity.Weighed[*host]{
+	h, _, found, looked := r.l.capacityIndex.Cheapest(capacity.Weighed[*host]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Crowded: w.Machine(),
@@ -149,7 +149,7 @@
 			return w.cost(g, warmth), true
 		},
 		Suits: func(h *host) (capacity.Warmth, bool, bool) {
-			return h.m.warmth(j.spec.Image), w.Crowded(h.m.name), !r.l.avoids(j, h.m)
+			return h.m.imageState(j.spec.Image), w.Crowded(h.m.name), !r.l.avoids(j, h.m)
 		},
 	})
 	r.evaluations -= max(1, looked)
@@ -161,7 +161,7 @@
 
 // tradeOn gives what a machine costs a job's next replica.
 func (w weigher) tradeOn(m *machine) trade {
-	t := trade{weighed: true, loadS: w.load(m.group(), m.warmth(w.job.spec.Image)), lossS: w.Zone(m.zone)}
+	t := trade{weighed: true, loadS: w.load(m.group(), m.imageState(w.job.spec.Image)), lossS: w.Zone(m.zone)}
 	if w.Crowded(m.name) {
 		t.lossS += w.Machine()
 	}
@@ -172,10 +172,10 @@
 func (r *round) explain(j *job, m *machine) trade {
 	w, weighed := r.weigherFor(j)
 	if !weighed {
-		return trade{loadS: spread.LoadSeconds(int(m.warmth(j.spec.Image)), r.l.coldSeconds(j, m.kind))}
+		return trade{loadS: spread.LoadSeconds(int(m.imageState(j.spec.Image)), r.l.coldSeconds(j, m.typeName))}
 	}
 	t := w.tradeOn(m)
-	if m.warmth(j.spec.Image) == capacity.Warm {
+	if m.imageState(j.spec.Image) == capacity.Warm {
 		return t
 	}
 	if warmest := r.warmest(j); warmest != nil && warmest != m {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -22,7 +22,7 @@
 
 // Status gives how this node does at a time.
 func (c *Core) Status(now time.Duration) Status {
-	s := Status{TermsLed: c.election.termsLed, Load: c.timerLoad.Level(now), Term: c.cache.term.Term, LeaseRenewals: c.leaseRenewals.answers,
+	s := Status{TermsLed: c.election.termsLed, Load: c.timerLoad.Level(now), Term: c.cache.term.Term, LeaseRenewals: c.leaseRenewals.responses,
 		CancelledStops: c.leaseRenewals.stops, StoreDown: c.storeDown}
 	if c.cache.ready {
 		s.Revision = c.cache.revision
@@ -30,11 +30,11 @@
 	if l := c.leader; l != nil {
 		s.Leading, s.Machines, s.Term = true, len(l.machines), max(s.Term, l.term)
 		s.HasAuthority = c.election.leaseValidAt(now) || c.storeOutageConfirmed()
-		if !l.loaded {
-			s.Recovering = now - l.since
+		if !l.recovered {
+			s.Recovering = now - l.startedAt
 		}
-		for _, m := range l.fleet {
-			if m.held != nil {
+		for _, m := range l.machinesByName {
+			if m.heldResponse != nil {
 				s.HeldResponses++
 			}
 		}
--- a/internal/core/term_guard.go
+++ b/internal/core/term_guard.go
@@ -69,11 +69,11 @@
 
 // upgradeTermFormat writes the term anew where that is wanted, once no other write is on its way.
 func (l *leader) upgradeTermFormat() {
-	c, g := l.c, &l.guard
+	c, g := l.core, &l.termUpgrade
 	if g.target <= c.cache.termForm {
 		g.target = baseTermFormat
 	}
-	if g.target == baseTermFormat || g.inFlight || l.writes.inFlight > 0 || l.change.wanted || c.storeDown || !c.election.leaseValid() {
+	if g.target == baseTermFormat || g.inFlight || l.writer.inFlight > 0 || l.layoutMigration.requested || c.storeDown || !c.election.leaseValid() {
 		return
 	}
 	form := g.target
@@ -86,9 +86,9 @@
 		g.inFlight, g.target = false, baseTermFormat
 		switch r.Outcome {
 		case call.OK:
-			l.version = r.Txn.Revision
-			if l.version > c.cache.termVersion {
-				c.cache.term, c.cache.termVersion, c.cache.termForm = termRecord{l.term, c.settings.Node}, l.version, form
+			l.termVersion = r.Txn.Revision
+			if l.termVersion > c.cache.termVersion {
+				c.cache.term, c.cache.termVersion, c.cache.termForm = termRecord{l.term, c.settings.Node}, l.termVersion, form
 			}
 			c.log(Info, "only versions that know "+form.String()+" may lead from now on", "term", l.term)
 		case call.Conflict, call.Unknown:
@@ -96,7 +96,7 @@
 			c.election.stepDown("the form of the term may have changed")
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}},
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}},
 		Then: []wire.Op{{Put: termKey, Value: value}}}})
 }
 
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -6,24 +6,26 @@
 // end of a direct start matters: with a forget, after which a repeat would run the
 // attempt again, and when a report lacks the attempt, before it counts as absent.
 
-// tokensPerTerm is the range of a term's tokens.
-const tokensPerTerm = 1_000_000
+// fencingTokensPerTerm is the range of a term's tokens.
+const fencingTokensPerTerm = 1_000_000
 
-func firstToken(term uint64) uint64 { return term * tokensPerTerm }
-func termOf(token uint64) uint64    { return token / tokensPerTerm }
+func firstFencingToken(term uint64) uint64   { return term * fencingTokensPerTerm }
+func termOfFencingToken(token uint64) uint64 { return token / fencingTokensPerTerm }
 
-// token gives the token for a machine, no lower than this term's first.
-func (l *leader) token(m *machine) uint64 {
-	m.current = max(m.current, firstToken(l.term))
-	return m.current
+// fencingToken gives the token for a machine, no lower than this term's first.
+func (l *leader) fencingToken(m *machine) uint64 {
+	m.fencingToken = max(m.fencingToken, firstFencingToken(l.term))
+	return m.fencingToken
 }
 
-// raise makes a machine's token higher than one that was used with it.
-func (l *leader) raise(m *machine, used uint64) {
-	if used >= l.token(m) {
-		m.current = used + 1
+// raiseFencingToken makes a machine's token higher than one that was used with it.
+func (l *leader) raiseFencingToken(m *machine, used uint64) {
+	if used >= l.fencingToken(m) {
+		m.fencingToken = used + 1
 	}
 }
 
-// mayOrder tells whether the term's range has tokens left for direct starts.
-func (l *leader) mayOrder(m *machine) bool { return l.token(m)%tokensPerTerm < tokensPerTerm/2 }
+// mayStartDirectly tells whether the term's range has tokens left for direct starts.
+func (l *leader) mayStartDirectly(m *machine) bool {
+	return l.fencingToken(m)%fencingTokensPerTerm < fencingTokensPerTerm/2
+}
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -26,10 +26,10 @@
 const unreachableEntryBytes = 20
 
 type unreachableHints struct {
-	l    *leader
-	at   time.Duration
-	busy bool
-	last []string // as written, a value for each key
+	leader    *leader
+	nextWrite time.Duration
+	inFlight  bool
+	written   []string // as written, a value for each key
 }
 
 // unreachableHintShardKey is the key of a part of the hints.
@@ -75,16 +75,16 @@
 }
 
 func (s *unreachableHints) run() {
-	l, c := s.l, s.l.c
-	if s.busy || c.storeDown || !l.entitled() || len(l.cutZones) == 0 && len(s.last) == 0 {
+	l, c := s.leader, s.leader.core
+	if s.inFlight || c.storeDown || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
 		return
 	}
-	if c.now.Steady < s.at {
-		c.wakeBy(s.at)
+	if c.now.Steady < s.nextWrite {
+		c.wakeBy(s.nextWrite)
 		return
 	}
-	s.at = c.now.Steady + c.times.checkInterval
-	next, err := s.texts()
+	s.nextWrite = c.now.Steady + c.times.checkInterval
+	next, err := s.encode()
 	if err != nil {
 		return
 	}
@@ -92,25 +92,25 @@
 	if len(ops) == 0 {
 		return
 	}
-	l.writes.tokens -= float64(len(ops))
-	s.busy = true
+	l.writer.rateTokens -= float64(len(ops))
+	s.inFlight = true
 	id := l.stateCall(func(r Result) {
-		s.busy = false
+		s.inFlight = false
 		if r.Outcome == call.OK {
-			s.last = after
+			s.written = after
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.version}}, Then: ops}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}, Then: ops}})
 }
 
-// texts gives the hints as they are to be written, a value for each key.
-func (s *unreachableHints) texts() ([]string, error) {
-	l, c := s.l, s.l.c
+// encode gives the hints as they are to be written, a value for each key.
+func (s *unreachableHints) encode() ([]string, error) {
+	l, c := s.leader, s.leader.core
 	var parts []map[string]int64
 	size := c.maxValueBytes()
-	for _, m := range l.fleet {
-		quiet := c.now.Steady - m.lastHeard()
-		if _, many := l.cutZones[m.zone]; !many || m.releasing || quiet < c.times.lease/3 {
+	for _, m := range l.machinesByName {
+		quiet := c.now.Steady - m.lastHeardDirectlyOrRelayed()
+		if _, many := l.silentZones[m.zone]; !many || m.releasing || quiet < c.times.lease/3 {
 			continue
 		}
 		entry := len(m.name) + unreachableEntryBytes
@@ -135,8 +135,8 @@
 // after it: the rest goes with the next one. Keys are added from the first on and taken away from the last on, so
 // that those in use have no gap.
 func (s *unreachableHints) changes(next []string) (ops []wire.Op, after []string) {
-	after = slices.Clone(s.last)
-	most := s.l.c.maxValuesPerTxn()
+	after = slices.Clone(s.written)
+	most := s.leader.core.maxValuesPerTxn()
 	for len(after) > len(next) && len(ops) < most {
 		after = after[:len(after)-1]
 		ops = append(ops, wire.Op{Delete: unreachableHintShardKey(len(after))})
@@ -154,15 +154,15 @@
 	return ops, after
 }
 
-// heardBefore gives when a machine that is new to this leader was last heard, as far as
+// lastHeardByPredecessor gives when a machine that is new to this leader was last heard, as far as
 // the last one told.
-func (l *leader) heardBefore(name string) time.Duration {
-	now := l.c.now
-	at, told := l.c.cache.lastHeardMS(name)
+func (l *leader) lastHeardByPredecessor(name string) time.Duration {
+	now := l.core.now
+	at, told := l.core.cache.lastHeardMS(name)
 	if !told {
 		return now.Steady
 	}
-	ago := time.Duration(now.WallMS-at)*time.Millisecond - 2*l.c.clockError()
+	ago := time.Duration(now.WallMS-at)*time.Millisecond - 2*l.core.clockError()
 	return now.Steady - max(0, ago)
 }
 
--- a/internal/core/unread_leader.go
+++ b/internal/core/unread_leader.go
@@ -4,32 +4,32 @@
 // since the workers' leases would run out, stops what it knows to be cancelled as any node does that renews a lease, and
 // decides nothing else.
 
-// unreadTerm is what a leader keeps of the time in which it was unread.
-type unreadTerm struct {
-	renewedBefore uint64 // leases that this process had renewed as an unread leader of earlier terms
-	warned        bool
+// recoveryStats is what a leader keeps of the time in which it was unread.
+type recoveryStats struct {
+	renewalsBefore uint64 // leases that this process had renewed as an unread leader of earlier terms
+	warned         bool
 }
 
-// unreadRenewals is how many leases were renewed in this term before the records were read.
-func (l *leader) unreadRenewals() uint64 {
-	return l.c.leaseRenewals.answers[RecoveringLeaderBasis] - l.unread.renewedBefore
+// renewalsDuringRecovery is how many leases were renewed in this term before the records were read.
+func (l *leader) renewalsDuringRecovery() uint64 {
+	return l.core.leaseRenewals.responses[RecoveringLeaderBasis] - l.recovery.renewalsBefore
 }
 
-// warnUnread logs, once, that a leader is unread for longer than reading should take.
-func (l *leader) warnUnread() {
-	c := l.c
-	since := c.now.Steady - l.since
-	if l.unread.warned || since < c.times.checkInterval {
+// warnSlowRecovery logs, once, that a leader is unread for longer than reading should take.
+func (l *leader) warnSlowRecovery() {
+	c := l.core
+	since := c.now.Steady - l.startedAt
+	if l.recovery.warned || since < c.times.checkInterval {
 		return
 	}
-	l.unread.warned = true
-	c.log(Info, "leading without the records", "term", l.term, "records_read", l.runsAll,
-		"read_up_to", c.cache.revision, "needed", l.version, "leases_renewed", l.unreadRenewals())
+	l.recovery.warned = true
+	c.log(Info, "leading without the records", "term", l.term, "records_read", l.allRecordsRead,
+		"read_up_to", c.cache.revision, "needed", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
 }
 
-// logTakeover logs what a new leader has waited for, and what it did meanwhile.
-func (l *leader) logTakeover() {
-	now := l.c.now.Steady
-	l.c.log(Debug, "took over", "term", l.term, "after_ms", (now - l.since).Milliseconds(),
-		"records_ms", (l.runsAllAt - l.since).Milliseconds(), "read_up_to", l.c.cache.revision, "leases_renewed", l.unreadRenewals())
+// logFailover logs what a new leader has waited for, and what it did meanwhile.
+func (l *leader) logFailover() {
+	now := l.core.now.Steady
+	l.core.log(Debug, "took over", "term", l.term, "after_ms", (now - l.startedAt).Milliseconds(),
+		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "read_up_to", l.core.cache.revision, "leases_renewed", l.renewalsDuringRecovery())
 }
--- a/internal/core/unread_leader_test.go
+++ b/internal/core/unread_leader_test.go
@@ -25,7 +25,7 @@
 	c := newIdleCore()
 	c.leader = newLeader(c, 1, 1)
 	failed, read := map[string]bool{}, map[string]int{}
-	for step := 0; !c.leader.runsAll && step < 4*pages; step++ {
+	for step := 0; !c.leader.allRecordsRead && step < 4*pages; step++ {
 		list := nextRecordsPage(c.Step(Time{Steady: c.now.Steady + c.times.retryPause}, Tick{}))
 		for list != nil {
 			page := len(read)
@@ -39,8 +39,8 @@
 			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: call.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
 		}
 	}
-	if !c.leader.runsAll || len(c.leader.runs) != pages || len(read) != pages {
-		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.runs), len(read), c.leader.runsAll)
+	if !c.leader.allRecordsRead || len(c.leader.recordItems) != pages || len(read) != pages {
+		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.recordItems), len(read), c.leader.allRecordsRead)
 	}
 	for after, times := range read {
 		if times != 1 {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -197,7 +197,7 @@
 func (c *Core) countsOf(id string) taskCounts {
 	if c.leader != nil {
 		if j := c.leader.jobs[id]; j != nil {
-			return j.counts()
+			return j.taskCounts()
 		}
 	}
 	return c.cache.countsOf(id)
--- a/internal/core/victims.go
+++ b/internal/core/victims.go
@@ -16,7 +16,7 @@
 // findVictims looks for the jobs that can be shrunk.
 func (r *round) findVictims() *victims {
 	v := &victims{}
-	for _, j := range r.l.order {
+	for _, j := range r.l.queue {
 		if !j.shrinkable() {
 			continue
 		}
@@ -60,7 +60,7 @@
 		return rule
 	}
 	rule := victimRule{stops: r.victim, below: v.lowerRank(j)}
-	if !j.guaranteed && !v.teamless {
+	if !j.withinGuarantee && !v.teamless {
 		return rule
 	}
 	among, placed := r.mayAllStop(j)
@@ -68,7 +68,7 @@
 		return rule
 	}
 	rule.below = capacity.AllRanks
-	if placed < r.l.room.Len()/fewVictims {
+	if placed < r.l.capacityIndex.Len()/fewVictims {
 		rule.among = among
 	}
 	return rule
@@ -83,7 +83,7 @@
 	for _, v := range r.victims.jobs {
 		if r.mayStop(j, v) && v.shrinkable() {
 			among = append(among, v)
-			placed += len(v.placed)
+			placed += len(v.placements)
 		}
 	}
 	return among, placed
@@ -91,12 +91,12 @@
 
 // victim tells whether a placement may be stopped for a job that lacks its minimum.
 func (r *round) victim(j *job, p *placement) bool {
-	return p.stop == keep && p.job.shrinkable() && r.mayStop(j, p.job)
+	return p.stop == stopNone && p.job.shrinkable() && r.mayStop(j, p.job)
 }
 
 // idleVictim tells whether a placement may be stopped for a job that has its minimum.
 func (r *round) idleVictim(j *job, p *placement) bool {
-	return p.job.idleTime() && !j.idleTime() && r.victim(j, p)
+	return p.job.isIdlePriority() && !j.isIdlePriority() && r.victim(j, p)
 }
 
 // stopRequest is what decides whether room can be made for a task, where no more than that does.
@@ -111,5 +111,5 @@
 // stopRequestOf gives a job's request; false if more than that decides.
 func stopRequestOf(j *job, idleOnly bool) (stopRequest, bool) {
 	a, plain := requestOf(j)
-	return stopRequest{a, j.spec.Team, priority(j), j.guaranteed, idleOnly}, plain
+	return stopRequest{a, j.spec.Team, priority(j), j.withinGuarantee, idleOnly}, plain
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -14,161 +14,161 @@
 // term, and on the version of each key that it changes: one that is applied late
 // changes nothing.
 type writer struct {
-	l         *leader
-	dirty     []*chunk
-	finishes  []*job
+	leader    *leader
+	dirty     []*recordChunk
+	endings   []*job
 	cancels   []*job // that need a cancelled job
 	orphans   []wire.Condition
 	inFlight  int
 	notBefore time.Duration // after a transaction above the service's rate
 
-	tokens   float64
-	tokensAt time.Duration
+	rateTokens float64
+	refilledAt time.Duration
 
-	countsAt    time.Duration
-	countsBusy  bool
-	countsLast  map[string]string
-	countsInUse int // shards that were needed at some time
-	catalogOut  bool
+	nextCounts       time.Duration
+	countsInFlight   bool
+	countsWritten    map[string]string
+	countShardsInUse int // shards that were needed at some time
+	catalogInFlight  bool
 }
 
 func (w *writer) init(l *leader) {
-	w.l = l
-	w.countsLast = map[string]string{}
-	w.tokensAt = l.c.now.Steady
-	w.tokens = w.rate()
+	w.leader = l
+	w.countsWritten = map[string]string{}
+	w.refilledAt = l.core.now.Steady
+	w.rateTokens = w.rate()
 }
 
 // rate leaves a part of the writes to submissions and cancels at all nodes.
 func (w *writer) rate() float64 {
-	return 0.6 * w.l.c.limits.writesPerSecond(w.l.c.now.Steady)
+	return 0.6 * w.leader.core.limits.writesPerSecond(w.leader.core.now.Steady)
 }
 
-func (l *leader) mark(ch *chunk) {
-	l.changes++
+func (l *leader) markDirty(ch *recordChunk) {
+	l.observedChanges++
 	if !ch.dirty {
 		ch.dirty = true
-		l.writes.dirty = append(l.writes.dirty, ch)
+		l.writer.dirty = append(l.writer.dirty, ch)
 	}
 }
 
-// clean tells whether all that is known about a chunk is in the state service.
-func (ch *chunk) clean() bool { return !ch.dirty && !ch.inFlight }
+// persisted tells whether all that is known about a chunk is in the state service.
+func (ch *recordChunk) persisted() bool { return !ch.dirty && !ch.inFlight }
 
-func (w *writer) orphan(key string, version uint64) {
+func (w *writer) deleteOrphan(key string, version uint64) {
 	w.orphans = append(w.orphans, wire.Condition{Key: key, Version: version})
 }
 
 func (w *writer) refill() {
-	now := w.l.c.now.Steady
-	w.tokens = min(max(w.rate(), endWrites), w.tokens+w.rate()*(now-w.tokensAt).Seconds())
-	w.tokensAt = now
+	now := w.leader.core.now.Steady
+	w.rateTokens = min(max(w.rate(), endWrites), w.rateTokens+w.rate()*(now-w.refilledAt).Seconds())
+	w.refilledAt = now
 }
 
 func (w *writer) run() {
-	c := w.l.c
+	c := w.leader.core
 	w.refill()
 	if c.now.Steady < w.notBefore {
 		c.wakeBy(w.notBefore)
 		return
 	}
-	if w.l.change.wanted || w.l.guard.target != baseTermFormat {
+	if w.leader.layoutMigration.requested || w.leader.termUpgrade.target != baseTermFormat {
 		return
 	}
 	for w.inFlight < 2 && !c.storeDown {
-		if need := w.least(); w.tokens < need {
+		if need := w.minOps(); w.rateTokens < need {
 			w.wakeAt(need)
 			return
 		}
-		if !w.one() {
+		if !w.sendNext() {
 			break
 		}
 	}
-	if len(w.dirty) > 0 && w.tokens < w.reserve()+1 {
-		w.wakeAt(w.reserve() + 1)
+	if len(w.dirty) > 0 && w.rateTokens < w.urgentReserve()+1 {
+		w.wakeAt(w.urgentReserve() + 1)
 	}
-	w.counts()
+	w.writeCounts()
 	w.writeCatalog()
 }
 
-// slowLeases is for how many of workers' leases writes keep to the rate that is to come, after one was
+// throttleLeases is for how many of workers' leases writes keep to the rate that is to come, after one was
 // above the service's rate.
-const slowLeases = 6
+const throttleLeases = 6
 
-// least is what a transaction has to be able to write. Where writes are scarce the end of a job
+// minOps is what a transaction has to be able to write. Where writes are scarce the end of a job
 // would never find its two at once, were records of tasks to take each as it comes.
-func (w *writer) least() float64 {
-	if len(w.finishes) > 0 {
+func (w *writer) minOps() float64 {
+	if len(w.endings) > 0 {
 		return endWrites
 	}
 	return 1
 }
 
-// reserve is what records of idle-time work leave to all other writes: a huge array of short
+// urgentReserve is what records of idle-time work leave to all other writes: a huge array of short
 // tasks always has more to write than the rate allows.
-func (w *writer) reserve() float64 { return w.rate() / 2 }
+func (w *writer) urgentReserve() float64 { return w.rate() / 2 }
 
 // wakeAt has the core woken when there are so many tokens.
 func (w *writer) wakeAt(tokens float64) {
-	c := w.l.c
-	c.wakeBy(c.now.Steady + max(time.Millisecond, config.Seconds((tokens-w.tokens)/w.rate())))
+	c := w.leader.core
+	c.wakeBy(c.now.Steady + max(time.Millisecond, config.Seconds((tokens-w.rateTokens)/w.rate())))
 }
 
-// batch is a transaction being put together.
-type batch struct {
-	txn    wire.Txn
-	size   int
-	seen   map[string]bool
-	chunks []*chunk
-	placed []*placement
-	jobs   []*job
-	cancel []cancelledJob
-	orphan []wire.Condition
+// writeBatch is a transaction being put together.
+type writeBatch struct {
+	txn        wire.Txn
+	size       int
+	conditions map[string]bool
+	chunks     []*recordChunk
+	placements []*placement
+	endings    []*job
+	cancels    []cancelledJob
+	orphans    []wire.Condition
 }
 
-func (b *batch) cond(key string, version uint64) {
-	if !b.seen[key] {
-		b.seen[key] = true
+func (b *writeBatch) addCondition(key string, version uint64) {
+	if !b.conditions[key] {
+		b.conditions[key] = true
 		b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
 	}
 }
 
-// one sends one transaction; false if there is nothing to write.
-func (w *writer) one() bool {
-	l, c := w.l, w.l.c
-	ops := min(c.limits.maxChanges(), int(w.tokens))
-	b := &batch{seen: map[string]bool{}}
-	b.cond(termKey, l.version)
+// sendNext sends one transaction; false if there is nothing to write.
+func (w *writer) sendNext() bool {
+	l, c := w.leader, w.leader.core
+	ops := min(c.limits.maxChanges(), int(w.rateTokens))
+	b := &writeBatch{conditions: map[string]bool{}}
+	b.addCondition(termKey, l.termVersion)
 
 	// Ends of jobs first: users wait for them.
 	var laterJobs []*job
-	for i, j := range w.finishes {
+	for i, j := range w.endings {
 		if l.jobs[j.id] != j {
 			continue
 		}
 		if len(b.txn.Then)+endWrites > ops {
-			laterJobs = append(laterJobs, w.finishes[i:]...)
+			laterJobs = append(laterJobs, w.endings[i:]...)
 			break
 		}
-		if !w.addFinish(b, j, ops) {
+		if !w.addEnd(b, j, ops) {
 			laterJobs = append(laterJobs, j)
 		}
 	}
-	w.finishes = laterJobs
+	w.endings = laterJobs
 
 	w.addCancels(b, ops)
 
 	// Then records of tasks, the most urgent work first: what starts waits for them.
-	slices.SortStableFunc(w.dirty, func(a, b *chunk) int { return priority(b.job) - priority(a.job) })
-	idleOps := int(w.tokens - w.reserve())
-	var laterChunks []*chunk
+	slices.SortStableFunc(w.dirty, func(a, b *recordChunk) int { return priority(b.job) - priority(a.job) })
+	idleOps := int(w.rateTokens - w.urgentReserve())
+	var laterChunks []*recordChunk
 	for _, ch := range w.dirty {
-		if ch.job.final || l.jobs[ch.job.id] != ch.job {
+		if ch.job.ending || l.jobs[ch.job.id] != ch.job {
 			ch.dirty = false
 			continue
 		}
-		if ch.inFlight || ch.reading || len(b.txn.Then) >= ops || len(b.txn.If)+2 > c.limits.maxConditions() ||
-			b.size > wire.MaxBody/2 || ch.job.idleTime() && len(b.txn.Then) >= idleOps {
+		if ch.inFlight || ch.rereadInFlight || len(b.txn.Then) >= ops || len(b.txn.If)+2 > c.limits.maxConditions() ||
+			b.size > wire.MaxBody/2 || ch.job.isIdlePriority() && len(b.txn.Then) >= idleOps {
 			laterChunks = append(laterChunks, ch)
 			continue
 		}
@@ -181,39 +181,39 @@
 	for len(w.orphans) > 0 && len(b.txn.Then) < ops {
 		o := w.orphans[0]
 		w.orphans = w.orphans[1:]
-		b.cond(o.Key, o.Version)
+		b.addCondition(o.Key, o.Version)
 		b.txn.Then = append(b.txn.Then, wire.Op{Delete: o.Key})
-		b.orphan = append(b.orphan, o)
+		b.orphans = append(b.orphans, o)
 	}
 	if len(b.txn.Then) == 0 {
 		return false
 	}
-	w.tokens -= float64(len(b.txn.Then))
+	w.rateTokens -= float64(len(b.txn.Then))
 	w.inFlight++
 	id := l.stateCall(func(r Result) {
 		w.inFlight--
-		w.settle(b, r)
+		w.applyResult(b, r)
 	})
 	c.emit(StoreTxn{CallID: id, Txn: b.txn})
 	return true
 }
 
 // addChunk adds a record; false if it is too large to be written now.
-func (w *writer) addChunk(b *batch, ch *chunk) bool {
-	value, placed := w.l.encode(ch)
-	if len(value) > w.l.mostRecord() {
-		w.l.shed(ch)
-		if value, placed = w.l.encode(ch); len(value) > w.l.mostRecord() {
+func (w *writer) addChunk(b *writeBatch, ch *recordChunk) bool {
+	value, placed := w.leader.encodeRecord(ch)
+	if len(value) > w.leader.maxRecordBytes() {
+		w.leader.revertUnwritten(ch)
+		if value, placed = w.leader.encodeRecord(ch); len(value) > w.leader.maxRecordBytes() {
 			return false
 		}
 	}
-	key := w.l.runKey(ch)
-	b.cond(key, ch.version)
+	key := w.leader.recordKey(ch)
+	b.addCondition(key, ch.version)
 	for _, p := range placed {
-		if p.phase == uncommitted {
+		if p.phase == phaseUncommitted {
 			// A new placement stands only while the job is not cancelled.
-			b.cond(activeJobPrefix+ch.job.id, ch.job.version)
-			b.placed = append(b.placed, p)
+			b.addCondition(activeJobPrefix+ch.job.id, ch.job.version)
+			b.placements = append(b.placements, p)
 		}
 	}
 	b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
@@ -223,70 +223,70 @@
 	return true
 }
 
-// settle takes a transaction's outcome. Unless it is known to have been applied,
+// applyResult takes a transaction's outcome. Unless it is known to have been applied,
 // all of it is written again from what is known now; if an unknown one was applied
 // after all, the versions no longer match and are read.
-func (w *writer) settle(b *batch, r Result) {
+func (w *writer) applyResult(b *writeBatch, r Result) {
 	failed := map[string]bool{}
 	if r.Outcome == call.Conflict {
 		for _, k := range r.Txn.Failed {
 			failed[k] = true
 		}
 		if failed[termKey] {
-			w.l.c.election.stepDown("the term moved on")
+			w.leader.core.election.stepDown("the term moved on")
 			return
 		}
 	}
 	for _, ch := range b.chunks {
-		w.settleChunk(ch, r, failed)
+		w.applyChunkResult(ch, r, failed)
 	}
 	if r.Outcome == call.OK {
-		for _, p := range b.placed {
-			if p.phase == uncommitted {
-				p.phase = committed
-				w.l.due = append(w.l.due, p.machine)
+		for _, p := range b.placements {
+			if p.phase == phaseUncommitted {
+				p.phase = phaseCommitted
+				w.leader.pendingDispatch = append(w.leader.pendingDispatch, p.machine)
 			}
 		}
 	}
-	for _, x := range b.cancel {
-		w.settleCancel(x, r, failed)
+	for _, x := range b.cancels {
+		w.applyCancelResult(x, r, failed)
 	}
-	for _, j := range b.jobs {
-		if w.l.jobs[j.id] == j { // else it was found to be over meanwhile
-			w.settleEnd(j, b, r, failed)
+	for _, j := range b.endings {
+		if w.leader.jobs[j.id] == j { // else it was found to be over meanwhile
+			w.applyEndResult(j, b, r, failed)
 		}
 	}
 	if r.Outcome == call.OK {
 		return
 	}
 	if r.Outcome == call.Dropped {
-		w.tokens += float64(len(b.txn.Then))
-		w.notBefore = w.l.c.now.Steady + w.l.c.times.retryPause
-		w.l.c.limits.throttle(w.l.c.now.Steady, slowLeases*w.l.c.times.lease)
+		w.rateTokens += float64(len(b.txn.Then))
+		w.notBefore = w.leader.core.now.Steady + w.leader.core.times.retryPause
+		w.leader.core.limits.throttle(w.leader.core.now.Steady, throttleLeases*w.leader.core.times.lease)
 	}
-	for _, o := range b.orphan {
+	for _, o := range b.orphans {
 		if !failed[o.Key] {
 			w.orphans = append(w.orphans, o)
 		}
 	}
 	if r.Outcome == call.Invalid {
-		w.l.c.limits.observeInvalid(b.txn)
-		w.l.c.log(Error, "a transaction was malformed", "ops", len(b.txn.Then))
+		w.leader.core.limits.observeInvalid(b.txn)
+		w.leader.core.log(Error, "a transaction was malformed", "ops", len(b.txn.Then))
 	}
 }
 
-// settleChunk takes what became of a record.
-func (w *writer) settleChunk(ch *chunk, r Result, failed map[string]bool) {
+// applyChunkResult takes what became of a record.
+func (w *writer) applyChunkResult(ch *recordChunk, r Result, failed map[string]bool) {
 	ch.inFlight = false
-	key := w.l.runKey(ch)
+	key := w.leader.recordKey(ch)
 	switch {
 	case r.Outcome == call.OK:
 		ch.version = r.Txn.Revision
 	case failed[key]:
-		w.l.mark(ch)
+		w.leader.markDirty(ch)
 		w.reread(ch)
 	default:
-		w.l.mark(ch)
+		w.leader.markDirty(ch)
 	}
 	if failed[activeJobPrefix+ch.job.id] {
 		w.rereadJob(ch.job)
@@ -295,13 +295,13 @@
 
 // reread finds the version of a record whose last write had an unknown outcome.
 // Only the version counts: the leader is the only writer of its term.
-func (w *writer) reread(ch *chunk) {
-	if ch.reading {
+func (w *writer) reread(ch *recordChunk) {
+	if ch.rereadInFlight {
 		return
 	}
-	ch.reading = true
-	id := w.l.stateCall(func(r Result) {
-		ch.reading = false
+	ch.rereadInFlight = true
+	id := w.leader.stateCall(func(r Result) {
+		ch.rereadInFlight = false
 		switch r.Outcome {
 		case call.OK:
 			ch.version = r.Item.Version
@@ -309,5 +309,5 @@
 			ch.version = 0
 		}
 	})
-	w.l.c.emit(StoreGet{CallID: id, Key: w.l.runKey(ch)})
+	w.leader.core.emit(StoreGet{CallID: id, Key: w.leader.recordKey(ch)})
 }
