--- a/internal/allowance/account.go
+++ b/internal/allowance/account.go
@@ -10,8 +10,8 @@
 
 // Region is one of the regions that share the limits, with the part of each that it begins with.
 type Region struct {
-	Name string
-	Part float64 // from 0 to 1; those of all regions add up to 1
+	Name  string
+	Share float64 // from 0 to 1; those of all regions add up to 1
 }
 
 // Transfer is a share on its way from one region to another. The transfers between two regions are numbered from 1.
@@ -39,8 +39,8 @@
 
 // The receipts.
 const (
-	Taken      Receipt = iota // it is added, once the account is committed
-	Known                     // it was added before
+	Accepted   Receipt = iota // it is added, once the account is committed
+	Duplicate                 // it was added before
 	OutOfOrder                // one before it has not come: the sender has to send that first
 )
 
@@ -62,7 +62,7 @@
 	a := &Account{Whole: whole}
 	below := 0.0
 	for i, r := range regions {
-		above := below + r.Part
+		above := below + r.Share
 		if i == len(regions)-1 {
 			above = 1
 		}
@@ -96,8 +96,8 @@
 	return a
 }
 
-// Stored gives a share of a whole as accounts keep it, rounded up: for what is needed.
-func (a *Account) Stored(s, whole Share) Share {
+// ToAccountUnits gives a share of a whole as accounts keep it, rounded up: for what is needed.
+func (a *Account) ToAccountUnits(s, whole Share) Share {
 	return Share{Limit: s.Limit.scaled(whole.Limit, a.Whole.Limit, true), Guarantee: s.Guarantee.scaled(whole.Guarantee, a.Whole.Guarantee, true)}
 }
 
@@ -114,9 +114,9 @@
 	return &b
 }
 
-// Give gives the account after what another region asks for was handed to it, as far as it is held beyond what is needed
+// Grant gives the account after what another region asks for was handed to it, as far as it is held beyond what is needed
 // here; nil if there is nothing to give. One transfer to a region is on its way at a time.
-func (a *Account) Give(from, to string, asked, needed Share) *Account {
+func (a *Account) Grant(from, to string, asked, needed Share) *Account {
 	if slices.ContainsFunc(a.Outgoing, func(t Transfer) bool { return t.To == to }) {
 		return nil
 	}
@@ -134,11 +134,11 @@
 	return b
 }
 
-// Take gives the account after a transfer has come in, and what becomes of it; the same account if nothing changes.
-func (a *Account) Take(t Transfer) (*Account, Receipt) {
+// Receive gives the account after a transfer has come in, and what becomes of it; the same account if nothing changes.
+func (a *Account) Receive(t Transfer) (*Account, Receipt) {
 	switch last := a.Received[t.From]; {
 	case t.Number <= last:
-		return a, Known
+		return a, Duplicate
 	case t.Number > last+1:
 		return a, OutOfOrder
 	}
@@ -148,11 +148,11 @@
 	}
 	b.Received[t.From] = t.Number
 	b.Held = b.Held.Plus(t.Share)
-	return b, Taken
+	return b, Accepted
 }
 
-// Settle gives the account after a region is known to have a transfer; the same account if it was settled before.
-func (a *Account) Settle(to string, number uint64) *Account {
+// Acknowledge gives the account after a region is known to have a transfer; the same account if it was settled before.
+func (a *Account) Acknowledge(to string, number uint64) *Account {
 	has := func(t Transfer) bool { return t.To == to && t.Number <= number }
 	if !slices.ContainsFunc(a.Outgoing, has) {
 		return a
@@ -162,5 +162,5 @@
 	return b
 }
 
-// Missing gives what a region should ask for: what its work needs beyond what it holds, and no more than the whole.
-func (a *Account) Missing(needed Share) Share { return needed.Min(a.Whole).Minus(a.Held) }
+// Shortfall gives what a region should ask for: what its work needs beyond what it holds, and no more than the whole.
+func (a *Account) Shortfall(needed Share) Share { return needed.Min(a.Whole).Minus(a.Held) }
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -12,7 +12,7 @@
 func regionsOf(parts ...float64) []Region {
 	var regions []Region
 	for i, part := range parts {
-		regions = append(regions, Region{Name: fmt.Sprint("r", i), Part: part})
+		regions = append(regions, Region{Name: fmt.Sprint("r", i), Share: part})
 	}
 	return regions
 }
@@ -23,13 +23,13 @@
 		n := rapid.IntRange(1, 7).Draw(t, "regions")
 		regions, left := regionsOf(make([]float64, n)...), 1.0
 		for i := range regions {
-			regions[i].Part = left * rapid.Float64Range(0, 1).Draw(t, "part")
+			regions[i].Share = left * rapid.Float64Range(0, 1).Draw(t, "part")
 			if i == n-1 {
-				regions[i].Part = left
+				regions[i].Share = left
 			}
-			left -= regions[i].Part
+			left -= regions[i].Share
 		}
-		whole := Share{Limit: AtMost(rapid.Float64Range(0, 9999).Draw(t, "gpus"), 17), Guarantee: AtMost(24.5, 0)}
+		whole := Share{Limit: RoundDown(rapid.Float64Range(0, 9999).Draw(t, "gpus"), 17), Guarantee: RoundDown(24.5, 0)}
 		var sum Share
 		for _, r := range regions {
 			sum = sum.Plus(Initial(whole, regions, r.Name).Held)
@@ -44,7 +44,7 @@
 // any order.
 func TestTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := Share{Limit: AtMost(48, 0), Guarantee: AtMost(24, 0)}
+		whole := Share{Limit: RoundDown(48, 0), Guarantee: RoundDown(24, 0)}
 		regions := regionsOf(0.5, 0.3, 0.2)
 		accounts := map[string]*Account{}
 		for _, r := range regions {
@@ -56,19 +56,19 @@
 			from, to := name.Draw(t, "from"), name.Draw(t, "to")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				amount := func(what string) Amount { return AtMost(rapid.Float64Range(0, 30).Draw(t, what), 0) }
+				amount := func(what string) Amount { return RoundDown(rapid.Float64Range(0, 30).Draw(t, what), 0) }
 				needed := Share{Limit: amount("needed"), Guarantee: amount("needed guarantee")}
-				if next := accounts[from].Give(from, to, Share{Limit: amount("asked"), Guarantee: amount("asked guarantee")}, needed); next != nil && from != to {
+				if next := accounts[from].Grant(from, to, Share{Limit: amount("asked"), Guarantee: amount("asked guarantee")}, needed); next != nil && from != to {
 					sent = append(sent, next.Outgoing[len(next.Outgoing)-1])
 					accounts[from] = next
 				}
 			case 1:
 				if len(sent) > 0 {
 					x := rapid.SampledFrom(sent).Draw(t, "transfer")
-					next, receipt := accounts[x.To].Take(x)
+					next, receipt := accounts[x.To].Receive(x)
 					accounts[x.To] = next
 					if receipt != OutOfOrder && rapid.Bool().Draw(t, "answered") {
-						accounts[x.From] = accounts[x.From].Settle(x.To, x.Number)
+						accounts[x.From] = accounts[x.From].Acknowledge(x.To, x.Number)
 					}
 				}
 			default:
@@ -110,23 +110,23 @@
 // A region gives what it does not need, to one region once at a time, and asks for what it lacks of the whole.
 func TestGiveAndAsk(t *testing.T) {
 	gpus := func(limit, guarantee float64) Share {
-		return Share{Limit: AtMost(limit, 0), Guarantee: AtMost(guarantee, 0)}
+		return Share{Limit: RoundDown(limit, 0), Guarantee: RoundDown(guarantee, 0)}
 	}
 	a := &Account{Whole: gpus(48, 24), Held: gpus(24, 12)}
-	given := a.Give("r0", "r1", gpus(20, 20), gpus(10, 10))
+	given := a.Grant("r0", "r1", gpus(20, 20), gpus(10, 10))
 	if given == nil || given.Held != gpus(10, 10) || !slices.Equal(given.Outgoing, []Transfer{{From: "r0", To: "r1", Number: 1, Share: gpus(14, 2)}}) {
 		t.Errorf("%+v", given)
 	}
-	if again := given.Give("r0", "r1", gpus(20, 20), Share{}); again != nil {
+	if again := given.Grant("r0", "r1", gpus(20, 20), Share{}); again != nil {
 		t.Errorf("a second transfer while the first is on its way: %+v", again)
 	}
-	if nothing := a.Give("r0", "r1", gpus(20, 20), gpus(30, 30)); nothing != nil {
+	if nothing := a.Grant("r0", "r1", gpus(20, 20), gpus(30, 30)); nothing != nil {
 		t.Errorf("given although all is needed: %+v", nothing)
 	}
-	if missing := a.Missing(gpus(100, 100)); missing != gpus(24, 12) {
+	if missing := a.Shortfall(gpus(100, 100)); missing != gpus(24, 12) {
 		t.Errorf("%+v is missing", missing)
 	}
-	if next, receipt := a.Take(Transfer{From: "r1", To: "r0", Number: 2, Share: gpus(1, 0)}); receipt != OutOfOrder || next != a {
+	if next, receipt := a.Receive(Transfer{From: "r1", To: "r0", Number: 2, Share: gpus(1, 0)}); receipt != OutOfOrder || next != a {
 		t.Errorf("the second transfer comes first: %v", receipt)
 	}
 	if _, err := Decode([]byte(`{"w":3}`)); err == nil {
@@ -138,15 +138,15 @@
 // is not below when it is kept as a part of what was divided.
 func TestOtherWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		divided := Share{Limit: AtMost(float64(rapid.IntRange(1, 5000).Draw(t, "divided")), 0)}
-		now := Share{Limit: AtMost(float64(rapid.IntRange(1, 5000).Draw(t, "now")), 30)}
+		divided := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "divided")), 0)}
+		now := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "now")), 30)}
 		regions := regionsOf(0.5, 0.3, 0.2)
 		var usable Share
 		for _, r := range regions {
 			a := Initial(divided, regions, r.Name)
 			mine := a.Usable(a.Held, now, Initial(now, regions, r.Name).Held)
 			usable = usable.Plus(mine)
-			if kept := a.Stored(mine, now); !mine.Minus(a.Usable(kept, now, Share{Limit: Amount{CPUs: mine.Limit.CPUs}})).Zero() {
+			if kept := a.ToAccountUnits(mine, now); !mine.Minus(a.Usable(kept, now, Share{Limit: Amount{CPUs: mine.Limit.CPUs}})).Zero() {
 				t.Fatalf("%+v is kept as %+v, which is too little", mine, kept)
 			}
 		}
@@ -165,10 +165,10 @@
 	for range 10 {
 		x += 0.1
 	}
-	if AtMost(x, 0) != AtLeast(x, 0) || AtMost(x, 0) != AtMost(1, 0) {
-		t.Errorf("ten tenths are %+v and %+v", AtMost(x, 0), AtLeast(x, 0))
+	if RoundDown(x, 0) != RoundUp(x, 0) || RoundDown(x, 0) != RoundDown(1, 0) {
+		t.Errorf("ten tenths are %+v and %+v", RoundDown(x, 0), RoundUp(x, 0))
 	}
-	if AtMost(0.0015, 0).GPUs != 1 || AtLeast(0.0015, 0).GPUs != 2 {
+	if RoundDown(0.0015, 0).GPUs != 1 || RoundUp(0.0015, 0).GPUs != 2 {
 		t.Error("parts of a thousandth are not rounded to the safe side")
 	}
 }
--- a/internal/allowance/amount.go
+++ b/internal/allowance/amount.go
@@ -23,14 +23,14 @@
 	roundingError = 1e-3
 )
 
-// AtMost gives an amount that is not above the one given, for what may be used.
-func AtMost(gpus, cpus float64) Amount {
+// RoundDown gives an amount that is not above the one given, for what may be used.
+func RoundDown(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Floor(x*unit + roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
 }
 
-// AtLeast gives an amount that is not below the one given, for what is used.
-func AtLeast(gpus, cpus float64) Amount {
+// RoundUp gives an amount that is not below the one given, for what is used.
+func RoundUp(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Ceil(x*unit - roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
 }
--- a/internal/budget/cost.go
+++ b/internal/budget/cost.go
@@ -4,20 +4,20 @@
 
 import "time"
 
-// First is what an evaluation is taken to cost, in seconds, until it is measured.
-const First = 60e-9
+// InitialSeconds is what an evaluation is taken to cost, in seconds, until it is measured.
+const InitialSeconds = 60e-9
 
 const (
 	// measuredEvaluations is how many evaluations a measure needs.
 	measuredEvaluations = 5000
-	// leastOfStep is the part of them that a step has to make at least: one with less does too much else
+	// minStepShare is the part of them that a step has to make at least: one with less does too much else
 	// to tell.
-	leastOfStep = 10
+	minStepShare = 10
 	// weight is the part that each measure tells.
 	weight = 4
-	// mostRise is how much dearer than before a measure may make an evaluation, so that a pause of the
+	// maxRise is how much dearer than before a measure may make an evaluation, so that a pause of the
 	// process in a step is made good by the next ones.
-	mostRise = 4
+	maxRise = 4
 )
 
 // Cost is what an evaluation costs on this machine, as measured on the steps that made many.
@@ -34,12 +34,12 @@
 // Taken gives the evaluations of the present step.
 func (c *Cost) Taken() int { return c.taken }
 
-// Learn ends a step, with the time that it took; 0 if that is not known. All of its time counts as that
+// Observe ends a step, with the time that it took; 0 if that is not known. All of its time counts as that
 // of its evaluations.
-func (c *Cost) Learn(took time.Duration) {
+func (c *Cost) Observe(took time.Duration) {
 	evaluations := c.taken
 	c.taken = 0
-	if took <= 0 || evaluations < measuredEvaluations/leastOfStep {
+	if took <= 0 || evaluations < measuredEvaluations/minStepShare {
 		return
 	}
 	c.evaluations, c.took = c.evaluations+evaluations, c.took+took
@@ -47,7 +47,7 @@
 		return
 	}
 	old := c.Seconds()
-	cost := min(c.took.Seconds()/float64(c.evaluations), mostRise*old)
+	cost := min(c.took.Seconds()/float64(c.evaluations), maxRise*old)
 	c.seconds = old + (cost-old)/weight
 	c.evaluations, c.took = 0, 0
 }
@@ -55,7 +55,7 @@
 // Seconds gives what an evaluation costs.
 func (c *Cost) Seconds() float64 {
 	if c.seconds == 0 {
-		return First
+		return InitialSeconds
 	}
 	return c.seconds
 }
--- a/internal/budget/cost_test.go
+++ b/internal/budget/cost_test.go
@@ -9,16 +9,16 @@
 	var c Cost
 	step := func(evaluations int, took time.Duration) {
 		c.Spend(evaluations)
-		c.Learn(took)
+		c.Observe(took)
 	}
 	step(100, time.Second) // too few to tell
 	step(10_000, 0)        // not measured
-	if c.Seconds() != First {
+	if c.Seconds() != InitialSeconds {
 		t.Errorf("an evaluation costs %v", c.Seconds())
 	}
 	// A pause of the process does not make evaluations dearer by more than a bound.
 	step(10_000, time.Minute)
-	if got, most := c.Seconds(), First+(mostRise-1)*First/weight; got <= First || got > 1.001*most {
+	if got, most := c.Seconds(), InitialSeconds+(maxRise-1)*InitialSeconds/weight; got <= InitialSeconds || got > 1.001*most {
 		t.Errorf("after a pause an evaluation costs %v", got)
 	}
 	for range 100 {
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -18,36 +18,36 @@
 
 // entry is a machine in the index.
 type entry[T any] struct {
-	room  Room
-	group *group[T]
-	value T
-	// changed says that the order by name does not know of the present room yet.
-	changed bool
+	capacity MachineCapacity
+	group    *group[T]
+	value    T
+	// staleByName says that the order by name does not know of the present room yet.
+	staleByName bool
 }
 
-// main gives the resource by which a machine's room is ordered: GPUs, or CPUs where it has none.
-func (e *entry[T]) main(a resource.Amount) float64 {
+// primaryResource gives the resource by which a machine's room is ordered: GPUs, or CPUs where it has none.
+func (e *entry[T]) primaryResource(a resource.Amount) float64 {
 	if e.group.size.GPUs > 0 {
 		return a.GPUs
 	}
 	return a.CPUs
 }
 
-// left is the share of the machine that a task would leave free.
-func (e *entry[T]) left(need resource.Amount) float64 {
-	size := e.main(e.group.size)
+// leftoverShare is the share of the machine that a task would leave free.
+func (e *entry[T]) leftoverShare(need resource.Amount) float64 {
+	size := e.primaryResource(e.group.size)
 	if size == 0 {
 		return 1
 	}
-	return (e.main(e.room.Free) - e.main(need)) / size
+	return (e.primaryResource(e.capacity.Free) - e.primaryResource(need)) / size
 }
 
 // tighter tells whether a task would leave less of this machine than of another one.
 func (e *entry[T]) tighter(other *entry[T], need resource.Amount) bool {
-	if a, b := e.left(need), other.left(need); a != b {
+	if a, b := e.leftoverShare(need), other.leftoverShare(need); a != b {
 		return a < b
 	}
-	return e.room.Name < other.room.Name
+	return e.capacity.Name < other.capacity.Name
 }
 
 // groupKey names a group. Machines of a type differ in size where the type has changed; their free room is in
@@ -63,8 +63,8 @@
 	groupKey
 	byFree treap[*entry[T], freeBounds]
 	byName treap[*entry[T], Bounds]
-	// changed are the machines whose change the order by name does not know of yet.
-	changed []*entry[T]
+	// staleByName are the machines whose change the order by name does not know of yet.
+	staleByName []*entry[T]
 }
 
 // NewIndex makes an index without machines.
@@ -76,12 +76,12 @@
 	if g := x.groups[key]; g != nil {
 		return g
 	}
-	priority := func(e **entry[T]) uint64 { return hash((*e).room.Name) }
+	priority := func(e **entry[T]) uint64 { return hash((*e).capacity.Name) }
 	g := &group[T]{groupKey: key,
 		byFree: treap[*entry[T], freeBounds]{before: lessFree[T], priority: priority, join: joinFree,
-			summarize: func(e **entry[T]) freeBounds { return freeBoundsOf(&(*e).room) }},
+			summarize: func(e **entry[T]) freeBounds { return newFreeBounds(&(*e).capacity) }},
 		byName: treap[*entry[T], Bounds]{before: lessName[T], priority: priority, join: joinBounds,
-			summarize: func(e **entry[T]) Bounds { return boundsOf(&(*e).room) }},
+			summarize: func(e **entry[T]) Bounds { return newBounds(&(*e).capacity) }},
 	}
 	x.groups[key] = g
 	i, _ := slices.BinarySearchFunc(x.order, g, compareGroups[T])
@@ -96,64 +96,64 @@
 }
 
 func lessFree[T any](a, b **entry[T]) bool {
-	if x, y := (*a).main((*a).room.Free), (*b).main((*b).room.Free); x != y {
+	if x, y := (*a).primaryResource((*a).capacity.Free), (*b).primaryResource((*b).capacity.Free); x != y {
 		return x < y
 	}
-	return (*a).room.Name < (*b).room.Name
+	return (*a).capacity.Name < (*b).capacity.Name
 }
 
-func lessName[T any](a, b **entry[T]) bool { return (*a).room.Name < (*b).room.Name }
+func lessName[T any](a, b **entry[T]) bool { return (*a).capacity.Name < (*b).capacity.Name }
 
 // Put takes a machine of some size in, or changes what is known of it.
-func (x *Index[T]) Put(key Group, size resource.Amount, room Room, value T) {
+func (x *Index[T]) Put(key Group, size resource.Amount, room MachineCapacity, value T) {
 	e := x.entries[room.Name]
 	if e != nil && e.group.groupKey != (groupKey{key, size}) {
 		x.Remove(room.Name)
 		e = nil
 	}
 	if e == nil {
-		e = &entry[T]{room: room, group: x.group(groupKey{key, size})}
+		e = &entry[T]{capacity: room, group: x.group(groupKey{key, size})}
 		x.entries[room.Name] = e
 		e.group.byFree.insert(e)
 		e.group.byName.insert(e)
 	}
 	e.value = value
-	if e.room != room {
+	if e.capacity != room {
 		e.group.change(e, room)
 	}
 }
 
 // change takes in a change of a machine's room. The order by name follows when it is asked for next: most
 // changes come while nobody looks for what could be stopped.
-func (g *group[T]) change(e *entry[T], room Room) {
-	if !e.changed {
-		e.changed = true
-		g.changed = append(g.changed, e)
+func (g *group[T]) change(e *entry[T], room MachineCapacity) {
+	if !e.staleByName {
+		e.staleByName = true
+		g.staleByName = append(g.staleByName, e)
 	}
-	if e.room.Free == room.Free {
-		e.room = room
+	if e.capacity.Free == room.Free {
+		e.capacity = room
 		g.byFree.replace(&e)
 		return
 	}
 	g.byFree.remove(&e)
-	e.room = room
+	e.capacity = room
 	g.byFree.insert(e)
 }
 
-// catchUp brings the order by name up to date.
-func (g *group[T]) catchUp() {
-	for _, e := range g.changed {
-		if e.changed {
-			e.changed = false
+// refreshByName brings the order by name up to date.
+func (g *group[T]) refreshByName() {
+	for _, e := range g.staleByName {
+		if e.staleByName {
+			e.staleByName = false
 			g.byName.replace(&e)
 		}
 	}
-	clear(g.changed)
-	g.changed = g.changed[:0]
+	clear(g.staleByName)
+	g.staleByName = g.staleByName[:0]
 }
 
 func (g *group[T]) remove(e *entry[T]) {
-	e.changed = false
+	e.staleByName = false
 	g.byFree.remove(&e)
 	g.byName.remove(&e)
 }
@@ -183,36 +183,36 @@
 // Height is about the height of a balanced tree of all machines: what a change costs, in machines looked at.
 func (x *Index[T]) Height() int { return bits.Len(uint(len(x.entries))) }
 
-// Room gives what is known of a machine; false if it is not there.
-func (x *Index[T]) Room(name string) (Group, Room, bool) {
+// Get gives what is known of a machine; false if it is not there.
+func (x *Index[T]) Get(name string) (Group, MachineCapacity, bool) {
 	e := x.entries[name]
 	if e == nil {
-		return Group{}, Room{}, false
+		return Group{}, MachineCapacity{}, false
 	}
-	return e.group.Group, e.room, true
+	return e.group.Group, e.capacity, true
 }
 
-// Request is a task that looks for a machine.
-type Request[T any] struct {
+// FitRequest is a task that looks for a machine.
+type FitRequest[T any] struct {
 	Need  resource.Amount
 	Image string
 	// Penalty is what the task would rather not have of a group, in degrees of warmth; false: it may not run
 	// there.
-	Penalty func(Group) (Warmth, bool)
+	Penalty func(Group) (ImageState, bool)
 	// Suits tells whether a machine that has the room will do, and how warm it is.
-	Suits func(T) (Warmth, bool)
+	Suits func(T) (ImageState, bool)
 }
 
-// MostPenalty is the most that a penalty may be.
-const MostPenalty = 2
+// MaxPenalty is the most that a penalty may be.
+const MaxPenalty = 2
 
-// Tightest finds the machine for a task: the warmest, counting penalties, and of these the one that has the
+// BestFit finds the machine for a task: the warmest, counting penalties, and of these the one that has the
 // least left, and of these the first by name. It gives the number of machines looked at.
-func (x *Index[T]) Tightest(q Request[T]) (found T, ok bool, looked int) {
+func (x *Index[T]) BestFit(q FitRequest[T]) (found T, ok bool, looked int) {
 	bit := BitOf(q.Image)
 	type open struct {
 		group   *group[T]
-		penalty Warmth
+		penalty ImageState
 	}
 	var groups []open
 	for _, g := range x.order {
@@ -220,14 +220,14 @@
 			groups = append(groups, open{g, penalty})
 		}
 	}
-	for degree := Warm; degree < Degrees+MostPenalty; degree++ {
+	for degree := ImageReady; degree < ImageStates+MaxPenalty; degree++ {
 		var best *entry[T]
 		for _, o := range groups {
 			warmth := degree - o.penalty
-			if warmth < Warm || warmth >= Degrees {
+			if warmth < ImageReady || warmth >= ImageStates {
 				continue
 			}
-			if e := o.group.tightest(&q, warmth, bit, &looked); e != nil && (best == nil || e.tighter(best, q.Need)) {
+			if e := o.group.bestFit(&q, warmth, bit, &looked); e != nil && (best == nil || e.tighter(best, q.Need)) {
 				best = e
 			}
 		}
@@ -238,9 +238,9 @@
 	return found, false, looked
 }
 
-// tightest finds the machine of a group that has the least left, of those of one degree of warmth.
-func (g *group[T]) tightest(q *Request[T], warmth Warmth, bit ImageBit, looked *int) *entry[T] {
-	return g.suiting(q.Need, warmth, bit, looked, func(e *entry[T]) bool {
+// bestFit finds the machine of a group that has the least left, of those of one degree of warmth.
+func (g *group[T]) bestFit(q *FitRequest[T], warmth ImageState, bit ImageBit, looked *int) *entry[T] {
+	return g.bestFitting(q.Need, warmth, bit, looked, func(e *entry[T]) bool {
 		w, suits := q.Suits(e.value)
 		return suits && w == warmth
 	})
@@ -253,7 +253,7 @@
 		if g.byName.root == nil || !within(g.Group) {
 			continue
 		}
-		g.catchUp()
+		g.refreshByName()
 		g.byName.root.search(skip, func(e **entry[T]) bool {
 			visit((*e).value)
 			return false
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -14,9 +14,9 @@
 type drawn struct {
 	group  Group
 	size   resource.Amount
-	room   Room
+	room   MachineCapacity
 	tasks  [Ranks][]resource.Amount
-	warmth map[string]Warmth
+	warmth map[string]ImageState
 }
 
 var images = []string{"a", "b", "c"}
@@ -31,30 +31,30 @@
 
 func drawMachine(t *rapid.T, name string) *drawn {
 	d := &drawn{group: Group{Type: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "type"), Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
-		size: resource.Amount{GPUs: 4, CPUs: 16, MemoryGB: 8}, warmth: map[string]Warmth{}}
+		size: resource.Amount{GPUs: 4, CPUs: 16, MemoryGB: 8}, warmth: map[string]ImageState{}}
 	if d.group.Type == "h" {
 		d.size.GPUs = 0
 	}
-	d.room = Room{Name: name, Free: amount(t, "free", 8)}
-	d.room.Soon = d.room.Free
-	d.room.Soon.Give(amount(t, "soon", 2))
+	d.room = MachineCapacity{Name: name, Free: amount(t, "free", 8)}
+	d.room.FreeAfterStops = d.room.Free
+	d.room.FreeAfterStops.Give(amount(t, "soon", 2))
 	for rank := range Ranks {
 		for range number(t, "tasks", 0, 2) {
 			task := amount(t, "task", 4)
 			d.tasks[rank] = append(d.tasks[rank], task)
-			d.room.Stoppable[rank].Add(task)
+			d.room.Preemptible[rank].Add(task)
 		}
 	}
-	other := Cold
+	other := ImageAbsent
 	for _, image := range images {
 		switch number(t, "image", 0, 4) {
 		case 0:
 			d.room.Images.Ready.Add(BitOf(image))
-			d.warmth[image] = Warm
+			d.warmth[image] = ImageReady
 		case 1:
 			d.room.Images.Fetching.Add(BitOf(image))
-			d.warmth[image] = Fetching
-			other = Shared
+			d.warmth[image] = ImageFetching
+			other = ImageFetchShared
 		}
 	}
 	for _, image := range images {
@@ -92,7 +92,7 @@
 }
 
 // scanTightest finds what Tightest is to find, by a look at each machine.
-func scanTightest(machines map[string]*drawn, q Request[string], image string) string {
+func scanTightest(machines map[string]*drawn, q FitRequest[string], image string) string {
 	best, bestScore := "", math.Inf(1)
 	for _, name := range names {
 		d := machines[name]
@@ -142,7 +142,7 @@
 		seen := 0
 		for _, g := range x.order {
 			seen += len(checkTree(t, &g.byFree, g.byFree.root))
-			g.catchUp()
+			g.refreshByName()
 			checkTree(t, &g.byName, g.byName.root)
 		}
 		if seen != len(machines) || x.Len() != len(machines) {
@@ -150,16 +150,16 @@
 		}
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
 		spotOnly, prefersSpot := rapid.Bool().Draw(t, "spot only"), rapid.Bool().Draw(t, "prefers spot")
-		q := Request[string]{Need: amount(t, "need", 8), Image: image,
-			Penalty: func(g Group) (Warmth, bool) {
+		q := FitRequest[string]{Need: amount(t, "need", 8), Image: image,
+			Penalty: func(g Group) (ImageState, bool) {
 				if prefersSpot && !g.Spot {
-					return MostPenalty, !spotOnly
+					return MaxPenalty, !spotOnly
 				}
 				return 0, g.Spot || !spotOnly
 			},
-			Suits: func(name string) (Warmth, bool) { return machines[name].warmth[image], true }}
+			Suits: func(name string) (ImageState, bool) { return machines[name].warmth[image], true }}
 		want := scanTightest(machines, q, image)
-		if got, ok, _ := x.Tightest(q); got != want || ok != (want != "") {
+		if got, ok, _ := x.BestFit(q); got != want || ok != (want != "") {
 			t.Fatalf("%q, not %q", got, want)
 		}
 	})
@@ -176,7 +176,7 @@
 		}
 	}
 	for chosen := range 1 << len(tasks) {
-		room, cost := d.room.Soon, Cost{Warmth: d.warmth[image]}
+		room, cost := d.room.FreeAfterStops, Cost{ImageState: d.warmth[image]}
 		for i, task := range tasks {
 			if chosen&(1<<i) == 0 {
 				continue
@@ -203,17 +203,17 @@
 		for i := range number(t, "machines", 1, 4) {
 			machines = append(machines, drawMachine(t, names[i]))
 		}
-		bounds := boundsOf(&machines[len(machines)-1].room)
+		bounds := newBounds(&machines[len(machines)-1].room)
 		for i := len(machines) - 2; i >= 0; i-- {
-			b := boundsOf(&machines[i].room)
+			b := newBounds(&machines[i].room)
 			joinBounds(&bounds, &b, true)
 		}
-		if bounds.First != names[0] {
-			t.Fatalf("the first is %s", bounds.First)
+		if bounds.FirstName != names[0] {
+			t.Fatalf("the first is %s", bounds.FirstName)
 		}
 		need, below := amount(t, "need", 8), number(t, "below", 0, AllRanks)
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
-		least, possible := bounds.LeastCost(need, below, BitOf(image))
+		least, possible := bounds.MinCost(need, below, BitOf(image))
 		for _, d := range machines {
 			cost, can := d.leastCost(need, below, image)
 			if can && (!possible || cost.Less(least)) {
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -19,25 +19,25 @@
 	Spot       bool
 }
 
-// Stoppable is what could be stopped on a machine, of one rank.
-type Stoppable struct {
-	Sum     resource.Amount
+// Preemptible is what could be stopped on a machine, of one rank.
+type PreemptibleWork struct {
+	Total   resource.Amount
 	Largest resource.Amount // of a single task, each resource by itself
 }
 
 // Add counts a task.
-func (s *Stoppable) Add(task resource.Amount) {
-	s.Sum.Give(task)
+func (s *PreemptibleWork) Add(task resource.Amount) {
+	s.Total.Give(task)
 	s.Largest = larger(s.Largest, task)
 }
 
-// Room is a machine's room.
-type Room struct {
-	Name      string
-	Free      resource.Amount // now
-	Soon      resource.Amount // once what was told to stop is gone
-	Stoppable [Ranks]Stoppable
-	Images    Images
+// MachineCapacity is a machine's room.
+type MachineCapacity struct {
+	Name           string
+	Free           resource.Amount // now
+	FreeAfterStops resource.Amount // once what was told to stop is gone
+	Preemptible    [Ranks]PreemptibleWork
+	Images         Images
 }
 
 // Images are the images of a machine, as far as sets tell that may hold more than was put into them.
@@ -81,54 +81,54 @@
 	return resource.Amount{GPUs: max(a.GPUs, b.GPUs), CPUs: max(a.CPUs, b.CPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
 }
 
-// Warmth is how far a machine is from having an image.
-type Warmth int
+// ImageState is how far a machine is from having an image.
+type ImageState int
 
 // The degrees of warmth.
 const (
-	Warm     Warmth = iota // the image is there
-	Fetching               // it is being fetched, or it is not known whether it is there
-	Cold                   // it has to be fetched
-	Shared                 // it has to share the fetch with others
-	Degrees
+	ImageReady       ImageState = iota // the image is there
+	ImageFetching                      // it is being fetched, or it is not known whether it is there
+	ImageAbsent                        // it has to be fetched
+	ImageFetchShared                   // it has to share the fetch with others
+	ImageStates
 )
 
 // imageBounds tells how warm the machines below a node are at best.
 type imageBounds struct {
-	images Images
-	calm   bool // one of them fetches nothing
+	images      Images
+	idleFetcher bool // one of them fetches nothing
 }
 
-func imageBoundsOf(r *Room) imageBounds {
-	return imageBounds{images: r.Images, calm: r.Images.Fetching == ImageSet{}}
+func newImageBounds(r *MachineCapacity) imageBounds {
+	return imageBounds{images: r.Images, idleFetcher: r.Images.Fetching == ImageSet{}}
 }
 
 func (b *imageBounds) join(other *imageBounds) {
 	b.images.Ready.join(&other.images.Ready)
 	b.images.Fetching.join(&other.images.Fetching)
 	b.images.Unknown.join(&other.images.Unknown)
-	b.calm = b.calm || other.calm
+	b.idleFetcher = b.idleFetcher || other.idleFetcher
 }
 
 // may tells whether a machine can be as warm as this for an image.
-func (b *imageBounds) may(warmth Warmth, bit ImageBit) bool {
+func (b *imageBounds) may(warmth ImageState, bit ImageBit) bool {
 	switch warmth {
-	case Warm:
+	case ImageReady:
 		return b.images.Ready.MayHold(bit)
-	case Fetching:
+	case ImageFetching:
 		return b.images.Fetching.MayHold(bit) || b.images.Unknown.MayHold(bit)
-	case Cold:
-		return b.calm
+	case ImageAbsent:
+		return b.idleFetcher
 	}
 	return b.images.Fetching != ImageSet{}
 }
 
 // best is the least warmth that a machine can have for an image.
-func (b *imageBounds) best(bit ImageBit) Warmth {
-	for w := Warm; w < Shared; w++ {
+func (b *imageBounds) best(bit ImageBit) ImageState {
+	for w := ImageReady; w < ImageFetchShared; w++ {
 		if b.may(w, bit) {
 			return w
 		}
 	}
-	return Shared
+	return ImageFetchShared
 }
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,26 +8,26 @@
 type admission int
 
 const (
-	fits      admission = iota // it can run on some machine, within its team's limit
-	never                      // it can't, whatever happens
-	undecided                  // the machine types are not known yet
+	admissible       admission = iota // it can run on some machine, within its team's limit
+	inadmissible                      // it can't, whatever happens
+	admissionUnknown                  // the machine types are not known yet
 )
 
 // admissionOf tells whether a job can ever run here.
 func (c *Core) admissionOf(j *wire.Job) admission {
 	team := c.team(j.Team)
 	if team == nil {
-		return never
+		return inadmissible
 	}
 	n := 1.0
 	if j.Kind == wire.KindService {
 		n = float64(j.Tasks)
 	}
-	if over(n*j.CPUs, team.MaxCPUs) || over(n*j.GPUs, team.MaxGPUs) {
-		return never
+	if exceedsLimit(n*j.CPUs, team.MaxCPUs) || exceedsLimit(n*j.GPUs, team.MaxGPUs) {
+		return inadmissible
 	}
 	if c.catalog == nil {
-		return undecided
+		return admissionUnknown
 	}
 	zones := map[string]bool{}
 	for i := range c.catalog {
@@ -42,16 +42,16 @@
 		}
 	}
 	if len(zones) == 0 {
-		return never
+		return inadmissible
 	}
 	if j.SpreadZones && j.Tasks > 1 && (j.SingleZone || len(zones) < 2) {
-		return never
+		return inadmissible
 	}
-	return fits
+	return admissible
 }
 
-// over tells whether an amount breaks a limit; a limit of 0 is none.
-func over(amount, limit float64) bool { return limit > 0 && amount > limit+1e-9 }
+// exceedsLimit tells whether an amount breaks a limit; a limit of 0 is none.
+func exceedsLimit(amount, limit float64) bool { return limit > 0 && amount > limit+1e-9 }
 
 func allowsType(j *wire.Job, name string) bool {
 	if j.MachineTypes == nil {
--- a/internal/core/allowance_records.go
+++ b/internal/core/allowance_records.go
@@ -10,8 +10,8 @@
 // quotaPrefix is where this region's accounts of the teams' allowances are, by team. Without regions there is none.
 const quotaPrefix = "w/q/"
 
-// allowanceKey gives the key of a team's account. Names of teams may hold what keys may not.
-func allowanceKey(team string) string { return quotaPrefix + url.PathEscape(team) }
+// quotaKey gives the key of a team's account. Names of teams may hold what keys may not.
+func quotaKey(team string) string { return quotaPrefix + url.PathEscape(team) }
 
 // cachedQuotaAccount is an account as a node has read it.
 type cachedQuotaAccount struct {
--- a/internal/core/allowance_requests.go
+++ b/internal/core/allowance_requests.go
@@ -39,15 +39,15 @@
 func (CallRegion) effect() {}
 
 const (
-	noRegions     = "this region's limits are not divided"
-	noSuchRegion  = "there is no such region"
-	noSuchTeam    = "there is no such team"
-	otherWhole    = "the limits of the team differ between regions"
-	transferFirst = "an earlier transfer is missing"
+	reasonNoRegions       = "this region's limits are not divided"
+	reasonNoSuchRegion    = "there is no such region"
+	reasonNoSuchTeam      = "there is no such team"
+	reasonLimitsDiffer    = "the limits of the team differ between regions"
+	reasonTransferMissing = "an earlier transfer is missing"
 )
 
 // quotaForMessage gives the account that a message is about; nil if the message is answered.
-func (c *Core) quotaForMessage(req uint64, from, team string, whole allowance.Share) *teamAllowance {
+func (c *Core) quotaForMessage(req uint64, from, team string, whole allowance.Share) *teamQuota {
 	l := c.leaderForRequest(req)
 	if l == nil {
 		return nil
@@ -55,19 +55,19 @@
 	t := l.quotas.teams[team]
 	switch {
 	case !c.operator.Regions.Enabled():
-		c.respondRefused(req, noRegions)
+		c.respondRefused(req, reasonNoRegions)
 	case !c.operator.Regions.Other(from):
-		c.respondRefused(req, noSuchRegion)
+		c.respondRefused(req, reasonNoSuchRegion)
 	case t == nil:
-		c.respond(req, 404, wire.ErrorBody{Error: noSuchTeam})
+		c.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.whole != whole:
-		if !t.differs {
-			t.differs = true // it is logged once a term
+		if !t.regionDisagrees {
+			t.regionDisagrees = true // it is logged once a term
 			c.log(Error, "regions have different limits of a team", "team", team, "region", from)
 		}
-		c.respondRefused(req, otherWhole)
-	case t.account == nil || !c.election.leaseValid() || c.storeDown || len(t.asks)+len(t.deliveries) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(req, 503, notAvailable)
+		c.respondRefused(req, reasonLimitsDiffer)
+	case t.account == nil || !c.election.leaseValid() || c.storeDown || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
+		c.respondRetryLater(req, 503, reasonUnavailable)
 	default:
 		return t
 	}
@@ -77,19 +77,19 @@
 // handleQuotaRequest takes a region's request for a part of a team's allowance.
 func (c *Core) handleQuotaRequest(in RequestQuota) {
 	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Whole); t != nil {
-		t.asks = append(t.asks, in)
-		c.leader.quotas.at = c.now.Steady
+		t.requests = append(t.requests, in)
+		c.leader.quotas.nextCheck = c.now.Steady
 	}
 }
 
 // handleQuotaDelivery takes a transfer in.
 func (c *Core) handleQuotaDelivery(in DeliverQuota) {
 	if in.Transfer.To != c.operator.Regions.Name {
-		c.respondRefused(in.RequestID, noSuchRegion)
+		c.respondRefused(in.RequestID, reasonNoSuchRegion)
 		return
 	}
 	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Whole); t != nil {
 		t.deliveries = append(t.deliveries, in)
-		c.leader.quotas.at = c.now.Steady
+		c.leader.quotas.nextCheck = c.now.Steady
 	}
 }
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -7,19 +7,19 @@
 	"bitternwing/internal/config"
 )
 
-// allowances keeps a leader within what its region holds of the teams' limits and guarantees, hands parts of it to
+// quotaManager keeps a leader within what its region holds of the teams' limits and guarantees, hands parts of it to
 // regions that lack them, and asks for what its own work lacks. An account is committed before anybody acts by it.
-type allowances struct {
-	l        *leader
-	at       time.Duration
-	teams    map[string]*teamAllowance
-	inOrder  []*teamAllowance // as the settings have them
-	inFlight int              // writes of accounts
-	seen     uint64           // changes of the directory's accounts that were taken in
+type quotaManager struct {
+	leader           *leader
+	nextCheck        time.Duration
+	teams            map[string]*teamQuota
+	ordered          []*teamQuota // as the settings have them
+	inFlight         int          // writes of accounts
+	cacheChangesSeen uint64       // changes of the directory's accounts that were taken in
 }
 
-// teamAllowance is a team's allowance while a leader goes by it.
-type teamAllowance struct {
+// teamQuota is a team's allowance while a leader goes by it.
+type teamQuota struct {
 	// effective is the team with the limits and guarantees that may be gone by now; jobs of the team point to it.
 	effective config.Team
 	settings  *config.Team
@@ -28,40 +28,40 @@
 	key       string
 	account   *allowance.Account // as it is stored; nil: it is not there, or can't be read
 	version   uint64
-	// unsettled are accounts that were sent to be written and may yet be: the least of all counts.
-	unsettled []*allowance.Account
-	writing   bool
-	retryAt   time.Duration
-
-	asks       []RequestQuota
-	deliveries []DeliverQuota
-	delivering map[string]bool // a transfer is on its way to these regions
-	asking     bool
-	nextRegion int // that is asked
-	askAt      time.Duration
-	asked      int // times, since something came last
-	attempts   int
-	differs    bool // a region has another limit of the team
+	// indeterminate are accounts that were sent to be written and may yet be: the least of all counts.
+	indeterminate []*allowance.Account
+	writeInFlight bool
+	retryAt       time.Duration
+
+	requests        []RequestQuota
+	deliveries      []DeliverQuota
+	delivering      map[string]bool // a transfer is on its way to these regions
+	requestInFlight bool
+	nextRegion      int // that is asked
+	nextRequest     time.Duration
+	requestCount    int // times, since something came last
+	attempts        int
+	regionDisagrees bool // a region has another limit of the team
 }
 
-// nothingAllowed is what a limit is set to where nothing of it is held: a limit of 0 would mean that there is none.
-const nothingAllowed = 1e-6
+// zeroLimit is what a limit is set to where nothing of it is held: a limit of 0 would mean that there is none.
+const zeroLimit = 1e-6
 
-// newAllowances takes the teams up; nobody has an allowance before its account is read.
-func newAllowances(l *leader) *allowances {
-	a := &allowances{l: l, teams: map[string]*teamAllowance{}}
+// newQuotaManager takes the teams up; nobody has an allowance before its account is read.
+func newQuotaManager(l *leader) *quotaManager {
+	a := &quotaManager{leader: l, teams: map[string]*teamQuota{}}
 	if !l.core.operator.Regions.Enabled() {
 		return a
 	}
 	parts := l.core.regionShares()
 	for i := range l.core.settings.Params.Teams {
 		team := &l.core.settings.Params.Teams[i]
-		t := &teamAllowance{effective: *team, settings: team, key: allowanceKey(team.Name), delivering: map[string]bool{},
-			whole: allowance.Share{Limit: allowance.AtMost(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.AtMost(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
+		t := &teamQuota{effective: *team, settings: team, key: quotaKey(team.Name), delivering: map[string]bool{},
+			whole: allowance.Share{Limit: allowance.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
 		t.initial = allowance.Initial(t.whole, parts, l.core.operator.Regions.Name)
-		t.goBy(allowance.Share{})
+		t.setEffective(allowance.Share{})
 		a.teams[team.Name] = t
-		a.inOrder = append(a.inOrder, t)
+		a.ordered = append(a.ordered, t)
 	}
 	return a
 }
@@ -70,7 +70,7 @@
 func (c *Core) regionShares() []allowance.Region {
 	var parts []allowance.Region
 	for _, r := range c.operator.Regions.All {
-		parts = append(parts, allowance.Region{Name: r.Name, Part: r.Part})
+		parts = append(parts, allowance.Region{Name: r.Name, Share: r.Part})
 	}
 	return parts
 }
@@ -83,14 +83,14 @@
 	return l.core.team(name)
 }
 
-// goBy sets the effective limits and guarantees to what is held; where the whole has none there is none.
-func (t *teamAllowance) goBy(held allowance.Share) {
+// setEffective sets the effective limits and guarantees to what is held; where the whole has none there is none.
+func (t *teamQuota) setEffective(held allowance.Share) {
 	team := t.settings
 	part := func(whole, held float64) float64 {
 		if whole == 0 {
 			return 0
 		}
-		return max(held, nothingAllowed)
+		return max(held, zeroLimit)
 	}
 	limitGPUs, limitCPUs := held.Limit.Float()
 	guaranteeGPUs, guaranteeCPUs := held.Guarantee.Float()
@@ -99,7 +99,7 @@
 }
 
 // usable gives what of the team's limits, as the settings have them now, may be used here.
-func (t *teamAllowance) usable() allowance.Share {
+func (t *teamQuota) usable() allowance.Share {
 	if t.account == nil {
 		return allowance.Share{}
 	}
@@ -107,91 +107,91 @@
 }
 
 // held gives what may be gone by: the least of what is stored and of what may yet be.
-func (t *teamAllowance) held() allowance.Share {
+func (t *teamQuota) held() allowance.Share {
 	if t.account == nil {
 		return allowance.Share{}
 	}
 	held := t.account.Held
-	for _, a := range t.unsettled {
+	for _, a := range t.indeterminate {
 		held = held.Min(a.Held)
 	}
 	return held
 }
 
 // run looks after all accounts.
-func (a *allowances) run() {
-	c := a.l.core
+func (a *quotaManager) run() {
+	c := a.leader.core
 	if len(a.teams) == 0 {
 		return
 	}
-	if a.seen != c.cache.quotaAccounts.changes {
-		a.seen = c.cache.quotaAccounts.changes
+	if a.cacheChangesSeen != c.cache.quotaAccounts.changes {
+		a.cacheChangesSeen = c.cache.quotaAccounts.changes
 		a.readStored()
 	}
-	if c.now.Steady < a.at {
-		c.wakeBy(a.at)
+	if c.now.Steady < a.nextCheck {
+		c.wakeBy(a.nextCheck)
 		return
 	}
-	a.at = c.now.Steady + c.times.timerCoalescing
-	c.wakeBy(a.at)
+	a.nextCheck = c.now.Steady + c.times.timerCoalescing
+	c.wakeBy(a.nextCheck)
 	mayWrite := c.election.leaseValid() && !c.storeDown
-	needs := a.needs()
-	for _, t := range a.inOrder {
+	needs := a.demands()
+	for _, t := range a.ordered {
 		if !mayWrite {
-			t.refuse(c)
+			t.redirectWaiting(c)
 			continue
 		}
 		need := needs[t.settings.Name]
-		if !t.writing && c.now.Steady >= t.retryAt && a.mayWrite() {
-			a.write(t, need)
+		if !t.writeInFlight && c.now.Steady >= t.retryAt && a.mayWrite() {
+			a.writeNextChange(t, need)
 		}
 		if t.account != nil {
-			a.deliver(t)
-			a.ask(t, need)
+			a.deliverTransfers(t)
+			a.requestFromRegion(t, need)
 		}
 	}
 }
 
 // readStored takes in the accounts as the watch shows them.
-func (a *allowances) readStored() {
-	for _, t := range a.inOrder {
-		stored := a.l.core.cache.quotaAccounts.byKey[t.key]
+func (a *quotaManager) readStored() {
+	for _, t := range a.ordered {
+		stored := a.leader.core.cache.quotaAccounts.byKey[t.key]
 		if stored == nil || stored.version <= t.version {
 			continue
 		}
 		if stored.problem != nil {
-			a.l.core.log(Error, "a team's allowance can't be read: nothing of the team is started", "key", t.key, "error", stored.problem.Error())
+			a.leader.core.log(Error, "a team's allowance can't be read: nothing of the team is started", "key", t.key, "error", stored.problem.Error())
 		}
-		a.take(t, stored.account, stored.version)
+		a.adoptAccount(t, stored.account, stored.version)
 	}
 }
 
-// take goes by an account as it is stored. What was sent to be written before can't be applied any more.
-func (a *allowances) take(t *teamAllowance, account *allowance.Account, version uint64) {
+// adoptAccount goes by an account as it is stored. What was sent to be written before can't be applied any more.
+func (a *quotaManager) adoptAccount(t *teamQuota, account *allowance.Account, version uint64) {
 	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).Zero() {
-		t.asked = 0
+		t.requestCount = 0
 	}
-	t.account, t.version, t.unsettled = account, version, nil
-	a.refresh(t)
+	t.account, t.version, t.indeterminate = account, version, nil
+	a.refreshEffective(t)
 }
 
-// refresh brings the effective limits up to date, and has a round held.
-func (a *allowances) refresh(t *teamAllowance) {
+// refreshEffective brings the effective limits up to date, and has a round held.
+func (a *quotaManager) refreshEffective(t *teamQuota) {
 	before := t.effective
-	t.goBy(t.usable())
+	t.setEffective(t.usable())
 	if before != t.effective {
-		a.l.wantRound()
+		a.leader.requestCycle()
 	}
 }
 
-// teamNeed is what a team's work takes in this region: what its tasks use, and what it could use beyond that.
-type teamNeed struct{ used, waiting allowance.Amount }
+// teamDemand is what a team's work takes in this region: what its tasks use, and what it could use beyond that.
+type teamDemand struct{ used, waiting allowance.Amount }
 
-// needs works out what the teams' work takes. Each placement counts as used until there is evidence of its end.
-func (a *allowances) needs() map[string]teamNeed {
+// demands works out what the teams' work takes. Each placement counts as used until there is evidence of its end.
+func (a *quotaManager) demands() map[string]teamDemand {
 	type sum struct{ usedGPUs, usedCPUs, allGPUs, allCPUs float64 }
 	sums := map[string]*sum{}
-	for _, j := range a.l.jobs {
+	for _, j := range a.leader.jobs {
 		s := sums[j.spec.Team]
 		if s == nil {
 			s = &sum{}
@@ -204,22 +204,22 @@
 		s.usedGPUs, s.usedCPUs = s.usedGPUs+placed*j.spec.GPUs, s.usedCPUs+placed*j.spec.CPUs
 		s.allGPUs, s.allCPUs = s.allGPUs+all*j.spec.GPUs, s.allCPUs+all*j.spec.CPUs
 	}
-	needs := map[string]teamNeed{}
+	needs := map[string]teamDemand{}
 	for team, s := range sums {
-		used := allowance.AtLeast(s.usedGPUs, s.usedCPUs)
-		needs[team] = teamNeed{used: used, waiting: allowance.AtLeast(s.allGPUs, s.allCPUs).Minus(used)}
+		used := allowance.RoundUp(s.usedGPUs, s.usedCPUs)
+		needs[team] = teamDemand{used: used, waiting: allowance.RoundUp(s.allGPUs, s.allCPUs).Minus(used)}
 	}
 	return needs
 }
 
-// both gives an amount as a share: of the limit and of the guarantee.
-func both(a allowance.Amount) allowance.Share { return allowance.Share{Limit: a, Guarantee: a} }
+// equalShare gives an amount as a share: of the limit and of the guarantee.
+func equalShare(a allowance.Amount) allowance.Share { return allowance.Share{Limit: a, Guarantee: a} }
 
-// kept gives what a region keeps when another one asks, as accounts count: what is used, and of the rest what its own
+// retained gives what a region keeps when another one asks, as accounts count: what is used, and of the rest what its own
 // waiting work takes, but no more than half. So neither region's work waits for all of the other's.
-func (t *teamAllowance) kept(n teamNeed) allowance.Share {
+func (t *teamQuota) retained(n teamDemand) allowance.Share {
 	held := t.held()
-	used, all := t.account.Stored(both(n.used), t.whole), t.account.Stored(both(n.used.Plus(n.waiting)), t.whole)
+	used, all := t.account.ToAccountUnits(equalShare(n.used), t.whole), t.account.ToAccountUnits(equalShare(n.used.Plus(n.waiting)), t.whole)
 	free := held.Minus(used)
 	return used.Plus(all.Minus(used).Min(free.Half()))
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -131,7 +131,7 @@
 // call.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = now
-	c.evaluationCost.Learn(now.Took)
+	c.evaluationCost.Observe(now.Took)
 	c.observeLoad()
 	c.nothingChanged = false
 	clear(c.effects)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -124,7 +124,7 @@
 		switch graph.Of(id).State {
 		case dependency.Ready:
 			l.admit(j)
-			l.wantRound()
+			l.requestCycle()
 		case dependency.Cancelled:
 			l.writer.queueCancel(j)
 		case dependency.Waiting, dependency.Unresolved:
--- a/internal/core/direct_orders.go
+++ b/internal/core/direct_orders.go
@@ -22,7 +22,7 @@
 			l.pendingDispatch = append(l.pendingDispatch[:0], l.pendingDispatch[i:]...)
 			return
 		}
-		if m.commandInFlight || !l.usable(m) || m.addr == "" || l.machines[m.name] != m || !l.mayStartDirectly(m) {
+		if m.commandInFlight || !l.acceptsTasks(m) || m.addr == "" || l.machines[m.name] != m || !l.mayStartDirectly(m) {
 			continue
 		}
 		if o := l.newDirectCommand(m); len(o.commands) > 0 {
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -421,7 +421,7 @@
 			for id := range d.jobs {
 				c.leader.applyJobChange(id)
 			}
-			c.leader.holdAll()
+			c.leader.refreshHolds()
 		}
 	})
 	c.emit(StoreList{CallID: id, Prefix: watchedPrefix, After: after})
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -15,7 +15,7 @@
 	if c.leader == nil {
 		return 0
 	}
-	return c.leader.cycles.spent
+	return c.leader.cycles.evaluationsSpent
 }
 
 // EvaluationsPerSecond is what the settings allow of them, at the cost that was measured.
@@ -49,9 +49,9 @@
 		if m.capacityChanged || len(m.orphanedTasks) > 0 {
 			continue // the next round works it out
 		}
-		free, soon := l.freeOf(m)
-		want := (&host{m: m, free: free, soon: soon}).room()
-		group, got, ok := l.capacityIndex.Room(m.name)
+		free, soon := l.freeCapacity(m)
+		want := (&schedulableMachine{machine: m, free: free, freeAfterStops: soon}).indexEntry()
+		group, got, ok := l.capacityIndex.Get(m.name)
 		if !ok || got != want || group != m.group() {
 			return fmt.Errorf("%s: %+v %+v in the index, %+v built anew", m.name, group, got, want)
 		}
--- a/internal/core/faults.go
+++ b/internal/core/faults.go
@@ -76,8 +76,8 @@
 	l.assessMachine(m)
 }
 
-// avoids tells whether a job should rather not be tried on a machine again. Where
+// avoidsMachine tells whether a job should rather not be tried on a machine again. Where
 // it failed on much of the fleet the machines are not to blame.
-func (l *leader) avoids(j *job, m *machine) bool {
+func (l *leader) avoidsMachine(j *job, m *machine) bool {
 	return j.failedOn[m.name] && 2*len(j.failedOn) <= len(l.machinesByName)
 }
--- a/internal/core/fulfillment.go
+++ b/internal/core/fulfillment.go
@@ -36,12 +36,12 @@
 	return j.latestEndMS - milliseconds(j.spec.EstimatedRunS)
 }
 
-// pace is how many instances an array needs at work now to be done within its class's
+// requiredInstances is how many instances an array needs at work now to be done within its class's
 // aim, as far as its owner's estimate tells: all that is unfinished, over the number of
 // times that a task fits into what is left of the time. The closest aim that can still
 // be met counts; without one the pace is the minimum. A job on which a pipeline's deadline depends has no
 // time to give away to those after it: its pace is all of it.
-func (l *leader) pace(j *job) int {
+func (l *leader) requiredInstances(j *job) int {
 	if j.elastic() && j.hasDeadline() {
 		return j.maxInstances()
 	}
@@ -69,20 +69,20 @@
 // taken away already, although its room is not free yet.
 func (j *job) activeInstances() int { return len(j.placements) - j.stopping }
 
-// score is the fulfillment score: current less minimum, over maximum less minimum.
-func score(current, least, most int) float64 {
+// fulfillmentScore is the fulfillment score: current less minimum, over maximum less minimum.
+func fulfillmentScore(current, least, most int) float64 {
 	return float64(current-least) / float64(most-least)
 }
 
 // candidate is a job that more instances may be allocated to.
 type candidate struct {
-	job     *job
-	current int
-	from    int // where to look for its next task
+	job       *job
+	instances int
+	nextTask  int // where to look for its next task
 }
 
 func (h *candidate) score() float64 {
-	return score(h.current, h.job.minInstances(), h.job.maxInstances())
+	return fulfillmentScore(h.instances, h.job.minInstances(), h.job.maxInstances())
 }
 
 // lessFulfilled orders elastic jobs: by score, then by what an instance asks of
@@ -121,11 +121,11 @@
 // least slack first and then the oldest: an exception to the order of fulfillment. Equal shares let all arrays
 // that compete end at about the same, late time; one after the other, most are in time.
 // It takes from nobody.
-func (r *round) allocateForDeadlines(jobs []*job) {
-	l := r.l
+func (r *schedulingCycle) allocateForDeadlines(jobs []*job) {
+	l := r.leader
 	var late []*job
 	for _, j := range jobs {
-		if j.activeInstances() < l.pace(j) {
+		if j.activeInstances() < l.requiredInstances(j) {
 			late = append(late, j)
 		}
 	}
@@ -138,12 +138,12 @@
 	})
 	for _, j := range late {
 		from := 0
-		for n := l.pace(j) - j.activeInstances(); n > 0 && r.budget() && r.use.allows(j, 1); n-- {
+		for n := l.requiredInstances(j) - j.activeInstances(); n > 0 && r.hasBudget() && r.usage.withinLimit(j, 1); n-- {
 			task := l.nextTask(j, from)
 			if task < 0 {
 				break
 			}
-			m := r.fit(j)
+			m := r.findMachine(j)
 			if m == nil {
 				break
 			}
@@ -156,11 +156,11 @@
 
 // allocateElastic gives free room to arrays. Idle-time work comes last: it takes what all else leaves,
 // and gives way to what found no room.
-func (r *round) allocateElastic() {
+func (r *schedulingCycle) allocateElastic() {
 	var wanted, idle []*job
-	for _, j := range r.l.queue {
+	for _, j := range r.leader.queue {
 		switch {
-		case !j.isArray() || !r.ready(j) || j.unplaced() == 0:
+		case !j.isArray() || !r.schedulable(j) || j.unplaced() == 0:
 		case j.isIdlePriority():
 			idle = append(idle, j)
 		default:
@@ -168,34 +168,34 @@
 		}
 	}
 	r.allocateForDeadlines(wanted)
-	for _, h := range r.allocate(wanted) {
-		r.preemptIdle(h)
+	for _, h := range r.allocateByFulfillment(wanted) {
+		r.preemptIdleFor(h)
 	}
 	r.allocateForDeadlines(idle)
-	r.allocate(idle)
+	r.allocateByFulfillment(idle)
 }
 
-// allocate gives free room, one instance at a time, to the least fulfilled job below
+// allocateByFulfillment gives free room, one instance at a time, to the least fulfilled job below
 // 1.0. A job that finds no room for its next instance, or has reached its team's
 // limit, is out of this round. It returns those that found no room.
-func (r *round) allocate(jobs []*job) []*candidate {
-	l := r.l
+func (r *schedulingCycle) allocateByFulfillment(jobs []*job) []*candidate {
+	l := r.leader
 	q := candidateQueue{}
 	for _, j := range jobs {
 		if j.unplaced() > 0 {
-			q = append(q, &candidate{job: j, current: j.activeInstances()})
+			q = append(q, &candidate{job: j, instances: j.activeInstances()})
 		}
 	}
 	var lacking []*candidate
 	heap.Init(&q)
-	for len(q) > 0 && r.budget() {
+	for len(q) > 0 && r.hasBudget() {
 		h := q[0]
-		task := l.nextTask(h.job, h.from)
-		if task < 0 || h.current >= h.job.maxInstances() || !r.use.allows(h.job, 1) {
+		task := l.nextTask(h.job, h.nextTask)
+		if task < 0 || h.instances >= h.job.maxInstances() || !r.usage.withinLimit(h.job, 1) {
 			heap.Pop(&q)
 			continue
 		}
-		m := r.fit(h.job)
+		m := r.findMachine(h.job)
 		if m == nil {
 			lacking = append(lacking, h)
 			heap.Pop(&q)
@@ -203,21 +203,21 @@
 		}
 		r.place(h.job, task, m)
 		l.markDirty(l.chunkOf(h.job, task))
-		h.current++
-		h.from = task + 1
+		h.instances++
+		h.nextTask = task + 1
 		heap.Fix(&q, 0)
 	}
 	return lacking
 }
 
-// preemptIdle makes room for an array's further instances, where only idle-time work above its
+// preemptIdleFor makes room for an array's further instances, where only idle-time work above its
 // minimum is in their way: an exception to the design, which takes for minimums alone. Work that
 // is to run when nobody else wants the machines must not keep them from anybody, and its
 // tasks can hold all the CPUs of a fleet whose GPUs are free.
-func (r *round) preemptIdle(h *candidate) {
-	lacks := h.job.maxInstances() - h.current
-	for lacks > 0 && r.budget() && r.use.allows(h.job, 1) && r.shrinkFor(h.job, 1, true) {
-		r.use.add(h.job, 1) // it is as good as placed: its team's limit holds for the next one
+func (r *schedulingCycle) preemptIdleFor(h *candidate) {
+	lacks := h.job.maxInstances() - h.instances
+	for lacks > 0 && r.hasBudget() && r.usage.withinLimit(h.job, 1) && r.preemptFor(h.job, 1, true) {
+		r.usage.add(h.job, 1) // it is as good as placed: its team's limit holds for the next one
 		lacks--
 	}
 }
@@ -225,27 +225,27 @@
 // isIdlePriority tells whether a job is to run only on what nobody else wants.
 func (j *job) isIdlePriority() bool { return priority(j) == wire.PriorityIdle.Rank() }
 
-// mayStop tells whether the protocol lets a task of victim be stopped for job j: j
+// protocolAllowsPreemption tells whether the protocol lets a task of victim be stopped for job j: j
 // is of higher priority, or j lies within its team's guarantee and the victim's
 // team, another one, runs beyond its own.
-func (r *round) mayStop(j, victim *job) bool {
+func (r *schedulingCycle) protocolAllowsPreemption(j, victim *job) bool {
 	if victim.team == nil {
 		return true
 	}
 	if priority(j) > priority(victim) {
 		return true
 	}
-	return j.withinGuarantee && j.spec.Team != victim.spec.Team && r.use.beyond(victim.team)
+	return j.withinGuarantee && j.spec.Team != victim.spec.Team && r.usage.exceedsGuarantee(victim.team)
 }
 
 // shrinkable tells whether a job is elastic and above its minimum.
 func (j *job) shrinkable() bool { return j.elastic() && j.activeInstances() > j.minInstances() }
 
-// usage is what the teams' tasks use, whatever state they are in: until there is
+// teamUsage is what the teams' tasks use, whatever state they are in: until there is
 // evidence that a task is gone it counts.
-type usage map[string]*[2]float64 // GPUs, CPUs
+type teamUsage map[string]*[2]float64 // GPUs, CPUs
 
-func (u usage) of(team string) *[2]float64 {
+func (u teamUsage) of(team string) *[2]float64 {
 	x := u[team]
 	if x == nil {
 		x = new([2]float64)
@@ -254,28 +254,28 @@
 	return x
 }
 
-func (u usage) add(j *job, n int) {
+func (u teamUsage) add(j *job, n int) {
 	x := u.of(j.spec.Team)
 	x[0] += float64(n) * j.spec.GPUs
 	x[1] += float64(n) * j.spec.CPUs
 }
 
-// allows tells whether n more tasks keep the team within its limit.
-func (u usage) allows(j *job, n int) bool {
+// withinLimit tells whether n more tasks keep the team within its limit.
+func (u teamUsage) withinLimit(j *job, n int) bool {
 	if j.team == nil {
 		return false
 	}
 	x := u.of(j.spec.Team)
-	return !over(x[0]+float64(n)*j.spec.GPUs, j.team.MaxGPUs) && !over(x[1]+float64(n)*j.spec.CPUs, j.team.MaxCPUs)
+	return !exceedsLimit(x[0]+float64(n)*j.spec.GPUs, j.team.MaxGPUs) && !exceedsLimit(x[1]+float64(n)*j.spec.CPUs, j.team.MaxCPUs)
 }
 
-// beyond tells whether a team uses more than its guarantee.
-func (u usage) beyond(t *config.Team) bool {
+// exceedsGuarantee tells whether a team uses more than its guarantee.
+func (u teamUsage) exceedsGuarantee(t *config.Team) bool {
 	x := u.of(t.Name)
-	return beyondGuarantee(x[0], x[1], t)
+	return usageExceedsGuarantee(x[0], x[1], t)
 }
 
-func beyondGuarantee(gpus, cpus float64, t *config.Team) bool {
+func usageExceedsGuarantee(gpus, cpus float64, t *config.Team) bool {
 	const eps = 1e-9
 	if t.GuaranteedGPUs > 0 && gpus > t.GuaranteedGPUs+eps || t.GuaranteedCPUs > 0 && cpus > t.GuaranteedCPUs+eps {
 		return true
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -6,43 +6,43 @@
 	"bitternwing/internal/wire"
 )
 
-// host is the room of a machine that may take tasks. Within a round both amounts count what the round has
+// schedulableMachine is the room of a machine that may take tasks. Within a round both amounts count what the round has
 // decided and holds back.
-type host struct {
-	m    *machine
-	free resource.Amount
-	soon resource.Amount // free once what was told to stop is gone
+type schedulableMachine struct {
+	machine        *machine
+	free           resource.Amount
+	freeAfterStops resource.Amount // free once what was told to stop is gone
 }
 
-// refreshHosts brings the index of room up to date for a round: machines that may take tasks now and could not
+// refreshCapacityIndex brings the index of room up to date for a round: machines that may take tasks now and could not
 // before, or the other way, and those whose room has changed.
-func (l *leader) refreshHosts() {
+func (l *leader) refreshCapacityIndex() {
 	for _, m := range l.machinesByName {
 		if m.machineType == nil {
 			m.setType(l.core.machineType(m.typeName))
 		}
-		switch usable := l.usable(m); {
+		switch usable := l.acceptsTasks(m); {
 		case !usable && m.schedulable != nil:
-			l.dropHost(m)
+			l.removeSchedulable(m)
 		case usable && (m.schedulable == nil || m.capacityChanged || len(m.orphanedTasks) > 0):
-			l.refreshHost(m)
+			l.refreshSchedulable(m)
 		}
 	}
 }
 
-// refreshHost works out a machine's room.
-func (l *leader) refreshHost(m *machine) {
+// refreshSchedulable works out a machine's room.
+func (l *leader) refreshSchedulable(m *machine) {
 	if m.schedulable == nil {
-		m.schedulable = &host{m: m}
+		m.schedulable = &schedulableMachine{machine: m}
 	}
-	m.schedulable.free, m.schedulable.soon = l.freeOf(m)
+	m.schedulable.free, m.schedulable.freeAfterStops = l.freeCapacity(m)
 	m.capacityChanged = false
-	l.updateHost(m.schedulable)
+	l.updateCapacityIndex(m.schedulable)
 }
 
-// updateHost has the index know of a change of a host's room.
-func (l *leader) updateHost(h *host) {
-	l.capacityIndex.Put(h.m.group(), resource.OfMachine(h.m.machineType), h.room(), h)
+// updateCapacityIndex has the index know of a change of a host's room.
+func (l *leader) updateCapacityIndex(h *schedulableMachine) {
+	l.capacityIndex.Put(h.machine.group(), resource.OfMachine(h.machine.machineType), h.indexEntry(), h)
 }
 
 // group is the machines among which the index has this one.
@@ -50,26 +50,26 @@
 	return capacity.Group{Type: m.typeName, Zone: m.zone, Spot: m.spot}
 }
 
-// dropHost takes a machine out of those that may take tasks.
-func (l *leader) dropHost(m *machine) {
+// removeSchedulable takes a machine out of those that may take tasks.
+func (l *leader) removeSchedulable(m *machine) {
 	m.schedulable = nil
 	l.capacityIndex.Remove(m.name)
 }
 
-// room gives what the index is to know of a host.
-func (h *host) room() capacity.Room {
-	room := capacity.Room{Name: h.m.name, Free: h.free, Soon: h.soon}
-	for _, p := range h.m.placementsInOrder {
+// indexEntry gives what the index is to know of a host.
+func (h *schedulableMachine) indexEntry() capacity.MachineCapacity {
+	room := capacity.MachineCapacity{Name: h.machine.name, Free: h.free, FreeAfterStops: h.freeAfterStops}
+	for _, p := range h.machine.placementsInOrder {
 		// Which of them can be shrunk, and for whom, is for the search to find out.
 		if p.stop == stopNone && p.job.isArray() {
-			room.Stoppable[priority(p.job)].Add(resource.OfTask(p.job.spec))
+			room.Preemptible[priority(p.job)].Add(resource.OfTask(p.job.spec))
 		}
 	}
-	for i := range h.m.images {
-		switch img := &h.m.images[i]; {
+	for i := range h.machine.images {
+		switch img := &h.machine.images[i]; {
 		case img.ready:
 			room.Images.Ready.Add(img.bit)
-		case img.unknown:
+		case img.unconfirmed:
 			room.Images.Unknown.Add(img.bit)
 		default:
 			room.Images.Fetching.Add(img.bit)
@@ -78,8 +78,8 @@
 	return room
 }
 
-// freeOf gives what is free of a machine now, and once all that stops is gone.
-func (l *leader) freeOf(m *machine) (free, soon resource.Amount) {
+// freeCapacity gives what is free of a machine now, and once all that stops is gone.
+func (l *leader) freeCapacity(m *machine) (free, soon resource.Amount) {
 	free = resource.OfMachine(m.machineType)
 	for _, p := range m.placementsInOrder {
 		free.Take(resource.OfTask(p.job.spec))
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -75,7 +75,7 @@
 		names := []string{}
 		size := len(m.name) + 8
 		for _, img := range m.images {
-			if img.ready || img.unknown {
+			if img.ready || img.unconfirmed {
 				names = append(names, img.name)
 				size += len(img.name) + 8
 			}
@@ -101,10 +101,10 @@
 func (l *leader) applyImageHints(m *machine) {
 	for _, shard := range l.core.cache.images {
 		for _, name := range shard.get()[m.name] {
-			img := newImage(name, l.imageGB(name))
+			img := newCachedImage(name, l.imageGB(name))
 			// What a place costs is worked out from what is known; without weighing the hint is believed.
-			img.unknown = l.core.operator.Spread.Enabled
-			img.ready = !img.unknown
+			img.unconfirmed = l.core.operator.Spread.Enabled
+			img.ready = !img.unconfirmed
 			m.images = append(m.images, img)
 			m.capacityChanged = true
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -73,13 +73,13 @@
 	machine             *machine
 	incarnation         uint64
 	phase               placementPhase
-	startSequence       uint64          // the report in whose answer its start went out
-	directStartToken    uint64          // the token with which its start was sent directly; 0: it was not
-	directStartInFlight bool            // for the answer to a direct start
-	directStartSequence uint64          // seq of that answer; 0: none came
-	imageState          capacity.Warmth // of its machine when it was placed
-	cost                trade           // of a replica: what its place cost
-	state               wire.TaskState  // as last reported
+	startSequence       uint64              // the report in whose answer its start went out
+	directStartToken    uint64              // the token with which its start was sent directly; 0: it was not
+	directStartInFlight bool                // for the answer to a direct start
+	directStartSequence uint64              // seq of that answer; 0: none came
+	imageState          capacity.ImageState // of its machine when it was placed
+	cost                placementCost       // of a replica: what its place cost
+	state               wire.TaskState      // as last reported
 	placedAt            time.Duration
 	runningSince        time.Duration // when first seen running; 0: not yet
 	// lastReconciliation is the last of the leader's evidence, by its count, that shows the placement.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -35,16 +35,16 @@
 	queue            []*job // by acceptance
 	machines         map[string]*machine
 	machinesByName   []*machine // by name
-	capacityIndex    *capacity.Index[*host]
+	capacityIndex    *capacity.Index[*schedulableMachine]
 	replicaLedger    *spread.Ledger
-	rebalancing      moves
-	prefetches       prefetches
+	rebalancing      rebalancing
+	prefetches       imagePrefetcher
 	pendingDispatch  []*machine    // with starts that were just committed
 	recordLayout     record.Layout // of the run records
 	layoutMigration  layoutMigration
 	termUpgrade      termFormatUpgrade
-	rollouts         *planRuns
-	quotas           *allowances
+	rollouts         *rolloutManager
+	quotas           *quotaManager
 	dependenciesSeen uint64                   // evaluations of the dependency graph that are taken in
 	releasedMachines map[string]time.Duration // names given back, so that late reports of them don't count
 	// changes counts what reports change, and evidenceCount the reports that were taken as evidence.
@@ -59,8 +59,8 @@
 	nextHeldResponse time.Duration // when held answers are given next
 	nextFleetCheck   time.Duration // when the fleet and the cancelled jobs are looked through next
 	writer           writer
-	provisioner      rentals
-	cycles           rounds
+	provisioner      provisioner
+	cycles           cycleTimer
 	images           imageHints
 	unreachable      unreachableHints
 }
@@ -68,13 +68,13 @@
 func newLeader(c *Core, term, version uint64) *leader {
 	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady, nextHeldResponse: farFuture,
 		recordItems: map[string]wire.Item{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		capacityIndex: capacity.NewIndex[*host](), replicaLedger: spread.NewLedger(), releasedMachines: map[string]time.Duration{}, silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
+		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: spread.NewLedger(), releasedMachines: map[string]time.Duration{}, silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
 	l.recovery.renewalsBefore = c.leaseRenewals.responses[RecoveringLeaderBasis]
-	l.rollouts = newPlanRuns(l)
-	l.quotas = newAllowances(l)
+	l.rollouts = newRolloutManager(l)
+	l.quotas = newQuotaManager(l)
 	l.writer.init(l)
 	l.provisioner.init(l)
-	l.cycles.at = c.now.Steady
+	l.cycles.nextAt = c.now.Steady
 	l.unreachable = unreachableHints{leader: l, nextWrite: c.now.Steady + c.times.checkInterval}
 	l.images = imageHints{leader: l, nextWrite: c.now.Steady, written: map[string]string{}}
 	return l
@@ -110,11 +110,11 @@
 		l.nextFleetCheck = l.core.coalesce(now + 1)
 		l.checkMachines()
 		l.enforceCancellations()
-		l.provisioner.stuck()
+		l.provisioner.releaseNeverUp()
 		l.core.warnOfUndersizedSettings(len(l.machinesByName))
 	}
 	l.core.wakeBy(l.nextFleetCheck)
-	l.round()
+	l.runSchedulingCycle()
 	l.migrateLayout()
 	l.upgradeTermFormat()
 	l.rollouts.run()
@@ -168,7 +168,7 @@
 	}
 	l.core.log(Info, "records read", "term", l.term, "jobs", len(l.jobs))
 	l.logFailover()
-	l.wantRound()
+	l.requestCycle()
 }
 
 // readRecords reads the next page of the run records, and those after it.
@@ -274,7 +274,7 @@
 			return
 		}
 		j = l.addJob(id, e)
-		l.wantRound()
+		l.requestCycle()
 	}
 	j.version = max(j.version, e.version)
 	if e.CancelledMS != 0 && !j.cancelled {
@@ -300,7 +300,7 @@
 		}
 		l.pendingDispatch = append(l.pendingDispatch, p.machine)
 	}
-	l.wantRound()
+	l.requestCycle()
 	l.finishIfDone(j)
 }
 
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -358,7 +358,7 @@
 	m.enterIncarnation(r.Incarnation)
 	m.reported, m.everReported, m.missedLists = true, true, 0
 	m.sequence = r.Sequence
-	l.provisioner.takeBack(m)
+	l.provisioner.cancelRelease(m)
 	m.reclaiming = m.reclaiming || r.ReclaimNoticeS != nil
 	l.reconcileTasks(m, r, asked)
 }
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -54,7 +54,7 @@
 		l.provisioner.release(m, releaseSilent)
 	}
 	if l.responsesLost(m) {
-		l.provisioner.release(m, releaseUnreached)
+		l.provisioner.release(m, releaseResponsesLost)
 	}
 }
 
@@ -131,7 +131,7 @@
 
 // silentSince tells whether a machine has been silent since a moment a third of a lease ago.
 func (l *leader) silentSince(m *machine, at time.Duration) bool {
-	return l.core.now.Steady-at > l.core.pacer.Patience(l.core.times.lease/3, m.lastHoldTime)
+	return l.core.now.Steady-at > l.core.pacer.HeartbeatTimeout(l.core.times.lease/3, m.lastHoldTime)
 }
 
 // queryStatus asks a machine directly that has not reported here for a while: one that hangs,
@@ -143,7 +143,7 @@
 		m.unansweredQueries = 0
 	}
 	if !m.reported && !m.everReported || m.releasing || m.queryInFlight || m.addr == "" || l.statusQueriesInFlight >= l.core.maxStatusQueries() ||
-		now-max(m.lastHeartbeat, m.queryAnsweredAt) < l.core.pacer.Patience(l.core.times.lease/4, m.lastHoldTime) || now-m.queriedAt < l.core.times.checkInterval {
+		now-max(m.lastHeartbeat, m.queryAnsweredAt) < l.core.pacer.HeartbeatTimeout(l.core.times.lease/4, m.lastHoldTime) || now-m.queriedAt < l.core.times.checkInterval {
 		return
 	}
 	m.queryInFlight, m.queriedAt = true, now
--- a/internal/core/load.go
+++ b/internal/core/load.go
@@ -12,12 +12,12 @@
 	shedBelow = 0.1
 )
 
-// slowestFactor is how much longer at full load things wait that can.
-const slowestFactor = 4
+// maxSlowdown is how much longer at full load things wait that can.
+const maxSlowdown = 4
 
 // slowdown is the factor by which things wait longer that can.
 func (c *Core) slowdown() float64 {
-	return 1 + (slowestFactor-1)*c.timerLoad.Level(c.now.Steady)
+	return 1 + (maxSlowdown-1)*c.timerLoad.Level(c.now.Steady)
 }
 
 // observeLoad takes in how late this step comes: the last one asked to be woken before. Its input may have waited besides.
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -39,7 +39,7 @@
 	lastHoldTime      time.Duration         // for how long the answer to its last report was to be held back
 	placements        map[string]*placement // by task name
 	placementsInOrder []*placement          // the same, by job and task
-	schedulable       *host                 // its room; nil while it may take no tasks
+	schedulable       *schedulableMachine   // its room; nil while it may take no tasks
 	capacityChanged   bool                  // since its room was worked out
 	exitedTasks       []wire.TaskStatus     // exited tasks of the last report
 	orphanedTasks     []wire.TaskStatus     // tasks it holds that no record explains
@@ -51,7 +51,7 @@
 	fencingToken    uint64                 // the token used with it
 	directStarts    map[attemptName]uint64 // attempts started directly, and with which token
 	idleSince       time.Duration
-	images          []image // most recently used last
+	images          []cachedImage // most recently used last
 	noCapacityUntil time.Duration
 
 	// Failure accounting, see faults.go.
@@ -69,17 +69,17 @@
 	attempt uint64
 }
 
-type image struct {
+type cachedImage struct {
 	name  string
 	bit   capacity.ImageBit
 	gb    float64
 	ready bool
-	// unknown tells that an earlier leader had it as ready, and that nothing has shown it since.
-	unknown bool
+	// unconfirmed tells that an earlier leader had it as ready, and that nothing has shown it since.
+	unconfirmed bool
 }
 
-func newImage(name string, gb float64) image {
-	return image{name: name, bit: capacity.BitOf(name), gb: gb}
+func newCachedImage(name string, gb float64) cachedImage {
+	return cachedImage{name: name, bit: capacity.BitOf(name), gb: gb}
 }
 
 func (m *machine) add(p *placement) {
@@ -165,7 +165,7 @@
 	}
 	l.sendHeldResponse(m)
 	delete(l.machines, m.name)
-	l.dropHost(m)
+	l.removeSchedulable(m)
 	for i, x := range l.machinesByName {
 		if x == m {
 			l.machinesByName = append(l.machinesByName[:i], l.machinesByName[i+1:]...)
@@ -174,7 +174,7 @@
 	}
 	l.releasedMachines[m.name] = l.core.now.Steady
 	l.core.log(Info, "machine gone", "machine", m.name, "why", why)
-	l.wantRound()
+	l.requestCycle()
 }
 
 // endPlacement ends a placement: its attempt is not and will not be on its machine.
@@ -193,7 +193,7 @@
 	}
 	j.nextUnplaced = min(j.nextUnplaced, p.task)
 	l.markDirty(l.chunkOf(j, p.task))
-	l.wantRound()
+	l.requestCycle()
 	l.finishIfDone(j)
 }
 
@@ -214,7 +214,7 @@
 func (m *machine) markImageReady(name string) {
 	for i := range m.images {
 		if m.images[i].name == name {
-			m.images[i].ready, m.images[i].unknown = true, false
+			m.images[i].ready, m.images[i].unconfirmed = true, false
 			m.capacityChanged = true
 		}
 	}
@@ -226,7 +226,7 @@
 	sum := gb
 	img, found := m.removeImage(name)
 	if !found {
-		img = newImage(name, gb)
+		img = newCachedImage(name, gb)
 	}
 	m.images = append(m.images, img)
 	if m.machineType == nil {
@@ -235,21 +235,21 @@
 	for i := len(m.images) - 2; i >= 0; i-- {
 		sum += m.images[i].gb
 		if sum > m.machineType.CacheGB && m.machineType.CacheGB > 0 {
-			m.images = append([]image(nil), m.images[i+1:]...)
+			m.images = append([]cachedImage(nil), m.images[i+1:]...)
 			break
 		}
 	}
 }
 
 // removeImage takes an image out of the list of those that a machine has.
-func (m *machine) removeImage(name string) (image, bool) {
+func (m *machine) removeImage(name string) (cachedImage, bool) {
 	for i, img := range m.images {
 		if img.name == name {
 			m.images = append(m.images[:i], m.images[i+1:]...)
 			return img, true
 		}
 	}
-	return image{}, false
+	return cachedImage{}, false
 }
 
 // cachedGB is how much a machine has in its cache, as far as known.
@@ -264,17 +264,17 @@
 }
 
 // imageState of a machine for an image.
-func (m *machine) imageState(name string) capacity.Warmth {
-	w := capacity.Cold
+func (m *machine) imageState(name string) capacity.ImageState {
+	w := capacity.ImageAbsent
 	for i := range m.images {
 		if m.images[i].name == name {
 			if m.images[i].ready {
-				return capacity.Warm
+				return capacity.ImageReady
 			}
-			return capacity.Fetching
+			return capacity.ImageFetching
 		}
-		if !m.images[i].ready && !m.images[i].unknown {
-			w = capacity.Shared
+		if !m.images[i].ready && !m.images[i].unconfirmed {
+			w = capacity.ImageFetchShared
 		}
 	}
 	return w
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -6,33 +6,33 @@
 	"bitternwing/internal/spread"
 )
 
-// moves bring replicas of services back into balance, as after the return of a zone: one of a model at a time, within
+// rebalancing bring replicas of services back into balance, as after the return of a zone: one of a model at a time, within
 // a budget, only while all of the model runs, and only where what is gained by the balance is more than what the move
 // costs. A moved replica is stopped, which drains its machine of it, and started anew by the next round, where it costs
 // the least.
-type moves struct{ budget hourlyBudget }
+type rebalancing struct{ budget hourlyBudget }
 
-// secondsOfMoves is how many seconds' worth of the budget may be used at once; one move may be in any case.
-const secondsOfMoves = 60
+// rebalanceBurstSeconds is how many seconds' worth of the budget may be used at once; one move may be in any case.
+const rebalanceBurstSeconds = 60
 
-// moveReplicas makes the moves that are worth it.
-func (r *round) moveReplicas() {
-	l := r.l
+// rebalanceReplicas makes the moves that are worth it.
+func (r *schedulingCycle) rebalanceReplicas() {
+	l := r.leader
 	s := l.core.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
 		return
 	}
-	most := max(1, s.MovesPerHour/secondsAnHour*secondsOfMoves)
+	most := max(1, s.MovesPerHour/secondsAnHour*rebalanceBurstSeconds)
 	l.rebalancing.budget.refill(l.core.now.Steady.Seconds(), s.MovesPerHour, most)
-	if l.rebalancing.budget.left < 1 || !l.provisioner.settled() {
+	if l.rebalancing.budget.left < 1 || !l.provisioner.reconciled() {
 		return
 	}
 	services := l.servicesByModel()
 	for _, model := range l.replicaLedger.All() {
-		if l.rebalancing.budget.left < 1 || !r.budget() {
+		if l.rebalancing.budget.left < 1 || !r.hasBudget() {
 			return
 		}
-		if p := r.worthMoving(model, services[model]); p != nil {
+		if p := r.replicaToMove(model, services[model]); p != nil {
 			l.rebalancing.budget.left--
 			p.requestStop(stopImmediate, stopRebalanced)
 			p.machine.capacityChanged = true
@@ -42,11 +42,11 @@
 	}
 }
 
-// worthMoving gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
-func (r *round) worthMoving(model spread.Model, services []*job) *placement {
-	l := r.l
+// replicaToMove gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
+func (r *schedulingCycle) replicaToMove(model spread.Model, services []*job) *placement {
+	l := r.leader
 	for _, j := range services {
-		if !r.ready(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
+		if !r.schedulable(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
 			return nil
 		}
 	}
@@ -56,7 +56,7 @@
 		}
 		zone := l.replicaLedger.Overfull(model, l.zonesFor(j))
 		for _, p := range j.placementsByTask() {
-			if zone != "" && p.machine.zone == zone && r.gains(j, p) {
+			if zone != "" && p.machine.zone == zone && r.moveSavesCost(j, p) {
 				return p
 			}
 		}
@@ -64,17 +64,17 @@
 	return nil
 }
 
-// gains tells whether a replica would cost less elsewhere, its restart and the load of its weights included.
-func (r *round) gains(j *job, p *placement) bool {
-	l := r.l
+// moveSavesCost tells whether a replica would cost less elsewhere, its restart and the load of its weights included.
+func (r *schedulingCycle) moveSavesCost(j *job, p *placement) bool {
+	l := r.leader
 	j.removePlacement(p)
-	w, _ := r.weigherFor(j)
-	stay := w.tradeOn(p.machine).lossS
-	to := r.weigh(j, w)
+	w, _ := r.replicaCostFor(j)
+	stay := w.costOn(p.machine).expectedLossS
+	to := r.cheapestReplicaMachine(j, w)
 	gain := 0.0
 	if to != nil && to.zone != p.machine.zone {
-		there := w.tradeOn(to)
-		gain = stay - there.loadS - there.lossS
+		there := w.costOn(to)
+		gain = stay - there.imageLoadS - there.expectedLossS
 	}
 	j.addPlacement(p)
 	return gain > l.core.times.heartbeatInterval.Seconds()
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -38,94 +38,94 @@
 	}
 }
 
-// ordinaryPenalty is by how many degrees of warmth an ordinary machine is behind a cheap one, for what may
+// onDemandPenalty is by how many degrees of warmth an ordinary machine is behind a cheap one, for what may
 // run on both.
-const ordinaryPenalty = capacity.MostPenalty
+const onDemandPenalty = capacity.MaxPenalty
 
-// fit finds the machine for a job's next task: warm images first, except that what
+// findMachine finds the machine for a job's next task: warm images first, except that what
 // may run on cheap machines prefers those; then the tightest, so that others empty
 // and can be returned. Replicas of a service go where the load of their weights and what they add to
 // the worst loss of a zone or machine cost the least, if operators have that weighed.
-func (r *round) fit(j *job) *machine {
+func (r *schedulingCycle) findMachine(j *job) *machine {
 	a, plain := requestOf(j)
-	if plain && r.full[a] {
+	if plain && r.exhaustedRequests[a] {
 		return nil
 	}
 	var m *machine
-	if w, weighed := r.weigherFor(j); weighed {
-		m = r.weigh(j, w)
+	if w, weighed := r.replicaCostFor(j); weighed {
+		m = r.cheapestReplicaMachine(j, w)
 	} else {
-		m = r.warmest(j)
+		m = r.warmestMachine(j)
 	}
 	if m == nil && plain {
-		r.full[a] = true
+		r.exhaustedRequests[a] = true
 	}
 	return m
 }
 
-// warmest finds the warmest machine for a job's next task, and of these the tightest.
-func (r *round) warmest(j *job) *machine {
+// warmestMachine finds the warmest machine for a job's next task, and of these the tightest.
+func (r *schedulingCycle) warmestMachine(j *job) *machine {
 	allowed := j.groupRules()
-	h, found, looked := r.l.capacityIndex.Tightest(capacity.Request[*host]{
+	h, found, looked := r.leader.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:  resource.OfTask(j.spec),
 		Image: j.spec.Image,
-		Penalty: func(g capacity.Group) (capacity.Warmth, bool) {
+		Penalty: func(g capacity.Group) (capacity.ImageState, bool) {
 			if j.spec.Spot && !g.Spot {
-				return ordinaryPenalty, allowed(g)
+				return onDemandPenalty, allowed(g)
 			}
 			return 0, allowed(g)
 		},
-		Suits: func(h *host) (capacity.Warmth, bool) {
-			return h.m.imageState(j.spec.Image), !r.l.avoids(j, h.m)
+		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
+			return h.machine.imageState(j.spec.Image), !r.leader.avoidsMachine(j, h.machine)
 		},
 	})
 	r.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
 	if !found {
 		return nil
 	}
-	return h.m
+	return h.machine
 }
 
-// changeLooks is how many evaluations a change of a machine's room costs for each level of the index but the
+// evaluationsPerIndexLevel is how many evaluations a change of a machine's room costs for each level of the index but the
 // first.
-const changeLooks = 4
+const evaluationsPerIndexLevel = 4
 
 // place decides a placement; the caller marks its record once it stands. It is
 // written before anything is sent.
-func (r *round) place(j *job, task int, m *machine) *placement {
-	l := r.l
+func (r *schedulingCycle) place(j *job, task int, m *machine) *placement {
+	l := r.leader
 	ch := l.chunkOf(j, task)
 	ch.highestAttempt++
 	p := &placement{job: j, task: task, attempt: ch.highestAttempt, machine: m, incarnation: m.incarnation, placedAt: l.core.now.Steady, imageState: m.imageState(j.spec.Image)}
 	if !j.isArray() {
-		p.cost = r.explain(j, m)
+		p.cost = r.explainCost(j, m)
 	}
 	j.addPlacement(p)
 	m.addImage(j.spec.Image, j.spec.ImageGB)
 	h := m.schedulable
 	h.free.Take(resource.OfTask(j.spec))
-	h.soon.Take(resource.OfTask(j.spec))
-	l.updateHost(h)
-	r.evaluations -= changeLooks * (l.capacityIndex.Height() - 1)
-	r.use.add(j, 1)
-	clear(r.unyielding)
+	h.freeAfterStops.Take(resource.OfTask(j.spec))
+	l.updateCapacityIndex(h)
+	r.evaluations -= evaluationsPerIndexLevel * (l.capacityIndex.Height() - 1)
+	r.usage.add(j, 1)
+	clear(r.hopelessPreemptions)
 	r.placed++
 	return p
 }
 
-// unplace takes back the last placement of this very round. Its attempt was never
+// revertPlacement takes back the last placement of this very round. Its attempt was never
 // written, so its number is free again.
-func (r *round) unplace(p *placement) {
-	if ch := r.l.chunkOf(p.job, p.task); ch.highestAttempt == p.attempt && !ch.inFlight && !ch.dirty {
+func (r *schedulingCycle) revertPlacement(p *placement) {
+	if ch := r.leader.chunkOf(p.job, p.task); ch.highestAttempt == p.attempt && !ch.inFlight && !ch.dirty {
 		ch.highestAttempt--
 	}
 	p.job.removePlacement(p)
 	p.job.nextUnplaced = min(p.job.nextUnplaced, p.task)
 	h := p.machine.schedulable
 	h.free.Give(resource.OfTask(p.job.spec))
-	h.soon.Give(resource.OfTask(p.job.spec))
-	r.l.updateHost(h)
-	r.roomGrew()
-	r.use.add(p.job, -1)
+	h.freeAfterStops.Give(resource.OfTask(p.job.spec))
+	r.leader.updateCapacityIndex(h)
+	r.capacityGrew()
+	r.usage.add(p.job, -1)
 	r.placed--
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -16,9 +16,9 @@
 )
 
 // scanAllowed tells whether a job's next task may run on a machine, from where its tasks are.
-func scanAllowed(r *round, j *job, m *machine) bool {
+func scanAllowed(r *schedulingCycle, j *job, m *machine) bool {
 	s := j.spec
-	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || r.l.avoids(j, m) {
+	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || r.leader.avoidsMachine(j, m) {
 		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
@@ -37,11 +37,11 @@
 }
 
 // scanWeighed finds the machine for a job's next replica that costs the least, by a look at each.
-func scanWeighed(r *round, j *job, w weigher) *machine {
-	var best *host
+func scanWeighed(r *schedulingCycle, j *job, w replicaCostModel) *machine {
+	var best *schedulableMachine
 	bestCost, bestLeft := 0.0, 0.0
 	need := resource.OfTask(j.spec)
-	for _, m := range r.l.machinesByName {
+	for _, m := range r.leader.machinesByName {
 		h := m.schedulable
 		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
 			continue
@@ -62,18 +62,18 @@
 	if best == nil {
 		return nil
 	}
-	return best.m
+	return best.machine
 }
 
 // scanFit finds the machine for a job's next task by a look at each.
-func scanFit(r *round, j *job) *machine {
-	if w, weighed := r.weigherFor(j); weighed {
+func scanFit(r *schedulingCycle, j *job) *machine {
+	if w, weighed := r.replicaCostFor(j); weighed {
 		return scanWeighed(r, j, w)
 	}
-	var best *host
+	var best *schedulableMachine
 	bestScore := math.Inf(1)
 	need := resource.OfTask(j.spec)
-	for _, m := range r.l.machinesByName {
+	for _, m := range r.leader.machinesByName {
 		h := m.schedulable
 		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
 			continue
@@ -95,22 +95,22 @@
 	if best == nil {
 		return nil
 	}
-	return best.m
+	return best.machine
 }
 
 // scanCheapest finds the machine on which room costs the least by a look at each.
-func scanCheapest(r *round, j *job, victim func(*job, *placement) bool) *shrinkChoice {
-	var best *shrinkChoice
-	for _, m := range r.l.machinesByName {
+func scanCheapest(r *schedulingCycle, j *job, victim func(*job, *placement) bool) *preemptionPlan {
+	var best *preemptionPlan
+	for _, m := range r.leader.machinesByName {
 		if m.schedulable == nil || !scanAllowed(r, j, m) {
 			continue
 		}
-		stops, ok := r.stopsFor(j, m.schedulable, victim)
+		stops, ok := r.preemptionSet(j, m.schedulable, victim)
 		if !ok {
 			continue
 		}
 		if cost := costOf(stops, m.schedulable, j); best == nil || cost.Less(best.cost) {
-			best = &shrinkChoice{m.schedulable, stops, cost}
+			best = &preemptionPlan{m.schedulable, stops, cost}
 		}
 	}
 	return best
@@ -258,7 +258,7 @@
 		m.setType(&mt)
 	case 19:
 		for i := range m.images {
-			m.images[i].ready, m.images[i].unknown = false, f.chance("unknown", 2)
+			m.images[i].ready, m.images[i].unconfirmed = false, f.chance("unknown", 2)
 		}
 		m.capacityChanged = true
 	case 12, 15, 16:
@@ -282,26 +282,26 @@
 // round compares what index and scan choose for some jobs, and does as they say.
 func (f *drawnFleet) round() {
 	l := f.l
-	r := &round{l: l, use: usage{}, evaluations: math.MaxInt32, full: map[resourceRequest]bool{}, unyielding: map[stopRequest]bool{}}
-	l.refreshHosts()
+	r := &schedulingCycle{leader: l, usage: teamUsage{}, evaluations: math.MaxInt32, exhaustedRequests: map[resourceRequest]bool{}, hopelessPreemptions: map[preemptionRequest]bool{}}
+	l.refreshCapacityIndex()
 	for _, j := range l.queue {
-		r.use.add(j, len(j.placements))
+		r.usage.add(j, len(j.placements))
 	}
-	l.findGuaranteed()
+	l.markWithinGuarantee()
 	for range f.number("decisions", 1, 30) {
 		j := f.anyJob()
-		if !r.ready(j) || j.unplaced() == 0 {
+		if !r.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
 		want := scanFit(r, j)
-		if got := r.fit(j); got != want {
+		if got := r.findMachine(j); got != want {
 			f.Fatalf("%s: %s by the index, %s by the scan", j.id, nameOf(got), nameOf(want))
 		}
 		switch {
 		case want != nil:
 			p := r.place(j, l.nextTask(j, 0), want)
 			if f.chance("taken back", 5) {
-				r.unplace(p)
+				r.revertPlacement(p)
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
 		default:
@@ -311,30 +311,30 @@
 }
 
 // shrink compares how room is made for a job.
-func (f *drawnFleet) shrink(r *round, j *job) {
+func (f *drawnFleet) shrink(r *schedulingCycle, j *job) {
 	// The jobs that can be shrunk are looked for once in a round; here the next decision may follow any other.
-	r.victims = nil
+	r.preemptible = nil
 	idleOnly := f.chance("idle work only", 3)
-	rule := r.victimRule(j, idleOnly)
-	want := scanCheapest(r, j, rule.stops)
-	got := r.cheapest(j, &rule)
+	rule := r.preemptionRule(j, idleOnly)
+	want := scanCheapest(r, j, rule.mayStop)
+	got := r.cheapestPreemption(j, &rule)
 	if (got == nil) != (want == nil) {
 		f.Fatalf("%s: %+v by the index, %+v by the scan", j.id, got, want)
 	}
 	request, plain := stopRequestOf(j, idleOnly)
-	if plain && r.unyielding[request] && want != nil {
-		f.Fatalf("%s finds room on %s that is remembered as not there", j.id, want.host.m.name)
+	if plain && r.hopelessPreemptions[request] && want != nil {
+		f.Fatalf("%s finds room on %s that is remembered as not there", j.id, want.machine.machine.name)
 	}
 	if got == nil {
 		if plain {
-			r.unyielding[request] = true
+			r.hopelessPreemptions[request] = true
 		}
 		return
 	}
-	if got.host != want.host || got.cost != want.cost || !slices.Equal(got.stops, want.stops) {
-		f.Fatalf("%s: on %s for %+v by the index, on %s for %+v by the scan", j.id, got.host.m.name, got.cost, want.host.m.name, want.cost)
+	if got.machine != want.machine || got.cost != want.cost || !slices.Equal(got.stops, want.stops) {
+		f.Fatalf("%s: on %s for %+v by the index, on %s for %+v by the scan", j.id, got.machine.machine.name, got.cost, want.machine.machine.name, want.cost)
 	}
-	r.makeRoom(j, got)
+	r.preempt(j, got)
 }
 
 func nameOf(m *machine) string {
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -42,8 +42,8 @@
 	for _, p := range j.placementsByTask() {
 		t := p.cost
 		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
-			Chosen: p.startSequence != startSequenceUnknown, Weighed: t.weighed, LoadS: t.loadS, LossS: t.lossS,
-			Warmest: t.warmest, WarmestLoadS: t.warmestLoadS, AvoidedS: t.avoided})
+			Chosen: p.startSequence != startSequenceUnknown, Weighed: t.spreadWeighed, LoadS: t.imageLoadS, LossS: t.expectedLossS,
+			Warmest: t.warmestMachine, WarmestLoadS: t.warmestLoadS, AvoidedS: t.avoidedS})
 	}
 	c.respond(in.RequestID, 200, places)
 }
--- a/internal/core/plan_holds.go
+++ b/internal/core/plan_holds.go
@@ -8,9 +8,9 @@
 	"bitternwing/internal/wire"
 )
 
-// planMayOwn tells whether a plan may decide about a job: it is a service of the plan's team. An id that
+// planMatchesJob tells whether a plan may decide about a job: it is a service of the plan's team. An id that
 // somebody else has taken is none of its business.
-func planMayOwn(plan *rollout.Plan, spec *wire.Job) bool {
+func planMatchesJob(plan *rollout.Plan, spec *wire.Job) bool {
 	return spec.Team == plan.Team && spec.Kind == wire.KindService
 }
 
@@ -20,33 +20,33 @@
 	if stored := l.core.cache.plans.byName[l.core.cache.plans.byJob[id]]; stored != nil {
 		records = append(records, stored.record)
 	}
-	for _, applying := range l.rollouts.applying {
+	for _, applying := range l.rollouts.uncommitted {
 		records = append(records, applying)
 	}
 	return slices.ContainsFunc(records, func(r *rollout.Record) bool {
-		return r != nil && planMayOwn(&r.Plan, spec) && r.Holds(id)
+		return r != nil && planMatchesJob(&r.Plan, spec) && r.Holds(id)
 	})
 }
 
-// holdJobs brings up to date which of some jobs are held.
-func (l *leader) holdJobs(ids []string) {
+// refreshHoldsOf brings up to date which of some jobs are held.
+func (l *leader) refreshHoldsOf(ids []string) {
 	for _, id := range ids {
 		if j := l.jobs[id]; j != nil {
-			l.holdJob(j)
+			l.refreshHold(j)
 		}
 	}
 }
 
-// holdAll brings up to date which jobs are held.
-func (l *leader) holdAll() {
+// refreshHolds brings up to date which jobs are held.
+func (l *leader) refreshHolds() {
 	if l.recovered {
-		l.holdJobs(slices.Sorted(maps.Keys(l.jobs)))
+		l.refreshHoldsOf(slices.Sorted(maps.Keys(l.jobs)))
 	}
 }
 
-// holdJob takes a job that is held out of the order, as long as nothing of it was placed, and puts one that is
+// refreshHold takes a job that is held out of the order, as long as nothing of it was placed, and puts one that is
 // no longer held into it. Its waits count from then.
-func (l *leader) holdJob(j *job) {
+func (l *leader) refreshHold(j *job) {
 	held := l.planHolds(j.id, j.spec)
 	if held == j.heldByRollout {
 		return
@@ -62,5 +62,5 @@
 		j.queuedMS = max(j.queuedMS, l.core.now.WallMS)
 		l.enqueue(j)
 	}
-	l.wantRound()
+	l.requestCycle()
 }
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -61,9 +61,9 @@
 }
 
 const (
-	noSuchPlan   = "no such plan"
-	plansAreOff  = "rollouts are switched off"
-	notAvailable = "can't be confirmed now"
+	reasonNoSuchPlan       = "no such plan"
+	reasonRolloutsDisabled = "rollouts are switched off"
+	reasonUnavailable      = "can't be confirmed now"
 )
 
 // leaderForRequest gives the leader if it may answer; else the request is answered.
@@ -78,7 +78,7 @@
 		return nil
 	}
 	if !l.recovered || !l.hasAuthority() {
-		c.respondRetryLater(req, 503, notAvailable)
+		c.respondRetryLater(req, 503, reasonUnavailable)
 		return nil
 	}
 	return l
@@ -98,20 +98,20 @@
 	stored := c.cache.plans.byName[in.Plan.Name]
 	switch {
 	case !c.operator.Rollouts.Enabled:
-		c.respondRefused(in.RequestID, plansAreOff)
+		c.respondRefused(in.RequestID, reasonRolloutsDisabled)
 	case stored != nil && stored.record != nil && reflect.DeepEqual(&stored.record.Plan, in.Plan):
 		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
 	case stored != nil:
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case len(c.cache.plans.byName) >= c.operator.Rollouts.MostPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
-	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.applying) > 0:
-		c.respondRetryLater(in.RequestID, 503, notAvailable)
+	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
+		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case !c.allPeersSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
 	case c.cache.termForm < rolloutsTermFormat:
 		l.termUpgrade.request(rolloutsTermFormat)
-		c.respondRetryLater(in.RequestID, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
 			c.respondRefused(in.RequestID, err.Error())
@@ -132,7 +132,7 @@
 	var cpus, gpus float64
 	for i, id := range plan.Old.Jobs {
 		e := c.cache.jobs[id]
-		if e == nil || !l.freeForPlan(plan, id) || e.CancelledMS != 0 {
+		if e == nil || !l.jobAvailableForPlan(plan, id) || e.CancelledMS != 0 {
 			return &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: "is no service of this team that a plan may have"}
 		}
 		replicas += e.Spec.Tasks
@@ -143,7 +143,7 @@
 		e, j := c.cache.jobs[id], l.jobs[id]
 		_, ended := c.cache.finals[id]
 		switch {
-		case !l.freeForPlan(plan, id) || ended || e.cancelled():
+		case !l.jobAvailableForPlan(plan, id) || ended || e.cancelled():
 			return &rollout.FieldError{Field: field, Problem: "is no service of this team that a plan may have"}
 		case j != nil && (len(j.placements) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
@@ -154,21 +154,21 @@
 	if whole := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > whole {
 		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", whole)}
 	}
-	if over(cpus, team.MaxCPUs) || over(gpus, team.MaxGPUs) {
+	if exceedsLimit(cpus, team.MaxCPUs) || exceedsLimit(gpus, team.MaxGPUs) {
 		return &rollout.FieldError{Field: "/new/jobs", Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit",
 			cpus, gpus)}
 	}
 	return nil
 }
 
-// freeForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
+// jobAvailableForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
 // the team.
-func (l *leader) freeForPlan(plan *rollout.Plan, id string) bool {
+func (l *leader) jobAvailableForPlan(plan *rollout.Plan, id string) bool {
 	if _, taken := l.core.cache.plans.byJob[id]; taken {
 		return false
 	}
 	e := l.core.cache.jobs[id]
-	return e == nil || planMayOwn(plan, e.Spec)
+	return e == nil || planMatchesJob(plan, e.Spec)
 }
 
 // commitNewPlan writes a plan. Its new jobs are held from here on, and let go again if it turns out not to be written.
@@ -181,8 +181,8 @@
 		return
 	}
 	name := in.Plan.Name
-	l.rollouts.applying[name] = record
-	l.holdJobs(in.Plan.New.Jobs)
+	l.rollouts.uncommitted[name] = record
+	l.refreshHoldsOf(in.Plan.New.Jobs)
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		switch {
@@ -192,14 +192,14 @@
 			c.log(Info, "rollout", "plan", name, "phase", string(record.Phase))
 			c.respond(in.RequestID, 200, l.planStatus(name))
 		case r.Outcome == call.Unknown:
-			c.respondRetryLater(in.RequestID, 503, notAvailable)
-			l.findPlan(in.Plan)
+			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+			l.resolvePlanWrite(in.Plan)
 		case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
-			c.respondRetryLater(in.RequestID, 503, notAvailable)
+			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			c.election.stepDown("the term moved on")
 		default:
 			l.planApplied(in.Plan)
-			c.respondRetryLater(in.RequestID, 503, notAvailable)
+			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: l.newPlanTxn(in.Plan, value)})
@@ -222,13 +222,13 @@
 
 // planApplied ends the time in which a plan holds its jobs without being known to be written.
 func (l *leader) planApplied(plan *rollout.Plan) {
-	delete(l.rollouts.applying, plan.Name)
-	l.holdJobs(plan.New.Jobs)
+	delete(l.rollouts.uncommitted, plan.Name)
+	l.refreshHoldsOf(plan.New.Jobs)
 }
 
-// findPlan finds out whether a plan was written. Until then it holds its jobs: its write may come late. A read that
+// resolvePlanWrite finds out whether a plan was written. Until then it holds its jobs: its write may come late. A read that
 // shows nothing does not end that, so the leader makes way for one whose term the late write can't pass.
-func (l *leader) findPlan(plan *rollout.Plan) {
+func (l *leader) resolvePlanWrite(plan *rollout.Plan) {
 	c := l.core
 	id := l.stateCall(func(r Result) {
 		if r.Outcome == call.OK {
@@ -250,19 +250,19 @@
 	stored, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
 	switch {
 	case stored == nil:
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case stored.problem != nil:
 		c.respondRefused(in.RequestID, stored.problem.Error())
 	case run == nil || !c.election.leaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(in.RequestID, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
-		l.rollouts.at = c.now.Steady
+		l.rollouts.nextCheck = c.now.Steady
 	}
 }
 
 // commitChange commits the first change that waits.
-func (l *leader) commitChange(run *planRun, stored *cachedPlan) {
+func (l *leader) commitChange(run *activeRollout, stored *cachedPlan) {
 	c, x := l.core, run.changes[0]
 	run.changes = run.changes[1:]
 	next, err := stored.record.Change(x.change, c.now.WallMS)
@@ -276,7 +276,7 @@
 			if r.Outcome == call.OK {
 				c.respond(x.req, 200, l.planStatus(run.name))
 			} else {
-				c.respondRetryLater(x.req, 503, notAvailable)
+				c.respondRetryLater(x.req, 503, reasonUnavailable)
 			}
 		})
 	}
@@ -289,7 +289,7 @@
 		return
 	}
 	if c.cache.plans.byName[in.Name] == nil {
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 		return
 	}
 	c.respond(in.RequestID, 200, l.planStatus(in.Name))
@@ -306,9 +306,9 @@
 	if run == nil {
 		return status
 	}
-	o := l.observe(run, stored.record)
-	status.Reconciled, status.Capacity, status.Routing = run.settled, stored.record.Plan.CapacityOf(o), run.routing
-	status.Replicas = run.proofs.States(l.core.now.Steady)
+	o := l.observeRollout(run, stored.record)
+	status.Reconciled, status.Capacity, status.Routing = run.reconciled, stored.record.Plan.CapacityOf(o), run.routing
+	status.Replicas = run.validations.States(l.core.now.Steady)
 	status.Routers = run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
 }
--- a/internal/core/plan_routers.go
+++ b/internal/core/plan_routers.go
@@ -21,7 +21,7 @@
 	generation rollout.Generation // by which it goes
 }
 
-const tooManyRouters = "too many routers"
+const reasonTooManyRouters = "too many routers"
 
 // recordReserve is the part of the largest stored value that the names of routers leave to later transitions of the plan.
 const recordReserve = 16
@@ -36,61 +36,61 @@
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case stored == nil:
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: noSuchPlan})
+		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case stored.problem != nil || run == nil || run.routing.Generation.Revision == 0:
-		c.respondRetryLater(in.RequestID, 503, notAvailable)
+		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case run.recorded(stored.record, in.Router):
 		l.grantRouting(run, join)
-	case !c.election.leaseValid() || c.storeDown || len(run.joins) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(in.RequestID, 503, notAvailable)
+	case !c.election.leaseValid() || c.storeDown || len(run.joinRequests) >= c.operator.MaxPendingRequests:
+		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
-		run.joins = append(run.joins, join)
-		l.rollouts.at = c.now.Steady
+		run.joinRequests = append(run.joinRequests, join)
+		l.rollouts.nextCheck = c.now.Steady
 	}
 }
 
 // recorded tells whether a router's name is in the plan's record, and no write that is on its way takes it out.
-func (run *planRun) recorded(r *rollout.Record, router string) bool {
-	return slices.Contains(r.Routers, router) && !run.dropped[router]
+func (run *activeRollout) recorded(r *rollout.Record, router string) bool {
+	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
 }
 
 // noteDropped notes the routers that a write takes out of the record. Its answer may be lost and the write come late, so
 // they count as recorded again only once a later write with their names has succeeded.
-func (run *planRun) noteDropped(before, after *rollout.Record) {
+func (run *activeRollout) noteDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
 		if !slices.Contains(after.Routers, router) {
-			run.dropped[router] = true
+			run.droppedRouters[router] = true
 		}
 	}
 }
 
 // noteRecorded notes that a record was written: no earlier write can be applied after it.
-func (run *planRun) noteRecorded(r *rollout.Record) {
+func (run *activeRollout) noteRecorded(r *rollout.Record) {
 	for _, router := range r.Routers {
-		delete(run.dropped, router)
+		delete(run.droppedRouters, router)
 	}
 }
 
 // grantRouting answers a router whose name is recorded.
-func (l *leader) grantRouting(run *planRun, join routerJoin) {
+func (l *leader) grantRouting(run *activeRollout, join routerJoin) {
 	c := l.core
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
-		c.respondRetryLater(join.req, 429, tooManyRouters)
+		c.respondRetryLater(join.req, 429, reasonTooManyRouters)
 		return
 	}
 	c.respond(join.req, 200, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
 // commitJoins records the names of the routers that wait, and then answers them. Routers that are gone make room.
-func (l *leader) commitJoins(run *planRun, stored *cachedPlan, o *rollout.Observation) {
-	next := l.joined(run, stored.record, o)
+func (l *leader) commitJoins(run *activeRollout, stored *cachedPlan, o *rollout.Observation) {
+	next := l.recordWithJoins(run, stored.record, o)
 	if next == nil {
 		return
 	}
-	run.joining, run.joins = run.joins, nil
+	run.joinsInFlight, run.joinRequests = run.joinRequests, nil
 	l.commitPlan(run, stored, next, func(r Result) {
-		joined := run.joining
-		run.joining = nil
+		joined := run.joinsInFlight
+		run.joinsInFlight = nil
 		if r.Outcome != call.OK || !l.hasAuthority() {
 			l.core.refuseJoins(joined)
 			return
@@ -101,30 +101,30 @@
 	})
 }
 
-// joined gives the record with the names of the routers that wait. The last of those that there is no room for are
+// recordWithJoins gives the record with the names of the routers that wait. The last of those that there is no room for are
 // refused; nil if none is left.
-func (l *leader) joined(run *planRun, r *rollout.Record, o *rollout.Observation) *rollout.Record {
+func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Settled {
 		known = o.Routers
 	}
-	for len(run.joins) > 0 {
+	for len(run.joinRequests) > 0 {
 		var names []string
-		for _, join := range run.joins {
+		for _, join := range run.joinRequests {
 			names = append(names, join.router)
 		}
-		if next := r.WithRouters(known, names); l.holdsRouters(next) {
+		if next := r.WithRouters(known, names); l.fitsRouters(next) {
 			return next
 		}
-		last := len(run.joins) - 1
-		l.core.respondRetryLater(run.joins[last].req, 429, tooManyRouters)
-		run.joins = run.joins[:last]
+		last := len(run.joinRequests) - 1
+		l.core.respondRetryLater(run.joinRequests[last].req, 429, reasonTooManyRouters)
+		run.joinRequests = run.joinRequests[:last]
 	}
 	return nil
 }
 
-// holdsRouters tells whether a record has no more routers than are allowed, and leaves room for later transitions.
-func (l *leader) holdsRouters(r *rollout.Record) bool {
+// fitsRouters tells whether a record has no more routers than are allowed, and leaves room for later transitions.
+func (l *leader) fitsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
 	most := l.core.maxValueBytes()
 	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MostRouters && len(value) <= most-most/recordReserve
@@ -133,15 +133,15 @@
 // refuseJoins tells routers to come back: their names can't be recorded now.
 func (c *Core) refuseJoins(joins []routerJoin) {
 	for _, join := range joins {
-		c.respondRetryLater(join.req, 503, notAvailable)
+		c.respondRetryLater(join.req, 503, reasonUnavailable)
 	}
 }
 
-// takeRoutersIn adds to an observation what is known of the routers.
-func (l *leader) takeRoutersIn(run *planRun, r *rollout.Record, o *rollout.Observation) {
+// addRouterObservations adds to an observation what is known of the routers.
+func (l *leader) addRouterObservations(run *activeRollout, r *rollout.Record, o *rollout.Observation) {
 	now, generation := l.core.now.Steady, run.routing.Generation
 	gone := config.Seconds(r.Plan.Limits.RouterGoneS)
-	if !run.settled {
+	if !run.reconciled {
 		return
 	}
 	o.NewServes = run.routing.NewServes()
--- a/internal/core/plan_runs.go
+++ b/internal/core/plan_runs.go
@@ -14,33 +14,33 @@
 	"bitternwing/internal/wire"
 )
 
-// planRuns carries out the plans of rollouts on the node that leads. What a plan is to do is decided by package
+// rolloutManager carries out the plans of rollouts on the node that leads. What a plan is to do is decided by package
 // rollout, committed, and only then done.
-type planRuns struct {
-	l        *leader
-	at       time.Duration
-	runs     map[string]*planRun
-	applying map[string]*rollout.Record // accepted in memory, their commit is on its way: they hold already
-	probing  int
+type rolloutManager struct {
+	leader         *leader
+	nextCheck      time.Duration
+	runs           map[string]*activeRollout
+	uncommitted    map[string]*rollout.Record // accepted in memory, their commit is on its way: they hold already
+	probesInFlight int
 }
 
-// planRun is a plan while a leader carries it out.
-type planRun struct {
-	name    string
-	since   time.Duration // when this leader began with it
-	proofs  *rollout.Proofs
-	routers *rollout.Routers
-	routing rollout.Routing
-	settled bool
-	phase   rollout.Phase // as it was last seen, and since when
-	phaseAt time.Duration
-	writing bool
-	retryAt time.Duration
-	changes []planChange // of operators, to be committed
-	joins   []routerJoin // of routers whose names are not known to be recorded
-	joining []routerJoin // of those whose names are being written
-	// dropped holds the routers that a write of this term was to take out of the record, and may yet.
-	dropped map[string]bool
+// activeRollout is a plan while a leader carries it out.
+type activeRollout struct {
+	name          string
+	since         time.Duration // when this leader began with it
+	validations   *rollout.Proofs
+	routers       *rollout.Routers
+	routing       rollout.Routing
+	reconciled    bool
+	phase         rollout.Phase // as it was last seen, and since when
+	phaseSince    time.Duration
+	writeInFlight bool
+	retryAt       time.Duration
+	changes       []planChange // of operators, to be committed
+	joinRequests  []routerJoin // of routers whose names are not known to be recorded
+	joinsInFlight []routerJoin // of those whose names are being written
+	// droppedRouters holds the routers that a write of this term was to take out of the record, and may yet.
+	droppedRouters map[string]bool
 }
 
 // planChange is a change that an operator waits for.
@@ -49,8 +49,8 @@
 	change rollout.Change
 }
 
-func newPlanRuns(l *leader) *planRuns {
-	return &planRuns{l: l, at: l.core.now.Steady, runs: map[string]*planRun{}, applying: map[string]*rollout.Record{}}
+func newRolloutManager(l *leader) *rolloutManager {
+	return &rolloutManager{leader: l, nextCheck: l.core.now.Steady, runs: map[string]*activeRollout{}, uncommitted: map[string]*rollout.Record{}}
 }
 
 // The times of rollouts, from the operators' settings.
@@ -69,17 +69,17 @@
 func (c *Core) maxReplicaProbes() int { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 
 // run looks after all plans.
-func (t *planRuns) run() {
-	l, c := t.l, t.l.core
+func (t *rolloutManager) run() {
+	l, c := t.leader, t.leader.core
 	if len(c.cache.plans.byName) == 0 && len(t.runs) == 0 {
 		return
 	}
-	if c.now.Steady < t.at {
-		c.wakeBy(t.at)
+	if c.now.Steady < t.nextCheck {
+		c.wakeBy(t.nextCheck)
 		return
 	}
-	t.at = c.now.Steady + c.times.minCycleGap
-	c.wakeBy(t.at)
+	t.nextCheck = c.now.Steady + c.times.minCycleGap
+	c.wakeBy(t.nextCheck)
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
 		if c.cache.plans.byName[name] == nil {
 			t.end(t.runs[name])
@@ -92,17 +92,17 @@
 			run = t.begin(name, stored)
 		}
 		if stored.problem == nil {
-			l.carryOutPlan(run, stored)
+			l.runRollout(run, stored)
 		}
 	}
 }
 
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
-func (t *planRuns) begin(name string, stored *cachedPlan) *planRun {
-	c := t.l.core
-	run := &planRun{name: name, since: c.now.Steady, proofs: rollout.NewProofs(c.probeInterval()),
+func (t *rolloutManager) begin(name string, stored *cachedPlan) *activeRollout {
+	c := t.leader.core
+	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewProofs(c.probeInterval()),
 		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MostRouters),
-		routing: rollout.Routing{Generation: rollout.Generation{Term: t.l.term}}, dropped: map[string]bool{}}
+		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
 	if stored.problem != nil {
 		c.log(Error, "a rollout plan can't be read and is left alone", "plan", name, "error", stored.problem.Error())
@@ -110,30 +110,30 @@
 	return run
 }
 
-func (t *planRuns) end(run *planRun) {
+func (t *rolloutManager) end(run *activeRollout) {
 	delete(t.runs, run.name)
 	for _, req := range run.waiting() {
-		t.l.core.respond(req, 404, wire.ErrorBody{Error: noSuchPlan})
+		t.leader.core.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
 // waiting gives the requests that wait for a commit.
-func (run *planRun) waiting() []uint64 {
+func (run *activeRollout) waiting() []uint64 {
 	var requests []uint64
 	for _, x := range run.changes {
 		requests = append(requests, x.req)
 	}
-	for _, x := range slices.Concat(run.joins, run.joining) {
+	for _, x := range slices.Concat(run.joinRequests, run.joinsInFlight) {
 		requests = append(requests, x.req)
 	}
 	return requests
 }
 
 // refuseWaiting sends all requests that wait for a commit away, at the end of this term.
-func (t *planRuns) refuseWaiting() {
+func (t *rolloutManager) refuseWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
 		for _, req := range t.runs[name].waiting() {
-			t.l.core.respondRetryLater(req, 503, notAvailable)
+			t.leader.core.respondRetryLater(req, 503, reasonUnavailable)
 		}
 	}
 }
@@ -145,25 +145,25 @@
 	}
 	for _, stored := range []*cachedPlan{before, after} {
 		if stored != nil && stored.record != nil {
-			l.holdJobs(stored.record.Plan.New.Jobs)
+			l.refreshHoldsOf(stored.record.Plan.New.Jobs)
 		}
 	}
 }
 
-// carryOutPlan does what a plan is due to do.
-func (l *leader) carryOutPlan(run *planRun, stored *cachedPlan) {
+// runRollout does what a plan is due to do.
+func (l *leader) runRollout(run *activeRollout, stored *cachedPlan) {
 	c, r := l.core, stored.record
 	replicas := l.replicasOf(&r.Plan)
-	run.proofs.Track(replicas)
-	run.settle(l, &r.Plan)
+	run.validations.Track(replicas)
+	run.reconcile(l, &r.Plan)
 	if run.phase != r.Phase {
-		run.phase, run.phaseAt = r.Phase, c.now.Steady
+		run.phase, run.phaseSince = r.Phase, c.now.Steady
 	}
-	l.probe(run, r) // of an ended plan too: routers go by it until it is removed
-	o := l.observe(run, r)
+	l.probeReplicas(run, r) // of an ended plan too: routers go by it until it is removed
+	o := l.observeRollout(run, r)
 	if run.mayRoute(r, o) && l.hasAuthority() {
 		run.route(c, r, o)
-		l.takeRoutersIn(run, r, o)
+		l.addRouterObservations(run, r, o)
 	}
 	for _, id := range r.Cancels(o) {
 		if j := l.jobs[id]; j != nil && !j.cancelled {
@@ -171,11 +171,11 @@
 		}
 	}
 	if c.storeDown || !c.election.leaseValid() {
-		c.refuseJoins(run.joins)
-		run.joins = nil
+		c.refuseJoins(run.joinRequests)
+		run.joinRequests = nil
 		return
 	}
-	if run.writing || c.now.Steady < run.retryAt {
+	if run.writeInFlight || c.now.Steady < run.retryAt {
 		return
 	}
 	switch {
@@ -183,7 +183,7 @@
 		l.commitChange(run, stored)
 	case r.Expired(o):
 		l.removePlan(run, stored)
-	case len(run.joins) > 0:
+	case len(run.joinRequests) > 0:
 		l.commitJoins(run, stored, o)
 	default:
 		if next := r.Next(o); next != nil {
@@ -192,16 +192,16 @@
 	}
 }
 
-// settle notes when this leader has heard of all machines with tasks of the plan and has asked all replicas. A worker
+// reconcile notes when this leader has heard of all machines with tasks of the plan and has asked all replicas. A worker
 // that has not found it within a lease has lost its tasks.
-func (run *planRun) settle(l *leader, plan *rollout.Plan) {
+func (run *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
 	c := l.core
-	if run.settled {
+	if run.reconciled {
 		return
 	}
 	late := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
 	heard := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
-	run.settled = c.now.Steady >= late || heard && run.proofs.AllAnswered()
+	run.reconciled = c.now.Steady >= late || heard && run.validations.AllAnswered()
 }
 
 // allPlanMachinesReported tells whether each machine with a task of a plan has reported in this term.
@@ -226,7 +226,7 @@
 	add := func(ids []string, version rollout.Version) {
 		for _, id := range ids {
 			j := l.jobs[id]
-			if j == nil || j.cancelled || !planMayOwn(plan, j.spec) {
+			if j == nil || j.cancelled || !planMatchesJob(plan, j.spec) {
 				continue
 			}
 			for _, p := range j.placementsByTask() {
@@ -251,18 +251,18 @@
 	return net.JoinHostPort(host, strconv.Itoa(c.operator.Rollouts.ModelPort)), true
 }
 
-// observe gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
-func (l *leader) observe(run *planRun, r *rollout.Record) *rollout.Observation {
+// observeRollout gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
+func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
-	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Settled: run.settled,
-		Jobs: map[string]rollout.Job{}, ProvedAnew: run.proofs.NewProvedSince(run.phaseAt, c.now.Steady), Wrong: run.proofs.Wrong(), NewServes: true, RoutersMissing: true}
+	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Settled: run.reconciled,
+		Jobs: map[string]rollout.Job{}, ProvedAnew: run.validations.NewProvedSince(run.phaseSince, c.now.Steady), Wrong: run.validations.Wrong(), NewServes: true, RoutersMissing: true}
 	for _, id := range r.Plan.Old.Jobs {
-		o.Jobs[id] = l.observeJob(&r.Plan, id, true)
+		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, true)
 	}
 	for _, id := range r.Plan.New.Jobs {
-		o.Jobs[id] = l.observeJob(&r.Plan, id, false)
+		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, false)
 	}
-	for _, s := range run.proofs.States(c.now.Steady) {
+	for _, s := range run.validations.States(c.now.Steady) {
 		j := o.Jobs[s.Replica.Job]
 		j.Running++
 		if s.Proved {
@@ -273,16 +273,16 @@
 	return o
 }
 
-// observeJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
+// observeRolloutJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
 // over.
-func (l *leader) observeJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
+func (l *leader) observeRolloutJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
 	e := l.core.cache.jobs[id]
 	if e == nil {
 		_, ended := l.core.cache.finals[id]
 		over := wasAccepted || ended
 		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
 	}
-	if !planMayOwn(plan, e.Spec) {
+	if !planMatchesJob(plan, e.Spec) {
 		return rollout.Job{}
 	}
 	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Spec.Tasks}
@@ -290,17 +290,17 @@
 
 // mayRoute tells whether enough is known to share traffic by. A plan that goes back does not wait for proofs once so
 // much of the old version runs that it can serve: each moment more is one with wrong answers.
-func (run *planRun) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
-	return run.settled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
+func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
+	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
 }
 
 // route brings a plan's routing up to date with what its replicas have proved.
-func (run *planRun) route(c *Core, r *rollout.Record, o *rollout.Observation) {
+func (run *activeRollout) route(c *Core, r *rollout.Record, o *rollout.Observation) {
 	capacity := r.Plan.CapacityOf(o)
-	if !run.settled {
+	if !run.reconciled {
 		capacity.New = 0 // the old version runs, and has yet to prove it
 	}
-	routing := rollout.RoutingOf(r, capacity, run.proofs.States(c.now.Steady))
+	routing := rollout.RoutingOf(r, capacity, run.validations.States(c.now.Steady))
 	routing.Generation = run.routing.Generation
 	if routing.Generation.Revision > 0 && routing.SameAs(&run.routing) {
 		return
@@ -311,18 +311,18 @@
 		"replicas", len(routing.Weights), "aim", r.Aim(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
-// probe asks the replicas whose time it is.
-func (l *leader) probe(run *planRun, record *rollout.Record) {
+// probeReplicas asks the replicas whose time it is.
+func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
 	t := l.rollouts
-	for _, probe := range run.proofs.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probing) {
-		t.probing++
+	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probesInFlight) {
+		t.probesInFlight++
 		id := l.call(func(r Result) {
-			t.probing--
+			t.probesInFlight--
 			if r.Outcome == call.Dropped {
-				run.proofs.Missed(probe.Replica)
+				run.validations.Missed(probe.Replica)
 				return
 			}
-			run.proofs.Take(probe.Replica, r.Probe, l.core.now.Steady)
+			run.validations.Take(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Right {
 				l.core.log(Debug, "replica not proved", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
@@ -342,18 +342,18 @@
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
-func (l *leader) commitPlan(run *planRun, stored *cachedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitPlan(run *activeRollout, stored *cachedPlan, next *rollout.Record, then func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
-	run.writing = true
+	run.writeInFlight = true
 	run.noteDropped(stored.record, next)
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
-		run.writing = false
-		l.planWritten(run, r, value)
+		run.writeInFlight = false
+		l.applyPlanWriteResult(run, r, value)
 		if r.Outcome == call.OK {
 			run.noteRecorded(next)
 		}
@@ -363,7 +363,7 @@
 }
 
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
-func (l *leader) commitTransition(run *planRun, stored *cachedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitTransition(run *activeRollout, stored *cachedPlan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, stored, next, func(r Result) {
 		if r.Outcome == call.OK {
 			l.logPlan(run, next)
@@ -373,16 +373,16 @@
 }
 
 // logPlan logs a transition that was committed, with what the plan could serve then.
-func (l *leader) logPlan(run *planRun, record *rollout.Record) {
-	capacity := record.Plan.CapacityOf(l.observe(run, record))
+func (l *leader) logPlan(run *activeRollout, record *rollout.Record) {
+	capacity := record.Plan.CapacityOf(l.observeRollout(run, record))
 	l.core.log(Info, "rollout", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
 		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
-// planWritten takes what became of a write of a plan; value is nil if it was removed.
-func (l *leader) planWritten(run *planRun, r Result, value json.RawMessage) {
+// applyPlanWriteResult takes what became of a write of a plan; value is nil if it was removed.
+func (l *leader) applyPlanWriteResult(run *activeRollout, r Result, value json.RawMessage) {
 	c := l.core
 	switch {
 	case r.Outcome == call.OK:
@@ -399,11 +399,11 @@
 }
 
 // rereadPlan finds out how a plan stands.
-func (l *leader) rereadPlan(run *planRun) {
+func (l *leader) rereadPlan(run *activeRollout) {
 	c := l.core
-	run.writing = true
+	run.writeInFlight = true
 	id := l.stateCall(func(r Result) {
-		run.writing = false
+		run.writeInFlight = false
 		run.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == call.OK {
 			c.applyPlanKey(planPrefix+run.name, r.Item.Value, r.Item.Version)
@@ -413,12 +413,12 @@
 }
 
 // removePlan forgets a plan that has ended a while ago.
-func (l *leader) removePlan(run *planRun, stored *cachedPlan) {
-	run.writing = true
+func (l *leader) removePlan(run *activeRollout, stored *cachedPlan) {
+	run.writeInFlight = true
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
-		run.writing = false
-		l.planWritten(run, r, nil)
+		run.writeInFlight = false
+		l.applyPlanWriteResult(run, r, nil)
 	})
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(planPrefix+run.name, stored.version, wire.Op{Delete: planPrefix + run.name})})
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -7,137 +7,137 @@
 	"bitternwing/internal/resource"
 )
 
-// shrinkFor makes room for a job: on the machines where the fewest instances have to
+// preemptFor makes room for a job: on the machines where the fewest instances have to
 // go, the most fulfilled jobs above their minimum give way. What it counts on is
 // held back from others in this round, and each round works it out anew, so an
 // instance that is already stopping is not asked for twice. It tells whether there is, or will
 // be, room for all. With idleOnly, idle-time work alone gives way.
-func (r *round) shrinkFor(j *job, need int, idleOnly bool) bool {
+func (r *schedulingCycle) preemptFor(j *job, need int, idleOnly bool) bool {
 	request, plain := stopRequestOf(j, idleOnly)
-	if plain && r.unyielding[request] {
+	if plain && r.hopelessPreemptions[request] {
 		return false
 	}
-	rule := r.victimRule(j, idleOnly)
+	rule := r.preemptionRule(j, idleOnly)
 	for held := 0; held < need; held++ {
-		best := r.cheapest(j, &rule)
+		best := r.cheapestPreemption(j, &rule)
 		if best == nil {
 			if plain {
-				r.unyielding[request] = true
+				r.hopelessPreemptions[request] = true
 			}
 			return false
 		}
-		r.makeRoom(j, best)
+		r.preempt(j, best)
 	}
 	return true
 }
 
-// shrinkChoice is a machine on which room can be made, and how.
-type shrinkChoice struct {
-	host  *host
-	stops []*placement
-	cost  capacity.Cost
+// preemptionPlan is a machine on which room can be made, and how.
+type preemptionPlan struct {
+	machine *schedulableMachine
+	stops   []*placement
+	cost    capacity.Cost
 }
 
-// makeRoom stops what has to go for a task of a job, and holds the room back for it.
-func (r *round) makeRoom(j *job, c *shrinkChoice) {
-	h := c.host
+// preempt stops what has to go for a task of a job, and holds the room back for it.
+func (r *schedulingCycle) preempt(j *job, c *preemptionPlan) {
+	h := c.machine
 	for _, p := range c.stops {
-		p.requestStop(r.haste(j, p), stopPreempted)
-		r.l.pendingDispatch = append(r.l.pendingDispatch, p.machine)
+		p.requestStop(r.stopModeFor(j, p), stopPreempted)
+		r.leader.pendingDispatch = append(r.leader.pendingDispatch, p.machine)
 		if p.phase < phaseSent {
-			r.l.endPlacement(p)
+			r.leader.endPlacement(p)
 			h.free.Give(resource.OfTask(p.job.spec))
-			r.roomGrew()
+			r.capacityGrew()
 		}
-		h.soon.Give(resource.OfTask(p.job.spec))
-		r.l.core.log(Debug, "shrunk", "task", p.name(), "for", j.id)
+		h.freeAfterStops.Give(resource.OfTask(p.job.spec))
+		r.leader.core.log(Debug, "shrunk", "task", p.name(), "for", j.id)
 	}
-	h.soon.Take(resource.OfTask(j.spec))
+	h.freeAfterStops.Take(resource.OfTask(j.spec))
 	// What is free there now is for this job too, as far as it needs it.
-	h.free = h.free.Within(h.soon)
-	h.m.capacityChanged = true // what is held back is so for this round only
-	r.l.updateHost(h)
+	h.free = h.free.Within(h.freeAfterStops)
+	h.machine.capacityChanged = true // what is held back is so for this round only
+	r.leader.updateCapacityIndex(h)
 }
 
-// roomGrew notes that what found no room in this round may find some now.
-func (r *round) roomGrew() {
-	clear(r.full)
-	clear(r.unyielding)
+// capacityGrew notes that what found no room in this round may find some now.
+func (r *schedulingCycle) capacityGrew() {
+	clear(r.exhaustedRequests)
+	clear(r.hopelessPreemptions)
 }
 
-// cheapest finds the machine on which making room for a job's next task costs the least, and of these the first
+// cheapestPreemption finds the machine on which making room for a job's next task costs the least, and of these the first
 // by name; nil if there is none.
-func (r *round) cheapest(j *job, rule *victimRule) *shrinkChoice {
-	s := &shrinkSearch{round: r, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
-	if len(rule.among) > 0 {
+func (r *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
+	s := &preemptionSearch{cycle: r, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
+	if len(rule.candidates) > 0 {
 		// Few jobs can be shrunk: the machines of their tasks are all that there is, beside those where room
 		// will be free anyway.
-		for _, victim := range rule.among {
+		for _, victim := range rule.candidates {
 			for _, p := range victim.placements {
 				s.consider(p.machine)
 			}
 		}
 		s.walk(0)
 	} else {
-		s.walk(rule.below)
+		s.walk(rule.belowRank)
 	}
 	return s.best
 }
 
-// shrinkSearch looks for the cheapest machine.
-type shrinkSearch struct {
-	round   *round
+// preemptionSearch looks for the cheapest machine.
+type preemptionSearch struct {
+	cycle   *schedulingCycle
 	job     *job
-	rule    *victimRule
+	rule    *preemptionRule
 	need    resource.Amount
 	image   capacity.ImageBit
 	allowed func(capacity.Group) bool
-	best    *shrinkChoice
+	best    *preemptionPlan
 }
 
 // walk looks through all machines that may be better than the best so far, if work below a rank can be stopped.
-func (s *shrinkSearch) walk(below int) {
-	looked := s.round.l.capacityIndex.Walk(s.allowed, func(b *capacity.Bounds) bool {
-		least, possible := b.LeastCost(s.need, below, s.image)
-		return !possible || !s.better(least, b.First)
+func (s *preemptionSearch) walk(below int) {
+	looked := s.cycle.leader.capacityIndex.Walk(s.allowed, func(b *capacity.Bounds) bool {
+		least, possible := b.MinCost(s.need, below, s.image)
+		return !possible || !s.better(least, b.FirstName)
 	}, s.evaluate)
-	s.round.evaluations -= max(1, looked)
+	s.cycle.evaluations -= max(1, looked)
 }
 
 // better tells whether a cost on a machine, or on one that comes after it by name, may be better than the best.
-func (s *shrinkSearch) better(cost capacity.Cost, name string) bool {
+func (s *preemptionSearch) better(cost capacity.Cost, name string) bool {
 	if s.best == nil || cost.Less(s.best.cost) {
 		return true
 	}
-	return cost == s.best.cost && name < s.best.host.m.name
+	return cost == s.best.cost && name < s.best.machine.machine.name
 }
 
 // consider evaluates a machine if a task of the job may run there.
-func (s *shrinkSearch) consider(m *machine) {
-	s.round.evaluations--
+func (s *preemptionSearch) consider(m *machine) {
+	s.cycle.evaluations--
 	if m.schedulable != nil && s.allowed(m.group()) {
 		s.evaluate(m.schedulable)
 	}
 }
 
 // evaluate works out what has to stop on a machine.
-func (s *shrinkSearch) evaluate(h *host) {
-	if s.round.l.avoids(s.job, h.m) {
+func (s *preemptionSearch) evaluate(h *schedulableMachine) {
+	if s.cycle.leader.avoidsMachine(s.job, h.machine) {
 		return
 	}
-	stops, possible := s.round.stopsFor(s.job, h, s.rule.stops)
+	stops, possible := s.cycle.preemptionSet(s.job, h, s.rule.mayStop)
 	if !possible {
 		return
 	}
-	if cost := costOf(stops, h, s.job); s.better(cost, h.m.name) {
-		s.best = &shrinkChoice{h, stops, cost}
+	if cost := costOf(stops, h, s.job); s.better(cost, h.machine.name) {
+		s.best = &preemptionPlan{h, stops, cost}
 	}
 }
 
-// haste tells how a placement is stopped for a job. A service waits for each of its replicas, and
+// stopModeFor tells how a placement is stopped for a job. A service waits for each of its replicas, and
 // idle-time work, which loses at most what it did since its last checkpoint, does not
 // make it wait for one more.
-func (r *round) haste(j *job, p *placement) stopMode {
+func (r *schedulingCycle) stopModeFor(j *job, p *placement) stopMode {
 	if p.job.isIdlePriority() && !j.isArray() {
 		return stopImmediate
 	}
@@ -146,8 +146,8 @@
 
 // costOf gives what it costs to make room on a machine: work that is stopped, but for idle-time
 // work; then how long the image takes; then all that is stopped.
-func costOf(stops []*placement, h *host, j *job) capacity.Cost {
-	cost := capacity.Cost{Warmth: h.m.imageState(j.spec.Image)}
+func costOf(stops []*placement, h *schedulableMachine, j *job) capacity.Cost {
+	cost := capacity.Cost{ImageState: h.machine.imageState(j.spec.Image)}
 	for _, p := range stops {
 		if p.job.isIdlePriority() {
 			cost.IdleStops++
@@ -158,21 +158,21 @@
 	return cost
 }
 
-// stopsFor gives the instances to stop on a machine so that a task of j fits, the
+// preemptionSet gives the instances to stop on a machine so that a task of j fits, the
 // most fulfilled job's first.
-func (r *round) stopsFor(j *job, h *host, victim func(*job, *placement) bool) ([]*placement, bool) {
-	soon := h.soon
+func (r *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, victim func(*job, *placement) bool) ([]*placement, bool) {
+	soon := h.freeAfterStops
 	if soon.Holds(resource.OfTask(j.spec)) {
 		return nil, true
 	}
 	// Mostly all that could stop there would not be enough; that is seen first.
 	most := soon
-	for _, p := range h.m.placementsInOrder {
+	for _, p := range h.machine.placementsInOrder {
 		if victim(j, p) {
 			most.Give(resource.OfTask(p.job.spec))
 		}
 	}
-	r.evaluations -= len(h.m.placementsInOrder) / 4
+	r.evaluations -= len(h.machine.placementsInOrder) / 4
 	if !most.Holds(resource.OfTask(j.spec)) {
 		return nil, false
 	}
@@ -182,10 +182,10 @@
 	}
 	var vs []scoredVictim
 	left := map[*job]int{}
-	for _, p := range h.m.placementsInOrder {
+	for _, p := range h.machine.placementsInOrder {
 		if victim(j, p) {
 			n := p.job.activeInstances()
-			vs = append(vs, scoredVictim{p, score(n, p.job.minInstances(), p.job.maxInstances())})
+			vs = append(vs, scoredVictim{p, fulfillmentScore(n, p.job.minInstances(), p.job.maxInstances())})
 			left[p.job] = n - p.job.minInstances()
 		}
 	}
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -21,17 +21,17 @@
 
 func (PrefetchImage) effect() {}
 
-// prefetches has a copy of each model's weights in each zone where its replicas could go, within a budget.
-type prefetches struct {
-	budget  hourlyBudget // in GB
-	asking  int
-	lookAt  time.Duration
-	refused bool // a worker does not know the request: none does
-	arrive  []arrival
+// imagePrefetcher has a copy of each model's weights in each zone where its replicas could go, within a budget.
+type imagePrefetcher struct {
+	budget      hourlyBudget // in GB
+	inFlight    int
+	nextCheck   time.Duration
+	unsupported bool // a worker does not know the request: none does
+	arrivals    []imageArrival
 }
 
-// arrival is an image that is to be on a machine.
-type arrival struct {
+// imageArrival is an image that is to be on a machine.
+type imageArrival struct {
 	machine, image string
 	at             time.Duration
 }
@@ -40,15 +40,15 @@
 func (l *leader) runPrefetches() {
 	c, p := l.core, &l.prefetches
 	perHour := c.operator.Spread.PrefetchGBPerHour
-	if !c.operator.Spread.Enabled || perHour <= 0 || p.refused {
+	if !c.operator.Spread.Enabled || perHour <= 0 || p.unsupported {
 		return
 	}
-	l.takeArrivals()
-	if c.now.Steady < p.lookAt || !c.election.leaseValid() || c.storeDown {
-		c.wakeBy(p.lookAt)
+	l.applyArrivals()
+	if c.now.Steady < p.nextCheck || !c.election.leaseValid() || c.storeDown {
+		c.wakeBy(p.nextCheck)
 		return
 	}
-	p.lookAt = c.now.Steady + c.times.checkInterval
+	p.nextCheck = c.now.Steady + c.times.checkInterval
 	now := c.now.Steady.Seconds()
 	if p.budget.at == 0 {
 		p.budget = hourlyBudget{left: perHour, at: now} // an hour's worth to begin with
@@ -62,10 +62,10 @@
 	}
 }
 
-// takeArrivals marks the images that are there by now.
-func (l *leader) takeArrivals() {
-	keep := l.prefetches.arrive[:0]
-	for _, a := range l.prefetches.arrive {
+// applyArrivals marks the images that are there by now.
+func (l *leader) applyArrivals() {
+	keep := l.prefetches.arrivals[:0]
+	for _, a := range l.prefetches.arrivals {
 		if l.core.now.Steady < a.at {
 			keep = append(keep, a)
 			continue
@@ -74,65 +74,65 @@
 			m.markImageReady(a.image)
 		}
 	}
-	l.prefetches.arrive = keep
+	l.prefetches.arrivals = keep
 }
 
 // prefetchModel asks for a copy of a model's weights in each zone that has none.
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
 	for _, zone := range l.zonesFor(j) {
-		if j.spec.ImageGB > p.budget.left || p.asking >= l.core.maxReplicaProbes() {
+		if j.spec.ImageGB > p.budget.left || p.inFlight >= l.core.maxReplicaProbes() {
 			return
 		}
-		if m := l.copyPlace(j, zone); m != nil {
+		if m := l.prefetchTarget(j, zone); m != nil {
 			p.budget.left -= j.spec.ImageGB
 			l.prefetch(j, m)
 		}
 	}
 }
 
-// copyPlace gives the machine of a zone for a copy of a job's image: one with room for a replica, that fetches nothing and has
+// prefetchTarget gives the machine of a zone for a copy of a job's image: one with room for a replica, that fetches nothing and has
 // space for the image beside all that it has; nil if there is none, or if the zone has a copy.
-func (l *leader) copyPlace(j *job, zone string) *machine {
+func (l *leader) prefetchTarget(j *job, zone string) *machine {
 	allowed := j.groupRules()
-	within := func(g capacity.Group) (capacity.Warmth, bool) { return 0, g.Zone == zone && allowed(g) }
-	_, copied, _ := l.capacityIndex.Tightest(capacity.Request[*host]{Image: j.spec.Image, Penalty: within,
-		Suits: func(h *host) (capacity.Warmth, bool) {
-			w := h.m.imageState(j.spec.Image)
-			return w, w <= capacity.Fetching
+	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
+	_, copied, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
+		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
+			w := h.machine.imageState(j.spec.Image)
+			return w, w <= capacity.ImageFetching
 		}})
 	if copied {
 		return nil
 	}
-	h, found, _ := l.capacityIndex.Tightest(capacity.Request[*host]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
-		Suits: func(h *host) (capacity.Warmth, bool) {
+	h, found, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
+		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
 			sum := j.spec.ImageGB
-			for i := range h.m.images {
-				sum += h.m.images[i].gb
+			for i := range h.machine.images {
+				sum += h.machine.images[i].gb
 			}
-			return capacity.Cold, h.m.imageState(j.spec.Image) == capacity.Cold && sum <= h.m.machineType.CacheGB && h.m.addr != ""
+			return capacity.ImageAbsent, h.machine.imageState(j.spec.Image) == capacity.ImageAbsent && sum <= h.machine.machineType.CacheGB && h.machine.addr != ""
 		}})
 	if !found {
 		return nil
 	}
-	return h.m
+	return h.machine
 }
 
 // prefetch asks a machine for an image. Until it is there the machine counts as fetching it.
 func (l *leader) prefetch(j *job, m *machine) {
 	p, image := &l.prefetches, j.spec.Image
 	m.addImage(image, j.spec.ImageGB)
-	p.asking++
+	p.inFlight++
 	id := l.call(func(r Result) {
-		p.asking--
+		p.inFlight--
 		switch r.Outcome {
 		case call.OK:
-			p.arrive = append(p.arrive, arrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
+			p.arrivals = append(p.arrivals, imageArrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
 		case call.Missing:
-			if !p.refused {
+			if !p.unsupported {
 				l.core.log(Error, "workers don't know the request to fetch an image ahead", "machine", m.name)
 			}
-			p.refused = true
+			p.unsupported = true
 			m.removeImage(image)
 			m.capacityChanged = true
 		default:
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -12,104 +12,104 @@
 	"bitternwing/internal/wire"
 )
 
-// bin is a machine to come: booting, asked for, or planned.
-type bin struct {
+// plannedMachine is a machine to come: booting, asked for, or planned.
+type plannedMachine struct {
 	capacity.Group
-	mt   *wire.MachineType
-	room resource.Amount
-	new  bool
+	machineType *wire.MachineType
+	free        resource.Amount
+	unrequested bool
 }
 
-// planner finds how many machines are missing by packing what waits into those
+// capacityPlanner finds how many machines are missing by packing what waits into those
 // that are to come.
-type planner struct {
-	r     *round
-	t     *rentals
-	bins  []*bin
-	count map[capacity.Group]int
-	zones map[*job]map[string]int // where a job's tasks are or will be
-	work  float64                 // array work not yet worth a machine, in machines
+type capacityPlanner struct {
+	cycle                *schedulingCycle
+	provisioner          *provisioner
+	machines             []*plannedMachine
+	machinesByGroup      map[capacity.Group]int
+	zonesByJob           map[*job]map[string]int // where a job's tasks are or will be
+	pendingArrayMachines float64                 // array work not yet worth a machine, in machines
 }
 
-// plan rents and returns machines after a round.
-func (l *leader) plan(r *round) {
+// planCapacity rents and returns machines after a round.
+func (l *leader) planCapacity(r *schedulingCycle) {
 	t := &l.provisioner
-	if !t.settled() {
+	if !t.reconciled() {
 		return
 	}
 	now := l.core.now.Steady
-	t.unask()
-	p := &planner{r: r, t: t, count: map[capacity.Group]int{}, zones: map[*job]map[string]int{}}
+	t.dropUnsentRequests()
+	p := &capacityPlanner{cycle: r, provisioner: t, machinesByGroup: map[capacity.Group]int{}, zonesByJob: map[*job]map[string]int{}}
 	for _, m := range l.machinesByName {
 		if m.machineType == nil || m.releasing {
 			continue
 		}
 		o := m.group()
-		p.count[o]++
+		p.machinesByGroup[o]++
 		// A machine overdue may never come; what it should have taken is not
 		// left waiting for it.
 		if !m.reported && !m.everReported && now-m.requestedAt < config.Seconds(1.5*m.machineType.BootS) {
-			p.bins = append(p.bins, &bin{Group: o, mt: m.machineType, room: resource.OfMachine(m.machineType)})
+			p.machines = append(p.machines, &plannedMachine{Group: o, machineType: m.machineType, free: resource.OfMachine(m.machineType)})
 		}
 	}
 	for _, q := range t.requests {
 		mt := l.core.machineType(q.Type)
 		for i := 0; mt != nil && i < q.count; i++ {
-			p.count[q.Group]++
-			p.bins = append(p.bins, &bin{Group: q.Group, mt: mt, room: resource.OfMachine(mt)})
+			p.machinesByGroup[q.Group]++
+			p.machines = append(p.machines, &plannedMachine{Group: q.Group, machineType: mt, free: resource.OfMachine(mt)})
 		}
 	}
 	counted := map[*job]int{}
-	for _, w := range r.unmet {
+	for _, w := range r.unmetDemand {
 		counted[w.job] += w.tasks
 		for i := 0; i < w.tasks; i++ {
-			if !p.put(w.job, w.job.spec.Spot) && !p.put(w.job, false) {
+			if !p.pack(w.job, w.job.spec.Spot) && !p.pack(w.job, false) {
 				break
 			}
 		}
 	}
 	for _, j := range l.queue {
-		if j.isArray() && r.ready(j) {
-			p.array(j, j.unplaced()-counted[j])
+		if j.isArray() && r.schedulable(j) {
+			p.planArray(j, j.unplaced()-counted[j])
 		}
 	}
 	p.ensureHeadroom()
-	p.order()
-	p.giveBack()
+	p.requestScaleOut()
+	p.scaleIn()
 }
 
-// put packs a task into a bin, opening one if need be.
-func (p *planner) put(j *job, spot bool) bool {
-	p.r.evaluations -= len(p.bins) / 4
-	for _, b := range p.bins {
-		if b.room.Holds(resource.OfTask(j.spec)) && p.suits(j, b.Group) {
-			p.take(b, j)
+// pack packs a task into a bin, opening one if need be.
+func (p *capacityPlanner) pack(j *job, spot bool) bool {
+	p.cycle.evaluations -= len(p.machines) / 4
+	for _, b := range p.machines {
+		if b.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, b.Group) {
+			p.packInto(b, j)
 			return true
 		}
 	}
-	b := p.open(j, spot)
+	b := p.planMachine(j, spot)
 	if b == nil {
 		return false
 	}
-	p.take(b, j)
+	p.packInto(b, j)
 	return true
 }
 
-func (p *planner) take(b *bin, j *job) {
-	b.room.Take(resource.OfTask(j.spec))
+func (p *capacityPlanner) packInto(b *plannedMachine, j *job) {
+	b.free.Take(resource.OfTask(j.spec))
 	p.zonesOf(j)[b.Zone]++
 }
 
-func (p *planner) zonesOf(j *job) map[string]int {
-	z := p.zones[j]
+func (p *capacityPlanner) zonesOf(j *job) map[string]int {
+	z := p.zonesByJob[j]
 	if z == nil {
 		z = maps.Clone(j.placementsByZone)
-		p.zones[j] = z
+		p.zonesByJob[j] = z
 	}
 	return z
 }
 
-func (p *planner) suits(j *job, o capacity.Group) bool {
+func (p *capacityPlanner) mayRunOn(j *job, o capacity.Group) bool {
 	s := j.spec
 	if o.Spot && !s.Spot || s.Zone != "" && s.Zone != o.Zone || !allowsType(s, o.Type) {
 		return false
@@ -124,10 +124,10 @@
 	return !s.SpreadZones || z[o.Zone] < (s.Tasks+1)/2
 }
 
-// open plans a new machine for a task: of the cheapest type that holds it, in the
+// planMachine plans a new machine for a task: of the cheapest type that holds it, in the
 // zone with the fewest machines of that kind.
-func (p *planner) open(j *job, spot bool) *bin {
-	l := p.r.l
+func (p *capacityPlanner) planMachine(j *job, spot bool) *plannedMachine {
+	l := p.cycle.leader
 	if l.core.overloaded() {
 		return nil // more machines would report than this node can answer
 	}
@@ -146,32 +146,32 @@
 		cost /= max(1, mt.GPUs)
 		for _, z := range mt.Zones {
 			o := capacity.Group{Type: mt.Name, Zone: z, Spot: spot}
-			if _, cut := l.silentZones[z]; cut || l.core.now.Steady < p.t.exhausted[o] || !p.suits(j, o) {
+			if _, cut := l.silentZones[z]; cut || l.core.now.Steady < p.provisioner.exhausted[o] || !p.mayRunOn(j, o) {
 				continue
 			}
-			if cost < bestCost || cost == bestCost && p.count[o] < bestCount {
-				best, bestType, bestCost, bestCount = o, mt, cost, p.count[o]
+			if cost < bestCost || cost == bestCost && p.machinesByGroup[o] < bestCount {
+				best, bestType, bestCost, bestCount = o, mt, cost, p.machinesByGroup[o]
 			}
 		}
 	}
 	if bestType == nil {
 		return nil
 	}
-	p.count[best]++
-	b := &bin{Group: best, mt: bestType, room: resource.OfMachine(bestType), new: true}
-	p.bins = append(p.bins, b)
+	p.machinesByGroup[best]++
+	b := &plannedMachine{Group: best, machineType: bestType, free: resource.OfMachine(bestType), unrequested: true}
+	p.machines = append(p.machines, b)
 	return b
 }
 
-// array plans machines for an array's n further waiting tasks. A machine costs its boot time
+// planArray plans machines for an array's n further waiting tasks. A machine costs its boot time
 // before it helps, so one is rented only for about as much work as that.
-func (p *planner) array(j *job, n int) {
-	if x := p.r.use.of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
+func (p *capacityPlanner) planArray(j *job, n int) {
+	if x := p.cycle.usage.of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
 		n = min(n, int((j.team.MaxGPUs-x[0])/j.spec.GPUs))
 	}
-	for i := 0; n > 0 && i < len(p.bins); i++ {
-		for b := p.bins[i]; n > 0 && b.room.Holds(resource.OfTask(j.spec)) && p.suits(j, b.Group); n-- {
-			p.take(b, j)
+	for i := 0; n > 0 && i < len(p.machines); i++ {
+		for b := p.machines[i]; n > 0 && b.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, b.Group); n-- {
+			p.packInto(b, j)
 		}
 	}
 	for _, spot := range []bool{true, false} {
@@ -179,61 +179,61 @@
 			continue
 		}
 		for n > 0 {
-			b := p.open(j, spot)
+			b := p.planMachine(j, spot)
 			if b == nil {
 				break
 			}
 			fits := 0
-			for n > 0 && b.room.Holds(resource.OfTask(j.spec)) {
-				p.take(b, j)
+			for n > 0 && b.free.Holds(resource.OfTask(j.spec)) {
+				p.packInto(b, j)
 				fits++
 				n--
 			}
-			share := 1 - b.room.GPUs/max(1, b.mt.GPUs)
-			p.work += share * max(j.spec.EstimatedRunS, 1) / b.mt.BootS
+			share := 1 - b.free.GPUs/max(1, b.machineType.GPUs)
+			p.pendingArrayMachines += share * max(j.spec.EstimatedRunS, 1) / b.machineType.BootS
 			if !spot && j.spec.Spot {
 				// An ordinary machine in place of a cheap one has to be worth more.
-				p.work -= share * max(j.spec.EstimatedRunS, 1) / b.mt.BootS * (1 - b.mt.SpotPrice/b.mt.Price)
+				p.pendingArrayMachines -= share * max(j.spec.EstimatedRunS, 1) / b.machineType.BootS * (1 - b.machineType.SpotPrice/b.machineType.Price)
 			}
-			if p.work >= 0.5 {
-				p.work -= 1
+			if p.pendingArrayMachines >= 0.5 {
+				p.pendingArrayMachines -= 1
 				continue
 			}
 			// Not worth it yet.
-			p.bins = p.bins[:len(p.bins)-1]
-			p.count[b.Group]--
+			p.machines = p.machines[:len(p.machines)-1]
+			p.machinesByGroup[b.Group]--
 			return
 		}
 	}
 }
 
 // headroomWanted is the room on ordinary machines to keep free for services to come.
-func (p *planner) headroomWanted() float64 {
+func (p *capacityPlanner) headroomWanted() float64 {
 	inUse, largest := 0.0, 0.0
-	for _, j := range p.r.l.queue {
+	for _, j := range p.cycle.leader.queue {
 		if !j.isArray() && !j.cancelled {
 			all := float64(j.spec.Tasks) * j.spec.GPUs
 			inUse += all
 			largest = max(largest, all)
 		}
 	}
-	if inUse == 0 || p.r.l.core.operator.SpareShare == 0 {
+	if inUse == 0 || p.cycle.leader.core.operator.SpareShare == 0 {
 		return 0
 	}
-	return max(largest, inUse*p.r.l.core.operator.SpareShare)
+	return max(largest, inUse*p.cycle.leader.core.operator.SpareShare)
 }
 
 // headroom is the room on ordinary machines that services could have: free, to
 // come, or held by elastic jobs above their minimum (half of it, since those have
 // to stop first). It is added up no further than to an amount that is enough.
-func (p *planner) headroom(enough float64) float64 {
+func (p *capacityPlanner) headroom(enough float64) float64 {
 	sum := 0.0
-	for _, b := range p.bins {
+	for _, b := range p.machines {
 		if !b.Spot {
-			sum += max(0, b.room.GPUs)
+			sum += max(0, b.free.GPUs)
 		}
 	}
-	for _, m := range p.r.l.machinesByName {
+	for _, m := range p.cycle.leader.machinesByName {
 		if sum >= enough {
 			break
 		}
@@ -244,9 +244,9 @@
 	return sum
 }
 
-func (p *planner) headroomOn(h *host) float64 {
+func (p *capacityPlanner) headroomOn(h *schedulableMachine) float64 {
 	sum := max(0, h.free.GPUs)
-	for _, x := range h.m.placementsInOrder {
+	for _, x := range h.machine.placementsInOrder {
 		if x.job.shrinkable() {
 			sum += x.job.spec.GPUs / 2
 		}
@@ -254,8 +254,8 @@
 	return sum
 }
 
-func (p *planner) ensureHeadroom() {
-	l := p.r.l
+func (p *capacityPlanner) ensureHeadroom() {
+	l := p.cycle.leader
 	wanted := p.headroomWanted()
 	for i := 0; i < 4 && p.headroom(wanted) < wanted; i++ {
 		var any *job
@@ -264,19 +264,19 @@
 				any = j
 			}
 		}
-		if any == nil || p.open(any, false) == nil {
+		if any == nil || p.planMachine(any, false) == nil {
 			return
 		}
 	}
 }
 
-// order sends the new bins as requests, one for each kind and zone.
-func (p *planner) order() {
-	c := p.r.l.core
+// requestScaleOut sends the new bins as requests, one for each kind and zone.
+func (p *capacityPlanner) requestScaleOut() {
+	c := p.cycle.leader.core
 	counts := map[capacity.Group]int{}
 	var kinds []capacity.Group
-	for _, b := range p.bins {
-		if b.new {
+	for _, b := range p.machines {
+		if b.unrequested {
 			if counts[b.Group] == 0 {
 				kinds = append(kinds, b.Group)
 			}
@@ -286,17 +286,17 @@
 	// What is missing most goes first where the cloud's rate makes the rest wait.
 	sort.SliceStable(kinds, func(a, b int) bool { return counts[kinds[a]] > counts[kinds[b]] })
 	for _, o := range kinds {
-		p.t.seq++
-		p.t.requests = append(p.t.requests, &rental{Group: o, count: min(counts[o], wire.MaxScaleOut),
-			name: fmt.Sprintf("bw-%d-%d", p.r.l.term, p.t.seq), at: c.now.Steady})
+		p.provisioner.lastRequest++
+		p.provisioner.requests = append(p.provisioner.requests, &scaleOutRequest{Group: o, count: min(counts[o], wire.MaxScaleOut),
+			id: fmt.Sprintf("bw-%d-%d", p.cycle.leader.term, p.provisioner.lastRequest), nextTry: c.now.Steady})
 	}
 }
 
-// giveBack returns idle machines. One is kept about as long as another takes to
+// scaleIn returns idle machines. One is kept about as long as another takes to
 // boot, and ordinary ones as long as they are the spare room: those with the least in
 // their caches go first, since what the next service needs may be in the others'.
-func (p *planner) giveBack() {
-	l := p.r.l
+func (p *capacityPlanner) scaleIn() {
+	l := p.cycle.leader
 	now := l.core.now.Steady
 	var idle []*machine
 	for _, m := range l.machinesByName {
@@ -317,6 +317,6 @@
 			}
 			surplus -= m.machineType.GPUs
 		}
-		p.t.release(m, releaseIdle)
+		p.provisioner.release(m, releaseIdle)
 	}
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -10,102 +10,102 @@
 	"bitternwing/internal/wire"
 )
 
-// rentals keeps the fleet: what is rented, what goes back, and what the cloud's
+// provisioner keeps the fleet: what is rented, what goes back, and what the cloud's
 // list tells, within the cloud's rate.
-type rentals struct {
-	l        *leader
-	tokens   float64
-	tokensAt time.Duration
+type provisioner struct {
+	leader     *leader
+	rateTokens float64
+	refilledAt time.Duration
 
-	seq      int
-	requests []*rental
-	names    []string // to be released
-	retryAt  time.Duration
-	relBusy  bool
+	lastRequest     int
+	requests        []*scaleOutRequest
+	scaleInQueue    []string // to be released
+	nextScaleIn     time.Duration
+	scaleInInFlight bool
 
-	listAt    time.Duration
-	listBusy  bool          // a page is being read
-	listSent  time.Duration // when the list being read was asked for
-	nextPage  string        // of the list being read, the machine after which the next page begins; "": none is due
-	page      map[string]bool
-	everRead  bool
-	exhausted map[capacity.Group]time.Duration // refused lately; not asked before this
+	nextList      time.Duration
+	listInFlight  bool          // a page is being read
+	listStartedAt time.Duration // when the list being read was asked for
+	nextPage      string        // of the list being read, the machine after which the next page begins; "": none is due
+	listedNames   map[string]bool
+	listRead      bool
+	exhausted     map[capacity.Group]time.Duration // refused lately; not asked before this
 }
 
-// rental is a request for machines. Its name holds the term, so that no other
+// scaleOutRequest is a request for machines. Its name holds the term, so that no other
 // request ever has it; it is repeated under that name until its outcome is known.
-type rental struct {
+type scaleOutRequest struct {
 	capacity.Group
-	name  string
-	count int
-	tried bool // it went out; until then the next plan makes it anew
-	busy  bool
-	at    time.Duration // next try
+	id       string
+	count    int
+	sent     bool // it went out; until then the next plan makes it anew
+	inFlight bool
+	nextTry  time.Duration // next try
 }
 
-func (t *rentals) init(l *leader) {
-	t.l = l
-	t.tokensAt = l.core.now.Steady
-	t.tokens = l.core.settings.Params.Cloud.RPS
+func (t *provisioner) init(l *leader) {
+	t.leader = l
+	t.refilledAt = l.core.now.Steady
+	t.rateTokens = l.core.settings.Params.Cloud.RPS
 	t.exhausted = map[capacity.Group]time.Duration{}
 }
 
-func (t *rentals) spend() bool {
-	now := t.l.core.now.Steady
-	rps := 0.8 * t.l.core.settings.Params.Cloud.RPS
-	t.tokens = min(max(1, rps), t.tokens+rps*(now-t.tokensAt).Seconds())
-	t.tokensAt = now
-	if t.tokens < 1 {
-		t.l.core.wakeBy(now + config.Seconds((1-t.tokens)/rps))
+func (t *provisioner) takeRateToken() bool {
+	now := t.leader.core.now.Steady
+	rps := 0.8 * t.leader.core.settings.Params.Cloud.RPS
+	t.rateTokens = min(max(1, rps), t.rateTokens+rps*(now-t.refilledAt).Seconds())
+	t.refilledAt = now
+	if t.rateTokens < 1 {
+		t.leader.core.wakeBy(now + config.Seconds((1-t.rateTokens)/rps))
 		return false
 	}
-	t.tokens--
+	t.rateTokens--
 	return true
 }
 
-func (t *rentals) run() {
-	l, c := t.l, t.l.core
+func (t *provisioner) run() {
+	l, c := t.leader, t.leader.core
 	if !l.hasAuthority() {
 		return
 	}
 	now := c.now.Steady
-	if len(t.names) > 0 && !t.relBusy && now >= t.retryAt && t.spend() {
-		t.sendRelease()
+	if len(t.scaleInQueue) > 0 && !t.scaleInInFlight && now >= t.nextScaleIn && t.takeRateToken() {
+		t.sendScaleIn()
 	}
 	for i := 0; i < len(t.requests); i++ {
 		q := t.requests[i]
-		if q.busy {
+		if q.inFlight {
 			continue
 		}
-		if now < q.at {
-			c.wakeBy(q.at)
+		if now < q.nextTry {
+			c.wakeBy(q.nextTry)
 			continue
 		}
-		if !t.spend() {
+		if !t.takeRateToken() {
 			break
 		}
-		t.sendRent(q)
+		t.sendScaleOut(q)
 	}
 	t.runList()
 }
 
 // runList begins to read the cloud's list when that is due, and goes on with its pages as the cloud's rate
 // allows: a large fleet has more of them than may be asked for in a second.
-func (t *rentals) runList() {
-	now := t.l.core.now.Steady
+func (t *provisioner) runList() {
+	now := t.leader.core.now.Steady
 	switch {
-	case t.listBusy:
+	case t.listInFlight:
 	case t.nextPage != "":
-		if t.spend() {
-			t.list(t.nextPage)
+		if t.takeRateToken() {
+			t.requestListPage(t.nextPage)
 		}
-	case now < t.listAt:
-		t.l.core.wakeBy(t.listAt)
-	case t.spend():
-		t.listAt = t.l.core.coalesce(now + t.l.core.times.listLag)
-		t.listSent = now
-		t.page = map[string]bool{}
-		t.list("")
+	case now < t.nextList:
+		t.leader.core.wakeBy(t.nextList)
+	case t.takeRateToken():
+		t.nextList = t.leader.core.coalesce(now + t.leader.core.times.listLag)
+		t.listStartedAt = now
+		t.listedNames = map[string]bool{}
+		t.requestListPage("")
 	}
 }
 
@@ -114,56 +114,56 @@
 
 // The reasons.
 const (
-	releaseIdle      releaseReason = "idle"
-	releaseSilent    releaseReason = "silent"
-	releaseFaulty    releaseReason = "faulty"
-	releaseNeverUp   releaseReason = "did not come up"
-	releaseCancelled releaseReason = "a cancelled task does not go"
-	releaseUnreached releaseReason = "answers don't reach it"
+	releaseIdle          releaseReason = "idle"
+	releaseSilent        releaseReason = "silent"
+	releaseFaulty        releaseReason = "faulty"
+	releaseNeverUp       releaseReason = "did not come up"
+	releaseCancelled     releaseReason = "a cancelled task does not go"
+	releaseResponsesLost releaseReason = "answers don't reach it"
 )
 
 // release gives a machine back. What is on it counts until the cloud says 200.
-func (t *rentals) release(m *machine, why releaseReason) {
+func (t *provisioner) release(m *machine, why releaseReason) {
 	if m.releasing {
 		return
 	}
 	m.releasing, m.releaseReason = true, why
-	t.names = append(t.names, m.name)
-	t.l.core.log(Info, "releasing machine", "machine", m.name, "why", why, "tasks", len(m.placements))
-	t.l.wantRound()
+	t.scaleInQueue = append(t.scaleInQueue, m.name)
+	t.leader.core.log(Info, "releasing machine", "machine", m.name, "why", why, "tasks", len(m.placements))
+	t.leader.requestCycle()
 }
 
-// takeBack keeps a machine that was to be released as silent and is heard again, as long as no
+// cancelRelease keeps a machine that was to be released as silent and is heard again, as long as no
 // request for it can have been carried out: while the cloud is out of reach its tasks may have gone
 // on all the time.
-func (t *rentals) takeBack(m *machine) {
+func (t *provisioner) cancelRelease(m *machine) {
 	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
 		return
 	}
 	m.releasing = false
-	t.names = slices.DeleteFunc(t.names, func(name string) bool { return name == m.name })
-	t.l.core.log(Info, "release taken back", "machine", m.name)
-	t.l.wantRound()
+	t.scaleInQueue = slices.DeleteFunc(t.scaleInQueue, func(name string) bool { return name == m.name })
+	t.leader.core.log(Info, "release taken back", "machine", m.name)
+	t.leader.requestCycle()
 }
 
-// releaseMayBeDone notes for machines whether a request to release them may have been carried out.
-func (t *rentals) releaseMayBeDone(names []string, may bool) {
+// markReleaseSent notes for machines whether a request to release them may have been carried out.
+func (t *provisioner) markReleaseSent(names []string, may bool) {
 	for _, name := range names {
-		if m := t.l.machines[name]; m != nil {
+		if m := t.leader.machines[name]; m != nil {
 			m.releaseSent = may
 		}
 	}
 }
 
-func (t *rentals) sendRelease() {
-	l, c := t.l, t.l.core
-	n := min(len(t.names), wire.MaxScaleIn)
-	names := append([]string(nil), t.names[:n]...)
-	t.names = append([]string(nil), t.names[n:]...)
-	t.relBusy = true
-	t.releaseMayBeDone(names, true)
+func (t *provisioner) sendScaleIn() {
+	l, c := t.leader, t.leader.core
+	n := min(len(t.scaleInQueue), wire.MaxScaleIn)
+	names := append([]string(nil), t.scaleInQueue[:n]...)
+	t.scaleInQueue = append([]string(nil), t.scaleInQueue[n:]...)
+	t.scaleInInFlight = true
+	t.markReleaseSent(names, true)
 	id := l.call(func(r Result) {
-		t.relBusy = false
+		t.scaleInInFlight = false
 		if r.Outcome == call.OK {
 			for _, name := range names {
 				if m := l.machines[name]; m != nil {
@@ -173,21 +173,21 @@
 			return
 		}
 		if r.Outcome.NotDone() {
-			t.releaseMayBeDone(names, false)
+			t.markReleaseSent(names, false)
 		}
 		// Releasing again does no harm.
-		t.names = append(names, t.names...)
-		t.retryAt = c.now.Steady + c.times.checkInterval
-		c.wakeBy(t.retryAt)
+		t.scaleInQueue = append(names, t.scaleInQueue...)
+		t.nextScaleIn = c.now.Steady + c.times.checkInterval
+		c.wakeBy(t.nextScaleIn)
 	})
 	c.emit(CloudScaleIn{CallID: id, Names: names})
 }
 
-func (t *rentals) sendRent(q *rental) {
-	l, c := t.l, t.l.core
-	q.busy, q.tried = true, true
+func (t *provisioner) sendScaleOut(q *scaleOutRequest) {
+	l, c := t.leader, t.leader.core
+	q.inFlight, q.sent = true, true
 	id := l.call(func(r Result) {
-		q.busy = false
+		q.inFlight = false
 		now := c.now.Steady
 		switch r.Outcome {
 		case call.OK:
@@ -200,33 +200,33 @@
 			if len(r.MachineNames) < q.count {
 				t.exhausted[q.Group] = now + 2*c.times.listLag
 			}
-			t.drop(q)
-			l.wantRound()
+			t.dropRequest(q)
+			l.requestCycle()
 			c.log(Info, "rented", "asked", q.count, "got", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case call.Refused:
 			t.exhausted[q.Group] = now + 2*c.times.listLag
-			t.drop(q)
-			l.wantRound()
+			t.dropRequest(q)
+			l.requestCycle()
 			c.log(Debug, "rental refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case call.Invalid:
 			t.exhausted[q.Group] = now + 20*c.times.listLag
-			t.drop(q)
+			t.dropRequest(q)
 			c.log(Error, "rental was malformed", "type", q.Type, "zone", q.Zone)
 		default:
-			q.at = now + c.times.checkInterval
-			c.wakeBy(q.at)
+			q.nextTry = now + c.times.checkInterval
+			c.wakeBy(q.nextTry)
 		}
 	})
-	c.emit(CloudScaleOut{CallID: id, Request: wire.ScaleOutRequest{RequestID: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
+	c.emit(CloudScaleOut{CallID: id, Request: wire.ScaleOutRequest{RequestID: q.id, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
 }
 
-// unask drops requests that still wait for the cloud's rate. What is missing is counted
+// dropUnsentRequests drops requests that still wait for the cloud's rate. What is missing is counted
 // anew, so that one request asks for all of it: rounds come faster than requests may go
 // out, and a queue of small ones would hold the fleet back for many seconds.
-func (t *rentals) unask() {
+func (t *provisioner) dropUnsentRequests() {
 	tried := t.requests[:0]
 	for _, q := range t.requests {
-		if q.tried {
+		if q.sent {
 			tried = append(tried, q)
 		}
 	}
@@ -234,7 +234,7 @@
 	t.requests = tried
 }
 
-func (t *rentals) drop(q *rental) {
+func (t *provisioner) dropRequest(q *scaleOutRequest) {
 	for i, x := range t.requests {
 		if x == q {
 			t.requests = append(t.requests[:i], t.requests[i+1:]...)
@@ -243,13 +243,13 @@
 	}
 }
 
-// list reads a page of the cloud's list. One above the cloud's rate is asked for again; after any other
+// requestListPage reads a page of the cloud's list. One above the cloud's rate is asked for again; after any other
 // failure the list is read anew when the next one is due.
-func (t *rentals) list(after string) {
-	l, c := t.l, t.l.core
-	t.listBusy = true
+func (t *provisioner) requestListPage(after string) {
+	l, c := t.leader, t.leader.core
+	t.listInFlight = true
 	id := l.call(func(r Result) {
-		t.listBusy = false
+		t.listInFlight = false
 		if r.Outcome == call.Dropped && after != "" {
 			t.nextPage = after
 			return
@@ -260,23 +260,23 @@
 		}
 		for i := range r.Machines.Machines {
 			e := &r.Machines.Machines[i]
-			t.page[e.Name] = true
-			t.listed(e)
+			t.listedNames[e.Name] = true
+			t.applyListed(e)
 		}
 		if n := len(r.Machines.Machines); r.Machines.More && n > 0 {
 			t.nextPage = r.Machines.Machines[n-1].Name
 			return
 		}
-		t.everRead = true
-		t.absent()
-		l.wantRound()
+		t.listRead = true
+		t.findAbsent()
+		l.requestCycle()
 	})
 	c.emit(CloudList{CallID: id, After: after})
 }
 
-// listed takes an entry of the cloud's list.
-func (t *rentals) listed(e *wire.Machine) {
-	l, c := t.l, t.l.core
+// applyListed takes an entry of the cloud's list.
+func (t *provisioner) applyListed(e *wire.Machine) {
+	l, c := t.leader, t.leader.core
 	now := c.now.Steady
 	if at, was := l.releasedMachines[e.Name]; was {
 		if now-at < 10*c.times.listLag {
@@ -290,7 +290,7 @@
 		} else {
 			l.releasedMachines[e.Name] = now
 		}
-		t.names = append(t.names, e.Name)
+		t.scaleInQueue = append(t.scaleInQueue, e.Name)
 		return
 	}
 	_, known := l.machines[e.Name]
@@ -306,21 +306,21 @@
 	m.missedLists = 0
 }
 
-// absent looks for machines that a complete list lacks. A list may describe a
+// findAbsent looks for machines that a complete list lacks. A list may describe a
 // moment up to twice the lag ago, and one list may be older than the one before,
 // so a machine counts as gone only if the list was asked for well after it must
 // have been listed, and if two lists in a row lack it.
-func (t *rentals) absent() {
-	l, c := t.l, t.l.core
+func (t *provisioner) findAbsent() {
+	l, c := t.leader, t.leader.core
 	for _, m := range append([]*machine(nil), l.machinesByName...) {
-		if t.page[m.name] {
+		if t.listedNames[m.name] {
 			continue
 		}
 		known := m.firstSeen
 		if m.inCloudList {
 			known = m.listedAt
 		}
-		if t.listSent < known+3*c.times.listLag {
+		if t.listStartedAt < known+3*c.times.listLag {
 			continue
 		}
 		if m.reported && c.now.Steady-m.lastHeardDirectlyOrRelayed() < 3*c.times.listLag {
@@ -340,9 +340,9 @@
 	}
 }
 
-// stuck returns machines that don't come up.
-func (t *rentals) stuck() {
-	l, c := t.l, t.l.core
+// releaseNeverUp returns machines that don't come up.
+func (t *provisioner) releaseNeverUp() {
+	l, c := t.leader, t.leader.core
 	if !l.hasAuthority() {
 		return
 	}
@@ -361,12 +361,12 @@
 	}
 }
 
-// settled tells whether this leader's picture of the fleet is good enough to rent
+// reconciled tells whether this leader's picture of the fleet is good enough to rent
 // and return by: the list has been read, and the machines of earlier terms have
 // had time to be listed and to report.
-func (t *rentals) settled() bool {
-	l, c := t.l, t.l.core
-	if !t.everRead {
+func (t *provisioner) reconciled() bool {
+	l, c := t.leader, t.leader.core
+	if !t.listRead {
 		return false
 	}
 	if l.term == 1 {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -67,7 +67,7 @@
 	now := l.core.now.Steady
 	if !m.reported {
 		l.core.log(Debug, "machine up", "machine", m.name, "after", (now - m.requestedAt).String())
-		l.wantRound()
+		l.requestCycle()
 	}
 	switch {
 	case !m.reported && !m.inCloudList && !m.requestedHere && termOfFencingToken(r.FencingToken) < l.term:
@@ -87,11 +87,11 @@
 	m.enterIncarnation(r.Incarnation)
 	m.reported, m.everReported, m.missedLists = true, true, 0
 	m.sequence, m.lastHeartbeat, m.lastHoldTime = r.Sequence, now, 0
-	l.provisioner.takeBack(m)
+	l.provisioner.cancelRelease(m)
 	if r.ReclaimNoticeS != nil && !m.reclaiming {
 		m.reclaiming = true
 		l.core.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.ReclaimNoticeS)
-		l.wantRound()
+		l.requestCycle()
 	}
 	l.reconcileTasks(m, r, false)
 	l.addCommands(m, r, answer)
@@ -107,7 +107,7 @@
 func (l *leader) reconcileTasks(m *machine, r *wire.Heartbeat, asked bool) {
 	if m.requiredFencingToken != 0 && r.FencingToken >= m.requiredFencingToken {
 		m.requiredFencingToken = 0
-		l.wantRound()
+		l.requestCycle()
 	}
 	if len(m.orphanedTasks) > 0 {
 		m.capacityChanged = true // they may be gone
--- a/internal/core/spreading.go
+++ b/internal/core/spreading.go
@@ -43,14 +43,14 @@
 	}
 }
 
-// trade is what a replica's place costs, in seconds of replica time.
-type trade struct {
-	weighed bool    // against spread; else the warmest machine was taken
-	loadS   float64 // expected wait for the weights
-	lossS   float64 // expected to be lost by what the zone and the machine have beyond the balanced share
-	// warmest is the machine that would have been taken without weighing, with what it would have cost.
-	warmest               string
-	warmestLoadS, avoided float64
+// placementCost is what a replica's place costs, in seconds of replica time.
+type placementCost struct {
+	spreadWeighed bool    // against spread; else the warmest machine was taken
+	imageLoadS    float64 // expected wait for the weights
+	expectedLossS float64 // expected to be lost by what the zone and the machine have beyond the balanced share
+	// warmestMachine is the machine that would have been taken without weighing, with what it would have cost.
+	warmestMachine         string
+	warmestLoadS, avoidedS float64
 }
 
 // lossRates are the losses that operators expect.
@@ -59,55 +59,55 @@
 	return spread.Rates{ZoneLossesPerDay: s.ZoneLossesPerDay, MachineLossesPerDay: s.MachineLossesPerDay, ReplicaDays: s.ReplicaDays}
 }
 
-// noticedLeases is after how many of workers' leases a machine's loss is noticed for certain.
-const noticedLeases = 1.1
+// lossDetectionLeases is after how many of workers' leases a machine's loss is noticed for certain.
+const lossDetectionLeases = 1.1
 
-// coldSeconds is how long a job's image takes on a machine of a type that fetches nothing else.
-func (l *leader) coldSeconds(j *job, kind string) float64 {
+// coldStartSeconds is how long a job's image takes on a machine of a type that fetches nothing else.
+func (l *leader) coldStartSeconds(j *job, kind string) float64 {
 	if mt := l.core.machineType(kind); mt != nil && mt.FetchGBPerS > 0 {
 		return j.spec.ImageGB / mt.FetchGBPerS
 	}
 	return 0
 }
 
-// slowestLoad is the longest that a job's image takes on any type that the job may run on.
-func (l *leader) slowestLoad(j *job) time.Duration {
+// slowestImageFetch is the longest that a job's image takes on any type that the job may run on.
+func (l *leader) slowestImageFetch(j *job) time.Duration {
 	slowest := 0.0
 	for i := range l.core.catalog {
 		if kind := l.core.catalog[i].Name; allowsType(j.spec, kind) {
-			slowest = max(slowest, l.coldSeconds(j, kind))
+			slowest = max(slowest, l.coldStartSeconds(j, kind))
 		}
 	}
 	return config.Seconds(slowest)
 }
 
-// weigher is what a job's next replica goes by.
-type weigher struct {
+// replicaCostModel is what a job's next replica goes by.
+type replicaCostModel struct {
 	spread.Weigher
-	l     *leader
-	job   *job
-	away  time.Duration
-	fleet spread.Fleet
+	leader       *leader
+	job          *job
+	recoveryTime time.Duration
+	fleet        spread.Fleet
 }
 
-// weigherFor gives a job's weigher; false if its places are not weighed.
-func (r *round) weigherFor(j *job) (weigher, bool) {
-	l := r.l
+// replicaCostFor gives a job's weigher; false if its places are not weighed.
+func (r *schedulingCycle) replicaCostFor(j *job) (replicaCostModel, bool) {
+	l := r.leader
 	model, ok := j.model()
 	if !ok || !l.core.operator.Spread.Enabled || j.replicaLedger == nil {
-		return weigher{}, false
+		return replicaCostModel{}, false
 	}
-	if w := r.weighing; w.job != j || r.weighedAt != j.replicaLedger.Changes() {
+	if w := r.replicaCost; w.job != j || r.replicaCostVersion != j.replicaLedger.Changes() {
 		// What does not depend on where replicas are is worked out once for a run of the same job's tasks.
 		if w.job != j {
-			w.away = time.Duration(noticedLeases*float64(l.core.times.lease)) + l.slowestLoad(j)
+			w.recoveryTime = time.Duration(lossDetectionLeases*float64(l.core.times.lease)) + l.slowestImageFetch(j)
 			w.fleet = spread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.capacityIndex.Len()}
 		}
-		w.l, w.job = l, j
-		w.Weigher = j.replicaLedger.Weigh(model, l.core.lossRates(), w.fleet, w.away)
-		r.weighing, r.weighedAt = w, j.replicaLedger.Changes()
+		w.leader, w.job = l, j
+		w.Weigher = j.replicaLedger.Weigh(model, l.core.lossRates(), w.fleet, w.recoveryTime)
+		r.replicaCost, r.replicaCostVersion = w, j.replicaLedger.Changes()
 	}
-	return r.weighing, true
+	return r.replicaCost, true
 }
 
 // zonesFor gives the zones in which a job may run and there are machines that take tasks.
@@ -122,65 +122,65 @@
 }
 
 // cost gives what a machine of a group costs the job's next replica, by its warmth.
-func (w weigher) cost(g capacity.Group, warmth capacity.Warmth) float64 {
-	cost := w.load(g, warmth) + w.Zone(g.Zone)
+func (w replicaCostModel) cost(g capacity.Group, warmth capacity.ImageState) float64 {
+	cost := w.imageLoad(g, warmth) + w.Zone(g.Zone)
 	if w.job.spec.Spot && !g.Spot {
 		// As far behind as without weighing: a loss is the unit of what comes before warmth.
-		cost += ordinaryPenalty * w.away.Seconds()
+		cost += onDemandPenalty * w.recoveryTime.Seconds()
 	}
 	return cost
 }
 
-func (w weigher) load(g capacity.Group, warmth capacity.Warmth) float64 {
-	return spread.LoadSeconds(int(warmth), w.l.coldSeconds(w.job, g.Type))
+func (w replicaCostModel) imageLoad(g capacity.Group, warmth capacity.ImageState) float64 {
+	return spread.LoadSeconds(int(warmth), w.leader.coldStartSeconds(w.job, g.Type))
 }
 
-// weigh finds the machine for a job's next replica that costs the least.
-func (r *round) weigh(j *job, w weigher) *machine {
+// cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
+func (r *schedulingCycle) cheapestReplicaMachine(j *job, w replicaCostModel) *machine {
 	allowed := j.groupRules()
-	h, _, found, looked := r.l.capacityIndex.Cheapest(capacity.Weighed[*host]{
+	h, _, found, looked := r.leader.capacityIndex.LowestCost(capacity.CostRequest[*schedulableMachine]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Crowded: w.Machine(),
-		Cost: func(g capacity.Group, warmth capacity.Warmth) (float64, bool) {
+		Cost: func(g capacity.Group, warmth capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
 			}
 			return w.cost(g, warmth), true
 		},
-		Suits: func(h *host) (capacity.Warmth, bool, bool) {
-			return h.m.imageState(j.spec.Image), w.Crowded(h.m.name), !r.l.avoids(j, h.m)
+		Suits: func(h *schedulableMachine) (capacity.ImageState, bool, bool) {
+			return h.machine.imageState(j.spec.Image), w.Crowded(h.machine.name), !r.leader.avoidsMachine(j, h.machine)
 		},
 	})
 	r.evaluations -= max(1, looked)
 	if !found {
 		return nil
 	}
-	return h.m
+	return h.machine
 }
 
-// tradeOn gives what a machine costs a job's next replica.
-func (w weigher) tradeOn(m *machine) trade {
-	t := trade{weighed: true, loadS: w.load(m.group(), m.imageState(w.job.spec.Image)), lossS: w.Zone(m.zone)}
+// costOn gives what a machine costs a job's next replica.
+func (w replicaCostModel) costOn(m *machine) placementCost {
+	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.imageState(w.job.spec.Image)), expectedLossS: w.Zone(m.zone)}
 	if w.Crowded(m.name) {
-		t.lossS += w.Machine()
+		t.expectedLossS += w.Machine()
 	}
 	return t
 }
 
-// explain completes the trade of a machine that is not warm with what the warmest one would have cost.
-func (r *round) explain(j *job, m *machine) trade {
-	w, weighed := r.weigherFor(j)
+// explainCost completes the trade of a machine that is not warm with what the warmest one would have cost.
+func (r *schedulingCycle) explainCost(j *job, m *machine) placementCost {
+	w, weighed := r.replicaCostFor(j)
 	if !weighed {
-		return trade{loadS: spread.LoadSeconds(int(m.imageState(j.spec.Image)), r.l.coldSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: spread.LoadSeconds(int(m.imageState(j.spec.Image)), r.leader.coldStartSeconds(j, m.typeName))}
 	}
-	t := w.tradeOn(m)
-	if m.imageState(j.spec.Image) == capacity.Warm {
+	t := w.costOn(m)
+	if m.imageState(j.spec.Image) == capacity.ImageReady {
 		return t
 	}
-	if warmest := r.warmest(j); warmest != nil && warmest != m {
-		other := w.tradeOn(warmest)
-		t.warmest, t.warmestLoadS, t.avoided = warmest.name, other.loadS, other.lossS-t.lossS
+	if warmest := r.warmestMachine(j); warmest != nil && warmest != m {
+		other := w.costOn(warmest)
+		t.warmestMachine, t.warmestLoadS, t.avoidedS = warmest.name, other.imageLoadS, other.expectedLossS-t.expectedLossS
 	}
 	return t
 }
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -37,9 +37,9 @@
 		return
 	}
 	switch admission := c.admissionOf(in.Job); {
-	case admission == never:
+	case admission == inadmissible:
 		u.respondIdempotent(in, rejection{status: 422, reason: "the job can never run here"})
-	case admission == undecided:
+	case admission == admissionUnknown:
 		u.respondIdempotent(in, rejection{})
 	case len(in.Job.Dependencies) > c.limits.maxDependencies():
 		u.respondIdempotent(in, rejection{status: 400, reason: wire.FieldDependencies + ": names too many jobs"})
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -58,7 +58,7 @@
 		if at%(reportInterval/4) != 0 {
 			t.Fatalf("answered at %v, which is no common moment", at)
 		}
-		if patience := p.Patience(0, hold); patience < at-now {
+		if patience := p.HeartbeatTimeout(0, hold); patience < at-now {
 			t.Fatalf("late after %v, answered after %v", patience, at-now)
 		}
 	})
