--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"bitternwing/internal/userclient"
+	"bitternwing/internal/apiclient"
 	"bitternwing/internal/wire"
 )
 
@@ -41,10 +41,10 @@
 }
 
 // run asks, and prints the answer.
-func (f *serverFlags) run(needs []string, ask func(context.Context, *userclient.Client) (wire.JobState, error)) error {
+func (f *serverFlags) run(needs []string, ask func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
-	state, err := ask(ctx, userclient.New(f.Server))
+	state, err := ask(ctx, apiclient.New(f.Server))
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.run(job.Dependencies, func(ctx context.Context, client *userclient.Client) (wire.JobState, error) {
+	return c.run(job.Dependencies, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
 		return client.Submit(ctx, body)
 	})
 }
@@ -114,7 +114,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *userclient.Client) (wire.JobState, error) {
+	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
 		return client.Show(ctx, c.ID)
 	})
 }
@@ -129,7 +129,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *userclient.Client) (wire.JobState, error) {
+	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
 		return client.Cancel(ctx, c.ID)
 	})
 }
@@ -143,12 +143,12 @@
 
 // exitStatus gives the exit status for an error.
 func exitStatus(err error) int {
-	var refused *userclient.RefusedError
-	var unavailable *userclient.UnavailableError
+	var refused *apiclient.RefusedError
+	var unavailable *apiclient.UnavailableError
 	switch {
 	case errors.As(err, &refused):
 		return exitRefused
-	case errors.Is(err, userclient.ErrNotFound):
+	case errors.Is(err, apiclient.ErrNotFound):
 		return exitNotFound
 	case errors.As(err, &unavailable):
 		return exitUnavailable
--- a/cmd/bitternwing/placement.go
+++ b/cmd/bitternwing/placement.go
@@ -7,8 +7,8 @@
 	"io"
 	"os"
 
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 )
 
 // errNotPlaced says that nothing of a job is placed.
@@ -29,7 +29,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	reply, err := askController(&c.controllerFlags, func(ctx context.Context, client *operators.Client) (*operatorpb.PlacementReply, error) {
+	reply, err := askController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlacementReply, error) {
 		return client.Placements(ctx, c.ID)
 	})
 	if err != nil {
--- a/cmd/bitternwing/rollout.go
+++ b/cmd/bitternwing/rollout.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
 )
 
@@ -47,10 +47,10 @@
 }
 
 // askController asks a controller, within the time to wait.
-func askController[Reply any](f *controllerFlags, request func(context.Context, *operators.Client) (*Reply, error)) (*Reply, error) {
+func askController[Reply any](f *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
-	client, err := operators.NewClient(f.Controller)
+	client, err := adminapi.NewClient(f.Controller)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 }
 
 // run asks, and prints how the plan stands.
-func (f *controllerFlags) run(request func(context.Context, *operators.Client) (*operatorpb.PlanStatus, error)) error {
+func (f *controllerFlags) run(request func(context.Context, *adminapi.Client) (*operatorpb.PlanStatus, error)) error {
 	status, err := askController(f, request)
 	if err != nil {
 		return err
@@ -134,14 +134,14 @@
 	if err != nil {
 		return err
 	}
-	plan, err := rollout.ParsePlan(text, operators.MostPlanBytes)
+	plan, err := rollout.ParsePlan(text, adminapi.MostPlanBytes)
 	if err == nil {
-		err = operators.CompileChecks(plan)
+		err = adminapi.CompileChecks(plan)
 	}
 	if err != nil {
-		return &operators.InvalidError{Problem: fmt.Sprintf("%s: %v", c.File, err)}
+		return &adminapi.InvalidError{Problem: fmt.Sprintf("%s: %v", c.File, err)}
 	}
-	return c.run(func(ctx context.Context, client *operators.Client) (*operatorpb.PlanStatus, error) {
+	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Apply(ctx, text)
 	})
 }
@@ -153,14 +153,14 @@
 
 // Run shows how a plan stands.
 func (c *planCmd) Run() error {
-	return c.run(func(ctx context.Context, client *operators.Client) (*operatorpb.PlanStatus, error) {
+	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Show(ctx, c.Name)
 	})
 }
 
 // change has a plan changed.
 func (c *planCmd) change(change operatorpb.ChangeRequest_Change) error {
-	return c.run(func(ctx context.Context, client *operators.Client) (*operatorpb.PlanStatus, error) {
+	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Change(ctx, c.Name, change)
 	})
 }
@@ -191,7 +191,7 @@
 	defer stop()
 	last := ""
 	for {
-		status, err := askController(&c.controllerFlags, func(ctx context.Context, client *operators.Client) (*operatorpb.PlanStatus, error) {
+		status, err := askController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 			return client.Show(ctx, c.Name)
 		})
 		if err != nil {
@@ -227,15 +227,15 @@
 
 // rolloutExitStatus gives the exit status for an error of the rollout commands; 0 if it is none of theirs.
 func rolloutExitStatus(err error) int {
-	var invalid *operators.InvalidError
-	var refused *operators.RefusedError
-	var unavailable *operators.UnavailableError
+	var invalid *adminapi.InvalidError
+	var refused *adminapi.RefusedError
+	var unavailable *adminapi.UnavailableError
 	switch {
 	case errors.As(err, &invalid):
 		return exitInvalidPlan
 	case errors.As(err, &refused):
 		return exitRefused
-	case errors.Is(err, operators.ErrNotFound):
+	case errors.Is(err, adminapi.ErrNotFound):
 		return exitNotFound
 	case errors.As(err, &unavailable):
 		return exitUnavailable
--- a/cmd/bitternwing/rollout_test.go
+++ b/cmd/bitternwing/rollout_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 )
 
 // TestRolloutExitStatus gives each kind of error a status of its own.
@@ -18,10 +18,10 @@
 		err  error
 		want int
 	}{
-		{&operators.InvalidError{Problem: "/team: is missing"}, exitInvalidPlan},
-		{&operators.RefusedError{Why: "no"}, exitRefused},
-		{operators.ErrNotFound, exitNotFound},
-		{fmt.Errorf("show: %w", &operators.UnavailableError{Why: "no controller leads"}), exitUnavailable},
+		{&adminapi.InvalidError{Problem: "/team: is missing"}, exitInvalidPlan},
+		{&adminapi.RefusedError{Why: "no"}, exitRefused},
+		{adminapi.ErrNotFound, exitNotFound},
+		{fmt.Errorf("show: %w", &adminapi.UnavailableError{Why: "no controller leads"}), exitUnavailable},
 		{errRolledBack, exitRolledBack},
 		{errors.New("no such file"), exitFailure},
 	} {
--- a/internal/operators/client.go
+++ b/internal/adminapi/client.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi/operatorpb"
 )
 
 // ErrNotFound says that there is no plan of the name, or no job of the id.
--- a/internal/operators/placements.go
+++ b/internal/adminapi/placements.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/status"
 
 	"bitternwing/internal/core"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/operators/regions.go
+++ b/internal/adminapi/regions.go
@@ -1,14 +1,14 @@
-package operators
+package adminapi
 
 import (
 	"context"
 
 	"google.golang.org/grpc"
 
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/call"
 	"bitternwing/internal/core"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi/operatorpb"
 )
 
 // regions implements the service for other regions.
@@ -31,7 +31,7 @@
 func (r *regions) Deliver(ctx context.Context, q *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
 	return ask(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
 		return core.DeliverQuota{RequestID: req, Team: q.GetTeam(), Whole: shareOf(q.GetWhole()),
-			Transfer: allowance.Transfer{From: q.GetFrom(), To: q.GetTo(), Number: q.GetNumber(), Share: shareOf(q.GetShare())}}
+			Transfer: quota.Transfer{From: q.GetFrom(), To: q.GetTo(), Number: q.GetNumber(), Share: shareOf(q.GetShare())}}
 	}, func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 		q.Relayed = true
 		return operatorpb.NewRegionsClient(leader).Deliver(ctx, q)
@@ -60,15 +60,15 @@
 	return call.OK
 }
 
-func shareOf(s *operatorpb.AllowanceShare) allowance.Share {
-	amount := func(a *operatorpb.AllowanceAmount) allowance.Amount {
-		return allowance.Amount{GPUs: max(0, a.GetGpus()), CPUs: max(0, a.GetCpus())}
+func shareOf(s *operatorpb.AllowanceShare) quota.Share {
+	amount := func(a *operatorpb.AllowanceAmount) quota.Amount {
+		return quota.Amount{GPUs: max(0, a.GetGpus()), CPUs: max(0, a.GetCpus())}
 	}
-	return allowance.Share{Limit: amount(s.GetLimit()), Guarantee: amount(s.GetGuarantee())}
+	return quota.Share{Limit: amount(s.GetLimit()), Guarantee: amount(s.GetGuarantee())}
 }
 
-func shareMessage(s allowance.Share) *operatorpb.AllowanceShare {
-	amount := func(a allowance.Amount) *operatorpb.AllowanceAmount {
+func shareMessage(s quota.Share) *operatorpb.AllowanceShare {
+	amount := func(a quota.Amount) *operatorpb.AllowanceAmount {
 		return &operatorpb.AllowanceAmount{Gpus: a.GPUs, Cpus: a.CPUs}
 	}
 	return &operatorpb.AllowanceShare{Limit: amount(s.Limit), Guarantee: amount(s.Guarantee)}
--- a/internal/operators/server.go
+++ b/internal/adminapi/server.go
@@ -1,5 +1,5 @@
-// Package operators is the gRPC service of rollouts on a controller's internal address, and its client.
-package operators
+// Package adminapi is the gRPC service of rollouts on a controller's internal address, and its client.
+package adminapi
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"bitternwing/internal/answercheck"
+	"bitternwing/internal/responsecheck"
 	"bitternwing/internal/core"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -98,7 +98,7 @@
 // CompileChecks tells which of a plan's checks does not compile.
 func CompileChecks(plan *rollout.Plan) error {
 	for i, check := range plan.Checks {
-		if _, err := answercheck.Compile(check.Script); err != nil {
+		if _, err := responsecheck.Compile(check.Script); err != nil {
 			return rollout.CheckError(i, err)
 		}
 	}
--- a/internal/userclient/client.go
+++ b/internal/apiclient/client.go
@@ -1,6 +1,6 @@
-// Package userclient asks a controller about jobs, as users do: it submits, shows and cancels them. What
+// Package apiclient asks a controller about jobs, as users do: it submits, shows and cancels them. What
 // can't be answered now is asked again, as the protocol has users do it.
-package userclient
+package apiclient
 
 import (
 	"bytes"
--- a/internal/userclient/client_test.go
+++ b/internal/apiclient/client_test.go
@@ -1,4 +1,4 @@
-package userclient
+package apiclient
 
 import (
 	"context"
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -26,7 +26,7 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/peer/peerpb"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/scalerun"
--- a/internal/core/allowance_records.go
+++ b/internal/core/allowance_records.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"net/url"
 
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 )
 
 // quotaPrefix is where this region's accounts of the teams' allowances are, by team. Without regions there is none.
@@ -15,7 +15,7 @@
 
 // cachedQuotaAccount is an account as a node has read it.
 type cachedQuotaAccount struct {
-	account *allowance.Account
+	account *quota.Account
 	problem error // why it can't be read; nil: it can
 	version uint64
 }
@@ -37,7 +37,7 @@
 		return
 	}
 	a.changes++
-	account, err := allowance.Decode(value)
+	account, err := quota.Decode(value)
 	if err != nil {
 		account = nil
 	}
--- a/internal/core/allowance_requests.go
+++ b/internal/core/allowance_requests.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/wire"
 )
 
@@ -12,15 +12,15 @@
 		RequestID uint64
 		From      string
 		Team      string
-		Whole     allowance.Share // as the asking region knows it
-		Share     allowance.Share // what it lacks
+		Whole     quota.Share // as the asking region knows it
+		Share     quota.Share // what it lacks
 	}
 	// DeliverQuota is a transfer that comes in. The answer says that it is committed.
 	DeliverQuota struct {
 		RequestID uint64
 		Team      string
-		Whole     allowance.Share
-		Transfer  allowance.Transfer
+		Whole     quota.Share
+		Transfer  quota.Transfer
 	}
 )
 
@@ -47,7 +47,7 @@
 )
 
 // quotaForMessage gives the account that a message is about; nil if the message is answered.
-func (c *Core) quotaForMessage(req uint64, from, team string, whole allowance.Share) *teamQuota {
+func (c *Core) quotaForMessage(req uint64, from, team string, whole quota.Share) *teamQuota {
 	l := c.leaderForRequest(req)
 	if l == nil {
 		return nil
--- a/internal/core/allowance_writes.go
+++ b/internal/core/allowance_writes.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"slices"
 
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/call"
 	"bitternwing/internal/wire"
 )
@@ -42,11 +42,11 @@
 	t.deliveries = t.deliveries[1:]
 	next, receipt := t.account.Receive(in.Transfer)
 	switch receipt {
-	case allowance.OutOfOrder:
+	case quota.OutOfOrder:
 		c.respondRetryLater(in.RequestID, 503, reasonTransferMissing)
-	case allowance.Duplicate:
+	case quota.Duplicate:
 		c.respond(in.RequestID, 200, nil)
-	case allowance.Accepted:
+	case quota.Accepted:
 		a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // commit writes an account, on the term and on what it was before. Until that is settled the lesser of both counts.
-func (a *quotaManager) commit(t *teamQuota, next *allowance.Account, then func(Result)) {
+func (a *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
 	l := a.leader
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // applyWriteResult takes what became of a write of an account.
-func (a *quotaManager) applyWriteResult(t *teamQuota, next *allowance.Account, r Result) {
+func (a *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
 	c := a.leader.core
 	switch {
 	case r.Outcome == call.OK:
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/config"
 )
 
@@ -23,13 +23,13 @@
 	// effective is the team with the limits and guarantees that may be gone by now; jobs of the team point to it.
 	effective config.Team
 	settings  *config.Team
-	whole     allowance.Share    // by the settings
-	initial   *allowance.Account // with which this region would begin
+	whole     quota.Share    // by the settings
+	initial   *quota.Account // with which this region would begin
 	key       string
-	account   *allowance.Account // as it is stored; nil: it is not there, or can't be read
+	account   *quota.Account // as it is stored; nil: it is not there, or can't be read
 	version   uint64
 	// indeterminate are accounts that were sent to be written and may yet be: the least of all counts.
-	indeterminate []*allowance.Account
+	indeterminate []*quota.Account
 	writeInFlight bool
 	retryAt       time.Duration
 
@@ -57,9 +57,9 @@
 	for i := range l.core.settings.Params.Teams {
 		team := &l.core.settings.Params.Teams[i]
 		t := &teamQuota{effective: *team, settings: team, key: quotaKey(team.Name), delivering: map[string]bool{},
-			whole: allowance.Share{Limit: allowance.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: allowance.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
-		t.initial = allowance.Initial(t.whole, parts, l.core.operator.Regions.Name)
-		t.setEffective(allowance.Share{})
+			whole: quota.Share{Limit: quota.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
+		t.initial = quota.Initial(t.whole, parts, l.core.operator.Regions.Name)
+		t.setEffective(quota.Share{})
 		a.teams[team.Name] = t
 		a.ordered = append(a.ordered, t)
 	}
@@ -67,10 +67,10 @@
 }
 
 // regionShares gives the regions with the part of each limit that they begin with.
-func (c *Core) regionShares() []allowance.Region {
-	var parts []allowance.Region
+func (c *Core) regionShares() []quota.Region {
+	var parts []quota.Region
 	for _, r := range c.operator.Regions.All {
-		parts = append(parts, allowance.Region{Name: r.Name, Share: r.Part})
+		parts = append(parts, quota.Region{Name: r.Name, Share: r.Part})
 	}
 	return parts
 }
@@ -84,7 +84,7 @@
 }
 
 // setEffective sets the effective limits and guarantees to what is held; where the whole has none there is none.
-func (t *teamQuota) setEffective(held allowance.Share) {
+func (t *teamQuota) setEffective(held quota.Share) {
 	team := t.settings
 	part := func(whole, held float64) float64 {
 		if whole == 0 {
@@ -99,17 +99,17 @@
 }
 
 // usable gives what of the team's limits, as the settings have them now, may be used here.
-func (t *teamQuota) usable() allowance.Share {
+func (t *teamQuota) usable() quota.Share {
 	if t.account == nil {
-		return allowance.Share{}
+		return quota.Share{}
 	}
 	return t.account.Usable(t.held(), t.whole, t.initial.Held)
 }
 
 // held gives what may be gone by: the least of what is stored and of what may yet be.
-func (t *teamQuota) held() allowance.Share {
+func (t *teamQuota) held() quota.Share {
 	if t.account == nil {
-		return allowance.Share{}
+		return quota.Share{}
 	}
 	held := t.account.Held
 	for _, a := range t.indeterminate {
@@ -167,7 +167,7 @@
 }
 
 // adoptAccount goes by an account as it is stored. What was sent to be written before can't be applied any more.
-func (a *quotaManager) adoptAccount(t *teamQuota, account *allowance.Account, version uint64) {
+func (a *quotaManager) adoptAccount(t *teamQuota, account *quota.Account, version uint64) {
 	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).Zero() {
 		t.requestCount = 0
 	}
@@ -185,7 +185,7 @@
 }
 
 // teamDemand is what a team's work takes in this region: what its tasks use, and what it could use beyond that.
-type teamDemand struct{ used, waiting allowance.Amount }
+type teamDemand struct{ used, waiting quota.Amount }
 
 // demands works out what the teams' work takes. Each placement counts as used until there is evidence of its end.
 func (a *quotaManager) demands() map[string]teamDemand {
@@ -206,18 +206,18 @@
 	}
 	needs := map[string]teamDemand{}
 	for team, s := range sums {
-		used := allowance.RoundUp(s.usedGPUs, s.usedCPUs)
-		needs[team] = teamDemand{used: used, waiting: allowance.RoundUp(s.allGPUs, s.allCPUs).Minus(used)}
+		used := quota.RoundUp(s.usedGPUs, s.usedCPUs)
+		needs[team] = teamDemand{used: used, waiting: quota.RoundUp(s.allGPUs, s.allCPUs).Minus(used)}
 	}
 	return needs
 }
 
 // equalShare gives an amount as a share: of the limit and of the guarantee.
-func equalShare(a allowance.Amount) allowance.Share { return allowance.Share{Limit: a, Guarantee: a} }
+func equalShare(a quota.Amount) quota.Share { return quota.Share{Limit: a, Guarantee: a} }
 
 // retained gives what a region keeps when another one asks, as accounts count: what is used, and of the rest what its own
 // waiting work takes, but no more than half. So neither region's work waits for all of the other's.
-func (t *teamQuota) retained(n teamDemand) allowance.Share {
+func (t *teamQuota) retained(n teamDemand) quota.Share {
 	held := t.held()
 	used, all := t.account.ToAccountUnits(equalShare(n.used), t.whole), t.account.ToAccountUnits(equalShare(n.used.Plus(n.waiting)), t.whole)
 	free := held.Minus(used)
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -6,7 +6,7 @@
 	"maps"
 	"time"
 
-	"bitternwing/internal/spread"
+	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
 )
 
@@ -76,8 +76,8 @@
 
 // checkReplicas compares the ledger of replicas with one that is built anew.
 func (l *leader) checkReplicas() error {
-	anew := spread.NewLedger()
-	models := map[spread.Model]bool{}
+	anew := topologyspread.NewLedger()
+	models := map[topologyspread.Model]bool{}
 	for _, m := range l.machinesByName {
 		for _, p := range m.placementsInOrder {
 			if model, ok := p.job.model(); ok && p.job.placements[p.task] == p {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -11,7 +11,7 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/record"
-	"bitternwing/internal/spread"
+	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
 )
 
@@ -38,7 +38,7 @@
 	superseded       map[string]uint64
 	placements       map[int]*placement // by task
 	placementsByZone map[string]int     // of these, how many are in each zone
-	replicaLedger    *spread.Ledger     // of all models
+	replicaLedger    *topologyspread.Ledger     // of all models
 	withinGuarantee  bool               // in this round: it fits into its team's guarantee
 	stopping         int                // of these, told to stop
 	done             int
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -10,7 +10,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/record"
-	"bitternwing/internal/spread"
+	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
 )
 
@@ -36,7 +36,7 @@
 	machines         map[string]*machine
 	machinesByName   []*machine // by name
 	capacityIndex    *capacity.Index[*schedulableMachine]
-	replicaLedger    *spread.Ledger
+	replicaLedger    *topologyspread.Ledger
 	rebalancing      rebalancing
 	prefetches       imagePrefetcher
 	pendingDispatch  []*machine    // with starts that were just committed
@@ -68,7 +68,7 @@
 func newLeader(c *Core, term, version uint64) *leader {
 	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady, nextHeldResponse: farFuture,
 		recordItems: map[string]wire.Item{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: spread.NewLedger(), releasedMachines: map[string]time.Duration{}, silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
+		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(), releasedMachines: map[string]time.Duration{}, silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
 	l.recovery.renewalsBefore = c.leaseRenewals.responses[RecoveringLeaderBasis]
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"bitternwing/internal/spread"
+	"bitternwing/internal/topologyspread"
 )
 
 // rebalancing bring replicas of services back into balance, as after the return of a zone: one of a model at a time, within
@@ -43,7 +43,7 @@
 }
 
 // replicaToMove gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
-func (r *schedulingCycle) replicaToMove(model spread.Model, services []*job) *placement {
+func (r *schedulingCycle) replicaToMove(model topologyspread.Model, services []*job) *placement {
 	l := r.leader
 	for _, j := range services {
 		if !r.schedulable(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/allowance"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
@@ -277,12 +277,12 @@
 }
 
 // account gives a team's account as a region's state service holds it; nil: there is none yet.
-func (r *worldRegion) account(team string) *allowance.Account {
+func (r *worldRegion) account(team string) *quota.Account {
 	item, outcome := r.store.Get("w/q/" + team)
 	if outcome != call.OK {
 		return nil
 	}
-	a, err := allowance.Decode(item.Value)
+	a, err := quota.Decode(item.Value)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 
 // checkSum checks that the accounts of a team, with what is on its way between them, add up to the whole.
 func (w *regionWorld) checkSum(team string) {
-	accounts := map[string]*allowance.Account{}
+	accounts := map[string]*quota.Account{}
 	for _, r := range w.regions {
 		a := r.account(team)
 		if a == nil {
@@ -330,7 +330,7 @@
 		}
 		accounts[regionName(r.number)] = a
 	}
-	var sum allowance.Share
+	var sum quota.Share
 	for _, a := range accounts {
 		sum = sum.Plus(a.Held)
 		for _, t := range a.Outgoing {
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 	t              reporter
 	now            time.Duration
 	rnd            *rand.Rand
-	store          *standin.Store
+	store          *emulator.Store
 	set            *config.Settings
 	op             *config.Operator
 	memory         float64              // MB a node may use
@@ -97,7 +97,7 @@
 const scaleStep = 10 * time.Millisecond
 
 func newScaleCluster(t reporter, nodes, machines int) *scaleCluster {
-	y := &scaleCluster{t: t, now: time.Second, rnd: rand.New(rand.NewSource(1)), store: standin.NewStore(),
+	y := &scaleCluster{t: t, now: time.Second, rnd: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
 		byAddr: map[string]*scaleWorker{}, byName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: call.OK, holders: map[string]*scaleWorker{}, most: machines, op: config.DefaultOperator(), memory: 98}
 	for i := 0; i < nodes; i++ {
 		y.nodes = append(y.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 	node             int
 	dead             bool
 	inFlight         uint64 // the request of a report without an answer; 0: none
-	machine          *hollow.Machine
+	machine          *simworker.Machine
 }
 
 // leastBetweenReports is the protocol's least time between two reports.
@@ -35,7 +35,7 @@
 		w := &scaleWorker{index: len(y.workers), name: fmt.Sprintf("m%04d", len(y.workers)+1), zone: e.Request.Zone,
 			up: y.now + 5*time.Second + time.Duration(y.rnd.Intn(3000))*time.Millisecond}
 		w.addr = w.name + ":9000"
-		w.machine = hollow.NewMachine(hollow.Description{Name: w.name, Zone: w.zone, Spot: e.Request.Spot, Type: catalog.Types[0]}, w.addr, y, y)
+		w.machine = simworker.NewMachine(simworker.Description{Name: w.name, Zone: w.zone, Spot: e.Request.Spot, Type: catalog.Types[0]}, w.addr, y, y)
 		y.byAddr[w.addr] = w
 		y.byName[w.name] = w
 		y.workers = append(y.workers, w)
@@ -104,13 +104,13 @@
 // RunTime has tasks of arrays run for half a minute to one and a half.
 func (y *scaleCluster) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
-		return hollow.Never
+		return simworker.Never
 	}
 	return time.Duration(30+y.rnd.Intn(60)) * time.Second
 }
 
 // StartReceived checks that no other machine holds the task.
-func (y *scaleCluster) StartReceived(s hollow.Start) {
+func (y *scaleCluster) StartReceived(s simworker.Start) {
 	w := y.byName[s.Machine]
 	if x := y.holders[s.Task]; x != nil && x != w && !x.dead && x.machine.Holds(s.Task) {
 		y.t.Errorf("%s runs twice", s.Task)
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 )
 
 // sim is a small world around pure cores, in which every message takes time: a state service,
@@ -26,7 +26,7 @@
 	set         config.Params
 	zones       map[string]string // of nodes
 
-	store   *standin.Store
+	store   *emulator.Store
 	watches []*simWatch
 	nodes   []*simNode
 	workers []*simWorker // in the order in which they came
@@ -86,7 +86,7 @@
 )
 
 func newSim(t testing.TB, seed uint64, zones map[string]string) *sim {
-	s := &sim{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: standin.NewStore(),
+	s := &sim{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: emulator.NewStore(),
 		digest: newOutputDigest(),
 		byName: map[string]*simWorker{}, rented: map[string][]string{}, results: map[string]bool{}, perZone: 4}
 	limits := map[string]float64{"red": 8, "blue": 16, "green": 48, "guest": 32}
--- a/internal/core/spreading.go
+++ b/internal/core/spreading.go
@@ -7,20 +7,20 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/resource"
-	"bitternwing/internal/spread"
+	"bitternwing/internal/topologyspread"
 )
 
 // model gives what a job's replicas belong to; false if the job's tasks are not spread: it is no service.
-func (j *job) model() (spread.Model, bool) {
+func (j *job) model() (topologyspread.Model, bool) {
 	if j.isArray() {
-		return spread.Model{}, false
+		return topologyspread.Model{}, false
 	}
-	return spread.Model{Team: j.spec.Team, Image: j.spec.Image}, true
+	return topologyspread.Model{Team: j.spec.Team, Image: j.spec.Image}, true
 }
 
 // servicesByModel gives the services that are to run, by what their replicas belong to.
-func (l *leader) servicesByModel() map[spread.Model][]*job {
-	services := map[spread.Model][]*job{}
+func (l *leader) servicesByModel() map[topologyspread.Model][]*job {
+	services := map[topologyspread.Model][]*job{}
 	for _, j := range l.queue {
 		if model, ok := j.model(); ok {
 			services[model] = append(services[model], j)
@@ -54,9 +54,9 @@
 }
 
 // lossRates are the losses that operators expect.
-func (c *Core) lossRates() spread.Rates {
+func (c *Core) lossRates() topologyspread.Rates {
 	s := c.operator.Spread
-	return spread.Rates{ZoneLossesPerDay: s.ZoneLossesPerDay, MachineLossesPerDay: s.MachineLossesPerDay, ReplicaDays: s.ReplicaDays}
+	return topologyspread.Rates{ZoneLossesPerDay: s.ZoneLossesPerDay, MachineLossesPerDay: s.MachineLossesPerDay, ReplicaDays: s.ReplicaDays}
 }
 
 // lossDetectionLeases is after how many of workers' leases a machine's loss is noticed for certain.
@@ -83,11 +83,11 @@
 
 // replicaCostModel is what a job's next replica goes by.
 type replicaCostModel struct {
-	spread.Weigher
+	topologyspread.Weigher
 	leader       *leader
 	job          *job
 	recoveryTime time.Duration
-	fleet        spread.Fleet
+	fleet        topologyspread.Fleet
 }
 
 // replicaCostFor gives a job's weigher; false if its places are not weighed.
@@ -101,7 +101,7 @@
 		// What does not depend on where replicas are is worked out once for a run of the same job's tasks.
 		if w.job != j {
 			w.recoveryTime = time.Duration(lossDetectionLeases*float64(l.core.times.lease)) + l.slowestImageFetch(j)
-			w.fleet = spread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.capacityIndex.Len()}
+			w.fleet = topologyspread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.capacityIndex.Len()}
 		}
 		w.leader, w.job = l, j
 		w.Weigher = j.replicaLedger.Weigh(model, l.core.lossRates(), w.fleet, w.recoveryTime)
@@ -132,7 +132,7 @@
 }
 
 func (w replicaCostModel) imageLoad(g capacity.Group, warmth capacity.ImageState) float64 {
-	return spread.LoadSeconds(int(warmth), w.leader.coldStartSeconds(w.job, g.Type))
+	return topologyspread.LoadSeconds(int(warmth), w.leader.coldStartSeconds(w.job, g.Type))
 }
 
 // cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
@@ -172,7 +172,7 @@
 func (r *schedulingCycle) explainCost(j *job, m *machine) placementCost {
 	w, weighed := r.replicaCostFor(j)
 	if !weighed {
-		return placementCost{imageLoadS: spread.LoadSeconds(int(m.imageState(j.spec.Image)), r.leader.coldStartSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.imageState(j.spec.Image)), r.leader.coldStartSeconds(j, m.typeName))}
 	}
 	t := w.costOn(m)
 	if m.imageState(j.spec.Image) == capacity.ImageReady {
--- a/internal/core/state_troubles_test.go
+++ b/internal/core/state_troubles_test.go
@@ -3,7 +3,7 @@
 import (
 	"bitternwing/internal/call"
 	"bitternwing/internal/core"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 )
 
 // stateTroubles are what a state service may do to the nodes of a cluster.
@@ -17,7 +17,7 @@
 }
 
 // interceptState gives what becomes of a call to the state service in its troubles; false if nothing is the matter.
-func (s *stateTroubles) interceptState(node string, store *standin.Store, e core.Effect) (core.Result, bool) {
+func (s *stateTroubles) interceptState(node string, store *emulator.Store, e core.Effect) (core.Result, bool) {
 	id, ok := stateCallID(e)
 	if !ok {
 		return core.Result{}, false
@@ -43,7 +43,7 @@
 }
 
 // settleLate carries out the transactions that were held up.
-func (s *stateTroubles) settleLate(store *standin.Store) {
+func (s *stateTroubles) settleLate(store *emulator.Store) {
 	for _, e := range s.late {
 		store.Txn(e.Txn)
 	}
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -12,7 +12,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 	t       testing.TB
 	out     strings.Builder
 	now     time.Duration
-	store   *standin.Store
+	store   *emulator.Store
 	outage  bool
 	nodes   map[string]*node
 	names   []string
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -15,7 +15,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -98,7 +98,7 @@
 }
 
 func play(t *testing.T, text string) string {
-	w := &traceHarness{t: t, now: time.Second, store: standin.NewStore(), nodes: map[string]*node{}, answers: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
+	w := &traceHarness{t: t, now: time.Second, store: emulator.NewStore(), nodes: map[string]*node{}, answers: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if strings.HasPrefix(line, "|") {
 			continue
--- a/internal/standin/state_server.go
+++ b/internal/emulator/state_server.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
--- a/internal/standin/state_server_test.go
+++ b/internal/emulator/state_server_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"bitternwing/internal/call"
-	"bitternwing/internal/state"
+	"bitternwing/internal/kvstore"
 	"bitternwing/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 func TestWatchSeesLeaseEnd(t *testing.T) {
 	s := NewStateServer()
 	defer s.Close()
-	client := state.New(s.Addr(), 1000, 4, 1<<20)
+	client := kvstore.New(s.Addr(), 1000, 4, 1<<20)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	lease, o := client.Grant(ctx, 200*time.Millisecond)
--- a/internal/standin/store.go
+++ b/internal/emulator/store.go
@@ -1,6 +1,6 @@
-// Package standin has stand-ins of the state service and the cloud, for tests and scale runs. They keep to
+// Package emulator has stand-ins of the state service and the cloud, for tests and scale runs. They keep to
 // the protocol's page and are no products. The workers are those of package hollow.
-package standin
+package emulator
 
 import (
 	"encoding/json"
--- a/internal/state/state.go
+++ b/internal/kvstore/state.go
@@ -1,5 +1,5 @@
-// Package state is the client of the state service.
-package state
+// Package kvstore is the client of the state service.
+package kvstore
 
 import (
 	"context"
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/call"
 	"bitternwing/internal/core"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/operators"
+	"bitternwing/internal/adminapi"
 	"bitternwing/internal/wire"
 )
 
@@ -140,7 +140,7 @@
 func (n *Node) callRegion(ctx context.Context, e core.CallRegion) {
 	n.do(ctx, callName{metrics.Region, "allowance"}, e.CallID, regionPatience*n.patient, func(ctx context.Context, r *core.Result) {
 		if clients := n.regions[e.Region]; len(clients) > 0 {
-			r.Outcome = operators.CallRegion(ctx, clients[e.Attempt%len(clients)].Conn(), e)
+			r.Outcome = adminapi.CallRegion(ctx, clients[e.Attempt%len(clients)].Conn(), e)
 		}
 	})
 }
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = taken.Close() }()
-	addrs := map[string]string{"a": standin.FreeAddr(), "b": taken.Addr().String()}
+	addrs := map[string]string{"a": emulator.FreeAddr(), "b": taken.Addr().String()}
 	log := &lockedBuffer{}
 	s := newSiteWith(t, siteOptions{log: log, operator: func(node string, o *config.Operator) { o.Metrics.Listen = addrs[node] }})
 	s.runJob("a", "run-000001")
@@ -100,7 +100,7 @@
 
 // TestStuckScrapers has hundreds of scrapers that never read or never finish their request. Jobs run as ever.
 func TestStuckScrapers(t *testing.T) {
-	addr := standin.FreeAddr()
+	addr := emulator.FreeAddr()
 	s := newSiteWith(t, siteOptions{operator: func(node string, o *config.Operator) {
 		if node == "a" {
 			o.Metrics = config.Metrics{Listen: addr, Pprof: true}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,11 +20,11 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/operators"
+	"bitternwing/internal/adminapi"
 	"bitternwing/internal/peer"
 	"bitternwing/internal/probe"
 	"bitternwing/internal/server"
-	"bitternwing/internal/state"
+	"bitternwing/internal/kvstore"
 )
 
 // Node is a running controller node.
@@ -44,7 +44,7 @@
 	nextReq uint64
 	waiting map[uint64]chan core.Response
 
-	state   *state.Client
+	state   *kvstore.Client
 	cloud   *cloud.Client
 	workers *call.Client
 	peers   map[string]*peer.Client
@@ -80,7 +80,7 @@
 		results: make(chan core.Result, pendingResults),
 		waiting: map[uint64]chan core.Response{},
 		// The leader needs more than the others; all of them never need all.
-		state: state.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
+		state: kvstore.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
 			int64(p.Limits.MemoryMB*(1<<20)/32)),
 		cloud: cloud.New(set.Services.Cloud, p.Cloud.RPS, 4),
 		// One connection a worker; the core bounds how many are in use at once.
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ps := peer.NewServer(n.set.Node, n.heard, n.peerStatus)
-	operators.Register(ps.Registrar(), n, n.connectionTo)
+	adminapi.Register(ps.Registrar(), n, n.connectionTo)
 	hs := server.New(n, publicSockets(n.set), n.observer())
 	n.serveMetrics(ctx)
 	errs := make(chan error, 2)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
-	"bitternwing/internal/modelserver"
+	"bitternwing/internal/simworker"
+	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/node"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -29,14 +29,14 @@
 
 type site struct {
 	t      *testing.T
-	state  *standin.StateServer
-	cloud  *standin.Cloud
-	fleet  *hollow.Fleet
+	state  *emulator.StateServer
+	cloud  *emulator.Cloud
+	fleet  *simworker.Fleet
 	addrs  map[string]string
 	peers  map[string]string
 	cancel map[string]context.CancelFunc
 	done   map[string]chan struct{}
-	model  *modelserver.Server // nil: rollouts are off
+	model  *simmodelserver.Server // nil: rollouts are off
 	siteOptions
 
 	mu     sync.Mutex
@@ -66,13 +66,13 @@
 // RunTime has tasks of arrays end soon, and replicas not at all.
 func (s *site) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
-		return hollow.Never
+		return simworker.Never
 	}
 	return 300 * time.Millisecond
 }
 
 // StartReceived counts the starts of each attempt.
-func (s *site) StartReceived(start hollow.Start) {
+func (s *site) StartReceived(start simworker.Start) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.starts[fmt.Sprint(start.Task, "#", start.Attempt)]++
@@ -83,7 +83,7 @@
 func (s *site) TaskEnds(_, _ string, _ bool) {}
 
 // Count counts no messages.
-func (s *site) Count(string, hollow.Kind, int, int) {}
+func (s *site) Count(string, simworker.Kind, int, int) {}
 
 // siteOptions is what a site may have beyond the usual.
 type siteOptions struct {
@@ -100,33 +100,33 @@
 	if options.log == nil {
 		options.log = io.Discard
 	}
-	s := &site{t: t, siteOptions: options, state: standin.NewStateServer(), addrs: map[string]string{}, peers: map[string]string{},
+	s := &site{t: t, siteOptions: options, state: emulator.NewStateServer(), addrs: map[string]string{}, peers: map[string]string{},
 		cancel: map[string]context.CancelFunc{}, done: map[string]chan struct{}{}, jobs: map[string]*wire.Job{}, starts: map[string]int{}}
 	types := []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300, FetchGBPerS: 4,
 		Price: 16, SpotPrice: 5, BootS: 5, Zones: []string{"z1"}}}
-	var controllers []hollow.Controller
+	var controllers []simworker.Controller
 	for _, n := range []string{"a", "b", "c"} {
-		s.addrs[n], s.peers[n] = standin.FreeAddr(), s.internal[n]
+		s.addrs[n], s.peers[n] = emulator.FreeAddr(), s.internal[n]
 		if s.peers[n] == "" {
-			s.peers[n] = standin.FreeAddr()
+			s.peers[n] = emulator.FreeAddr()
 		}
-		controllers = append(controllers, hollow.Controller{Name: n, Zone: "z1", Addr: s.addrs[n]})
+		controllers = append(controllers, simworker.Controller{Name: n, Zone: "z1", Addr: s.addrs[n]})
 	}
 	var err error
-	s.fleet, err = hollow.NewFleet(hollow.Config{Seed: 1, Report: 200 * time.Millisecond, Lease: 2 * time.Second,
+	s.fleet, err = simworker.NewFleet(simworker.Config{Seed: 1, Report: 200 * time.Millisecond, Lease: 2 * time.Second,
 		Controllers: controllers, Jobs: s, Observer: s, Traffic: s})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.rollouts {
-		listener, err := hollow.ListenLoopback()
+		listener, err := simworker.ListenLoopback()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.model = modelserver.New(listener, s.fleet)
+		s.model = simmodelserver.New(listener, s.fleet)
 		t.Cleanup(s.model.Close)
 	}
-	s.cloud = standin.NewCloud(types, s.fleet.LaunchMachine)
+	s.cloud = emulator.NewCloud(types, s.fleet.LaunchMachine)
 	for _, n := range []string{"a", "b", "c"} {
 		s.run(n)
 	}
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/userclient"
+	"bitternwing/internal/apiclient"
 	"bitternwing/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 		t.Helper()
 		body := jobBody(id, tasks, needs)
 		s.upload(string(body))
-		if _, err := userclient.New(s.addrs[node]).Submit(ctx, body); err != nil {
+		if _, err := apiclient.New(s.addrs[node]).Submit(ctx, body); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -44,13 +44,13 @@
 	s.state3("run-000004", wire.JobDone)
 	s.state3("run-000002", wire.JobDone)
 
-	var refused *userclient.RefusedError
-	if _, err := userclient.New(s.addrs["b"]).Submit(ctx, jobBody("run-000010", 1, `["run-000099"]`)); !errors.As(err, &refused) || refused.Status != 422 {
+	var refused *apiclient.RefusedError
+	if _, err := apiclient.New(s.addrs["b"]).Submit(ctx, jobBody("run-000010", 1, `["run-000099"]`)); !errors.As(err, &refused) || refused.Status != 422 {
 		t.Errorf("a job that needs an unknown one: %v", err)
 	}
 	submit("a", "run-000018", 1, `["run-000006"]`)
 	submit("b", "run-000020", 2, `["run-000018"]`)
-	state, err := userclient.New(s.addrs["c"]).Cancel(ctx, "run-000018")
+	state, err := apiclient.New(s.addrs["c"]).Cancel(ctx, "run-000018")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 	"bitternwing/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 		internal[name] = map[string]string{}
 		region := config.Region{Name: name, Part: 0.5}
 		for _, n := range []string{"a", "b", "c"} {
-			internal[name][n] = standin.FreeAddr()
+			internal[name][n] = emulator.FreeAddr()
 			region.Controllers = append(region.Controllers, internal[name][n])
 		}
 		regions = append(regions, region)
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/modelserver"
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/simmodelserver"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
-	"bitternwing/internal/router"
+	"bitternwing/internal/simrouter"
 	"bitternwing/internal/wire"
 )
 
@@ -28,13 +28,13 @@
  "limits":{"wait_s":60,"unreachable_s":30,"router_gone_s":10,"keep_s":60}}`
 
 // rolloutSite has the old version serve, a plan applied through a node, and a router.
-func rolloutSite(t *testing.T, plan string) (*site, *operators.Client, *router.Router) {
+func rolloutSite(t *testing.T, plan string) (*site, *adminapi.Client, *simrouter.Router) {
 	s := newSiteWith(t, siteOptions{rollouts: true})
 	for _, id := range []string{"run-000001", "run-000002"} {
 		s.submit("a", id, wire.KindService, 1, 4)
 		s.eventually(id+" runs", func() bool { return s.fleet.Running(id) == 1 })
 	}
-	client, err := operators.NewClient(s.peers["b"])
+	client, err := adminapi.NewClient(s.peers["b"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	if status, err := client.Apply(ctx, []byte(plan)); err != nil || status.GetPhase() != string(rollout.Pending) {
 		t.Fatal(status, err)
 	}
-	x, err := router.New("north", "reader", []string{s.peers["a"], s.peers["b"], s.peers["c"]}, 200*time.Millisecond)
+	x, err := simrouter.New("north", "reader", []string{s.peers["a"], s.peers["b"], s.peers["c"]}, 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 }
 
 // status gives how the plan stands; nothing while that can't be had.
-func planState(client *operators.Client) *operatorpb.PlanStatus {
+func planState(client *adminapi.Client) *operatorpb.PlanStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	status, _ := client.Show(ctx, "reader") // what can't be had now is asked for again
@@ -66,8 +66,8 @@
 }
 
 // ask sends a request by the router and tells whether the answer is right.
-func askModel(x *router.Router, prompt string) (bool, error) {
-	body, err := json.Marshal(modelserver.Request{Model: "reader", Prompt: prompt})
+func askModel(x *simrouter.Router, prompt string) (bool, error) {
+	body, err := json.Marshal(simmodelserver.Request{Model: "reader", Prompt: prompt})
 	if err != nil {
 		return false, err
 	}
@@ -75,9 +75,9 @@
 	if err != nil {
 		return false, err
 	}
-	var answer modelserver.Completion
+	var answer simmodelserver.Completion
 	err = json.Unmarshal(served.Answer, &answer)
-	return err == nil && len(answer.Choices) == 1 && answer.Choices[0].Text == modelserver.Right(prompt), err
+	return err == nil && len(answer.Choices) == 1 && answer.Choices[0].Text == simmodelserver.Right(prompt), err
 }
 
 // TestRolloutOverALeadersEnd brings a new version in, with the leader killed on the way. Each request gets its answer.
@@ -133,20 +133,20 @@
 func TestOperatorsErrors(t *testing.T) {
 	s := newSiteWith(t, siteOptions{rollouts: true})
 	s.leader()
-	client, err := operators.NewClient(s.peers["c"])
+	client, err := adminapi.NewClient(s.peers["c"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	var invalid *operators.InvalidError
-	var refused *operators.RefusedError
-	var unavailable *operators.UnavailableError
-	if _, err := client.Show(ctx, "writer"); !errors.Is(err, operators.ErrNotFound) {
+	var invalid *adminapi.InvalidError
+	var refused *adminapi.RefusedError
+	var unavailable *adminapi.UnavailableError
+	if _, err := client.Show(ctx, "writer"); !errors.Is(err, adminapi.ErrNotFound) {
 		t.Errorf("an unknown plan: %v", err)
 	}
-	if _, err := client.Placements(ctx, "run-000077"); !errors.Is(err, operators.ErrNotFound) {
+	if _, err := client.Placements(ctx, "run-000077"); !errors.Is(err, adminapi.ErrNotFound) {
 		t.Errorf("the places of an unknown job: %v", err)
 	}
 	s.submit("a", "run-000078", wire.KindService, 2, 4)
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"bitternwing/internal/answercheck"
+	"bitternwing/internal/responsecheck"
 	"bitternwing/internal/rollout"
 )
 
@@ -35,12 +35,12 @@
 	http *http.Client
 
 	mu       sync.Mutex
-	compiled map[string]*answercheck.Check // by script; nil: it does not compile
+	compiled map[string]*responsecheck.Check // by script; nil: it does not compile
 }
 
 // New makes a prober that keeps up to so many connections.
 func New(conns int) *Prober {
-	return &Prober{compiled: map[string]*answercheck.Check{}, http: &http.Client{Transport: &http.Transport{
+	return &Prober{compiled: map[string]*responsecheck.Check{}, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConns: conns, MaxConnsPerHost: conns, MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // compile gives a check's program; nil if it has none.
-func (p *Prober) compile(script string) *answercheck.Check {
+func (p *Prober) compile(script string) *responsecheck.Check {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	compiled, known := p.compiled[script]
@@ -105,7 +105,7 @@
 		if len(p.compiled) >= mostCompiled {
 			clear(p.compiled)
 		}
-		compiled, _ = answercheck.Compile(script) // nil where it does not compile
+		compiled, _ = responsecheck.Compile(script) // nil where it does not compile
 		p.compiled[script] = compiled
 	}
 	return compiled
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/modelserver"
+	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/probe"
 	"bitternwing/internal/rollout"
 )
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := modelserver.New(l, everywhere{"run-000001/0": true, "run-000011/0": true})
+	server := simmodelserver.New(l, everywhere{"run-000001/0": true, "run-000011/0": true})
 	defer server.Close()
 	old := rollout.Replica{Task: "run-000001/0", Address: l.Addr().String(), Version: rollout.OldVersion}
 	fresh := rollout.Replica{Task: "run-000011/0", Address: l.Addr().String(), Version: rollout.NewVersion}
--- a/internal/allowance/allowance_test.go
+++ b/internal/quota/allowance_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 import (
 	"encoding/json"
--- a/internal/allowance/amount.go
+++ b/internal/quota/amount.go
@@ -1,9 +1,9 @@
-// Package allowance divides the limits and guarantees of teams among regions that may lose each other. Each region holds
+// Package quota divides the limits and guarantees of teams among regions that may lose each other. Each region holds
 // a share of both for each team, in its own state service, and hands parts of it to other regions by numbered transfers.
 // What is held and what is on its way never adds up to more than the whole, whatever messages are lost, repeated or late
 // and whichever controllers fail, so no two regions can together take a team past its limit. The package is pure: it
 // says what an account becomes; the caller commits that before anybody acts by it.
-package allowance
+package quota
 
 import (
 	"math"
--- a/internal/answercheck/answercheck.go
+++ b/internal/responsecheck/answercheck.go
@@ -1,6 +1,6 @@
-// Package answercheck judges answers of model servers with checks that operators write in Starlark. A check is
+// Package responsecheck judges answers of model servers with checks that operators write in Starlark. A check is
 // bounded in steps and time, reaches nothing outside itself, and passes only if it says so.
-package answercheck
+package responsecheck
 
 import (
 	"context"
--- a/internal/answercheck/answercheck_test.go
+++ b/internal/responsecheck/answercheck_test.go
@@ -1,4 +1,4 @@
-package answercheck
+package responsecheck
 
 import (
 	"context"
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -14,7 +14,7 @@
 
 	"bitternwing/internal/config"
 	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 )
 
 // controller is a controller process, with all that it needs to be started again.
@@ -79,7 +79,7 @@
 // next gives another address; an error names the port that is not free.
 func (a *addresses) next() (string, error) {
 	if a.port == 0 {
-		return standin.FreeAddr(), nil
+		return emulator.FreeAddr(), nil
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", a.port)
 	l, err := net.Listen("tcp4", addr)
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 )
 
 // scheduled is something that is done once its time has come.
@@ -61,7 +61,7 @@
 	case WorstZoneLost:
 		return r.loseWorstZone, nil
 	case RackSilent:
-		var rack []*hollow.Worker
+		var rack []*simworker.Worker
 		return func() error { rack = r.pick(f, number); return setSilent(rack, true) },
 			func() error { return setSilent(rack, false) }
 	case ZoneCut:
@@ -99,14 +99,14 @@
 }
 
 // pick draws the workers of a fault, of its zone if it names one. A rack is a run of neighbours.
-func (r *run) pick(f Fault, number uint64) []*hollow.Worker {
-	var all []*hollow.Worker
+func (r *run) pick(f Fault, number uint64) []*simworker.Worker {
+	var all []*simworker.Worker
 	for _, w := range r.fleet.Workers() {
 		if f.Zone == "" || w.Zone() == f.Zone {
 			all = append(all, w)
 		}
 	}
-	slices.SortFunc(all, func(a, b *hollow.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
+	slices.SortFunc(all, func(a, b *simworker.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
 	rnd := rand.New(rand.NewPCG(r.scenario.Seed, number))
 	if f.Kind == RackSilent {
 		first := rnd.IntN(max(1, len(all)-f.Count+1))
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func setSilent(workers []*hollow.Worker, silent bool) error {
+func setSilent(workers []*simworker.Worker, silent bool) error {
 	for _, w := range workers {
 		w.SetSilent(silent)
 	}
--- a/internal/scalerun/load/run_time.go
+++ b/internal/scalerun/load/run_time.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 // RunTime is how long a task of a job runs. A task that has completed before is done at once.
 func (u Uploads) RunTime(job *wire.Job, task int) time.Duration {
 	if job.Kind == wire.KindService {
-		return hollow.Never
+		return simworker.Never
 	}
 	if u.Completed(job.ID, task) {
 		return 0
--- a/internal/scalerun/load/transport.go
+++ b/internal/scalerun/load/transport.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strings"
 
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/wire"
 )
@@ -29,7 +29,7 @@
 	return resp, nil
 }
 
-func kindOf(r *http.Request) hollow.Kind {
+func kindOf(r *http.Request) simworker.Kind {
 	switch {
 	case r.Method == http.MethodGet:
 		return measure.KindPoll
--- a/internal/scalerun/load/users.go
+++ b/internal/scalerun/load/users.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/userclient"
+	"bitternwing/internal/apiclient"
 	"bitternwing/internal/wire"
 )
 
@@ -35,14 +35,14 @@
 
 // Traffic counts users' messages.
 type Traffic interface {
-	Count(controller string, kind hollow.Kind, received, sent int)
+	Count(controller string, kind simworker.Kind, received, sent int)
 }
 
 // Users submit jobs, ask about them until they are over, and cancel services in the end. They reach the
 // controllers in turn, as through a load balancer that knows which are healthy.
 type Users struct {
 	ledger  Ledger
-	client  *userclient.Client
+	client  *apiclient.Client
 	slots   chan struct{}
 	running sync.WaitGroup
 
@@ -60,7 +60,7 @@
 func NewUsers(addresses []string, ledger Ledger, traffic Traffic, names map[string]string) *Users {
 	transport := &countingTransport{traffic: traffic, names: names, next: &http.Transport{
 		MaxIdleConnsPerHost: mostAtOnce, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	return &Users{ledger: ledger, client: userclient.NewBalanced(addresses, transport), slots: make(chan struct{}, mostAtOnce),
+	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), slots: make(chan struct{}, mostAtOnce),
 		SubmitTimes: measure.NewHistogram()}
 }
 
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithTimeout(ctx, submitPatience)
 	defer cancel()
 	_, err = u.ask(ctx, func() (wire.JobState, error) { return u.client.Submit(ctx, body) })
-	var refused *userclient.RefusedError
+	var refused *apiclient.RefusedError
 	switch {
 	case err == nil:
 		u.SubmitTimes.Add(time.Since(began))
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
 	state, err := u.ask(ctx, func() (wire.JobState, error) { return u.client.Show(ctx, id) })
-	if errors.Is(err, userclient.ErrNotFound) {
+	if errors.Is(err, apiclient.ErrNotFound) {
 		u.ledger.Unknown(id)
 	}
 	if err != nil {
--- a/internal/scalerun/measure/traffic.go
+++ b/internal/scalerun/measure/traffic.go
@@ -4,16 +4,16 @@
 import (
 	"sync"
 
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 )
 
 // The kinds of messages beside those of the workers. Those to the state service and the cloud are named
 // by what they ask for.
 const (
-	KindPeer   hollow.Kind = "peer"
-	KindSubmit hollow.Kind = "submit"
-	KindPoll   hollow.Kind = "poll"
-	KindCancel hollow.Kind = "cancel"
+	KindPeer   simworker.Kind = "peer"
+	KindSubmit simworker.Kind = "submit"
+	KindPoll   simworker.Kind = "poll"
+	KindCancel simworker.Kind = "cancel"
 )
 
 // Count is a number of messages and the bytes of their bodies, seen from the controller.
@@ -26,28 +26,28 @@
 // Traffic counts messages by controller and kind.
 type Traffic struct {
 	mu     sync.Mutex
-	counts map[string]map[hollow.Kind]Count
+	counts map[string]map[simworker.Kind]Count
 }
 
 // NewTraffic makes a count of nothing.
-func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[hollow.Kind]Count{}} }
+func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[simworker.Kind]Count{}} }
 
 // Count counts a message and its answer.
-func (t *Traffic) Count(controller string, kind hollow.Kind, received, sent int) {
+func (t *Traffic) Count(controller string, kind simworker.Kind, received, sent int) {
 	t.add(controller, kind, Count{1, int64(received), int64(sent)})
 }
 
 // Bytes counts bytes of a stream whose messages can't be told apart.
-func (t *Traffic) Bytes(controller string, kind hollow.Kind, received, sent int) {
+func (t *Traffic) Bytes(controller string, kind simworker.Kind, received, sent int) {
 	t.add(controller, kind, Count{0, int64(received), int64(sent)})
 }
 
-func (t *Traffic) add(controller string, kind hollow.Kind, c Count) {
+func (t *Traffic) add(controller string, kind simworker.Kind, c Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kinds := t.counts[controller]
 	if kinds == nil {
-		kinds = map[hollow.Kind]Count{}
+		kinds = map[simworker.Kind]Count{}
 		t.counts[controller] = kinds
 	}
 	sum := kinds[kind]
@@ -58,10 +58,10 @@
 }
 
 // Of gives a controller's counts by kind.
-func (t *Traffic) Of(controller string) map[hollow.Kind]Count {
+func (t *Traffic) Of(controller string) map[simworker.Kind]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kinds := map[hollow.Kind]Count{}
+	kinds := map[simworker.Kind]Count{}
 	for k, c := range t.counts[controller] {
 		kinds[k] = c
 	}
--- a/internal/scalerun/recorder.go
+++ b/internal/scalerun/recorder.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/load"
 	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/scalerun/rules"
@@ -68,7 +68,7 @@
 }
 
 // StartReceived counts a start.
-func (r *recorder) StartReceived(s hollow.Start) {
+func (r *recorder) StartReceived(s simworker.Start) {
 	r.spread.startReceived(s)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"os"
 
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/scalerun/rolling"
 	"bitternwing/internal/scalerun/rules"
@@ -28,7 +28,7 @@
 	Zone    string                        `json:"zone,omitempty"`
 	Led     bool                          `json:"led"`
 	Usage   measure.Usage                 `json:"usage"`
-	Traffic map[hollow.Kind]measure.Count `json:"traffic,omitempty"`
+	Traffic map[simworker.Kind]measure.Count `json:"traffic,omitempty"`
 	Samples []measure.Sample              `json:"samples"`
 }
 
@@ -76,7 +76,7 @@
 	Failovers   []Failover                    `json:"failovers"`
 	Workers     WorkerResult                  `json:"workers"`
 	Processes   []ProcessResult               `json:"processes"`
-	Direct      map[hollow.Kind]measure.Count `json:"direct"` // messages of controllers to workers
+	Direct      map[simworker.Kind]measure.Count `json:"direct"` // messages of controllers to workers
 	Seconds     []Second                      `json:"seconds"`
 }
 
@@ -93,7 +93,7 @@
 		AskedPerS: float64(r.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
 		PeakStartsPerS: peakStarts(r.seconds), SubmitTimes: r.users.SubmitTimes.Summary(), UrgentTimes: r.recorder.urgent.Summary(),
 		StartTimes: map[string]measure.Summary{}, Failovers: r.recorder.failovers, Seconds: r.seconds,
-		Direct: r.traffic.Of(hollow.AnyController),
+		Direct: r.traffic.Of(simworker.AnyController),
 		Jobs: JobCounts{r.users.Submitted.Load(), r.users.Accepted.Load(), r.users.Refused.Load(), r.users.GivenUp.Load(),
 			r.users.Done.Load(), r.users.Cancelled.Load()}}
 	if err != nil {
--- a/internal/scalerun/rolling/result.go
+++ b/internal/scalerun/rolling/result.go
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"bitternwing/internal/modelserver"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/simmodelserver"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
-	"bitternwing/internal/router"
+	"bitternwing/internal/simrouter"
 )
 
 // Result is what the rollout of a model came to.
@@ -139,8 +139,8 @@
 }
 
 // request sends a request and judges the answer.
-func (p *Play) request(ctx context.Context, r *router.Router, prompt string) {
-	body, err := json.Marshal(modelserver.Request{Model: p.model.Name, Prompt: prompt})
+func (p *Play) request(ctx context.Context, r *simrouter.Router, prompt string) {
+	body, err := json.Marshal(simmodelserver.Request{Model: p.model.Name, Prompt: prompt})
 	if err != nil {
 		return
 	}
@@ -157,8 +157,8 @@
 	if served.Tries > 1 {
 		c.retried.Add(1)
 	}
-	var answer modelserver.Completion
-	right := modelserver.Right(prompt)
+	var answer simmodelserver.Completion
+	right := simmodelserver.Right(prompt)
 	switch {
 	case json.Unmarshal(served.Answer, &answer) != nil || len(answer.Choices) != 1:
 		c.lost.Add(1)
--- a/internal/scalerun/rolling/rolling_test.go
+++ b/internal/scalerun/rolling/rolling_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"bitternwing/internal/operators"
+	"bitternwing/internal/adminapi"
 	"bitternwing/internal/rollout"
 )
 
@@ -20,8 +20,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := rollout.ParsePlan(text, operators.MostPlanBytes)
-		if err != nil || len(plan.Steps) != steps || operators.CompileChecks(plan) != nil {
+		plan, err := rollout.ParsePlan(text, adminapi.MostPlanBytes)
+		if err != nil || len(plan.Steps) != steps || adminapi.CompileChecks(plan) != nil {
 			t.Errorf("%s: %+v, %v", mode, plan, err)
 		}
 	}
--- a/internal/scalerun/rolling/run.go
+++ b/internal/scalerun/rolling/run.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/simworker"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
-	"bitternwing/internal/router"
+	"bitternwing/internal/simrouter"
 	"bitternwing/internal/scalerun/load"
 )
 
@@ -25,7 +25,7 @@
 	Dir         string   // for plans
 	Controllers []string // internal addresses
 	Teams       []string
-	Fleet       *hollow.Fleet
+	Fleet       *simworker.Fleet
 	Now         func() time.Duration
 	Submit      func(ctx context.Context, a load.Arrival) // has a user submit a job and follow it
 	Cancel      func(ctx context.Context, id string)      // has a user cancel it
@@ -44,8 +44,8 @@
 	index    int
 	team     string
 	world    *World
-	operator *operators.Client
-	routers  []*router.Router
+	operator *adminapi.Client
+	routers  []*simrouter.Router
 	old, new []string
 
 	mu       sync.Mutex
@@ -62,14 +62,14 @@
 	p := &Play{model: model, index: index, team: world.Teams[index%len(world.Teams)], world: world,
 		old: model.jobIDs(index, rollout.OldVersion), new: model.jobIDs(index, rollout.NewVersion)}
 	var err error
-	if p.operator, err = operators.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
+	if p.operator, err = adminapi.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
 		return nil, err
 	}
 	if model.Mode == Replace {
 		return p, nil
 	}
 	for i := range model.Routers {
-		r, err := router.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, world.Controllers, routerInterval)
+		r, err := simrouter.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, world.Controllers, routerInterval)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/scalerun/rollouts.go
+++ b/internal/scalerun/rollouts.go
@@ -5,15 +5,15 @@
 	"encoding/json"
 	"sync"
 
-	"bitternwing/internal/hollow"
-	"bitternwing/internal/modelserver"
+	"bitternwing/internal/simworker"
+	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/scalerun/load"
 	"bitternwing/internal/scalerun/rolling"
 )
 
 // rollouts are the models of a run whose new version is rolled out, with their model servers; nil: there are none.
 type rollouts struct {
-	servers *modelserver.Server
+	servers *simmodelserver.Server
 	plays   []*rolling.Play
 }
 
@@ -22,11 +22,11 @@
 	if len(r.scenario.Rollouts) == 0 {
 		return nil
 	}
-	listener, err := hollow.ListenLoopback()
+	listener, err := simworker.ListenLoopback()
 	if err != nil {
 		return err
 	}
-	r.rollouts = &rollouts{servers: modelserver.New(listener, r.fleet)}
+	r.rollouts = &rollouts{servers: simmodelserver.New(listener, r.fleet)}
 	world := &rolling.World{Binary: r.options.Binary, Dir: r.options.Dir, Teams: teams, Fleet: r.fleet, Now: r.now,
 		Cancel: r.users.Cancel, Submit: func(ctx context.Context, a load.Arrival) {
 			r.recorder.submit(a)
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -17,11 +17,11 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/load"
 	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/scalerun/rules"
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 )
 
 // Options say where and with what a scenario is played.
@@ -58,9 +58,9 @@
 	traffic     *measure.Traffic
 	ledger      *rules.Ledger
 	recorder    *recorder
-	state       *standin.StateServer
-	cloud       *standin.Cloud
-	fleet       *hollow.Fleet
+	state       *emulator.StateServer
+	cloud       *emulator.Cloud
+	fleet       *simworker.Fleet
 	controllers *controllers
 	users       *load.Users
 	generator   *load.Generator
@@ -155,22 +155,22 @@
 // setUpServices starts the state service, the cloud and the workers.
 func (r *run) setUpServices() error {
 	s := r.scenario
-	r.state = standin.NewStateServer()
+	r.state = emulator.NewStateServer()
 	r.state.SetRates(s.State.RPS, s.State.WriteRPS)
 	r.state.SetLimits(int(s.State.ValueKB*1024), s.State.TxnOps)
 	r.state.SetObserver(r.countService("state"))
-	var workersControllers []hollow.Controller
+	var workersControllers []simworker.Controller
 	for _, x := range r.controllers.all {
-		workersControllers = append(workersControllers, hollow.Controller{Name: x.name, Zone: x.zone, Addr: x.listen})
+		workersControllers = append(workersControllers, simworker.Controller{Name: x.name, Zone: x.zone, Addr: x.listen})
 	}
-	fleet, err := hollow.NewFleet(hollow.Config{Seed: s.Seed, Report: config.Seconds(s.Workers.ReportS), Lease: config.Seconds(s.Workers.LeaseS),
+	fleet, err := simworker.NewFleet(simworker.Config{Seed: s.Seed, Report: config.Seconds(s.Workers.ReportS), Lease: config.Seconds(s.Workers.LeaseS),
 		Controllers: workersControllers, Jobs: load.Uploads{Completions: r.ledger}, Observer: r.recorder, Traffic: r.traffic})
 	if err != nil {
 		return err
 	}
 	r.fleet = fleet
 	r.workers = newWorkerTraffic(fleet)
-	r.cloud = standin.NewCloud(s.catalog(), fleet.LaunchMachine)
+	r.cloud = emulator.NewCloud(s.catalog(), fleet.LaunchMachine)
 	r.cloud.SetObserver(r.countService("cloud"))
 	r.cloud.SetRate(s.Cloud.RPS)
 	r.cloud.SetBoots()
@@ -192,10 +192,10 @@
 }
 
 // countService counts the requests of controllers to a service, by what they ask for.
-func (r *run) countService(service string) standin.Observe {
+func (r *run) countService(service string) emulator.Observe {
 	return func(client, method, path string, received, sent int) {
 		// What a controller sends the service receives.
-		r.traffic.Count(client, hollow.Kind(service+" "+method+" "+resourceOf(path)), sent, received)
+		r.traffic.Count(client, simworker.Kind(service+" "+method+" "+resourceOf(path)), sent, received)
 	}
 }
 
--- a/internal/scalerun/spreading.go
+++ b/internal/scalerun/spreading.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
 )
 
@@ -66,7 +66,7 @@
 }
 
 // startReceived notes when a replica's start came in.
-func (x *spreading) startReceived(s hollow.Start) {
+func (x *spreading) startReceived(s simworker.Start) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.started[s.Task] = x.now()
@@ -179,7 +179,7 @@
 }
 
 // sum gives the result, with what the workers counted.
-func (x *spreading) sum(fleet *hollow.Fleet) SpreadResult {
+func (x *spreading) sum(fleet *simworker.Fleet) SpreadResult {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	result := x.result
--- a/internal/scalerun/worker_traffic.go
+++ b/internal/scalerun/worker_traffic.go
@@ -1,7 +1,7 @@
 package scalerun
 
 import (
-	"bitternwing/internal/hollow"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/scalerun/measure"
 )
 
@@ -10,14 +10,14 @@
 
 // workerTraffic measures what each worker sends and receives.
 type workerTraffic struct {
-	fleet   *hollow.Fleet
+	fleet   *simworker.Fleet
 	atS     float64
 	last    map[string]int64   // bytes of each worker at the last sample
 	windows *measure.Histogram // bytes a second of each worker in each window
 	peak    float64            // highest mean over all workers
 }
 
-func newWorkerTraffic(fleet *hollow.Fleet) *workerTraffic {
+func newWorkerTraffic(fleet *simworker.Fleet) *workerTraffic {
 	return &workerTraffic{fleet: fleet, last: map[string]int64{}, windows: measure.NewHistogram()}
 }
 
--- a/internal/modelserver/modelserver.go
+++ b/internal/simmodelserver/modelserver.go
@@ -1,7 +1,7 @@
-// Package modelserver is a stand-in of the model servers on the workers' machines: it serves the tasks that run there
+// Package simmodelserver is a stand-in of the model servers on the workers' machines: it serves the tasks that run there
 // with the usual form of completions, and answers wrongly or not at all when it is told to. It computes nothing: the
 // answer to a prompt is the prompt in capitals.
-package modelserver
+package simmodelserver
 
 import (
 	"encoding/json"
--- a/internal/router/router.go
+++ b/internal/simrouter/router.go
@@ -1,6 +1,6 @@
-// Package router is a stand-in of the routers that share a model's traffic: it keeps to the protocol of routings and
+// Package simrouter is a stand-in of the routers that share a model's traffic: it keeps to the protocol of routings and
 // leases, and sends requests to the replicas that its routing names.
-package router
+package simrouter
 
 import (
 	"bytes"
@@ -14,15 +14,15 @@
 	"sync"
 	"time"
 
-	"bitternwing/internal/operators"
-	"bitternwing/internal/operators/operatorpb"
+	"bitternwing/internal/adminapi"
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/probe"
 )
 
 // Router is a router of one plan.
 type Router struct {
 	name, plan  string
-	controllers []*operators.Client
+	controllers []*adminapi.Client
 	http        *http.Client
 	interval    time.Duration
 
@@ -44,7 +44,7 @@
 	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: tryTimeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}}}
 	for _, address := range controllers {
-		client, err := operators.NewClient(address)
+		client, err := adminapi.NewClient(address)
 		if err != nil {
 			return nil, err
 		}
@@ -68,7 +68,7 @@
 }
 
 // ask asks a controller once. The lease counts from when the question was sent.
-func (r *Router) ask(ctx context.Context, controller *operators.Client) {
+func (r *Router) ask(ctx context.Context, controller *adminapi.Client) {
 	r.mu.Lock()
 	cut, q := r.cut, &operatorpb.RouteRequest{Plan: r.plan, Router: r.name, Generation: r.held.GetGeneration()}
 	r.mu.Unlock()
--- a/internal/hollow/fleet.go
+++ b/internal/simworker/fleet.go
@@ -1,4 +1,4 @@
-// Package hollow simulates workers of the protocol, thousands in one process: each has its own address,
+// Package simworker simulates workers of the protocol, thousands in one process: each has its own address,
 // connection, lease and session, holds tasks, fetches and runs them on a clock, and computes nothing.
 //
 // Left out of the protocol's worker: images that are fetched at the same time do not share the rate, take
@@ -6,7 +6,7 @@
 // speed, tasks do not fail, and there are no spot notices; a checkpoint keeps no progress, a task that
 // starts anew begins anew, unless it had completed before. A silent worker loses what is sent to it
 // instead of receiving it late. Direct commands to a zone that is cut off do not arrive, whoever sends them.
-package hollow
+package simworker
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"bitternwing/internal/standin"
+	"bitternwing/internal/emulator"
 )
 
 // Kind is a kind of message.
@@ -192,7 +192,7 @@
 }
 
 // LaunchMachine starts a worker for a machine of a cloud.
-func (f *Fleet) LaunchMachine(m standin.MachineSpec) standin.Machine {
+func (f *Fleet) LaunchMachine(m emulator.MachineSpec) emulator.Machine {
 	return f.Launch(Description{Name: m.Name, Zone: m.Zone, Spot: m.Spot, Type: m.Type})
 }
 
--- a/internal/hollow/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simworker
 
 import (
 	"fmt"
--- a/internal/spread/spread.go
+++ b/internal/topologyspread/spread.go
@@ -1,6 +1,6 @@
-// Package spread weighs what the load of a model's weights costs against what the loss of a zone or a machine would
+// Package topologyspread weighs what the load of a model's weights costs against what the loss of a zone or a machine would
 // take from the model, both in seconds of lost replica time. It is pure.
-package spread
+package topologyspread
 
 import (
 	"cmp"
--- a/internal/spread/spread_test.go
+++ b/internal/topologyspread/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package topologyspread
 
 import (
 	"fmt"
