--- a/cmd/scalerun/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,4 +1,4 @@
-// Command scalerun plays a large fleet on one machine: real controllers, hollow workers.
+// Command fleetsim plays a large fleet on one machine: real controllers, hollow workers.
 package main
 
 import (
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"bitternwing/internal/scalerun"
+	"bitternwing/internal/fleetsim"
 )
 
 // The exit statuses; kong ends with 80 for wrong arguments.
@@ -30,7 +30,7 @@
 type cli struct {
 	Scenario  string  `arg:"" optional:"" default:"deploy/scale/smoke.json" help:"What to play (JSON)."`
 	Binary    string  `placeholder:"FILE" help:"The controllers' program; built from these sources if absent."`
-	Out       string  `default:"target/scalerun" placeholder:"DIR" help:"Where settings, logs and results go."`
+	Out       string  `default:"target/fleetsim" placeholder:"DIR" help:"Where settings, logs and results go."`
 	Port      int     `default:"0" help:"First port of the controllers; 0: any free ones."`
 	Processes int     `default:"40" help:"The most processes to run."`
 	Scale     float64 `default:"1" help:"Play this share of the scenario's workers, teams and starts."`
@@ -40,10 +40,10 @@
 // Run plays the scenario and prints what it came to.
 func (c *cli) Run() error {
 	if c.Schema {
-		_, err := os.Stdout.Write(scalerun.ScenarioSchema())
+		_, err := os.Stdout.Write(fleetsim.ScenarioSchema())
 		return err
 	}
-	scenario, err := scalerun.LoadScenario(c.Scenario)
+	scenario, err := fleetsim.LoadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 		return c.sweep(ctx, scenario, binary)
 	}
 	progress := newProgress(os.Stderr, scenario)
-	result, err := scalerun.Run(ctx, scenario, scalerun.Options{Binary: binary, Dir: c.Out, BasePort: c.Port,
+	result, err := fleetsim.Run(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port,
 		MostProcesses: c.Processes, Progress: progress.show})
 	progress.end()
 	if result == nil {
@@ -76,9 +76,9 @@
 }
 
 // sweep plays a scenario once for each variant and seed.
-func (c *cli) sweep(ctx context.Context, scenario *scalerun.Scenario, binary string) error {
-	runs, err := scalerun.RunSweep(ctx, scenario, scalerun.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MostProcesses: c.Processes})
-	return errors.Join(err, scalerun.WriteSweep(c.Out, runs), scalerun.PrintSweep(os.Stdout, runs))
+func (c *cli) sweep(ctx context.Context, scenario *fleetsim.Scenario, binary string) error {
+	runs, err := fleetsim.RunSweep(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MostProcesses: c.Processes})
+	return errors.Join(err, fleetsim.WriteSweep(c.Out, runs), fleetsim.PrintSweep(os.Stdout, runs))
 }
 
 // controller gives the controllers' program, built if none is named.
@@ -96,7 +96,7 @@
 }
 
 // write keeps the result and prints a summary.
-func (c *cli) write(w io.Writer, result *scalerun.Result) error {
+func (c *cli) write(w io.Writer, result *fleetsim.Result) error {
 	data, page := filepath.Join(c.Out, "result.json"), filepath.Join(c.Out, "result.html")
 	if err := result.Write(data); err != nil {
 		return err
@@ -113,18 +113,18 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("scalerun"), kong.Description("Plays a large fleet on one machine: real controllers, hollow workers."))
+	ctx := kong.Parse(&c, kong.Name("fleetsim"), kong.Description("Plays a large fleet on one machine: real controllers, hollow workers."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "scalerun:", err)
+		fmt.Fprintln(os.Stderr, "fleetsim:", err)
 		os.Exit(exitStatus(err))
 	}
 }
 
 func exitStatus(err error) int {
-	if errors.Is(err, scalerun.ErrRuleBroken) {
+	if errors.Is(err, fleetsim.ErrRuleBroken) {
 		return exitRuleBroken
 	}
-	if errors.Is(err, scalerun.ErrPromiseBroken) {
+	if errors.Is(err, fleetsim.ErrPromiseBroken) {
 		return exitPromise
 	}
 	return exitFailure
--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -7,8 +7,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"bitternwing/internal/core"
 	"bitternwing/internal/adminapi/operatorpb"
+	"bitternwing/internal/core"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -5,10 +5,10 @@
 
 	"google.golang.org/grpc"
 
-	"bitternwing/internal/quota"
-	"bitternwing/internal/call"
-	"bitternwing/internal/core"
 	"bitternwing/internal/adminapi/operatorpb"
+	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/quota"
 )
 
 // regions implements the service for other regions.
@@ -43,7 +43,7 @@
 }
 
 // CallRegion sends a message to a controller of another region and says what became of it.
-func CallRegion(ctx context.Context, conn grpc.ClientConnInterface, e core.CallRegion) call.Outcome {
+func CallRegion(ctx context.Context, conn grpc.ClientConnInterface, e core.CallRegion) outcome.Outcome {
 	client := operatorpb.NewRegionsClient(conn)
 	var err error
 	switch {
@@ -55,9 +55,9 @@
 			Whole: shareMessage(e.Deliver.Whole), Share: shareMessage(t.Share)})
 	}
 	if err != nil {
-		return call.Unknown
+		return outcome.Unknown
 	}
-	return call.OK
+	return outcome.OK
 }
 
 func shareOf(s *operatorpb.AllowanceShare) quota.Share {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -10,9 +10,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"bitternwing/internal/responsecheck"
-	"bitternwing/internal/core"
 	"bitternwing/internal/adminapi/operatorpb"
+	"bitternwing/internal/core"
+	"bitternwing/internal/responsecheck"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -6,44 +6,45 @@
 	"net/url"
 	"strconv"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/httpclient"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
 const maxAnswer = 4 << 20
 
 // Client talks to the cloud.
-type Client struct{ c *call.Client }
+type Client struct{ c *httpclient.Client }
 
 // New makes a client that sends at most perSecond requests a second.
 func New(addr string, perSecond float64, conns int) *Client {
-	return &Client{call.New(addr, perSecond, conns, maxAnswer)}
+	return &Client{httpclient.New(addr, perSecond, conns, maxAnswer)}
 }
 
 // Catalog reads the machine types.
-func (c *Client) Catalog(ctx context.Context) (wire.Catalog, call.Outcome) {
+func (c *Client) Catalog(ctx context.Context) (wire.Catalog, outcome.Outcome) {
 	var cat wire.Catalog
 	o := c.c.Do(ctx, "GET", "/catalog", nil, &cat)
-	if o == call.OK && len(cat.Types) == 0 {
-		o = call.Unknown
+	if o == outcome.OK && len(cat.Types) == 0 {
+		o = outcome.Unknown
 	}
 	return cat, o
 }
 
 // Rent rents machines. A refusal means that nothing was rented.
-func (c *Client) Rent(ctx context.Context, r wire.ScaleOutRequest) (wire.MachineNames, call.Outcome) {
+func (c *Client) Rent(ctx context.Context, r wire.ScaleOutRequest) (wire.MachineNames, outcome.Outcome) {
 	var n wire.MachineNames
 	o := c.c.Do(ctx, "POST", "/rentals", r, &n)
 	return n, o
 }
 
 // Release gives machines back.
-func (c *Client) Release(ctx context.Context, names []string) call.Outcome {
+func (c *Client) Release(ctx context.Context, names []string) outcome.Outcome {
 	return c.c.Do(ctx, "POST", "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
 // List reads a page of the machine list.
-func (c *Client) List(ctx context.Context, after string) (wire.MachineList, call.Outcome) {
+func (c *Client) List(ctx context.Context, after string) (wire.MachineList, outcome.Outcome) {
 	q := url.Values{"limit": {strconv.Itoa(wire.MaxList)}}
 	if after != "" {
 		q.Set("after", after)
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -23,13 +23,13 @@
 
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/fleetsim"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/peer/peerpb"
 	"bitternwing/internal/rollout"
-	"bitternwing/internal/scalerun"
 )
 
 var update = flag.Bool("update", false, "write the lists in testdata anew")
@@ -49,7 +49,7 @@
 	}
 	compare(t, "operator.schema.json", string(config.OperatorSchema()))
 	compare(t, "plan.schema.json", string(rollout.PlanSchema()))
-	compare(t, "scenario.schema.json", string(scalerun.ScenarioSchema()))
+	compare(t, "scenario.schema.json", string(fleetsim.ScenarioSchema()))
 }
 
 // compare compares a list with the kept one.
--- a/internal/core/allowance_messages.go
+++ b/internal/core/allowance_messages.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 )
 
 // deliverTransfers sends the transfers that are on their way, the oldest to each region, until their receivers have them.
@@ -18,7 +18,7 @@
 		t.attempts++
 		id := a.leader.call(func(r Result) {
 			delete(t.delivering, to)
-			if r.Outcome == call.OK {
+			if r.Outcome == outcome.OK {
 				a.settleTransfer(t, to, transfer.Number)
 			}
 		})
--- a/internal/core/allowance_test.go
+++ b/internal/core/allowance_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -239,8 +239,8 @@
 	w := newRegionWorld(t, 2)
 	r := w.regions[0]
 	for range 3 {
-		item, outcome := r.store.Get("w/term")
-		if outcome != call.OK || core.ReadableWithPlans(item.Value) {
+		item, got := r.store.Get("w/term")
+		if got != outcome.OK || core.ReadableWithPlans(item.Value) {
 			t.Fatalf("an older version reads %s", item.Value)
 		}
 		r.crashAny()
--- a/internal/core/allowance_writes.go
+++ b/internal/core/allowance_writes.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"slices"
 
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/quota"
-	"bitternwing/internal/call"
 	"bitternwing/internal/wire"
 )
 
@@ -66,7 +66,7 @@
 
 // respondCommitted answers a region whose message took a commit.
 func (c *Core) respondCommitted(req uint64, r Result) {
-	if r.Outcome == call.OK {
+	if r.Outcome == outcome.OK {
 		c.respond(req, 200, nil)
 		return
 	}
@@ -98,11 +98,11 @@
 func (a *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
 	c := a.leader.core
 	switch {
-	case r.Outcome == call.OK:
+	case r.Outcome == outcome.OK:
 		a.adoptAccount(t, next, r.Txn.Revision)
-	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
 		c.election.stepDown("the term moved on")
-	case r.Outcome == call.Conflict, r.Outcome == call.Unknown:
+	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
 	default:
 		// It was certainly not carried out.
@@ -119,7 +119,7 @@
 	id := a.leader.stateCall(func(r Result) {
 		t.writeInFlight = false
 		t.retryAt = c.now.Steady + c.times.retryPause
-		if r.Outcome == call.OK && r.Item.Version > t.version {
+		if r.Outcome == outcome.OK && r.Item.Version > t.version {
 			c.cache.quotaAccounts.apply(t.key, r.Item.Value, r.Item.Version)
 			a.readStored()
 		}
--- a/internal/core/allowances.go
+++ b/internal/core/allowances.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"bitternwing/internal/quota"
 	"bitternwing/internal/config"
+	"bitternwing/internal/quota"
 )
 
 // quotaManager keeps a leader within what its region holds of the teams' limits and guarantees, hands parts of it to
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -297,7 +297,7 @@
 	id := c.registerCall(func(r Result) {
 		p.queryInFlight, p.queried = false, true
 		was := p.reachable
-		p.reachable = r.Outcome == call.OK
+		p.reachable = r.Outcome == outcome.OK
 		if p.reachable {
 			if !was {
 				p.reachableSince = c.now.Steady
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"bitternwing/internal/budget"
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/pacing"
 	"bitternwing/internal/wire"
 )
@@ -226,11 +226,11 @@
 	})
 }
 
-func (c *Core) observeStoreOutcome(o call.Outcome) {
-	if o == call.Dropped {
+func (c *Core) observeStoreOutcome(o outcome.Outcome) {
+	if o == outcome.Dropped {
 		return // too much was asked for: that is no outage
 	}
-	down := o == call.Refused || o == call.Unknown
+	down := o == outcome.Unavailable || o == outcome.Unknown
 	if !down {
 		c.storeServedAt = c.now.Steady
 	}
@@ -355,7 +355,7 @@
 	c.catalogAt = c.now.Steady
 	id := c.registerCall(func(r Result) {
 		c.catalogInFlight = false
-		if r.Outcome != call.OK || len(r.Catalog.Types) == 0 {
+		if r.Outcome != outcome.OK || len(r.Catalog.Types) == 0 {
 			return
 		}
 		c.catalog = r.Catalog.Types
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/dependency"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -97,7 +97,7 @@
 	request := c.registerStoreCall(func(r Result) {
 		delete(d.reading, id)
 		var f finalState
-		if r.Outcome == call.OK && json.Unmarshal(r.Item.Value, &f) == nil {
+		if r.Outcome == outcome.OK && json.Unmarshal(r.Item.Value, &f) == nil {
 			c.cacheFinalState(id, f)
 			return
 		}
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"slices"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -49,7 +49,7 @@
 // applyCancelResult takes what became of the cancellation of a job that needs a cancelled one.
 func (w *writer) applyCancelResult(x cancelledJob, r Result, failed map[string]bool) {
 	switch {
-	case r.Outcome == call.OK:
+	case r.Outcome == outcome.OK:
 		w.leader.core.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
 	case failed[activeJobPrefix+x.job.id]:
 		w.rereadJob(x.job) // another node was quicker
--- a/internal/core/direct_orders.go
+++ b/internal/core/direct_orders.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -86,22 +86,22 @@
 func (l *leader) applyDirectCommandResult(o *directCommand, r Result) {
 	m := o.machine
 	stops := len(o.commands) > len(o.starts)
-	if stops && r.Outcome == call.OK && r.Heartbeat.Machine == m.name {
+	if stops && r.Outcome == outcome.OK && r.Heartbeat.Machine == m.name {
 		// What was stopped shows at once: users may wait to be told that nothing starts.
 		l.reconcileIndirect(&r.Heartbeat, true)
 	}
-	if r.Outcome == call.OK {
+	if r.Outcome == outcome.OK {
 		l.pendingDispatch = append(l.pendingDispatch, m) // for what was decided meanwhile
 	}
 	for _, p := range o.starts {
 		p.directStartInFlight = false
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			p.directStartSequence = r.Heartbeat.Sequence
-		case call.Unknown:
+		case outcome.Unknown:
 			// It may be carried out at any later time, or commands don't reach it.
 			l.requireFencingToken(m, o.fencingToken+1)
-		case call.Conflict, call.Refused, call.Dropped, call.Invalid:
+		case outcome.Conflict, outcome.Unavailable, outcome.Dropped, outcome.Invalid:
 			l.revertStart(p)
 		}
 	}
--- a/internal/core/directory.go
+++ b/internal/core/directory.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/wire"
 )
@@ -294,14 +294,14 @@
 		}
 		d.nextWatch = c.coalesce(d.watchOpenedAt + gap)
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			c.observeStoreOutcome(r.Outcome)
 			c.applyChanges(r.Changes)
-		case call.TooOld, call.TooLarge:
+		case outcome.TooOld, outcome.TooLarge:
 			// Asking again would bring the same and more: the keys are read anew.
 			d.reloading = newWatchCache()
 		default:
-			if r.Outcome == call.Refused {
+			if r.Outcome == outcome.Unavailable {
 				c.observeStoreOutcome(r.Outcome)
 			}
 			d.retryAt = c.now.Steady + c.times.retryPause
@@ -377,7 +377,7 @@
 func (c *Core) listWatchedKeys(after string) {
 	d := c.cache
 	id := c.registerStoreCall(func(r Result) {
-		if r.Outcome != call.OK {
+		if r.Outcome != outcome.OK {
 			d.inFlight, d.reloading = false, newWatchCache()
 			d.retryAt = c.now.Steady + c.times.retryPause
 			return
--- a/internal/core/display.go
+++ b/internal/core/display.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"strconv"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -112,7 +112,7 @@
 	w.countsInFlight = true
 	id := l.stateCall(func(r Result) {
 		w.countsInFlight = false
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			for _, op := range txn.Then {
 				w.countsWritten[op.Put] = keys[op.Put]
 			}
@@ -134,7 +134,7 @@
 	}
 	w.catalogInFlight = true
 	id := l.stateCall(func(r Result) {
-		if r.Outcome != call.OK {
+		if r.Outcome != outcome.OK {
 			w.catalogInFlight = false
 		}
 	})
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -218,7 +218,7 @@
 		e.nextCampaign = c.now.Steady + c.times.retryPause
 	}
 	id := c.registerStoreCall(func(g Result) {
-		if g.Outcome != call.OK {
+		if g.Outcome != outcome.OK {
 			fail()
 			return
 		}
@@ -235,7 +235,7 @@
 			return
 		}
 		id := c.registerStoreCall(func(r Result) {
-			if r.Outcome == call.OK {
+			if r.Outcome == outcome.OK {
 				e.campaignInFlight = false
 				e.becomeLeader(term, r.Txn.Revision, g, ttl)
 				return
@@ -325,13 +325,13 @@
 		}
 		e.renewalInFlight = false
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			if !e.leaseValidAt(c.now.Steady) {
 				c.log(Debug, "entitled again", "term", c.leader.term, "after_ms", (c.now.Steady - e.deadline).Milliseconds())
 			}
 			e.deadline = max(e.deadline, r.SentAt+e.safeLeaseDuration())
 			e.nextRenewal = r.SentAt + e.ttl/4
-		case call.Missing:
+		case outcome.NotFound:
 			e.stepDown("the lease ended")
 		default:
 			e.nextRenewal = c.now.Steady + e.ttl/12
--- a/internal/core/images.go
+++ b/internal/core/images.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 	h.inFlight = true
 	id := l.stateCall(func(r Result) {
 		h.inFlight = false
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			for _, op := range txn.Then {
 				h.written[op.Put] = string(op.Value)
 			}
--- a/internal/core/io.go
+++ b/internal/core/io.go
@@ -8,7 +8,7 @@
 import (
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -65,7 +65,7 @@
 // Result is the result of a call this core asked for.
 type Result struct {
 	CallID  uint64
-	Outcome call.Outcome
+	Outcome outcome.Outcome
 	SentAt  time.Duration // steady time just before the request was sent
 
 	Item         wire.Item
--- a/internal/core/job_ends.go
+++ b/internal/core/job_ends.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -47,7 +47,7 @@
 // applyEndResult takes what became of the end of a job.
 func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failed map[string]bool) {
 	switch {
-	case r.Outcome == call.OK:
+	case r.Outcome == outcome.OK:
 		w.completeEnd(j, b)
 	case failed[activeJobPrefix+j.id]:
 		// A cancel came first, or this very end was applied before, its outcome
@@ -85,13 +85,13 @@
 	l, c := w.leader, w.leader.core
 	id := l.stateCall(func(r Result) {
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			c.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
 			l.applyJobChange(j.id)
 			if j.ending {
 				w.queueEnd(j)
 			}
-		case call.Missing:
+		case outcome.NotFound:
 			// Its end, whose outcome was unknown, was applied.
 			if j.ending && l.jobs[j.id] == j {
 				for _, r := range l.recordKeys(j) {
--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/wire"
 )
@@ -72,9 +72,9 @@
 	id := l.stateCall(func(r Result) {
 		x.inFlight = false
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			l.applyLayout(next, r.Txn.Revision)
-		case call.Conflict:
+		case outcome.Conflict:
 			// It was applied before, its outcome unknown, or the term has moved on. The next leader
 			// finds out.
 			c.election.stepDown("the layout of records may have changed")
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/capacity"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
@@ -176,7 +176,7 @@
 	l.recordReadInFlight = true
 	id := l.stateCall(func(r Result) {
 		l.recordReadInFlight = false
-		if r.Outcome != call.OK {
+		if r.Outcome != outcome.OK {
 			// What was read stays as it is: nobody but this leader writes records in its term.
 			l.nextRecordRead = l.core.now.Steady + l.core.times.retryPause
 			l.core.wakeBy(l.nextRecordRead)
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -215,7 +215,7 @@
 			k.nextConfirm = now + c.times.checkInterval/2
 			id := c.registerStoreCall(func(r Result) {
 				k.confirmInFlight = false
-				if r.Outcome == call.OK {
+				if r.Outcome == outcome.OK {
 					k.termConfirmedAt = r.SentAt
 				}
 			})
@@ -291,8 +291,8 @@
 		ops = ops[len(part):]
 		k.writeInFlight = true
 		id := c.registerStoreCall(func(r Result) {
-			good = good && r.Outcome == call.OK
-			if r.Outcome == call.Invalid {
+			good = good && r.Outcome == outcome.OK
+			if r.Outcome == outcome.Invalid {
 				c.limits.observeInvalid(wire.Txn{Then: part})
 			}
 			if left -= len(part); left == 0 {
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 )
 
 // requireFencingToken makes a machine show a token before it gets work: answers and commands may not
@@ -152,9 +152,9 @@
 		m.queryInFlight = false
 		l.statusQueriesInFlight--
 		switch {
-		case r.Outcome == call.Dropped:
+		case r.Outcome == outcome.Dropped:
 			// It was not asked at all.
-		case r.Outcome != call.OK:
+		case r.Outcome != outcome.OK:
 			m.unansweredQueries++
 		case r.Heartbeat.Machine == m.name:
 			m.queryAnsweredAt = l.core.now.Steady
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -103,10 +103,10 @@
 		}
 		for _, l := range batch {
 			switch {
-			case r.Outcome == call.OK, r.Outcome == call.Conflict && len(failed) > 0 &&
+			case r.Outcome == outcome.OK, r.Outcome == outcome.Conflict && len(failed) > 0 &&
 				!failed[activeJobPrefix+l.id] && !failed[finalStatePrefix+l.id]:
 				l.then(lookupResult{entry: l.entry})
-			case r.Outcome == call.Conflict:
+			case r.Outcome == outcome.Conflict:
 				u.reads = append(u.reads, l)
 			default:
 				l.then(lookupResult{indeterminate: true})
@@ -130,7 +130,7 @@
 		}
 		id := c.registerStoreCall(func(r Result) {
 			switch r.Outcome {
-			case call.OK:
+			case outcome.OK:
 				var v activeJob
 				if json.Unmarshal(r.Item.Value, &v) != nil || v.Spec == nil {
 					end(lookupResult{indeterminate: true})
@@ -153,13 +153,13 @@
 					}
 				}
 				end(lookupResult{entry: e})
-			case call.Missing:
+			case outcome.NotFound:
 				id := c.registerStoreCall(func(r Result) {
 					var v finalState
 					switch {
-					case r.Outcome == call.Missing:
+					case r.Outcome == outcome.NotFound:
 						end(lookupResult{})
-					case r.Outcome == call.OK && json.Unmarshal(r.Item.Value, &v) == nil:
+					case r.Outcome == outcome.OK && json.Unmarshal(r.Item.Value, &v) == nil:
 						c.cacheFinalState(l.id, v)
 						end(lookupResult{final: &v})
 					default:
--- a/internal/core/plan_requests.go
+++ b/internal/core/plan_requests.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"slices"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -186,15 +186,15 @@
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		switch {
-		case r.Outcome == call.OK:
+		case r.Outcome == outcome.OK:
 			c.applyPlanKey(planPrefix+name, value, r.Txn.Revision)
 			l.planApplied(in.Plan)
 			c.log(Info, "rollout", "plan", name, "phase", string(record.Phase))
 			c.respond(in.RequestID, 200, l.planStatus(name))
-		case r.Outcome == call.Unknown:
+		case r.Outcome == outcome.Unknown:
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			l.resolvePlanWrite(in.Plan)
-		case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			c.election.stepDown("the term moved on")
 		default:
@@ -231,7 +231,7 @@
 func (l *leader) resolvePlanWrite(plan *rollout.Plan) {
 	c := l.core
 	id := l.stateCall(func(r Result) {
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			c.applyPlanKey(planPrefix+plan.Name, r.Item.Value, r.Item.Version)
 			l.planApplied(plan)
 			return
@@ -273,7 +273,7 @@
 		c.respond(x.req, 200, l.planStatus(run.name))
 	default:
 		l.commitTransition(run, stored, next, func(r Result) {
-			if r.Outcome == call.OK {
+			if r.Outcome == outcome.OK {
 				c.respond(x.req, 200, l.planStatus(run.name))
 			} else {
 				c.respondRetryLater(x.req, 503, reasonUnavailable)
--- a/internal/core/plan_routers.go
+++ b/internal/core/plan_routers.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"slices"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -91,7 +91,7 @@
 	l.commitPlan(run, stored, next, func(r Result) {
 		joined := run.joinsInFlight
 		run.joinsInFlight = nil
-		if r.Outcome != call.OK || !l.hasAuthority() {
+		if r.Outcome != outcome.OK || !l.hasAuthority() {
 			l.core.refuseJoins(joined)
 			return
 		}
--- a/internal/core/plan_runs.go
+++ b/internal/core/plan_runs.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -318,7 +318,7 @@
 		t.probesInFlight++
 		id := l.call(func(r Result) {
 			t.probesInFlight--
-			if r.Outcome == call.Dropped {
+			if r.Outcome == outcome.Dropped {
 				run.validations.Missed(probe.Replica)
 				return
 			}
@@ -354,7 +354,7 @@
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, value)
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			run.noteRecorded(next)
 		}
 		then(r)
@@ -365,7 +365,7 @@
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
 func (l *leader) commitTransition(run *activeRollout, stored *cachedPlan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, stored, next, func(r Result) {
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			l.logPlan(run, next)
 		}
 		then(r)
@@ -385,11 +385,11 @@
 func (l *leader) applyPlanWriteResult(run *activeRollout, r Result, value json.RawMessage) {
 	c := l.core
 	switch {
-	case r.Outcome == call.OK:
+	case r.Outcome == outcome.OK:
 		c.applyPlanKey(planPrefix+run.name, value, r.Txn.Revision)
-	case r.Outcome == call.Conflict && slices.Contains(r.Txn.Failed, termKey):
+	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
 		c.election.stepDown("the term moved on")
-	case r.Outcome == call.Conflict, r.Outcome == call.Unknown:
+	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// A write of before was applied after all, or this one may be yet: what is there counts.
 		l.rereadPlan(run)
 	default:
@@ -405,7 +405,7 @@
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
 		run.retryAt = c.now.Steady + c.times.retryPause
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			c.applyPlanKey(planPrefix+run.name, r.Item.Value, r.Item.Version)
 		}
 	})
--- a/internal/core/prefetch.go
+++ b/internal/core/prefetch.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/resource"
 )
 
@@ -126,9 +126,9 @@
 	id := l.call(func(r Result) {
 		p.inFlight--
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			p.arrivals = append(p.arrivals, imageArrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
-		case call.Missing:
+		case outcome.NotFound:
 			if !p.unsupported {
 				l.core.log(Error, "workers don't know the request to fetch an image ahead", "machine", m.name)
 			}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/quota"
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/quota"
 	"bitternwing/internal/wire"
 )
 
@@ -46,7 +46,7 @@
 	to       int
 	node     int
 	input    func(req uint64) core.Input
-	answered func(outcome call.Outcome)
+	answered func(got outcome.Outcome)
 }
 
 const (
@@ -123,14 +123,14 @@
 		deliver := *e.Deliver
 		deliver.RequestID = req
 		return deliver
-	}, answered: func(outcome call.Outcome) {
+	}, answered: func(got outcome.Outcome) {
 		// The answer goes back to the process that asked, if it is still there.
 		if n.core == process && !over {
 			over = true
 			if w.cut[[2]int{to, from.number}] {
-				outcome = call.Unknown
+				got = outcome.Unknown
 			}
-			n.results = append(n.results, core.Result{CallID: e.CallID, Outcome: outcome, SentAt: sent})
+			n.results = append(n.results, core.Result{CallID: e.CallID, Outcome: got, SentAt: sent})
 		}
 	}}
 	if w.cut[[2]int{from.number, to}] {
@@ -152,7 +152,7 @@
 	w.messages = slices.DeleteFunc(w.messages, func(m regionMessage) bool { return m.due <= now })
 	for _, m := range due {
 		if m.to < 0 {
-			m.answered(call.Unknown) // its time is over
+			m.answered(outcome.Unknown) // its time is over
 			continue
 		}
 		r := w.regions[m.to]
@@ -163,7 +163,7 @@
 // hear hands a message to a node, which names the leader if it is not the one.
 func (r *worldRegion) hear(n *scaleNode, m regionMessage, relayed bool) {
 	if n.name == r.frozen {
-		m.answered(call.Unknown)
+		m.answered(outcome.Unknown)
 		return
 	}
 	r.req++
@@ -173,11 +173,11 @@
 		leader := slices.IndexFunc(r.nodes, func(x *scaleNode) bool { return redirected && x.name == to.Leader })
 		switch {
 		case a.Status == 200:
-			m.answered(call.OK)
+			m.answered(outcome.OK)
 		case leader >= 0 && !relayed:
 			r.hear(r.nodes[leader], m, true)
 		default:
-			m.answered(call.Unknown)
+			m.answered(outcome.Unknown)
 		}
 	}
 	r.step(n, m.input(req))
@@ -237,7 +237,7 @@
 func (r *worldRegion) accepted(id string) bool {
 	_, active := r.store.Get("w/a/" + id)
 	_, ended := r.store.Get("f/" + id)
-	return active == call.OK || ended == call.OK
+	return active == outcome.OK || ended == outcome.OK
 }
 
 // cancel has users cancel jobs, again until that is written.
@@ -245,7 +245,7 @@
 	r := w.regions[region]
 	for _, id := range ids {
 		for range 50 {
-			if _, outcome := r.store.Get("f/" + id); outcome == call.OK {
+			if _, got := r.store.Get("f/" + id); got == outcome.OK {
 				break
 			}
 			r.req++
@@ -278,8 +278,8 @@
 
 // account gives a team's account as a region's state service holds it; nil: there is none yet.
 func (r *worldRegion) account(team string) *quota.Account {
-	item, outcome := r.store.Get("w/q/" + team)
-	if outcome != call.OK {
+	item, got := r.store.Get("w/q/" + team)
+	if got != outcome.OK {
 		return nil
 	}
 	a, err := quota.Decode(item.Value)
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -164,7 +164,7 @@
 	t.markReleaseSent(names, true)
 	id := l.call(func(r Result) {
 		t.scaleInInFlight = false
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			for _, name := range names {
 				if m := l.machines[name]; m != nil {
 					l.removeMachine(m, "released")
@@ -172,7 +172,7 @@
 			}
 			return
 		}
-		if r.Outcome.NotDone() {
+		if r.Outcome.CertainlyNotApplied() {
 			t.markReleaseSent(names, false)
 		}
 		// Releasing again does no harm.
@@ -190,7 +190,7 @@
 		q.inFlight = false
 		now := c.now.Steady
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			for _, name := range r.MachineNames {
 				m := l.machineNamed(name)
 				m.requestedAt, m.requestedHere = r.SentAt, true
@@ -203,12 +203,12 @@
 			t.dropRequest(q)
 			l.requestCycle()
 			c.log(Info, "rented", "asked", q.count, "got", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
-		case call.Refused:
+		case outcome.Unavailable:
 			t.exhausted[q.Group] = now + 2*c.times.listLag
 			t.dropRequest(q)
 			l.requestCycle()
 			c.log(Debug, "rental refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
-		case call.Invalid:
+		case outcome.Invalid:
 			t.exhausted[q.Group] = now + 20*c.times.listLag
 			t.dropRequest(q)
 			c.log(Error, "rental was malformed", "type", q.Type, "zone", q.Zone)
@@ -250,12 +250,12 @@
 	t.listInFlight = true
 	id := l.call(func(r Result) {
 		t.listInFlight = false
-		if r.Outcome == call.Dropped && after != "" {
+		if r.Outcome == outcome.Dropped && after != "" {
 			t.nextPage = after
 			return
 		}
 		t.nextPage = ""
-		if r.Outcome != call.OK {
+		if r.Outcome != outcome.OK {
 			return
 		}
 		for i := range r.Machines.Machines {
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 )
 
@@ -82,8 +82,8 @@
 func (w *rolloutWorld) baking() int {
 	n := 0
 	for _, key := range w.store.Keys("w/p/") {
-		item, outcome := w.store.Get(key)
-		if r, err := rollout.Decode(item.Value); outcome == call.OK && err == nil && r.Phase == rollout.Baking {
+		item, got := w.store.Get(key)
+		if r, err := rollout.Decode(item.Value); got == outcome.OK && err == nil && r.Phase == rollout.Baking {
 			n++
 		}
 	}
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
@@ -103,7 +103,7 @@
 func (w *rolloutWorld) submitNew() {
 	for i := range newJobs {
 		for range 100 {
-			if _, outcome := w.store.Get("w/a/" + newJob(i)); outcome == call.OK {
+			if _, got := w.store.Get("w/a/" + newJob(i)); got == outcome.OK {
 				break
 			}
 			w.submitReplica(newJob(i))
@@ -128,7 +128,7 @@
 		if answer.Verdict == rollout.Right && compares && (e.Probe.Reference == nil || w.probe(*e.Probe.Reference).Verdict != rollout.Right) {
 			answer = rollout.Answer{Verdict: rollout.NotCompared, Check: "as before"}
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Probe: answer}, true
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Probe: answer}, true
 	}
 	return w.interceptState(n.name, w.store, e)
 }
@@ -222,8 +222,8 @@
 
 // record gives the plan as the state service holds it; nil: there is none.
 func (w *rolloutWorld) record() *rollout.Record {
-	item, outcome := w.store.Get("w/p/" + w.plan.Name)
-	if outcome != call.OK {
+	item, got := w.store.Get("w/p/" + w.plan.Name)
+	if got != outcome.OK {
 		return nil
 	}
 	r, err := rollout.Decode(item.Value)
@@ -347,14 +347,14 @@
 
 // cancelled tells whether a job is cancelled.
 func (w *rolloutWorld) cancelled(id string) bool {
-	if item, outcome := w.store.Get("w/a/" + id); outcome == call.OK {
+	if item, got := w.store.Get("w/a/" + id); got == outcome.OK {
 		var v struct {
 			CancelledMS int64 `json:"x"`
 		}
 		return json.Unmarshal(item.Value, &v) == nil && v.CancelledMS != 0
 	}
-	_, outcome := w.store.Get("f/" + id)
-	return outcome == call.OK
+	_, got := w.store.Get("f/" + id)
+	return got == outcome.OK
 }
 
 // until lets time pass until the plan is in a phase.
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"reflect"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -50,10 +50,10 @@
 				y.req++
 				y.step(p, core.ReplicateCancellations{RequestID: y.req << 16, Cancellations: e.Cancellations})
 			}
-			return core.Result{CallID: e.CallID, Outcome: call.OK, Peer: p.core.PeerStatus()}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Peer: p.core.PeerStatus()}, true
 		}
 	}
-	return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
+	return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}, true
 }
 
 // answer hands an answer to the worker or the user that waits for it.
@@ -95,9 +95,9 @@
 		return core.Result{CallID: e.CallID, Outcome: o, Item: it}
 	case core.StoreList:
 		y.counted.lists++
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Page: y.store.List(e.Prefix, e.After, 500)}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: y.store.List(e.Prefix, e.After, 500)}
 	case core.StoreGrantLease:
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Lease: y.store.Grant(e.TTL)}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: y.store.Grant(e.TTL)}
 	case core.StoreRenewLease:
 		return core.Result{CallID: e.CallID, Outcome: y.store.Extend(e.Lease)}
 	case core.StoreRevokeLease:
@@ -125,18 +125,18 @@
 func (y *scaleCluster) askCloud(e core.Effect) core.Result {
 	if !y.cloudTakes() {
 		y.tooMany++
-		return core.Result{CallID: idOf(e), Outcome: call.Dropped}
+		return core.Result{CallID: idOf(e), Outcome: outcome.Dropped}
 	}
 	switch e := e.(type) {
 	case core.CloudCatalog:
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Catalog: catalog}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: catalog}
 	case core.CloudScaleOut:
 		return y.rent(e)
 	case core.CloudScaleIn:
 		for _, name := range e.Names {
 			y.release(y.byName[name])
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.OK}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	case core.CloudList:
 		y.counted.pages++
 		return y.list(e)
@@ -173,7 +173,7 @@
 }
 
 func (y *scaleCluster) list(e core.CloudList) core.Result {
-	r := core.Result{CallID: e.CallID, Outcome: call.OK}
+	r := core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	for _, w := range y.workers {
 		if w.dead || w.name <= e.After {
 			continue
@@ -195,26 +195,26 @@
 	case core.SendCommands:
 		y.counted.orders++
 		if w := y.direct(n, e.Addr); w != nil {
-			r := core.Result{CallID: e.CallID, Outcome: call.Conflict}
+			r := core.Result{CallID: e.CallID, Outcome: outcome.Conflict}
 			if w.machine.Ordered(y.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
-				r.Outcome = call.OK
+				r.Outcome = outcome.OK
 			}
 			r.Heartbeat = *w.machine.Report(y.now)
 			return r
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
+		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	case core.PrefetchImage:
 		y.prefetched++
 		if w := y.direct(n, e.Addr); w != nil {
 			ready := w.machine.Prefetch(y.now, e.Image, e.GB) - y.now
 			return core.Result{CallID: e.CallID, Outcome: y.prefetchOutcome, ReadyS: ready.Seconds()}
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
+		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	case core.QueryWorker:
 		if w := y.direct(n, e.Addr); w != nil {
-			return core.Result{CallID: e.CallID, Outcome: call.OK, Heartbeat: *w.machine.Report(y.now)}
+			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: *w.machine.Report(y.now)}
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.Unknown}
+		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	}
 	return core.Result{}
 }
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -52,7 +52,7 @@
 	frozen    string // a node whose process stands still
 	// prefetched counts the images that are asked for ahead of need, and prefetchOutcome is what becomes of that.
 	prefetched      int
-	prefetchOutcome call.Outcome
+	prefetchOutcome outcome.Outcome
 	// onStart, onRuns and onEnds are told of tasks' starts and ends.
 	onStart        func(task string)
 	onRuns         func(machine, task string)
@@ -98,7 +98,7 @@
 
 func newScaleCluster(t reporter, nodes, machines int) *scaleCluster {
 	y := &scaleCluster{t: t, now: time.Second, rnd: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
-		byAddr: map[string]*scaleWorker{}, byName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: call.OK, holders: map[string]*scaleWorker{}, most: machines, op: config.DefaultOperator(), memory: 98}
+		byAddr: map[string]*scaleWorker{}, byName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, holders: map[string]*scaleWorker{}, most: machines, op: config.DefaultOperator(), memory: 98}
 	for i := 0; i < nodes; i++ {
 		y.nodes = append(y.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
 	}
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
 )
@@ -29,7 +29,7 @@
 
 // rent brings machines up.
 func (y *scaleCluster) rent(e core.CloudScaleOut) core.Result {
-	r := core.Result{CallID: e.CallID, Outcome: call.OK}
+	r := core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	for i := 0; i < e.Request.Count && y.rented < y.most; i++ {
 		y.rented++
 		w := &scaleWorker{index: len(y.workers), name: fmt.Sprintf("m%04d", len(y.workers)+1), zone: e.Request.Zone,
@@ -42,7 +42,7 @@
 		r.MachineNames = append(r.MachineNames, w.name)
 	}
 	if len(r.MachineNames) == 0 {
-		r.Outcome = call.Refused
+		r.Outcome = outcome.Unavailable
 	}
 	return r
 }
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -74,21 +74,21 @@
 			life := n.life
 			s.after(4*simPatience, func() {
 				if n.life == life {
-					s.step(n, core.Result{CallID: id, Outcome: call.Unknown})
+					s.step(n, core.Result{CallID: id, Outcome: outcome.Unknown})
 				}
 			})
 			return
 		}
 		s.call(n, id, 4*simPatience, reach, false, func() (core.Result, bool) {
 			if s.now < s.cloudOut {
-				return core.Result{Outcome: call.Refused}, true
+				return core.Result{Outcome: outcome.Unavailable}, true
 			}
 			return do(), true
 		})
 	}
 	switch e := e.(type) {
 	case core.CloudCatalog:
-		there(e.CallID, func() core.Result { return core.Result{Outcome: call.OK, Catalog: simCatalog} })
+		there(e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Catalog: simCatalog} })
 	case core.CloudScaleOut:
 		there(e.CallID, func() core.Result {
 			q := e.Request
@@ -111,12 +111,12 @@
 					names = append(names, s.addMachine(q.Zone, q.Spot, boot).name)
 				}
 				if len(names) == 0 {
-					return core.Result{Outcome: call.Refused}
+					return core.Result{Outcome: outcome.Unavailable}
 				}
 				s.rented[q.RequestID] = names
 				s.say("%s rents %d in %s", n.name, len(names), q.Zone)
 			}
-			return core.Result{Outcome: call.OK, MachineNames: append([]string(nil), names...)}
+			return core.Result{Outcome: outcome.OK, MachineNames: append([]string(nil), names...)}
 		})
 	case core.CloudScaleIn:
 		there(e.CallID, func() core.Result {
@@ -126,13 +126,13 @@
 				}
 				s.remove(s.byName[name])
 			}
-			return core.Result{Outcome: call.OK}
+			return core.Result{Outcome: outcome.OK}
 		})
 	case core.CloudList:
 		there(e.CallID, func() core.Result {
 			seen := s.now - time.Duration(s.set.Cloud.ListLagS*(0.5+1.5*s.rnd.Float64())*float64(time.Second))
 			i := sort.Search(len(s.lists), func(i int) bool { return s.lists[i].at > seen })
-			r := core.Result{Outcome: call.OK}
+			r := core.Result{Outcome: outcome.OK}
 			if i > 0 {
 				r.Machines.Machines = append(r.Machines.Machines, s.lists[i-1].list...)
 			}
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -201,7 +201,7 @@
 		r.CallID, r.SentAt = id, sent
 		s.step(n, r)
 	}
-	s.after(patience, func() { give(core.Result{Outcome: call.Unknown}) })
+	s.after(patience, func() { give(core.Result{Outcome: outcome.Unknown}) })
 	s.deliver(reach, hold, func() {
 		r, ok := there()
 		if ok {
@@ -216,7 +216,7 @@
 	patience := simPatience
 	if s.now < n.refused || s.now < s.outage {
 		s.call(n, id, patience, func() bool { return s.stateReach(n) }, false,
-			func() (core.Result, bool) { return core.Result{Outcome: call.Refused}, true })
+			func() (core.Result, bool) { return core.Result{Outcome: outcome.Unavailable}, true })
 		return
 	}
 	slow := time.Duration(0)
@@ -225,7 +225,7 @@
 	}
 	do := func() (core.Result, bool) {
 		if s.now < n.refused || s.now < s.outage {
-			return core.Result{Outcome: call.Refused}, true
+			return core.Result{Outcome: outcome.Unavailable}, true
 		}
 		return there(), s.rnd.IntN(400) != 0
 	}
@@ -241,7 +241,7 @@
 			s.step(n, r)
 		}
 	}
-	s.after(patience, func() { give(core.Result{Outcome: call.Unknown}) })
+	s.after(patience, func() { give(core.Result{Outcome: outcome.Unknown}) })
 	s.after(slow, func() {
 		r, ok := do()
 		if ok && s.stateReach(n) {
@@ -277,10 +277,10 @@
 		})
 	case core.StoreList:
 		s.stateCall(n, e.CallID, func() core.Result {
-			return core.Result{Outcome: call.OK, Page: s.store.List(e.Prefix, e.After, 50)}
+			return core.Result{Outcome: outcome.OK, Page: s.store.List(e.Prefix, e.After, 50)}
 		})
 	case core.StoreGrantLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: call.OK, Lease: s.store.Grant(e.TTL)} })
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Lease: s.store.Grant(e.TTL)} })
 	case core.StoreRenewLease:
 		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.Extend(e.Lease)} })
 	case core.StoreRevokeLease:
@@ -296,12 +296,12 @@
 			for i, w := range s.watches {
 				if w.n == n && w.life == life && w.e.CallID == e.CallID {
 					s.watches = append(s.watches[:i:i], s.watches[i+1:]...)
-					s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown})
+					s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown})
 					return
 				}
 			}
 			if n.life == life {
-				s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown}) // ignored if it was answered
+				s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown}) // ignored if it was answered
 			}
 		})
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
@@ -310,22 +310,22 @@
 		s.note("%s: orders %s token %s%s", n.name, e.Addr, showToken(e.FencingToken), showCommands(e.Commands))
 		s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
 			if e.FencingToken < w.token || e.Incarnation != w.session {
-				return core.Result{Outcome: call.Conflict, Heartbeat: *s.report(w)}
+				return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.report(w)}
 			}
 			w.token = e.FencingToken
 			s.execute(w, e.Commands)
 			s.soon(w)
-			return core.Result{Outcome: call.OK, Heartbeat: *s.report(w)}
+			return core.Result{Outcome: outcome.OK, Heartbeat: *s.report(w)}
 		})
 	case core.QueryWorker:
 		s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
-			return core.Result{Outcome: call.OK, Heartbeat: *s.report(w)}
+			return core.Result{Outcome: outcome.OK, Heartbeat: *s.report(w)}
 		})
 	case core.QueryPeer:
 		m := s.node(e.Node)
 		s.call(n, e.CallID, simPatience, func() bool { return s.peerReach(n, m) && s.now >= max(m.frozen, m.busy) }, true, func() (core.Result, bool) {
 			if m.core == nil {
-				return core.Result{Outcome: call.Unknown}, true
+				return core.Result{Outcome: outcome.Unknown}, true
 			}
 			if len(e.Cancellations) > 0 {
 				m.req++
@@ -335,7 +335,7 @@
 			if m.old {
 				status.RecordLayouts = 0
 			}
-			return core.Result{Outcome: call.OK, Peer: status}, true
+			return core.Result{Outcome: outcome.OK, Peer: status}, true
 		})
 	}
 }
@@ -381,7 +381,7 @@
 		life := n.life
 		s.after(simPatience, func() {
 			if n.life == life {
-				s.step(n, core.Result{CallID: e.CallID, Outcome: call.Unknown, SentAt: n.steady(s.now - simPatience)})
+				s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown, SentAt: n.steady(s.now - simPatience)})
 			}
 		})
 		return
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -383,7 +383,7 @@
 	}
 
 	w = newSpreadWorld(t, ahead, threeZones)
-	w.prefetchOutcome = call.Missing
+	w.prefetchOutcome = outcome.NotFound
 	w.service("run-000001", 3, "img-a", 8)
 	w.pass(20 * time.Second)
 	if w.prefetched > 2 {
--- a/internal/core/state_troubles_test.go
+++ b/internal/core/state_troubles_test.go
@@ -1,9 +1,9 @@
 package core_test
 
 import (
-	"bitternwing/internal/call"
 	"bitternwing/internal/core"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/outcome"
 )
 
 // stateTroubles are what a state service may do to the nodes of a cluster.
@@ -23,7 +23,7 @@
 		return core.Result{}, false
 	}
 	if s.stateDown || s.refused == node {
-		return core.Result{CallID: id, Outcome: call.Refused}, true
+		return core.Result{CallID: id, Outcome: outcome.Unavailable}, true
 	}
 	txn, ok := e.(core.StoreTxn)
 	if !ok || len(txn.Txn.Then) == 0 {
@@ -39,7 +39,7 @@
 	default:
 		return core.Result{}, false
 	}
-	return core.Result{CallID: id, Outcome: call.Unknown}, true
+	return core.Result{CallID: id, Outcome: outcome.Unknown}, true
 }
 
 // settleLate carries out the transactions that were held up.
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -124,11 +124,11 @@
 			id := s.job.ID
 			s.attempts++
 			switch {
-			case r.Outcome == call.OK:
+			case r.Outcome == outcome.OK:
 				u.resolveSubmission(s, func(req uint64) {
 					u.respond(req, 201, wire.JobState{ID: id, State: wire.JobPending})
 				})
-			case r.Outcome == call.Conflict && (failed[activeJobPrefix+id] || failed[finalStatePrefix+id]):
+			case r.Outcome == outcome.Conflict && (failed[activeJobPrefix+id] || failed[finalStatePrefix+id]):
 				delete(u.submissionByID, id)
 				u.reads = append(u.reads, &lookup{id: id, then: func(f lookupResult) {
 					for _, req := range s.requestIDs {
@@ -139,7 +139,7 @@
 						}
 					}
 				}})
-			case r.Outcome == call.Conflict && s.attempts < 4:
+			case r.Outcome == outcome.Conflict && s.attempts < 4:
 				u.submissions = append(u.submissions, s)
 			default:
 				// Refused, or unknown: it may be there, or come yet. The repeat
--- a/internal/core/term_guard.go
+++ b/internal/core/term_guard.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/wire"
 )
@@ -85,13 +85,13 @@
 	id := l.stateCall(func(r Result) {
 		g.inFlight, g.target = false, baseTermFormat
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			l.termVersion = r.Txn.Revision
 			if l.termVersion > c.cache.termVersion {
 				c.cache.term, c.cache.termVersion, c.cache.termForm = termRecord{l.term, c.settings.Node}, l.termVersion, form
 			}
 			c.log(Info, "only versions that know "+form.String()+" may lead from now on", "term", l.term)
-		case call.Conflict, call.Unknown:
+		case outcome.Conflict, outcome.Unknown:
 			// It was applied, its outcome unknown, or the term has moved on. The next leader finds out.
 			c.election.stepDown("the form of the term may have changed")
 		}
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -231,11 +231,11 @@
 func (w *traceHarness) lost(n *node, r core.Result) (core.Result, bool) {
 	switch {
 	case w.refused(n):
-		r = core.Result{CallID: r.CallID, Outcome: call.Refused}
+		r = core.Result{CallID: r.CallID, Outcome: outcome.Unavailable}
 	case n.mode == "hold" || n.mode == "lose":
-		r = core.Result{CallID: r.CallID, Outcome: call.Unknown}
+		r = core.Result{CallID: r.CallID, Outcome: outcome.Unknown}
 	case n.mode == "limit":
-		r = core.Result{CallID: r.CallID, Outcome: call.Dropped}
+		r = core.Result{CallID: r.CallID, Outcome: outcome.Dropped}
 	}
 	return r, true
 }
@@ -257,16 +257,16 @@
 		r := core.Result{CallID: e.CallID}
 		switch {
 		case w.refused(n):
-			r.Outcome = call.Refused
+			r.Outcome = outcome.Unavailable
 		case n.mode == "limit":
-			r.Outcome = call.Dropped
+			r.Outcome = outcome.Dropped
 		case n.mode == "hold" || n.mode == "slow":
 			n.held = append(n.held, e)
-			r.Outcome = call.Unknown
+			r.Outcome = outcome.Unknown
 		default:
 			r.Txn, r.Outcome = w.store.Txn(e.Txn)
 			if n.mode == "lose" {
-				r = core.Result{CallID: e.CallID, Outcome: call.Unknown}
+				r = core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 			}
 		}
 		if k := keysOf(e.Txn); k != "" {
@@ -278,14 +278,14 @@
 		return w.lost(n, core.Result{CallID: e.CallID, Outcome: o, Item: it})
 	case core.StoreList:
 		if n.mode == "nolist" {
-			return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}, true
 		}
-		return w.lost(n, core.Result{CallID: e.CallID, Outcome: call.OK, Page: w.store.List(e.Prefix, e.After, 500)})
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: w.store.List(e.Prefix, e.After, 500)})
 	case core.StoreGrantLease:
 		if w.refused(n) || n.mode == "limit" {
 			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{CallID: e.CallID, Outcome: call.OK, Lease: w.store.Grant(e.TTL)})
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: w.store.Grant(e.TTL)})
 	case core.StoreRenewLease:
 		if w.refused(n) || n.mode == "hold" || n.mode == "limit" {
 			return w.lost(n, core.Result{CallID: e.CallID})
@@ -301,15 +301,15 @@
 		n.opened = w.now
 	case core.CloudCatalog:
 		if w.cloudDown {
-			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unavailable}, true
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Catalog: catalog}, true
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: catalog}, true
 	case core.CloudScaleOut:
 		q := e.Request
 		if w.cloudDown || w.cloudNone {
-			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unavailable}, true
 		}
-		r := core.Result{CallID: e.CallID, Outcome: call.OK}
+		r := core.Result{CallID: e.CallID, Outcome: outcome.OK}
 		for i := 0; i < q.Count; i++ {
 			w.rented++
 			name := fmt.Sprintf("m%d", w.rented)
@@ -320,18 +320,18 @@
 		return r, true
 	case core.CloudScaleIn:
 		if w.cloudDown {
-			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unavailable}, true
 		}
 		for _, m := range e.Names {
 			delete(w.machines, m)
 		}
 		w.say(n, "releases %v", e.Names)
-		return core.Result{CallID: e.CallID, Outcome: call.OK}, true
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK}, true
 	case core.CloudList:
 		if w.cloudDown {
-			return core.Result{CallID: e.CallID, Outcome: call.Refused}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unavailable}, true
 		}
-		r := core.Result{CallID: e.CallID, Outcome: call.OK}
+		r := core.Result{CallID: e.CallID, Outcome: outcome.OK}
 		for _, m := range w.machines {
 			if m.Name == w.hidden {
 				continue
@@ -341,25 +341,25 @@
 		sort.Slice(r.Machines.Machines, func(a, b int) bool { return r.Machines.Machines[a].Name < r.Machines.Machines[b].Name })
 		return r, true
 	case core.SendCommands:
-		r := core.Result{CallID: e.CallID, Outcome: call.OK, Heartbeat: wire.Heartbeat{Sequence: 0}}
+		r := core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: wire.Heartbeat{Sequence: 0}}
 		if w.orders != "" {
-			r.Outcome = map[string]call.Outcome{"lost": call.Unknown, "refused": call.Refused, "conflict": call.Conflict}[w.orders]
+			r.Outcome = map[string]outcome.Outcome{"lost": outcome.Unknown, "refused": outcome.Unavailable, "conflict": outcome.Conflict}[w.orders]
 		}
 		w.say(n, "orders %s token %s%s: %s", e.Addr, showToken(e.FencingToken), showCommands(e.Commands), r.Outcome)
 		return r, true
 	case core.QueryWorker:
-		r := core.Result{CallID: e.CallID, Outcome: call.Unknown}
+		r := core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 		if n.mode == "limit" {
-			r.Outcome = call.Dropped
+			r.Outcome = outcome.Dropped
 		} else if w.answers[e.Addr] != nil {
-			r.Outcome, r.Heartbeat = call.OK, *w.answers[e.Addr]
+			r.Outcome, r.Heartbeat = outcome.OK, *w.answers[e.Addr]
 		}
 		w.say(n, "inspects %s: %s", e.Addr, r.Outcome)
 		return r, true
 	case core.QueryPeer:
 		p := w.nodes[e.Node]
 		if p == nil || w.cut == "cut" || w.cut == e.Node || w.cut == n.name || w.cut == "zones" && w.zones[n.name] != w.zones[e.Node] {
-			return core.Result{CallID: e.CallID, Outcome: call.Unknown}, true
+			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}, true
 		}
 		if len(e.Cancellations) > 0 {
 			w.req++
@@ -372,7 +372,7 @@
 		if p.old {
 			status.RecordLayouts = 0
 		}
-		return core.Result{CallID: e.CallID, Outcome: call.OK, Peer: status}, true
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Peer: status}, true
 	}
 	return core.Result{}, false
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -155,7 +155,7 @@
 		return
 	case f[0] == "store":
 		value := json.RawMessage(strings.Join(f[2:], " "))
-		if _, o := w.store.Txn(wire.Txn{Then: []wire.Op{{Put: arg(1), Value: value}}}); o != call.OK {
+		if _, o := w.store.Txn(wire.Txn{Then: []wire.Op{{Put: arg(1), Value: value}}}); o != outcome.OK {
 			w.t.Fatalf("not stored: %v", f)
 		}
 		return
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -96,7 +96,7 @@
 	s.inFlight = true
 	id := l.stateCall(func(r Result) {
 		s.inFlight = false
-		if r.Outcome == call.OK {
+		if r.Outcome == outcome.OK {
 			s.written = after
 		}
 	})
--- a/internal/core/unread_leader_test.go
+++ b/internal/core/unread_leader_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -31,12 +31,12 @@
 			page := len(read)
 			if page%2 == 1 && !failed[list.After] {
 				failed[list.After] = true
-				list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: call.Unknown}))
+				list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: outcome.Unknown}))
 				continue
 			}
 			read[list.After]++
 			items := []wire.Item{{Key: fmt.Sprintf("%srun-%06d/0", runRecordPrefix, page), Version: 1}}
-			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: call.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
+			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: outcome.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
 		}
 	}
 	if !c.leader.allRecordsRead || len(c.leader.recordItems) != pages || len(read) != pages {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -144,7 +144,7 @@
 	}
 	request := c.registerStoreCall(func(r Result) {
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			c.applyJobIfNewer(id, value, r.Txn.Revision, fromWrite)
 			c.cancellations.awaitAcknowledgement(id, &cachedJob{v, r.Txn.Revision}, func(acknowledged bool) {
 				if acknowledged {
@@ -154,7 +154,7 @@
 					then(cancelIndeterminate)
 				}
 			})
-		case call.Conflict:
+		case outcome.Conflict:
 			then(cancelConflict)
 		default:
 			then(cancelIndeterminate)
--- a/internal/core/write_rate_test.go
+++ b/internal/core/write_rate_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 	}
 	y.pass(1300 * time.Millisecond)
 	for _, id := range cancelled {
-		if _, outcome := y.store.Get("f/" + id); outcome != call.OK {
+		if _, got := y.store.Get("f/" + id); got != outcome.OK {
 			t.Errorf("the end of %s is not written", id)
 		}
 	}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -228,7 +228,7 @@
 // after all, the versions no longer match and are read.
 func (w *writer) applyResult(b *writeBatch, r Result) {
 	failed := map[string]bool{}
-	if r.Outcome == call.Conflict {
+	if r.Outcome == outcome.Conflict {
 		for _, k := range r.Txn.Failed {
 			failed[k] = true
 		}
@@ -240,7 +240,7 @@
 	for _, ch := range b.chunks {
 		w.applyChunkResult(ch, r, failed)
 	}
-	if r.Outcome == call.OK {
+	if r.Outcome == outcome.OK {
 		for _, p := range b.placements {
 			if p.phase == phaseUncommitted {
 				p.phase = phaseCommitted
@@ -256,10 +256,10 @@
 			w.applyEndResult(j, b, r, failed)
 		}
 	}
-	if r.Outcome == call.OK {
+	if r.Outcome == outcome.OK {
 		return
 	}
-	if r.Outcome == call.Dropped {
+	if r.Outcome == outcome.Dropped {
 		w.rateTokens += float64(len(b.txn.Then))
 		w.notBefore = w.leader.core.now.Steady + w.leader.core.times.retryPause
 		w.leader.core.limits.throttle(w.leader.core.now.Steady, throttleLeases*w.leader.core.times.lease)
@@ -269,7 +269,7 @@
 			w.orphans = append(w.orphans, o)
 		}
 	}
-	if r.Outcome == call.Invalid {
+	if r.Outcome == outcome.Invalid {
 		w.leader.core.limits.observeInvalid(b.txn)
 		w.leader.core.log(Error, "a transaction was malformed", "ops", len(b.txn.Then))
 	}
@@ -280,7 +280,7 @@
 	ch.inFlight = false
 	key := w.leader.recordKey(ch)
 	switch {
-	case r.Outcome == call.OK:
+	case r.Outcome == outcome.OK:
 		ch.version = r.Txn.Revision
 	case failed[key]:
 		w.leader.markDirty(ch)
@@ -303,9 +303,9 @@
 	id := w.leader.stateCall(func(r Result) {
 		ch.rereadInFlight = false
 		switch r.Outcome {
-		case call.OK:
+		case outcome.OK:
 			ch.version = r.Item.Version
-		case call.Missing:
+		case outcome.NotFound:
 			ch.version = 0
 		}
 	})
--- a/internal/emulator/state_server.go
+++ b/internal/emulator/state_server.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -89,7 +89,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-var statusOf = map[call.Outcome]int{call.OK: 200, call.Conflict: 409, call.Missing: 404, call.Invalid: 400, call.TooOld: 410}
+var statusOf = map[outcome.Outcome]int{outcome.OK: 200, outcome.Conflict: 409, outcome.NotFound: 404, outcome.Invalid: 400, outcome.TooOld: 410}
 
 // catchUp brings the store to the present time; a lease that has ended is a change like any other. The caller
 // holds the lock.
@@ -190,8 +190,8 @@
 		limit, _ := strconv.Atoi(q.Get("limit"))
 		answer(w, http.StatusOK, s.store.List(q.Get("under"), q.Get("after"), limit))
 	case strings.HasPrefix(r.URL.Path, "/kv/"):
-		item, outcome := s.store.Get(strings.TrimPrefix(r.URL.Path, "/kv/"))
-		if outcome == call.Missing {
+		item, got := s.store.Get(strings.TrimPrefix(r.URL.Path, "/kv/"))
+		if got == outcome.NotFound {
 			answer(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
 			return
 		}
@@ -241,15 +241,15 @@
 		s.mu.Lock()
 		served := !s.down && !s.cut[client]
 		var c wire.WatchResponse
-		outcome := call.OK
+		got := outcome.OK
 		if served {
 			s.catchUp()
-			c, outcome = s.store.Changes(q.Get("under"), after)
+			c, got = s.store.Changes(q.Get("under"), after)
 		}
 		changed := s.changed
 		s.mu.Unlock()
-		if served && (outcome != call.OK || len(c.Events) > 0 || time.Now().After(end)) {
-			answer(w, statusOf[outcome], c)
+		if served && (got != outcome.OK || len(c.Events) > 0 || time.Now().After(end)) {
+			answer(w, statusOf[got], c)
 			return
 		}
 		if !s.wait(r, changed, leaseCheck) {
--- a/internal/emulator/state_server_test.go
+++ b/internal/emulator/state_server_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/kvstore"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -22,15 +22,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	lease, o := client.Grant(ctx, 200*time.Millisecond)
-	if o != call.OK {
+	if o != outcome.OK {
 		t.Fatal(o)
 	}
 	put, o := client.Txn(ctx, wire.Txn{Then: []wire.Op{{Put: "w/lead", Value: []byte(`1`), Lease: lease}}})
-	if o != call.OK {
+	if o != outcome.OK {
 		t.Fatal(o)
 	}
 	changes, o := client.Watch(ctx, "w/", put.Revision, 3*patience)
-	if o != call.OK || len(changes.Events) != 1 || changes.Events[0].Delete != "w/lead" {
+	if o != outcome.OK || len(changes.Events) != 1 || changes.Events[0].Delete != "w/lead" {
 		t.Errorf("%+v, %v", changes, o)
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/btree"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -90,12 +90,12 @@
 func (s *Store) Revision() uint64 { return s.revision }
 
 // Get reads a key.
-func (s *Store) Get(key string) (wire.Item, call.Outcome) {
+func (s *Store) Get(key string) (wire.Item, outcome.Outcome) {
 	item, ok := s.items.Get(wire.Item{Key: key})
 	if !ok {
-		return wire.Item{}, call.Missing
+		return wire.Item{}, outcome.NotFound
 	}
-	return item, call.OK
+	return item, outcome.OK
 }
 
 // below visits the items with a prefix and a key after another one, in order, until it is told to end.
@@ -141,13 +141,13 @@
 )
 
 // Txn runs a transaction.
-func (s *Store) Txn(t wire.Txn) (wire.TxnResponse, call.Outcome) {
+func (s *Store) Txn(t wire.Txn) (wire.TxnResponse, outcome.Outcome) {
 	if s.beyondLimits(t) {
-		return wire.TxnResponse{}, call.Invalid
+		return wire.TxnResponse{}, outcome.Invalid
 	}
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
-			return wire.TxnResponse{}, call.Invalid
+			return wire.TxnResponse{}, outcome.Invalid
 		}
 	}
 	var failed []string
@@ -157,7 +157,7 @@
 		}
 	}
 	if failed != nil {
-		return wire.TxnResponse{Failed: failed, Revision: s.revision}, call.Conflict
+		return wire.TxnResponse{Failed: failed, Revision: s.revision}, outcome.Conflict
 	}
 	if len(t.Then) > 0 {
 		s.revision++
@@ -171,7 +171,7 @@
 		s.items.ReplaceOrInsert(wire.Item{Key: op.Put, Value: value, Version: s.revision, Lease: op.Lease})
 		s.note(wire.Event{Put: op.Put, Value: value, Version: s.revision})
 	}
-	return wire.TxnResponse{Revision: s.revision}, call.OK
+	return wire.TxnResponse{Revision: s.revision}, outcome.OK
 }
 
 func (s *Store) remove(key string) {
@@ -198,19 +198,19 @@
 }
 
 // Extend renews a lease.
-func (s *Store) Extend(id uint64) call.Outcome {
+func (s *Store) Extend(id uint64) outcome.Outcome {
 	l := s.leases[id]
 	if l == nil {
-		return call.Missing
+		return outcome.NotFound
 	}
 	l.ends = s.now + l.ttl
-	return call.OK
+	return outcome.OK
 }
 
 // Revoke ends a lease and its keys.
-func (s *Store) Revoke(id uint64) call.Outcome {
+func (s *Store) Revoke(id uint64) outcome.Outcome {
 	if s.leases[id] == nil {
-		return call.Missing
+		return outcome.NotFound
 	}
 	delete(s.leases, id)
 	var keys []string
@@ -226,14 +226,14 @@
 	for _, k := range keys {
 		s.remove(k)
 	}
-	return call.OK
+	return outcome.OK
 }
 
 // Changes gives what changed below a prefix after a revision.
-func (s *Store) Changes(prefix string, after uint64) (wire.WatchResponse, call.Outcome) {
+func (s *Store) Changes(prefix string, after uint64) (wire.WatchResponse, outcome.Outcome) {
 	kept := s.keptLog()
 	if len(kept) == keptChanges && kept[0].revision > after+1 {
-		return wire.WatchResponse{}, call.TooOld
+		return wire.WatchResponse{}, outcome.TooOld
 	}
 	c := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 	from := sort.Search(len(kept), func(i int) bool { return kept[i].revision > after })
@@ -242,5 +242,5 @@
 			c.Events = append(c.Events, ch.event)
 		}
 	}
-	return c, call.OK
+	return c, outcome.OK
 }
--- a/internal/scalerun/controllers.go
+++ b/internal/fleetsim/controllers.go
@@ -1,4 +1,4 @@
-package scalerun
+package fleetsim
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/fleetsim/measure"
 )
 
 // controller is a controller process, with all that it needs to be started again.
--- a/internal/scalerun/scalerun_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -1,4 +1,4 @@
-package scalerun
+package fleetsim
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/scalerun/measure"
+	"bitternwing/internal/fleetsim/measure"
 )
 
 const smokeFile = "../../deploy/scale/smoke.json"
--- a/internal/scalerun/load/transport.go
+++ b/internal/fleetsim/load/transport.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"strings"
 
+	"bitternwing/internal/fleetsim/measure"
 	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/measure"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/scalerun/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
+	"bitternwing/internal/apiclient"
 	"bitternwing/internal/config"
+	"bitternwing/internal/fleetsim/measure"
 	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/apiclient"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/scalerun/page.go
+++ b/internal/fleetsim/page.go
@@ -1,4 +1,4 @@
-package scalerun
+package fleetsim
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"bitternwing/internal/scalerun/rolling"
+	"bitternwing/internal/fleetsim/rolling"
 )
 
 //go:embed page.html
--- a/internal/scalerun/print.go
+++ b/internal/fleetsim/print.go
@@ -1,12 +1,12 @@
-package scalerun
+package fleetsim
 
 import (
 	"fmt"
 	"io"
 	"text/tabwriter"
 
-	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/scalerun/rolling"
+	"bitternwing/internal/fleetsim/measure"
+	"bitternwing/internal/fleetsim/rolling"
 )
 
 // printRollout writes what a rollout came to.
--- a/internal/scalerun/recorder.go
+++ b/internal/fleetsim/recorder.go
@@ -1,13 +1,13 @@
-package scalerun
+package fleetsim
 
 import (
 	"sync"
 	"time"
 
+	"bitternwing/internal/fleetsim/load"
+	"bitternwing/internal/fleetsim/measure"
+	"bitternwing/internal/fleetsim/rules"
 	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/load"
-	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/scalerun/rules"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/scalerun/relay.go
+++ b/internal/fleetsim/relay.go
@@ -1,11 +1,11 @@
-package scalerun
+package fleetsim
 
 import (
 	"io"
 	"net"
 	"sync"
 
-	"bitternwing/internal/scalerun/measure"
+	"bitternwing/internal/fleetsim/measure"
 )
 
 // relay passes the connections of one controller to another one on, so that what they exchange can be
--- a/internal/scalerun/result.go
+++ b/internal/fleetsim/result.go
@@ -1,13 +1,13 @@
-package scalerun
+package fleetsim
 
 import (
 	"encoding/json"
 	"os"
 
+	"bitternwing/internal/fleetsim/measure"
+	"bitternwing/internal/fleetsim/rolling"
+	"bitternwing/internal/fleetsim/rules"
 	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/scalerun/rolling"
-	"bitternwing/internal/scalerun/rules"
 )
 
 // Second is what was counted in a second of a run.
@@ -24,12 +24,12 @@
 
 // ProcessResult is what a process used, and its messages by kind.
 type ProcessResult struct {
-	Name    string                        `json:"name"`
-	Zone    string                        `json:"zone,omitempty"`
-	Led     bool                          `json:"led"`
-	Usage   measure.Usage                 `json:"usage"`
+	Name    string                           `json:"name"`
+	Zone    string                           `json:"zone,omitempty"`
+	Led     bool                             `json:"led"`
+	Usage   measure.Usage                    `json:"usage"`
 	Traffic map[simworker.Kind]measure.Count `json:"traffic,omitempty"`
-	Samples []measure.Sample              `json:"samples"`
+	Samples []measure.Sample                 `json:"samples"`
 }
 
 // WorkerResult is the traffic of the workers, in bytes a second over windows of five seconds, both ways.
@@ -69,15 +69,15 @@
 	PeakStartsPerS float64 `json:"peak_starts_per_s"` // over ten seconds
 	PeakOnMachine  int64   `json:"peak_on_machine"`
 
-	Jobs        JobCounts                     `json:"jobs"`
-	SubmitTimes measure.Summary               `json:"submit_ms"`
-	StartTimes  map[string]measure.Summary    `json:"start_ms"`  // by class, from submission
-	UrgentTimes measure.Summary               `json:"urgent_ms"` // from submission until all of a job runs
-	Failovers   []Failover                    `json:"failovers"`
-	Workers     WorkerResult                  `json:"workers"`
-	Processes   []ProcessResult               `json:"processes"`
+	Jobs        JobCounts                        `json:"jobs"`
+	SubmitTimes measure.Summary                  `json:"submit_ms"`
+	StartTimes  map[string]measure.Summary       `json:"start_ms"`  // by class, from submission
+	UrgentTimes measure.Summary                  `json:"urgent_ms"` // from submission until all of a job runs
+	Failovers   []Failover                       `json:"failovers"`
+	Workers     WorkerResult                     `json:"workers"`
+	Processes   []ProcessResult                  `json:"processes"`
 	Direct      map[simworker.Kind]measure.Count `json:"direct"` // messages of controllers to workers
-	Seconds     []Second                      `json:"seconds"`
+	Seconds     []Second                         `json:"seconds"`
 }
 
 // endedInTime is the reason of an end that nothing else has caused.
--- a/internal/scalerun/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 	"fmt"
 
+	"bitternwing/internal/fleetsim/load"
 	"bitternwing/internal/rollout"
-	"bitternwing/internal/scalerun/load"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/scalerun/rolling/result.go
+++ b/internal/fleetsim/rolling/result.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/simrouter"
 )
 
--- a/internal/scalerun/rolling/run.go
+++ b/internal/fleetsim/rolling/run.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"bitternwing/internal/config"
-	"bitternwing/internal/simworker"
 	"bitternwing/internal/adminapi"
 	"bitternwing/internal/adminapi/operatorpb"
+	"bitternwing/internal/config"
+	"bitternwing/internal/fleetsim/load"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/simrouter"
-	"bitternwing/internal/scalerun/load"
+	"bitternwing/internal/simworker"
 )
 
 // World is what models are played in.
--- a/internal/scalerun/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -1,14 +1,14 @@
-package scalerun
+package fleetsim
 
 import (
 	"context"
 	"encoding/json"
 	"sync"
 
-	"bitternwing/internal/simworker"
+	"bitternwing/internal/fleetsim/load"
+	"bitternwing/internal/fleetsim/rolling"
 	"bitternwing/internal/simmodelserver"
-	"bitternwing/internal/scalerun/load"
-	"bitternwing/internal/scalerun/rolling"
+	"bitternwing/internal/simworker"
 )
 
 // rollouts are the models of a run whose new version is rolled out, with their model servers; nil: there are none.
--- a/internal/scalerun/run.go
+++ b/internal/fleetsim/run.go
@@ -1,11 +1,11 @@
-// Package scalerun plays a large fleet on one machine: real controller processes, and stand-ins of the
+// Package fleetsim plays a large fleet on one machine: real controller processes, and stand-ins of the
 // state service, the cloud, the users and the workers, of which thousands share this process. It checks
 // the protocol's rules as the workers and users see them, and measures what each process uses.
 //
 // All traffic stays on the loopback interface. What the hollow workers leave out is said in package hollow.
 // The state service and the cloud answer at once and keep their limits; a zone that is cut off loses them
 // both, as if they were outside it.
-package scalerun
+package fleetsim
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/load"
-	"bitternwing/internal/scalerun/measure"
-	"bitternwing/internal/scalerun/rules"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/fleetsim/load"
+	"bitternwing/internal/fleetsim/measure"
+	"bitternwing/internal/fleetsim/rules"
+	"bitternwing/internal/simworker"
 )
 
 // Options say where and with what a scenario is played.
@@ -130,7 +130,7 @@
 	r.traffic = measure.NewTraffic()
 	r.ledger = rules.NewLedger(params.Teams, config.Seconds(s.Workers.CancelS), r.now)
 	r.recorder = newRecorder(r.ledger, r.now, newSpreading(r.now, func(machine string) string { return r.fleet.ZoneOf(machine) }))
-	r.self = measure.NewProcess("scalerun", os.Getpid(), 0)
+	r.self = measure.NewProcess("fleetsim", os.Getpid(), 0)
 	r.controllers = &controllers{binary: r.options.Binary, dir: r.options.Dir, now: r.now, died: make(chan string, 16*s.Controllers.Count)}
 	if err := r.controllers.plan(s, r.options.BasePort, r.traffic); err != nil {
 		return err
--- a/internal/scalerun/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -1,4 +1,4 @@
-package scalerun
+package fleetsim
 
 import (
 	_ "embed"
@@ -7,8 +7,8 @@
 	"os"
 	"slices"
 
-	"bitternwing/internal/scalerun/load"
-	"bitternwing/internal/scalerun/rolling"
+	"bitternwing/internal/fleetsim/load"
+	"bitternwing/internal/fleetsim/rolling"
 	"bitternwing/internal/schema"
 )
 
--- a/internal/scalerun/settings.go
+++ b/internal/fleetsim/settings.go
@@ -1,4 +1,4 @@
-package scalerun
+package fleetsim
 
 import (
 	"fmt"
--- a/internal/scalerun/worker_traffic.go
+++ b/internal/fleetsim/worker_traffic.go
@@ -1,8 +1,8 @@
-package scalerun
+package fleetsim
 
 import (
+	"bitternwing/internal/fleetsim/measure"
 	"bitternwing/internal/simworker"
-	"bitternwing/internal/scalerun/measure"
 )
 
 // workerWindowS is over how many seconds a worker's traffic is taken.
--- a/internal/call/call.go
+++ b/internal/httpclient/client.go
@@ -1,7 +1,6 @@
-// Package call makes JSON requests over HTTP whose outcome is never guessed: a
-// request either was answered, or was refused (it was certainly not carried out),
-// or its outcome is unknown (it may have been carried out, or may be later).
-package call
+// Package httpclient makes JSON requests over HTTP and reports their outcome without guessing: a request whose response
+// is lost has an unknown outcome, never a failed one.
+package httpclient
 
 import (
 	"bytes"
@@ -14,33 +13,10 @@
 	"time"
 
 	"golang.org/x/time/rate"
-)
-
-// Outcome says what is known about a request.
-type Outcome int
 
-// The outcomes.
-const (
-	Unknown  Outcome = iota // may have been carried out, now or later
-	Refused                 // certainly not carried out: the service does not serve this node
-	OK                      // carried out
-	Conflict                // a condition failed, nothing was carried out
-	Missing                 // what was asked for does not exist
-	Invalid                 // malformed, or a lease it names has ended
-	TooOld                  // a watch asked for changes no longer kept
-	TooLarge                // carried out, but the answer is larger than is read here
-	// Dropped is certainly not carried out, which tells nothing of the service: above its rate limit or
-	// this node's own, or its time was over before it was sent.
-	Dropped
+	"bitternwing/internal/outcome"
 )
 
-var names = [...]string{"unknown", "refused", "ok", "conflict", "missing", "invalid", "too_old", "too_large", "dropped"}
-
-func (o Outcome) String() string { return names[o] }
-
-// NotDone tells whether a request was certainly not carried out and may be made again.
-func (o Outcome) NotDone() bool { return o == Refused || o == Dropped }
-
 // Client talks to one service.
 type Client struct {
 	http    *http.Client
@@ -78,21 +54,21 @@
 
 // Do sends a request and reads the answer into out where the status is 200 (or
 // 409 and 404, whose bodies matter as well). body and out may be nil.
-func (c *Client) Do(ctx context.Context, method, path string, body, out any) Outcome {
+func (c *Client) Do(ctx context.Context, method, path string, body, out any) outcome.Outcome {
 	if !c.limiter.Allow() {
-		return Dropped
+		return outcome.Dropped
 	}
 	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return Invalid
+			return outcome.Invalid
 		}
 		reader = bytes.NewReader(data)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
 	if err != nil {
-		return Invalid
+		return outcome.Invalid
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -102,47 +78,47 @@
 		// Only a connection that never stood proves that nothing was sent.
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return Refused
+			return outcome.Unavailable
 		}
-		return Unknown
+		return outcome.Unknown
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
 	o := outcomeOf(resp.StatusCode)
 	if err != nil || int64(len(data)) > c.maxBody {
 		switch {
-		case o.NotDone():
+		case o.CertainlyNotApplied():
 			return o
-		case err == nil && o == OK:
-			return TooLarge
+		case err == nil && o == outcome.OK:
+			return outcome.TooLarge
 		}
-		return Unknown
+		return outcome.Unknown
 	}
-	if out != nil && len(data) > 0 && (o == OK || o == Conflict || o == Missing) {
+	if out != nil && len(data) > 0 && (o == outcome.OK || o == outcome.Conflict || o == outcome.NotFound) {
 		if json.Unmarshal(data, out) != nil {
 			// An answer that can't be read tells nothing.
-			return Unknown
+			return outcome.Unknown
 		}
 	}
 	return o
 }
 
-func outcomeOf(status int) Outcome {
+func outcomeOf(status int) outcome.Outcome {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
-		return OK
+		return outcome.OK
 	case http.StatusConflict:
-		return Conflict
+		return outcome.Conflict
 	case http.StatusNotFound:
-		return Missing
+		return outcome.NotFound
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return Invalid
+		return outcome.Invalid
 	case http.StatusGone:
-		return TooOld
+		return outcome.TooOld
 	case http.StatusTooManyRequests:
-		return Dropped
+		return outcome.Dropped
 	case http.StatusServiceUnavailable:
-		return Refused
+		return outcome.Unavailable
 	}
-	return Unknown
+	return outcome.Unknown
 }
--- a/internal/call/call_test.go
+++ b/internal/httpclient/client_test.go
@@ -1,4 +1,4 @@
-package call
+package httpclient
 
 import (
 	"context"
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"bitternwing/internal/outcome"
 )
 
 // An unknown outcome is never taken for a refusal or a success.
@@ -30,7 +32,7 @@
 	defer s.Close()
 	defer close(end)
 	c := New(s.Listener.Addr().String(), 1000, 2, 100)
-	do := func(c *Client) Outcome {
+	do := func(c *Client) outcome.Outcome {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		var out struct{ X int }
@@ -39,20 +41,20 @@
 	for _, x := range []struct {
 		status int
 		body   string
-		want   Outcome
+		want   outcome.Outcome
 	}{
-		{200, `{"X":1}`, OK},
-		{200, `{"X":`, Unknown},
-		{200, `{"X":"` + string(make([]byte, 200)) + `"}`, TooLarge},
-		{409, `{}`, Conflict},
-		{404, `{}`, Missing},
-		{400, `{}`, Invalid},
-		{410, `{}`, TooOld},
-		{429, `{}`, Dropped},
-		{503, `not JSON`, Refused},
-		{500, `{}`, Unknown},
-		{302, `{}`, Unknown},
-		{0, ``, Unknown},
+		{200, `{"X":1}`, outcome.OK},
+		{200, `{"X":`, outcome.Unknown},
+		{200, `{"X":"` + string(make([]byte, 200)) + `"}`, outcome.TooLarge},
+		{409, `{}`, outcome.Conflict},
+		{404, `{}`, outcome.NotFound},
+		{400, `{}`, outcome.Invalid},
+		{410, `{}`, outcome.TooOld},
+		{429, `{}`, outcome.Dropped},
+		{503, `not JSON`, outcome.Unavailable},
+		{500, `{}`, outcome.Unknown},
+		{302, `{}`, outcome.Unknown},
+		{0, ``, outcome.Unknown},
 	} {
 		next.Store(reply{x.status, x.body})
 		if got := do(c); got != x.want {
@@ -64,12 +66,12 @@
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	if got := do(New(l.Addr().String(), 1000, 2, 100)); got != Refused {
+	if got := do(New(l.Addr().String(), 1000, 2, 100)); got != outcome.Unavailable {
 		t.Errorf("a connection that never stood: %v", got)
 	}
 	slow := New(s.Listener.Addr().String(), 1, 2, 100)
 	next.Store(reply{200, `{}`})
-	if a, b := do(slow), do(slow); a != OK || b != Dropped {
+	if a, b := do(slow), do(slow); a != outcome.OK || b != outcome.Dropped {
 		t.Errorf("over the rate: %v, %v", a, b)
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -5,10 +5,10 @@
 	"log/slog"
 	"net/http"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/adminapi"
 	"bitternwing/internal/core"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/adminapi"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -36,7 +36,7 @@
 		n.askWorker(ctx, e)
 	case core.ProbeReplica:
 		n.do(ctx, callName{metrics.Replica, "probe"}, e.CallID, e.Timeout, func(ctx context.Context, r *core.Result) {
-			r.Probe, r.Outcome = n.probes.Ask(ctx, e.Probe, e.Checks), call.OK
+			r.Probe, r.Outcome = n.probes.Ask(ctx, e.Probe, e.Checks), outcome.OK
 		})
 	case core.QueryPeer:
 		n.askPeer(ctx, e)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,16 +15,17 @@
 
 	"google.golang.org/grpc"
 
-	"bitternwing/internal/call"
+	"bitternwing/internal/adminapi"
 	"bitternwing/internal/cloud"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
+	"bitternwing/internal/httpclient"
+	"bitternwing/internal/kvstore"
 	"bitternwing/internal/metrics"
-	"bitternwing/internal/adminapi"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/peer"
 	"bitternwing/internal/probe"
 	"bitternwing/internal/server"
-	"bitternwing/internal/kvstore"
 )
 
 // Node is a running controller node.
@@ -46,7 +47,7 @@
 
 	state   *kvstore.Client
 	cloud   *cloud.Client
-	workers *call.Client
+	workers *httpclient.Client
 	peers   map[string]*peer.Client
 	regions map[string][]*peer.Client // the controllers of other regions
 	probes  *probe.Prober
@@ -85,7 +86,7 @@
 		cloud: cloud.New(set.Services.Cloud, p.Cloud.RPS, 4),
 		// One connection a worker; the core bounds how many are in use at once.
 		// As many calls a second as it may hold sockets, which follows the number of workers.
-		workers: call.Any(float64(p.Limits.MaxConnections), 1, max(4, p.Limits.MaxConnections/12), 1<<20),
+		workers: httpclient.Any(float64(p.Limits.MaxConnections), 1, max(4, p.Limits.MaxConnections/12), 1<<20),
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
 		probes:  probe.New(max(4, p.Limits.MaxConnections/40)),
@@ -288,9 +289,9 @@
 	go func() {
 		callCtx, cancel := context.WithDeadline(ctx, until)
 		defer cancel()
-		r := core.Result{CallID: id, SentAt: sent, Outcome: call.Dropped}
+		r := core.Result{CallID: id, SentAt: sent, Outcome: outcome.Dropped}
 		if time.Now().Before(until) {
-			r.Outcome = call.Unknown
+			r.Outcome = outcome.Unknown
 			f(callCtx, &r)
 		}
 		n.metrics.Call(name.service, name.operation, r.Outcome.String())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"bitternwing/internal/config"
-	"bitternwing/internal/simworker"
-	"bitternwing/internal/simmodelserver"
-	"bitternwing/internal/node"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/node"
+	"bitternwing/internal/simmodelserver"
+	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"testing"
 
-	"bitternwing/internal/config"
 	"bitternwing/internal/apiclient"
+	"bitternwing/internal/config"
 	"bitternwing/internal/wire"
 )
 
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/adminapi"
 	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/simrouter"
 	"bitternwing/internal/wire"
 )
--- a/internal/node/standstill_test.go
+++ b/internal/node/standstill_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/metrics"
+	"bitternwing/internal/outcome"
 )
 
 // TestStandstill: a process that stood still while its clocks ran on serves nobody who has gone,
@@ -29,7 +29,7 @@
 
 	// A call whose time was over before it went out.
 	n.do(ctx, callName{metrics.StateService, "get"}, 7, -time.Second, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
-	if r := <-n.results; r.CallID != 7 || r.Outcome != call.Dropped {
+	if r := <-n.results; r.CallID != 7 || r.Outcome != outcome.Dropped {
 		t.Errorf("the core is told %v", r)
 	}
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"bitternwing/internal/call"
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/peer/peerpb"
 )
 
@@ -106,14 +106,14 @@
 func (c *Client) Close() error { return c.conn.Close() }
 
 // Status asks the node for its status and hands it cancellations.
-func (c *Client) Status(ctx context.Context, items []core.Cancellation) (core.PeerStatus, call.Outcome) {
+func (c *Client) Status(ctx context.Context, items []core.Cancellation) (core.PeerStatus, outcome.Outcome) {
 	q := &peerpb.StatusRequest{Node: c.self}
 	for _, it := range items {
 		q.Cancellations = append(q.Cancellations, &peerpb.Cancellation{Job: it.Job, Value: it.Value, Version: it.Version})
 	}
 	r, err := c.rpc.Status(ctx, q)
 	if err != nil {
-		return core.PeerStatus{}, call.Unknown
+		return core.PeerStatus{}, outcome.Unknown
 	}
 	st := core.PeerStatus{StoreDown: r.GetStateDown(), Term: r.GetTerm(), Leading: r.GetLeads(), HeartbeatAge: -1, UnreachableZones: r.GetZonesApart(),
 		Revision: r.GetRevision(), UnresolvedCancellations: r.GetUnsettled(), MoreUnresolved: r.GetUnsettledMore(), RecordLayouts: r.GetLayouts(),
@@ -121,5 +121,5 @@
 	if r.GetReportAgeMs() >= 0 {
 		st.HeartbeatAge = time.Duration(r.GetReportAgeMs()) * time.Millisecond
 	}
-	return st, call.OK
+	return st, outcome.OK
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/probe"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/simmodelserver"
 )
 
 // everywhere serves some tasks at any address.
