--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -19,7 +19,7 @@
 	Spot       bool
 }
 
-// Preemptible is what could be stopped on a machine, of one rank.
+// PreemptibleWork is what could be stopped on a machine, of one rank.
 type PreemptibleWork struct {
 	Total   resource.Amount
 	Largest resource.Amount // of a single task, each resource by itself
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -274,7 +274,7 @@
 			leaders = append(leaders, fmt.Sprintf("%s:%d", p.name, p.status.Term))
 		}
 	}
-	c.log(Debug, "cancellation confirmed", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
+	c.log(Debug, "cancellation acknowledged", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
 }
 
 // newNameSet gives the set of some names; nil for none.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -237,9 +237,9 @@
 	if down != c.storeDown {
 		c.storeDown = down
 		if down {
-			c.log(Info, "state service does not serve this node", "outcome", o.String())
+			c.log(Info, "key-value store unavailable", "outcome", o.String())
 		} else {
-			c.log(Info, "state service serves this node")
+			c.log(Info, "key-value store available")
 		}
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -77,7 +77,7 @@
 	if c.quotasDividedElsewhere() {
 		if !e.barredLogged {
 			e.barredLogged = true
-			c.log(Error, "this node must not lead: the teams' limits are divided among regions, and its settings name none")
+			c.log(Error, "candidacy blocked: quotas are divided among regions and the settings name none")
 		}
 		return
 	}
@@ -277,9 +277,9 @@
 	e.deadline = grant.SentAt + e.safeLeaseDuration()
 	e.nextRenewal = c.now.Steady
 	e.renewalInFlight = false
-	c.log(Info, "leading", "term", term)
-	c.log(Debug, "term begins", "term", term, "token", firstFencingToken(term), "entitled_ms", (e.deadline - c.now.Steady).Milliseconds(),
-		"won_at_revision", version, "read_up_to", c.cache.revision)
+	c.log(Info, "elected leader", "term", term)
+	c.log(Debug, "term started", "term", term, "fencing_token", firstFencingToken(term), "entitled_ms", (e.deadline - c.now.Steady).Milliseconds(),
+		"term_revision", version, "revision", c.cache.revision)
 	c.leader = newLeader(c, term, version)
 	if version > c.cache.termVersion {
 		c.cache.term, c.cache.termVersion = termRecord{term, c.settings.Node}, version
@@ -292,16 +292,16 @@
 func (e *election) maintainLease() {
 	c := e.core
 	if c.cache.term.Term > c.leader.term {
-		e.stepDown("a newer term is known")
+		e.stepDown("newer term observed")
 		return
 	}
 	why := ""
 	switch {
 	case !e.leaseValid():
 	case c.workersReachOnlyPeers(c.leader.startedAt) && len(c.leader.machines) > 0:
-		why = "workers report to other nodes only"
+		why = "workers reach other nodes only"
 	case e.betterCandidateExists():
-		why = "another node is better placed"
+		why = "better candidate available"
 	}
 	if why != "" {
 		lease := e.lease
@@ -327,12 +327,12 @@
 		switch r.Outcome {
 		case outcome.OK:
 			if !e.leaseValidAt(c.now.Steady) {
-				c.log(Debug, "entitled again", "term", c.leader.term, "after_ms", (c.now.Steady - e.deadline).Milliseconds())
+				c.log(Debug, "leader lease renewed after expiry", "term", c.leader.term, "after_ms", (c.now.Steady - e.deadline).Milliseconds())
 			}
 			e.deadline = max(e.deadline, r.SentAt+e.safeLeaseDuration())
 			e.nextRenewal = r.SentAt + e.ttl/4
 		case outcome.NotFound:
-			e.stepDown("the lease ended")
+			e.stepDown("leader lease expired")
 		default:
 			e.nextRenewal = c.now.Steady + e.ttl/12
 		}
@@ -357,7 +357,7 @@
 	if c.leader == nil {
 		return
 	}
-	c.log(Info, "no longer leading", "term", c.leader.term, "why", why)
+	c.log(Info, "stepped down as leader", "term", c.leader.term, "reason", why)
 	c.leader.redirectHeldResponses()
 	c.leader.rollouts.refuseWaiting()
 	c.leader.quotas.refuseWaiting()
--- a/internal/core/faults.go
+++ b/internal/core/failure_accounting.go
@@ -47,7 +47,7 @@
 	}
 	if !m.quarantined && (len(m.failures) >= 2 || repeated) {
 		m.quarantined = true
-		l.core.log(Info, "machine is faulty", "machine", m.name, "jobs", len(m.failures))
+		l.core.log(Info, "worker quarantined", "worker", m.name, "jobs", len(m.failures))
 	}
 }
 
--- a/internal/core/meetings_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Days on which troubles meet. A kept one in testdata/meetings is a script, and below it what
+// Days on which troubles meet. A kept one in testdata/fault_combinations is a script, and below it what
 // came of it: who led, what started and ended where, what users were told. It fails when a rule
 // of the protocol breaks, whatever is kept. TestSearch makes up such scripts by seed; what it
 // finds becomes a kept one: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`, and
@@ -44,10 +44,10 @@
 	showIn    = flag.String("show", "", "where TestSearch writes what failed")
 )
 
-func TestMeetings(t *testing.T) {
-	files, err := filepath.Glob("testdata/meetings/*.trace")
+func TestFaultCombinations(t *testing.T) {
+	files, err := filepath.Glob("testdata/fault_combinations/*.trace")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no meetings", err)
+		t.Fatal("no fault combinations", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
--- a/internal/core/commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -59,8 +59,8 @@
 	if !l.core.election.leaseValidAt(l.core.now.Steady) {
 		right = "all nodes refused"
 	}
-	l.core.log(Debug, "command", "op", op, "task", p.name(), "attempt", p.attempt, "machine", p.machine.name, "token", max(p.machine.fencingToken, firstFencingToken(l.term)),
-		"term", l.term, "way", way, "right", right, "why", p.stopReason, "state_served", !l.core.storeDown)
+	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", max(p.machine.fencingToken, firstFencingToken(l.term)),
+		"term", l.term, "path", way, "authority", right, "reason", p.stopReason, "store_available", !l.core.storeDown)
 }
 
 // startable tells whether a task is committed and is to start.
--- a/internal/core/reports.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -66,7 +66,7 @@
 	}
 	now := l.core.now.Steady
 	if !m.reported {
-		l.core.log(Debug, "machine up", "machine", m.name, "after", (now - m.requestedAt).String())
+		l.core.log(Debug, "worker registered", "worker", m.name, "after", (now - m.requestedAt).String())
 		l.requestCycle()
 	}
 	switch {
@@ -74,7 +74,7 @@
 		// Nobody here knows it: its report may be a late copy, of a machine long gone.
 		l.requireFencingToken(m, firstFencingToken(l.term))
 	case m.reported && r.Incarnation > m.incarnation:
-		l.core.log(Info, "machine in a new session", "machine", m.name, "tasks", len(m.placements))
+		l.core.log(Info, "worker restarted with new incarnation", "worker", m.name, "tasks", len(m.placements))
 		if now-m.lastHeartbeat < l.core.times.lease/2 {
 			// Its lease ran out although its reports came and were answered.
 			l.requireFencingToken(m, l.fencingToken(m)+1)
@@ -90,7 +90,7 @@
 	l.provisioner.cancelRelease(m)
 	if r.ReclaimNoticeS != nil && !m.reclaiming {
 		m.reclaiming = true
-		l.core.log(Info, "machine will be taken", "machine", m.name, "in_s", *r.ReclaimNoticeS)
+		l.core.log(Info, "worker reclaim notice", "worker", m.name, "in_s", *r.ReclaimNoticeS)
 		l.requestCycle()
 	}
 	l.reconcileTasks(m, r, false)
@@ -127,7 +127,7 @@
 		switch {
 		case p.incarnation < r.Incarnation:
 			// The worker killed and forgot all of its earlier session.
-			l.core.log(Debug, "task lost with its session", "task", p.name(), "attempt", p.attempt)
+			l.core.log(Debug, "task lost with worker incarnation", "task", p.name(), "attempt", p.attempt)
 			l.endPlacement(p)
 		default:
 			l.reconcileMissingTask(p, r, asked)
@@ -169,8 +169,8 @@
 	p.runningSince = now.Steady
 	p.machine.markImageReady(p.job.spec.Image)
 	accepted := now.Steady - time.Duration(now.WallMS-p.job.queuedMS)*time.Millisecond
-	l.core.log(Debug, "task runs", "task", p.name(), "class", p.job.spec.Class, "machine", p.machine.name, "warmth", p.imageState,
-		"placed_ms", (p.placedAt - accepted).Milliseconds(), "ran_ms", (now.Steady - p.placedAt).Milliseconds())
+	l.core.log(Debug, "task running", "task", p.name(), "class", p.job.spec.Class, "worker", p.machine.name, "image_state", p.imageState,
+		"placed_ms", (p.placedAt - accepted).Milliseconds(), "start_ms", (now.Steady - p.placedAt).Milliseconds())
 }
 
 // reconcileMissingTask draws from a report of this term's token, and of the placement's session, that it
@@ -190,7 +190,7 @@
 	default:
 		return
 	}
-	l.core.log(Debug, "task absent", "task", p.name(), "attempt", p.attempt)
+	l.core.log(Debug, "task missing from heartbeat", "task", p.name(), "attempt", p.attempt)
 	l.endPlacement(p)
 }
 
@@ -223,7 +223,7 @@
 // observeTaskExit ends a placement whose task has exited.
 func (l *leader) observeTaskExit(p *placement, t *wire.TaskStatus) {
 	j := p.job
-	l.core.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Cause, "told", p.stopReason, "machine", p.machine.name)
+	l.core.log(Debug, "task exited", "task", t.Task, "attempt", t.Attempt, "reason", t.Cause, "stop_reason", p.stopReason, "worker", p.machine.name)
 	switch t.Cause {
 	case wire.CauseDone:
 		if j.isArray() {
--- a/internal/core/prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -130,7 +130,7 @@
 			p.arrivals = append(p.arrivals, imageArrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
 		case outcome.NotFound:
 			if !p.unsupported {
-				l.core.log(Error, "workers don't know the request to fetch an image ahead", "machine", m.name)
+				l.core.log(Error, "image prefetch not supported by workers", "worker", m.name)
 			}
 			p.unsupported = true
 			m.removeImage(image)
--- a/internal/core/job_ends.go
+++ b/internal/core/job_endings.go
@@ -77,7 +77,7 @@
 	}
 	l.dropJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
-	c.log(Debug, "ended job", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
+	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
 }
 
 // rereadJob finds out what became of a job's key without waiting for the watch.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -166,7 +166,7 @@
 		l.applyJobChange(id)
 		l.finishIfDone(j)
 	}
-	l.core.log(Info, "records read", "term", l.term, "jobs", len(l.jobs))
+	l.core.log(Info, "leader recovered state", "term", l.term, "jobs", len(l.jobs))
 	l.logFailover()
 	l.requestCycle()
 }
@@ -202,7 +202,7 @@
 		it := items[name]
 		key, ok := record.ParseKey(strings.TrimPrefix(name, runRecordPrefix))
 		if !ok {
-			l.core.log(Error, "a run record of another version", "key", name)
+			l.core.log(Error, "run record key not recognized", "key", name)
 			continue
 		}
 		if l.jobs[key.Job] == nil {
@@ -211,7 +211,7 @@
 		}
 		r, err := record.Decode(it.Value, l.recordLayout.TasksOf(key))
 		if err != nil {
-			l.core.log(Error, "a run record can't be read", "key", name, "error", err.Error())
+			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
 			continue
 		}
 		found[key.Job] = append(found[key.Job], record.Stored{Key: key, Version: it.Version, Record: r})
--- a/internal/core/unread_leader.go
+++ b/internal/core/leader_recovery.go
@@ -23,13 +23,13 @@
 		return
 	}
 	l.recovery.warned = true
-	c.log(Info, "leading without the records", "term", l.term, "records_read", l.allRecordsRead,
-		"read_up_to", c.cache.revision, "needed", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
+	c.log(Info, "leader still recovering state", "term", l.term, "records_read", l.allRecordsRead,
+		"revision", c.cache.revision, "required_revision", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
 }
 
 // logFailover logs what a new leader has waited for, and what it did meanwhile.
 func (l *leader) logFailover() {
 	now := l.core.now.Steady
-	l.core.log(Debug, "took over", "term", l.term, "after_ms", (now - l.startedAt).Milliseconds(),
-		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "read_up_to", l.core.cache.revision, "leases_renewed", l.renewalsDuringRecovery())
+	l.core.log(Debug, "failover completed", "term", l.term, "after_ms", (now - l.startedAt).Milliseconds(),
+		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "revision", l.core.cache.revision, "leases_renewed", l.renewalsDuringRecovery())
 }
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -127,7 +127,7 @@
 	w.at = now
 	if k.term != term {
 		k.term = term
-		c.log(Info, "keeping workers for a leader out of reach", "leader", c.cache.leader.Node, "term", term)
+		c.log(Info, "lease relay started for unreachable leader", "leader", c.cache.leader.Node, "term", term)
 	}
 	c.renewLease(in.RequestID, RelayBasis, max(firstFencingToken(term), r.FencingToken), c.newLeaseResponse(r))
 	return true
@@ -147,7 +147,7 @@
 	// With its next report it is sent to the leader, which must have heard of it by
 	// then: else it counts as silent there while it is on its way.
 	k.nextWrite = min(k.nextWrite, now+c.times.checkInterval/2)
-	c.log(Debug, "keeping worker for the leader", "machine", r.Machine, "leader", c.cache.leader.Node)
+	c.log(Debug, "worker adopted by lease relay", "worker", r.Machine, "leader", c.cache.leader.Node)
 	return w
 }
 
@@ -233,7 +233,7 @@
 		}
 	}
 	if k.term != 0 && len(k.workers) == 0 {
-		c.log(Info, "no longer keeping workers")
+		c.log(Info, "lease relay ended")
 		k.term = 0
 	}
 	if k.writeInFlight || len(k.order) == 0 && k.shards == 0 || c.storeDown {
@@ -272,7 +272,7 @@
 		packer.maxBytes, packer.compressed = c.maxValueBytes(), true
 	}
 	if tooLarge := packer.pack(reports); tooLarge > 0 {
-		c.log(Debug, "reports of workers are too large to be passed on", "machines", tooLarge)
+		c.log(Debug, "heartbeats too large to relay", "workers", tooLarge)
 	}
 	var ops []wire.Op
 	for i, value := range packer.values {
--- a/internal/core/lease_answers.go
+++ b/internal/core/lease_responses.go
@@ -95,7 +95,7 @@
 	c.countLeaseRenewal(basis)
 	if n := len(a.stopped); n > 0 {
 		c.leaseRenewals.stops[basis] += uint64(n)
-		c.log(Debug, "stops cancelled tasks", "machine", a.machine, "basis", basis, "tasks", n)
+		c.log(Debug, "stopping cancelled tasks", "worker", a.machine, "basis", basis, "tasks", n)
 	}
 	c.respond(req, 200, wire.HeartbeatResponse{FencingToken: token, Commands: a.commands})
 }
@@ -109,7 +109,7 @@
 func (c *Core) countLeaseRenewal(basis LeaseBasis) {
 	last := &c.leaseRenewals.lastAt[basis]
 	if *last == 0 || c.now.Steady-*last > c.times.lease {
-		c.log(Debug, "renews leases", "basis", basis, "answers_before", c.leaseRenewals.responses[basis])
+		c.log(Debug, "renewing worker leases", "basis", basis, "earlier_responses", c.leaseRenewals.responses[basis])
 	}
 	*last = c.now.Steady
 	c.leaseRenewals.responses[basis]++
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -173,7 +173,7 @@
 		}
 	}
 	l.releasedMachines[m.name] = l.core.now.Steady
-	l.core.log(Info, "machine gone", "machine", m.name, "why", why)
+	l.core.log(Info, "worker removed", "worker", m.name, "reason", why)
 	l.requestCycle()
 }
 
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -50,7 +50,7 @@
 			r.capacityGrew()
 		}
 		h.freeAfterStops.Give(resource.OfTask(p.job.spec))
-		r.leader.core.log(Debug, "shrunk", "task", p.name(), "for", j.id)
+		r.leader.core.log(Debug, "task preempted", "task", p.name(), "for", j.id)
 	}
 	h.freeAfterStops.Take(resource.OfTask(j.spec))
 	// What is free there now is for this job too, as far as it needs it.
--- a/internal/core/rentals.go
+++ b/internal/core/provisioner.go
@@ -129,7 +129,7 @@
 	}
 	m.releasing, m.releaseReason = true, why
 	t.scaleInQueue = append(t.scaleInQueue, m.name)
-	t.leader.core.log(Info, "releasing machine", "machine", m.name, "why", why, "tasks", len(m.placements))
+	t.leader.core.log(Info, "releasing worker", "worker", m.name, "reason", why, "tasks", len(m.placements))
 	t.leader.requestCycle()
 }
 
@@ -142,7 +142,7 @@
 	}
 	m.releasing = false
 	t.scaleInQueue = slices.DeleteFunc(t.scaleInQueue, func(name string) bool { return name == m.name })
-	t.leader.core.log(Info, "release taken back", "machine", m.name)
+	t.leader.core.log(Info, "worker release cancelled", "worker", m.name)
 	t.leader.requestCycle()
 }
 
@@ -202,16 +202,16 @@
 			}
 			t.dropRequest(q)
 			l.requestCycle()
-			c.log(Info, "rented", "asked", q.count, "got", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+			c.log(Info, "scaled out", "requested", q.count, "granted", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case outcome.Unavailable:
 			t.exhausted[q.Group] = now + 2*c.times.listLag
 			t.dropRequest(q)
 			l.requestCycle()
-			c.log(Debug, "rental refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+			c.log(Debug, "scale-out refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 		case outcome.Invalid:
 			t.exhausted[q.Group] = now + 20*c.times.listLag
 			t.dropRequest(q)
-			c.log(Error, "rental was malformed", "type", q.Type, "zone", q.Zone)
+			c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
 		default:
 			q.nextTry = now + c.times.checkInterval
 			c.wakeBy(q.nextTry)
@@ -296,7 +296,7 @@
 	_, known := l.machines[e.Name]
 	m := l.machineNamed(e.Name)
 	if !known {
-		c.log(Info, "machine found in the list", "machine", e.Name, "state", e.State)
+		c.log(Info, "worker found in cloud list", "worker", e.Name, "state", e.State)
 	}
 	if !m.inCloudList {
 		m.inCloudList, m.listedAt = true, now
--- a/internal/core/allowance_requests.go
+++ b/internal/core/quota_requests.go
@@ -63,7 +63,7 @@
 	case t.whole != whole:
 		if !t.regionDisagrees {
 			t.regionDisagrees = true // it is logged once a term
-			c.log(Error, "regions have different limits of a team", "team", team, "region", from)
+			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
 		c.respondRefused(req, reasonLimitsDiffer)
 	case t.account == nil || !c.election.leaseValid() || c.storeDown || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
--- a/internal/core/allowance_writes.go
+++ b/internal/core/quota_writes.go
@@ -60,7 +60,7 @@
 		c.respond(in.RequestID, 200, nil)
 		return
 	}
-	c.log(Debug, "allowance given", "team", t.settings.Name, "region", in.From, "gpus", next.Outgoing[len(next.Outgoing)-1].Share.Limit.GPUs)
+	c.log(Debug, "quota transferred", "team", t.settings.Name, "region", in.From, "gpus", next.Outgoing[len(next.Outgoing)-1].Share.Limit.GPUs)
 	a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
@@ -101,7 +101,7 @@
 	case r.Outcome == outcome.OK:
 		a.adoptAccount(t, next, r.Txn.Revision)
 	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
-		c.election.stepDown("the term moved on")
+		c.election.stepDown("term superseded")
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
 	default:
--- a/internal/core/allowances.go
+++ b/internal/core/quotas.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		if stored.problem != nil {
-			a.leader.core.log(Error, "a team's allowance can't be read: nothing of the team is started", "key", t.key, "error", stored.problem.Error())
+			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", stored.problem.Error())
 		}
 		a.adoptAccount(t, stored.account, stored.version)
 	}
--- a/internal/core/layout.go
+++ b/internal/core/record_layout_migration.go
@@ -77,7 +77,7 @@
 		case outcome.Conflict:
 			// It was applied before, its outcome unknown, or the term has moved on. The next leader
 			// finds out.
-			c.election.stepDown("the layout of records may have changed")
+			c.election.stepDown("record layout may have changed")
 		default:
 			x.retryAt = c.now.Steady + c.times.retryPause
 			c.wakeBy(x.retryAt)
@@ -105,7 +105,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		l.migrateChunks(l.jobs[id], old)
 	}
-	c.log(Info, "layout of run records changed", "by_index", next.ByIndex, "by_task", next.ByTask)
+	c.log(Info, "run record layout migrated", "by_index", next.ByIndex, "by_task", next.ByTask)
 }
 
 // migrateChunks spreads a job's chunks over those of the new layout. What the old records don't tell yet is
--- a/internal/core/moves.go
+++ b/internal/core/replica_rebalancing.go
@@ -37,7 +37,7 @@
 			p.requestStop(stopImmediate, stopRebalanced)
 			p.machine.capacityChanged = true
 			l.pendingDispatch = append(l.pendingDispatch, p.machine)
-			l.core.log(Info, "moving a replica", "task", p.name(), "machine", p.machine.name, "zone", p.machine.zone)
+			l.core.log(Info, "rebalancing replica", "task", p.name(), "worker", p.machine.name, "zone", p.machine.zone)
 		}
 	}
 }
--- a/internal/core/plan_runs.go
+++ b/internal/core/rollout_manager.go
@@ -105,7 +105,7 @@
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
 	if stored.problem != nil {
-		c.log(Error, "a rollout plan can't be read and is left alone", "plan", name, "error", stored.problem.Error())
+		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", stored.problem.Error())
 	}
 	return run
 }
@@ -307,7 +307,7 @@
 	}
 	routing.Generation.Revision++
 	run.routing = routing
-	c.log(Debug, "rollout routing", "plan", run.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
+	c.log(Debug, "rollout routing updated", "plan", run.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
 		"replicas", len(routing.Weights), "aim", r.Aim(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
@@ -324,7 +324,7 @@
 			}
 			run.validations.Take(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Right {
-				l.core.log(Debug, "replica not proved", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
+				l.core.log(Debug, "replica not validated", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
 			}
 		})
@@ -375,7 +375,7 @@
 // logPlan logs a transition that was committed, with what the plan could serve then.
 func (l *leader) logPlan(run *activeRollout, record *rollout.Record) {
 	capacity := record.Plan.CapacityOf(l.observeRollout(run, record))
-	l.core.log(Info, "rollout", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
+	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
 		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
@@ -388,7 +388,7 @@
 	case r.Outcome == outcome.OK:
 		c.applyPlanKey(planPrefix+run.name, value, r.Txn.Revision)
 	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
-		c.election.stepDown("the term moved on")
+		c.election.stepDown("term superseded")
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// A write of before was applied after all, or this one may be yet: what is there counts.
 		l.rereadPlan(run)
--- a/internal/core/plan_requests.go
+++ b/internal/core/rollout_requests.go
@@ -189,14 +189,14 @@
 		case r.Outcome == outcome.OK:
 			c.applyPlanKey(planPrefix+name, value, r.Txn.Revision)
 			l.planApplied(in.Plan)
-			c.log(Info, "rollout", "plan", name, "phase", string(record.Phase))
+			c.log(Info, "rollout phase committed", "plan", name, "phase", string(record.Phase))
 			c.respond(in.RequestID, 200, l.planStatus(name))
 		case r.Outcome == outcome.Unknown:
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			l.resolvePlanWrite(in.Plan)
 		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
-			c.election.stepDown("the term moved on")
+			c.election.stepDown("term superseded")
 		default:
 			l.planApplied(in.Plan)
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
--- a/internal/core/round.go
+++ b/internal/core/scheduling_cycle.go
@@ -156,7 +156,7 @@
 			idle++
 		}
 	}
-	r.leader.core.log(Debug, "round", "placed", r.placed, "waiting", len(r.unmetDemand), "array_tasks", unplaced,
+	r.leader.core.log(Debug, "scheduling cycle", "placed", r.placed, "waiting", len(r.unmetDemand), "array_tasks", unplaced,
 		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", r.evaluations)
 }
 
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -265,7 +265,7 @@
 			fmt.Fprintf(&b, " %v=%v", e.Fields[i], e.Fields[i+1])
 		}
 		s.note("%s: %s%s", n.name, e.Message, b.String())
-		if e.Message == "machine is faulty" {
+		if e.Message == "worker quarantined" {
 			s.say("%s: a machine is faulty", n.name)
 		}
 	case core.StoreTxn:
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -23,7 +23,7 @@
 			c.sizeWarnings.logged = map[string]bool{}
 		}
 		c.sizeWarnings.logged[short.Field] = true
-		c.log(Info, "setting is too small for the fleet", "field", short.Field, "value", short.Value, "least", short.Least,
-			"machines", machines, "effect", short.Effect)
+		c.log(Info, "setting too small for fleet size", "field", short.Field, "value", short.Value, "minimum", short.Least,
+			"workers", machines, "effect", short.Effect)
 	}
 }
--- a/internal/core/term_guard.go
+++ b/internal/core/term_format.go
@@ -90,7 +90,7 @@
 			if l.termVersion > c.cache.termVersion {
 				c.cache.term, c.cache.termVersion, c.cache.termForm = termRecord{l.term, c.settings.Node}, l.termVersion, form
 			}
-			c.log(Info, "only versions that know "+form.String()+" may lead from now on", "term", l.term)
+			c.log(Info, "term format upgraded, older versions can no longer lead", "requires", form.String(), "term", l.term)
 		case outcome.Conflict, outcome.Unknown:
 			// It was applied, its outcome unknown, or the term has moved on. The next leader finds out.
 			c.election.stepDown("the form of the term may have changed")
--- a/internal/core/directory.go
+++ b/internal/core/watch_cache.go
@@ -347,7 +347,7 @@
 	before := c.cache.jobs[id]
 	c.cache.applyJob(id, value, version)
 	if !before.cancelled() && c.cache.jobs[id].cancelled() {
-		c.log(Debug, "cancellation known", "job", id, "version", version, "from", source)
+		c.log(Debug, "cancellation observed", "job", id, "version", version, "from", source)
 	}
 	c.dependencies.observeJob(id)
 	if c.leader != nil {
@@ -410,7 +410,7 @@
 			d.layout, d.layoutVersion = l.layout, l.layoutVersion
 		}
 		d.reloading, d.inFlight, d.ready = nil, false, true
-		c.log(Debug, "jobs read", "read_up_to", d.revision, "jobs", len(d.jobs))
+		c.log(Debug, "watched keys listed", "revision", d.revision, "jobs", len(d.jobs))
 		c.dependencies.reload()
 		if c.leader != nil {
 			for id := range old {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -233,7 +233,7 @@
 			failed[k] = true
 		}
 		if failed[termKey] {
-			w.leader.core.election.stepDown("the term moved on")
+			w.leader.core.election.stepDown("term superseded")
 			return
 		}
 	}
@@ -271,7 +271,7 @@
 	}
 	if r.Outcome == outcome.Invalid {
 		w.leader.core.limits.observeInvalid(b.txn)
-		w.leader.core.log(Error, "a transaction was malformed", "ops", len(b.txn.Then))
+		w.leader.core.log(Error, "transaction rejected as invalid", "ops", len(b.txn.Then))
 	}
 }
 
