--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -119,6 +119,7 @@
 		return b.images.Fetching.MayHold(bit) || b.images.Unknown.MayHold(bit)
 	case ImageAbsent:
 		return b.idleFetcher
+	case ImageFetchShared, ImageStates:
 	}
 	return b.images.Fetching != ImageSet{}
 }
--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -21,6 +21,7 @@
 
 // fullCluster has machines that are full, and as many tasks that wait.
 func fullCluster(t *testing.T, nodes, machines int) *scaleCluster {
+	t.Helper()
 	y := newLargeScaleCluster(t, nodes, 0)
 	y.have(machines)
 	y.pass(5 * time.Second)
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -7,6 +7,7 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/resource"
 )
 
@@ -23,7 +24,7 @@
 
 // imagePrefetcher has a copy of each model's weights in each zone where its replicas could go, within a budget.
 type imagePrefetcher struct {
-	budget      hourlyBudget // in GB
+	budget      ratelimit.Bucket // in GB
 	inFlight    int
 	nextCheck   time.Duration
 	unsupported bool // a worker does not know the request: none does
@@ -49,11 +50,10 @@
 		return
 	}
 	p.nextCheck = c.now.Steady + c.times.checkInterval
-	now := c.now.Steady.Seconds()
-	if p.budget.at == 0 {
-		p.budget = hourlyBudget{left: perHour, at: now} // an hour's worth to begin with
+	if p.budget == (ratelimit.Bucket{}) {
+		p.budget = ratelimit.NewBucket(perHour, c.now.Steady) // an hour's worth to begin with
 	}
-	p.budget.refill(now, perHour, perHour)
+	p.budget.Refill(c.now.Steady, perHour/secondsPerHour, perHour)
 	services := l.servicesByModel()
 	for _, model := range l.replicaLedger.All() {
 		if i := slices.IndexFunc(services[model], func(j *job) bool { return !j.cancelled }); i >= 0 {
@@ -81,11 +81,11 @@
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
 	for _, zone := range l.zonesFor(j) {
-		if j.spec.ImageGB > p.budget.left || p.inFlight >= l.core.maxReplicaProbes() {
+		if j.spec.ImageGB > p.budget.Tokens() || p.inFlight >= l.core.maxReplicaProbes() {
 			return
 		}
 		if m := l.prefetchTarget(j, zone); m != nil {
-			p.budget.left -= j.spec.ImageGB
+			p.budget.Spend(j.spec.ImageGB)
 			l.prefetch(j, m)
 		}
 	}
@@ -135,7 +135,7 @@
 			p.unsupported = true
 			m.removeImage(image)
 			m.capacityChanged = true
-		default:
+		case outcome.Unknown, outcome.Unavailable, outcome.Conflict, outcome.Invalid, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
 			m.removeImage(image)
 			m.capacityChanged = true
 		}
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -7,15 +7,15 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/wire"
 )
 
 // provisioner keeps the fleet: what is rented, what goes back, and what the cloud's
 // list tells, within the cloud's rate.
 type provisioner struct {
-	leader     *leader
-	rateTokens float64
-	refilledAt time.Duration
+	leader      *leader
+	requestRate ratelimit.Bucket // of requests to the cloud
 
 	lastRequest     int
 	requests        []*scaleOutRequest
@@ -45,21 +45,22 @@
 
 func (t *provisioner) init(l *leader) {
 	t.leader = l
-	t.refilledAt = l.core.now.Steady
-	t.rateTokens = l.core.settings.Params.Cloud.RPS
+	t.requestRate = ratelimit.NewBucket(l.core.settings.Params.Cloud.RPS, l.core.now.Steady)
 	t.exhausted = map[capacity.Group]time.Duration{}
 }
 
+// usableRateShare is the share of the cloud's rate limit that the leader uses. The rest is a margin against refusals.
+const usableRateShare = 0.8
+
+// takeRateToken takes a token for a request to the cloud, or has the core woken when there will be one.
 func (t *provisioner) takeRateToken() bool {
 	now := t.leader.core.now.Steady
-	rps := 0.8 * t.leader.core.settings.Params.Cloud.RPS
-	t.rateTokens = min(max(1, rps), t.rateTokens+rps*(now-t.refilledAt).Seconds())
-	t.refilledAt = now
-	if t.rateTokens < 1 {
-		t.leader.core.wakeBy(now + config.Seconds((1-t.rateTokens)/rps))
+	rate := usableRateShare * t.leader.core.settings.Params.Cloud.RPS
+	t.requestRate.Refill(now, rate, max(1, rate))
+	if !t.requestRate.TryTake(1) {
+		t.leader.core.wakeBy(now + t.requestRate.WaitFor(1, rate))
 		return false
 	}
-	t.rateTokens--
 	return true
 }
 
@@ -212,7 +213,8 @@
 			t.exhausted[q.Group] = now + 20*c.times.listLag
 			t.dropRequest(q)
 			c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
-		default:
+		case outcome.Unknown, outcome.Conflict, outcome.NotFound, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
+			// It may have been applied or not: it is retried under the same ID.
 			q.nextTry = now + c.times.checkInterval
 			c.wakeBy(q.nextTry)
 		}
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -22,6 +22,7 @@
 
 // timeWithTeams gives a leader's time; with no teams the limits of 12 are not divided.
 func timeWithTeams(b *testing.B, teams int) float64 {
+	b.Helper()
 	y := newScaleCluster(b, 1, 0)
 	y.large, y.op.IdleBoots = true, 100
 	if teams > 0 {
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -180,6 +180,7 @@
 // giftInDoubt has a region ask the other one for what it lacks, whose write of the transfer is held up, as are so many of its
 // writes of the account.
 func giftInDoubt(t *testing.T, heldUp int) (w *regionWorld, giver *worldRegion) {
+	t.Helper()
 	w = newRegionWorld(t, 2)
 	giver = w.regions[1]
 	giver.delayKey, giver.delay = "w/q/t1", heldUp
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/topologyspread"
 )
 
@@ -10,7 +11,10 @@
 // a budget, only while all of the model runs, and only where what is gained by the balance is more than what the move
 // costs. A moved replica is stopped, which drains its machine of it, and started anew by the next round, where it costs
 // the least.
-type rebalancing struct{ budget hourlyBudget }
+type rebalancing struct{ budget ratelimit.Bucket }
+
+// secondsPerHour turns an hourly budget into a rate per second.
+const secondsPerHour = 3600
 
 // rebalanceBurstSeconds is how many seconds' worth of the budget may be used at once; one move may be in any case.
 const rebalanceBurstSeconds = 60
@@ -22,18 +26,18 @@
 	if !s.Enabled || s.MovesPerHour <= 0 {
 		return
 	}
-	most := max(1, s.MovesPerHour/secondsAnHour*rebalanceBurstSeconds)
-	l.rebalancing.budget.refill(l.core.now.Steady.Seconds(), s.MovesPerHour, most)
-	if l.rebalancing.budget.left < 1 || !l.provisioner.reconciled() {
+	movesPerSecond := s.MovesPerHour / secondsPerHour
+	l.rebalancing.budget.Refill(l.core.now.Steady, movesPerSecond, max(1, movesPerSecond*rebalanceBurstSeconds))
+	if l.rebalancing.budget.Tokens() < 1 || !l.provisioner.reconciled() {
 		return
 	}
 	services := l.servicesByModel()
 	for _, model := range l.replicaLedger.All() {
-		if l.rebalancing.budget.left < 1 || !r.hasBudget() {
+		if l.rebalancing.budget.Tokens() < 1 || !r.hasBudget() {
 			return
 		}
 		if p := r.replicaToMove(model, services[model]); p != nil {
-			l.rebalancing.budget.left--
+			l.rebalancing.budget.Spend(1)
 			p.requestStop(stopImmediate, stopRebalanced)
 			p.machine.capacityChanged = true
 			l.pendingDispatch = append(l.pendingDispatch, p.machine)
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -25,6 +25,7 @@
 
 // leaderTime gives the leader's processor time with so many plans.
 func leaderTime(b *testing.B, plans int) float64 {
+	b.Helper()
 	w := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
 	w.op.Rollouts.Enabled, w.op.Rollouts.CheckIntervalS, w.op.IdleBoots = true, 1, 100
 	w.intercept = w.interceptCall
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -51,7 +51,7 @@
 func Decode(data []byte) (*Account, error) {
 	a := &Account{}
 	if err := json.Unmarshal(data, a); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	return a, nil
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -67,7 +67,7 @@
 func Decode(data []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	if r.Plan.Name == "" || r.Step < 0 || r.Step >= len(r.Plan.Steps) {
 		return nil, fmt.Errorf("%w: it holds no plan", ErrUnreadable)
@@ -106,6 +106,7 @@
 		return true
 	case Completed, Retiring:
 		return false
+	case Starting, Checking, Shifting, Baking, Completing:
 	}
 	return step > r.Step
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -53,10 +53,11 @@
 	}
 }
 
-func plan(t testing.TB) *Plan {
+func plan(tb testing.TB) *Plan {
+	tb.Helper()
 	p, err := ParsePlan([]byte(goodPlan), 4096)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return p
 }
@@ -76,6 +77,7 @@
 
 // follow applies transitions until the plan stays, or reaches a phase of a step.
 func follow(t *testing.T, r *Record, phase Phase, step int) *Record {
+	t.Helper()
 	for range 50 {
 		if r.Phase == phase && r.Step == step {
 			return r
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -26,6 +26,7 @@
 			return r.to(Completed, o.NowMS)
 		}
 		return nil
+	case Pending, Starting, Checking, Shifting, Baking, Completing:
 	}
 	if next := r.failed(o); next != nil {
 		return next
@@ -77,13 +78,20 @@
 		}
 		return r.serving(o, capacity)
 	case Completing:
-		if proved && o.ProvedAnew && capacity.newCarries(1) && o.RoutersKnow && !o.RoutersMissing {
+		if proved && o.mayRetireOld(capacity) {
 			return r.to(Retiring, o.NowMS)
 		}
+	case Retiring, Completed, RollingBack, RolledBack:
+		// They end by what next waits for, whatever the new version does.
 	}
 	return nil
 }
 
+// mayRetireOld tells whether the new version serves everything and no router depends on the old one any more.
+func (o *Observation) mayRetireOld(capacity Capacity) bool {
+	return o.ProvedAnew && capacity.newCarries(1) && o.RoutersKnow && !o.RoutersMissing
+}
+
 // serving gives the record that follows a step whose replicas are all proved: it bakes once routers know its share,
 // and is over once it has baked and the old version can take everything back.
 func (r *Record) serving(o *Observation, capacity Capacity) *Record {
@@ -117,6 +125,7 @@
 		limit += r.Plan.Steps[r.Step].BakeS
 	case Completing:
 		limit += limits.RouterGoneS
+	case Pending, Starting, Shifting, Retiring, Completed, RollingBack, RolledBack:
 	}
 	if !r.lasted(o, limit) {
 		return nil
@@ -172,6 +181,7 @@
 		if o.RoutersKnow && !o.RoutersMissing {
 			add(r.Plan.Old.Jobs)
 		}
+	case Pending, Starting, Checking, Shifting, Baking, Completing, Completed:
 	}
 	return jobs
 }
@@ -183,6 +193,7 @@
 		return 1
 	case RollingBack, RolledBack, Pending:
 		return 0
+	case Starting, Checking, Shifting, Baking:
 	}
 	return r.Share
 }
--- a/internal/topologyspread/spread_test.go
+++ b/internal/topologyspread/spread_test.go
@@ -9,12 +9,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestLedger compares the counts with those of a look at each replica, over any adding and taking away.
-func TestLedger(t *testing.T) {
-	type replica struct {
-		model         Model
-		zone, machine string
+// replica is where a replica of a model is.
+type replica struct {
+	model         Model
+	zone, machine string
+}
+
+// countReplicas counts a model's replicas by a look at each.
+func countReplicas(all []replica, m Model) (total, worstZone, worstMachine int) {
+	zones, machines := map[string]int{}, map[string]int{}
+	for _, r := range all {
+		if r.model != m {
+			continue
+		}
+		total++
+		machines[r.machine]++
+		worstMachine = max(worstMachine, machines[r.machine])
+		if r.zone != "" {
+			zones[r.zone]++
+			worstZone = max(worstZone, zones[r.zone])
+		}
 	}
+	return total, worstZone, worstMachine
+}
+
+// TestLedger compares the counts with those of a look at each replica, over any adding and removing.
+func TestLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, all := NewLedger(), []replica{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
@@ -30,20 +50,7 @@
 				l.Add(r.model, r.zone, r.machine)
 			}
 			for _, m := range []Model{{"t", "a"}, {"t", "b"}} {
-				total, zones, machines := 0, map[string]int{}, map[string]int{}
-				worstZone, worstMachine := 0, 0
-				for _, r := range all {
-					if r.model != m {
-						continue
-					}
-					total++
-					machines[r.machine]++
-					worstMachine = max(worstMachine, machines[r.machine])
-					if r.zone != "" {
-						zones[r.zone]++
-						worstZone = max(worstZone, zones[r.zone])
-					}
-				}
+				total, worstZone, worstMachine := countReplicas(all, m)
 				if n, z, x := l.Replicas(m); n != total || z != worstZone || x != worstMachine {
 					t.Fatalf("%v: %d, %d, %d, not %d, %d, %d", m, n, z, x, total, worstZone, worstMachine)
 				}
