--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -7,6 +7,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -23,7 +24,7 @@
 	known, err := read(os.Args[1])
 	if err == nil {
 		var out io.Reader
-		cmd := exec.Command("go", "test", "-race", "-json", "./...", "./.ci/knownred")
+		cmd := exec.CommandContext(context.Background(), "go", "test", "-race", "-json", "./...", "./.ci/knownred")
 		cmd.Stderr = os.Stderr
 		if out, err = cmd.StdoutPipe(); err == nil {
 			if err = cmd.Start(); err == nil {
--- a/cmd/bitternwing/rollout.go
+++ b/cmd/bitternwing/rollout.go
@@ -203,10 +203,11 @@
 				return err
 			}
 		}
-		switch rollout.Phase(status.GetPhase()) {
-		case rollout.Completed:
+		phase := rollout.Phase(status.GetPhase())
+		if phase == rollout.Completed {
 			return nil
-		case rollout.RolledBack:
+		}
+		if phase == rollout.RolledBack {
 			return errRolledBack
 		}
 		select {
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -53,7 +53,7 @@
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	binary, err := c.controller()
+	binary, err := c.controller(context.Background())
 	if err != nil {
 		return err
 	}
@@ -82,12 +82,12 @@
 }
 
 // controller gives the controllers' program, built if none is named.
-func (c *cli) controller() (string, error) {
+func (c *cli) controller(ctx context.Context) (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
 	}
 	binary := filepath.Join(c.Out, "bitternwing")
-	build := exec.Command("go", "build", "-o", binary, controllerPackage)
+	build := exec.CommandContext(ctx, "go", "build", "-o", binary, controllerPackage)
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		return "", fmt.Errorf("building %s (name a binary with --binary elsewhere): %w", controllerPackage, err)
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -109,19 +109,22 @@
 	}
 }
 
+// finalErrors are the errors for the status codes that no retry changes.
+var finalErrors = map[codes.Code]func(message string) error{
+	codes.NotFound:           func(string) error { return ErrNotFound },
+	codes.InvalidArgument:    func(message string) error { return &InvalidError{message} },
+	codes.FailedPrecondition: func(message string) error { return &RefusedError{message} },
+	codes.Unimplemented:      func(message string) error { return &RefusedError{message} },
+}
+
 // errorOf gives the error for a status of gRPC.
 func errorOf(err error) error {
 	if err == nil {
 		return nil
 	}
 	s := status.Convert(err)
-	switch s.Code() {
-	case codes.NotFound:
-		return ErrNotFound
-	case codes.InvalidArgument:
-		return &InvalidError{s.Message()}
-	case codes.FailedPrecondition, codes.Unimplemented:
-		return &RefusedError{s.Message()}
+	if final, ok := finalErrors[s.Code()]; ok {
+		return final(s.Message())
 	}
 	return &UnavailableError{s.Message()}
 }
--- a/internal/apiclient/client_test.go
+++ b/internal/apiclient/client_test.go
@@ -14,6 +14,7 @@
 
 // answers serves one answer after the other, and repeats the last.
 func answers(t *testing.T, list ...func(http.ResponseWriter)) *Client {
+	t.Helper()
 	served := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		list[min(served, len(list)-1)](w)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -158,7 +158,8 @@
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(data, s); err != nil {
-		if de, ok := err.(*toml.DecodeError); ok {
+		var de *toml.DecodeError
+		if errors.As(err, &de) {
 			row, _ := de.Position()
 			key := ""
 			for i, k := range de.Key() {
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -229,7 +229,7 @@
 // scrape gets a recorder's metrics as a scraper does.
 func scrape(t *testing.T, recorder *metrics.Recorder) string {
 	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/client_servers.go
+++ b/internal/emulator/client_servers.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -44,7 +45,7 @@
 
 // AddClient gives an address for a client.
 func (c *clientServers) AddClient(name string) (string, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
@@ -105,7 +106,7 @@
 	for {
 		offset := os.Getpid()*portsApart + int(freePorts.Add(1))
 		addr := fmt.Sprintf("127.0.0.1:%d", firstFreePort+offset%(lastFreePort-firstFreePort))
-		if l, err := net.Listen("tcp4", addr); err == nil {
+		if l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr); err == nil {
 			_ = l.Close()
 			return addr
 		}
--- a/internal/fleetsim/controllers.go
+++ b/internal/fleetsim/controllers.go
@@ -1,6 +1,7 @@
 package fleetsim
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -82,7 +83,7 @@
 		return emulator.FreeAddr(), nil
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", a.port)
-	l, err := net.Listen("tcp4", addr)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr)
 	if err != nil {
 		return "", fmt.Errorf("port %d: %w", a.port, err)
 	}
@@ -141,7 +142,8 @@
 	if c.operator != "" {
 		args = append(args, "--operator", c.operator)
 	}
-	cmd := exec.Command(c.binary, append(args, "--config", x.settingsFile)...)
+	// The process outlives every context: it ends by kill, which waits for it.
+	cmd := exec.CommandContext(context.Background(), c.binary, append(args, "--config", x.settingsFile)...)
 	log, err := os.OpenFile(filepath.Join(c.dir, x.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -66,7 +66,7 @@
 
 // TestRefused refuses what the machine can't bear before anything is started.
 func TestRefused(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 func build(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "bitternwing")
-	if out, err := exec.Command("go", "build", "-o", binary, "bitternwing/cmd/bitternwing").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "bitternwing/cmd/bitternwing").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return binary
@@ -155,7 +155,7 @@
 
 // TestRelay holds back what is sent while it is cut, and delivers it then.
 func TestRelay(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	defer r.close()
-	c, err := net.Dial("tcp4", r.addr())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -157,12 +157,13 @@
 	switch state {
 	case wire.JobDone:
 		u.Done.Add(1)
+		return true
 	case wire.JobCancelled:
 		u.Cancelled.Add(1)
-	default:
-		return false
+		return true
+	case wire.JobPending, wire.JobRunning:
 	}
-	return true
+	return false
 }
 
 // ask waits for its turn among all users.
--- a/internal/fleetsim/relay.go
+++ b/internal/fleetsim/relay.go
@@ -1,6 +1,7 @@
 package fleetsim
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -24,7 +25,7 @@
 }
 
 func newRelay(from, to, target string, traffic *measure.Traffic) (*relay, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +53,7 @@
 	if !r.keep(in) || !r.pass() {
 		return
 	}
-	out, err := net.Dial("tcp4", r.target)
+	out, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.target)
 	if err != nil {
 		return
 	}
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -61,7 +61,7 @@
 			t.Errorf("%d %.10q: %v, not %v", x.status, x.body, got, x.want)
 		}
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -51,7 +51,7 @@
 // serve serves metrics on loopback and gives the address and the listener.
 func serve(t *testing.T, options Options) (string, *countingListener) {
 	t.Helper()
-	inner, err := net.Listen("tcp4", "127.0.0.1:0")
+	inner, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,6 +62,21 @@
 	return inner.Addr().String(), l
 }
 
+// get makes a request and gives the status of the response and its Retry-After.
+func get(t *testing.T, addr, path string) (status int, retryAfter string, err error) {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+path, http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0, "", err
+	}
+	_ = response.Body.Close()
+	return response.StatusCode, response.Header.Get("Retry-After"), nil
+}
+
 // Names and help texts follow Prometheus' conventions.
 func TestNames(t *testing.T) {
 	r := New(func() core.Status { return core.Status{} })
@@ -90,7 +105,7 @@
 func TestMostConnections(t *testing.T) {
 	addr, l := serve(t, Options{Connections: 2, RequestTime: 200 * time.Millisecond})
 	for range 40 {
-		c, err := net.Dial("tcp4", addr)
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,11 +113,8 @@
 		_, _ = io.WriteString(c, "GET /metrics HTTP/1.1\r\n") // it never ends its header
 	}
 	for served := false; !served; {
-		resp, err := http.Get("http://" + addr + "/metrics")
-		if err == nil {
-			served = resp.StatusCode == http.StatusOK
-			_ = resp.Body.Close()
-		}
+		status, _, err := get(t, addr, "/metrics")
+		served = err == nil && status == http.StatusOK
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,19 +126,13 @@
 // Scrapes above the rate are told to come back, and profiles last as long as is allowed at most.
 func TestRefusals(t *testing.T) {
 	addr, _ := serve(t, Options{Connections: 8, RequestTime: time.Second, Profiles: true})
-	get := func(path string) *http.Response {
-		t.Helper()
-		resp, err := http.Get("http://" + addr + path)
+	refused := false
+	for range 10 * scrapeBurst {
+		status, retryAfter, err := get(t, addr, "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = resp.Body.Close()
-		return resp
-	}
-	refused := false
-	for range 10 * scrapeBurst {
-		resp := get("/metrics")
-		refused = refused || resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
+		refused = refused || status == http.StatusServiceUnavailable && retryAfter != ""
 	}
 	if !refused {
 		t.Error("no scrape is refused")
@@ -139,8 +145,8 @@
 		"/debug/pprof/trace?seconds=many":   http.StatusBadRequest,
 		"/debug/pprof/trace?seconds=0.0001": http.StatusOK,
 	} {
-		if got := get(path).StatusCode; got != want {
-			t.Errorf("%s gets %d", path, got)
+		if got, _, err := get(t, addr, path); err != nil || got != want {
+			t.Errorf("%s gets %d, %v", path, got, err)
 		}
 	}
 }
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -33,8 +33,13 @@
 }
 
 // scrape gives what an address serves at a path, and the status; 0: no answer.
-func scrape(addr, path string) (int, string) {
-	resp, err := http.Get("http://" + addr + path)
+func scrape(t *testing.T, addr, path string) (int, string) {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+path, http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, ""
 	}
@@ -59,7 +64,7 @@
 // TestMetrics has a node show what it does, with nothing of jobs and teams in it; another one, whose address for metrics
 // is taken, says so and does its work without.
 func TestMetrics(t *testing.T) {
-	taken, err := net.Listen("tcp4", "127.0.0.1:0")
+	taken, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +77,7 @@
 
 	var text string
 	s.eventually("node a shows its metrics", func() bool {
-		status, body := scrape(addrs["a"], "/metrics")
+		status, body := scrape(t, addrs["a"], "/metrics")
 		text = body
 		return status == http.StatusOK
 	})
@@ -90,7 +95,7 @@
 			t.Errorf("the metrics tell of %s", private)
 		}
 	}
-	if status, _ := scrape(addrs["a"], "/debug/pprof/"); status != http.StatusNotFound {
+	if status, _ := scrape(t, addrs["a"], "/debug/pprof/"); status != http.StatusNotFound {
 		t.Errorf("profiles get %d without their setting", status)
 	}
 	if !strings.Contains(log.String(), `msg="metrics are not served" setting=metrics.listen address=`+addrs["b"]) {
@@ -107,9 +112,9 @@
 		}
 	}})
 	s.runJob("a", "run-000001")
-	s.eventually("profiles are served", func() bool { status, _ := scrape(addr, "/debug/pprof/"); return status == http.StatusOK })
+	s.eventually("profiles are served", func() bool { status, _ := scrape(t, addr, "/debug/pprof/"); return status == http.StatusOK })
 	for i := range 300 {
-		c, err := net.Dial("tcp4", addr)
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", addr)
 		if err != nil {
 			continue // the system's own queue of connections is full
 		}
@@ -118,5 +123,5 @@
 		_, _ = io.WriteString(c, request[:i%(len(request)+1)]) // none, a part, or all of it; the answer is not read
 	}
 	s.runJob("a", "run-000002")
-	s.eventually("a scraper is served again", func() bool { status, _ := scrape(addr, "/metrics"); return status == http.StatusOK })
+	s.eventually("a scraper is served again", func() bool { status, _ := scrape(t, addr, "/metrics"); return status == http.StatusOK })
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -94,9 +94,13 @@
 	internal map[string]string                     // the nodes' internal addresses; nil: any
 }
 
-func newSite(t *testing.T) *site { return newSiteWith(t, siteOptions{}) }
+func newSite(t *testing.T) *site {
+	t.Helper()
+	return newSiteWith(t, siteOptions{})
+}
 
 func newSiteWith(t *testing.T, options siteOptions) *site {
+	t.Helper()
 	if options.log == nil {
 		options.log = io.Discard
 	}
@@ -185,7 +189,7 @@
 
 // call makes a request and decodes the answer; status 0: no answer.
 func (s *site) call(method, node, path, body string) (int, wire.JobState) {
-	req, err := http.NewRequest(method, "http://"+s.addrs[node]+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addrs[node]+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -11,6 +11,7 @@
 
 // twoRegions makes two sites that share the limit of a team, half of it each.
 func twoRegions(t *testing.T) (north, south *site) {
+	t.Helper()
 	internal := map[string]map[string]string{}
 	var regions []config.Region
 	for _, name := range []string{"north", "south"} {
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -29,6 +29,7 @@
 
 // rolloutSite has the old version serve, a plan applied through a node, and a router.
 func rolloutSite(t *testing.T, plan string) (*site, *adminapi.Client, *simrouter.Router) {
+	t.Helper()
 	s := newSiteWith(t, siteOptions{rollouts: true})
 	for _, id := range []string{"run-000001", "run-000002"} {
 		s.submit("a", id, wire.KindService, 1, 4)
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -22,7 +22,7 @@
 
 // TestAsk tells the verdicts apart.
 func TestAsk(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/responsecheck/answercheck.go
+++ b/internal/responsecheck/answercheck.go
@@ -70,19 +70,19 @@
 	defer stop()
 	function, err := c.function(thread)
 	if err != nil {
-		return false, fmt.Errorf("%w: %v", ErrNoVerdict, err)
+		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	args := make(starlark.Tuple, 0, parameters)
 	for _, text := range []json.RawMessage{request, answer, expected} {
 		value, err := decode(thread, text)
 		if err != nil {
-			return false, fmt.Errorf("%w: %v", ErrNoVerdict, err)
+			return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
 		args = append(args, value)
 	}
 	result, err := starlark.Call(thread, function, args, nil)
 	if err != nil {
-		return false, fmt.Errorf("%w: %v", ErrNoVerdict, err)
+		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
 	passed, ok := result.(starlark.Bool)
 	if !ok {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -14,7 +14,7 @@
 func Check(name string, schemaText, document []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
-		return fmt.Errorf("not JSON: %v", err)
+		return fmt.Errorf("not JSON: %w", err)
 	}
 	schemaDoc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -20,10 +20,26 @@
 }
 func (fixed) Healthy() bool { return true }
 
+// connectionCloses makes a request and tells whether the server closes the connection with its response.
+func connectionCloses(t *testing.T, client *http.Client, method, url, body string) bool {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response.Close
+}
+
 // TestUsersLeaveRoomForWorkers has users keep as many connections as they can. Those beyond
 // their share are closed with the answer, and workers still find room.
 func TestUsersLeaveRoomForWorkers(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,25 +47,14 @@
 	go func() { _ = s.Serve(l) }()
 	defer func() { _ = s.Close() }()
 	url := "http://" + l.Addr().String()
-	do := func(method, path, body string) *http.Response {
+	closes := func(method, path, body string) bool {
 		t.Helper()
 		// A client of its own: each keeps its connection.
-		c := &http.Client{Transport: &http.Transport{}}
-		req, err := http.NewRequest(method, url+path, strings.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		r, err := c.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.Copy(io.Discard, r.Body)
-		_ = r.Body.Close()
-		return r
+		return connectionCloses(t, &http.Client{Transport: &http.Transport{}}, method, url+path, body)
 	}
 	closed := 0
 	for i := 0; i < 20; i++ {
-		if do("GET", "/v2/runs/run-000001", "").Close {
+		if closes(http.MethodGet, "/v2/runs/run-000001", "") {
 			closed++
 		}
 	}
@@ -57,7 +62,7 @@
 		t.Errorf("%d connections of users were closed, not 17 of 20", closed)
 	}
 	for i := 0; i < 6; i++ {
-		if do("POST", "/checkin", `{"host":"h","shift":1,"tally":1}`).Close {
+		if closes(http.MethodPost, wire.HeartbeatPath, `{"host":"h","shift":1,"tally":1}`) {
 			t.Error("a worker's connection was closed")
 		}
 	}
@@ -66,7 +71,7 @@
 // TestMoreWorkersThanSockets has more workers, each of which keeps its connection, than the server has sockets.
 // All of them are answered, again and again.
 func TestMoreWorkersThanSockets(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,16 +84,10 @@
 	}
 	closed := 0
 	for range 3 {
-		for i, worker := range workers {
-			r, err := worker.Post("http://"+l.Addr().String()+wire.HeartbeatPath, "application/json", strings.NewReader(`{"host":"h","shift":1,"tally":1}`))
-			if err != nil {
-				t.Fatalf("worker %d: %v", i, err)
-			}
-			if r.Close {
+		for _, worker := range workers {
+			if connectionCloses(t, worker, http.MethodPost, "http://"+l.Addr().String()+wire.HeartbeatPath, `{"host":"h","shift":1,"tally":1}`) {
 				closed++
 			}
-			_, _ = io.Copy(io.Discard, r.Body)
-			_ = r.Body.Close()
 		}
 	}
 	if closed == 0 || closed == 3*len(workers) {
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -124,6 +124,7 @@
 	case wire.TaskCheckpointing:
 		t.Checkpointed = true
 		m.exit(t, wire.CauseStopped)
+	case wire.TaskExited: // final
 	}
 }
 
--- a/internal/simworker/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -64,8 +64,11 @@
 // effect, what can't run is refused with its cause, and a forgotten attempt may start again.
 func TestCommands(t *testing.T) {
 	m, _ := newTestMachine()
-	order := func(now time.Duration, commands ...wire.Command) bool {
-		return m.Ordered(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands})
+	order := func(now time.Duration, commands ...wire.Command) {
+		t.Helper()
+		if !m.Ordered(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands}) {
+			t.Errorf("the commands of second %d were dropped", now)
+		}
 	}
 	order(0, start("run-000001/0", 1), start("run-000002/0", 1), start("run-000001/0", 1))
 	expect(t, m, 1, "run-000001/0#1 pulling", "run-000002/0#1 pulling")
