--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -69,7 +69,7 @@
 	}
 	i := slices.IndexFunc(b.pending, func(a *pendingCancellation) bool { return a.cancellation.Job == id })
 	if i < 0 {
-		value, err := json.Marshal(e.activeJob)
+		value, err := e.Encode()
 		if err != nil {
 			then(false)
 			return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -313,7 +313,7 @@
 
 // PeerStatus is what this node tells the others of itself.
 func (c *Core) PeerStatus() PeerStatus {
-	s := PeerStatus{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Term, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
+	s := PeerStatus{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
 	if c.cache.ready {
 		s.Revision = c.cache.revision
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -1,12 +1,12 @@
 package core
 
 import (
-	"encoding/json"
 	"math"
 	"time"
 
 	"bitternwing/internal/dependency"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 }
 
 // observeEnd takes in the committed end of a job.
-func (d *dependencyTracker) observeEnd(id string, f finalState) {
+func (d *dependencyTracker) observeEnd(id string, f stored.FinalState) {
 	d.graph.End(id, dependency.End{Done: f.State == wire.JobDone, AtMS: f.EndedMS})
 }
 
@@ -96,14 +96,15 @@
 	d.reading[id] = true
 	request := c.registerStoreCall(func(r Result) {
 		delete(d.reading, id)
-		var f finalState
-		if r.Outcome == outcome.OK && json.Unmarshal(r.Item.Value, &f) == nil {
-			c.cacheFinalState(id, f)
-			return
+		if r.Outcome == outcome.OK {
+			if f, err := stored.DecodeFinalState(r.Item.Value); err == nil {
+				c.cacheFinalState(id, f)
+				return
+			}
 		}
 		d.retryAt = c.now.Steady + c.times.retryPause
 	})
-	c.emit(StoreGet{CallID: request, Key: finalStatePrefix + id})
+	c.emit(StoreGet{CallID: request, Key: stored.FinalStateKey(id)})
 }
 
 // followDependencies takes in what has changed of the jobs that need others: those that are ready are
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -31,13 +32,13 @@
 		if l.jobs[j.id] != j || j.cancelled || e == nil {
 			continue
 		}
-		v := e.activeJob
+		v := e.Job
 		v.CancelledMS = max(1, c.now.WallMS)
-		value, err := c.encodeActive(v)
+		value, err := v.EncodeWithin(c.limits.maxValueBytes())
 		if err != nil {
 			continue
 		}
-		key := activeJobPrefix + j.id
+		key := stored.JobKey(j.id)
 		b.addCondition(key, e.version)
 		b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
 		b.size += len(value) + 128
@@ -51,7 +52,7 @@
 	switch {
 	case r.Outcome == outcome.OK:
 		w.leader.core.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
-	case failed[activeJobPrefix+x.job.id]:
+	case failed[stored.JobKey(x.job.id)]:
 		w.rereadJob(x.job) // another node was quicker
 	}
 	if w.leader.jobs[x.job.id] == x.job && !x.job.cancelled {
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"encoding/json"
-
 	"bitternwing/internal/dependency"
 	"bitternwing/internal/wire"
 )
@@ -133,17 +131,3 @@
 	e.CancelledMS = max(1, c.now.WallMS)
 	return &e
 }
-
-// encodeActive gives an active job as it is stored. A cancellation rewrites the whole of it, and the
-// value that was accepted may be larger than what the state service takes by now: what only tells where
-// the job may start is of no use any more and goes.
-func (c *Core) encodeActive(v activeJob) (json.RawMessage, error) {
-	value, err := json.Marshal(v)
-	if err != nil || len(value) <= c.limits.maxValueBytes() || v.CancelledMS == 0 {
-		return value, err
-	}
-	short := *v.Spec
-	short.Class, short.Image, short.Zone, short.MachineTypes, short.Dependencies = "", "", "", nil, nil
-	v.Spec = &short
-	return json.Marshal(v)
-}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -1,12 +1,12 @@
 package core
 
 import (
-	"encoding/json"
 	"sort"
 	"time"
 
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -44,7 +44,7 @@
 
 func (e *election) run() {
 	c := e.core
-	e.history.observe(c.now.Steady, c.cache.term.Term)
+	e.history.observe(c.now.Steady, c.cache.term.Number)
 	if c.leader != nil {
 		e.maintainLease()
 		return
@@ -227,9 +227,9 @@
 			fail()
 			return
 		}
-		term := c.cache.term.Term + 1
-		lead, err1 := json.Marshal(leaderRecord{c.settings.Node, c.incarnation, g.Lease, term})
-		tv, err2 := c.encodeTermForStore(termRecord{term, c.settings.Node}, c.layout())
+		term := c.cache.term.Number + 1
+		lead, err1 := stored.Leader{Node: c.settings.Node, Incarnation: c.incarnation, Lease: g.Lease, Term: term}.Encode()
+		tv, err2 := c.encodeTerm(stored.Term{Number: term, Node: c.settings.Node}, c.layout())
 		if err1 != nil || err2 != nil {
 			fail()
 			return
@@ -246,8 +246,8 @@
 			fail()
 		})
 		c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
-			If:   []wire.Condition{{Key: leaderKey}, {Key: termKey, Version: c.cache.termVersion}},
-			Then: []wire.Op{{Put: leaderKey, Value: lead, Lease: g.Lease}, {Put: termKey, Value: tv}},
+			If:   []wire.Condition{{Key: stored.LeaderKey}, {Key: stored.TermKey, Version: c.cache.termVersion}},
+			Then: []wire.Op{{Put: stored.LeaderKey, Value: lead, Lease: g.Lease}, {Put: stored.TermKey, Value: tv}},
 		}})
 	})
 	c.emit(StoreGrantLease{CallID: id, TTL: ttl})
@@ -258,11 +258,11 @@
 	c := e.core
 	last := c.cache.term
 	if last.Node == c.settings.Node {
-		return e.lastTermLed != 0 && e.lastTermLed == last.Term
+		return e.lastTermLed != 0 && e.lastTermLed == last.Number
 	}
 	for _, p := range c.peers {
 		if p.name == last.Node {
-			return c.recentlyHeard(p) && p.status.Term >= last.Term
+			return c.recentlyHeard(p) && p.status.Term >= last.Number
 		}
 	}
 	return false
@@ -282,7 +282,7 @@
 		"term_revision", version, "revision", c.cache.revision)
 	c.leader = newLeader(c, term, version)
 	if version > c.cache.termVersion {
-		c.cache.term, c.cache.termVersion = termRecord{term, c.settings.Node}, version
+		c.cache.term, c.cache.termVersion = stored.Term{Number: term, Node: c.settings.Node}, version
 	}
 }
 
@@ -291,7 +291,7 @@
 // the lease, as after an outage of the state service, or that it lost it.
 func (e *election) maintainLease() {
 	c := e.core
-	if c.cache.term.Term > c.leader.term {
+	if c.cache.term.Number > c.leader.term {
 		e.stepDown("newer term observed")
 		return
 	}
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -98,17 +98,33 @@
 	return nil
 }
 
-// ReadableBefore tells whether the version before plans can read a term.
+// What versions before rollouts, and the one with rollouts, read as a term. They stay as they are.
+type (
+	plainTerm struct {
+		Term uint64 `json:"term"`
+		Node string `json:"node"`
+	}
+	layoutFencedTerm struct {
+		Term uint64 `json:"term,string"`
+		Node string `json:"node"`
+	}
+	rolloutsTerm struct {
+		Term [1]uint64 `json:"term"`
+		Node string    `json:"node"`
+	}
+)
+
+// ReadableBefore tells whether the version before rollouts can read a term.
 func ReadableBefore(value json.RawMessage) bool {
-	_, plain := decode[termRecord](value)
-	_, fenced := decode[layoutFencedTerm](value)
-	return plain || fenced
+	var plain plainTerm
+	var fenced layoutFencedTerm
+	return json.Unmarshal(value, &plain) == nil || json.Unmarshal(value, &fenced) == nil
 }
 
-// ReadableWithPlans tells whether the version before allowances can read a term.
+// ReadableWithPlans tells whether the version before quota accounts can read a term.
 func ReadableWithPlans(value json.RawMessage) bool {
-	_, plans := decode[rolloutsTermRecord](value)
-	return plans || ReadableBefore(value)
+	var rollouts rolloutsTerm
+	return json.Unmarshal(value, &rollouts) == nil || ReadableBefore(value)
 }
 
 // LeaseTTL gives the life of the lease of a leader whose term begins now, after terms that began at some times.
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -2,17 +2,16 @@
 
 import (
 	"encoding/json"
-	"strconv"
 	"time"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
 // Workers don't report which images they have. The leader remembers what it placed
 // where, and keeps it in the state service as a hint for its successors; being
 // wrong costs a fetch and breaks nothing.
-const imageHintPrefix = "w/i/"
 
 type imageHints struct {
 	leader    *leader
@@ -35,12 +34,14 @@
 		return
 	}
 	h.nextWrite = c.now.Steady
-	shards := h.shardsOf(l.machinesByName)
-	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}}
-	for i, s := range shards {
-		k := imageHintPrefix + strconv.Itoa(i)
-		value, err := json.Marshal(s)
-		if err != nil || string(value) == h.written[k] || len(s) == 0 && h.written[k] == "" {
+	values, err := h.encode(l.machinesByName)
+	if err != nil {
+		return
+	}
+	txn := wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}}}
+	for i, value := range values {
+		k := stored.ImageHintKey(i)
+		if string(value) == h.written[k] || string(value) == stored.EmptyImageHints && h.written[k] == "" {
 			continue
 		}
 		txn.Then = append(txn.Then, wire.Op{Put: k, Value: value})
@@ -65,35 +66,34 @@
 	c.emit(StoreTxn{CallID: id, Txn: txn})
 }
 
-// shardsOf gives the images of all machines, in as many keys as the fleet needs, each within the
-// limit of a value.
-func (h *imageHints) shardsOf(fleet []*machine) []map[string][]string {
-	shards := []map[string][]string{{}}
-	most := h.leader.core.maxValueBytes()
-	sum := 0
+// encode gives the images of all machines, in as many values as the fleet needs.
+func (h *imageHints) encode(fleet []*machine) ([]json.RawMessage, error) {
+	packer := stored.NewImageHintPacker(h.leader.core.maxValueBytes())
 	for _, m := range fleet {
-		names := []string{}
-		size := len(m.name) + 8
-		for _, img := range m.images {
-			if img.ready || img.unconfirmed {
-				names = append(names, img.name)
-				size += len(img.name) + 8
-			}
-		}
-		if len(names) == 0 {
-			continue
-		}
-		if sum += size; sum > most {
-			shards = append(shards, map[string][]string{})
-			sum = size
+		if names := m.imageNames(); len(names) > 0 {
+			packer.Add(m.name, names)
 		}
-		shards[len(shards)-1][m.name] = names
 	}
-	for len(shards) < h.shards {
-		shards = append(shards, map[string][]string{}) // a smaller fleet empties the rest
+	values, err := packer.Encode()
+	if err != nil {
+		return nil, err
+	}
+	for len(values) < h.shards {
+		values = append(values, json.RawMessage(stored.EmptyImageHints)) // a smaller fleet empties the rest
+	}
+	h.shards = max(h.shards, len(values))
+	return values, nil
+}
+
+// imageNames gives the images that a machine is believed to have.
+func (m *machine) imageNames() []string {
+	var names []string
+	for _, img := range m.images {
+		if img.ready || img.unconfirmed {
+			names = append(names, img.name)
+		}
 	}
-	h.shards = max(h.shards, len(shards))
-	return shards
+	return names
 }
 
 // applyImageHints gives a machine, when first seen in this term, the images that the last
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -11,6 +11,7 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
 )
@@ -28,9 +29,9 @@
 	latestEndMS            int64  // time of day by which deadlines need it to be done
 	version                uint64 // of its key
 	cancelled              bool
-	cancelledAt            time.Duration // on the steady clock
-	ending                 bool          // its last write is on the way
-	finalState             finalState    // as it is written then
+	cancelledAt            time.Duration     // on the steady clock
+	ending                 bool              // its last write is on the way
+	finalState             stored.FinalState // as it is written then
 
 	team   *config.Team
 	chunks map[int]*recordChunk
@@ -164,7 +165,7 @@
 
 // recordKey is the key of a chunk's record.
 func (l *leader) recordKey(ch *recordChunk) string {
-	return runRecordPrefix + l.recordLayout.Key(ch.job.id, ch.index).String()
+	return stored.RunRecordKey(l.recordLayout.Key(ch.job.id, ch.index))
 }
 
 func (l *leader) chunkOf(j *job, task int) *recordChunk {
@@ -229,14 +230,14 @@
 
 func (j *job) isArray() bool { return j.spec.Kind == wire.KindArray }
 
-func (j *job) taskCounts() taskCounts {
+func (j *job) taskCounts() stored.TaskCounts {
 	running := 0
 	for _, p := range j.placements {
 		if p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing {
 			running++
 		}
 	}
-	return taskCounts{running, j.done}
+	return stored.TaskCounts{Running: running, Done: j.done}
 }
 
 func (j *job) queuedBefore(k *job) bool {
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -1,11 +1,11 @@
 package core
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -23,16 +23,16 @@
 		}
 	}
 	records := w.leader.recordKeys(j)
-	j.finalState = finalState{State: wire.JobDone, Done: j.done, EndedMS: w.leader.core.now.WallMS}
+	j.finalState = stored.FinalState{State: wire.JobDone, Done: j.done, EndedMS: w.leader.core.now.WallMS}
 	if j.cancelled {
 		j.finalState.State = wire.JobCancelled
 	}
-	value, err := json.Marshal(j.finalState)
+	value, err := j.finalState.Encode()
 	if err != nil {
 		return false
 	}
-	b.addCondition(activeJobPrefix+j.id, j.version)
-	b.txn.Then = append(b.txn.Then, wire.Op{Put: finalStatePrefix + j.id, Value: value}, wire.Op{Delete: activeJobPrefix + j.id})
+	b.addCondition(stored.JobKey(j.id), j.version)
+	b.txn.Then = append(b.txn.Then, wire.Op{Put: stored.FinalStateKey(j.id), Value: value}, wire.Op{Delete: stored.JobKey(j.id)})
 	for _, r := range records {
 		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.leader.core.limits.maxConditions() {
 			b.addCondition(r.Key, r.Version)
@@ -49,7 +49,7 @@
 	switch {
 	case r.Outcome == outcome.OK:
 		w.completeEnd(j, b)
-	case failed[activeJobPrefix+j.id]:
+	case failed[stored.JobKey(j.id)]:
 		// A cancel came first, or this very end was applied before, its outcome
 		// unknown. It is written again only once that is known: repeating it
 		// blindly would go on for good.
@@ -105,5 +105,5 @@
 			}
 		}
 	})
-	c.emit(StoreGet{CallID: id, Key: activeJobPrefix + j.id})
+	c.emit(StoreGet{CallID: id, Key: stored.JobKey(j.id)})
 }
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"encoding/json"
 	"time"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -21,9 +21,9 @@
 
 // lookupResult is a lookup's result.
 type lookupResult struct {
-	indeterminate bool        // could not be confirmed
-	entry         *cachedJob  // active
-	final         *finalState // done or cancelled
+	indeterminate bool               // could not be confirmed
+	entry         *cachedJob         // active
+	final         *stored.FinalState // done or cancelled
 }
 
 // lookUp looks a job up. A cached cancellation stands without asking, once all nodes know it.
@@ -81,9 +81,9 @@
 	for ; n < len(u.comparisons) && len(conds)+2 <= most; n++ {
 		l := u.comparisons[n]
 		if l.entry != nil {
-			conds = append(conds, wire.Condition{Key: activeJobPrefix + l.id, Version: l.entry.version})
+			conds = append(conds, wire.Condition{Key: stored.JobKey(l.id), Version: l.entry.version})
 		} else {
-			conds = append(conds, wire.Condition{Key: activeJobPrefix + l.id}, wire.Condition{Key: finalStatePrefix + l.id})
+			conds = append(conds, wire.Condition{Key: stored.JobKey(l.id)}, wire.Condition{Key: stored.FinalStateKey(l.id)})
 		}
 	}
 	batch := append([]*lookup(nil), u.comparisons[:n]...)
@@ -104,7 +104,7 @@
 		for _, l := range batch {
 			switch {
 			case r.Outcome == outcome.OK, r.Outcome == outcome.Conflict && len(failed) > 0 &&
-				!failed[activeJobPrefix+l.id] && !failed[finalStatePrefix+l.id]:
+				!failed[stored.JobKey(l.id)] && !failed[stored.FinalStateKey(l.id)]:
 				l.then(lookupResult{entry: l.entry})
 			case r.Outcome == outcome.Conflict:
 				u.reads = append(u.reads, l)
@@ -131,8 +131,8 @@
 		id := c.registerStoreCall(func(r Result) {
 			switch r.Outcome {
 			case outcome.OK:
-				var v activeJob
-				if json.Unmarshal(r.Item.Value, &v) != nil || v.Spec == nil {
+				v, err := stored.DecodeJob(r.Item.Value)
+				if err != nil {
 					end(lookupResult{indeterminate: true})
 					return
 				}
@@ -155,22 +155,26 @@
 				end(lookupResult{entry: e})
 			case outcome.NotFound:
 				id := c.registerStoreCall(func(r Result) {
-					var v finalState
-					switch {
-					case r.Outcome == outcome.NotFound:
+					switch r.Outcome {
+					case outcome.NotFound:
 						end(lookupResult{})
-					case r.Outcome == outcome.OK && json.Unmarshal(r.Item.Value, &v) == nil:
-						c.cacheFinalState(l.id, v)
-						end(lookupResult{final: &v})
+					case outcome.OK:
+						final, err := stored.DecodeFinalState(r.Item.Value)
+						if err != nil {
+							end(lookupResult{indeterminate: true})
+							return
+						}
+						c.cacheFinalState(l.id, final)
+						end(lookupResult{final: &final})
 					default:
 						end(lookupResult{indeterminate: true})
 					}
 				})
-				c.emit(StoreGet{CallID: id, Key: finalStatePrefix + l.id})
+				c.emit(StoreGet{CallID: id, Key: stored.FinalStateKey(l.id)})
 			default:
 				end(lookupResult{indeterminate: true})
 			}
 		})
-		c.emit(StoreGet{CallID: id, Key: activeJobPrefix + l.id})
+		c.emit(StoreGet{CallID: id, Key: stored.JobKey(l.id)})
 	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -4,12 +4,12 @@
 	"maps"
 	"slices"
 	"sort"
-	"strings"
 	"time"
 
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
 )
@@ -192,7 +192,7 @@
 		}
 		l.allRecordsRead, l.recordsReadAt = true, l.core.now.Steady
 	})
-	l.core.emit(StoreList{CallID: id, Prefix: runRecordPrefix, After: l.recordCursor})
+	l.core.emit(StoreList{CallID: id, Prefix: stored.RunRecordPrefix, After: l.recordCursor})
 }
 
 // applyRecords takes the run records of earlier terms.
@@ -200,7 +200,7 @@
 	found := map[string][]record.Stored{}
 	for _, name := range slices.Sorted(maps.Keys(items)) {
 		it := items[name]
-		key, ok := record.ParseKey(strings.TrimPrefix(name, runRecordPrefix))
+		key, ok := stored.ParseRunRecordKey(name)
 		if !ok {
 			l.core.log(Error, "run record key not recognized", "key", name)
 			continue
@@ -233,7 +233,7 @@
 	}
 	for _, s := range found {
 		if l.recordLayout.ByTask > 0 && !s.Key.ByTask {
-			j.supersede(runRecordPrefix+s.Key.String(), s.Version)
+			j.supersede(stored.RunRecordKey(s.Key), s.Version)
 		}
 	}
 	parts := l.recordLayout.Assemble(found)
--- a/internal/core/leader_recovery_test.go
+++ b/internal/core/leader_recovery_test.go
@@ -5,13 +5,14 @@
 	"testing"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
 // nextRecordsPage gives the reading of a page of records among effects; nil if there is none.
 func nextRecordsPage(effects []Effect) *StoreList {
 	for _, effect := range effects {
-		if list, ok := effect.(StoreList); ok && list.Prefix == runRecordPrefix {
+		if list, ok := effect.(StoreList); ok && list.Prefix == stored.RunRecordPrefix {
 			return &list
 		}
 	}
@@ -35,7 +36,7 @@
 				continue
 			}
 			read[list.After]++
-			items := []wire.Item{{Key: fmt.Sprintf("%srun-%06d/0", runRecordPrefix, page), Version: 1}}
+			items := []wire.Item{{Key: fmt.Sprintf("%srun-%06d/0", stored.RunRecordPrefix, page), Version: 1}}
 			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: outcome.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
 		}
 	}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -3,11 +3,10 @@
 import (
 	"encoding/json"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -37,8 +36,6 @@
 	leaderUnreachable bool          // it can't reach the leader
 }
 
-const relayedHeartbeatPrefix = "w/k/"
-
 func newLeaseRelay(c *Core) *leaseRelay {
 	return &leaseRelay{core: c, workers: map[string]*relayedWorker{}, redirected: map[string]time.Duration{}}
 }
@@ -260,22 +257,23 @@
 // writeRelayed passes the reports on, as many to a key as fit.
 func (k *leaseRelay) writeRelayed() {
 	c := k.core
-	reports := make([]json.RawMessage, 0, len(k.order))
+	heartbeats := make([]json.RawMessage, 0, len(k.order))
 	for _, name := range k.order {
 		if b, err := json.Marshal(k.workers[name].heartbeat); err == nil {
-			reports = append(reports, b)
+			heartbeats = append(heartbeats, b)
 		}
 	}
-	packer := &relayPacker{maxBytes: usableValueBytes(c.limits.largestAcceptedValue())}
+	packer := stored.RelayedHeartbeatPacker{MaxBytes: stored.UsableValueBytes(c.limits.largestAcceptedValue())}
 	if c.layout().ByTask > 0 {
 		// All nodes are known to read the compressed form.
-		packer.maxBytes, packer.compressed = c.maxValueBytes(), true
+		packer.MaxBytes, packer.Compressed = c.maxValueBytes(), true
 	}
-	if tooLarge := packer.pack(reports); tooLarge > 0 {
+	values, tooLarge := packer.Pack(heartbeats)
+	if tooLarge > 0 {
 		c.log(Debug, "heartbeats too large to relay", "workers", tooLarge)
 	}
 	var ops []wire.Op
-	for i, value := range packer.values {
+	for i, value := range values {
 		ops = append(ops, wire.Op{Put: k.key(i), Value: value})
 	}
 	n := len(ops)
@@ -287,7 +285,7 @@
 	k.shards = max(k.shards, n)
 	left, good := len(ops), true
 	for len(ops) > 0 {
-		part := ops[:min(len(ops), c.limits.maxChanges(), wire.MaxBody*9/10/packer.maxBytes)]
+		part := ops[:min(len(ops), c.limits.maxChanges(), wire.MaxBody*9/10/packer.MaxBytes)]
 		ops = ops[len(part):]
 		k.writeInFlight = true
 		id := c.registerStoreCall(func(r Result) {
@@ -306,30 +304,21 @@
 	}
 }
 
-// maxValueBytes is how large a value is made, and mostValues how many such values a
-// transaction holds.
-func (c *Core) maxValueBytes() int {
-	return usableValueBytes(c.limits.maxValueBytes())
-}
-
-// usableValueBytes gives what is used of a value's limit.
-func usableValueBytes(valueBytes int) int { return min(valueBytes, wire.MaxBody/4) * 9 / 10 }
-
-func (c *Core) maxValuesPerTxn() int {
-	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.maxValueBytes())
-}
-
 func (k *leaseRelay) key(i int) string {
-	return relayedHeartbeatPrefix + k.core.settings.Node + "/" + strconv.Itoa(i)
+	return stored.RelayedHeartbeatsKey(k.core.settings.Node, i)
 }
 
-// applyRelayedHeartbeats hands reports that another node passed on to the leader.
-func (c *Core) applyRelayedHeartbeats(key string, value json.RawMessage) {
-	if c.leader == nil || value == nil || !strings.HasPrefix(key, relayedHeartbeatPrefix) {
+// applyRelayedHeartbeats hands heartbeats that another node relayed to the leader.
+func (c *Core) applyRelayedHeartbeats(name string, value json.RawMessage) {
+	if c.leader == nil || value == nil {
+		return
+	}
+	c.observeRelay(stored.RelayingNode(name))
+	heartbeats, err := stored.DecodeRelayedHeartbeats(value)
+	if err != nil {
 		return
 	}
-	c.observeRelay(key)
-	for _, r := range decodeRelayed(value) {
+	for _, r := range heartbeats {
 		if r != nil && r.Machine != "" && termOfFencingToken(r.FencingToken) <= c.leader.term {
 			c.leader.reconcileIndirect(r, false)
 		}
@@ -337,8 +326,7 @@
 }
 
 // observeRelay notes that a node keeps workers, whether this one reaches it or not.
-func (c *Core) observeRelay(key string) {
-	node, _, _ := strings.Cut(strings.TrimPrefix(key, relayedHeartbeatPrefix), "/")
+func (c *Core) observeRelay(node string) {
 	for _, p := range c.peers {
 		if p.name == node {
 			p.relayedAt = c.now.Steady
--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"bitternwing/internal/config"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -30,11 +31,11 @@
 		job := fmt.Sprintf("run-%06d", i)
 		switch {
 		case i%10 >= cancelledOf10:
-			c.cache.jobs[job] = &cachedJob{activeJob: activeJob{Spec: &wire.Job{ID: job, Tasks: 1}}}
+			c.cache.jobs[job] = &cachedJob{Job: stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}}}
 		case i%2 == 0:
-			c.cache.jobs[job] = &cachedJob{activeJob: activeJob{Spec: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1}}
+			c.cache.jobs[job] = &cachedJob{Job: stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1}}
 		default:
-			c.cache.finals[job] = finalState{State: wire.JobCancelled}
+			c.cache.finals[job] = stored.FinalState{State: wire.JobCancelled}
 		}
 		state := states[rapid.IntRange(0, len(states)-1).Draw(t, "state")]
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -64,7 +64,7 @@
 // for a no: it may be served, and lead.
 func (c *Core) storeOutageConfirmed() bool {
 	for _, p := range c.peers {
-		if p.status.Term > c.cache.term.Term {
+		if p.status.Term > c.cache.term.Number {
 			return false
 		}
 	}
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -12,6 +12,7 @@
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
 	"bitternwing/internal/resource"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -192,7 +193,7 @@
 }
 
 func (f *drawnFleet) queue(spec *wire.Job, rank int, team *config.Team) *job {
-	j := f.l.addJob(spec.ID, &cachedJob{activeJob: activeJob{Spec: spec}})
+	j := f.l.addJob(spec.ID, &cachedJob{Job: stored.Job{Spec: spec}})
 	j.rank, j.team = rank, team
 	return j
 }
--- a/internal/core/quota_cache.go
+++ b/internal/core/quota_cache.go
@@ -2,17 +2,10 @@
 
 import (
 	"encoding/json"
-	"net/url"
 
 	"bitternwing/internal/quota"
 )
 
-// quotaPrefix is where this region's accounts of the teams' allowances are, by team. Without regions there is none.
-const quotaPrefix = "w/q/"
-
-// quotaKey gives the key of a team's account. Names of teams may hold what keys may not.
-func quotaKey(team string) string { return quotaPrefix + url.PathEscape(team) }
-
 // cachedQuotaAccount is an account as a node has read it.
 type cachedQuotaAccount struct {
 	account *quota.Account
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -6,6 +6,7 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/quota"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -21,8 +22,8 @@
 func (a *quotaManager) writeNextChange(t *teamQuota, need teamDemand) {
 	c := a.leader.core
 	switch {
-	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil && c.cache.termForm < quotasTermFormat:
-		a.leader.termUpgrade.request(quotasTermFormat)
+	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil && c.cache.termFormat < stored.QuotasTermFormat:
+		a.leader.termUpgrade.request(stored.QuotasTermFormat)
 	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil:
 		a.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
@@ -100,7 +101,7 @@
 	switch {
 	case r.Outcome == outcome.OK:
 		a.adoptAccount(t, next, r.Txn.Revision)
-	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
+	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
 		c.election.stepDown("term superseded")
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -5,6 +5,7 @@
 
 	"bitternwing/internal/config"
 	"bitternwing/internal/quota"
+	"bitternwing/internal/stored"
 )
 
 // quotaManager keeps a leader within what its region holds of the teams' limits and guarantees, hands parts of it to
@@ -56,7 +57,7 @@
 	parts := l.core.regionShares()
 	for i := range l.core.settings.Params.Teams {
 		team := &l.core.settings.Params.Teams[i]
-		t := &teamQuota{effective: *team, settings: team, key: quotaKey(team.Name), delivering: map[string]bool{},
+		t := &teamQuota{effective: *team, settings: team, key: stored.QuotaAccountKey(team.Name), delivering: map[string]bool{},
 			whole: quota.Share{Limit: quota.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
 		t.initial = quota.Initial(t.whole, parts, l.core.operator.Regions.Name)
 		t.setEffective(quota.Share{})
@@ -155,14 +156,14 @@
 // readStored takes in the accounts as the watch shows them.
 func (a *quotaManager) readStored() {
 	for _, t := range a.ordered {
-		stored := a.leader.core.cache.quotaAccounts.byKey[t.key]
-		if stored == nil || stored.version <= t.version {
+		current := a.leader.core.cache.quotaAccounts.byKey[t.key]
+		if current == nil || current.version <= t.version {
 			continue
 		}
-		if stored.problem != nil {
-			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", stored.problem.Error())
+		if current.problem != nil {
+			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", current.problem.Error())
 		}
-		a.adoptAccount(t, stored.account, stored.version)
+		a.adoptAccount(t, current.account, current.version)
 	}
 }
 
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -1,13 +1,13 @@
 package core
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"time"
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -63,8 +63,8 @@
 		return
 	}
 	next := record.Layout{ByIndex: l.recordLayout.ByIndex, ByTask: record.ByTaskFor(c.limits.maxValueBytes())}
-	layout, err1 := json.Marshal(next)
-	term, err2 := c.encodeTermForStore(termRecord{l.term, c.settings.Node}, next)
+	layout, err1 := next.Encode()
+	term, err2 := c.encodeTerm(stored.Term{Number: l.term, Node: c.settings.Node}, next)
 	if err1 != nil || err2 != nil {
 		return
 	}
@@ -84,8 +84,8 @@
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: termKey, Version: l.termVersion}, {Key: recordLayoutKey}},
-		Then: []wire.Op{{Put: recordLayoutKey, Value: layout}, {Put: termKey, Value: term}},
+		If:   []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}, {Key: stored.RecordLayoutKey}},
+		Then: []wire.Op{{Put: stored.RecordLayoutKey, Value: layout}, {Put: stored.TermKey, Value: term}},
 	}})
 }
 
@@ -96,7 +96,7 @@
 	l.termVersion, l.recordLayout = version, next
 	l.layoutMigration.requested = false
 	if version > c.cache.termVersion {
-		c.cache.term, c.cache.termVersion = termRecord{l.term, c.settings.Node}, version
+		c.cache.term, c.cache.termVersion = stored.Term{Number: l.term, Node: c.settings.Node}, version
 	}
 	if version > c.cache.layoutVersion {
 		c.cache.layout, c.cache.layoutVersion = next, version
@@ -116,7 +116,7 @@
 	for _, index := range slices.Sorted(maps.Keys(chunks)) {
 		ch := chunks[index]
 		if ch.version != 0 {
-			j.supersede(runRecordPrefix+old.Key(j.id, index).String(), ch.version)
+			j.supersede(stored.RunRecordKey(old.Key(j.id, index)), ch.version)
 		}
 		stale := !ch.persisted() || ch.rereadInFlight
 		ch.dirty = false
--- a/internal/core/rollout_cache.go
+++ b/internal/core/rollout_cache.go
@@ -8,9 +8,6 @@
 	"bitternwing/internal/rollout"
 )
 
-// planPrefix is where the plans of rollouts are, by name. Without plans there is no key.
-const planPrefix = "w/p/"
-
 // cachedPlan is a plan as a node has read it.
 type cachedPlan struct {
 	record  *rollout.Record // nil: nothing of it can be read
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -11,6 +11,7 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -86,26 +87,26 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.cache.plans.byName)) {
-		stored := c.cache.plans.byName[name]
+		current := c.cache.plans.byName[name]
 		run := t.runs[name]
 		if run == nil {
-			run = t.begin(name, stored)
+			run = t.begin(name, current)
 		}
-		if stored.problem == nil {
-			l.runRollout(run, stored)
+		if current.problem == nil {
+			l.runRollout(run, current)
 		}
 	}
 }
 
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
-func (t *rolloutManager) begin(name string, stored *cachedPlan) *activeRollout {
+func (t *rolloutManager) begin(name string, current *cachedPlan) *activeRollout {
 	c := t.leader.core
 	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewProofs(c.probeInterval()),
 		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MostRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
-	if stored.problem != nil {
-		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", stored.problem.Error())
+	if current.problem != nil {
+		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.problem.Error())
 	}
 	return run
 }
@@ -143,16 +144,16 @@
 	if !l.recovered {
 		return
 	}
-	for _, stored := range []*cachedPlan{before, after} {
-		if stored != nil && stored.record != nil {
-			l.refreshHoldsOf(stored.record.Plan.New.Jobs)
+	for _, current := range []*cachedPlan{before, after} {
+		if current != nil && current.record != nil {
+			l.refreshHoldsOf(current.record.Plan.New.Jobs)
 		}
 	}
 }
 
 // runRollout does what a plan is due to do.
-func (l *leader) runRollout(run *activeRollout, stored *cachedPlan) {
-	c, r := l.core, stored.record
+func (l *leader) runRollout(run *activeRollout, current *cachedPlan) {
+	c, r := l.core, current.record
 	replicas := l.replicasOf(&r.Plan)
 	run.validations.Track(replicas)
 	run.reconcile(l, &r.Plan)
@@ -180,14 +181,14 @@
 	}
 	switch {
 	case len(run.changes) > 0:
-		l.commitChange(run, stored)
+		l.commitChange(run, current)
 	case r.Expired(o):
-		l.removePlan(run, stored)
+		l.removePlan(run, current)
 	case len(run.joinRequests) > 0:
-		l.commitJoins(run, stored, o)
+		l.commitJoins(run, current, o)
 	default:
 		if next := r.Next(o); next != nil {
-			l.commitTransition(run, stored, next, func(Result) {})
+			l.commitTransition(run, current, next, func(Result) {})
 		}
 	}
 }
@@ -338,18 +339,18 @@
 
 // conditionalTxn is a change of a key, conditional on the term and on the key's version.
 func (l *leader) conditionalTxn(key string, version uint64, op wire.Op) wire.Txn {
-	return wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}, {Key: key, Version: version}}, Then: []wire.Op{op}}
+	return wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}, {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
-func (l *leader) commitPlan(run *activeRollout, stored *cachedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitPlan(run *activeRollout, current *cachedPlan, next *rollout.Record, then func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	run.writeInFlight = true
-	run.noteDropped(stored.record, next)
+	run.noteDropped(current.record, next)
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
@@ -359,12 +360,12 @@
 		}
 		then(r)
 	})
-	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(planPrefix+run.name, stored.version, wire.Op{Put: planPrefix + run.name, Value: value})})
+	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.version, wire.Op{Put: stored.PlanKey(run.name), Value: value})})
 }
 
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
-func (l *leader) commitTransition(run *activeRollout, stored *cachedPlan, next *rollout.Record, then func(Result)) {
-	l.commitPlan(run, stored, next, func(r Result) {
+func (l *leader) commitTransition(run *activeRollout, current *cachedPlan, next *rollout.Record, then func(Result)) {
+	l.commitPlan(run, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
 			l.logPlan(run, next)
 		}
@@ -386,8 +387,8 @@
 	c := l.core
 	switch {
 	case r.Outcome == outcome.OK:
-		c.applyPlanKey(planPrefix+run.name, value, r.Txn.Revision)
-	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
+		c.applyPlan(run.name, value, r.Txn.Revision)
+	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
 		c.election.stepDown("term superseded")
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// A write of before was applied after all, or this one may be yet: what is there counts.
@@ -406,28 +407,27 @@
 		run.writeInFlight = false
 		run.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK {
-			c.applyPlanKey(planPrefix+run.name, r.Item.Value, r.Item.Version)
+			c.applyPlan(run.name, r.Item.Value, r.Item.Version)
 		}
 	})
-	c.emit(StoreGet{CallID: id, Key: planPrefix + run.name})
+	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(run.name)})
 }
 
 // removePlan forgets a plan that has ended a while ago.
-func (l *leader) removePlan(run *activeRollout, stored *cachedPlan) {
+func (l *leader) removePlan(run *activeRollout, current *cachedPlan) {
 	run.writeInFlight = true
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, nil)
 	})
-	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(planPrefix+run.name, stored.version, wire.Op{Delete: planPrefix + run.name})})
+	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.version, wire.Op{Delete: stored.PlanKey(run.name)})})
 }
 
-// applyPlanKey takes a plan's key as it was read, written or heard of.
-func (c *Core) applyPlanKey(key string, value json.RawMessage, version uint64) {
-	name := key[len(planPrefix):]
+// applyPlan takes a plan's key as it was read, written or heard of.
+func (c *Core) applyPlan(name string, value json.RawMessage, version uint64) {
 	before := c.cache.plans.byName[name]
-	c.cache.apply(key, value, version)
+	c.cache.plans.apply(name, value, version)
 	if c.leader != nil {
 		c.leader.planChanged(before, c.cache.plans.byName[name])
 	}
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -8,6 +8,7 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -95,13 +96,13 @@
 	if l == nil {
 		return
 	}
-	stored := c.cache.plans.byName[in.Plan.Name]
+	current := c.cache.plans.byName[in.Plan.Name]
 	switch {
 	case !c.operator.Rollouts.Enabled:
 		c.respondRefused(in.RequestID, reasonRolloutsDisabled)
-	case stored != nil && stored.record != nil && reflect.DeepEqual(&stored.record.Plan, in.Plan):
+	case current != nil && current.record != nil && reflect.DeepEqual(&current.record.Plan, in.Plan):
 		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
-	case stored != nil:
+	case current != nil:
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case len(c.cache.plans.byName) >= c.operator.Rollouts.MostPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
@@ -109,8 +110,8 @@
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case !c.allPeersSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
-	case c.cache.termForm < rolloutsTermFormat:
-		l.termUpgrade.request(rolloutsTermFormat)
+	case c.cache.termFormat < stored.RolloutsTermFormat:
+		l.termUpgrade.request(stored.RolloutsTermFormat)
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
@@ -187,14 +188,14 @@
 	id := l.stateCall(func(r Result) {
 		switch {
 		case r.Outcome == outcome.OK:
-			c.applyPlanKey(planPrefix+name, value, r.Txn.Revision)
+			c.applyPlan(name, value, r.Txn.Revision)
 			l.planApplied(in.Plan)
 			c.log(Info, "rollout phase committed", "plan", name, "phase", string(record.Phase))
 			c.respond(in.RequestID, 200, l.planStatus(name))
 		case r.Outcome == outcome.Unknown:
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			l.resolvePlanWrite(in.Plan)
-		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, termKey):
+		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			c.election.stepDown("term superseded")
 		default:
@@ -207,11 +208,11 @@
 
 // newPlanTxn writes a plan on the condition that its jobs are as they were seen.
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
-	txn := l.conditionalTxn(planPrefix+plan.Name, 0, wire.Op{Put: planPrefix + plan.Name, Value: value})
+	txn := l.conditionalTxn(stored.PlanKey(plan.Name), 0, wire.Op{Put: stored.PlanKey(plan.Name), Value: value})
 	for _, id := range plan.Jobs() {
-		cond := wire.Condition{Key: finalStatePrefix + id}
+		cond := wire.Condition{Key: stored.FinalStateKey(id)}
 		if e := l.core.cache.jobs[id]; e != nil {
-			cond = wire.Condition{Key: activeJobPrefix + id, Version: e.version}
+			cond = wire.Condition{Key: stored.JobKey(id), Version: e.version}
 		}
 		if len(txn.If) < l.core.limits.maxConditions() {
 			txn.If = append(txn.If, cond)
@@ -232,13 +233,13 @@
 	c := l.core
 	id := l.stateCall(func(r Result) {
 		if r.Outcome == outcome.OK {
-			c.applyPlanKey(planPrefix+plan.Name, r.Item.Value, r.Item.Version)
+			c.applyPlan(plan.Name, r.Item.Value, r.Item.Version)
 			l.planApplied(plan)
 			return
 		}
 		c.election.stepDown("a plan may yet be written")
 	})
-	c.emit(StoreGet{CallID: id, Key: planPrefix + plan.Name})
+	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(plan.Name)})
 }
 
 // handleChangePlan takes a change of an operator, which is answered once it is committed.
@@ -247,12 +248,12 @@
 	if l == nil {
 		return
 	}
-	stored, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
+	current, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
 	switch {
-	case stored == nil:
+	case current == nil:
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
-	case stored.problem != nil:
-		c.respondRefused(in.RequestID, stored.problem.Error())
+	case current.problem != nil:
+		c.respondRefused(in.RequestID, current.problem.Error())
 	case run == nil || !c.election.leaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
@@ -262,17 +263,17 @@
 }
 
 // commitChange commits the first change that waits.
-func (l *leader) commitChange(run *activeRollout, stored *cachedPlan) {
+func (l *leader) commitChange(run *activeRollout, current *cachedPlan) {
 	c, x := l.core, run.changes[0]
 	run.changes = run.changes[1:]
-	next, err := stored.record.Change(x.change, c.now.WallMS)
+	next, err := current.record.Change(x.change, c.now.WallMS)
 	switch {
 	case err != nil:
 		c.respondRefused(x.req, err.Error())
-	case next == stored.record:
+	case next == current.record:
 		c.respond(x.req, 200, l.planStatus(run.name))
 	default:
-		l.commitTransition(run, stored, next, func(r Result) {
+		l.commitTransition(run, current, next, func(r Result) {
 			if r.Outcome == outcome.OK {
 				c.respond(x.req, 200, l.planStatus(run.name))
 			} else {
@@ -297,17 +298,17 @@
 
 // planStatus gives how a plan stands.
 func (l *leader) planStatus(name string) PlanStatus {
-	stored, run := l.core.cache.plans.byName[name], l.rollouts.runs[name]
-	status := PlanStatus{Record: stored.record}
-	if stored.problem != nil {
-		status.Problem = stored.problem.Error()
+	current, run := l.core.cache.plans.byName[name], l.rollouts.runs[name]
+	status := PlanStatus{Record: current.record}
+	if current.problem != nil {
+		status.Problem = current.problem.Error()
 		return status
 	}
 	if run == nil {
 		return status
 	}
-	o := l.observeRollout(run, stored.record)
-	status.Reconciled, status.Capacity, status.Routing = run.reconciled, stored.record.Plan.CapacityOf(o), run.routing
+	o := l.observeRollout(run, current.record)
+	status.Reconciled, status.Capacity, status.Routing = run.reconciled, current.record.Plan.CapacityOf(o), run.routing
 	status.Replicas = run.validations.States(l.core.now.Steady)
 	status.Routers = run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -32,14 +32,14 @@
 	if l == nil {
 		return
 	}
-	stored, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
+	current, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
-	case stored == nil:
+	case current == nil:
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
-	case stored.problem != nil || run == nil || run.routing.Generation.Revision == 0:
+	case current.problem != nil || run == nil || run.routing.Generation.Revision == 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
-	case run.recorded(stored.record, in.Router):
+	case run.recorded(current.record, in.Router):
 		l.grantRouting(run, join)
 	case !c.election.leaseValid() || c.storeDown || len(run.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
@@ -82,13 +82,13 @@
 }
 
 // commitJoins records the names of the routers that wait, and then answers them. Routers that are gone make room.
-func (l *leader) commitJoins(run *activeRollout, stored *cachedPlan, o *rollout.Observation) {
-	next := l.recordWithJoins(run, stored.record, o)
+func (l *leader) commitJoins(run *activeRollout, current *cachedPlan, o *rollout.Observation) {
+	next := l.recordWithJoins(run, current.record, o)
 	if next == nil {
 		return
 	}
 	run.joinsInFlight, run.joinRequests = run.joinRequests, nil
-	l.commitPlan(run, stored, next, func(r Result) {
+	l.commitPlan(run, current, next, func(r Result) {
 		joined := run.joinsInFlight
 		run.joinsInFlight = nil
 		if r.Outcome != outcome.OK || !l.hasAuthority() {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -22,7 +22,7 @@
 
 // Status gives how this node does at a time.
 func (c *Core) Status(now time.Duration) Status {
-	s := Status{TermsLed: c.election.termsLed, Load: c.timerLoad.Level(now), Term: c.cache.term.Term, LeaseRenewals: c.leaseRenewals.responses,
+	s := Status{TermsLed: c.election.termsLed, Load: c.timerLoad.Level(now), Term: c.cache.term.Number, LeaseRenewals: c.leaseRenewals.responses,
 		CancelledStops: c.leaseRenewals.stops, StoreDown: c.storeDown}
 	if c.cache.ready {
 		s.Revision = c.cache.revision
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"bitternwing/internal/config"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -62,3 +63,11 @@
 
 // maxDependencies bounds the jobs that a job may need.
 func (l *storeLimits) maxDependencies() int { return wire.MaxDependencies(l.maxValueBytes()) }
+
+// maxValueBytes is how large a value is made.
+func (c *Core) maxValueBytes() int { return stored.UsableValueBytes(c.limits.maxValueBytes()) }
+
+// maxValuesPerTxn is how many values of maxValueBytes a transaction holds.
+func (c *Core) maxValuesPerTxn() int {
+	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.maxValueBytes())
+}
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -57,7 +58,7 @@
 		s.requestIDs = append(s.requestIDs, in.RequestID)
 		return
 	}
-	value, err := json.Marshal(activeJob{Spec: in.Job, AcceptedMS: c.now.WallMS})
+	value, err := stored.Job{Spec: in.Job, AcceptedMS: c.now.WallMS}.Encode()
 	if err != nil || len(value) > c.limits.maxValueBytes() {
 		u.respond(in.RequestID, 400, wire.ErrorBody{Error: "body: is too large"})
 		return
@@ -108,8 +109,8 @@
 			break
 		}
 		id := s.job.ID
-		txn.If = append(txn.If, wire.Condition{Key: activeJobPrefix + id}, wire.Condition{Key: finalStatePrefix + id})
-		txn.Then = append(txn.Then, wire.Op{Put: activeJobPrefix + id, Value: s.value})
+		txn.If = append(txn.If, wire.Condition{Key: stored.JobKey(id)}, wire.Condition{Key: stored.FinalStateKey(id)})
+		txn.Then = append(txn.Then, wire.Op{Put: stored.JobKey(id), Value: s.value})
 	}
 	batch := append([]*submission(nil), u.submissions[:n]...)
 	u.submissions = append(u.submissions[:0], u.submissions[n:]...)
@@ -128,7 +129,7 @@
 				u.resolveSubmission(s, func(req uint64) {
 					u.respond(req, 201, wire.JobState{ID: id, State: wire.JobPending})
 				})
-			case r.Outcome == outcome.Conflict && (failed[activeJobPrefix+id] || failed[finalStatePrefix+id]):
+			case r.Outcome == outcome.Conflict && (failed[stored.JobKey(id)] || failed[stored.FinalStateKey(id)]):
 				delete(u.submissionByID, id)
 				u.reads = append(u.reads, &lookup{id: id, then: func(f lookupResult) {
 					for _, req := range s.requestIDs {
--- a/internal/core/task_counts.go
+++ b/internal/core/task_counts.go
@@ -1,75 +1,22 @@
 package core
 
 import (
-	"encoding/json"
-	"hash/fnv"
-	"strconv"
-
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
-// The counts of jobs are spread over shards by their ids. A shard that has outgrown a value goes on in a
-// further one, so that there are as many as the jobs need: shard 3 goes on in shard 3+countShards, and so on.
-// Versions that know the first ones only show what is in these.
-const countShards = 8
-
-// firstCountShard gives the first shard in which the counts of a job may be.
-func firstCountShard(id string) int {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash takes all
-	return int(h.Sum32() % countShards)
-}
-
-// countKey is the key of a shard.
-func countKey(shard int) string { return taskCountPrefix + strconv.Itoa(shard) }
-
 // countsOf finds the counts of a job among the shards.
-func (d *watchCache) countsOf(id string) taskCounts {
-	for shard := firstCountShard(id); ; shard += countShards {
-		jobs, used := d.countShards[countKey(shard)]
+func (d *watchCache) countsOf(id string) stored.TaskCounts {
+	return stored.FindTaskCounts(id, func(key string) (stored.TaskCountShard, bool) {
+		shard, used := d.countShards[key]
 		if !used {
-			return taskCounts{}
-		}
-		if n, ok := jobs.get()[id]; ok {
-			return n
-		}
-	}
-}
-
-// countShards gives the counts of all jobs that have any, by shard. Each is within the limit of a value.
-func (l *leader) countShards() []map[string]taskCounts {
-	var shards []map[string]taskCounts
-	last := [countShards]int{} // by first shard, the one that is being filled
-	sizes := [countShards]int{}
-	for i := range last {
-		last[i] = i
-	}
-	for _, j := range l.queue {
-		n := j.taskCounts()
-		if n == (taskCounts{}) {
-			continue
-		}
-		first, size := firstCountShard(j.id), len(j.id)+countBytes
-		if sizes[first] += size; sizes[first] >= l.core.maxValueBytes() {
-			last[first] += countShards
-			sizes[first] = size
+			return nil, false
 		}
-		shard := last[first]
-		for len(shards) <= shard {
-			shards = append(shards, nil)
-		}
-		if shards[shard] == nil {
-			shards[shard] = map[string]taskCounts{}
-		}
-		shards[shard][j.id] = n
-	}
-	return shards
+		return shard.get(), true
+	})
 }
 
-// countBytes is what the counts of a job take at most, beside its id.
-const countBytes = len(`"":[100000,100000],`)
-
 // writeCounts writes how many tasks run and are done, for display at other nodes, at
 // most every other report interval and only with writes to spare.
 func (w *writer) writeCounts() {
@@ -85,17 +32,17 @@
 		return
 	}
 	w.nextCounts = c.now.Steady
-	shards := l.countShards()
-	w.countShardsInUse = max(w.countShardsInUse, len(shards))
-	txn := wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}}
+	packer := stored.NewTaskCountPacker(c.maxValueBytes())
+	for _, j := range l.queue {
+		packer.Add(j.id, j.taskCounts())
+	}
+	w.countShardsInUse = max(w.countShardsInUse, packer.Len())
+	txn := wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}}}
 	keys := map[string]string{}
 	for i := range w.countShardsInUse {
-		shard := map[string]taskCounts{} // one that is not needed any more is emptied
-		if i < len(shards) && shards[i] != nil {
-			shard = shards[i]
-		}
-		k := countKey(i)
-		value, err := json.Marshal(shard)
+		shard := packer.Shard(i) // one that is not needed any more is emptied
+		k := stored.TaskCountKey(i)
+		value, err := shard.Encode()
 		if err != nil || string(value) == w.countsWritten[k] || len(shard) == 0 && w.countsWritten[k] == "" {
 			continue
 		}
@@ -128,7 +75,7 @@
 	if w.catalogInFlight || c.catalog == nil || c.cache.catalog != nil || c.storeDown {
 		return
 	}
-	value, err := json.Marshal(c.catalog)
+	value, err := stored.EncodeCatalog(c.catalog)
 	if err != nil || len(value) > c.limits.maxValueBytes() {
 		return
 	}
@@ -138,6 +85,6 @@
 			w.catalogInFlight = false
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}},
-		Then: []wire.Op{{Put: catalogKey, Value: value}}}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}},
+		Then: []wire.Op{{Put: stored.CatalogKey, Value: value}}}})
 }
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -3,28 +3,15 @@
 import (
 	"encoding/json"
 	"slices"
-	"strconv"
 	"time"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
-// unreachableHints tell the next leader, where much of a zone is silent, since when its machines
-// have been, in the state service: else each change of leaders would begin their time anew, although their tasks
-// were long gone with their leases. It is a hint and no evidence: being wrong, it has a
-// machine released sooner, and only the cloud's word ends what is on it.
-//
-// One value holds some 500 machines, so a large fleet's hints take several keys: the first one, which is
-// all that older versions read, and more below it.
-const (
-	unreachableHintKey    = "w/s"
-	unreachableHintPrefix = unreachableHintKey + "/"
-)
-
-// unreachableEntryBytes is what a machine takes in a hint at most, beside its name.
-const unreachableEntryBytes = 20
-
+// unreachableHints writes, while much of a zone is silent, when its machines were last heard: see
+// stored.UnreachableHints.
 type unreachableHints struct {
 	leader    *leader
 	nextWrite time.Duration
@@ -32,30 +19,17 @@
 	written   []string // as written, a value for each key
 }
 
-// unreachableHintShardKey is the key of a part of the hints.
-func unreachableHintShardKey(part int) string {
-	if part == 0 {
-		return unreachableHintKey
-	}
-	return unreachableHintPrefix + strconv.Itoa(part)
-}
-
-// unreachableHintShard is a part of the hints as a node has read it.
+// unreachableHintShard is a shard of the hints as a node has read it.
 type unreachableHintShard struct {
-	since   map[string]int64 // time of day when these machines were last heard
-	encoded string           // the same, as written
-}
-
-// isUnreachableHintKey tells whether a key holds a part of the hints.
-func isUnreachableHintKey(key string) bool {
-	return key == unreachableHintKey || hasKeyPrefix(key, unreachableHintPrefix)
+	lastHeardMS stored.UnreachableHints
+	encoded     string // the same, as written
 }
 
 // lastHeardMS gives the time of day when the last leader last heard a machine, if it told. Of two parts that
 // name the machine, one was to be written anew.
 func (d *watchCache) lastHeardMS(machine string) (at int64, told bool) {
 	for _, part := range d.unreachable {
-		if heard, named := part.since[machine]; named {
+		if heard, named := part.lastHeardMS[machine]; named {
 			at, told = max(at, heard), true
 		}
 	}
@@ -66,7 +40,7 @@
 func (d *watchCache) unreachableHintTexts() []string {
 	var texts []string
 	for part := 0; ; part++ {
-		p, ok := d.unreachable[unreachableHintShardKey(part)]
+		p, ok := d.unreachable[stored.UnreachableHintKey(part)]
 		if !ok {
 			return texts
 		}
@@ -100,32 +74,26 @@
 			s.written = after
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: termKey, Version: l.termVersion}}, Then: ops}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}}, Then: ops}})
 }
 
 // encode gives the hints as they are to be written, a value for each key.
 func (s *unreachableHints) encode() ([]string, error) {
 	l, c := s.leader, s.leader.core
-	var parts []map[string]int64
-	size := c.maxValueBytes()
+	packer := stored.NewUnreachableHintPacker(c.maxValueBytes())
 	for _, m := range l.machinesByName {
 		quiet := c.now.Steady - m.lastHeardDirectlyOrRelayed()
 		if _, many := l.silentZones[m.zone]; !many || m.releasing || quiet < c.times.lease/3 {
 			continue
 		}
-		entry := len(m.name) + unreachableEntryBytes
-		if size += entry; size > c.maxValueBytes() {
-			parts = append(parts, map[string]int64{})
-			size = entry
-		}
-		parts[len(parts)-1][m.name] = (c.now.WallMS - quiet.Milliseconds()) / 100 * 100 // it is to stay the same
+		packer.Add(m.name, (c.now.WallMS-quiet.Milliseconds())/100*100) // rounded, so that it stays the same
 	}
-	texts := make([]string, len(parts))
-	for i, part := range parts {
-		value, err := json.Marshal(part)
-		if err != nil {
-			return nil, err
-		}
+	values, err := packer.Encode()
+	if err != nil {
+		return nil, err
+	}
+	texts := make([]string, len(values))
+	for i, value := range values {
 		texts[i] = string(value)
 	}
 	return texts, nil
@@ -139,7 +107,7 @@
 	most := s.leader.core.maxValuesPerTxn()
 	for len(after) > len(next) && len(ops) < most {
 		after = after[:len(after)-1]
-		ops = append(ops, wire.Op{Delete: unreachableHintShardKey(len(after))})
+		ops = append(ops, wire.Op{Delete: stored.UnreachableHintKey(len(after))})
 	}
 	for part, text := range next {
 		if len(ops) >= most || part < len(after) && after[part] == text {
@@ -149,7 +117,7 @@
 			after = append(after, "")
 		}
 		after[part] = text
-		ops = append(ops, wire.Op{Put: unreachableHintShardKey(part), Value: json.RawMessage(text)})
+		ops = append(ops, wire.Op{Put: stored.UnreachableHintKey(part), Value: json.RawMessage(text)})
 	}
 	return ops, after
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -135,9 +136,9 @@
 // all nodes know it.
 func (u *userRequests) commitCancel(id string, e *cachedJob, then func(cancelResult)) {
 	c := u.core
-	v := e.activeJob
+	v := e.Job
 	v.CancelledMS = max(1, c.now.WallMS)
-	value, err := c.encodeActive(v)
+	value, err := v.EncodeWithin(c.limits.maxValueBytes())
 	if err != nil {
 		then(cancelIndeterminate)
 		return
@@ -160,7 +161,7 @@
 			then(cancelIndeterminate)
 		}
 	})
-	key := activeJobPrefix + id
+	key := stored.JobKey(id)
 	c.emit(StoreTxn{CallID: request, Txn: wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: e.version}},
 		Then: []wire.Op{{Put: key, Value: value}},
@@ -173,7 +174,7 @@
 	u.commitSubmissions()
 }
 
-func finalJobState(id string, f finalState) wire.JobState {
+func finalJobState(id string, f stored.FinalState) wire.JobState {
 	zero := 0
 	return wire.JobState{ID: id, State: f.State, Done: &f.Done, Running: &zero}
 }
@@ -184,17 +185,17 @@
 		return finalJobState(id, *f.final)
 	}
 	n := c.countsOf(id)
-	s := wire.JobState{ID: id, State: wire.JobPending, Running: &n[0], Done: &n[1]}
+	s := wire.JobState{ID: id, State: wire.JobPending, Running: &n.Running, Done: &n.Done}
 	switch {
 	case f.entry.CancelledMS != 0:
 		s.State = wire.JobCancelled
-	case n[0] > 0:
+	case n.Running > 0:
 		s.State = wire.JobRunning
 	}
 	return s
 }
 
-func (c *Core) countsOf(id string) taskCounts {
+func (c *Core) countsOf(id string) stored.TaskCounts {
 	if c.leader != nil {
 		if j := c.leader.jobs[id]; j != nil {
 			return j.taskCounts()
--- a/internal/core/watch_cache.go
+++ b/internal/core/watch_cache.go
@@ -2,87 +2,16 @@
 
 import (
 	"encoding/json"
-	"strings"
 	"time"
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
-// The keys. Everything below watched is fed to each node by one watch; final
-// states and run records are read when they are needed.
-const (
-	watchedPrefix    = "w/"
-	activeJobPrefix  = "w/a/"      // a job that still needs attention
-	taskCountPrefix  = "w/n/"      // counts of running and done tasks, in shards
-	leaderKey        = "w/lead"    // who leads, on a lease
-	termKey          = "w/term"    // the term, counted up with each win
-	catalogKey       = "w/catalog" // the machine types
-	recordLayoutKey  = "w/layout"  // the layout of the run records, if it is not the first one
-	finalStatePrefix = "f/"        // a job's final state, kept for good
-	runRecordPrefix  = "r/"        // run records
-)
-
-// activeJob is a job that is neither done nor wholly gone after a cancel.
-type activeJob struct {
-	Spec        *wire.Job `json:"job"`
-	AcceptedMS  int64     `json:"at"`
-	CancelledMS int64     `json:"x,omitempty"`
-}
-
-// finalState is a job's final state.
-type finalState struct {
-	State wire.JobStatus `json:"s"`
-	Done  int            `json:"n"`
-	// EndedMS is the time of day of the end; 0 in ends that versions before dependencies wrote.
-	EndedMS int64 `json:"at,omitempty"`
-}
-
-type leaderRecord struct {
-	Node        string `json:"node"`
-	Incarnation string `json:"inc"`
-	Lease       uint64 `json:"lease"`
-	Term        uint64 `json:"term"`
-}
-
-type termRecord struct {
-	Term uint64 `json:"term"`
-	Node string `json:"node"`
-}
-
-// layoutFencedTerm is a term as it is written once the second layout of the run records is in use. Version 1
-// can't read it, so that no node of that version, which would take the records for somebody's rubbish,
-// ever wins a term again.
-type layoutFencedTerm struct {
-	Term uint64 `json:"term,string"`
-	Node string `json:"node"`
-}
-
-// encodeTerm gives a term as it is written under a layout.
-func encodeTerm(t termRecord, layout record.Layout) (json.RawMessage, error) {
-	if layout.ByTask > 0 {
-		return json.Marshal(layoutFencedTerm(t))
-	}
-	return json.Marshal(t)
-}
-
-// decodeTerm reads a term in any form, and tells which one it is.
-func decodeTerm(value json.RawMessage) (termRecord, termFormat, bool) {
-	if t, ok := decode[termRecord](value); ok {
-		return t, baseTermFormat, true
-	}
-	if t, ok := decode[layoutFencedTerm](value); ok {
-		return termRecord(t), baseTermFormat, true
-	}
-	return decodeVersionedTerm(value)
-}
-
-// taskCounts of a job: running, done.
-type taskCounts [2]int
-
 type cachedJob struct {
-	activeJob
+	stored.Job
 	version uint64
 }
 
@@ -96,23 +25,23 @@
 	revision uint64
 
 	jobs          map[string]*cachedJob
-	leader        leaderRecord
+	leader        stored.Leader
 	leaderVersion uint64
-	term          termRecord
+	term          stored.Term
 	termVersion   uint64
-	termForm      termFormat // which versions can read it
+	termFormat    stored.TermFormat // which versions can read it
 	catalog       []wire.MachineType
 	plans         cachedPlans
 	quotaAccounts cachedQuotaAccounts
 	layout        record.Layout // the zero value: the first one
 	layoutVersion uint64        // version of its key
-	countShards   map[string]*lazyValue[map[string]taskCounts]
-	images        map[string]*lazyValue[map[string][]string] // by key, by machine
-	unreachable   map[string]unreachableHintShard            // by key
+	countShards   map[string]*lazyValue[stored.TaskCountShard]
+	images        map[string]*lazyValue[stored.ImageHints] // by key, by machine
+	unreachable   map[string]unreachableHintShard          // by key
 
 	// finals are final states seen here; they never change, so they need no
 	// confirmation. The oldest makes way.
-	finals     map[string]finalState
+	finals     map[string]stored.FinalState
 	finalOrder []string
 
 	reloading     *watchCache // being read, when set
@@ -123,74 +52,62 @@
 }
 
 func newWatchCache() *watchCache {
-	return &watchCache{jobs: map[string]*cachedJob{}, countShards: map[string]*lazyValue[map[string]taskCounts]{}, images: map[string]*lazyValue[map[string][]string]{},
-		plans: newCachedPlans(), quotaAccounts: newCachedQuotaAccounts(), unreachable: map[string]unreachableHintShard{}, finals: map[string]finalState{}}
+	return &watchCache{jobs: map[string]*cachedJob{}, countShards: map[string]*lazyValue[stored.TaskCountShard]{}, images: map[string]*lazyValue[stored.ImageHints]{},
+		plans: newCachedPlans(), quotaAccounts: newCachedQuotaAccounts(), unreachable: map[string]unreachableHintShard{}, finals: map[string]stored.FinalState{}}
 }
 
 func (d *watchCache) leaderCondition() wire.Condition {
-	return wire.Condition{Key: leaderKey, Version: d.leaderVersion}
+	return wire.Condition{Key: stored.LeaderKey, Version: d.leaderVersion}
 }
 
 // apply takes a key's value, or its end where value is nil.
 func (d *watchCache) apply(key string, value json.RawMessage, version uint64) {
-	switch {
-	case hasKeyPrefix(key, activeJobPrefix):
-		d.applyJob(key[len(activeJobPrefix):], value, version)
-	case key == leaderKey:
+	switch kind, name := stored.ParseWatchedKey(key); kind {
+	case stored.KindJob:
+		d.applyJob(name, value, version)
+	case stored.KindLeader:
 		d.applyLeader(value, version)
-	case key == termKey:
+	case stored.KindTerm:
 		d.applyTerm(value, version)
-	case hasKeyPrefix(key, planPrefix):
-		d.plans.apply(key[len(planPrefix):], value, version)
-	case hasKeyPrefix(key, quotaPrefix):
+	case stored.KindPlan:
+		d.plans.apply(name, value, version)
+	case stored.KindQuotaAccount:
 		d.quotaAccounts.apply(key, value, version)
-	case key == catalogKey:
-		if types, ok := decode[[]wire.MachineType](value); ok {
+	case stored.KindCatalog:
+		if types, err := stored.DecodeCatalog(value); err == nil {
 			d.catalog = types
 		}
-	case key == recordLayoutKey:
-		if layout, ok := decode[record.Layout](value); ok {
+	case stored.KindRecordLayout:
+		if layout, err := record.DecodeLayout(value); err == nil {
 			d.layout, d.layoutVersion = layout, version
 		}
-	case isUnreachableHintKey(key):
+	case stored.KindUnreachableHints:
 		delete(d.unreachable, key)
-		if since, ok := decode[map[string]int64](value); ok {
-			d.unreachable[key] = unreachableHintShard{since: since, encoded: string(value)}
+		if lastHeard, err := stored.DecodeUnreachableHints(value); err == nil {
+			d.unreachable[key] = unreachableHintShard{lastHeardMS: lastHeard, encoded: string(value)}
 		}
-	case strings.HasPrefix(key, imageHintPrefix):
-		d.images[key] = &lazyValue[map[string][]string]{encoded: value}
-	case hasKeyPrefix(key, taskCountPrefix):
-		d.countShards[key] = &lazyValue[map[string]taskCounts]{encoded: value}
+	case stored.KindImageHints:
+		d.images[key] = &lazyValue[stored.ImageHints]{encoded: value, decode: stored.DecodeImageHints}
+	case stored.KindTaskCounts:
+		d.countShards[key] = &lazyValue[stored.TaskCountShard]{encoded: value, decode: stored.DecodeTaskCountShard}
+	case stored.KindRelayedHeartbeats, stored.KindUnknown:
 	}
 }
 
-// hasKeyPrefix tells whether a key is one of those that begin with a prefix.
-func hasKeyPrefix(key, prefix string) bool {
-	return len(key) > len(prefix) && strings.HasPrefix(key, prefix)
-}
-
-// decode reads a stored value; false, and nothing, for one that is gone or can't be read.
-func decode[T any](value json.RawMessage) (T, bool) {
-	var v, none T
-	if value == nil || json.Unmarshal(value, &v) != nil {
-		return none, false
-	}
-	return v, true
-}
-
-// lazyValue is a value that is read when it is needed first: most nodes never need most of them.
+// lazyValue is a stored value that is decoded when it is needed first: most nodes never need most of them.
 type lazyValue[T any] struct {
-	encoded json.RawMessage // nil: it was read, or there is none
+	encoded json.RawMessage // nil: it was decoded
+	decode  func(json.RawMessage) (T, error)
 	value   T
 }
 
-// get gives the value; nothing for one that is gone or can't be read.
-func (s *lazyValue[T]) get() T {
-	if s.encoded != nil {
-		s.value, _ = decode[T](s.encoded)
-		s.encoded = nil
+// get gives the value; the zero value for one that can't be decoded.
+func (v *lazyValue[T]) get() T {
+	if v.encoded != nil {
+		v.value, _ = v.decode(v.encoded)
+		v.encoded = nil
 	}
-	return s.value
+	return v.value
 }
 
 func (d *watchCache) applyJob(id string, value json.RawMessage, version uint64) {
@@ -201,7 +118,7 @@
 		delete(d.jobs, id)
 		return
 	}
-	if v, ok := decode[activeJob](value); ok && v.Spec != nil {
+	if v, err := stored.DecodeJob(value); err == nil {
 		d.jobs[id] = &cachedJob{v, version}
 	}
 }
@@ -228,20 +145,20 @@
 }
 
 func (d *watchCache) applyLeader(value json.RawMessage, version uint64) {
-	d.leaderVersion, d.leader = 0, leaderRecord{}
-	if v, ok := decode[leaderRecord](value); ok {
+	d.leaderVersion, d.leader = 0, stored.Leader{}
+	if v, err := stored.DecodeLeader(value); err == nil {
 		d.leader, d.leaderVersion = v, version
 	}
 }
 
 func (d *watchCache) applyTerm(value json.RawMessage, version uint64) {
-	if v, form, ok := decodeTerm(value); ok && version > d.termVersion {
-		d.term, d.termVersion, d.termForm = v, version, max(d.termForm, form)
+	if v, format, err := stored.DecodeTerm(value); err == nil && version > d.termVersion {
+		d.term, d.termVersion, d.termFormat = v, version, max(d.termFormat, format)
 	}
 }
 
 // cacheFinalState remembers a final state, up to a bound.
-func (c *Core) cacheFinalState(id string, f finalState) {
+func (c *Core) cacheFinalState(id string, f stored.FinalState) {
 	d := c.cache
 	c.dependencies.observeEnd(id, f)
 	if _, ok := d.finals[id]; ok {
@@ -307,7 +224,7 @@
 			d.retryAt = c.now.Steady + c.times.retryPause
 		}
 	})
-	c.emit(StoreWatch{CallID: id, Prefix: watchedPrefix, After: d.revision, Wait: c.times.lease / 2})
+	c.emit(StoreWatch{CallID: id, Prefix: stored.WatchedPrefix, After: d.revision, Wait: c.times.lease / 2})
 }
 
 func (c *Core) applyChanges(ch wire.WatchResponse) {
@@ -315,16 +232,20 @@
 		key, value := e.Put, e.Value
 		if e.Delete != "" {
 			key, value = e.Delete, nil
-			c.observeJobEnd(key)
 		}
-		switch {
-		case hasKeyPrefix(key, planPrefix):
-			c.applyPlanKey(key, value, e.Version)
-		case hasKeyPrefix(key, activeJobPrefix):
-			c.applyJob(key[len(activeJobPrefix):], value, e.Version, fromWatch)
+		//exhaustive:ignore // the others concern the cache alone
+		switch kind, name := stored.ParseWatchedKey(key); kind {
+		case stored.KindPlan:
+			c.applyPlan(name, value, e.Version)
+		case stored.KindJob:
+			if e.Delete != "" {
+				c.observeJobEnd(name)
+			}
+			c.applyJob(name, value, e.Version, fromWatch)
+		case stored.KindRelayedHeartbeats:
+			c.applyRelayedHeartbeats(name, value)
 		default:
 			c.cache.apply(key, value, e.Version)
-			c.applyRelayedHeartbeats(key, value)
 		}
 	}
 	c.cache.revision = max(c.cache.revision, ch.Revision)
@@ -358,17 +279,16 @@
 // observeJobEnd remembers a job's final state from the end of its active key: only the
 // write of its final state deletes that key, and the watch lacks no change before
 // it, so what the job was last is what it ended as.
-func (c *Core) observeJobEnd(key string) {
-	id, ok := strings.CutPrefix(key, activeJobPrefix)
+func (c *Core) observeJobEnd(id string) {
 	e := c.cache.jobs[id]
-	if !ok || e == nil {
+	if e == nil {
 		return
 	}
 	if e.CancelledMS != 0 {
-		c.cacheFinalState(id, finalState{State: wire.JobCancelled, Done: c.countsOf(id)[1], EndedMS: c.now.WallMS})
+		c.cacheFinalState(id, stored.FinalState{State: wire.JobCancelled, Done: c.countsOf(id).Done, EndedMS: c.now.WallMS})
 		c.cancellations.drop(id)
 	} else {
-		c.cacheFinalState(id, finalState{State: wire.JobDone, Done: e.Spec.Tasks, EndedMS: c.now.WallMS})
+		c.cacheFinalState(id, stored.FinalState{State: wire.JobDone, Done: e.Spec.Tasks, EndedMS: c.now.WallMS})
 	}
 }
 
@@ -397,7 +317,7 @@
 		retainNewer(l.jobs, old, l.revision)
 		d.jobs, d.leader, d.leaderVersion = l.jobs, l.leader, l.leaderVersion
 		if l.termVersion > d.termVersion {
-			d.term, d.termVersion, d.termForm = l.term, l.termVersion, l.termForm
+			d.term, d.termVersion, d.termFormat = l.term, l.termVersion, l.termFormat
 		}
 		d.countShards, d.images, d.revision = l.countShards, l.images, l.revision
 		d.unreachable = l.unreachable
@@ -424,5 +344,5 @@
 			c.leader.refreshHolds()
 		}
 	})
-	c.emit(StoreList{CallID: id, Prefix: watchedPrefix, After: after})
+	c.emit(StoreList{CallID: id, Prefix: stored.WatchedPrefix, After: after})
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -6,6 +6,7 @@
 
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
@@ -72,7 +73,7 @@
 		c.wakeBy(w.notBefore)
 		return
 	}
-	if w.leader.layoutMigration.requested || w.leader.termUpgrade.target != baseTermFormat {
+	if w.leader.layoutMigration.requested || w.leader.termUpgrade.target != stored.BaseTermFormat {
 		return
 	}
 	for w.inFlight < 2 && !c.storeDown {
@@ -138,7 +139,7 @@
 	l, c := w.leader, w.leader.core
 	ops := min(c.limits.maxChanges(), int(w.rateTokens))
 	b := &writeBatch{conditions: map[string]bool{}}
-	b.addCondition(termKey, l.termVersion)
+	b.addCondition(stored.TermKey, l.termVersion)
 
 	// Ends of jobs first: users wait for them.
 	var laterJobs []*job
@@ -212,7 +213,7 @@
 	for _, p := range placed {
 		if p.phase == phaseUncommitted {
 			// A new placement stands only while the job is not cancelled.
-			b.addCondition(activeJobPrefix+ch.job.id, ch.job.version)
+			b.addCondition(stored.JobKey(ch.job.id), ch.job.version)
 			b.placements = append(b.placements, p)
 		}
 	}
@@ -232,7 +233,7 @@
 		for _, k := range r.Txn.Failed {
 			failed[k] = true
 		}
-		if failed[termKey] {
+		if failed[stored.TermKey] {
 			w.leader.core.election.stepDown("term superseded")
 			return
 		}
@@ -288,7 +289,7 @@
 	default:
 		w.leader.markDirty(ch)
 	}
-	if failed[activeJobPrefix+ch.job.id] {
+	if failed[stored.JobKey(ch.job.id)] {
 		w.rereadJob(ch.job)
 	}
 }
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -1,5 +1,10 @@
 package record
 
+import (
+	"encoding/json"
+	"fmt"
+)
+
 // Layout says how many tasks a record holds.
 type Layout struct {
 	ByIndex int `json:"by_index"`          // of a record of the first layout
@@ -99,3 +104,15 @@
 		parts[index] = part
 	}
 }
+
+// DecodeLayout reads a stored layout.
+func DecodeLayout(value json.RawMessage) (Layout, error) {
+	var l Layout
+	if err := json.Unmarshal(value, &l); err != nil {
+		return Layout{}, fmt.Errorf("layout of the run records: %w", err)
+	}
+	return l, nil
+}
+
+// Encode gives the stored form of a layout.
+func (l Layout) Encode() (json.RawMessage, error) { return json.Marshal(l) }
