--- /dev/null
+++ b/internal/core/job_reads.go
@@ -0,0 +1,98 @@
+package core
+
+import (
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
+	"bitternwing/internal/wire"
+)
+
+// maxJobReads bounds the jobs that are read for users at once.
+const maxJobReads = 4
+
+// jobRead reads a job's keys for a lookup. A job moves from its active key to its final key and never back, so
+// the final key is read second.
+type jobRead struct {
+	requests *userRequests
+	lookup   *lookup
+}
+
+// runReads starts queued reads, a few at a time.
+func (u *userRequests) runReads() {
+	for u.readsInFlight < maxJobReads && len(u.reads) > 0 {
+		read := jobRead{requests: u, lookup: u.reads[0]}
+		u.reads = u.reads[1:]
+		u.readsInFlight++
+		read.readActiveJob()
+	}
+}
+
+func (r jobRead) readActiveJob() {
+	c := r.requests.core
+	id := c.registerStoreCall(r.applyActiveJob)
+	c.emit(StoreGet{CallID: id, Key: stored.JobKey(r.lookup.id)})
+}
+
+func (r jobRead) applyActiveJob(result Result) {
+	if result.Outcome == outcome.OK {
+		r.discloseActiveJob(result.Item)
+		return
+	}
+	if result.Outcome == outcome.NotFound {
+		r.readFinalState()
+		return
+	}
+	r.finish(lookupResult{state: lookupIndeterminate})
+}
+
+// discloseActiveJob ends the lookup with an active job as it was read, as far as users may be told of it.
+func (r jobRead) discloseActiveJob(item wire.Item) {
+	u, id := r.requests, r.lookup.id
+	value, err := stored.DecodeJob(item.Value)
+	if err != nil {
+		r.finish(lookupResult{state: lookupIndeterminate})
+		return
+	}
+	job := &cachedJob{value, item.Version}
+	if r.lookup.existenceOnly {
+		r.finish(activeLookup(job))
+		return
+	}
+	if job.cancelled() {
+		u.core.applyJobIfNewer(id, item.Value, item.Version, fromRead)
+		u.resolveCancelled(id, job, r.finish)
+		return
+	}
+	if len(job.Spec.Dependencies) > 0 {
+		u.core.applyJobIfNewer(id, item.Value, item.Version, fromRead)
+		if !u.mayDisclose(id, job, r.finish) {
+			return
+		}
+	}
+	r.finish(activeLookup(job))
+}
+
+func (r jobRead) readFinalState() {
+	c := r.requests.core
+	id := c.registerStoreCall(r.applyFinalState)
+	c.emit(StoreGet{CallID: id, Key: stored.FinalStateKey(r.lookup.id)})
+}
+
+func (r jobRead) applyFinalState(result Result) {
+	if result.Outcome == outcome.NotFound {
+		r.finish(lookupResult{state: lookupNotFound})
+		return
+	}
+	final, err := stored.DecodeFinalState(result.Item.Value)
+	if result.Outcome != outcome.OK || err != nil {
+		r.finish(lookupResult{state: lookupIndeterminate})
+		return
+	}
+	r.requests.core.cacheFinalState(r.lookup.id, final)
+	r.finish(endedLookup(final))
+}
+
+// finish hands the result over and makes way for the next read.
+func (r jobRead) finish(result lookupResult) {
+	r.requests.readsInFlight--
+	r.lookup.then(result)
+}
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/wire"
 )
 
-// submission is a job waiting to be committed; repeats of it wait with it.
+// submission is a job that waits to be committed. Repeated submissions of it wait with it.
 type submission struct {
 	job        *wire.Job
 	value      json.RawMessage
@@ -16,10 +16,20 @@
 	attempts   int
 }
 
+const (
+	// maxSubmissionAttempts bounds the transactions in which a submission is tried.
+	maxSubmissionAttempts = 4
+	// submissionOverheadBytes is what a submission takes in a transaction beside its value.
+	submissionOverheadBytes = 256
+	// maxSubmissionBatchBytes bounds a transaction of several submissions.
+	maxSubmissionBatchBytes = wire.MaxBody * 3 / 4
+)
+
+// submit accepts a job, or responds with the state of one that was accepted before.
 func (u *userRequests) submit(in SubmitJob) {
 	c := u.core
-	if f, ok := c.cache.finals[in.Job.ID]; ok {
-		c.respond(in.RequestID, 200, finalJobState(in.Job.ID, f))
+	if final, ok := c.cache.finals[in.Job.ID]; ok {
+		c.respond(in.RequestID, 200, finalJobState(in.Job.ID, final))
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
@@ -29,8 +39,7 @@
 		u.respondIndeterminate(in.RequestID)
 		return
 	}
-	if s := u.submissionByID[in.Job.ID]; s != nil {
-		s.requestIDs = append(s.requestIDs, in.RequestID)
+	if u.joinSubmission(in) {
 		return
 	}
 	if c.cache.jobs[in.Job.ID] != nil {
@@ -47,15 +56,24 @@
 	case len(in.Job.Dependencies) > 0:
 		u.submitWithDependencies(in)
 	default:
-		u.enqueue(in)
+		u.enqueueSubmission(in)
+	}
+}
+
+// joinSubmission has a repeated submission wait with the one that waits already; false if there is none.
+func (u *userRequests) joinSubmission(in SubmitJob) bool {
+	s := u.submissionByID[in.Job.ID]
+	if s == nil {
+		return false
 	}
+	s.requestIDs = append(s.requestIDs, in.RequestID)
+	return true
 }
 
-// enqueue has a submission committed.
-func (u *userRequests) enqueue(in SubmitJob) {
+// enqueueSubmission has a submission committed.
+func (u *userRequests) enqueueSubmission(in SubmitJob) {
 	c := u.core
-	if s := u.submissionByID[in.Job.ID]; s != nil {
-		s.requestIDs = append(s.requestIDs, in.RequestID)
+	if u.joinSubmission(in) {
 		return
 	}
 	value, err := stored.Job{Spec: in.Job, AcceptedMS: c.now.WallMS}.Encode()
@@ -68,93 +86,135 @@
 	u.submissions = append(u.submissions, s)
 }
 
-// rejection is the answer to a submission that can't be taken; without a status nothing can be said.
+// rejection is the response to a submission that can't be accepted. Without a status nothing can be said.
 type rejection struct {
 	status int
 	reason string
 }
 
-// respondIdempotent answers a submission that is known, or that can't be taken. A job that is known already
-// gets its state, whatever today's check says.
-func (u *userRequests) respondIdempotent(in SubmitJob, refused rejection) {
-	c := u.core
-	u.lookUp(in.Job.ID, func(f lookupResult) {
-		switch {
-		case f.indeterminate:
-			u.respondIndeterminate(in.RequestID)
-		case f.entry != nil || f.final != nil:
-			u.respond(in.RequestID, 200, c.jobStateOf(in.Job.ID, f))
-		case refused.status != 0:
-			u.respond(in.RequestID, refused.status, wire.ErrorBody{Error: refused.reason})
-		default:
-			// Undecided, or gone from the cache while it was asked for.
-			u.respondIndeterminate(in.RequestID)
-		}
-	})
+// repeatedSubmission is a submission of a job that may have been accepted before, and is not accepted now.
+type repeatedSubmission struct {
+	requests  *userRequests
+	request   SubmitJob
+	rejection rejection
+}
+
+// respondIdempotent responds to a submission of a job that is known, or that can't be accepted. A job that was
+// accepted before gets its state, whatever today's admission check says.
+func (u *userRequests) respondIdempotent(in SubmitJob, rejected rejection) {
+	repeated := repeatedSubmission{requests: u, request: in, rejection: rejected}
+	u.lookUp(in.Job.ID, repeated.respond)
 }
 
-// commitSubmissions commits waiting jobs. They share a transaction; where one of them is
-// known already, the others go into the next.
+func (s repeatedSubmission) respond(result lookupResult) {
+	u, requestID, id := s.requests, s.request.RequestID, s.request.Job.ID
+	switch {
+	case result.found():
+		u.respond(requestID, 200, u.core.jobStateOf(id, result))
+	case result.state == lookupNotFound && s.rejection.status != 0:
+		u.respond(requestID, s.rejection.status, wire.ErrorBody{Error: s.rejection.reason})
+	default:
+		// Undecided, or gone from the cache during the lookup.
+		u.respondIndeterminate(requestID)
+	}
+}
+
+// submissionBatch is the submissions that one transaction commits.
+type submissionBatch struct {
+	requests    *userRequests
+	submissions []*submission
+}
+
+// commitSubmissions commits waiting jobs, several in one transaction, one transaction at a time.
 func (u *userRequests) commitSubmissions() {
 	c := u.core
 	if u.submitInFlight || len(u.submissions) == 0 {
 		return
 	}
+	batch, txn := u.nextSubmissionBatch()
+	u.submitInFlight = true
+	id := c.registerStoreCall(batch.applyResult)
+	c.emit(StoreTxn{CallID: id, Txn: txn})
+}
+
+// nextSubmissionBatch takes as many submissions out of the queue as fit into a transaction.
+func (u *userRequests) nextSubmissionBatch() (*submissionBatch, wire.Txn) {
 	var txn wire.Txn
 	n, size := 0, 0
-	for ; n < len(u.submissions) && n < c.limits.maxChanges(); n++ {
+	for ; n < len(u.submissions) && n < u.core.limits.maxChanges(); n++ {
 		s := u.submissions[n]
-		size += len(s.value) + 256
-		if n > 0 && size > wire.MaxBody*3/4 {
+		size += len(s.value) + submissionOverheadBytes
+		if n > 0 && size > maxSubmissionBatchBytes {
 			break
 		}
-		id := s.job.ID
-		txn.If = append(txn.If, wire.Condition{Key: stored.JobKey(id)}, wire.Condition{Key: stored.FinalStateKey(id)})
-		txn.Then = append(txn.Then, wire.Op{Put: stored.JobKey(id), Value: s.value})
+		activeKey, finalKey := stored.JobKey(s.job.ID), stored.FinalStateKey(s.job.ID)
+		txn.If = append(txn.If, wire.Condition{Key: activeKey}, wire.Condition{Key: finalKey})
+		txn.Then = append(txn.Then, wire.Op{Put: activeKey, Value: s.value})
 	}
-	batch := append([]*submission(nil), u.submissions[:n]...)
+	batch := &submissionBatch{requests: u, submissions: append([]*submission(nil), u.submissions[:n]...)}
 	u.submissions = append(u.submissions[:0], u.submissions[n:]...)
-	u.submitInFlight = true
-	id := c.registerStoreCall(func(r Result) {
-		u.submitInFlight = false
-		failed := map[string]bool{}
-		for _, k := range r.Txn.Failed {
-			failed[k] = true
-		}
-		for _, s := range batch {
-			id := s.job.ID
-			s.attempts++
-			switch {
-			case r.Outcome == outcome.OK:
-				u.resolveSubmission(s, func(req uint64) {
-					u.respond(req, 201, wire.JobState{ID: id, State: wire.JobPending})
-				})
-			case r.Outcome == outcome.Conflict && (failed[stored.JobKey(id)] || failed[stored.FinalStateKey(id)]):
-				delete(u.submissionByID, id)
-				u.reads = append(u.reads, &lookup{id: id, then: func(f lookupResult) {
-					for _, req := range s.requestIDs {
-						if !f.indeterminate && (f.entry != nil || f.final != nil) {
-							u.respond(req, 200, c.jobStateOf(id, f))
-						} else {
-							u.respondIndeterminate(req)
-						}
-					}
-				}})
-			case r.Outcome == outcome.Conflict && s.attempts < 4:
-				u.submissions = append(u.submissions, s)
-			default:
-				// Refused, or unknown: it may be there, or come yet. The repeat
-				// finds out.
-				u.resolveSubmission(s, u.respondIndeterminate)
-			}
+	return batch, txn
+}
+
+// applyResult responds to the submissions of the batch. Where one of them was accepted before, the others go into
+// the next transaction.
+func (b *submissionBatch) applyResult(r Result) {
+	u := b.requests
+	u.submitInFlight = false
+	failed := newNameSet(r.Txn.Failed)
+	for _, s := range b.submissions {
+		id := s.job.ID
+		s.attempts++
+		switch {
+		case r.Outcome == outcome.OK:
+			u.acceptSubmission(s)
+		case r.Outcome == outcome.Conflict && (failed[stored.JobKey(id)] || failed[stored.FinalStateKey(id)]):
+			u.readSubmitted(s)
+		case r.Outcome == outcome.Conflict && s.attempts < maxSubmissionAttempts:
+			u.submissions = append(u.submissions, s)
+		default:
+			// Certainly not applied, or unknown: it may be there, or come yet. A repeated submission finds out.
+			u.giveUpSubmission(s)
 		}
-	})
-	c.emit(StoreTxn{CallID: id, Txn: txn})
+	}
+}
+
+// acceptSubmission responds to the requests of a submission that was committed.
+func (u *userRequests) acceptSubmission(s *submission) {
+	delete(u.submissionByID, s.job.ID)
+	for _, requestID := range s.requestIDs {
+		u.respond(requestID, 201, wire.JobState{ID: s.job.ID, State: wire.JobPending})
+	}
 }
 
-func (u *userRequests) resolveSubmission(s *submission, f func(req uint64)) {
+// giveUpSubmission responds to the requests of a submission of which nothing can be confirmed.
+func (u *userRequests) giveUpSubmission(s *submission) {
 	delete(u.submissionByID, s.job.ID)
-	for _, req := range s.requestIDs {
-		f(req)
+	for _, requestID := range s.requestIDs {
+		u.respondIndeterminate(requestID)
+	}
+}
+
+// submittedRead is a submission whose job was accepted before, while its state is read.
+type submittedRead struct {
+	requests   *userRequests
+	submission *submission
+}
+
+// readSubmitted reads the state of a job that was accepted before.
+func (u *userRequests) readSubmitted(s *submission) {
+	delete(u.submissionByID, s.job.ID)
+	read := submittedRead{requests: u, submission: s}
+	u.reads = append(u.reads, &lookup{id: s.job.ID, then: read.respond})
+}
+
+func (s submittedRead) respond(result lookupResult) {
+	u, id := s.requests, s.submission.job.ID
+	for _, requestID := range s.submission.requestIDs {
+		if result.found() {
+			u.respond(requestID, 200, u.core.jobStateOf(id, result))
+		} else {
+			u.respondIndeterminate(requestID)
+		}
 	}
 }
