--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"bitternwing/internal/scheduling"
 	"bitternwing/internal/wire"
 )
 
@@ -23,7 +24,7 @@
 	if j.Kind == wire.KindService {
 		n = float64(j.Tasks)
 	}
-	if exceedsLimit(n*j.CPUs, team.MaxCPUs) || exceedsLimit(n*j.GPUs, team.MaxGPUs) {
+	if scheduling.ExceedsLimit(n*j.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(n*j.GPUs, team.MaxGPUs) {
 		return inadmissible
 	}
 	if c.catalog == nil {
@@ -50,9 +51,6 @@
 	return admissible
 }
 
-// exceedsLimit tells whether an amount breaks a limit; a limit of 0 is none.
-func exceedsLimit(amount, limit float64) bool { return limit > 0 && amount > limit+1e-9 }
-
 func allowsType(j *wire.Job, name string) bool {
 	if j.MachineTypes == nil {
 		return true
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -166,8 +166,8 @@
 // planArray plans machines for an array's n further waiting tasks. A machine costs its boot time
 // before it helps, so one is rented only for about as much work as that.
 func (p *capacityPlanner) planArray(j *job, n int) {
-	if x := p.cycle.usage.of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
-		n = min(n, int((j.team.MaxGPUs-x[0])/j.spec.GPUs))
+	if used := p.cycle.usage.Of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
+		n = min(n, int((j.team.MaxGPUs-used.GPUs)/j.spec.GPUs))
 	}
 	for i := 0; n > 0 && i < len(p.machines); i++ {
 		for b := p.machines[i]; n > 0 && b.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, b.Group); n-- {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -240,13 +240,6 @@
 	return stored.TaskCounts{Running: running, Done: j.done}
 }
 
-func (j *job) queuedBefore(k *job) bool {
-	if j.queuedMS != k.queuedMS {
-		return j.queuedMS < k.queuedMS
-	}
-	return j.id < k.id
-}
-
 // encodeRecord gives a chunk's record and the placements in it.
 func (l *leader) encodeRecord(ch *recordChunk) (json.RawMessage, []*placement) {
 	r := record.Record{Next: ch.highestAttempt, Done: ch.done, Placed: map[int]record.Run{}}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -107,7 +107,7 @@
 	h.freeAfterStops.Take(resource.OfTask(j.spec))
 	l.updateCapacityIndex(h)
 	r.evaluations -= evaluationsPerIndexLevel * (l.capacityIndex.Height() - 1)
-	r.usage.add(j, 1)
+	r.countUsage(j, 1)
 	clear(r.hopelessPreemptions)
 	r.placed++
 	return p
@@ -126,6 +126,6 @@
 	h.freeAfterStops.Give(resource.OfTask(p.job.spec))
 	r.leader.updateCapacityIndex(h)
 	r.capacityGrew()
-	r.usage.add(p.job, -1)
+	r.countUsage(p.job, -1)
 	r.placed--
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -283,12 +283,7 @@
 // round compares what index and scan choose for some jobs, and does as they say.
 func (f *drawnFleet) round() {
 	l := f.l
-	r := &schedulingCycle{leader: l, usage: teamUsage{}, evaluations: math.MaxInt32, exhaustedRequests: map[resourceRequest]bool{}, hopelessPreemptions: map[preemptionRequest]bool{}}
-	l.refreshCapacityIndex()
-	for _, j := range l.queue {
-		r.usage.add(j, len(j.placements))
-	}
-	l.markWithinGuarantee()
+	r := newSchedulingCycle(l, math.MaxInt32)
 	for range f.number("decisions", 1, 30) {
 		j := f.anyJob()
 		if !r.schedulable(j) || j.unplaced() == 0 {
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -81,7 +81,7 @@
 func (r *schedulingCycle) allowedPreemptions(j *job) (among []*job, placed int) {
 	r.evaluations -= len(r.preemptible.jobs) / 4
 	for _, v := range r.preemptible.jobs {
-		if r.protocolAllowsPreemption(j, v) && v.shrinkable() {
+		if r.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
 			among = append(among, v)
 			placed += len(v.placements)
 		}
@@ -91,7 +91,7 @@
 
 // mayPreempt tells whether a placement may be stopped for a job that lacks its minimum.
 func (r *schedulingCycle) mayPreempt(j *job, p *placement) bool {
-	return p.stop == stopNone && p.job.shrinkable() && r.protocolAllowsPreemption(j, p.job)
+	return p.stop == stopNone && p.job.shrinkable() && r.usage.MayPreempt(j.claim(), p.job.claim())
 }
 
 // mayPreemptIdle tells whether a placement may be stopped for a job that has its minimum.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -1,10 +1,9 @@
 package core
 
 import (
-	"sort"
-
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/resource"
+	"bitternwing/internal/scheduling"
 )
 
 // preemptFor makes room for a job: on the machines where the fewest instances have to
@@ -158,50 +157,37 @@
 	return cost
 }
 
-// preemptionSet gives the instances to stop on a machine so that a task of j fits, the
-// most fulfilled job's first.
-func (r *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, victim func(*job, *placement) bool) ([]*placement, bool) {
-	soon := h.freeAfterStops
-	if soon.Holds(resource.OfTask(j.spec)) {
+// preemptionSet gives the instances to stop on a machine so that a task of j fits, the most fulfilled job's first; false
+// if all that may be stopped would not be enough.
+func (r *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
+	need := resource.OfTask(j.spec)
+	if h.freeAfterStops.Holds(need) {
 		return nil, true
 	}
-	// Mostly all that could stop there would not be enough; that is seen first.
-	most := soon
+	// Mostly all that may be stopped there would not be enough; that is the cheaper question.
+	freeAtMost := h.freeAfterStops
 	for _, p := range h.machine.placementsInOrder {
-		if victim(j, p) {
-			most.Give(resource.OfTask(p.job.spec))
+		if mayStop(j, p) {
+			freeAtMost.Give(resource.OfTask(p.job.spec))
 		}
 	}
 	r.evaluations -= len(h.machine.placementsInOrder) / 4
-	if !most.Holds(resource.OfTask(j.spec)) {
+	if !freeAtMost.Holds(need) {
 		return nil, false
 	}
-	type scoredVictim struct {
-		p     *placement
-		score float64
-	}
-	var vs []scoredVictim
-	left := map[*job]int{}
+	var candidates []*placement
+	var instances []scheduling.PreemptibleInstance[*job]
 	for _, p := range h.machine.placementsInOrder {
-		if victim(j, p) {
-			n := p.job.activeInstances()
-			vs = append(vs, scoredVictim{p, fulfillmentScore(n, p.job.minInstances(), p.job.maxInstances())})
-			left[p.job] = n - p.job.minInstances()
+		if mayStop(j, p) {
+			candidates = append(candidates, p)
+			instances = append(instances, scheduling.PreemptibleInstance[*job]{Job: p.job, Instances: p.job.instances(), Task: resource.OfTask(p.job.spec)})
 		}
 	}
-	r.evaluations -= 4 * len(vs)
-	sort.SliceStable(vs, func(a, b int) bool { return vs[a].score > vs[b].score })
-	var stops []*placement
-	for _, v := range vs {
-		if left[v.p.job] == 0 {
-			continue
-		}
-		left[v.p.job]--
-		soon.Give(resource.OfTask(v.p.job.spec))
-		stops = append(stops, v.p)
-		if soon.Holds(resource.OfTask(j.spec)) {
-			return stops, true
-		}
+	r.evaluations -= 4 * len(candidates)
+	victims, possible := scheduling.SelectVictims(need, h.freeAfterStops, instances)
+	stops := make([]*placement, len(victims))
+	for i, victim := range victims {
+		stops[i] = candidates[victim]
 	}
-	return nil, false
+	return stops, possible
 }
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -8,6 +8,7 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/scheduling"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
@@ -155,7 +156,7 @@
 	if whole := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > whole {
 		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", whole)}
 	}
-	if exceedsLimit(cpus, team.MaxCPUs) || exceedsLimit(gpus, team.MaxGPUs) {
+	if scheduling.ExceedsLimit(cpus, team.MaxCPUs) || scheduling.ExceedsLimit(gpus, team.MaxGPUs) {
 		return &rollout.FieldError{Field: "/new/jobs", Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit",
 			cpus, gpus)}
 	}
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -1,66 +1,60 @@
 package core
 
-import (
-	"sort"
-	"time"
+import "bitternwing/internal/scheduling"
 
-	"bitternwing/internal/config"
-)
-
-// cycleTimer says when decision rounds are held: regularly, and soon after something
-// changed. They share a budget of evaluations (of a machine for a task), which refills with
-// time; where a round has used it up, the next one goes on from there.
-type cycleTimer struct {
-	nextAt           time.Duration
-	lastAt           time.Duration
-	evaluationsLeft  float64       // left; below 0 it is made good before the next round does much
-	minPause         time.Duration // until the next one at least, after one that ran out
-	evaluationsSpent int           // in this term
-	resumeFrom       *job          // where the last round stopped in the order of minimums; nil: it came through
-}
-
-// requestCycle asks for a round soon: a recorded exception to the round length of the
-// design, for starts that are due within seconds.
-func (l *leader) requestCycle() {
-	l.observedChanges++
-	if !l.core.operator.EventRounds {
-		return
-	}
-	gap := time.Duration(float64(l.core.times.minCycleGap) * l.core.slowdown())
-	l.cycles.nextAt = min(l.cycles.nextAt, l.cycles.lastAt+max(gap, l.cycles.minPause))
-}
-
-// schedulingCycle is one decision round.
+// schedulingCycle is one cycle of decisions about what starts and what is preempted.
 type schedulingCycle struct {
 	leader              *leader
-	usage               teamUsage
-	evaluations         int
+	usage               scheduling.TeamUsage
+	evaluations         int // that are left of the budget
 	placed              int
-	unmetDemand         []unmetDemand              // what found no room, for the rentals
-	exhaustedRequests   map[resourceRequest]bool   // what no machine has free room for in this round
+	unmetDemand         []unmetDemand              // what found no machine, for the scale-out
+	exhaustedRequests   map[resourceRequest]bool   // what no machine has free resources for in this cycle
 	replicaCost         replicaCostModel           // of the job that was placed last
-	replicaCostVersion  uint64                     // the changes of the ledger of replicas by then
+	replicaCostVersion  uint64                     // the changes of the replica ledger by then
 	preemptible         *preemptibleJobs           // the jobs that can be shrunk; nil: not looked for yet
-	hopelessPreemptions map[preemptionRequest]bool // what no machine can make room for in this round
+	hopelessPreemptions map[preemptionRequest]bool // for what no preemption would free enough in this cycle
+}
+
+// newSchedulingCycle makes a cycle with a budget of evaluations, from the placements that there are.
+func newSchedulingCycle(l *leader, evaluations int) *schedulingCycle {
+	r := &schedulingCycle{
+		leader:              l,
+		usage:               scheduling.TeamUsage{},
+		evaluations:         evaluations,
+		exhaustedRequests:   map[resourceRequest]bool{},
+		hopelessPreemptions: map[preemptionRequest]bool{},
+	}
+	l.refreshCapacityIndex()
+	for _, j := range l.queue {
+		if len(j.placements) > 0 {
+			r.countUsage(j, len(j.placements))
+		}
+	}
+	l.markWithinGuarantee()
+	return r
 }
 
-// unmetDemand is a number of tasks of a job without a place.
+// unmetDemand is a number of tasks of a job for which there is no machine.
 type unmetDemand struct {
 	job   *job
 	tasks int
 }
 
-// priority gives a job's rank; jobs that need it lend it theirs.
-func priority(j *job) int { return j.rank }
-
-// hasBudget tells whether the round may go on.
+// hasBudget tells whether the cycle may go on.
 func (r *schedulingCycle) hasBudget() bool { return r.evaluations > 0 }
 
-// acceptsTasks tells whether a machine may be given tasks: heard of lately, and not on
-// its way out.
+// acceptsTasks tells whether a machine may be given tasks: its heartbeats arrive, and it is not about to go.
 func (l *leader) acceptsTasks(m *machine) bool {
-	return m.reported && m.machineType != nil && !m.releasing && !m.reclaiming && !m.quarantined && m.requiredFencingToken == 0 &&
-		l.core.now.Steady-m.lastHeartbeat < l.core.pacer.HeartbeatTimeout(l.core.times.heartbeatTimeout, m.lastHoldTime) && l.core.now.Steady >= m.noCapacityUntil
+	if !m.reported || m.machineType == nil || m.requiredFencingToken != 0 {
+		return false
+	}
+	if m.releasing || m.reclaiming || m.quarantined {
+		return false
+	}
+	now := l.core.now.Steady
+	timeout := l.core.pacer.HeartbeatTimeout(l.core.times.heartbeatTimeout, m.lastHoldTime)
+	return now-m.lastHeartbeat < timeout && now >= m.noCapacityUntil
 }
 
 // schedulable tells whether a job may be given tasks now.
@@ -68,7 +62,7 @@
 	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && r.leader.core.now.Steady >= j.retryAt
 }
 
-// runSchedulingCycle decides what starts and what stops.
+// runSchedulingCycle runs a scheduling cycle if one is due.
 func (l *leader) runSchedulingCycle() {
 	now := l.core.now.Steady
 	if now < l.cycles.nextAt {
@@ -85,50 +79,34 @@
 		return
 	}
 	budget := l.cycleBudget()
-	r := &schedulingCycle{leader: l, usage: teamUsage{}, evaluations: budget, exhaustedRequests: map[resourceRequest]bool{}, hopelessPreemptions: map[preemptionRequest]bool{}}
 	l.cycles.lastAt = now
-	l.refreshCapacityIndex()
-	for _, j := range l.queue {
-		if len(j.placements) > 0 {
-			r.usage.add(j, len(j.placements))
-		}
-	}
-	l.markWithinGuarantee()
+	r := newSchedulingCycle(l, budget)
 	l.cycles.resumeFrom = r.placeMinimums()
 	if l.cycles.resumeFrom == nil {
 		r.allocateElastic()
-	}
-	if l.cycles.resumeFrom == nil {
 		r.rebalanceReplicas()
 	}
 	l.planCapacity(r)
 	r.logSummary()
-	spent := budget - r.evaluations
+	l.settleCycleBudget(budget-r.evaluations, r.hasBudget())
+}
+
+// settleCycleBudget accounts for the evaluations that a cycle made. One that ran out of its budget is continued from
+// where it stopped, once what it took beyond the budget is made up for.
+func (l *leader) settleCycleBudget(spent int, completed bool) {
 	l.cycles.evaluationsLeft -= float64(spent)
 	l.cycles.evaluationsSpent += spent
 	l.core.evaluationCost.Spend(spent)
-	if r.evaluations <= 0 {
-		// Out of budget: go on from where this round stopped, once what it took beyond
-		// its budget is made good.
-		l.cycles.minPause = l.cycles.pauseAfter(l.core)
-		l.cycles.nextAt = now + l.cycles.minPause
-		l.core.wakeBy(l.cycles.nextAt)
-	}
-}
-
-// pauseAfter is the time to the next round after one that ran out. One that had all that a single round may
-// have, while there is more, goes on soon.
-func (rs *cycleTimer) pauseAfter(c *Core) time.Duration {
-	if rs.evaluationsLeft > 0 {
-		return c.times.minCycleGap
+	if completed {
+		return
 	}
-	debt := config.Seconds(-rs.evaluationsLeft / c.evaluationsPerSecond())
-	return min(max(c.times.checkInterval/2, debt), c.times.cycleInterval)
+	l.cycles.minPause = l.cycles.pauseAfter(l.core)
+	l.cycles.nextAt = l.core.now.Steady + l.cycles.minPause
+	l.core.wakeBy(l.cycles.nextAt)
 }
 
-// logSummary writes what a round came to, for whoever looks for the cause of a wait: tasks
-// of arrays without a place, how many of them their teams' limits hold back, and the
-// room that is free.
+// logSummary logs the result of a cycle, for whoever looks for the cause of a wait: the tasks of arrays without a machine,
+// how many of them their teams' limits hold back, and the free resources.
 func (r *schedulingCycle) logSummary() {
 	if r.placed == 0 && len(r.unmetDemand) == 0 {
 		return
@@ -137,7 +115,7 @@
 	for _, j := range r.leader.queue {
 		if j.isArray() && r.schedulable(j) && j.unplaced() > 0 {
 			unplaced += j.unplaced()
-			if !r.usage.withinLimit(j, 1) {
+			if !r.withinLimit(j, 1) {
 				limited += j.unplaced()
 			}
 		}
@@ -159,97 +137,3 @@
 	r.leader.core.log(Debug, "scheduling cycle", "placed", r.placed, "waiting", len(r.unmetDemand), "array_tasks", unplaced,
 		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", r.evaluations)
 }
-
-// markWithinGuarantee finds the jobs that fit into their team's guarantee together with
-// the team's earlier unfinished jobs.
-func (l *leader) markWithinGuarantee() {
-	sums := teamUsage{}
-	for _, j := range l.queue {
-		j.withinGuarantee = false
-		if j.cancelled || j.team == nil {
-			continue
-		}
-		sums.add(j, j.unfinished())
-		j.withinGuarantee = !sums.exceedsGuarantee(j.team)
-	}
-}
-
-// placeMinimums serves what lacks its minimum: services that are not whole, and arrays
-// without a task. What finds no room takes it from the most fulfilled. It returns
-// the job at which the budget ran out, where the next round goes on: so each job has
-// its turn, and free room is given to arrays only after all services had theirs.
-func (r *schedulingCycle) placeMinimums() *job {
-	l := r.leader
-	var lacking []*job
-	for _, j := range l.queue {
-		if !r.schedulable(j) || j.unplaced() == 0 {
-			continue
-		}
-		if !j.isArray() || j.activeInstances() < j.minInstances() {
-			lacking = append(lacking, j)
-		}
-	}
-	before := func(x, y *job) bool {
-		if g, h := x.withinGuarantee, y.withinGuarantee; g != h {
-			return g
-		}
-		if p, q := priority(x), priority(y); p != q {
-			return p > q
-		}
-		if s, t := x.latestStart(), y.latestStart(); s != t {
-			return s < t
-		}
-		return x.queuedBefore(y)
-	}
-	sort.SliceStable(lacking, func(a, b int) bool { return before(lacking[a], lacking[b]) })
-	var stopped *job
-	for _, j := range lacking {
-		need := 1
-		if !j.isArray() {
-			need = j.unplaced()
-		}
-		switch {
-		case !r.usage.withinLimit(j, need):
-			continue
-		case l.cycles.resumeFrom != nil && before(j, l.cycles.resumeFrom):
-			// It had its turn; what it lacks is still to be rented.
-		case !r.hasBudget():
-			if stopped == nil {
-				stopped = j
-			}
-			continue
-		case r.placeAllOrNone(j, need):
-			continue
-		default:
-			r.preemptFor(j, need, false)
-		}
-		r.unmetDemand = append(r.unmetDemand, unmetDemand{j, need})
-	}
-	return stopped
-}
-
-// placeAllOrNone places the next tasks of a job, all of them or none.
-func (r *schedulingCycle) placeAllOrNone(j *job, need int) bool {
-	l := r.leader
-	var done []*placement
-	from := 0
-	for len(done) < need {
-		task := l.nextTask(j, from)
-		if task < 0 {
-			break
-		}
-		m := r.findMachine(j)
-		if m == nil {
-			for i := len(done) - 1; i >= 0; i-- {
-				r.revertPlacement(done[i])
-			}
-			return false
-		}
-		done = append(done, r.place(j, task, m))
-		from = task + 1
-	}
-	for _, p := range done {
-		l.markDirty(l.chunkOf(j, p.task))
-	}
-	return true
-}
