--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/outcome"
+	"bitternwing/internal/membership"
 	"bitternwing/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 type pendingCancellation struct {
 	cancellation   Cancellation
 	since          time.Duration // when the first of those came who wait
-	acknowledgedBy map[*peer]bool
+	acknowledgedBy map[*membership.Peer]bool
 	waiters        []func(acknowledged bool)
 }
 
@@ -79,7 +79,7 @@
 			b.pending = slices.Delete(b.pending, 0, 1)
 		}
 		i = len(b.pending)
-		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.version}, acknowledgedBy: map[*peer]bool{}})
+		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.version}, acknowledgedBy: map[*membership.Peer]bool{}})
 	}
 	a := b.pending[i]
 	if len(a.waiters) == 0 {
@@ -91,8 +91,8 @@
 
 // acknowledgedByAll tells whether all other nodes know a cancellation of this version.
 func (b *cancellationReplicator) acknowledgedByAll(version uint64, a *pendingCancellation) bool {
-	for _, p := range b.core.peers {
-		if p.revision < version && (a == nil || !a.acknowledgedBy[p]) {
+	for _, p := range b.core.members.Peers() {
+		if p.Revision() < version && (a == nil || !a.acknowledgedBy[p]) {
 			return false
 		}
 	}
@@ -107,12 +107,12 @@
 		return false
 	}
 	led := c.leader != nil
-	for _, p := range c.peers {
-		if !c.peerLeads(p) {
+	for _, p := range c.members.Peers() {
+		if !c.members.Leads(p, c.now.Steady) {
 			continue
 		}
 		led = true
-		if p.status.MoreUnresolved || p.unresolved[id] {
+		if p.Unresolved(id) {
 			return false
 		}
 	}
@@ -123,22 +123,13 @@
 // on the way, or is left in a zone whose nodes answer its workers while it is cut off.
 func (l *leader) unsettled(j *job) bool {
 	for _, p := range j.placements {
-		if p.phase < phaseReported || p.state == wire.TaskFetching || l.core.zoneRenewsOwnLeases(p.machine.zone) {
+		if p.phase < phaseReported || p.state == wire.TaskFetching || l.core.members.ZoneRenewsOwnLeases(p.machine.zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneRenewsOwnLeases tells whether a zone has nodes, and others are elsewhere: see zoneCut.
-func (c *Core) zoneRenewsOwnLeases(zone string) bool {
-	inside, outside := zone == c.settings.Zone, zone != c.settings.Zone
-	for _, p := range c.peers {
-		inside, outside = inside || p.zone == zone, outside || p.zone != zone
-	}
-	return inside && outside
-}
-
 // unsettledJobs gives the cancelled jobs that are not settled, as many as a message to another node holds, and
 // whether there are more. Before a leader has read the records it can't say so of any.
 func (l *leader) unsettledJobs() (listed []string, more bool) {
@@ -173,8 +164,8 @@
 }
 
 // awaitingLeader tells whether users wait for a leader to say that a job is settled.
-func (b *cancellationReplicator) awaitingLeader(p *peer) bool {
-	return p.status.Leading && slices.ContainsFunc(b.pending, func(a *pendingCancellation) bool { return len(a.waiters) > 0 })
+func (b *cancellationReplicator) awaitingLeader(p *membership.Peer) bool {
+	return p.Status().Leading && slices.ContainsFunc(b.pending, func(a *pendingCancellation) bool { return len(a.waiters) > 0 })
 }
 
 func (b *cancellationReplicator) complete(a *pendingCancellation, acknowledged bool) {
@@ -202,8 +193,8 @@
 			b.complete(a, false)
 		}
 		keep = append(keep, a)
-		for _, p := range b.core.peers {
-			if p.revision < a.cancellation.Version && !a.acknowledgedBy[p] && !p.reachable {
+		for _, p := range b.core.members.Peers() {
+			if p.Revision() < a.cancellation.Version && !a.acknowledgedBy[p] && !p.Reachable() {
 				b.complete(a, false)
 				break
 			}
@@ -215,11 +206,11 @@
 
 // unacknowledgedBy gives the pending cancellations that a node is not known to know, as many as a message
 // holds.
-func (b *cancellationReplicator) unacknowledgedBy(p *peer) []*pendingCancellation {
+func (b *cancellationReplicator) unacknowledgedBy(p *membership.Peer) []*pendingCancellation {
 	var as []*pendingCancellation
 	size := 0
 	for _, a := range b.pending {
-		if p.revision >= a.cancellation.Version || a.acknowledgedBy[p] {
+		if p.Revision() >= a.cancellation.Version || a.acknowledgedBy[p] {
 			continue
 		}
 		if size += len(a.cancellation.Value) + 64; size > maxCancellationBytes && len(as) > 0 {
@@ -269,9 +260,9 @@
 	if c.leader != nil {
 		leaders = append(leaders, fmt.Sprintf("%s:%d", c.settings.Node, c.leader.term))
 	}
-	for _, p := range c.peers {
-		if c.peerLeads(p) {
-			leaders = append(leaders, fmt.Sprintf("%s:%d", p.name, p.status.Term))
+	for _, p := range c.members.Peers() {
+		if c.members.Leads(p, c.now.Steady) {
+			leaders = append(leaders, fmt.Sprintf("%s:%d", p.Name(), p.Status().Term))
 		}
 	}
 	c.log(Debug, "cancellation acknowledged", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
@@ -288,35 +279,3 @@
 	}
 	return set
 }
-
-// queryPeer asks another node for its status and sends the cancellations that it may not know.
-func (c *Core) queryPeer(p *peer) {
-	as := c.cancellations.unacknowledgedBy(p)
-	p.queryInFlight = true
-	p.queriedAt = c.now.Steady
-	id := c.registerCall(func(r Result) {
-		p.queryInFlight, p.queried = false, true
-		was := p.reachable
-		p.reachable = r.Outcome == outcome.OK
-		if p.reachable {
-			if !was {
-				p.reachableSince = c.now.Steady
-			}
-			p.heardAt = c.now.Steady
-			p.status = r.Peer
-			p.unresolved = newNameSet(r.Peer.UnresolvedCancellations)
-			p.revision = max(p.revision, r.Peer.Revision)
-			p.recordLayouts = max(p.recordLayouts, r.Peer.RecordLayouts)
-			p.supportsRollouts = p.supportsRollouts || r.Peer.SupportsRollouts
-			for _, a := range as {
-				a.acknowledgedBy[p] = true
-			}
-		}
-		c.cancellations.resolvePending()
-	})
-	ask := QueryPeer{CallID: id, Node: p.name}
-	for _, a := range as {
-		ask.Cancellations = append(ask.Cancellations, a.cancellation)
-	}
-	c.emit(ask)
-}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,6 +6,7 @@
 
 	"bitternwing/internal/budget"
 	"bitternwing/internal/config"
+	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/pacing"
 	"bitternwing/internal/wire"
@@ -32,7 +33,7 @@
 	leaseRelay    *leaseRelay
 	cancellations *cancellationReplicator
 	leader        *leader // nil unless this node holds a term
-	peers         []*peer
+	members       *membership.Members
 
 	catalog         []wire.MachineType
 	catalogAt       time.Duration
@@ -121,9 +122,7 @@
 	c.election = newElection(c)
 	c.leaseRelay = newLeaseRelay(c)
 	c.cancellations = &cancellationReplicator{core: c}
-	for _, p := range s.Peers {
-		c.peers = append(c.peers, &peer{name: p.Node, zone: p.Zone})
-	}
+	c.members = newMembers(s, c.times)
 	return c
 }
 
@@ -300,7 +299,7 @@
 	}
 	if !c.cache.ready || c.catalog == nil {
 		// Started in an outage for all: like the others.
-		return c.storeDown && len(c.peers) > 0 && c.noPeerServed()
+		return c.storeDown && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
 	if !c.storeDown {
 		return true
@@ -312,8 +311,8 @@
 }
 
 // PeerStatus is what this node tells the others of itself.
-func (c *Core) PeerStatus() PeerStatus {
-	s := PeerStatus{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
+func (c *Core) PeerStatus() membership.Status {
+	s := membership.Status{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
 	if c.cache.ready {
 		s.Revision = c.cache.revision
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -1,10 +1,8 @@
 package core
 
 import (
-	"sort"
 	"time"
 
-	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
@@ -104,8 +102,8 @@
 
 // anyOtherCandidate tells whether another node that could lead is of a kind.
 func (e *election) anyOtherCandidate(of func(node string) bool) bool {
-	for _, p := range e.core.peers {
-		if e.core.recentlyHeard(p) && !p.status.StoreDown && of(p.name) {
+	for _, p := range e.core.members.Peers() {
+		if e.core.members.RecentlyHeard(p, e.core.now.Steady) && !p.Status().StoreDown && of(p.Name()) {
 			return true
 		}
 	}
@@ -119,40 +117,27 @@
 func (e *election) precedesDeadNode(node string, quiet time.Duration) bool {
 	c := e.core
 	next := ""
-	for _, n := range e.failoverOrder() {
-		if n.Node > node {
-			next = n.Node
+	for _, n := range e.core.members.FailoverOrder() {
+		if n.Name > node {
+			next = n.Name
 			break
 		}
 	}
 	if next == "" {
-		next = e.failoverOrder()[0].Node
+		next = e.core.members.FailoverOrder()[0].Name
 	}
-	for _, p := range c.peers {
-		if p.name == next {
-			keeps := p.relayedAt != 0 && c.now.Steady-p.relayedAt < c.times.lease
-			return p.queried && !p.reachable && c.now.Steady-p.heardAt > quiet && !keeps
-		}
-	}
-	return false
-}
-
-// failoverOrder gives all nodes in the order in which workers try them.
-func (e *election) failoverOrder() []config.Peer {
-	set := e.core.settings
-	ring := append([]config.Peer{{Node: set.Node, Zone: set.Zone}}, set.Peers...)
-	sort.Slice(ring, func(a, b int) bool { return ring[a].Node < ring[b].Node })
-	return ring
+	p := c.members.Peer(next)
+	return p != nil && c.members.SuspectedDown(p, c.now.Steady, quiet)
 }
 
 // zonesAfter gives the zones of a node and of those that workers try after it, in turn;
 // none if all are in one zone.
 func (e *election) zonesAfter(node string) (own string, next []string) {
-	ring := e.failoverOrder()
+	ring := e.core.members.FailoverOrder()
 	at, several := 0, false
 	for i, n := range ring {
 		several = several || n.Zone != e.core.settings.Zone
-		if n.Node == node {
+		if n.Name == node {
 			at = i
 		}
 	}
@@ -195,9 +180,8 @@
 	if c.now.Steady-c.leader.startedAt < 2*c.times.lease || !worse(c.settings.Node) {
 		return false
 	}
-	for _, p := range c.peers {
-		// After a cut the nodes are heard again one after the other.
-		if c.recentlyHeard(p) && c.now.Steady-p.reachableSince < 3*c.times.checkInterval {
+	for _, p := range c.members.Peers() {
+		if c.members.RecentlyHeard(p, c.now.Steady) && !c.members.ReachableForChecks(p, c.now.Steady) {
 			return false
 		}
 	}
@@ -260,12 +244,8 @@
 	if last.Node == c.settings.Node {
 		return e.lastTermLed != 0 && e.lastTermLed == last.Number
 	}
-	for _, p := range c.peers {
-		if p.name == last.Node {
-			return c.recentlyHeard(p) && p.status.Term >= last.Number
-		}
-	}
-	return false
+	p := c.members.Peer(last.Node)
+	return p != nil && c.members.RecentlyHeard(p, c.now.Steady) && p.Status().Term >= last.Number
 }
 
 func (e *election) becomeLeader(term, version uint64, grant Result, ttl time.Duration) {
@@ -298,7 +278,7 @@
 	why := ""
 	switch {
 	case !e.leaseValid():
-	case c.workersReachOnlyPeers(c.leader.startedAt) && len(c.leader.machines) > 0:
+	case c.members.WorkersReachOnlyPeers(c.now.Steady, max(c.leader.startedAt, c.lastHeartbeat)) && len(c.leader.machines) > 0:
 		why = "workers reach other nodes only"
 	case e.betterCandidateExists():
 		why = "better candidate available"
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -19,7 +19,7 @@
 		if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
 			to = c.cache.leader.Node
 		} else if !c.cache.ready {
-			to = c.leadingPeer() // started while the state service is down
+			to = c.members.Leader(c.now.Steady) // started while the state service is down
 		}
 		c.respond(in.RequestID, 421, wire.Redirect{Leader: to})
 		return
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
@@ -41,17 +42,12 @@
 }
 
 // leadingPeer gives the other node that leads, as far as this node knows.
-func (k *leaseRelay) leadingPeer() *peer {
+func (k *leaseRelay) leadingPeer() *membership.Peer {
 	c := k.core
 	if c.leader != nil || c.cache.leaderVersion == 0 || c.cache.leader.Node == c.settings.Node || c.storeDown {
 		return nil
 	}
-	for _, p := range c.peers {
-		if p.name == c.cache.leader.Node {
-			return p
-		}
-	}
-	return nil
+	return c.members.Peer(c.cache.leader.Node)
 }
 
 // leadershipVacant tells whether nobody leads, between two terms: the state service serves this node and
@@ -64,22 +60,22 @@
 // leaderUnreachable tells whether the leader leads but can't be reached from here.
 func (k *leaseRelay) leaderUnreachable() bool {
 	p := k.leadingPeer()
-	return p != nil && p.queriedAt != 0 && !p.reachable
+	return p != nil && p.Unreachable()
 }
 
 // leaderCannotReach tells whether the leader says that workers of a zone can't reach it: they need
 // not try, which would cost them much of their lease.
 func (k *leaseRelay) leaderCannotReach(zone string) bool {
 	p := k.leadingPeer()
-	return p != nil && k.core.peerLeads(p) && slices.Contains(p.status.UnreachableZones, zone)
+	return p != nil && k.core.members.Leads(p, k.core.now.Steady) && slices.Contains(p.Status().UnreachableZones, zone)
 }
 
 // termIsCurrent tells whether the leader's term was seen to be current just now, in the
 // state service or by the leader's own word.
-func (k *leaseRelay) termIsCurrent(p *peer) bool {
+func (k *leaseRelay) termIsCurrent(p *membership.Peer) bool {
 	c := k.core
 	return k.termConfirmedAt != 0 && c.now.Steady-k.termConfirmedAt < 2*c.times.checkInterval ||
-		c.peerLeads(p) && p.status.Term == c.cache.leader.Term
+		c.members.Leads(p, c.now.Steady) && p.Status().Term == c.cache.leader.Term
 }
 
 // handleHeartbeat answers a worker in the leader's place; false if that is not due.
@@ -181,11 +177,11 @@
 // this, which lacks no such cancellation (cancellationReplicator).
 func (k *leaseRelay) renewDuringStoreOutage(in WorkerHeartbeat) bool {
 	c, r := k.core, in.Heartbeat
-	cut := c.ownZoneIsolated()
+	cut := c.members.OwnZoneIsolated(c.now.Steady, c.storeDown)
 	if cut && r.Zone != c.settings.Zone {
 		k.servesOtherZone = true
 	}
-	alone := c.noPeerServed() && c.leadingPeer() == ""
+	alone := c.members.AllPeersLostStore(c.now.Steady) && c.members.Leader(c.now.Steady) == ""
 	wholeZone, lastWord := cut && !k.servesOtherZone, alone && c.cache.ready
 	if !wholeZone && !lastWord {
 		return false
@@ -327,11 +323,7 @@
 
 // observeRelay notes that a node keeps workers, whether this one reaches it or not.
 func (c *Core) observeRelay(node string) {
-	for _, p := range c.peers {
-		if p.name == node {
-			p.relayedAt = c.now.Steady
-		}
-	}
+	c.members.ObserveRelay(node, c.now.Steady)
 }
 
 // reconcileIndirect takes in a report that came by another node, or that the worker was asked for.
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -45,7 +45,7 @@
 func (c *Core) updateShedding() {
 	level := c.timerLoad.Level(c.now.Steady)
 	switch {
-	case c.leader == nil || !c.operator.PaceReports || !c.anotherNodeServes():
+	case c.leader == nil || !c.operator.PaceReports || !c.members.AnyPeerServed(c.now.Steady):
 		c.shedding = false
 	case level > shedAbove:
 		c.shedding = true
@@ -53,13 +53,3 @@
 		c.shedding = false
 	}
 }
-
-// anotherNodeServes tells whether another node is there that the state service serves.
-func (c *Core) anotherNodeServes() bool {
-	for _, p := range c.peers {
-		if c.recentlyHeard(p) && !p.status.StoreDown {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -8,6 +8,7 @@
 import (
 	"time"
 
+	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
@@ -77,32 +78,11 @@
 	MachineNames []string
 	Machines     wire.MachineList
 	Heartbeat    wire.Heartbeat
-	Peer         PeerStatus
+	Peer         membership.Status
 	Probe        rollout.Answer
 	ReadyS       float64 // until an image is there
 }
 
-// PeerStatus is what another node says of itself.
-type PeerStatus struct {
-	StoreDown    bool
-	Term         uint64
-	Leading      bool
-	HeartbeatAge time.Duration // negative: no worker ever reported to it
-	// UnreachableZones are zones whose workers a leader can't reach, nor they it.
-	UnreachableZones []string
-	// UnresolvedCancellations are cancelled jobs of which a leader says that users may not be told yet.
-	UnresolvedCancellations []string
-	// MoreUnresolved tells that there are more of them than are listed.
-	MoreUnresolved bool
-	// Revision is how far it has read the changes of jobs; 0: not yet.
-	Revision uint64
-	// RecordLayouts is the newest layout of run records that its version knows; 0 in version 1, which does
-	// not say.
-	RecordLayouts uint32
-	// SupportsRollouts tells that its version knows plans of rollouts.
-	SupportsRollouts bool
-}
-
 func (Tick) input()                   {}
 func (SubmitJob) input()              {}
 func (GetJob) input()                 {}
--- /dev/null
+++ b/internal/core/peer_queries.go
@@ -0,0 +1,87 @@
+package core
+
+import (
+	"time"
+
+	"bitternwing/internal/config"
+	"bitternwing/internal/membership"
+	"bitternwing/internal/outcome"
+)
+
+// followerQueryFactor is how much less often peers that don't lead query each other while a leader is reachable.
+const followerQueryFactor = 2
+
+// newMembers makes the view of the other controllers in the settings.
+func newMembers(s *config.Settings, t times) *membership.Members {
+	peers := make([]membership.Node, 0, len(s.Peers))
+	for _, p := range s.Peers {
+		peers = append(peers, membership.Node{Name: p.Node, Zone: p.Zone})
+	}
+	return membership.New(membership.Node{Name: s.Node, Zone: s.Zone}, peers,
+		membership.Timing{CheckInterval: t.checkInterval, WorkerLease: t.lease})
+}
+
+// queryPeers sends the queries that are due.
+func (c *Core) queryPeers() {
+	for _, p := range c.members.Peers() {
+		if p.QueryInFlight() {
+			continue
+		}
+		due := c.peerQueryDue(p)
+		deferrable := !p.Reachable() || len(c.cancellations.unacknowledgedBy(p)) == 0
+		if p.QueriedAt() != 0 && c.now.Steady < due && deferrable {
+			c.wakeBy(due)
+			continue
+		}
+		c.queryPeer(p)
+	}
+}
+
+// peerQueryDue gives when a peer is to be queried next. A leader whose word on a cancellation users wait for is queried
+// more often.
+func (c *Core) peerQueryDue(p *membership.Peer) time.Duration {
+	if p.Reachable() && c.cancellations.awaitingLeader(p) {
+		return p.QueriedAt() + c.times.checkInterval/8
+	}
+	return c.coalesce(p.QueriedAt() + c.peerQueryInterval(p))
+}
+
+// peerQueryInterval gives how often a peer is queried. While a leader is reachable and the store serves both, nodes that
+// don't lead hardly need each other.
+func (c *Core) peerQueryInterval(p *membership.Peer) time.Duration {
+	status := p.Status()
+	bothFollow := c.leader == nil && !status.Leading
+	bothServed := !c.storeDown && !status.StoreDown
+	if bothFollow && bothServed && p.Reachable() && c.members.Leader(c.now.Steady) != "" {
+		return followerQueryFactor * c.times.checkInterval
+	}
+	return c.times.checkInterval
+}
+
+// queryPeer asks a peer for its status and hands it the cancellations that it may not know. The answer acknowledges them.
+func (c *Core) queryPeer(p *membership.Peer) {
+	unacknowledged := c.cancellations.unacknowledgedBy(p)
+	p.QueryStarted(c.now.Steady)
+	id := c.registerCall(func(r Result) {
+		if r.Outcome == outcome.OK {
+			p.QueryAnswered(c.now.Steady, r.Peer)
+			for _, pending := range unacknowledged {
+				pending.acknowledgedBy[p] = true
+			}
+		} else {
+			p.QueryFailed()
+		}
+		c.cancellations.resolvePending()
+	})
+	query := QueryPeer{CallID: id, Node: p.Name()}
+	for _, pending := range unacknowledged {
+		query.Cancellations = append(query.Cancellations, pending.cancellation)
+	}
+	c.emit(query)
+}
+
+// storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none knows
+// a newer term: nobody can then win one.
+func (c *Core) storeOutageConfirmed() bool {
+	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.term.Number)
+}
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -41,16 +41,11 @@
 	return record.Layout{ByIndex: record.ByIndexFor(c.limits.present.ValueKB)}
 }
 
-// allPeersSupportRecordLayout tells whether all other nodes have said that they know the second layout.
-func (c *Core) allPeersSupportRecordLayout() bool {
-	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return p.recordLayouts < recordLayoutByTask })
-}
-
 // migrateLayout writes the decision once it may be taken and no record is on its way. A record written
 // late, after the change, would else tell of tasks what newer ones don't.
 func (l *leader) migrateLayout() {
 	c, x := l.core, &l.layoutMigration
-	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.allPeersSupportRecordLayout() || c.storeDown || !c.election.leaseValid() {
+	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.members.AllSupportRecordLayout(recordLayoutByTask) || c.storeDown || !c.election.leaseValid() {
 		x.requested = x.inFlight
 		return
 	}
--- a/internal/core/rollout_cache.go
+++ b/internal/core/rollout_cache.go
@@ -62,8 +62,3 @@
 	*p = read
 	p.index()
 }
-
-// allPeersSupportRollouts tells whether all other nodes have said that their version knows plans.
-func (c *Core) allPeersSupportRollouts() bool {
-	return !slices.ContainsFunc(c.peers, func(p *peer) bool { return !p.supportsRollouts })
-}
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -109,7 +109,7 @@
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
 	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
-	case !c.allPeersSupportRollouts():
+	case !c.members.AllSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
 	case c.cache.termFormat < stored.RolloutsTermFormat:
 		l.termUpgrade.request(stored.RolloutsTermFormat)
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -100,7 +100,7 @@
 		if !z.mostlySilent(zone == l.core.settings.Zone) {
 			continue
 		}
-		l.silentZones[zone] = l.core.zoneIsolated(zone)
+		l.silentZones[zone] = l.core.members.ZoneIsolated(zone)
 		if l.silentZones[zone] {
 			l.zoneIsolatedAt[zone] = now
 		}
--- /dev/null
+++ b/internal/membership/version_support.go
@@ -0,0 +1,21 @@
+package membership
+
+// AllSupportRecordLayout reports whether every peer has said that its version reads a layout of run records.
+func (m *Members) AllSupportRecordLayout(layout uint32) bool {
+	for _, p := range m.peers {
+		if p.recordLayouts < layout {
+			return false
+		}
+	}
+	return true
+}
+
+// AllSupportRollouts reports whether every peer has said that its version implements rollout plans.
+func (m *Members) AllSupportRollouts() bool {
+	for _, p := range m.peers {
+		if !p.supportsRollouts {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,6 +21,7 @@
 	"bitternwing/internal/core"
 	"bitternwing/internal/httpclient"
 	"bitternwing/internal/kvstore"
+	"bitternwing/internal/membership"
 	"bitternwing/internal/metrics"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/peer"
@@ -240,7 +241,7 @@
 	return ok
 }
 
-func (n *Node) peerStatus() core.PeerStatus {
+func (n *Node) peerStatus() membership.Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.PeerStatus()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,6 +13,7 @@
 	"google.golang.org/grpc/status"
 
 	"bitternwing/internal/core"
+	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/peer/peerpb"
 )
@@ -29,13 +30,13 @@
 	peerpb.UnimplementedPeerServer
 	node   string
 	heard  func(context.Context, []core.Cancellation) bool
-	status func() core.PeerStatus
+	status func() membership.Status
 	grpc   *grpc.Server
 }
 
 // NewServer makes a server that hands on the cancellations that it hears of and tells what
 // status gives. heard is false where they could not be taken in.
-func NewServer(node string, heard func(context.Context, []core.Cancellation) bool, status func() core.PeerStatus) *Server {
+func NewServer(node string, heard func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
 	s := &Server{node: node, heard: heard, status: status, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(16),
 		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
@@ -106,16 +107,16 @@
 func (c *Client) Close() error { return c.conn.Close() }
 
 // Status asks the node for its status and hands it cancellations.
-func (c *Client) Status(ctx context.Context, items []core.Cancellation) (core.PeerStatus, outcome.Outcome) {
+func (c *Client) Status(ctx context.Context, items []core.Cancellation) (membership.Status, outcome.Outcome) {
 	q := &peerpb.StatusRequest{Node: c.self}
 	for _, it := range items {
 		q.Cancellations = append(q.Cancellations, &peerpb.Cancellation{Job: it.Job, Value: it.Value, Version: it.Version})
 	}
 	r, err := c.rpc.Status(ctx, q)
 	if err != nil {
-		return core.PeerStatus{}, outcome.Unknown
+		return membership.Status{}, outcome.Unknown
 	}
-	st := core.PeerStatus{StoreDown: r.GetStateDown(), Term: r.GetTerm(), Leading: r.GetLeads(), HeartbeatAge: -1, UnreachableZones: r.GetZonesApart(),
+	st := membership.Status{StoreDown: r.GetStateDown(), Term: r.GetTerm(), Leading: r.GetLeads(), HeartbeatAge: -1, UnreachableZones: r.GetZonesApart(),
 		Revision: r.GetRevision(), UnresolvedCancellations: r.GetUnsettled(), MoreUnresolved: r.GetUnsettledMore(), RecordLayouts: r.GetLayouts(),
 		SupportsRollouts: r.GetKnowsPlans()}
 	if r.GetReportAgeMs() >= 0 {
