--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -242,10 +242,10 @@
 
 // encodeRecord gives a chunk's record and the placements in it.
 func (l *leader) encodeRecord(ch *recordChunk) (json.RawMessage, []*placement) {
-	r := record.Record{Next: ch.highestAttempt, Done: ch.done, Placed: map[int]record.Run{}}
+	r := record.Record{HighestAttempt: ch.highestAttempt, Done: ch.done, Placed: map[int]record.Run{}}
 	ps := l.placedIn(ch)
 	for _, p := range ps {
-		r.Placed[p.task] = record.Run{Attempt: p.attempt, Machine: p.machine.name, Session: p.incarnation}
+		r.Placed[p.task] = record.Run{Attempt: p.attempt, Machine: p.machine.name, Incarnation: p.incarnation}
 	}
 	b, err := r.Encode()
 	if err != nil {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -197,7 +197,7 @@
 
 // applyRecords takes the run records of earlier terms.
 func (l *leader) applyRecords(items map[string]wire.Item) {
-	found := map[string][]record.Stored{}
+	found := map[string][]record.Entry{}
 	for _, name := range slices.Sorted(maps.Keys(items)) {
 		it := items[name]
 		key, ok := stored.ParseRunRecordKey(name)
@@ -214,7 +214,7 @@
 			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
 			continue
 		}
-		found[key.Job] = append(found[key.Job], record.Stored{Key: key, Version: it.Version, Record: r})
+		found[key.Job] = append(found[key.Job], record.Entry{Key: key, Version: it.Version, Record: r})
 	}
 	for _, id := range slices.Sorted(maps.Keys(found)) {
 		l.applyJobRecords(l.jobs[id], found[id])
@@ -223,7 +223,7 @@
 
 // applyJobRecords takes what a job's records tell. Each placement in them may be running, or its start still
 // on the way, until its machine tells.
-func (l *leader) applyJobRecords(j *job, found []record.Stored) {
+func (l *leader) applyJobRecords(j *job, found []record.Entry) {
 	if j.waitingForDependencies {
 		// A job has a record only if an earlier leader found it ready.
 		l.admit(j)
@@ -240,7 +240,7 @@
 	for _, index := range slices.Sorted(maps.Keys(parts)) {
 		part := parts[index]
 		ch := l.chunkOf(j, index*l.tasksPerRecord())
-		ch.version, ch.highestAttempt, ch.done = part.Version, part.Next, part.Done
+		ch.version, ch.highestAttempt, ch.done = part.Version, part.HighestAttempt, part.Done
 		j.done += part.Done.Count()
 		for _, task := range slices.Sorted(maps.Keys(part.Placed)) {
 			if task < j.spec.Tasks {
@@ -254,7 +254,7 @@
 func (l *leader) adoptPlacement(j *job, task int, run record.Run) {
 	m := l.machineNamed(run.Machine)
 	m.everReported = true
-	p := &placement{job: j, task: task, attempt: run.Attempt, machine: m, incarnation: run.Session,
+	p := &placement{job: j, task: task, attempt: run.Attempt, machine: m, incarnation: run.Incarnation,
 		phase: phaseSent, startSequence: startSequenceUnknown, placedAt: l.core.now.Steady}
 	j.addPlacement(p)
 	m.addImage(j.spec.Image, j.spec.ImageGB)
--- a/internal/emulator/state_server_test.go
+++ b/internal/emulator/state_server_test.go
@@ -21,7 +21,7 @@
 	client := kvstore.New(s.Addr(), 1000, 4, 1<<20)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	lease, o := client.Grant(ctx, 200*time.Millisecond)
+	lease, o := client.GrantLease(ctx, 200*time.Millisecond)
 	if o != outcome.OK {
 		t.Fatal(o)
 	}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -72,11 +72,11 @@
 	case core.StoreTxn:
 		n.do(ctx, callName{metrics.StateService, "txn"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Txn, r.Outcome = n.state.Txn(ctx, e.Txn) })
 	case core.StoreGrantLease:
-		n.do(ctx, callName{metrics.StateService, "grant"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Lease, r.Outcome = n.state.Grant(ctx, e.TTL) })
+		n.do(ctx, callName{metrics.StateService, "grant"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Lease, r.Outcome = n.state.GrantLease(ctx, e.TTL) })
 	case core.StoreRenewLease:
-		n.do(ctx, callName{metrics.StateService, "extend"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Outcome = n.state.Extend(ctx, e.Lease) })
+		n.do(ctx, callName{metrics.StateService, "extend"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Outcome = n.state.RenewLease(ctx, e.Lease) })
 	case core.StoreRevokeLease:
-		n.do(ctx, callName{metrics.StateService, "revoke"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Outcome = n.state.Revoke(ctx, e.Lease) })
+		n.do(ctx, callName{metrics.StateService, "revoke"}, e.CallID, n.patient, func(ctx context.Context, r *core.Result) { r.Outcome = n.state.RevokeLease(ctx, e.Lease) })
 	case core.StoreWatch:
 		n.do(ctx, callName{metrics.StateService, "watch"}, e.CallID, e.Wait+watchPatience*n.patient, func(ctx context.Context, r *core.Result) {
 			r.Changes, r.Outcome = n.state.Watch(ctx, e.Prefix, e.After, e.Wait)
--- a/internal/record/bits.go
+++ b/internal/record/bits.go
@@ -14,13 +14,13 @@
 // NewBits makes an empty set of numbers below a bound.
 func NewBits(bound int) Bits { return make(Bits, (bound+wordBits-1)/wordBits) }
 
-// Has tells whether a number is in the set.
+// Has reports whether a number is in the set.
 func (b Bits) Has(i int) bool { return i/wordBits < len(b) && b[i/wordBits]&(1<<(i%wordBits)) != 0 }
 
 // Set puts a number into the set.
 func (b Bits) Set(i int) { b[i/wordBits] |= 1 << (i % wordBits) }
 
-// Count gives how many numbers are in the set.
+// Count returns how many numbers are in the set.
 func (b Bits) Count() int {
 	n := 0
 	for _, w := range b {
@@ -29,7 +29,7 @@
 	return n
 }
 
-// String gives the ranges of a set, "0-4,7".
+// String returns the ranges of a set, "0-4,7".
 func (b Bits) String() string {
 	var text strings.Builder
 	for i := 0; i < len(b)*wordBits; i++ {
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -11,23 +11,23 @@
 	ByTask  int `json:"by_task,omitempty"` // of one of the second; 0 while the first is in use
 }
 
-// leastTasks is how many tasks a record holds at least.
-const leastTasks = 8
+// minTasks is how many tasks a record holds at least.
+const minTasks = 8
 
 // indexTasksPerKB is how many tasks a record of the first layout holds for each KiB of a value.
 const indexTasksPerKB = 8
 
-// ByIndexFor gives how many tasks a record of the first layout holds. Version 1 does the same with the
+// ByIndexFor returns how many tasks a record of the first layout holds. Version 1 does the same with the
 // value size of its settings.
-func ByIndexFor(valueKB float64) int { return max(leastTasks, int(indexTasksPerKB*valueKB)) }
+func ByIndexFor(valueKB float64) int { return max(minTasks, int(indexTasksPerKB*valueKB)) }
 
 // PlacementBytes is what a placement takes of a record, with a machine's name of up to forty bytes.
 const PlacementBytes = 64
 
-// ByTaskFor gives how many tasks a record of the second layout holds that keeps within a value size.
-func ByTaskFor(valueBytes int) int { return max(leastTasks, valueBytes/PlacementBytes) }
+// ByTaskFor returns how many tasks a record of the second layout holds that keeps within a value size.
+func ByTaskFor(valueBytes int) int { return max(minTasks, valueBytes/PlacementBytes) }
 
-// Tasks gives how many tasks a record holds that is written now.
+// Tasks returns how many tasks a record holds that is written now.
 func (l Layout) Tasks() int {
 	if l.ByTask > 0 {
 		return l.ByTask
@@ -35,7 +35,7 @@
 	return l.ByIndex
 }
 
-// Key gives the key of the record that holds a job's tasks from index times Tasks on.
+// Key returns the key of the record that holds a job's tasks from index times Tasks on.
 func (l Layout) Key(job string, index int) Key {
 	if l.ByTask > 0 {
 		return Key{Job: job, ByTask: true, Ordinal: index * l.ByTask}
@@ -43,14 +43,14 @@
 	return Key{Job: job, Ordinal: index}
 }
 
-// Stored is a record as it was found, with the version of its key.
-type Stored struct {
+// Entry is a record as it was read, with the version of its key.
+type Entry struct {
 	Key     Key
 	Version uint64
 	Record  Record
 }
 
-// TasksOf gives how many tasks the record of a key holds.
+// TasksOf returns how many tasks the record of a key holds.
 func (l Layout) TasksOf(k Key) int {
 	if k.ByTask {
 		return l.ByTask
@@ -65,8 +65,8 @@
 	Version uint64
 }
 
-// Assemble gives the parts of a job, by index, from all its records.
-func (l Layout) Assemble(found []Stored) map[int]Part {
+// Assemble returns the parts of a job, by index, from all its records.
+func (l Layout) Assemble(found []Entry) map[int]Part {
 	parts := map[int]Part{}
 	for _, s := range found {
 		if !s.Key.ByTask && l.ByTask > 0 {
@@ -86,7 +86,7 @@
 
 // split spreads a record of the first layout over parts of the second. Its highest attempt counts for all
 // of them.
-func (l Layout) split(s Stored, parts map[int]Part) {
+func (l Layout) split(s Entry, parts map[int]Part) {
 	first := s.Key.Ordinal * l.ByIndex
 	for task := first; task < first+l.ByIndex; task++ {
 		index := task / l.ByTask
@@ -94,7 +94,7 @@
 		if !known {
 			part.Record = Record{Done: NewBits(l.ByTask), Placed: map[int]Run{}}
 		}
-		part.Next = max(part.Next, s.Record.Next)
+		part.HighestAttempt = max(part.HighestAttempt, s.Record.HighestAttempt)
 		if s.Record.Done.Has(task - first) {
 			part.Done.Set(task - index*l.ByTask)
 		}
@@ -114,5 +114,5 @@
 	return l, nil
 }
 
-// Encode gives the stored form of a layout.
+// Encode returns the stored form of a layout.
 func (l Layout) Encode() (json.RawMessage, error) { return json.Marshal(l) }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,14 +1,14 @@
-// Package record is the stored form of what must not be forgotten about a job's tasks: which are done,
-// which attempt of a task is on which machine, and the highest attempt that was ever used.
+// Package record is the stored form of what must not be forgotten about a job's tasks: which are done, which attempt
+// of a task is on which machine, and the highest attempt that was ever used.
 //
-// A job has a record for each range of its tasks that something has happened to. There are two layouts.
-// In the first one, which version 1 of the program knows alone, a record is found by its index, and how
-// many tasks it holds follows from the settings of then. In the second one it is found by its first
-// task. The state service says which layout is in use, and how many tasks a record of each holds
-// (Layout), so that no change of settings gives a record another meaning.
+// A job has a record for each range of its tasks that something has happened to. There are two layouts. In the first
+// one, the only one that version 1 of the program knows, a record is found by its index, and how many tasks it holds
+// follows from the settings of that time. In the second one it is found by its first task. The key-value store holds
+// which layout is in use, and how many tasks a record of each holds (Layout), so that no change of settings gives a
+// record another meaning.
 //
-// Once the second layout is in use records of the first are read and deleted, and never written: those of
-// the second override them for the tasks that they hold.
+// Once the second layout is in use, records of the first are read and deleted but never written: records of the second
+// override them for the tasks that they hold.
 package record
 
 import (
@@ -18,41 +18,41 @@
 	"strings"
 )
 
-// Run is an attempt of a task on a machine, in a session of its worker.
+// Run is an attempt of a task on a machine, in an incarnation of its worker.
 type Run struct {
-	Attempt uint64
-	Machine string
-	Session uint64
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
 }
 
 // MarshalJSON writes a run as a list, for brevity.
 func (r Run) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{r.Attempt, r.Machine, r.Session})
+	return json.Marshal([]any{r.Attempt, r.Machine, r.Incarnation})
 }
 
 // UnmarshalJSON reads what MarshalJSON writes.
 func (r *Run) UnmarshalJSON(b []byte) error {
-	return json.Unmarshal(b, &[]any{&r.Attempt, &r.Machine, &r.Session})
+	return json.Unmarshal(b, &[]any{&r.Attempt, &r.Machine, &r.Incarnation})
 }
 
-// Record is what is stored of a range of tasks. Next is the highest attempt that was used for any of
+// Record is what is stored of a range of tasks. HighestAttempt is the highest one that was used for any of
 // them. Done counts from the first of them, Placed has their numbers in the job.
 type Record struct {
-	Next   uint64
-	Done   Bits
-	Placed map[int]Run
+	HighestAttempt uint64
+	Done           Bits
+	Placed         map[int]Run
 }
 
-// stored is a record as JSON.
-type stored struct {
-	Next   uint64         `json:"n"`
-	Done   string         `json:"d,omitempty"` // ranges, "0-4,7"
-	Placed map[string]Run `json:"p,omitempty"`
+// encodedRecord is the JSON form of a Record.
+type encodedRecord struct {
+	HighestAttempt uint64         `json:"n"`
+	Done           string         `json:"d,omitempty"` // ranges, "0-4,7"
+	Placed         map[string]Run `json:"p,omitempty"`
 }
 
-// Encode gives the stored form of a record.
+// Encode returns the stored form of a record.
 func (r Record) Encode() (json.RawMessage, error) {
-	s := stored{Next: r.Next, Done: r.Done.String()}
+	s := encodedRecord{HighestAttempt: r.HighestAttempt, Done: r.Done.String()}
 	if len(r.Placed) > 0 {
 		s.Placed = make(map[string]Run, len(r.Placed))
 		for task, run := range r.Placed {
@@ -64,11 +64,11 @@
 
 // Decode reads a record of a number of tasks.
 func Decode(value json.RawMessage, tasks int) (Record, error) {
-	var s stored
+	var s encodedRecord
 	if err := json.Unmarshal(value, &s); err != nil {
 		return Record{}, fmt.Errorf("run record: %w", err)
 	}
-	r := Record{Next: s.Next, Done: NewBits(tasks), Placed: make(map[int]Run, len(s.Placed))}
+	r := Record{HighestAttempt: s.HighestAttempt, Done: NewBits(tasks), Placed: make(map[int]Run, len(s.Placed))}
 	r.Done.read(s.Done)
 	for name, run := range s.Placed {
 		task, err := strconv.Atoi(name)
@@ -90,7 +90,7 @@
 // taskMark stands before the number of a record's first task. Version 1 takes no such key for an index.
 const taskMark = "t"
 
-// String gives the key as it is stored, below a prefix.
+// String returns the key as it is stored, below a prefix.
 func (k Key) String() string {
 	mark := ""
 	if k.ByTask {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Next != 7 || r.Done.Count() != 4 || !r.Done.Has(40) || r.Placed[250] != (Run{7, "host-000007", 3}) {
+	if r.HighestAttempt != 7 || r.Done.Count() != 4 || !r.Done.Has(40) || r.Placed[250] != (Run{7, "host-000007", 3}) {
 		t.Errorf("%+v", r)
 	}
 	if b, err := r.Encode(); err != nil || string(b) != oldValue {
@@ -58,19 +58,19 @@
 	if !ok || again != newKey || layout.TasksOf(again) != 16 {
 		t.Fatalf("%+v", again)
 	}
-	newer := Record{Next: 9, Done: NewBits(16), Placed: map[int]Run{251: {9, "host-000008", 1}}}
+	newer := Record{HighestAttempt: 9, Done: NewBits(16), Placed: map[int]Run{251: {9, "host-000008", 1}}}
 	newer.Done.Set(10) // task 250
-	parts := layout.Assemble([]Stored{{newKey, 31, newer}, {key, 12, old}})
+	parts := layout.Assemble([]Entry{{newKey, 31, newer}, {key, 12, old}})
 
 	if len(parts) != 8 {
 		t.Errorf("%d parts of 128 tasks", len(parts))
 	}
 	first := parts[8] // tasks 128 to 143
-	if first.Version != 0 || first.Next != 7 || first.Done.String() != "0-2" ||
+	if first.Version != 0 || first.HighestAttempt != 7 || first.Done.String() != "0-2" ||
 		!reflect.DeepEqual(first.Placed, map[int]Run{131: {5, "host-000231", 1}}) {
 		t.Errorf("%+v", first)
 	}
-	if third := parts[10]; third.Done.String() != "8" || len(third.Placed) != 0 || third.Next != 7 {
+	if third := parts[10]; third.Done.String() != "8" || len(third.Placed) != 0 || third.HighestAttempt != 7 {
 		t.Errorf("%+v", third)
 	}
 	if last := parts[15]; last.Version != 31 || !reflect.DeepEqual(last.Record, newer) {
@@ -82,11 +82,11 @@
 func TestSplitUneven(t *testing.T) {
 	layout := Layout{ByIndex: 8, ByTask: 5}
 	record := func(next uint64, done string) Record {
-		r := Record{Next: next, Done: NewBits(8), Placed: map[int]Run{}}
+		r := Record{HighestAttempt: next, Done: NewBits(8), Placed: map[int]Run{}}
 		r.Done.read(done)
 		return r
 	}
-	parts := layout.Assemble([]Stored{
+	parts := layout.Assemble([]Entry{
 		{Key{Job: "j", Ordinal: 0}, 1, record(3, "0-7")},
 		{Key{Job: "j", Ordinal: 1}, 1, record(4, "0,7")},
 	})
@@ -94,7 +94,7 @@
 		next uint64
 		done string
 	}{{3, "0-4"}, {4, "0-3"}, {4, ""}, {4, "0"}} {
-		if p := parts[index]; p.Next != want.next || p.Done.String() != want.done {
+		if p := parts[index]; p.HighestAttempt != want.next || p.Done.String() != want.done {
 			t.Errorf("part %d is %+v", index, p)
 		}
 	}
@@ -106,8 +106,8 @@
 	if layout.Tasks() != 128 || layout.Key("j", 2).String() != "j/2" || ByIndexFor(0.5) != 8 {
 		t.Errorf("%+v", layout)
 	}
-	r := Record{Next: 1, Done: NewBits(128), Placed: map[int]Run{300: {1, "m", 1}}}
-	parts := layout.Assemble([]Stored{{layout.Key("j", 2), 5, r}})
+	r := Record{HighestAttempt: 1, Done: NewBits(128), Placed: map[int]Run{300: {1, "m", 1}}}
+	parts := layout.Assemble([]Entry{{layout.Key("j", 2), 5, r}})
 	if len(parts) != 1 || parts[2].Version != 5 || !reflect.DeepEqual(parts[2].Record, r) {
 		t.Errorf("%+v", parts)
 	}
@@ -117,7 +117,7 @@
 func TestFullRecordFits(t *testing.T) {
 	for _, valueBytes := range []int{1024, 2048, 16384} {
 		tasks := ByTaskFor(valueBytes)
-		r := Record{Next: 1_000_000, Done: NewBits(tasks), Placed: map[int]Run{}}
+		r := Record{HighestAttempt: 1_000_000, Done: NewBits(tasks), Placed: map[int]Run{}}
 		for i := range tasks {
 			r.Placed[99_000+i] = Run{1_000_000, "host-000000000000000231", 100}
 		}
--- a/internal/stored/catalog.go
+++ b/internal/stored/catalog.go
@@ -11,5 +11,5 @@
 	return decode[[]wire.MachineType](value)
 }
 
-// EncodeCatalog gives the stored form of the machine types.
+// EncodeCatalog returns the stored form of the machine types.
 func EncodeCatalog(types []wire.MachineType) (json.RawMessage, error) { return json.Marshal(types) }
--- a/internal/stored/image_hints.go
+++ b/internal/stored/image_hints.go
@@ -32,5 +32,5 @@
 	p.packer.add(machine, images, size)
 }
 
-// Encode gives the stored forms of all shards.
+// Encode returns the stored forms of all shards.
 func (p *ImageHintPacker) Encode() ([]json.RawMessage, error) { return p.packer.encode() }
--- a/internal/stored/job.go
+++ b/internal/stored/job.go
@@ -26,10 +26,10 @@
 	return job, err
 }
 
-// Encode gives the stored form of a job.
+// Encode returns the stored form of a job.
 func (j Job) Encode() (json.RawMessage, error) { return json.Marshal(j) }
 
-// EncodeWithin gives the stored form of a job for a rewrite. A cancellation rewrites the whole of it, and the value
+// EncodeWithin returns the stored form of a job for a rewrite. A cancellation rewrites the whole of it, and the value
 // that was accepted may be larger than the store's present limit: then the fields that only tell where the job may
 // start are left out, since it never starts again.
 func (j Job) EncodeWithin(maxBytes int) (json.RawMessage, error) {
@@ -54,7 +54,7 @@
 // DecodeFinalState reads a stored final state.
 func DecodeFinalState(value json.RawMessage) (FinalState, error) { return decode[FinalState](value) }
 
-// Encode gives the stored form of a final state.
+// Encode returns the stored form of a final state.
 func (f FinalState) Encode() (json.RawMessage, error) { return json.Marshal(f) }
 
 // decode reads a stored value; the zero value comes with an error.
--- a/internal/stored/keys.go
+++ b/internal/stored/keys.go
@@ -110,7 +110,7 @@
 	{relayedHeartbeatsPrefix, KindRelayedHeartbeats},
 }
 
-// ParseWatchedKey gives the kind of a watched key and what follows its prefix: a job's id, a plan's name, or the
+// ParseWatchedKey returns the kind of a watched key and what follows its prefix: a job's id, a plan's name, or the
 // node and shard of relayed heartbeats. A key of a single value has nothing after it.
 func ParseWatchedKey(key string) (kind Kind, name string) {
 	switch key {
@@ -133,7 +133,7 @@
 	return KindUnknown, ""
 }
 
-// RelayingNode gives the node that wrote relayed heartbeats, from the name that ParseWatchedKey gives.
+// RelayingNode returns the node that wrote relayed heartbeats, from the name that ParseWatchedKey gives.
 func RelayingNode(name string) string {
 	node, _, _ := strings.Cut(name, "/")
 	return node
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// first gives the first of the values that a packer writes.
+// first returns the first of the values that a packer writes.
 func first(encode func() ([]json.RawMessage, error)) func() (json.RawMessage, error) {
 	return func() (json.RawMessage, error) {
 		values, err := encode()
@@ -189,16 +189,16 @@
 		placed     map[int]record.Run
 	}{
 		{"r/run-000412/1", `{"n":7,"d":"40","p":{"131":[5,"host-000231",1]}}`, record.Key{Job: "run-000412", Ordinal: 1},
-			"40", map[int]record.Run{131: {Attempt: 5, Machine: "host-000231", Session: 1}}},
+			"40", map[int]record.Run{131: {Attempt: 5, Machine: "host-000231", Incarnation: 1}}},
 		{"r/run-000412/t64", `{"n":7,"d":"0-1,9","p":{"66":[7,"host-000231",2]}}`, record.Key{Job: "run-000412", ByTask: true, Ordinal: 64},
-			"0-1,9", map[int]record.Run{66: {Attempt: 7, Machine: "host-000231", Session: 2}}},
+			"0-1,9", map[int]record.Run{66: {Attempt: 7, Machine: "host-000231", Incarnation: 2}}},
 	} {
 		key, ok := stored.ParseRunRecordKey(c.key)
 		if !ok || key != c.want || stored.RunRecordKey(key) != c.key {
 			t.Errorf("%s is %+v", c.key, key)
 		}
 		got, err := record.Decode(json.RawMessage(c.value), layout.TasksOf(key))
-		if err != nil || got.Next != 7 || got.Done.String() != c.done || !reflect.DeepEqual(got.Placed, c.placed) {
+		if err != nil || got.HighestAttempt != 7 || got.Done.String() != c.done || !reflect.DeepEqual(got.Placed, c.placed) {
 			t.Errorf("%s is read as %+v, %v", c.value, got, err)
 		}
 		if value, err := got.Encode(); err != nil || string(value) != c.value {
--- a/internal/stored/production_format_test.go
+++ b/internal/stored/production_format_test.go
@@ -91,7 +91,7 @@
 	if err != nil || lead != (productionLead{"a", "a1", 4, 5}) {
 		t.Errorf("the leader: %+v %v", lead, err)
 	}
-	first := record.Record{Next: 4, Done: record.NewBits(128), Placed: map[int]record.Run{1: {Attempt: 2, Machine: "m", Session: 1}}}
+	first := record.Record{HighestAttempt: 4, Done: record.NewBits(128), Placed: map[int]record.Run{1: {Attempt: 2, Machine: "m", Incarnation: 1}}}
 	first.Done.Set(0)
 	value, err := first.Encode()
 	if err != nil {
--- a/internal/stored/relayed_heartbeats.go
+++ b/internal/stored/relayed_heartbeats.go
@@ -23,7 +23,7 @@
 	Compressed bool
 }
 
-// Pack gives the values that hold a list of heartbeats, as many heartbeats in each as fit. Those that fit into no
+// Pack returns the values that hold a list of heartbeats, as many heartbeats in each as fit. Those that fit into no
 // value are left out and counted.
 func (p RelayedHeartbeatPacker) Pack(heartbeats []json.RawMessage) (values []json.RawMessage, tooLarge int) {
 	for len(heartbeats) > 0 {
@@ -46,7 +46,7 @@
 // typicalCompression is how much smaller heartbeats mostly get by compression.
 const typicalCompression = 4
 
-// firstGuess gives how many heartbeats may fit into a value, at least one.
+// firstGuess returns how many heartbeats may fit into a value, at least one.
 func (p RelayedHeartbeatPacker) firstGuess(heartbeats []json.RawMessage) int {
 	maxBytes := p.MaxBytes
 	if p.Compressed {
--- a/internal/stored/shards.go
+++ b/internal/stored/shards.go
@@ -19,7 +19,7 @@
 	p.shards[len(p.shards)-1][key] = value
 }
 
-// encode gives the stored forms of all shards.
+// encode returns the stored forms of all shards.
 func (p *shardPacker[V]) encode() ([]json.RawMessage, error) {
 	values := make([]json.RawMessage, len(p.shards))
 	for i, shard := range p.shards {
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -8,7 +8,7 @@
 	valuesPerMaxBody = 4
 )
 
-// UsableValueBytes gives how much of the store's limit of a value is used.
+// UsableValueBytes returns how much of the store's limit of a value is used.
 func UsableValueBytes(limit int) int {
 	return min(limit, wire.MaxBody/valuesPerMaxBody) * usableTenths / 10
 }
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -14,13 +14,13 @@
 // encodedTaskCounts is the stored form of TaskCounts: running, done.
 type encodedTaskCounts [2]int
 
-// Of gives the counts of a job; false if the shard has none.
+// Of returns the counts of a job; false if the shard has none.
 func (s TaskCountShard) Of(job string) (TaskCounts, bool) {
 	n, found := s[job]
 	return TaskCounts{Running: n[0], Done: n[1]}, found
 }
 
-// Encode gives the stored form of a shard.
+// Encode returns the stored form of a shard.
 func (s TaskCountShard) Encode() (json.RawMessage, error) {
 	if s == nil {
 		s = TaskCountShard{}
@@ -38,7 +38,7 @@
 // the first ones only show what is in these.
 const firstTaskCountShards = 8
 
-// firstTaskCountShard gives the first shard in which the counts of a job may be.
+// firstTaskCountShard returns the first shard in which the counts of a job may be.
 func firstTaskCountShard(job string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job)) // a hash takes all
@@ -99,10 +99,10 @@
 	p.shards[i][job] = encodedTaskCounts{counts.Running, counts.Done}
 }
 
-// Len gives how many shards the counts take.
+// Len returns how many shards the counts take.
 func (p *TaskCountPacker) Len() int { return len(p.shards) }
 
-// Shard gives a shard; an empty one beyond those that the counts take.
+// Shard returns a shard; an empty one beyond those that the counts take.
 func (p *TaskCountPacker) Shard(i int) TaskCountShard {
 	if i >= len(p.shards) {
 		return nil
--- a/internal/stored/term.go
+++ b/internal/stored/term.go
@@ -17,7 +17,7 @@
 // DecodeLeader reads a stored leader.
 func DecodeLeader(value json.RawMessage) (Leader, error) { return decode[Leader](value) }
 
-// Encode gives the stored form of a leader.
+// Encode returns the stored form of a leader.
 func (l Leader) Encode() (json.RawMessage, error) { return json.Marshal(l) }
 
 // Term is the present term and the node that was elected for it. All writes of a leader are conditional on the
@@ -73,7 +73,7 @@
 	}
 )
 
-// Encode gives the stored form of a term. The layout matters for BaseTermFormat only.
+// Encode returns the stored form of a term. The layout matters for BaseTermFormat only.
 func (t Term) Encode(format TermFormat, layout record.Layout) (json.RawMessage, error) {
 	switch {
 	case format == QuotasTermFormat:
--- a/internal/stored/unreachable_hints.go
+++ b/internal/stored/unreachable_hints.go
@@ -29,5 +29,5 @@
 	p.packer.add(machine, lastHeardMS, len(machine)+unreachableHintOverhead)
 }
 
-// Encode gives the stored forms of all shards.
+// Encode returns the stored forms of all shards.
 func (p *UnreachableHintPacker) Encode() ([]json.RawMessage, error) { return p.packer.encode() }
