--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -23,6 +23,7 @@
 // capacityPlanner finds how many machines are missing by packing what waits into those
 // that are to come.
 type capacityPlanner struct {
+	leader               *leader
 	cycle                *schedulingCycle
 	provisioner          *provisioner
 	machines             []*plannedMachine
@@ -32,14 +33,14 @@
 }
 
 // planCapacity rents and returns machines after a round.
-func (l *leader) planCapacity(r *schedulingCycle) {
+func (l *leader) planCapacity(cycle *schedulingCycle) {
 	t := &l.provisioner
 	if !t.reconciled() {
 		return
 	}
 	now := l.core.now.Steady
 	t.dropUnsentRequests()
-	p := &capacityPlanner{cycle: r, provisioner: t, machinesByGroup: map[capacity.Group]int{}, zonesByJob: map[*job]map[string]int{}}
+	p := &capacityPlanner{leader: l, cycle: cycle, provisioner: t, machinesByGroup: map[capacity.Group]int{}, zonesByJob: map[*job]map[string]int{}}
 	for _, m := range l.machinesByName {
 		if m.machineType == nil || m.releasing {
 			continue
@@ -60,7 +61,7 @@
 		}
 	}
 	counted := map[*job]int{}
-	for _, w := range r.unmetDemand {
+	for _, w := range cycle.unmetDemand {
 		counted[w.job] += w.tasks
 		for i := 0; i < w.tasks; i++ {
 			if !p.pack(w.job, w.job.spec.Spot) && !p.pack(w.job, false) {
@@ -69,7 +70,7 @@
 		}
 	}
 	for _, j := range l.queue {
-		if j.isArray() && r.schedulable(j) {
+		if j.isArray() && cycle.schedulable(j) {
 			p.planArray(j, j.unplaced()-counted[j])
 		}
 	}
@@ -127,7 +128,7 @@
 // planMachine plans a new machine for a task: of the cheapest type that holds it, in the
 // zone with the fewest machines of that kind.
 func (p *capacityPlanner) planMachine(j *job, spot bool) *plannedMachine {
-	l := p.cycle.leader
+	l := p.leader
 	if l.core.overloaded() {
 		return nil // more machines would report than this node can answer
 	}
@@ -210,17 +211,17 @@
 // headroomWanted is the room on ordinary machines to keep free for services to come.
 func (p *capacityPlanner) headroomWanted() float64 {
 	inUse, largest := 0.0, 0.0
-	for _, j := range p.cycle.leader.queue {
+	for _, j := range p.leader.queue {
 		if !j.isArray() && !j.cancelled {
 			all := float64(j.spec.Tasks) * j.spec.GPUs
 			inUse += all
 			largest = max(largest, all)
 		}
 	}
-	if inUse == 0 || p.cycle.leader.core.operator.SpareShare == 0 {
+	if inUse == 0 || p.leader.core.operator.SpareShare == 0 {
 		return 0
 	}
-	return max(largest, inUse*p.cycle.leader.core.operator.SpareShare)
+	return max(largest, inUse*p.leader.core.operator.SpareShare)
 }
 
 // headroom is the room on ordinary machines that services could have: free, to
@@ -233,7 +234,7 @@
 			sum += max(0, b.free.GPUs)
 		}
 	}
-	for _, m := range p.cycle.leader.machinesByName {
+	for _, m := range p.leader.machinesByName {
 		if sum >= enough {
 			break
 		}
@@ -255,7 +256,7 @@
 }
 
 func (p *capacityPlanner) ensureHeadroom() {
-	l := p.cycle.leader
+	l := p.leader
 	wanted := p.headroomWanted()
 	for i := 0; i < 4 && p.headroom(wanted) < wanted; i++ {
 		var any *job
@@ -272,7 +273,7 @@
 
 // requestScaleOut sends the new bins as requests, one for each kind and zone.
 func (p *capacityPlanner) requestScaleOut() {
-	c := p.cycle.leader.core
+	c := p.leader.core
 	counts := map[capacity.Group]int{}
 	var kinds []capacity.Group
 	for _, b := range p.machines {
@@ -288,7 +289,7 @@
 	for _, o := range kinds {
 		p.provisioner.lastRequest++
 		p.provisioner.requests = append(p.provisioner.requests, &scaleOutRequest{Group: o, count: min(counts[o], wire.MaxScaleOut),
-			id: fmt.Sprintf("bw-%d-%d", p.cycle.leader.term, p.provisioner.lastRequest), nextTry: c.now.Steady})
+			id: fmt.Sprintf("bw-%d-%d", p.leader.term, p.provisioner.lastRequest), nextTry: c.now.Steady})
 	}
 }
 
@@ -296,7 +297,7 @@
 // boot, and ordinary ones as long as they are the spare room: those with the least in
 // their caches go first, since what the next service needs may be in the others'.
 func (p *capacityPlanner) scaleIn() {
-	l := p.cycle.leader
+	l := p.leader
 	now := l.core.now.Steady
 	var idle []*machine
 	for _, m := range l.machinesByName {
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -9,33 +9,33 @@
 
 // allocateElastic allocates free resources to arrays. Idle-priority work comes last: it takes what all else leaves, and
 // is preempted for what found no machine.
-func (r *schedulingCycle) allocateElastic() {
+func (cycle *schedulingCycle) allocateElastic() {
 	var regular, idle []*job
-	for _, j := range r.leader.queue {
+	for _, j := range cycle.state.jobsToRun() {
 		switch {
-		case !j.isArray() || !r.schedulable(j) || j.unplaced() == 0:
+		case !j.isArray() || !cycle.schedulable(j) || j.unplaced() == 0:
 		case j.isIdlePriority():
 			idle = append(idle, j)
 		default:
 			regular = append(regular, j)
 		}
 	}
-	r.allocateForDeadlines(regular)
-	for _, candidate := range r.allocateByFulfillment(regular) {
-		r.preemptIdleFor(candidate)
+	cycle.allocateForDeadlines(regular)
+	for _, candidate := range cycle.allocateByFulfillment(regular) {
+		cycle.preemptIdleFor(candidate)
 	}
-	r.allocateForDeadlines(idle)
-	r.allocateByFulfillment(idle)
+	cycle.allocateForDeadlines(idle)
+	cycle.allocateByFulfillment(idle)
 }
 
 // allocateForDeadlines allocates free resources to arrays that would miss their deadline or their class's objective
 // without them, those with the earliest latest start first. It is an exception to the order of fulfillment: with equal
 // shares all arrays that compete would end at about the same, late time; one after the other, most are in time. It
 // preempts nobody.
-func (r *schedulingCycle) allocateForDeadlines(jobs []*job) {
+func (cycle *schedulingCycle) allocateForDeadlines(jobs []*job) {
 	var late []*job
 	for _, j := range jobs {
-		if j.activeInstances() < r.requiredInstances(j) {
+		if j.activeInstances() < cycle.requiredInstances(j) {
 			late = append(late, j)
 		}
 	}
@@ -47,23 +47,23 @@
 		return x.latestStart() < y.latestStart()
 	})
 	for _, j := range late {
-		r.allocate(j, r.requiredInstances(j)-j.activeInstances())
+		cycle.allocate(j, cycle.requiredInstances(j)-j.activeInstances())
 	}
 }
 
 // allocate allocates up to so many instances to a job, as long as there are resources and its team's limit allows it.
-func (r *schedulingCycle) allocate(j *job, instances int) {
-	for from := 0; instances > 0 && r.hasBudget() && r.withinLimit(j, 1); instances-- {
-		task := r.leader.nextTask(j, from)
+func (cycle *schedulingCycle) allocate(j *job, instances int) {
+	for from := 0; instances > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1); instances-- {
+		task := cycle.state.nextTask(j, from)
 		if task < 0 {
 			return
 		}
-		m := r.findMachine(j)
+		m := cycle.findMachine(j)
 		if m == nil {
 			return
 		}
-		r.place(j, task, m)
-		r.leader.markDirty(r.leader.chunkOf(j, task))
+		cycle.place(j, task, m)
+		cycle.state.persist(j, task)
 		from = task + 1
 	}
 }
@@ -71,16 +71,15 @@
 // requiredInstances is how many instances of an array have to run now for its deadline or its class's objective, as far
 // as its owner's estimate tells. The jobs after one on which a pipeline's deadline depends have no time to spare, so it
 // needs all of its instances; without a deadline or objective the minimum will do.
-func (r *schedulingCycle) requiredInstances(j *job) int {
+func (cycle *schedulingCycle) requiredInstances(j *job) int {
 	if j.elastic() && j.hasDeadline() {
 		return j.maxInstances()
 	}
 	if !j.elastic() || j.spec.EstimatedRunS <= 0 {
 		return j.minInstances()
 	}
-	c := r.leader.core
-	ageS := float64(c.now.WallMS-j.queuedMS) / 1000
-	required, possible := scheduling.InstancesForObjective(c.settings.Params.Objectives, j.spec.Class, ageS, j.spec.EstimatedRunS, j.unfinished())
+	ageS := float64(cycle.params.wallMS-j.queuedMS) / 1000
+	required, possible := scheduling.InstancesForObjective(cycle.params.objectives, j.spec.Class, ageS, j.spec.EstimatedRunS, j.unfinished())
 	if !possible {
 		return j.minInstances()
 	}
@@ -90,7 +89,7 @@
 // allocateByFulfillment allocates free resources, one instance at a time, to the least fulfilled job below 1.0. A job
 // that finds no machine for its next instance, or has reached its team's limit, drops out of this cycle. It returns the
 // candidates that found no machine.
-func (r *schedulingCycle) allocateByFulfillment(jobs []*job) []*scheduling.Candidate[*job] {
+func (cycle *schedulingCycle) allocateByFulfillment(jobs []*job) []*scheduling.Candidate[*job] {
 	var candidates, lacking []*scheduling.Candidate[*job]
 	for _, j := range jobs {
 		if j.unplaced() > 0 {
@@ -98,22 +97,22 @@
 		}
 	}
 	queue := scheduling.NewFulfillmentQueue(candidates)
-	for queue.Len() > 0 && r.hasBudget() {
+	for queue.Len() > 0 && cycle.hasBudget() {
 		candidate := queue.LeastFulfilled()
 		j := candidate.Job
-		task := r.leader.nextTask(j, candidate.NextTask)
-		if task < 0 || candidate.Instances.Current >= candidate.Instances.Max || !r.withinLimit(j, 1) {
+		task := cycle.state.nextTask(j, candidate.NextTask)
+		if task < 0 || candidate.Instances.Current >= candidate.Instances.Max || !cycle.withinLimit(j, 1) {
 			queue.Drop()
 			continue
 		}
-		m := r.findMachine(j)
+		m := cycle.findMachine(j)
 		if m == nil {
 			lacking = append(lacking, candidate)
 			queue.Drop()
 			continue
 		}
-		r.place(j, task, m)
-		r.leader.markDirty(r.leader.chunkOf(j, task))
+		cycle.place(j, task, m)
+		cycle.state.persist(j, task)
 		queue.Allocated(task)
 	}
 	return lacking
@@ -122,11 +121,11 @@
 // preemptIdleFor preempts idle-priority work above its minimum for an array's further instances. It is an exception to
 // the design, by which only minimums preempt: work that is to run when nobody else wants the machines must not keep them
 // from anybody, and its tasks can hold all the CPUs of a fleet whose GPUs are free.
-func (r *schedulingCycle) preemptIdleFor(candidate *scheduling.Candidate[*job]) {
+func (cycle *schedulingCycle) preemptIdleFor(candidate *scheduling.Candidate[*job]) {
 	j := candidate.Job
 	missing := candidate.Instances.Max - candidate.Instances.Current
-	for missing > 0 && r.hasBudget() && r.withinLimit(j, 1) && r.preemptFor(j, 1, true) {
-		r.countUsage(j, 1) // as good as placed: its team's limit holds for the next instance
+	for missing > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1) && cycle.preemptFor(j, 1, true) {
+		cycle.countUsage(j, 1) // as good as placed: its team's limit holds for the next instance
 		missing--
 	}
 }
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -80,7 +80,7 @@
 // prefetchModel asks for a copy of a model's weights in each zone that has none.
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
-	for _, zone := range l.zonesFor(j) {
+	for _, zone := range l.fleet().zonesFor(j) {
 		if j.spec.ImageGB > p.budget.Tokens() || p.inFlight >= l.core.maxReplicaProbes() {
 			return
 		}
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -67,11 +67,11 @@
 }
 
 // countUsage counts so many more tasks of a job as used by its team.
-func (r *schedulingCycle) countUsage(j *job, tasks int) {
-	r.usage.Add(j.spec.Team, resource.OfTask(j.spec), tasks)
+func (cycle *schedulingCycle) countUsage(j *job, tasks int) {
+	cycle.usage.Add(j.spec.Team, resource.OfTask(j.spec), tasks)
 }
 
 // withinLimit tells whether a job's team stays within its limit with so many more tasks.
-func (r *schedulingCycle) withinLimit(j *job, tasks int) bool {
-	return r.usage.WithinLimit(j.team, resource.OfTask(j.spec), tasks)
+func (cycle *schedulingCycle) withinLimit(j *job, tasks int) bool {
+	return cycle.usage.WithinLimit(j.team, resource.OfTask(j.spec), tasks)
 }
--- a/internal/core/minimums.go
+++ b/internal/core/minimums.go
@@ -9,9 +9,9 @@
 
 // markWithinGuarantee finds the jobs that fit into their team's guarantee together with the team's older unfinished
 // jobs.
-func (l *leader) markWithinGuarantee() {
+func (cycle *schedulingCycle) markWithinGuarantee() {
 	claimed := scheduling.TeamUsage{}
-	for _, j := range l.queue {
+	for _, j := range cycle.state.jobsToRun() {
 		j.withinGuarantee = false
 		if j.cancelled || j.team == nil {
 			continue
@@ -25,36 +25,36 @@
 // task. Where no machine has the resources, the most fulfilled jobs are preempted. It returns the job at which the
 // budget ran out, where the next cycle goes on: so each job has its turn, and arrays are allocated free resources only
 // after all services had theirs.
-func (r *schedulingCycle) placeMinimums() *job {
-	resumeFrom := r.leader.cycles.resumeFrom
+func (cycle *schedulingCycle) placeMinimums() *job {
+	resumeFrom := cycle.params.resumeFrom
 	var stopped *job
-	for _, j := range r.lackingMinimum() {
+	for _, j := range cycle.lackingMinimum() {
 		need := j.missingForMinimum()
 		switch {
-		case !r.withinLimit(j, need):
+		case !cycle.withinLimit(j, need):
 			continue
 		case resumeFrom != nil && j.urgency().Before(resumeFrom.urgency()):
 			// It had its turn in the last cycle; machines for it are still to be requested.
-		case !r.hasBudget():
+		case !cycle.hasBudget():
 			if stopped == nil {
 				stopped = j
 			}
 			continue
-		case r.placeAllOrNone(j, need):
+		case cycle.placeAllOrNone(j, need):
 			continue
 		default:
-			r.preemptFor(j, need, false)
+			cycle.preemptFor(j, need, false)
 		}
-		r.unmetDemand = append(r.unmetDemand, unmetDemand{j, need})
+		cycle.unmetDemand = append(cycle.unmetDemand, unmetDemand{j, need})
 	}
 	return stopped
 }
 
 // lackingMinimum gives the jobs that lack their minimum, the most urgent first.
-func (r *schedulingCycle) lackingMinimum() []*job {
+func (cycle *schedulingCycle) lackingMinimum() []*job {
 	var lacking []*job
-	for _, j := range r.leader.queue {
-		if !r.schedulable(j) || j.unplaced() == 0 {
+	for _, j := range cycle.state.jobsToRun() {
+		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
 		if !j.isArray() || j.activeInstances() < j.minInstances() {
@@ -74,27 +74,26 @@
 }
 
 // placeAllOrNone places the next tasks of a job, all of them or none.
-func (r *schedulingCycle) placeAllOrNone(j *job, need int) bool {
-	l := r.leader
+func (cycle *schedulingCycle) placeAllOrNone(j *job, need int) bool {
 	var placed []*placement
 	from := 0
 	for len(placed) < need {
-		task := l.nextTask(j, from)
+		task := cycle.state.nextTask(j, from)
 		if task < 0 {
 			break
 		}
-		m := r.findMachine(j)
+		m := cycle.findMachine(j)
 		if m == nil {
 			for i := len(placed) - 1; i >= 0; i-- {
-				r.revertPlacement(placed[i])
+				cycle.revertPlacement(placed[i])
 			}
 			return false
 		}
-		placed = append(placed, r.place(j, task, m))
+		placed = append(placed, cycle.place(j, task, m))
 		from = task + 1
 	}
 	for _, p := range placed {
-		l.markDirty(l.chunkOf(j, p.task))
+		cycle.state.persist(j, p.task)
 	}
 	return true
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -46,27 +46,27 @@
 // may run on cheap machines prefers those; then the tightest, so that others empty
 // and can be returned. Replicas of a service go where the load of their weights and what they add to
 // the worst loss of a zone or machine cost the least, if operators have that weighed.
-func (r *schedulingCycle) findMachine(j *job) *machine {
+func (cycle *schedulingCycle) findMachine(j *job) *machine {
 	a, plain := requestOf(j)
-	if plain && r.exhaustedRequests[a] {
+	if plain && cycle.exhaustedRequests[a] {
 		return nil
 	}
 	var m *machine
-	if w, weighed := r.replicaCostFor(j); weighed {
-		m = r.cheapestReplicaMachine(j, w)
+	if w, weighed := cycle.replicaCostFor(j); weighed {
+		m = cycle.cheapestReplicaMachine(j, w)
 	} else {
-		m = r.warmestMachine(j)
+		m = cycle.warmestMachine(j)
 	}
 	if m == nil && plain {
-		r.exhaustedRequests[a] = true
+		cycle.exhaustedRequests[a] = true
 	}
 	return m
 }
 
 // warmestMachine finds the warmest machine for a job's next task, and of these the tightest.
-func (r *schedulingCycle) warmestMachine(j *job) *machine {
+func (cycle *schedulingCycle) warmestMachine(j *job) *machine {
 	allowed := j.groupRules()
-	h, found, looked := r.leader.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{
+	h, found, looked := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:  resource.OfTask(j.spec),
 		Image: j.spec.Image,
 		Penalty: func(g capacity.Group) (capacity.ImageState, bool) {
@@ -76,10 +76,10 @@
 			return 0, allowed(g)
 		},
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			return h.machine.imageState(j.spec.Image), !r.leader.avoidsMachine(j, h.machine)
+			return h.machine.imageState(j.spec.Image), !cycle.state.avoidsMachine(j, h.machine)
 		},
 	})
-	r.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
+	cycle.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
 	if !found {
 		return nil
 	}
@@ -92,40 +92,43 @@
 
 // place decides a placement; the caller marks its record once it stands. It is
 // written before anything is sent.
-func (r *schedulingCycle) place(j *job, task int, m *machine) *placement {
-	l := r.leader
-	ch := l.chunkOf(j, task)
-	ch.highestAttempt++
-	p := &placement{job: j, task: task, attempt: ch.highestAttempt, machine: m, incarnation: m.incarnation, placedAt: l.core.now.Steady, imageState: m.imageState(j.spec.Image)}
+func (cycle *schedulingCycle) place(j *job, task int, m *machine) *placement {
+	p := &placement{
+		job:         j,
+		task:        task,
+		attempt:     cycle.state.assignAttempt(j, task),
+		machine:     m,
+		incarnation: m.incarnation,
+		placedAt:    cycle.params.now,
+		imageState:  m.imageState(j.spec.Image),
+	}
 	if !j.isArray() {
-		p.cost = r.explainCost(j, m)
+		p.cost = cycle.explainCost(j, m)
 	}
 	j.addPlacement(p)
 	m.addImage(j.spec.Image, j.spec.ImageGB)
 	h := m.schedulable
 	h.free.Take(resource.OfTask(j.spec))
 	h.freeAfterStops.Take(resource.OfTask(j.spec))
-	l.updateCapacityIndex(h)
-	r.evaluations -= evaluationsPerIndexLevel * (l.capacityIndex.Height() - 1)
-	r.countUsage(j, 1)
-	clear(r.hopelessPreemptions)
-	r.placed++
+	cycle.state.updateCapacityIndex(h)
+	cycle.evaluations -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
+	cycle.countUsage(j, 1)
+	clear(cycle.hopelessPreemptions)
+	cycle.placed++
 	return p
 }
 
 // revertPlacement takes back the last placement of this very round. Its attempt was never
 // written, so its number is free again.
-func (r *schedulingCycle) revertPlacement(p *placement) {
-	if ch := r.leader.chunkOf(p.job, p.task); ch.highestAttempt == p.attempt && !ch.inFlight && !ch.dirty {
-		ch.highestAttempt--
-	}
+func (cycle *schedulingCycle) revertPlacement(p *placement) {
+	cycle.state.withdrawAttempt(p)
 	p.job.removePlacement(p)
 	p.job.nextUnplaced = min(p.job.nextUnplaced, p.task)
 	h := p.machine.schedulable
 	h.free.Give(resource.OfTask(p.job.spec))
 	h.freeAfterStops.Give(resource.OfTask(p.job.spec))
-	r.leader.updateCapacityIndex(h)
-	r.capacityGrew()
-	r.countUsage(p.job, -1)
-	r.placed--
+	cycle.state.updateCapacityIndex(h)
+	cycle.capacityGrew()
+	cycle.countUsage(p.job, -1)
+	cycle.placed--
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -16,10 +16,13 @@
 	"bitternwing/internal/wire"
 )
 
+// allMachines gives the machines by name, those that may not be given tasks too.
+func allMachines(cycle *schedulingCycle) []*machine { return cycle.state.(*leader).machinesByName }
+
 // scanAllowed tells whether a job's next task may run on a machine, from where its tasks are.
-func scanAllowed(r *schedulingCycle, j *job, m *machine) bool {
+func scanAllowed(cycle *schedulingCycle, j *job, m *machine) bool {
 	s := j.spec
-	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || r.leader.avoidsMachine(j, m) {
+	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || cycle.state.avoidsMachine(j, m) {
 		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
@@ -38,13 +41,13 @@
 }
 
 // scanWeighed finds the machine for a job's next replica that costs the least, by a look at each.
-func scanWeighed(r *schedulingCycle, j *job, w replicaCostModel) *machine {
+func scanWeighed(cycle *schedulingCycle, j *job, w replicaCostModel) *machine {
 	var best *schedulableMachine
 	bestCost, bestLeft := 0.0, 0.0
 	need := resource.OfTask(j.spec)
-	for _, m := range r.leader.machinesByName {
+	for _, m := range allMachines(cycle) {
 		h := m.schedulable
-		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
+		if h == nil || !h.free.Holds(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
 		cost, left := w.cost(m.group(), m.imageState(j.spec.Image)), 1.0
@@ -67,16 +70,16 @@
 }
 
 // scanFit finds the machine for a job's next task by a look at each.
-func scanFit(r *schedulingCycle, j *job) *machine {
-	if w, weighed := r.replicaCostFor(j); weighed {
-		return scanWeighed(r, j, w)
+func scanFit(cycle *schedulingCycle, j *job) *machine {
+	if w, weighed := cycle.replicaCostFor(j); weighed {
+		return scanWeighed(cycle, j, w)
 	}
 	var best *schedulableMachine
 	bestScore := math.Inf(1)
 	need := resource.OfTask(j.spec)
-	for _, m := range r.leader.machinesByName {
+	for _, m := range allMachines(cycle) {
 		h := m.schedulable
-		if h == nil || !h.free.Holds(need) || !scanAllowed(r, j, m) {
+		if h == nil || !h.free.Holds(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
 		left := 1.0
@@ -100,13 +103,13 @@
 }
 
 // scanCheapest finds the machine on which room costs the least by a look at each.
-func scanCheapest(r *schedulingCycle, j *job, victim func(*job, *placement) bool) *preemptionPlan {
+func scanCheapest(cycle *schedulingCycle, j *job, victim func(*job, *placement) bool) *preemptionPlan {
 	var best *preemptionPlan
-	for _, m := range r.leader.machinesByName {
-		if m.schedulable == nil || !scanAllowed(r, j, m) {
+	for _, m := range allMachines(cycle) {
+		if m.schedulable == nil || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		stops, ok := r.preemptionSet(j, m.schedulable, victim)
+		stops, ok := cycle.preemptionSet(j, m.schedulable, victim)
 		if !ok {
 			continue
 		}
@@ -269,68 +272,69 @@
 
 // report has a machine report all that is on it, and perhaps a task that nobody knows of.
 func (f *drawnFleet) report(m *machine) {
-	r := &wire.Heartbeat{Machine: m.name, Incarnation: m.incarnation}
+	heartbeat := &wire.Heartbeat{Machine: m.name, Incarnation: m.incarnation}
 	for _, p := range m.placementsInOrder {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
 	}
 	if f.chance("stray", 2) {
 		stray := rapid.SampledFrom([]string{f.anyJob().id + "/5", "run-999999/0"}).Draw(f.T, "which")
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
 	}
-	f.l.reconcileTasks(m, r, false)
+	f.l.reconcileTasks(m, heartbeat, false)
 }
 
 // round compares what index and scan choose for some jobs, and does as they say.
 func (f *drawnFleet) round() {
 	l := f.l
-	r := newSchedulingCycle(l, math.MaxInt32)
+	l.refreshCapacityIndex()
+	cycle := newSchedulingCycle(l, l.cycleParams(math.MaxInt32))
 	for range f.number("decisions", 1, 30) {
 		j := f.anyJob()
-		if !r.schedulable(j) || j.unplaced() == 0 {
+		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
-		want := scanFit(r, j)
-		if got := r.findMachine(j); got != want {
+		want := scanFit(cycle, j)
+		if got := cycle.findMachine(j); got != want {
 			f.Fatalf("%s: %s by the index, %s by the scan", j.id, nameOf(got), nameOf(want))
 		}
 		switch {
 		case want != nil:
-			p := r.place(j, l.nextTask(j, 0), want)
+			p := cycle.place(j, l.nextTask(j, 0), want)
 			if f.chance("taken back", 5) {
-				r.revertPlacement(p)
+				cycle.revertPlacement(p)
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
 		default:
-			f.shrink(r, j)
+			f.shrink(cycle, j)
 		}
 	}
 }
 
 // shrink compares how room is made for a job.
-func (f *drawnFleet) shrink(r *schedulingCycle, j *job) {
+func (f *drawnFleet) shrink(cycle *schedulingCycle, j *job) {
 	// The jobs that can be shrunk are looked for once in a round; here the next decision may follow any other.
-	r.preemptible = nil
+	cycle.preemptible = nil
 	idleOnly := f.chance("idle work only", 3)
-	rule := r.preemptionRule(j, idleOnly)
-	want := scanCheapest(r, j, rule.mayStop)
-	got := r.cheapestPreemption(j, &rule)
+	rule := cycle.preemptionRule(j, idleOnly)
+	want := scanCheapest(cycle, j, rule.mayStop)
+	got := cycle.cheapestPreemption(j, &rule)
 	if (got == nil) != (want == nil) {
 		f.Fatalf("%s: %+v by the index, %+v by the scan", j.id, got, want)
 	}
 	request, plain := stopRequestOf(j, idleOnly)
-	if plain && r.hopelessPreemptions[request] && want != nil {
+	if plain && cycle.hopelessPreemptions[request] && want != nil {
 		f.Fatalf("%s finds room on %s that is remembered as not there", j.id, want.machine.machine.name)
 	}
 	if got == nil {
 		if plain {
-			r.hopelessPreemptions[request] = true
+			cycle.hopelessPreemptions[request] = true
 		}
 		return
 	}
 	if got.machine != want.machine || got.cost != want.cost || !slices.Equal(got.stops, want.stops) {
 		f.Fatalf("%s: on %s for %+v by the index, on %s for %+v by the scan", j.id, got.machine.machine.name, got.cost, want.machine.machine.name, want.cost)
 	}
-	r.preempt(j, got)
+	cycle.preempt(j, got)
 }
 
 func nameOf(m *machine) string {
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -14,9 +14,9 @@
 }
 
 // findPreemptible looks for the jobs that can be shrunk.
-func (r *schedulingCycle) findPreemptible() *preemptibleJobs {
+func (cycle *schedulingCycle) findPreemptible() *preemptibleJobs {
 	v := &preemptibleJobs{}
-	for _, j := range r.leader.queue {
+	for _, j := range cycle.state.jobsToRun() {
 		if !j.shrinkable() {
 			continue
 		}
@@ -47,28 +47,28 @@
 
 // preemptionRule is the rule for a job that lacks its minimum or, with idleOnly, for one that has it: idle-time work alone
 // gives way to that.
-func (r *schedulingCycle) preemptionRule(j *job, idleOnly bool) preemptionRule {
-	if r.preemptible == nil {
-		r.preemptible = r.findPreemptible()
+func (cycle *schedulingCycle) preemptionRule(j *job, idleOnly bool) preemptionRule {
+	if cycle.preemptible == nil {
+		cycle.preemptible = cycle.findPreemptible()
 	}
-	v := r.preemptible
+	v := cycle.preemptible
 	if idleOnly {
-		rule := preemptionRule{mayStop: r.mayPreemptIdle}
+		rule := preemptionRule{mayStop: cycle.mayPreemptIdle}
 		if v.countByRank[wire.PriorityIdle.Rank()] > 0 {
 			rule.belowRank = wire.PriorityIdle.Rank() + 1
 		}
 		return rule
 	}
-	rule := preemptionRule{mayStop: r.mayPreempt, belowRank: v.highestRankBelow(j)}
+	rule := preemptionRule{mayStop: cycle.mayPreempt, belowRank: v.highestRankBelow(j)}
 	if !j.withinGuarantee && !v.unknownTeam {
 		return rule
 	}
-	among, placed := r.allowedPreemptions(j)
+	among, placed := cycle.allowedPreemptions(j)
 	if len(among) == 0 {
 		return rule
 	}
 	rule.belowRank = capacity.AllRanks
-	if placed < r.leader.capacityIndex.Len()/fewPreemptibleRatio {
+	if placed < cycle.params.fleet.index.Len()/fewPreemptibleRatio {
 		rule.candidates = among
 	}
 	return rule
@@ -78,10 +78,10 @@
 const fewPreemptibleRatio = 2
 
 // allowedPreemptions gives the jobs that may be shrunk for a job, whatever allows it, and counts their instances.
-func (r *schedulingCycle) allowedPreemptions(j *job) (among []*job, placed int) {
-	r.evaluations -= len(r.preemptible.jobs) / 4
-	for _, v := range r.preemptible.jobs {
-		if r.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
+func (cycle *schedulingCycle) allowedPreemptions(j *job) (among []*job, placed int) {
+	cycle.evaluations -= len(cycle.preemptible.jobs) / 4
+	for _, v := range cycle.preemptible.jobs {
+		if cycle.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
 			among = append(among, v)
 			placed += len(v.placements)
 		}
@@ -90,13 +90,13 @@
 }
 
 // mayPreempt tells whether a placement may be stopped for a job that lacks its minimum.
-func (r *schedulingCycle) mayPreempt(j *job, p *placement) bool {
-	return p.stop == stopNone && p.job.shrinkable() && r.usage.MayPreempt(j.claim(), p.job.claim())
+func (cycle *schedulingCycle) mayPreempt(j *job, p *placement) bool {
+	return p.stop == stopNone && p.job.shrinkable() && cycle.usage.MayPreempt(j.claim(), p.job.claim())
 }
 
 // mayPreemptIdle tells whether a placement may be stopped for a job that has its minimum.
-func (r *schedulingCycle) mayPreemptIdle(j *job, p *placement) bool {
-	return p.job.isIdlePriority() && !j.isIdlePriority() && r.mayPreempt(j, p)
+func (cycle *schedulingCycle) mayPreemptIdle(j *job, p *placement) bool {
+	return p.job.isIdlePriority() && !j.isIdlePriority() && cycle.mayPreempt(j, p)
 }
 
 // preemptionRequest is what decides whether room can be made for a task, where no more than that does.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -11,21 +11,21 @@
 // held back from others in this round, and each round works it out anew, so an
 // instance that is already stopping is not asked for twice. It tells whether there is, or will
 // be, room for all. With idleOnly, idle-time work alone gives way.
-func (r *schedulingCycle) preemptFor(j *job, need int, idleOnly bool) bool {
+func (cycle *schedulingCycle) preemptFor(j *job, need int, idleOnly bool) bool {
 	request, plain := stopRequestOf(j, idleOnly)
-	if plain && r.hopelessPreemptions[request] {
+	if plain && cycle.hopelessPreemptions[request] {
 		return false
 	}
-	rule := r.preemptionRule(j, idleOnly)
+	rule := cycle.preemptionRule(j, idleOnly)
 	for held := 0; held < need; held++ {
-		best := r.cheapestPreemption(j, &rule)
+		best := cycle.cheapestPreemption(j, &rule)
 		if best == nil {
 			if plain {
-				r.hopelessPreemptions[request] = true
+				cycle.hopelessPreemptions[request] = true
 			}
 			return false
 		}
-		r.preempt(j, best)
+		cycle.preempt(j, best)
 	}
 	return true
 }
@@ -38,36 +38,36 @@
 }
 
 // preempt stops what has to go for a task of a job, and holds the room back for it.
-func (r *schedulingCycle) preempt(j *job, c *preemptionPlan) {
+func (cycle *schedulingCycle) preempt(j *job, c *preemptionPlan) {
 	h := c.machine
 	for _, p := range c.stops {
-		p.requestStop(r.stopModeFor(j, p), stopPreempted)
-		r.leader.pendingDispatch = append(r.leader.pendingDispatch, p.machine)
+		p.requestStop(cycle.stopModeFor(j, p), stopPreempted)
+		cycle.state.dispatch(p.machine)
 		if p.phase < phaseSent {
-			r.leader.endPlacement(p)
+			cycle.state.endPlacement(p)
 			h.free.Give(resource.OfTask(p.job.spec))
-			r.capacityGrew()
+			cycle.capacityGrew()
 		}
 		h.freeAfterStops.Give(resource.OfTask(p.job.spec))
-		r.leader.core.log(Debug, "task preempted", "task", p.name(), "for", j.id)
+		cycle.state.logPreempted(p, j)
 	}
 	h.freeAfterStops.Take(resource.OfTask(j.spec))
 	// What is free there now is for this job too, as far as it needs it.
 	h.free = h.free.Within(h.freeAfterStops)
 	h.machine.capacityChanged = true // what is held back is so for this round only
-	r.leader.updateCapacityIndex(h)
+	cycle.state.updateCapacityIndex(h)
 }
 
 // capacityGrew notes that what found no room in this round may find some now.
-func (r *schedulingCycle) capacityGrew() {
-	clear(r.exhaustedRequests)
-	clear(r.hopelessPreemptions)
+func (cycle *schedulingCycle) capacityGrew() {
+	clear(cycle.exhaustedRequests)
+	clear(cycle.hopelessPreemptions)
 }
 
 // cheapestPreemption finds the machine on which making room for a job's next task costs the least, and of these the first
 // by name; nil if there is none.
-func (r *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
-	s := &preemptionSearch{cycle: r, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
+func (cycle *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
+	s := &preemptionSearch{cycle: cycle, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
 	if len(rule.candidates) > 0 {
 		// Few jobs can be shrunk: the machines of their tasks are all that there is, beside those where room
 		// will be free anyway.
@@ -96,7 +96,7 @@
 
 // walk looks through all machines that may be better than the best so far, if work below a rank can be stopped.
 func (s *preemptionSearch) walk(below int) {
-	looked := s.cycle.leader.capacityIndex.Walk(s.allowed, func(b *capacity.Bounds) bool {
+	looked := s.cycle.params.fleet.index.Walk(s.allowed, func(b *capacity.Bounds) bool {
 		least, possible := b.MinCost(s.need, below, s.image)
 		return !possible || !s.better(least, b.FirstName)
 	}, s.evaluate)
@@ -121,7 +121,7 @@
 
 // evaluate works out what has to stop on a machine.
 func (s *preemptionSearch) evaluate(h *schedulableMachine) {
-	if s.cycle.leader.avoidsMachine(s.job, h.machine) {
+	if s.cycle.state.avoidsMachine(s.job, h.machine) {
 		return
 	}
 	stops, possible := s.cycle.preemptionSet(s.job, h, s.rule.mayStop)
@@ -136,7 +136,7 @@
 // stopModeFor tells how a placement is stopped for a job. A service waits for each of its replicas, and
 // idle-time work, which loses at most what it did since its last checkpoint, does not
 // make it wait for one more.
-func (r *schedulingCycle) stopModeFor(j *job, p *placement) stopMode {
+func (cycle *schedulingCycle) stopModeFor(j *job, p *placement) stopMode {
 	if p.job.isIdlePriority() && !j.isArray() {
 		return stopImmediate
 	}
@@ -159,7 +159,7 @@
 
 // preemptionSet gives the instances to stop on a machine so that a task of j fits, the most fulfilled job's first; false
 // if all that may be stopped would not be enough.
-func (r *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
+func (cycle *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
 	need := resource.OfTask(j.spec)
 	if h.freeAfterStops.Holds(need) {
 		return nil, true
@@ -171,7 +171,7 @@
 			freeAtMost.Give(resource.OfTask(p.job.spec))
 		}
 	}
-	r.evaluations -= len(h.machine.placementsInOrder) / 4
+	cycle.evaluations -= len(h.machine.placementsInOrder) / 4
 	if !freeAtMost.Holds(need) {
 		return nil, false
 	}
@@ -183,7 +183,7 @@
 			instances = append(instances, scheduling.PreemptibleInstance[*job]{Job: p.job, Instances: p.job.instances(), Task: resource.OfTask(p.job.spec)})
 		}
 	}
-	r.evaluations -= 4 * len(candidates)
+	cycle.evaluations -= 4 * len(candidates)
 	victims, possible := scheduling.SelectVictims(need, h.freeAfterStops, instances)
 	stops := make([]*placement, len(victims))
 	for i, victim := range victims {
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"slices"
 	"time"
 
 	"bitternwing/internal/capacity"
@@ -53,72 +52,40 @@
 	warmestLoadS, avoidedS float64
 }
 
-// lossRates are the losses that operators expect.
-func (c *Core) lossRates() topologyspread.Rates {
-	s := c.operator.Spread
-	return topologyspread.Rates{ZoneLossesPerDay: s.ZoneLossesPerDay, MachineLossesPerDay: s.MachineLossesPerDay, ReplicaDays: s.ReplicaDays}
-}
-
-// lossDetectionLeases is after how many of workers' leases a machine's loss is noticed for certain.
-const lossDetectionLeases = 1.1
-
-// coldStartSeconds is how long a job's image takes on a machine of a type that fetches nothing else.
-func (l *leader) coldStartSeconds(j *job, kind string) float64 {
-	if mt := l.core.machineType(kind); mt != nil && mt.FetchGBPerS > 0 {
-		return j.spec.ImageGB / mt.FetchGBPerS
-	}
-	return 0
-}
-
-// slowestImageFetch is the longest that a job's image takes on any type that the job may run on.
-func (l *leader) slowestImageFetch(j *job) time.Duration {
-	slowest := 0.0
-	for i := range l.core.catalog {
-		if kind := l.core.catalog[i].Name; allowsType(j.spec, kind) {
-			slowest = max(slowest, l.coldStartSeconds(j, kind))
-		}
-	}
-	return config.Seconds(slowest)
-}
-
 // replicaCostModel is what a job's next replica goes by.
 type replicaCostModel struct {
 	topologyspread.Weigher
-	leader       *leader
+	fleet        fleetView
 	job          *job
-	recoveryTime time.Duration
-	fleet        topologyspread.Fleet
+	recoveryTime time.Duration // until a lost replica runs again
+	spreadOver   topologyspread.Fleet
 }
 
-// replicaCostFor gives a job's weigher; false if its places are not weighed.
-func (r *schedulingCycle) replicaCostFor(j *job) (replicaCostModel, bool) {
-	l := r.leader
+// replicaCostFor gives the cost model of a job's next replica; false if its placement is not weighed by cost.
+func (cycle *schedulingCycle) replicaCostFor(j *job) (replicaCostModel, bool) {
 	model, ok := j.model()
-	if !ok || !l.core.operator.Spread.Enabled || j.replicaLedger == nil {
+	if !ok || !cycle.params.spread.Enabled || j.replicaLedger == nil {
 		return replicaCostModel{}, false
 	}
-	if w := r.replicaCost; w.job != j || r.replicaCostVersion != j.replicaLedger.Changes() {
-		// What does not depend on where replicas are is worked out once for a run of the same job's tasks.
-		if w.job != j {
-			w.recoveryTime = time.Duration(lossDetectionLeases*float64(l.core.times.lease)) + l.slowestImageFetch(j)
-			w.fleet = topologyspread.Fleet{Zones: len(l.zonesFor(j)), Machines: l.capacityIndex.Len()}
-		}
-		w.leader, w.job = l, j
-		w.Weigher = j.replicaLedger.Weigh(model, l.core.lossRates(), w.fleet, w.recoveryTime)
-		r.replicaCost, r.replicaCostVersion = w, j.replicaLedger.Changes()
+	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.Changes() {
+		return cycle.replicaCost, true
 	}
-	return r.replicaCost, true
+	w := cycle.replicaCost
+	if w.job != j {
+		// What does not depend on where replicas are is worked out once for consecutive tasks of a job.
+		fleet := cycle.params.fleet
+		w.recoveryTime = cycle.params.lossDetection + fleet.slowestImageFetch(j)
+		w.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
+		w.fleet, w.job = fleet, j
+	}
+	w.Weigher = j.replicaLedger.Weigh(model, lossRates(cycle.params.spread), w.spreadOver, w.recoveryTime)
+	cycle.replicaCost, cycle.replicaCostVersion = w, j.replicaLedger.Changes()
+	return w, true
 }
 
-// zonesFor gives the zones in which a job may run and there are machines that take tasks.
-func (l *leader) zonesFor(j *job) []string {
-	var zones []string
-	for _, g := range l.capacityIndex.Groups() {
-		if (j.spec.Spot || !g.Spot) && allowsType(j.spec, g.Type) && (j.spec.Zone == "" || j.spec.Zone == g.Zone) && !slices.Contains(zones, g.Zone) {
-			zones = append(zones, g.Zone)
-		}
-	}
-	return zones
+// lossRates are the losses that operators expect.
+func lossRates(spread config.Spread) topologyspread.Rates {
+	return topologyspread.Rates{ZoneLossesPerDay: spread.ZoneLossesPerDay, MachineLossesPerDay: spread.MachineLossesPerDay, ReplicaDays: spread.ReplicaDays}
 }
 
 // cost gives what a machine of a group costs the job's next replica, by its warmth.
@@ -132,13 +99,13 @@
 }
 
 func (w replicaCostModel) imageLoad(g capacity.Group, warmth capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(warmth), w.leader.coldStartSeconds(w.job, g.Type))
+	return topologyspread.LoadSeconds(int(warmth), w.fleet.coldStartSeconds(w.job, g.Type))
 }
 
 // cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
-func (r *schedulingCycle) cheapestReplicaMachine(j *job, w replicaCostModel) *machine {
+func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, w replicaCostModel) *machine {
 	allowed := j.groupRules()
-	h, _, found, looked := r.leader.capacityIndex.LowestCost(capacity.CostRequest[*schedulableMachine]{
+	h, _, found, looked := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Crowded: w.Machine(),
@@ -149,10 +116,10 @@
 			return w.cost(g, warmth), true
 		},
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool, bool) {
-			return h.machine.imageState(j.spec.Image), w.Crowded(h.machine.name), !r.leader.avoidsMachine(j, h.machine)
+			return h.machine.imageState(j.spec.Image), w.Crowded(h.machine.name), !cycle.state.avoidsMachine(j, h.machine)
 		},
 	})
-	r.evaluations -= max(1, looked)
+	cycle.evaluations -= max(1, looked)
 	if !found {
 		return nil
 	}
@@ -169,16 +136,16 @@
 }
 
 // explainCost completes the trade of a machine that is not warm with what the warmest one would have cost.
-func (r *schedulingCycle) explainCost(j *job, m *machine) placementCost {
-	w, weighed := r.replicaCostFor(j)
+func (cycle *schedulingCycle) explainCost(j *job, m *machine) placementCost {
+	w, weighed := cycle.replicaCostFor(j)
 	if !weighed {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.imageState(j.spec.Image)), r.leader.coldStartSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.imageState(j.spec.Image)), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
 	}
 	t := w.costOn(m)
 	if m.imageState(j.spec.Image) == capacity.ImageReady {
 		return t
 	}
-	if warmest := r.warmestMachine(j); warmest != nil && warmest != m {
+	if warmest := cycle.warmestMachine(j); warmest != nil && warmest != m {
 		other := w.costOn(warmest)
 		t.warmestMachine, t.warmestLoadS, t.avoidedS = warmest.name, other.imageLoadS, other.expectedLossS-t.expectedLossS
 	}
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/topologyspread"
@@ -20,8 +21,7 @@
 const rebalanceBurstSeconds = 60
 
 // rebalanceReplicas makes the moves that are worth it.
-func (r *schedulingCycle) rebalanceReplicas() {
-	l := r.leader
+func (l *leader) rebalanceReplicas(cycle *schedulingCycle) {
 	s := l.core.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
 		return
@@ -33,24 +33,23 @@
 	}
 	services := l.servicesByModel()
 	for _, model := range l.replicaLedger.All() {
-		if l.rebalancing.budget.Tokens() < 1 || !r.hasBudget() {
+		if l.rebalancing.budget.Tokens() < 1 || !cycle.hasBudget() {
 			return
 		}
-		if p := r.replicaToMove(model, services[model]); p != nil {
+		if p := l.replicaToMove(cycle, model, services[model]); p != nil {
 			l.rebalancing.budget.Spend(1)
 			p.requestStop(stopImmediate, stopRebalanced)
 			p.machine.capacityChanged = true
-			l.pendingDispatch = append(l.pendingDispatch, p.machine)
+			l.dispatch(p.machine)
 			l.core.log(Info, "rebalancing replica", "task", p.name(), "worker", p.machine.name, "zone", p.machine.zone)
 		}
 	}
 }
 
 // replicaToMove gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
-func (r *schedulingCycle) replicaToMove(model topologyspread.Model, services []*job) *placement {
-	l := r.leader
+func (l *leader) replicaToMove(cycle *schedulingCycle, model topologyspread.Model, services []*job) *placement {
 	for _, j := range services {
-		if !r.schedulable(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
+		if !cycle.schedulable(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
 			return nil
 		}
 	}
@@ -58,9 +57,9 @@
 		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
 			continue // it has no choice, or its places are a rollout's matter just now
 		}
-		zone := l.replicaLedger.Overfull(model, l.zonesFor(j))
+		zone := l.replicaLedger.Overfull(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
-			if zone != "" && p.machine.zone == zone && r.moveSavesCost(j, p) {
+			if zone != "" && p.machine.zone == zone && cycle.moveSavesCost(j, p, l.core.times.heartbeatInterval) {
 				return p
 			}
 		}
@@ -69,19 +68,18 @@
 }
 
 // moveSavesCost tells whether a replica would cost less elsewhere, its restart and the load of its weights included.
-func (r *schedulingCycle) moveSavesCost(j *job, p *placement) bool {
-	l := r.leader
+func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, least time.Duration) bool {
 	j.removePlacement(p)
-	w, _ := r.replicaCostFor(j)
+	w, _ := cycle.replicaCostFor(j)
 	stay := w.costOn(p.machine).expectedLossS
-	to := r.cheapestReplicaMachine(j, w)
+	to := cycle.cheapestReplicaMachine(j, w)
 	gain := 0.0
 	if to != nil && to.zone != p.machine.zone {
 		there := w.costOn(to)
 		gain = stay - there.imageLoadS - there.expectedLossS
 	}
 	j.addPlacement(p)
-	return gain > l.core.times.heartbeatInterval.Seconds()
+	return gain > least.Seconds()
 }
 
 // planOwns tells whether a job is one of a rollout's plan.
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -4,7 +4,8 @@
 
 // schedulingCycle is one cycle of decisions about what starts and what is preempted.
 type schedulingCycle struct {
-	leader              *leader
+	state               cycleState
+	params              cycleParams
 	usage               scheduling.TeamUsage
 	evaluations         int // that are left of the budget
 	placed              int
@@ -17,22 +18,22 @@
 }
 
 // newSchedulingCycle makes a cycle with a budget of evaluations, from the placements that there are.
-func newSchedulingCycle(l *leader, evaluations int) *schedulingCycle {
-	r := &schedulingCycle{
-		leader:              l,
+func newSchedulingCycle(state cycleState, params cycleParams) *schedulingCycle {
+	cycle := &schedulingCycle{
+		state:               state,
+		params:              params,
 		usage:               scheduling.TeamUsage{},
-		evaluations:         evaluations,
+		evaluations:         params.evaluationBudget,
 		exhaustedRequests:   map[resourceRequest]bool{},
 		hopelessPreemptions: map[preemptionRequest]bool{},
 	}
-	l.refreshCapacityIndex()
-	for _, j := range l.queue {
+	for _, j := range state.jobsToRun() {
 		if len(j.placements) > 0 {
-			r.countUsage(j, len(j.placements))
+			cycle.countUsage(j, len(j.placements))
 		}
 	}
-	l.markWithinGuarantee()
-	return r
+	cycle.markWithinGuarantee()
+	return cycle
 }
 
 // unmetDemand is a number of tasks of a job for which there is no machine.
@@ -42,7 +43,7 @@
 }
 
 // hasBudget tells whether the cycle may go on.
-func (r *schedulingCycle) hasBudget() bool { return r.evaluations > 0 }
+func (cycle *schedulingCycle) hasBudget() bool { return cycle.evaluations > 0 }
 
 // acceptsTasks tells whether a machine may be given tasks: its heartbeats arrive, and it is not about to go.
 func (l *leader) acceptsTasks(m *machine) bool {
@@ -58,8 +59,8 @@
 }
 
 // schedulable tells whether a job may be given tasks now.
-func (r *schedulingCycle) schedulable(j *job) bool {
-	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && r.leader.core.now.Steady >= j.retryAt
+func (cycle *schedulingCycle) schedulable(j *job) bool {
+	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && cycle.params.now >= j.retryAt
 }
 
 // runSchedulingCycle runs a scheduling cycle if one is due.
@@ -80,15 +81,16 @@
 	}
 	budget := l.cycleBudget()
 	l.cycles.lastAt = now
-	r := newSchedulingCycle(l, budget)
-	l.cycles.resumeFrom = r.placeMinimums()
+	l.refreshCapacityIndex()
+	cycle := newSchedulingCycle(l, l.cycleParams(budget))
+	l.cycles.resumeFrom = cycle.placeMinimums()
 	if l.cycles.resumeFrom == nil {
-		r.allocateElastic()
-		r.rebalanceReplicas()
+		cycle.allocateElastic()
+		l.rebalanceReplicas(cycle)
 	}
-	l.planCapacity(r)
-	r.logSummary()
-	l.settleCycleBudget(budget-r.evaluations, r.hasBudget())
+	l.planCapacity(cycle)
+	l.logCycle(cycle)
+	l.settleCycleBudget(budget-cycle.evaluations, cycle.hasBudget())
 }
 
 // settleCycleBudget accounts for the evaluations that a cycle made. One that ran out of its budget is continued from
@@ -105,23 +107,23 @@
 	l.core.wakeBy(l.cycles.nextAt)
 }
 
-// logSummary logs the result of a cycle, for whoever looks for the cause of a wait: the tasks of arrays without a machine,
+// logCycle logs the result of a cycle, for whoever looks for the cause of a wait: the tasks of arrays without a machine,
 // how many of them their teams' limits hold back, and the free resources.
-func (r *schedulingCycle) logSummary() {
-	if r.placed == 0 && len(r.unmetDemand) == 0 {
+func (l *leader) logCycle(cycle *schedulingCycle) {
+	if cycle.placed == 0 && len(cycle.unmetDemand) == 0 {
 		return
 	}
 	unplaced, limited := 0, 0
-	for _, j := range r.leader.queue {
-		if j.isArray() && r.schedulable(j) && j.unplaced() > 0 {
+	for _, j := range l.queue {
+		if j.isArray() && cycle.schedulable(j) && j.unplaced() > 0 {
 			unplaced += j.unplaced()
-			if !r.withinLimit(j, 1) {
+			if !cycle.withinLimit(j, 1) {
 				limited += j.unplaced()
 			}
 		}
 	}
 	free, spot, idle := 0.0, 0.0, 0
-	for _, m := range r.leader.machinesByName {
+	for _, m := range l.machinesByName {
 		switch {
 		case m.schedulable == nil:
 			continue
@@ -134,6 +136,6 @@
 			idle++
 		}
 	}
-	r.leader.core.log(Debug, "scheduling cycle", "placed", r.placed, "waiting", len(r.unmetDemand), "array_tasks", unplaced,
-		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", r.evaluations)
+	l.core.log(Debug, "scheduling cycle", "placed", cycle.placed, "waiting", len(cycle.unmetDemand), "array_tasks", unplaced,
+		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", cycle.evaluations)
 }
