--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -18,17 +18,17 @@
 	"strings"
 )
 
-const mostLines = 3
+const maxLines = 3
 
 func main() {
-	known, err := read(os.Args[1])
+	known, err := readKnown(os.Args[1])
 	if err == nil {
 		var out io.Reader
 		cmd := exec.CommandContext(context.Background(), "go", "test", "-race", "-json", "./...", "./.ci/knownred")
 		cmd.Stderr = os.Stderr
 		if out, err = cmd.StdoutPipe(); err == nil {
 			if err = cmd.Start(); err == nil {
-				err = errors.Join(judge(known, out, os.Stdout), exitOf(cmd.Wait(), len(known)))
+				err = errors.Join(judge(known, out, os.Stdout), unexcusedExit(cmd.Wait(), len(known)))
 			}
 		}
 	}
@@ -38,16 +38,16 @@
 	}
 }
 
-// exitOf gives a failure of the test run itself where none is excused.
-func exitOf(err error, known int) error {
+// unexcusedExit gives a failure of the test run itself where none is excused.
+func unexcusedExit(err error, known int) error {
 	if known == 0 {
 		return err
 	}
 	return nil
 }
 
-// read gives the tests that may fail.
-func read(path string) (map[string]string, error) {
+// readKnown gives the tests that may fail.
+func readKnown(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -63,8 +63,8 @@
 		}
 		known[strings.TrimSpace(parts[0])] = line
 	}
-	if len(known) > mostLines {
-		return nil, fmt.Errorf("%s: %d lines, at most %d", path, len(known), mostLines)
+	if len(known) > maxLines {
+		return nil, fmt.Errorf("%s: %d lines, at most %d", path, len(known), maxLines)
 	}
 	return known, nil
 }
@@ -89,8 +89,8 @@
 	actionBuildFail   action = "build-fail"
 )
 
-// tally is what the events have told so far.
-type tally struct {
+// testResults is what the events have told so far.
+type testResults struct {
 	passed   int
 	failed   map[string]bool // tests
 	byTest   map[string]bool // packages in which one failed
@@ -100,13 +100,13 @@
 
 // judge reads what go test -json prints and tells what failed beyond what is known.
 func judge(known map[string]string, in io.Reader, out io.Writer) error {
-	t := &tally{failed: map[string]bool{}, byTest: map[string]bool{}, packages: map[string]bool{}, output: map[string]*strings.Builder{}}
+	t := &testResults{failed: map[string]bool{}, byTest: map[string]bool{}, packages: map[string]bool{}, output: map[string]*strings.Builder{}}
 	scan := bufio.NewScanner(in)
 	scan.Buffer(nil, 64<<20)
 	for scan.Scan() {
 		var e event
 		if json.Unmarshal(scan.Bytes(), &e) != nil {
-			say(out, scan.Text())
+			printLine(out, scan.Text())
 			continue
 		}
 		t.take(e, out)
@@ -120,7 +120,7 @@
 	}
 	red := t.printFailures(excused, out)
 	t.printOutput(out)
-	say(out, fmt.Sprintf("%d passed, %d failed", t.passed, red))
+	printLine(out, fmt.Sprintf("%d passed, %d failed", t.passed, red))
 	if red > 0 {
 		return fmt.Errorf("%d failed", red)
 	}
@@ -128,7 +128,7 @@
 }
 
 // take counts an event.
-func (t *tally) take(e event, out io.Writer) {
+func (t *testResults) take(e event, out io.Writer) {
 	key := e.Package + " " + e.Test
 	switch e.Action {
 	case actionOutput, actionBuildOutput:
@@ -140,7 +140,7 @@
 		if e.Test != "" {
 			t.passed++
 		} else {
-			say(out, "ok  ", e.Package)
+			printLine(out, "ok  ", e.Package)
 		}
 		delete(t.output, key)
 	case actionBuildFail:
@@ -156,13 +156,13 @@
 
 // excuse gives the tests that may fail: those that are known to, and the tests that they are parts of. A known one
 // that did not fail is an error.
-func (t *tally) excuse(known map[string]string, out io.Writer) (map[string]bool, error) {
+func (t *testResults) excuse(known map[string]string, out io.Writer) (map[string]bool, error) {
 	excused := map[string]bool{}
 	for test, line := range known {
 		if !t.failed[test] {
 			return nil, fmt.Errorf("KNOWN-RED names %s, which does not exist or does not fail", test)
 		}
-		say(out, "KNOWN RED:", line)
+		printLine(out, "KNOWN RED:", line)
 		for name := test; name != ""; {
 			excused[name] = true // a test fails with its part
 			i := strings.LastIndex(name, "/")
@@ -173,30 +173,30 @@
 }
 
 // printFailures prints and counts the failures that nothing excuses.
-func (t *tally) printFailures(excused map[string]bool, out io.Writer) (red int) {
+func (t *testResults) printFailures(excused map[string]bool, out io.Writer) (red int) {
 	for test := range t.failed {
 		if !excused[test] {
 			red++
-			say(out, "FAIL", test)
+			printLine(out, "FAIL", test)
 		}
 	}
 	for name := range t.packages {
 		if !t.byTest[name] {
 			red++ // it did not build, or ended outside a test
-			say(out, "FAIL", name)
+			printLine(out, "FAIL", name)
 		}
 	}
 	return red
 }
 
 // printOutput prints what failed tests and packages have printed.
-func (t *tally) printOutput(out io.Writer) {
+func (t *testResults) printOutput(out io.Writer) {
 	for key, b := range t.output {
 		if text := b.String(); strings.Contains(text, "FAIL") || strings.Contains(text, "panic:") || strings.HasSuffix(key, " ") {
-			say(out, strings.TrimSuffix(text, "\n"))
+			printLine(out, strings.TrimSuffix(text, "\n"))
 		}
 	}
 }
 
-// say prints a line. Whoever can't print it has nobody to tell; the exit status stands.
-func say(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
+// printLine prints a line. Whoever can't print it has nobody to tell; the exit status stands.
+func printLine(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
--- a/.ci/knownred/main_test.go
+++ b/.ci/knownred/main_test.go
@@ -35,7 +35,7 @@
 
 func TestRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
-	if known, err := read(path); len(known) != 0 || err != nil {
+	if known, err := readKnown(path); len(known) != 0 || err != nil {
 		t.Error("no file:", known, err)
 	}
 	for text, ok := range map[string]bool{
@@ -46,7 +46,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := read(path); (err == nil) != ok {
+		if _, err := readKnown(path); (err == nil) != ok {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -31,11 +31,11 @@
 // serverFlags say whom to ask.
 type serverFlags struct {
 	Server string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_SERVER" help:"Address of a controller, or of the load balancer before them."`
-	answerFlags
+	responseFlags
 }
 
-// answerFlags say how long to wait for an answer, and how to print it.
-type answerFlags struct {
+// responseFlags say how long to wait for an answer, and how to print it.
+type responseFlags struct {
 	Wait time.Duration `default:"60s" help:"How long to go on asking while no answer can be had."`
 	JSON bool          `name:"json" help:"Print the answer as JSON."`
 }
--- a/cmd/bitternwing/main.go
+++ b/cmd/bitternwing/main.go
@@ -56,11 +56,11 @@
 	if err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
-	limit(s)
+	limitRuntime(s)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	n, err := node.New(s, log)
@@ -70,17 +70,17 @@
 	return n.Run(ctx)
 }
 
-// limit keeps the runtime within what the node may use: a share of one core needs
+// limitRuntime keeps the runtime within what the node may use: a share of one core needs
 // no more than one processor, and garbage is collected late as long as memory
 // allows, since processor time is the scarcer of the two.
-func limit(s *config.Settings) {
+func limitRuntime(s *config.Settings) {
 	runtime.GOMAXPROCS(max(1, int(s.Params.Limits.CPUShare)))
 	debug.SetGCPercent(300)
 	debug.SetMemoryLimit(int64(0.6 * s.Params.Limits.MemoryMB * (1 << 20)))
 }
 
-// logger writes structured lines to standard error, as many as LOG_LEVEL asks for.
-func logger() (*slog.Logger, error) {
+// newLogger writes structured lines to standard error, as many as LOG_LEVEL asks for.
+func newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	switch v := os.Getenv("LOG_LEVEL"); v {
 	case "error":
--- a/cmd/bitternwing/placement.go
+++ b/cmd/bitternwing/placement.go
@@ -29,7 +29,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	reply, err := askController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlacementReply, error) {
+	reply, err := callController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlacementReply, error) {
 		return client.Placements(ctx, c.ID)
 	})
 	if err != nil {
--- a/cmd/bitternwing/rollout.go
+++ b/cmd/bitternwing/rollout.go
@@ -32,7 +32,7 @@
 // rolloutCmd are the commands for the rollout of a model's new version.
 type rolloutCmd struct {
 	Apply  applyCmd      `cmd:"" help:"Hand in a plan from a file (JSON)."`
-	Show   planCmd       `cmd:"" help:"Show how a plan stands."`
+	Show   planNameFlags `cmd:"" help:"Show how a plan stands."`
 	Watch  watchCmd      `cmd:"" help:"Show a plan's changes until it has ended."`
 	Pause  pauseCmd      `cmd:"" help:"Have a plan take no further step."`
 	Resume resumeCmd     `cmd:"" help:"Have a paused plan go on."`
@@ -43,11 +43,11 @@
 // controllerFlags say which controller to ask.
 type controllerFlags struct {
 	Controller string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_CONTROLLER" help:"Internal address of any controller."`
-	answerFlags
+	responseFlags
 }
 
-// askController asks a controller, within the time to wait.
-func askController[Reply any](f *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
+// callController asks a controller, within the time to wait.
+func callController[Reply any](f *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
 	client, err := adminapi.NewClient(f.Controller)
@@ -60,7 +60,7 @@
 
 // run asks, and prints how the plan stands.
 func (f *controllerFlags) run(request func(context.Context, *adminapi.Client) (*operatorpb.PlanStatus, error)) error {
-	status, err := askController(f, request)
+	status, err := callController(f, request)
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	plan, err := rollout.ParsePlan(text, adminapi.MostPlanBytes)
+	plan, err := rollout.ParsePlan(text, adminapi.MaxPlanBytes)
 	if err == nil {
 		err = adminapi.CompileChecks(plan)
 	}
@@ -146,44 +146,44 @@
 	})
 }
 
-type planCmd struct {
+type planNameFlags struct {
 	controllerFlags
 	Name string `arg:"" help:"The plan's name."`
 }
 
 // Run shows how a plan stands.
-func (c *planCmd) Run() error {
+func (c *planNameFlags) Run() error {
 	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Show(ctx, c.Name)
 	})
 }
 
 // change has a plan changed.
-func (c *planCmd) change(change operatorpb.ChangeRequest_Change) error {
+func (c *planNameFlags) change(change operatorpb.ChangeRequest_Change) error {
 	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Change(ctx, c.Name, change)
 	})
 }
 
-type pauseCmd struct{ planCmd }
+type pauseCmd struct{ planNameFlags }
 
 // Run pauses a plan.
 func (c *pauseCmd) Run() error { return c.change(operatorpb.ChangeRequest_PAUSE) }
 
-type resumeCmd struct{ planCmd }
+type resumeCmd struct{ planNameFlags }
 
 // Run has a paused plan go on.
 func (c *resumeCmd) Run() error { return c.change(operatorpb.ChangeRequest_RESUME) }
 
-type abortCmd struct{ planCmd }
+type abortCmd struct{ planNameFlags }
 
 // Run rolls a plan back.
 func (c *abortCmd) Run() error { return c.change(operatorpb.ChangeRequest_ABORT) }
 
-type watchCmd struct{ planCmd }
+type watchCmd struct{ planNameFlags }
 
-// watchInterval is the time between two looks.
-const watchInterval = time.Second
+// watchPollInterval is the time between two looks.
+const watchPollInterval = time.Second
 
 // Run shows each change of a plan until it has ended.
 func (c *watchCmd) Run() error {
@@ -191,7 +191,7 @@
 	defer stop()
 	last := ""
 	for {
-		status, err := askController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
+		status, err := callController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 			return client.Show(ctx, c.Name)
 		})
 		if err != nil {
@@ -213,7 +213,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(watchInterval):
+		case <-time.After(watchPollInterval):
 		}
 	}
 }
--- a/cmd/bitternwing/rollout_test.go
+++ b/cmd/bitternwing/rollout_test.go
@@ -19,9 +19,9 @@
 		want int
 	}{
 		{&adminapi.InvalidError{Problem: "/team: is missing"}, exitInvalidPlan},
-		{&adminapi.RefusedError{Why: "no"}, exitRefused},
+		{&adminapi.RefusedError{Reason: "no"}, exitRefused},
 		{adminapi.ErrNotFound, exitNotFound},
-		{fmt.Errorf("show: %w", &adminapi.UnavailableError{Why: "no controller leads"}), exitUnavailable},
+		{fmt.Errorf("show: %w", &adminapi.UnavailableError{Reason: "no controller leads"}), exitUnavailable},
 		{errRolledBack, exitRolledBack},
 		{errors.New("no such file"), exitFailure},
 	} {
@@ -53,7 +53,7 @@
 	s := &operatorpb.PlanStatus{Name: "reader", Phase: "baking", Step: 1, Steps: 2, Settled: true, OldCapacity: 40, NewCapacity: 20, PromisedCapacity: 30,
 		NewShare: 0.5, Replicas: []*operatorpb.Replica{{Task: "run-000011/0", Attempt: 2, Version: "new", Verdict: "right", Share: 0.25}}}
 	var text, data strings.Builder
-	if err := errors.Join((&controllerFlags{}).print(&text, s), (&controllerFlags{answerFlags: answerFlags{JSON: true}}).print(&data, s)); err != nil {
+	if err := errors.Join((&controllerFlags{}).print(&text, s), (&controllerFlags{responseFlags: responseFlags{JSON: true}}).print(&data, s)); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"reader: baking, step 1 of 2", "50.0% of traffic", "new run-000011/0 attempt 2: right, 25.0% of traffic"} {
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -64,7 +64,7 @@
 	}
 	progress := newProgress(os.Stderr, scenario)
 	result, err := fleetsim.Run(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port,
-		MostProcesses: c.Processes, Progress: progress.show})
+		MaxProcesses: c.Processes, Progress: progress.show})
 	progress.end()
 	if result == nil {
 		return err
@@ -77,7 +77,7 @@
 
 // sweep plays a scenario once for each variant and seed.
 func (c *cli) sweep(ctx context.Context, scenario *fleetsim.Scenario, binary string) error {
-	runs, err := fleetsim.RunSweep(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MostProcesses: c.Processes})
+	runs, err := fleetsim.RunSweep(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MaxProcesses: c.Processes})
 	return errors.Join(err, fleetsim.WriteSweep(c.Out, runs), fleetsim.PrintSweep(os.Stdout, runs))
 }
 
--- a/cmd/fleetsim/progress.go
+++ b/cmd/fleetsim/progress.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/fleetsim"
 )
 
-// quietSeconds is how often progress is written where nobody watches.
-const quietSeconds = 10
+// progressIntervalS is how often progress is written where nobody watches.
+const progressIntervalS = 10
 
 // progress shows how far a run is: on a terminal one line that changes, elsewhere a line now and then.
 type progress struct {
@@ -27,11 +27,11 @@
 func (p *progress) show(s fleetsim.Second) {
 	p.seconds++
 	line := fmt.Sprintf("%4.0f of %.0f s  leader %-14s %5d workers  asked %5d/s  started %5d/s  on machines %6d  broken rules %d",
-		s.AtS, p.scenario.DurationS, s.Leader, s.Reporting, s.Asked, s.Started, s.OnMachine, s.Violations)
+		s.AtS, p.scenario.DurationS, s.Leader, s.Reporting, s.Requested, s.Started, s.OnMachine, s.Violations)
 	switch {
 	case p.terminal:
 		_, _ = fmt.Fprint(p.out, "\r\x1b[K", line)
-	case p.seconds%quietSeconds == 0:
+	case p.seconds%progressIntervalS == 0:
 		_, _ = fmt.Fprintln(p.out, line)
 	}
 }
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -23,19 +23,19 @@
 func (e *InvalidError) Error() string { return e.Problem }
 
 // RefusedError says why a plan can't be taken or changed.
-type RefusedError struct{ Why string }
+type RefusedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return "refused: " + e.Why }
+func (e *RefusedError) Error() string { return "refused: " + e.Reason }
 
 // UnavailableError says that no controller could answer in time. A change may have been made.
-type UnavailableError struct{ Why string }
+type UnavailableError struct{ Reason string }
 
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("no answer in time: %s; ask again in %v", e.Why, retryPause)
+	return fmt.Sprintf("no answer in time: %s; ask again in %v", e.Reason, retryInterval)
 }
 
-// retryPause is the time between two tries.
-const retryPause = time.Second
+// retryInterval is the time between two tries.
+const retryInterval = time.Second
 
 // Client asks controllers about rollouts.
 type Client struct {
@@ -47,7 +47,7 @@
 // NewClient makes a client of a controller's internal address.
 func NewClient(address string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(anySize))
+		grpc.WithDefaultCallOptions(unlimitedReplySize))
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 // retry asks until there is an answer or the context ends, and at least once.
 func retry[Reply any](ctx context.Context, ask func(context.Context) (*Reply, error)) (*Reply, error) {
 	for {
-		once, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience+retryPause)
+		once, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout+retryInterval)
 		reply, err := ask(once)
 		cancel()
 		err = errorOf(err)
@@ -104,7 +104,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -23,9 +23,9 @@
 	if !wire.ValidJobID(q.GetJob()) {
 		return nil, status.Error(codes.InvalidArgument, "job: is no job id")
 	}
-	return ask(ctx, p.server, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlacements{RequestID: req, Job: q.GetJob()} },
+	return handle(ctx, p.server, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlacements{RequestID: req, Job: q.GetJob()} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
-			return operatorpb.NewPlacementsClient(leader).Show(ctx, &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}, anySize)
+			return operatorpb.NewPlacementsClient(leader).Show(ctx, &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}, unlimitedReplySize)
 		}, placementReply)
 }
 
@@ -33,7 +33,7 @@
 func placementReply(a core.Response) (*operatorpb.PlacementReply, error) {
 	places, ok := a.Body.([]core.ReplicaPlacement)
 	if !ok {
-		return nil, errUnexpected
+		return nil, errUnexpectedResponse
 	}
 	reply := &operatorpb.PlacementReply{}
 	for _, x := range places {
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -19,7 +19,7 @@
 
 // Ask implements the service.
 func (r *regions) Ask(ctx context.Context, q *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
-	return ask(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
+	return handle(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
 		return core.RequestQuota{RequestID: req, From: q.GetFrom(), Team: q.GetTeam(), Whole: shareOf(q.GetWhole()), Share: shareOf(q.GetShare())}
 	}, func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 		q.Relayed = true
@@ -29,7 +29,7 @@
 
 // Deliver implements the service.
 func (r *regions) Deliver(ctx context.Context, q *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
-	return ask(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
+	return handle(ctx, r.server, q.GetRelayed(), func(req uint64) core.Input {
 		return core.DeliverQuota{RequestID: req, Team: q.GetTeam(), Whole: shareOf(q.GetWhole()),
 			Transfer: quota.Transfer{From: q.GetFrom(), To: q.GetTo(), Number: q.GetNumber(), Share: shareOf(q.GetShare())}}
 	}, func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
@@ -48,11 +48,11 @@
 	var err error
 	switch {
 	case e.Request != nil:
-		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{From: e.Request.From, Team: e.Request.Team, Whole: shareMessage(e.Request.Whole), Share: shareMessage(e.Request.Share)})
+		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{From: e.Request.From, Team: e.Request.Team, Whole: shareProto(e.Request.Whole), Share: shareProto(e.Request.Share)})
 	case e.Deliver != nil:
 		t := e.Deliver.Transfer
 		_, err = client.Deliver(ctx, &operatorpb.AllowanceDelivery{From: t.From, To: t.To, Team: e.Deliver.Team, Number: t.Number,
-			Whole: shareMessage(e.Deliver.Whole), Share: shareMessage(t.Share)})
+			Whole: shareProto(e.Deliver.Whole), Share: shareProto(t.Share)})
 	}
 	if err != nil {
 		return outcome.Unknown
@@ -67,7 +67,7 @@
 	return quota.Share{Limit: amount(s.GetLimit()), Guarantee: amount(s.GetGuarantee())}
 }
 
-func shareMessage(s quota.Share) *operatorpb.AllowanceShare {
+func shareProto(s quota.Share) *operatorpb.AllowanceShare {
 	amount := func(a quota.Amount) *operatorpb.AllowanceAmount {
 		return &operatorpb.AllowanceAmount{Gpus: a.GPUs, Cpus: a.CPUs}
 	}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -19,17 +19,17 @@
 
 // Core answers requests; it is the one of server.Core.
 type Core interface {
-	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
+	Handle(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
 }
 
-// patience is how long a request waits for its answer here.
-const patience = 3 * time.Second
+// requestTimeout is how long a request waits for its answer here.
+const requestTimeout = 3 * time.Second
 
-// MostPlanBytes bounds a plan as it is handed in. What is stored has to fit into a value of the state service too.
-const MostPlanBytes = 32 << 10
+// MaxPlanBytes bounds a plan as it is handed in. What is stored has to fit into a value of the state service too.
+const MaxPlanBytes = 32 << 10
 
-// anySize lets the leader's answer be as long as the plan's replicas make it; what they are is bounded by the team's limit.
-var anySize = grpc.MaxCallRecvMsgSize(64 << 20)
+// unlimitedReplySize lets the leader's answer be as long as the plan's replicas make it; what they are is bounded by the team's limit.
+var unlimitedReplySize = grpc.MaxCallRecvMsgSize(64 << 20)
 
 // Server implements the service.
 type Server struct {
@@ -47,13 +47,13 @@
 	operatorpb.RegisterRegionsServer(to, &regions{server: server})
 }
 
-// ask has the core answer, or the leader where the core names it; a request that was handed on goes no further.
-func ask[Reply any](ctx context.Context, s *Server, relayed bool, input func(uint64) core.Input,
+// handle has the core answer, or the leader where the core names it; a request that was handed on goes no further.
+func handle[Reply any](ctx context.Context, s *Server, relayed bool, input func(uint64) core.Input,
 	relay func(context.Context, grpc.ClientConnInterface) (Reply, error), convert func(core.Response) (Reply, error)) (Reply, error) {
 	var none Reply
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	a, ok := s.core.Ask(ctx, input)
+	a, ok := s.core.Handle(ctx, input)
 	if !ok {
 		return none, status.Error(codes.Unavailable, "no answer in time")
 	}
@@ -66,11 +66,11 @@
 		}
 		return none, status.Error(codes.Unavailable, "no controller leads")
 	}
-	return none, refusal(a)
+	return none, statusError(a)
 }
 
-// refusal gives the error for an answer that is not 200.
-func refusal(a core.Response) error {
+// statusError gives the error for an answer that is not 200.
+func statusError(a core.Response) error {
 	why := "no reason is given"
 	if body, ok := a.Body.(wire.ErrorBody); ok {
 		why = body.Error
@@ -88,7 +88,7 @@
 
 // parsePlan reads a plan and compiles its checks.
 func parsePlan(data []byte) (*rollout.Plan, error) {
-	plan, err := rollout.ParsePlan(data, MostPlanBytes)
+	plan, err := rollout.ParsePlan(data, MaxPlanBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -111,9 +111,9 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} },
+	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Apply(ctx, &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}, anySize)
+			return operatorpb.NewRolloutsClient(leader).Apply(ctx, &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}, unlimitedReplySize)
 		}, planStatus)
 }
 
@@ -130,52 +130,52 @@
 	if !ok {
 		return nil, status.Error(codes.InvalidArgument, "change: is not known")
 	}
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: q.GetName(), Change: change} },
+	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: q.GetName(), Change: change} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Change(ctx, &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}, anySize)
+			return operatorpb.NewRolloutsClient(leader).Change(ctx, &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}, unlimitedReplySize)
 		}, planStatus)
 }
 
 // Show implements the service.
 func (s *Server) Show(ctx context.Context, q *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
-	return ask(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: q.GetName()} },
+	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: q.GetName()} },
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Show(ctx, &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}, anySize)
+			return operatorpb.NewRolloutsClient(leader).Show(ctx, &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}, unlimitedReplySize)
 		}, planStatus)
 }
 
-// longestRouterName bounds the names of routers, in bytes: they are kept in the plan's record.
-const longestRouterName = 100
+// maxRouterNameBytes bounds the names of routers, in bytes: they are kept in the plan's record.
+const maxRouterNameBytes = 100
 
 // Route implements the service.
 func (s *Server) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
 	if q.GetRouter() == "" {
 		return nil, status.Error(codes.InvalidArgument, "router: is missing")
 	}
-	if len(q.GetRouter()) > longestRouterName {
-		return nil, status.Errorf(codes.InvalidArgument, "router: has more than %d bytes", longestRouterName)
+	if len(q.GetRouter()) > maxRouterNameBytes {
+		return nil, status.Errorf(codes.InvalidArgument, "router: has more than %d bytes", maxRouterNameBytes)
 	}
 	generation := rollout.Generation{Term: q.GetGeneration().GetTerm(), Revision: q.GetGeneration().GetRevision()}
-	return ask(ctx, s, q.GetRelayed(),
+	return handle(ctx, s, q.GetRelayed(),
 		func(req uint64) core.Input {
 			return core.GetRouting{RequestID: req, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
 		},
 		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.RouteReply, error) {
-			return operatorpb.NewRolloutsClient(leader).Route(ctx, &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}, anySize)
+			return operatorpb.NewRolloutsClient(leader).Route(ctx, &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}, unlimitedReplySize)
 		}, routeReply)
 }
 
-// errUnexpected says that the core gave an answer of another kind.
-var errUnexpected = errors.New("an answer of an unexpected kind")
+// errUnexpectedResponse says that the core gave an answer of another kind.
+var errUnexpectedResponse = errors.New("an answer of an unexpected kind")
 
 // planStatus gives a plan's status on the wire.
 func planStatus(a core.Response) (*operatorpb.PlanStatus, error) {
 	s, ok := a.Body.(core.PlanStatus)
 	if !ok {
-		return nil, errUnexpected
+		return nil, errUnexpectedResponse
 	}
 	reply := &operatorpb.PlanStatus{Problem: s.Problem, Settled: s.Reconciled, OldCapacity: s.Capacity.Old, NewCapacity: s.Capacity.New,
-		PromisedCapacity: s.Capacity.Promised, Generation: generation(s.Routing.Generation), Routers: s.Routers}
+		PromisedCapacity: s.Capacity.Promised, Generation: generationProto(s.Routing.Generation), Routers: s.Routers}
 	if r := s.Record; r != nil {
 		reply.Name, reply.Phase, reply.Step, reply.Steps = r.Plan.Name, string(r.Phase), int32(r.Step+1), int32(len(r.Plan.Steps))
 		reply.SinceMs, reply.Paused, reply.Reason, reply.Detail = r.SinceMS, r.PausedMS != 0, string(r.Reason), r.Detail
@@ -198,17 +198,17 @@
 func routeReply(a core.Response) (*operatorpb.RouteReply, error) {
 	g, ok := a.Body.(core.RoutingGrant)
 	if !ok {
-		return nil, errUnexpected
+		return nil, errUnexpectedResponse
 	}
-	return &operatorpb.RouteReply{Generation: generation(g.Routing.Generation), Weights: weights(g.Routing.Weights),
-		Fallback: weights(g.Routing.Fallback), LeaseMs: g.LeaseMS}, nil
+	return &operatorpb.RouteReply{Generation: generationProto(g.Routing.Generation), Weights: weightsProto(g.Routing.Weights),
+		Fallback: weightsProto(g.Routing.Fallback), LeaseMs: g.LeaseMS}, nil
 }
 
-func generation(g rollout.Generation) *operatorpb.Generation {
+func generationProto(g rollout.Generation) *operatorpb.Generation {
 	return &operatorpb.Generation{Term: g.Term, Revision: g.Revision}
 }
 
-func weights(ws []rollout.Weight) []*operatorpb.Weight {
+func weightsProto(ws []rollout.Weight) []*operatorpb.Weight {
 	var all []*operatorpb.Weight
 	for _, w := range ws {
 		all = append(all, &operatorpb.Weight{Task: w.Task, Attempt: w.Attempt, Address: w.Address, Version: string(w.Version), Share: w.Share})
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -29,25 +29,25 @@
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", e.Status, e.Reason) }
 
 // UnavailableError says that no answer came in time. The request may have been carried out.
-type UnavailableError struct{ Last error }
+type UnavailableError struct{ LastError error }
 
-func (e *UnavailableError) Error() string { return fmt.Sprintf("no answer in time: %v", e.Last) }
-func (e *UnavailableError) Unwrap() error { return e.Last }
+func (e *UnavailableError) Error() string { return fmt.Sprintf("no answer in time: %v", e.LastError) }
+func (e *UnavailableError) Unwrap() error { return e.LastError }
 
 // leastPause is the least time between two tries, mostPause the most that a Retry-After may ask for.
 const (
-	leastPause = time.Second
-	mostPause  = 30 * time.Second
-	oneTry     = 5 * time.Second
+	minRetryDelay  = time.Second
+	maxRetryDelay  = 30 * time.Second
+	attemptTimeout = 5 * time.Second
 )
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 64 << 10
+// maxResponseBytes bounds what is read of an answer.
+const maxResponseBytes = 64 << 10
 
 // Client asks one controller, or a load balancer before several, or several in turn.
 type Client struct {
 	addresses []string
-	tries     atomic.Uint64
+	attempts  atomic.Uint64
 	http      *http.Client
 }
 
@@ -57,34 +57,34 @@
 // NewBalanced makes a client that asks the next one of some addresses at each try. A nil transport is the
 // default one.
 func NewBalanced(addresses []string, transport http.RoundTripper) *Client {
-	return &Client{addresses: addresses, http: &http.Client{Timeout: oneTry, Transport: transport}}
+	return &Client{addresses: addresses, http: &http.Client{Timeout: attemptTimeout, Transport: transport}}
 }
 
-// next gives the address for the next try.
-func (c *Client) next() string {
-	n := c.tries.Add(1) - 1
+// nextAddress gives the address for the next try.
+func (c *Client) nextAddress() string {
+	n := c.attempts.Add(1) - 1
 	return c.addresses[n%uint64(len(c.addresses))]
 }
 
 // Submit hands in a job, given as the protocol has it, and gives its state.
 func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobState, error) {
-	return c.ask(ctx, http.MethodPost, wire.JobsPath, job)
+	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath, job)
 }
 
 // Show gives a job's state.
 func (c *Client) Show(ctx context.Context, id string) (wire.JobState, error) {
-	return c.ask(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
+	return c.doWithRetries(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
 }
 
 // Cancel calls a job off, and gives what became of it: cancelled, or done before.
 func (c *Client) Cancel(ctx context.Context, id string) (wire.JobState, error) {
-	return c.ask(ctx, http.MethodPost, wire.JobsPath+"/"+id+wire.CancelSuffix, nil)
+	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath+"/"+id+wire.CancelSuffix, nil)
 }
 
-// ask repeats a request until it is answered or the time is over.
-func (c *Client) ask(ctx context.Context, method, path string, body []byte) (wire.JobState, error) {
+// doWithRetries repeats a request until it is answered or the time is over.
+func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobState, error) {
 	for {
-		state, pause, err := c.try(ctx, method, path, body)
+		state, pause, err := c.attempt(ctx, method, path, body)
 		if err == nil || pause == 0 {
 			return state, err
 		}
@@ -96,31 +96,31 @@
 	}
 }
 
-// try makes a request once. A pause above 0 says when to ask again.
-func (c *Client) try(ctx context.Context, method, path string, body []byte) (wire.JobState, time.Duration, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.next()+path, bytes.NewReader(body))
+// attempt makes a request once. A pause above 0 says when to ask again.
+func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (wire.JobState, time.Duration, error) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.nextAddress()+path, bytes.NewReader(body))
 	if err != nil {
 		return wire.JobState{}, 0, err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return wire.JobState{}, leastPause, err
+		return wire.JobState{}, minRetryDelay, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return wire.JobState{}, leastPause, err
+		return wire.JobState{}, minRetryDelay, err
 	}
-	return read(resp, data)
+	return decodeResponse(resp, data)
 }
 
-// read takes an answer.
-func read(resp *http.Response, data []byte) (wire.JobState, time.Duration, error) {
+// decodeResponse takes an answer.
+func decodeResponse(resp *http.Response, data []byte) (wire.JobState, time.Duration, error) {
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		var state wire.JobState
 		if err := json.Unmarshal(data, &state); err != nil || state.ID == "" {
-			return wire.JobState{}, leastPause, errors.New("an answer that can't be read")
+			return wire.JobState{}, minRetryDelay, errors.New("an answer that can't be read")
 		}
 		return state, 0, nil
 	case http.StatusNotFound:
@@ -128,15 +128,15 @@
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		return wire.JobState{}, 0, &RefusedError{resp.StatusCode, reason(data)}
 	}
-	return wire.JobState{}, pauseOf(resp), fmt.Errorf("%s: %s", resp.Status, reason(data))
+	return wire.JobState{}, retryDelay(resp), fmt.Errorf("%s: %s", resp.Status, reason(data))
 }
 
-func pauseOf(resp *http.Response) time.Duration {
+func retryDelay(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
-		return leastPause
+		return minRetryDelay
 	}
-	return min(max(time.Duration(seconds)*time.Second, leastPause), mostPause)
+	return min(max(time.Duration(seconds)*time.Second, minRetryDelay), maxRetryDelay)
 }
 
 // reason gives what an answer says of its cause.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,36 +11,36 @@
 	"bitternwing/internal/wire"
 )
 
-const maxAnswer = 4 << 20
+const maxResponseBytes = 4 << 20
 
 // Client talks to the cloud.
-type Client struct{ c *httpclient.Client }
+type Client struct{ http *httpclient.Client }
 
 // New makes a client that sends at most perSecond requests a second.
 func New(addr string, perSecond float64, conns int) *Client {
-	return &Client{httpclient.New(addr, perSecond, conns, maxAnswer)}
+	return &Client{httpclient.New(addr, perSecond, conns, maxResponseBytes)}
 }
 
 // Catalog reads the machine types.
 func (c *Client) Catalog(ctx context.Context) (wire.Catalog, outcome.Outcome) {
 	var cat wire.Catalog
-	o := c.c.Do(ctx, "GET", "/catalog", nil, &cat)
+	o := c.http.Do(ctx, "GET", "/catalog", nil, &cat)
 	if o == outcome.OK && len(cat.Types) == 0 {
 		o = outcome.Unknown
 	}
 	return cat, o
 }
 
-// Rent rents machines. A refusal means that nothing was rented.
-func (c *Client) Rent(ctx context.Context, r wire.ScaleOutRequest) (wire.MachineNames, outcome.Outcome) {
+// ScaleOut rents machines. A refusal means that nothing was rented.
+func (c *Client) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) (wire.MachineNames, outcome.Outcome) {
 	var n wire.MachineNames
-	o := c.c.Do(ctx, "POST", "/rentals", r, &n)
+	o := c.http.Do(ctx, "POST", "/rentals", r, &n)
 	return n, o
 }
 
-// Release gives machines back.
-func (c *Client) Release(ctx context.Context, names []string) outcome.Outcome {
-	return c.c.Do(ctx, "POST", "/rentals/release", wire.MachineNames{Machines: names}, nil)
+// ScaleIn gives machines back.
+func (c *Client) ScaleIn(ctx context.Context, names []string) outcome.Outcome {
+	return c.http.Do(ctx, "POST", "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
 // List reads a page of the machine list.
@@ -50,6 +50,6 @@
 		q.Set("after", after)
 	}
 	var l wire.MachineList
-	o := c.c.Do(ctx, "GET", "/rentals?"+q.Encode(), nil, &l)
+	o := c.http.Do(ctx, "GET", "/rentals?"+q.Encode(), nil, &l)
 	return l, o
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.RoundS != 2 || o.IdleBoots != DefaultOperator().IdleBoots {
+	if o.CycleIntervalS != 2 || o.IdleBoots != DefaultOperator().IdleBoots {
 		t.Errorf("the given field did not go over the defaults: %+v", o)
 	}
 	for text, names := range map[string]string{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,17 +14,17 @@
 
 // Operator is the operators' own settings.
 type Operator struct {
-	RoundS       float64 `json:"round_s"`
-	EventRounds  bool    `json:"event_rounds"`
-	DirectStarts bool    `json:"direct_starts"`
-	RoundBudget  float64 `json:"round_budget"`
-	// PaceReports says that answers to reports that tell nothing may be held back, so that workers report less often.
-	PaceReports        bool    `json:"pace_reports"`
+	CycleIntervalS    float64 `json:"round_s"`
+	EventDrivenCycles bool    `json:"event_rounds"`
+	DirectStarts      bool    `json:"direct_starts"`
+	CycleBudget       float64 `json:"round_budget"`
+	// PaceHeartbeats says that answers to reports that tell nothing may be held back, so that workers report less often.
+	PaceHeartbeats     bool    `json:"pace_reports"`
 	SpareShare         float64 `json:"spare_share"`
 	IdleBoots          float64 `json:"idle_boots"`
 	StuckBoots         float64 `json:"stuck_boots"`
-	SilentLeases       float64 `json:"silent_leases"`
-	CutLeases          float64 `json:"cut_leases"`
+	UnreachableLeases  float64 `json:"silent_leases"`
+	PartitionLeases    float64 `json:"cut_leases"`
 	LeaderTTLLeases    float64 `json:"leader_ttl_leases"`
 	MaxPendingRequests int     `json:"max_pending_requests"`
 	// ExpectedMachines is the size of the fleet that the settings are checked for; 0: what is there.
@@ -52,8 +52,8 @@
 	RouterLeaseS   float64 `json:"router_lease_s"`
 	CheckIntervalS float64 `json:"check_interval_s"`
 	CheckTimeoutS  float64 `json:"check_timeout_s"`
-	MostPlans      int     `json:"most_plans"`
-	MostRouters    int     `json:"most_routers"`
+	MaxPlans       int     `json:"most_plans"`
+	MaxRouters     int     `json:"most_routers"`
 }
 
 // Spread says what places of replicas are weighed by: the losses that are expected, and for how long a replica stays.
@@ -70,20 +70,20 @@
 // DefaultOperator gives the built-in settings.
 func DefaultOperator() *Operator {
 	return &Operator{
-		RoundS:             5,
-		EventRounds:        true,
+		CycleIntervalS:     5,
+		EventDrivenCycles:  true,
 		DirectStarts:       true,
-		PaceReports:        true,
-		RoundBudget:        0.25,
+		PaceHeartbeats:     true,
+		CycleBudget:        0.25,
 		SpareShare:         0.1,
 		IdleBoots:          1.5,
 		StuckBoots:         3,
-		SilentLeases:       0.8,
-		CutLeases:          12,
+		UnreachableLeases:  0.8,
+		PartitionLeases:    12,
 		LeaderTTLLeases:    0.2,
 		MaxPendingRequests: 256,
 		Rollouts: Rollouts{ModelPort: 8000, RouterLeaseS: 15, CheckIntervalS: 2, CheckTimeoutS: 5,
-			MostPlans: 100, MostRouters: 100},
+			MaxPlans: 100, MaxRouters: 100},
 		// A zone twice a year, 57 machines of 8,800 a day, and a month until a replica is placed anew.
 		Spread: Spread{ZoneLossesPerDay: 2.0 / 365, MachineLossesPerDay: 57.0 / 8800, ReplicaDays: 30, MovesPerHour: 60},
 	}
--- a/internal/config/regions.go
+++ b/internal/config/regions.go
@@ -16,8 +16,8 @@
 // Region is one of them.
 type Region struct {
 	Name string `json:"name"`
-	// Part of each limit and guarantee that it begins with, from 0 to 1.
-	Part float64 `json:"part"`
+	// Share of each limit and guarantee that it begins with, from 0 to 1.
+	Share float64 `json:"part"`
 	// Controllers are the internal addresses of its controllers.
 	Controllers []string `json:"controllers"`
 }
@@ -46,8 +46,8 @@
 	return false
 }
 
-// partsTolerance is what the parts of all regions may differ from 1 by rounding.
-const partsTolerance = 1e-9
+// shareTolerance is what the parts of all regions may differ from 1 by rounding.
+const shareTolerance = 1e-9
 
 // check checks what the schema can't tell.
 func (r *Regions) check() error {
@@ -63,7 +63,7 @@
 			return fmt.Errorf("/regions/all/%d/name: %q is used twice", i, region.Name)
 		}
 		seen[region.Name] = true
-		sum += region.Part
+		sum += region.Share
 		if err := region.checkControllers(); err != nil {
 			return fmt.Errorf("/regions/all/%d/controllers%w", i, err)
 		}
@@ -71,7 +71,7 @@
 	if !seen[r.Name] {
 		return fmt.Errorf("/regions/name: %q is not among the regions", r.Name)
 	}
-	if math.Abs(sum-1) > partsTolerance {
+	if math.Abs(sum-1) > shareTolerance {
 		return fmt.Errorf("/regions/all: the parts add up to %v, not to 1", sum)
 	}
 	return nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -40,15 +40,15 @@
 
 // Params describe the deployment.
 type Params struct {
-	Nodes      int         `toml:"initial_size"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMS float64     `toml:"clock_error_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	Store      Store       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"limits"`
+	Nodes        int         `toml:"initial_size"`
+	Zones        []string    `toml:"zones"`
+	ClockErrorMS float64     `toml:"clock_error_ms"`
+	Teams        []Team      `toml:"teams"`
+	Objectives   []Objective `toml:"objectives"`
+	Workers      Workers     `toml:"workers"`
+	Store        Store       `toml:"state"`
+	Cloud        Cloud       `toml:"cloud"`
+	Limits       Limits      `toml:"limits"`
 }
 
 // Team has a guarantee and a limit; a limit of 0 means there is none.
@@ -185,7 +185,7 @@
 // positiveField is a setting that must be above 0.
 type positiveField struct {
 	field string
-	v     float64
+	value float64
 }
 
 // positiveFields gives those of the limits to come that are there.
@@ -269,13 +269,13 @@
 	return nil
 }
 
-// largestSetting bounds the settings that must be above 0.
-const largestSetting = 1e9
+// maxSetting bounds the settings that must be above 0.
+const maxSetting = 1e9
 
 // What a node may be allowed: less than the least runs no process, more than the most is a slip.
 const (
-	leastCPUShare, mostCPUShare = 0.001, 1024
-	leastMemoryMB, mostMemoryMB = 8, 16 << 20
+	minCPUShare, maxCPUShare = 0.001, 1024
+	minMemoryMB, maxMemoryMB = 8, 16 << 20
 )
 
 // checkPositive checks the settings that must be above 0.
@@ -293,8 +293,8 @@
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections)},
 	}
 	for _, f := range append(fields, p.Store.Next.positiveFields()...) {
-		if !(f.v > 0) || f.v > largestSetting {
-			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", f.field, float64(largestSetting), f.v)
+		if !(f.value > 0) || f.value > maxSetting {
+			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", f.field, float64(maxSetting), f.value)
 		}
 	}
 	return nil
@@ -312,15 +312,15 @@
 		field          string
 		v, least, most float64
 	}{
-		{"params.limits.core_share", p.Limits.CPUShare, leastCPUShare, mostCPUShare},
-		{"params.limits.memory_mb", p.Limits.MemoryMB, leastMemoryMB, mostMemoryMB},
+		{"params.limits.core_share", p.Limits.CPUShare, minCPUShare, maxCPUShare},
+		{"params.limits.memory_mb", p.Limits.MemoryMB, minMemoryMB, maxMemoryMB},
 	} {
 		if !(bounded.v >= bounded.least && bounded.v <= bounded.most) {
 			return fmt.Errorf("%s: must be from %v to %v, is %v", bounded.field, bounded.least, bounded.most, bounded.v)
 		}
 	}
-	if p.ClockOffMS < 0 {
-		return fmt.Errorf("params.clock_error_ms: must not be negative, is %v", p.ClockOffMS)
+	if p.ClockErrorMS < 0 {
+		return fmt.Errorf("params.clock_error_ms: must not be negative, is %v", p.ClockErrorMS)
 	}
 	return nil
 }
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -208,7 +208,7 @@
 	recorder := metrics.New(func() core.Status { return core.Status{} })
 	recorder.Input("tick", time.Second)
 	recorder.Request("submit", 201)
-	recorder.Call(metrics.StateService, "txn", "ok")
+	recorder.Call(metrics.Store, "txn", "ok")
 	found := map[string]bool{}
 	for _, line := range strings.Split(scrape(t, recorder), "\n") {
 		if strings.HasPrefix(line, "# TYPE bitternwing_") || strings.HasPrefix(line, "bitternwing_") {
@@ -233,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := metrics.NewServer(recorder, metrics.Options{Connections: 1, RequestTime: time.Minute}, slog.New(slog.DiscardHandler))
+	server := metrics.NewServer(recorder, metrics.Options{MaxConnections: 1, RequestTimeout: time.Minute}, slog.New(slog.DiscardHandler))
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+listener.Addr().String()+"/metrics", http.NoBody)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -85,7 +85,7 @@
 		lease:             config.Seconds(p.Workers.LeaseS),
 		cancelDeadline:    config.Seconds(p.Workers.CancelS),
 		listLag:           config.Seconds(p.Cloud.ListLagS),
-		cycleInterval:     config.Seconds(op.RoundS),
+		cycleInterval:     config.Seconds(op.CycleIntervalS),
 	}
 	nodes := float64(len(s.Peers) + 1)
 	t.leaderTTL = time.Duration(float64(t.lease) * op.LeaderTTLLeases)
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -22,7 +22,7 @@
 // are due within seconds.
 func (l *leader) requestCycle() {
 	l.observedChanges++
-	if !l.core.operator.EventRounds {
+	if !l.core.operator.EventDrivenCycles {
 		return
 	}
 	gap := time.Duration(float64(l.core.times.minCycleGap) * l.core.slowdown())
@@ -41,7 +41,7 @@
 
 // evaluationsPerSecond is what the operators' share of the processor allows.
 func (c *Core) evaluationsPerSecond() float64 {
-	return c.operator.RoundBudget * c.settings.Params.Limits.CPUShare / c.evaluationCost.Seconds()
+	return c.operator.CycleBudget * c.settings.Params.Limits.CPUShare / c.evaluationCost.Seconds()
 }
 
 const (
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -19,7 +19,7 @@
 func (l *leader) holdResponse(req uint64, r *wire.Heartbeat, token uint64, answer *leaseResponse) bool {
 	c := l.core
 	m := l.machines[r.Machine]
-	if !c.operator.PaceReports || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.heldResponse != nil || !l.mayHold(m, r) {
+	if !c.operator.PaceHeartbeats || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.heldResponse != nil || !l.mayHold(m, r) {
 		return false
 	}
 	now := c.now.Steady
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -28,7 +28,7 @@
 	if teams > 0 {
 		y.op.Regions = config.Regions{Name: regionName(0)}
 		for i := range 4 {
-			y.op.Regions.All = append(y.op.Regions.All, config.Region{Name: regionName(i), Part: 0.25})
+			y.op.Regions.All = append(y.op.Regions.All, config.Region{Name: regionName(i), Share: 0.25})
 		}
 	}
 	y.adjust = func(p *config.Params) {
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -71,7 +71,7 @@
 func (c *Core) regionShares() []quota.Region {
 	var parts []quota.Region
 	for _, r := range c.operator.Regions.All {
-		parts = append(parts, quota.Region{Name: r.Name, Share: r.Part})
+		parts = append(parts, quota.Region{Name: r.Name, Share: r.Share})
 	}
 	return parts
 }
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -79,7 +79,7 @@
 	r.op.IdleBoots = 100
 	r.op.Regions = config.Regions{Name: regionName(number)}
 	for i := range regions {
-		r.op.Regions.All = append(r.op.Regions.All, config.Region{Name: regionName(i), Part: 1 / float64(regions)})
+		r.op.Regions.All = append(r.op.Regions.All, config.Region{Name: regionName(i), Share: 1 / float64(regions)})
 	}
 	r.adjust = func(p *config.Params) {
 		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}}
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -79,7 +79,7 @@
 	for _, x := range w.workers {
 		if x.zone == zone && !x.dead {
 			x.dead = true
-			x.machine.Clear()
+			x.machine.KillAll()
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	for range 3 {
 		holder := w.holders["run-000001/0"]
 		holder.dead = true
-		holder.machine.Clear()
+		holder.machine.KillAll()
 		w.pass(60 * time.Second)
 		if next := w.holders["run-000001/0"]; len(w.running) != 1 || next == holder {
 			t.Fatalf("it does not come back: %v", w.running)
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -102,7 +102,7 @@
 func (t *rolloutManager) begin(name string, current *cachedPlan) *activeRollout {
 	c := t.leader.core
 	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewProofs(c.probeInterval()),
-		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MostRouters),
+		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
 	if current.problem != nil {
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -105,7 +105,7 @@
 		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
 	case current != nil:
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
-	case len(c.cache.plans.byName) >= c.operator.Rollouts.MostPlans:
+	case len(c.cache.plans.byName) >= c.operator.Rollouts.MaxPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
 	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -127,7 +127,7 @@
 func (l *leader) fitsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
 	most := l.core.maxValueBytes()
-	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MostRouters && len(value) <= most-most/recordReserve
+	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= most-most/recordReserve
 }
 
 // refuseJoins tells routers to come back: their names can't be recorded now.
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -61,7 +61,7 @@
 	switch b := e.Body.(type) {
 	case wire.HeartbeatResponse:
 		if w := y.workers[e.RequestID&0xffff]; !w.dead && w.answered(e.RequestID) {
-			w.machine.Answered(y.now, 1, b)
+			w.machine.ApplyHeartbeatResponse(y.now, 1, b)
 		}
 	case wire.Redirect:
 		w := y.workers[e.RequestID&0xffff]
@@ -97,11 +97,11 @@
 		y.counted.lists++
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: y.store.List(e.Prefix, e.After, 500)}
 	case core.StoreGrantLease:
-		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: y.store.Grant(e.TTL)}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: y.store.GrantLease(e.TTL)}
 	case core.StoreRenewLease:
-		return core.Result{CallID: e.CallID, Outcome: y.store.Extend(e.Lease)}
+		return core.Result{CallID: e.CallID, Outcome: y.store.RenewLease(e.Lease)}
 	case core.StoreRevokeLease:
-		return core.Result{CallID: e.CallID, Outcome: y.store.Revoke(e.Lease)}
+		return core.Result{CallID: e.CallID, Outcome: y.store.RevokeLease(e.Lease)}
 	}
 	return core.Result{}
 }
@@ -196,10 +196,10 @@
 		y.counted.orders++
 		if w := y.direct(n, e.Addr); w != nil {
 			r := core.Result{CallID: e.CallID, Outcome: outcome.Conflict}
-			if w.machine.Ordered(y.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
+			if w.machine.ApplyDirectCommands(y.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
 				r.Outcome = outcome.OK
 			}
-			r.Heartbeat = *w.machine.Report(y.now)
+			r.Heartbeat = *w.machine.Heartbeat(y.now)
 			return r
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
@@ -212,7 +212,7 @@
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	case core.QueryWorker:
 		if w := y.direct(n, e.Addr); w != nil {
-			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: *w.machine.Report(y.now)}
+			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: *w.machine.Heartbeat(y.now)}
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	}
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -129,7 +129,7 @@
 			s.Peers = append(s.Peers, config.Peer{Node: n.name, Zone: []string{"z1", "z2"}[k%2], Addr: "127.0.0.1:1"})
 		}
 	}
-	s.Params = config.Params{Nodes: len(y.nodes), Zones: []string{"z1", "z2"}, ClockOffMS: 5,
+	s.Params = config.Params{Nodes: len(y.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 5},
@@ -183,7 +183,7 @@
 func (y *scaleCluster) pass(d time.Duration) {
 	for end := y.now + d; y.now < end; {
 		y.now += scaleStep
-		y.store.At(y.now)
+		y.store.AdvanceTo(y.now)
 		for _, n := range y.nodes {
 			if n.name == y.frozen {
 				continue
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -92,7 +92,7 @@
 // then get their turn all the same once there is room.
 func TestRoundBudget(t *testing.T) {
 	y := newScaleCluster(t, 1, 0)
-	y.op.RoundBudget = 0.0001
+	y.op.CycleBudget = 0.0001
 	y.start(0)
 	y.have(100)
 	const seconds = 120
@@ -130,7 +130,7 @@
 	const seconds = 60
 	y.day(100, 40, seconds)
 	spent := time.Duration(n.Evaluations()-before) * y.evaluationCost
-	share := time.Duration(y.op.RoundBudget * y.set.Params.Limits.CPUShare * seconds * float64(time.Second))
+	share := time.Duration(y.op.CycleBudget * y.set.Params.Limits.CPUShare * seconds * float64(time.Second))
 	t.Logf("%v of %v", spent, share)
 	if spent > share*3/2 || spent < share/20 {
 		t.Errorf("rounds took %v, of %v", spent, share)
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -35,7 +35,7 @@
 		w := &scaleWorker{index: len(y.workers), name: fmt.Sprintf("m%04d", len(y.workers)+1), zone: e.Request.Zone,
 			up: y.now + 5*time.Second + time.Duration(y.rnd.Intn(3000))*time.Millisecond}
 		w.addr = w.name + ":9000"
-		w.machine = simworker.NewMachine(simworker.Description{Name: w.name, Zone: w.zone, Spot: e.Request.Spot, Type: catalog.Types[0]}, w.addr, y, y)
+		w.machine = simworker.NewMachine(simworker.MachineInfo{Name: w.name, Zone: w.zone, Spot: e.Request.Spot, Type: catalog.Types[0]}, w.addr, y, y)
 		y.byAddr[w.addr] = w
 		y.byName[w.name] = w
 		y.workers = append(y.workers, w)
@@ -72,7 +72,7 @@
 	y.counted.checkins++
 	y.req++
 	w.inFlight = y.req<<16 | uint64(w.index)
-	y.step(y.nodes[w.node], core.WorkerHeartbeat{RequestID: w.inFlight, Heartbeat: w.machine.Report(y.now)})
+	y.step(y.nodes[w.node], core.WorkerHeartbeat{RequestID: w.inFlight, Heartbeat: w.machine.Heartbeat(y.now)})
 }
 
 // answered takes the answer to a report; false if the worker does not wait for it any more.
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -280,11 +280,11 @@
 			return core.Result{Outcome: outcome.OK, Page: s.store.List(e.Prefix, e.After, 50)}
 		})
 	case core.StoreGrantLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Lease: s.store.Grant(e.TTL)} })
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Lease: s.store.GrantLease(e.TTL)} })
 	case core.StoreRenewLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.Extend(e.Lease)} })
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RenewLease(e.Lease)} })
 	case core.StoreRevokeLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.Revoke(e.Lease)} })
+		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RevokeLease(e.Lease)} })
 	case core.StoreWatch:
 		life := n.life
 		s.deliver(func() bool { return s.stateReach(n) }, true, func() {
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -91,7 +91,7 @@
 		byName: map[string]*simWorker{}, rented: map[string][]string{}, results: map[string]bool{}, perZone: 4}
 	limits := map[string]float64{"red": 8, "blue": 16, "green": 48, "guest": 32}
 	s.ruleChecker = newRuleChecker(limits, simCancel)
-	s.set = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockOffMS: 5,
+	s.set = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 16, MaxGPUs: 48}, {Name: "guest", MaxGPUs: 32}},
 		Workers: config.Workers{HeartbeatIntervalS: simReport.Seconds(), LeaseS: simLease.Seconds(), CancelS: simCancel.Seconds()},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
@@ -160,9 +160,9 @@
 		if s.now >= s.outage {
 			if s.outage != 0 {
 				s.outage = 0
-				s.store.Refresh(s.now)
+				s.store.RefreshLeases(s.now)
 			}
-			s.store.At(s.now)
+			s.store.AdvanceTo(s.now)
 		}
 		e.do()
 		s.answerWatches()
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -64,7 +64,7 @@
 			s.Peers = append(s.Peers, config.Peer{Node: p, Zone: zone(p), Addr: "127.0.0.1:1"})
 		}
 	}
-	s.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockOffMS: 5,
+	s.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Teams:      []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 40, MaxGPUs: 80}},
 		Objectives: []config.Objective{{Kind: "finished", Class: "rush", WithinS: 150, Share: 0.9}},
 		Workers:    config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
@@ -73,9 +73,9 @@
 		Limits:     config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
 	s.Params.Store.Next = w.next
 	s.Operator.SpareShare = w.spare
-	s.Operator.PaceReports = w.paced
+	s.Operator.PaceHeartbeats = w.paced
 	if w.budget > 0 {
-		s.Operator.RoundBudget = w.budget
+		s.Operator.CycleBudget = w.budget
 	}
 	return s
 }
@@ -173,7 +173,7 @@
 		}
 		w.now = next
 		if !w.outage {
-			w.store.At(w.now)
+			w.store.AdvanceTo(w.now)
 		}
 		for _, name := range append([]string(nil), w.names...) {
 			if n := w.nodes[name]; n.core.Wake() <= w.now {
@@ -285,17 +285,17 @@
 		if w.refused(n) || n.mode == "limit" {
 			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: w.store.Grant(e.TTL)})
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: w.store.GrantLease(e.TTL)})
 	case core.StoreRenewLease:
 		if w.refused(n) || n.mode == "hold" || n.mode == "limit" {
 			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.Extend(e.Lease)})
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.RenewLease(e.Lease)})
 	case core.StoreRevokeLease:
 		if w.refused(n) || n.mode == "hold" || n.mode == "limit" {
 			return w.lost(n, core.Result{CallID: e.CallID})
 		}
-		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.Revoke(e.Lease)})
+		return w.lost(n, core.Result{CallID: e.CallID, Outcome: w.store.RevokeLease(e.Lease)})
 	case core.StoreWatch:
 		n.watches = append(n.watches, e)
 		n.opened = w.now
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -171,7 +171,7 @@
 	case f[0] == "outage":
 		w.outage = len(f) == 1
 		if !w.outage {
-			w.store.Refresh(w.now)
+			w.store.RefreshLeases(w.now)
 		}
 		return
 	case f[0] == "zones":
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -136,5 +136,5 @@
 
 // clockError is what the time of day of a node may be off.
 func (c *Core) clockError() time.Duration {
-	return time.Duration(c.settings.Params.ClockOffMS * float64(time.Millisecond))
+	return time.Duration(c.settings.Params.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -171,14 +171,14 @@
 
 // releaseDeadline tells until when a machine may be silent.
 func (l *leader) releaseDeadline(m *machine) time.Duration {
-	limit := time.Duration(float64(l.core.times.lease) * l.core.operator.SilentLeases)
+	limit := time.Duration(float64(l.core.times.lease) * l.core.operator.UnreachableLeases)
 	lease := max(limit, l.core.times.lease)
 	due := m.lastHeardDirectlyOrRelayed() + limit
 	out, many := l.silentZones[m.zone]
 	switch {
 	case out:
 		// Its own nodes keep its workers alive; dead machines show in the cloud's list.
-		due = m.lastHeardDirectlyOrRelayed() + time.Duration(float64(lease)*l.core.operator.CutLeases)
+		due = m.lastHeardDirectlyOrRelayed() + time.Duration(float64(lease)*l.core.operator.PartitionLeases)
 	case many, m.zone != l.core.settings.Zone && slices.Contains(l.unreachableZones, m.zone), !m.reported && m.unansweredQueries < 2:
 		// Much of a zone is silent, or out of this node's reach and kept by others: its workers
 		// may be on their way to a node that keeps them, the last few as well. Or a worker has yet to find
--- a/internal/emulator/client_servers.go
+++ b/internal/emulator/client_servers.go
@@ -10,17 +10,17 @@
 	"sync/atomic"
 )
 
-// Observe is told of each request that a stand-in answers: whose it is, and the sizes of the bodies.
-type Observe func(client, method, path string, received, sent int)
+// RequestObserver is told of each request that a stand-in answers: whose it is, and the sizes of the bodies.
+type RequestObserver func(client, method, path string, received, sent int)
 
 // clientServers serves a stand-in at an address for each client, so that what each asks for can be counted.
 type clientServers struct {
 	handle func(client string, w http.ResponseWriter, r *http.Request)
 	addr   string // of the client without a name
 
-	mu      sync.Mutex
-	observe Observe
-	servers []*http.Server
+	mu       sync.Mutex
+	observer RequestObserver
+	servers  []*http.Server
 }
 
 // serve begins with an address for a client without a name.
@@ -37,10 +37,10 @@
 func (c *clientServers) Addr() string { return c.addr }
 
 // SetObserver has requests counted from now on.
-func (c *clientServers) SetObserver(observe Observe) {
+func (c *clientServers) SetObserver(observe RequestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observe = observe
+	c.observer = observe
 }
 
 // AddClient gives an address for a client.
@@ -63,7 +63,7 @@
 
 func (c *clientServers) count(client string, r *http.Request, sent int) {
 	c.mu.Lock()
-	observe := c.observe
+	observe := c.observer
 	c.mu.Unlock()
 	if observe != nil {
 		observe(client, r.Method, r.URL.Path, int(max(0, r.ContentLength)), sent)
@@ -94,9 +94,9 @@
 // The ports that FreeAddr gives are below those that the system gives to outgoing connections: else another connection may
 // take a port before whoever asked for it listens there. Processes begin at different ones.
 const (
-	firstFreePort = 10_000
-	lastFreePort  = 20_000
-	portsApart    = 50 // ports of two processes that are started one after the other
+	firstFreePort   = 10_000
+	lastFreePort    = 20_000
+	portsPerProcess = 50 // ports of two processes that are started one after the other
 )
 
 var freePorts atomic.Uint32
@@ -104,7 +104,7 @@
 // FreeAddr finds a free address on loopback, another one each time.
 func FreeAddr() string {
 	for {
-		offset := os.Getpid()*portsApart + int(freePorts.Add(1))
+		offset := os.Getpid()*portsPerProcess + int(freePorts.Add(1))
 		addr := fmt.Sprintf("127.0.0.1:%d", firstFreePort+offset%(lastFreePort-firstFreePort))
 		if l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr); err == nil {
 			_ = l.Close()
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -41,49 +41,49 @@
 // does not lag.
 type Cloud struct {
 	clientServers
-	mu       sync.Mutex
-	types    []wire.MachineType
-	capacity map[string]int // by type; a type that is not there has no bound
-	boots    bool
-	launch   Launch
-	machines map[string]*rental
-	answers  map[string]wire.MachineNames
-	made     int
-	closed   bool
-	cut      map[string]bool // clients that get no answer
+	mu            sync.Mutex
+	types         []wire.MachineType
+	capacity      map[string]int // by type; a type that is not there has no bound
+	bootsTakeTime bool
+	launch        Launch
+	machines      map[string]*instance
+	responses     map[string]wire.MachineNames
+	created       int
+	closed        bool
+	partitioned   map[string]bool // clients that get no answer
 
-	requests *rate.Limiter // nil: no limit
+	limiter *rate.Limiter // nil: no limit
 }
 
-// rental is a machine that was rented. It has no worker until it is up.
-type rental struct {
-	spec    MachineSpec
-	rented  time.Time
-	machine Machine
-	boot    *time.Timer
+// instance is a machine that was rented. It has no worker until it is up.
+type instance struct {
+	spec      MachineSpec
+	rentedAt  time.Time
+	machine   Machine
+	bootTimer *time.Timer
 }
 
 // NewCloud starts a cloud on loopback, with an address for a client without a name. Its machines are up at
 // once.
 func NewCloud(types []wire.MachineType, launch Launch) *Cloud {
 	c := &Cloud{types: types, capacity: map[string]int{}, launch: launch,
-		machines: map[string]*rental{}, answers: map[string]wire.MachineNames{}, cut: map[string]bool{}}
+		machines: map[string]*instance{}, responses: map[string]wire.MachineNames{}, partitioned: map[string]bool{}}
 	c.clientServers.serve(c.serve)
 	return c
 }
 
-// SetBoots has machines take their type's boot time to come up from now on.
-func (c *Cloud) SetBoots() {
+// EnableBootTimes has machines take their type's boot time to come up from now on.
+func (c *Cloud) EnableBootTimes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.boots = true
+	c.bootsTakeTime = true
 }
 
-// SetRate bounds the requests a second, with bursts worth two seconds.
-func (c *Cloud) SetRate(requests float64) {
+// SetRateLimit bounds the requests a second, with bursts worth two seconds.
+func (c *Cloud) SetRateLimit(requests float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests = rate.NewLimiter(rate.Limit(requests), max(1, int(2*requests)))
+	c.limiter = rate.NewLimiter(rate.Limit(requests), max(1, int(2*requests)))
 }
 
 // SetCapacity bounds the machines of a type that can be rented at a time.
@@ -93,21 +93,21 @@
 	c.capacity[machineType] = most
 }
 
-// SetCut cuts a client off: what it asks for is lost until that ends.
-func (c *Cloud) SetCut(client string, cut bool) {
+// SetPartitioned cuts a client off: what it asks for is lost until that ends.
+func (c *Cloud) SetPartitioned(client string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[client] = cut
+	c.partitioned[client] = cut
 }
 
-func (c *Cloud) isCut(client string) bool {
+func (c *Cloud) isPartitioned(client string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut[client]
+	return c.partitioned[client]
 }
 
-// Have brings machines up that were rented before.
-func (c *Cloud) Have(machineType, zone string, count int) {
+// AddRunning brings machines up that were rented before.
+func (c *Cloud) AddRunning(machineType, zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.typeOf(machineType)
@@ -134,9 +134,9 @@
 }
 
 // end stops a boot and gives the machine, if it is up.
-func (r *rental) end() Machine {
-	if r.boot != nil {
-		r.boot.Stop()
+func (r *instance) end() Machine {
+	if r.bootTimer != nil {
+		r.bootTimer.Stop()
 	}
 	return r.machine
 }
@@ -150,22 +150,22 @@
 	return nil
 }
 
-func (c *Cloud) add(t wire.MachineType, zone string, spot bool) *rental {
-	c.made++
-	r := &rental{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.made), Type: t, Zone: zone, Spot: spot}, rented: time.Now()}
+func (c *Cloud) add(t wire.MachineType, zone string, spot bool) *instance {
+	c.created++
+	r := &instance{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.created), Type: t, Zone: zone, Spot: spot}, rentedAt: time.Now()}
 	c.machines[r.spec.Name] = r
 	return r
 }
 
-func (c *Cloud) bringUp(r *rental) { r.machine = c.launch(r.spec) }
+func (c *Cloud) bringUp(r *instance) { r.machine = c.launch(r.spec) }
 
 // boot brings a machine up after its boot time.
-func (c *Cloud) boot(r *rental) {
-	if !c.boots {
+func (c *Cloud) boot(r *instance) {
+	if !c.bootsTakeTime {
 		c.bringUp(r)
 		return
 	}
-	r.boot = time.AfterFunc(config.Seconds(r.spec.Type.BootS), func() {
+	r.bootTimer = time.AfterFunc(config.Seconds(r.spec.Type.BootS), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !c.closed && c.machines[r.spec.Name] == r {
@@ -175,40 +175,40 @@
 }
 
 func (c *Cloud) serve(client string, w http.ResponseWriter, r *http.Request) {
-	if c.isCut(client) {
+	if c.isPartitioned(client) {
 		<-r.Context().Done() // nothing comes back
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.requests != nil && !c.requests.Allow() {
-		answer(w, http.StatusTooManyRequests, nil)
+	if c.limiter != nil && !c.limiter.Allow() {
+		respond(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /catalog":
-		answer(w, http.StatusOK, wire.Catalog{Types: c.types})
+		respond(w, http.StatusOK, wire.Catalog{Types: c.types})
 	case "GET /rentals":
 		q := r.URL.Query()
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		answer(w, http.StatusOK, c.list(q.Get("after"), limit))
+		respond(w, http.StatusOK, c.list(q.Get("after"), limit))
 	case "POST /rentals":
 		var q wire.ScaleOutRequest
 		if json.NewDecoder(r.Body).Decode(&q) != nil || c.typeOf(q.Type) == nil || q.Count < 1 || q.Count > wire.MaxScaleOut {
-			answer(w, http.StatusBadRequest, nil)
+			respond(w, http.StatusBadRequest, nil)
 			return
 		}
-		c.rent(w, q)
+		c.scaleOut(w, q)
 	case "POST /rentals/release":
 		var n wire.MachineNames
 		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > wire.MaxScaleIn {
-			answer(w, http.StatusBadRequest, nil)
+			respond(w, http.StatusBadRequest, nil)
 			return
 		}
-		c.release(n.Machines)
-		answer(w, http.StatusOK, struct{}{})
+		c.scaleIn(n.Machines)
+		respond(w, http.StatusOK, struct{}{})
 	default:
-		answer(w, http.StatusBadRequest, nil)
+		respond(w, http.StatusBadRequest, nil)
 	}
 }
 
@@ -217,13 +217,13 @@
 	if limit <= 0 || limit > wire.MaxList {
 		limit = wire.MaxList
 	}
-	var rest []*rental
+	var rest []*instance
 	for name, r := range c.machines {
 		if name > after {
 			rest = append(rest, r)
 		}
 	}
-	slices.SortFunc(rest, func(a, b *rental) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
+	slices.SortFunc(rest, func(a, b *instance) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
 	page := wire.MachineList{Machines: []wire.Machine{}, More: len(rest) > limit}
 	for _, r := range rest[:min(limit, len(rest))] {
 		page.Machines = append(page.Machines, r.listed())
@@ -231,9 +231,9 @@
 	return page
 }
 
-func (r *rental) listed() wire.Machine {
+func (r *instance) listed() wire.Machine {
 	m := wire.Machine{Name: r.spec.Name, Type: r.spec.Type.Name, Zone: r.spec.Zone, Spot: r.spec.Spot,
-		State: wire.MachineBooting, AgeS: time.Since(r.rented).Seconds()}
+		State: wire.MachineBooting, AgeS: time.Since(r.rentedAt).Seconds()}
 	if r.machine != nil {
 		m.Addr, m.State = r.machine.Addr(), r.machine.State()
 	}
@@ -254,14 +254,14 @@
 	return most
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, q wire.ScaleOutRequest) {
-	if a, ok := c.answers[q.RequestID]; ok {
-		answer(w, http.StatusOK, a)
+func (c *Cloud) scaleOut(w http.ResponseWriter, q wire.ScaleOutRequest) {
+	if a, ok := c.responses[q.RequestID]; ok {
+		respond(w, http.StatusOK, a)
 		return
 	}
 	count := min(q.Count, c.free(q.Type))
 	if count <= 0 {
-		answer(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
+		respond(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 		return
 	}
 	var a wire.MachineNames
@@ -270,11 +270,11 @@
 		c.boot(r)
 		a.Machines = append(a.Machines, r.spec.Name)
 	}
-	c.answers[q.RequestID] = a
-	answer(w, http.StatusOK, a)
+	c.responses[q.RequestID] = a
+	respond(w, http.StatusOK, a)
 }
 
-func (c *Cloud) release(names []string) {
+func (c *Cloud) scaleIn(names []string) {
 	for _, name := range names {
 		r := c.machines[name]
 		if r == nil {
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -26,17 +26,17 @@
 		return machines[s.Name]
 	})
 	defer c.Close()
-	c.Have("g8", "z1", 498)
+	c.AddRunning("g8", "z1", 498)
 	c.SetCapacity("g8", 502)
 	client, ctx := cloud.New(c.Addr(), 1000, 4), context.Background()
 	want := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
 	for range 2 {
-		if names, o := client.Rent(ctx, want); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
+		if names, o := client.ScaleOut(ctx, want); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
 			t.Errorf("%v, %v", names, o)
 		}
 	}
 	want.RequestID = "r-2"
-	if _, o := client.Rent(ctx, want); o != outcome.Unavailable {
+	if _, o := client.ScaleOut(ctx, want); o != outcome.Unavailable {
 		t.Errorf("more than there are: %v", o)
 	}
 	first, _ := client.List(ctx, "")
@@ -47,7 +47,7 @@
 	if rest, _ := client.List(ctx, last); len(rest.Machines) != 2 || rest.More || rest.Machines[0].Name != fmt.Sprintf("host-%06d", 501) {
 		t.Errorf("%+v after %s", rest, last)
 	}
-	if o := client.Release(ctx, []string{"host-000001", "host-999999"}); o != outcome.OK || !machines["host-000001"].stopped || machines["host-000002"].stopped {
+	if o := client.ScaleIn(ctx, []string{"host-000001", "host-999999"}); o != outcome.OK || !machines["host-000001"].stopped || machines["host-000002"].stopped {
 		t.Errorf("%v", o)
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -16,14 +16,14 @@
 
 // Store is a state service without a clock or a network: it is told the time.
 type Store struct {
-	now      time.Duration
-	revision uint64
-	items    *btree.BTreeG[wire.Item] // by key
-	log      []change
-	leases   map[uint64]*lease
-	next     uint64
+	now       time.Duration
+	revision  uint64
+	items     *btree.BTreeG[wire.Item] // by key
+	log       []change
+	leases    map[uint64]*lease
+	lastLease uint64
 
-	valueBytes, changes int // limits of a transaction; 0: none
+	maxValueBytes, maxChanges int // limits of a transaction; 0: none
 }
 
 type change struct {
@@ -32,7 +32,7 @@
 }
 
 type lease struct {
-	ttl, ends time.Duration
+	ttl, expiresAt time.Duration
 }
 
 // keptChanges is how many changes a watch can go back.
@@ -46,43 +46,45 @@
 	return &Store{items: btree.NewG(itemDegree, func(a, b wire.Item) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}, revision: 1}
 }
 
-// At moves the time on and ends leases that are over.
-func (s *Store) At(now time.Duration) {
+// AdvanceTo moves the time on and ends leases that are over.
+func (s *Store) AdvanceTo(now time.Duration) {
 	s.now = now
 	var over []uint64
 	for id, l := range s.leases {
-		if l.ends <= now {
+		if l.expiresAt <= now {
 			over = append(over, id)
 		}
 	}
 	sort.Slice(over, func(a, b int) bool { return over[a] < over[b] })
 	for _, id := range over {
-		s.Revoke(id)
+		s.RevokeLease(id)
 	}
 }
 
 // SetLimits has the store refuse larger values, and more changes in a transaction, as malformed. What
 // is stored stays readable.
-func (s *Store) SetLimits(valueBytes, changes int) { s.valueBytes, s.changes = valueBytes, changes }
+func (s *Store) SetLimits(valueBytes, changes int) {
+	s.maxValueBytes, s.maxChanges = valueBytes, changes
+}
 
-// beyondLimits tells whether a transaction is refused for its size.
-func (s *Store) beyondLimits(t wire.Txn) bool {
-	if s.changes > 0 && (len(t.Then) > s.changes || len(t.If) > 4*s.changes) {
+// exceedsLimits tells whether a transaction is refused for its size.
+func (s *Store) exceedsLimits(t wire.Txn) bool {
+	if s.maxChanges > 0 && (len(t.Then) > s.maxChanges || len(t.If) > 4*s.maxChanges) {
 		return true
 	}
 	for _, op := range t.Then {
-		if s.valueBytes > 0 && len(op.Value) > s.valueBytes {
+		if s.maxValueBytes > 0 && len(op.Value) > s.maxValueBytes {
 			return true
 		}
 	}
 	return false
 }
 
-// Refresh gives every lease its full time again, as after an outage.
-func (s *Store) Refresh(now time.Duration) {
+// RefreshLeases gives every lease its full time again, as after an outage.
+func (s *Store) RefreshLeases(now time.Duration) {
 	s.now = now
 	for _, l := range s.leases {
-		l.ends = s.now + l.ttl
+		l.expiresAt = s.now + l.ttl
 	}
 }
 
@@ -98,8 +100,8 @@
 	return item, outcome.OK
 }
 
-// below visits the items with a prefix and a key after another one, in order, until it is told to end.
-func (s *Store) below(prefix, after string, visit func(wire.Item) bool) {
+// visitPrefix visits the items with a prefix and a key after another one, in order, until it is told to end.
+func (s *Store) visitPrefix(prefix, after string, visit func(wire.Item) bool) {
 	s.items.AscendGreaterOrEqual(wire.Item{Key: max(prefix, after)}, func(item wire.Item) bool {
 		if !strings.HasPrefix(item.Key, prefix) {
 			return false
@@ -111,7 +113,7 @@
 // Keys gives all keys below a prefix, in order.
 func (s *Store) Keys(prefix string) []string {
 	var keys []string
-	s.below(prefix, "", func(item wire.Item) bool {
+	s.visitPrefix(prefix, "", func(item wire.Item) bool {
 		keys = append(keys, item.Key)
 		return true
 	})
@@ -122,9 +124,9 @@
 func (s *Store) List(prefix, after string, limit int) wire.Page {
 	p := wire.Page{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
-	s.below(prefix, after, func(item wire.Item) bool {
+	s.visitPrefix(prefix, after, func(item wire.Item) bool {
 		size += len(item.Key) + len(item.Value) + itemOverhead
-		if len(p.Items) == limit || size > pageBytes && len(p.Items) > 0 {
+		if len(p.Items) == limit || size > maxPageBytes && len(p.Items) > 0 {
 			p.More = true
 			return false
 		}
@@ -136,13 +138,13 @@
 
 // pageBytes is the most that a page holds, itemOverhead what the form of an item takes of it.
 const (
-	pageBytes    = 512 << 10
+	maxPageBytes = 512 << 10
 	itemOverhead = 64
 )
 
 // Txn runs a transaction.
 func (s *Store) Txn(t wire.Txn) (wire.TxnResponse, outcome.Outcome) {
-	if s.beyondLimits(t) {
+	if s.exceedsLimits(t) {
 		return wire.TxnResponse{}, outcome.Invalid
 	}
 	for _, op := range t.Then {
@@ -169,18 +171,18 @@
 		}
 		value := append(json.RawMessage(nil), op.Value...)
 		s.items.ReplaceOrInsert(wire.Item{Key: op.Put, Value: value, Version: s.revision, Lease: op.Lease})
-		s.note(wire.Event{Put: op.Put, Value: value, Version: s.revision})
+		s.appendChange(wire.Event{Put: op.Put, Value: value, Version: s.revision})
 	}
 	return wire.TxnResponse{Revision: s.revision}, outcome.OK
 }
 
 func (s *Store) remove(key string) {
 	if _, ok := s.items.Delete(wire.Item{Key: key}); ok {
-		s.note(wire.Event{Delete: key, Version: s.revision})
+		s.appendChange(wire.Event{Delete: key, Version: s.revision})
 	}
 }
 
-func (s *Store) note(e wire.Event) {
+func (s *Store) appendChange(e wire.Event) {
 	s.log = append(s.log, change{s.revision, e})
 	if len(s.log) >= 2*keptChanges {
 		s.log = append([]change(nil), s.keptLog()...)
@@ -190,25 +192,25 @@
 // keptLog is what a watch can still be given.
 func (s *Store) keptLog() []change { return s.log[max(0, len(s.log)-keptChanges):] }
 
-// Grant makes a lease.
-func (s *Store) Grant(ttl time.Duration) uint64 {
-	s.next++
-	s.leases[s.next] = &lease{ttl, s.now + ttl}
-	return s.next
+// GrantLease makes a lease.
+func (s *Store) GrantLease(ttl time.Duration) uint64 {
+	s.lastLease++
+	s.leases[s.lastLease] = &lease{ttl, s.now + ttl}
+	return s.lastLease
 }
 
-// Extend renews a lease.
-func (s *Store) Extend(id uint64) outcome.Outcome {
+// RenewLease renews a lease.
+func (s *Store) RenewLease(id uint64) outcome.Outcome {
 	l := s.leases[id]
 	if l == nil {
 		return outcome.NotFound
 	}
-	l.ends = s.now + l.ttl
+	l.expiresAt = s.now + l.ttl
 	return outcome.OK
 }
 
-// Revoke ends a lease and its keys.
-func (s *Store) Revoke(id uint64) outcome.Outcome {
+// RevokeLease ends a lease and its keys.
+func (s *Store) RevokeLease(id uint64) outcome.Outcome {
 	if s.leases[id] == nil {
 		return outcome.NotFound
 	}
--- a/internal/emulator/state_server.go
+++ b/internal/emulator/store_server.go
@@ -15,75 +15,75 @@
 	"bitternwing/internal/wire"
 )
 
-// StateServer serves a Store over HTTP. Each client can have an address of its own, and be cut off by itself.
-type StateServer struct {
+// StoreServer serves a Store over HTTP. Each client can have an address of its own, and be cut off by itself.
+type StoreServer struct {
 	clientServers
-	mu      sync.Mutex
-	store   *Store
-	start   time.Time
-	down    bool
-	cut     map[string]bool
-	changed chan struct{} // closed at the next change
-	ended   chan struct{}
+	mu          sync.Mutex
+	store       *Store
+	start       time.Time
+	down        bool
+	partitioned map[string]bool
+	changed     chan struct{} // closed at the next change
+	closed      chan struct{}
 
-	requests, writes *rate.Limiter // nil: no limit
+	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
 }
 
-// NewStateServer starts a state service on loopback.
-func NewStateServer() *StateServer {
-	s := &StateServer{store: NewStore(), start: time.Now(), cut: map[string]bool{}, changed: make(chan struct{}), ended: make(chan struct{})}
+// NewStoreServer starts a state service on loopback.
+func NewStoreServer() *StoreServer {
+	s := &StoreServer{store: NewStore(), start: time.Now(), partitioned: map[string]bool{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	s.clientServers.serve(s.serve)
 	return s
 }
 
 // Close ends it.
-func (s *StateServer) Close() {
-	close(s.ended)
+func (s *StoreServer) Close() {
+	close(s.closed)
 	s.close()
 }
 
 // SetDown begins or ends an outage.
-func (s *StateServer) SetDown(down bool) {
+func (s *StoreServer) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 	if !down {
-		s.store.Refresh(time.Since(s.start))
+		s.store.RefreshLeases(time.Since(s.start))
 	}
 	s.notify()
 }
 
-// SetCut cuts a client off: nothing that it asks for is answered until that ends.
-func (s *StateServer) SetCut(client string, cut bool) {
+// SetPartitioned cuts a client off: nothing that it asks for is answered until that ends.
+func (s *StoreServer) SetPartitioned(client string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[client] = cut
+	s.partitioned[client] = cut
 	s.notify()
 }
 
 // SetLimits has it refuse larger values and transactions, as Store.SetLimits.
-func (s *StateServer) SetLimits(valueBytes, changes int) {
+func (s *StoreServer) SetLimits(valueBytes, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.SetLimits(valueBytes, changes)
 }
 
-// SetRates bounds the requests and the writes a second, with bursts of one second's worth.
-func (s *StateServer) SetRates(requests, writes float64) {
+// SetRateLimits bounds the requests and the writes a second, with bursts of one second's worth.
+func (s *StoreServer) SetRateLimits(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests = rate.NewLimiter(rate.Limit(requests), max(1, int(requests)))
-	s.writes = rate.NewLimiter(rate.Limit(writes), max(1, int(writes)))
+	s.requestLimiter = rate.NewLimiter(rate.Limit(requests), max(1, int(requests)))
+	s.writeLimiter = rate.NewLimiter(rate.Limit(writes), max(1, int(writes)))
 }
 
 // Keys gives the keys below a prefix.
-func (s *StateServer) Keys(prefix string) []string {
+func (s *StoreServer) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.store.Keys(prefix)
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func respond(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -93,23 +93,23 @@
 
 // catchUp brings the store to the present time; a lease that has ended is a change like any other. The caller
 // holds the lock.
-func (s *StateServer) catchUp() {
+func (s *StoreServer) catchUp() {
 	before := s.store.Revision()
-	s.store.At(time.Since(s.start))
+	s.store.AdvanceTo(time.Since(s.start))
 	if s.store.Revision() != before {
 		s.notify()
 	}
 }
 
 // notify wakes the watches. The caller holds the lock.
-func (s *StateServer) notify() {
+func (s *StoreServer) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // admit waits until a client is not cut off, and takes the lock at the present time. Otherwise it gives the
 // status of the refusal; 0 if there is nobody to answer any more.
-func (s *StateServer) admit(client string, r *http.Request) (status int) {
+func (s *StoreServer) admit(client string, r *http.Request) (status int) {
 	if !s.reachable(client, r) {
 		return 0
 	}
@@ -117,7 +117,7 @@
 	switch {
 	case s.down && r.URL.Path != "/changes":
 		status = http.StatusServiceUnavailable
-	case s.requests != nil && !s.requests.Allow():
+	case s.requestLimiter != nil && !s.requestLimiter.Allow():
 		status = http.StatusTooManyRequests
 	default:
 		s.catchUp()
@@ -128,10 +128,10 @@
 }
 
 // reachable waits while a client is cut off; false if it or this server has gone away meanwhile.
-func (s *StateServer) reachable(client string, r *http.Request) bool {
+func (s *StoreServer) reachable(client string, r *http.Request) bool {
 	for {
 		s.mu.Lock()
-		cut, changed := s.cut[client], s.changed
+		cut, changed := s.partitioned[client], s.changed
 		s.mu.Unlock()
 		if !cut {
 			return r.Context().Err() == nil
@@ -143,13 +143,13 @@
 }
 
 // wait waits for a change, or for a time; false if the client or this server has gone away.
-func (s *StateServer) wait(r *http.Request, changed <-chan struct{}, most time.Duration) bool {
+func (s *StoreServer) wait(r *http.Request, changed <-chan struct{}, most time.Duration) bool {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
 	case <-r.Context().Done():
 		return false
-	case <-s.ended:
+	case <-s.closed:
 		return false
 	case <-changed:
 	case <-timer.C:
@@ -157,17 +157,17 @@
 	return true
 }
 
-func (s *StateServer) serve(client string, w http.ResponseWriter, r *http.Request) {
+func (s *StoreServer) serve(client string, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil || len(body) > wire.MaxBody {
-		answer(w, http.StatusBadRequest, nil)
+		respond(w, http.StatusBadRequest, nil)
 		return
 	}
 	switch status := s.admit(client, r); {
 	case status == 0:
 		return
 	case status != http.StatusOK:
-		answer(w, status, nil)
+		respond(w, status, nil)
 		return
 	case r.URL.Path == "/changes":
 		s.mu.Unlock()
@@ -183,63 +183,63 @@
 }
 
 // serveStore answers what needs no waiting. The caller holds the lock.
-func (s *StateServer) serveStore(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *StoreServer) serveStore(w http.ResponseWriter, r *http.Request, body []byte) {
 	q := r.URL.Query()
 	switch {
 	case r.URL.Path == "/kv":
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		answer(w, http.StatusOK, s.store.List(q.Get("under"), q.Get("after"), limit))
+		respond(w, http.StatusOK, s.store.List(q.Get("under"), q.Get("after"), limit))
 	case strings.HasPrefix(r.URL.Path, "/kv/"):
 		item, got := s.store.Get(strings.TrimPrefix(r.URL.Path, "/kv/"))
 		if got == outcome.NotFound {
-			answer(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
+			respond(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
 			return
 		}
-		answer(w, http.StatusOK, item)
+		respond(w, http.StatusOK, item)
 	case r.URL.Path == "/txn":
 		s.transaction(w, body)
 	case r.URL.Path == "/grants":
 		var g wire.LeaseRequest
 		if json.Unmarshal(body, &g) != nil || g.TTLMillis < 100 {
-			answer(w, http.StatusBadRequest, nil)
+			respond(w, http.StatusBadRequest, nil)
 			return
 		}
-		answer(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.Grant(time.Duration(g.TTLMillis) * time.Millisecond)})
+		respond(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.GrantLease(time.Duration(g.TTLMillis) * time.Millisecond)})
 	case strings.HasPrefix(r.URL.Path, "/grants/"):
 		id, extend := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/extend")
 		n, _ := strconv.ParseUint(id, 10, 64)
 		if extend {
-			answer(w, statusOf[s.store.Extend(n)], struct{}{})
+			respond(w, statusOf[s.store.RenewLease(n)], struct{}{})
 		} else {
-			answer(w, statusOf[s.store.Revoke(n)], struct{}{})
+			respond(w, statusOf[s.store.RevokeLease(n)], struct{}{})
 		}
 	default:
-		answer(w, http.StatusBadRequest, nil)
+		respond(w, http.StatusBadRequest, nil)
 	}
 }
 
-func (s *StateServer) transaction(w http.ResponseWriter, body []byte) {
+func (s *StoreServer) transaction(w http.ResponseWriter, body []byte) {
 	var t wire.Txn
 	if json.Unmarshal(body, &t) != nil {
-		answer(w, http.StatusBadRequest, nil)
+		respond(w, http.StatusBadRequest, nil)
 		return
 	}
-	if n := len(t.Then); n > 0 && s.writes != nil && !s.writes.AllowN(time.Now(), n) {
-		answer(w, http.StatusTooManyRequests, nil)
+	if n := len(t.Then); n > 0 && s.writeLimiter != nil && !s.writeLimiter.AllowN(time.Now(), n) {
+		respond(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	a, outcome := s.store.Txn(t)
-	answer(w, statusOf[outcome], a)
+	respond(w, statusOf[outcome], a)
 }
 
 // changes waits for changes; in an outage an open watch just waits.
-func (s *StateServer) changes(client string, w http.ResponseWriter, r *http.Request) {
+func (s *StoreServer) changes(client string, w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("block_ms"))
 	for end := time.Now().Add(time.Duration(ms) * time.Millisecond); ; {
 		s.mu.Lock()
-		served := !s.down && !s.cut[client]
+		served := !s.down && !s.partitioned[client]
 		var c wire.WatchResponse
 		got := outcome.OK
 		if served {
@@ -249,15 +249,15 @@
 		changed := s.changed
 		s.mu.Unlock()
 		if served && (got != outcome.OK || len(c.Events) > 0 || time.Now().After(end)) {
-			answer(w, statusOf[got], c)
+			respond(w, statusOf[got], c)
 			return
 		}
-		if !s.wait(r, changed, leaseCheck) {
+		if !s.wait(r, changed, leaseCheckInterval) {
 			return
 		}
 	}
 }
 
-// leaseCheck is how often an open watch looks for what only time changes: ends of leases, and its own. The protocol
+// leaseCheckInterval is how often an open watch looks for what only time changes: ends of leases, and its own. The protocol
 // lets the end of a lease come up to 100 ms late.
-const leaseCheck = 50 * time.Millisecond
+const leaseCheckInterval = 50 * time.Millisecond
--- a/internal/emulator/state_server_test.go
+++ b/internal/emulator/store_server_test.go
@@ -10,16 +10,16 @@
 	"bitternwing/internal/wire"
 )
 
-// patience bounds how long a test waits for what has to happen.
-const patience = 20 * time.Second
+// testTimeout bounds how long a test waits for what has to happen.
+const testTimeout = 20 * time.Second
 
 // TestWatchSeesLeaseEnd has a lease end while nothing else happens: an open watch is told that its key is gone, and does
 // not wait for its own time.
 func TestWatchSeesLeaseEnd(t *testing.T) {
-	s := NewStateServer()
+	s := NewStoreServer()
 	defer s.Close()
 	client := kvstore.New(s.Addr(), 1000, 4, 1<<20)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	lease, o := client.GrantLease(ctx, 200*time.Millisecond)
 	if o != outcome.OK {
@@ -29,7 +29,7 @@
 	if o != outcome.OK {
 		t.Fatal(o)
 	}
-	changes, o := client.Watch(ctx, "w/", put.Revision, 3*patience)
+	changes, o := client.Watch(ctx, "w/", put.Revision, 3*testTimeout)
 	if o != outcome.OK || len(changes.Events) != 1 || changes.Events[0].Delete != "w/lead" {
 		t.Errorf("%+v, %v", changes, o)
 	}
--- a/internal/fleetsim/controllers.go
+++ b/internal/fleetsim/controllers.go
@@ -20,29 +20,29 @@
 
 // controller is a controller process, with all that it needs to be started again.
 type controller struct {
-	name, zone       string
-	listen, internal string // addresses
-	state, cloud     string
-	settingsFile     string
-	relays           []*relay // to the others
+	name, zone                     string
+	publicAddress, internalAddress string // addresses
+	storeAddress, cloudAddress     string
+	settingsFile                   string
+	relays                         []*relay // to the others
 
 	cmd       *exec.Cmd
 	exited    chan struct{}
-	expected  bool // it was killed on purpose
+	killed    bool // it was killed on purpose
 	restartAt time.Duration
 	usage     *measure.Process
 }
 
 // controllers are the controller processes of a run.
 type controllers struct {
-	binary   string
-	dir      string
-	operator string // file of the operators' settings; empty: none
-	now      func() time.Duration
-	died     chan string // names of those that ended by themselves
+	binary          string
+	dir             string
+	operatorFile    string // file of the operators' settings; empty: none
+	now             func() time.Duration
+	unexpectedExits chan string // names of those that ended by themselves
 
-	mu  sync.Mutex
-	all []*controller
+	mu   sync.Mutex
+	list []*controller
 }
 
 // plan gives controllers names, zones and addresses, and connects them by relays.
@@ -51,20 +51,20 @@
 	for i := range s.Controllers.Count {
 		x := &controller{name: fmt.Sprintf("controller-%02d", i), zone: s.Zones[i%len(s.Zones)]}
 		var err error
-		if x.listen, err = free.next(); err != nil {
+		if x.publicAddress, err = free.next(); err != nil {
 			return err
 		}
-		if x.internal, err = free.next(); err != nil {
+		if x.internalAddress, err = free.next(); err != nil {
 			return err
 		}
-		c.all = append(c.all, x)
+		c.list = append(c.list, x)
 	}
-	for _, from := range c.all {
-		for _, to := range c.all {
+	for _, from := range c.list {
+		for _, to := range c.list {
 			if from == to {
 				continue
 			}
-			r, err := newRelay(from.name, to.name, to.internal, traffic)
+			r, err := newRelay(from.name, to.name, to.internalAddress, traffic)
 			if err != nil {
 				return err
 			}
@@ -98,19 +98,19 @@
 		if err != nil {
 			return err
 		}
-		c.operator = filepath.Join(c.dir, "operator.json")
-		if err := os.WriteFile(c.operator, operator, 0o600); err != nil {
+		c.operatorFile = filepath.Join(c.dir, "operator.json")
+		if err := os.WriteFile(c.operatorFile, operator, 0o600); err != nil {
 			return err
 		}
-		if _, err := config.LoadOperator(c.operator); err != nil {
+		if _, err := config.LoadOperator(c.operatorFile); err != nil {
 			return err
 		}
 	}
-	for _, x := range c.all {
-		settings := config.Settings{Node: x.name, Zone: x.zone, Listen: x.listen, PeerListen: x.internal,
-			Services: config.Services{Cloud: x.cloud, Store: x.state}, Params: params}
+	for _, x := range c.list {
+		settings := config.Settings{Node: x.name, Zone: x.zone, Listen: x.publicAddress, PeerListen: x.internalAddress,
+			Services: config.Services{Cloud: x.cloudAddress, Store: x.storeAddress}, Params: params}
 		for _, r := range x.relays {
-			settings.Peers = append(settings.Peers, config.Peer{Node: r.to, Zone: c.named(r.to).zone, Addr: r.addr()})
+			settings.Peers = append(settings.Peers, config.Peer{Node: r.target, Zone: c.named(r.target).zone, Addr: r.addr()})
 		}
 		text, err := toml.Marshal(settings)
 		if err != nil {
@@ -128,7 +128,7 @@
 }
 
 func (c *controllers) named(name string) *controller {
-	for _, x := range c.all {
+	for _, x := range c.list {
 		if x.name == name {
 			return x
 		}
@@ -139,8 +139,8 @@
 // start starts a controller's process. Its log is kept beside its settings.
 func (c *controllers) start(x *controller) error {
 	args := []string{}
-	if c.operator != "" {
-		args = append(args, "--operator", c.operator)
+	if c.operatorFile != "" {
+		args = append(args, "--operator", c.operatorFile)
 	}
 	// The process outlives every context: it ends by kill, which waits for it.
 	cmd := exec.CommandContext(context.Background(), c.binary, append(args, "--config", x.settingsFile)...)
@@ -155,19 +155,19 @@
 	}
 	exited := make(chan struct{})
 	c.mu.Lock()
-	x.cmd, x.exited, x.expected, x.restartAt = cmd, exited, false, 0
+	x.cmd, x.exited, x.killed, x.restartAt = cmd, exited, false, 0
 	if x.usage == nil {
 		x.usage = measure.NewProcess(x.name, cmd.Process.Pid, c.now().Seconds())
 	} else {
-		x.usage.Restarted(cmd.Process.Pid, c.now().Seconds())
+		x.usage.Restart(cmd.Process.Pid, c.now().Seconds())
 	}
 	c.mu.Unlock()
 	go func() {
 		_ = cmd.Wait() // a killed process ends with an error
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !x.expected {
-			c.died <- x.name
+		if !x.killed {
+			c.unexpectedExits <- x.name
 		}
 		close(exited)
 	}()
@@ -176,7 +176,7 @@
 
 // startAll starts all controllers.
 func (c *controllers) startAll() error {
-	for _, x := range c.all {
+	for _, x := range c.list {
 		if err := c.start(x); err != nil {
 			return fmt.Errorf("%s: %w", x.name, err)
 		}
@@ -188,7 +188,7 @@
 func (c *controllers) kill(x *controller, restartAt time.Duration) error {
 	c.mu.Lock()
 	cmd, exited := x.cmd, x.exited
-	x.expected, x.restartAt = true, restartAt
+	x.killed, x.restartAt = true, restartAt
 	c.mu.Unlock()
 	if cmd == nil {
 		return nil
@@ -202,7 +202,7 @@
 
 // restartDue starts those again whose time has come.
 func (c *controllers) restartDue() error {
-	for _, x := range c.all {
+	for _, x := range c.list {
 		c.mu.Lock()
 		due := x.restartAt > 0 && c.now() >= x.restartAt
 		c.mu.Unlock()
@@ -220,9 +220,9 @@
 func (c *controllers) sample(atS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.all {
-		if x.usage != nil && !x.expected {
-			_ = x.usage.Take(atS) // one that just ended has no sample
+	for _, x := range c.list {
+		if x.usage != nil && !x.killed {
+			_ = x.usage.Sample(atS) // one that just ended has no sample
 		}
 	}
 }
@@ -230,7 +230,7 @@
 // residentMB is the memory of all processes as last sampled.
 func (c *controllers) residentMB() float64 {
 	sum := 0.0
-	for _, x := range c.all {
+	for _, x := range c.list {
 		if x.usage != nil && len(x.usage.Samples) > 0 {
 			sum += x.usage.Samples[len(x.usage.Samples)-1].MemoryMB
 		}
@@ -241,7 +241,7 @@
 // close ends all processes and relays.
 func (c *controllers) close() error {
 	var failed error
-	for _, x := range c.all {
+	for _, x := range c.list {
 		failed = errors.Join(failed, c.kill(x, 0))
 		for _, r := range x.relays {
 			r.close()
@@ -254,19 +254,19 @@
 func (c *controllers) addresses() ([]string, map[string]string) {
 	names := map[string]string{}
 	var all []string
-	for _, x := range c.all {
-		all = append(all, x.listen)
-		names[x.listen] = x.name
+	for _, x := range c.list {
+		all = append(all, x.publicAddress)
+		names[x.publicAddress] = x.name
 	}
 	return all, names
 }
 
-// setZoneCut cuts the relays between a zone's controllers and the others, or ends that.
-func (c *controllers) setZoneCut(zone string, cut bool) {
-	for _, x := range c.all {
+// setZonePartitioned cuts the relays between a zone's controllers and the others, or ends that.
+func (c *controllers) setZonePartitioned(zone string, cut bool) {
+	for _, x := range c.list {
 		for _, r := range x.relays {
-			if (x.zone == zone) != (c.named(r.to).zone == zone) {
-				r.setCut(cut)
+			if (x.zone == zone) != (c.named(r.target).zone == zone) {
+				r.setPartitioned(cut)
 			}
 		}
 	}
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := Options{Binary: program, Dir: t.TempDir(), MostProcesses: 4}
+	options := Options{Binary: program, Dir: t.TempDir(), MaxProcesses: 4}
 	for want, change := range map[string]func(*Scenario, *Options){
 		"binary":    func(_ *Scenario, o *Options) { o.Binary = "/nowhere/bitternwing" },
 		"processes": func(s *Scenario, _ *Options) { s.Controllers.Count = 4 },
@@ -105,7 +105,7 @@
 	s := smoke(t).Scale(0.1)
 	s.DurationS, s.WarmUpS, s.Faults[0].AtS = 20, 2, 10
 	dir := t.TempDir()
-	res, err := Run(context.Background(), s, Options{Binary: build(t), Dir: dir, MostProcesses: 4})
+	res, err := Run(context.Background(), s, Options{Binary: build(t), Dir: dir, MaxProcesses: 4})
 	if err != nil || res.Ended != endedInTime {
 		t.Fatalf("%v, %+v", err, res)
 	}
@@ -132,7 +132,7 @@
 	if err := os.WriteFile(binary, []byte("#!/bin/sh\nexit 1\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Run(context.Background(), smoke(t).Scale(0.1), Options{Binary: binary, Dir: t.TempDir(), MostProcesses: 4})
+	res, err := Run(context.Background(), smoke(t).Scale(0.1), Options{Binary: binary, Dir: t.TempDir(), MaxProcesses: 4})
 	if err == nil || res == nil || !strings.Contains(res.Ended, "ended by itself") {
 		t.Errorf("%v, %+v", err, res)
 	}
@@ -142,7 +142,7 @@
 func TestInterrupt(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	seconds := 0
-	o := Options{Binary: build(t), Dir: t.TempDir(), MostProcesses: 4, Progress: func(Second) {
+	o := Options{Binary: build(t), Dir: t.TempDir(), MaxProcesses: 4, Progress: func(Second) {
 		if seconds++; seconds == 3 {
 			cancel()
 		}
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.setCut(true)
+	r.setPartitioned(true)
 	if _, err := c.Write([]byte("late")); err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	if n, err := in.Read(buffer); err == nil {
 		t.Errorf("%q came through a cut", buffer[:n])
 	}
-	r.setCut(false)
+	r.setPartitioned(false)
 	if err := in.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetsim/load/generator.go
+++ b/internal/fleetsim/load/generator.go
@@ -23,18 +23,18 @@
 	Priority string `json:"priority"`
 	// Share is the part of all starts a second that are tasks of this class; AtStart is how many jobs of
 	// it are submitted at once at the start.
-	Share      float64 `json:"share"`
-	AtStart    int     `json:"at_start"`
-	Tasks      int     `json:"tasks"`
-	GPUs       float64 `json:"gpus"`
-	CPUs       float64 `json:"cpus"`
-	MemoryGB   float64 `json:"memory_gb"`
-	Images     int     `json:"images"`
-	ImageGB    float64 `json:"image_gb"`
-	RunS       float64 `json:"run_s"` // of an array's tasks; a service is cancelled after it, 0: never
-	Checkpoint float64 `json:"checkpoint_s"`
-	OneZone    bool    `json:"one_zone"`
-	Spread     bool    `json:"spread"`
+	Share       float64 `json:"share"`
+	AtStart     int     `json:"at_start"`
+	Tasks       int     `json:"tasks"`
+	GPUs        float64 `json:"gpus"`
+	CPUs        float64 `json:"cpus"`
+	MemoryGB    float64 `json:"memory_gb"`
+	Images      int     `json:"images"`
+	ImageGB     float64 `json:"image_gb"`
+	RunS        float64 `json:"run_s"` // of an array's tasks; a service is cancelled after it, 0: never
+	CheckpointS float64 `json:"checkpoint_s"`
+	OneZone     bool    `json:"one_zone"`
+	Spread      bool    `json:"spread"`
 }
 
 var kinds = map[string]wire.JobKind{"array": wire.KindArray, "service": wire.KindService}
@@ -49,20 +49,20 @@
 
 // Arrival is a job and when its user submits it.
 type Arrival struct {
-	At    time.Duration
-	Class *Class
-	Job   *wire.Job
+	SubmitAt time.Duration
+	Class    *Class
+	Job      *wire.Job
 }
 
 // Generator makes the same jobs for the same seed.
 type Generator struct {
-	rnd     *rand.Rand
-	classes []Class
-	teams   []string
-	rate    float64
-	next    []time.Duration // by class
-	made    int
-	tasks   atomic.Int64
+	random      *rand.Rand
+	classes     []Class
+	teams       []string
+	startsPerS  float64
+	nextArrival []time.Duration // by class
+	created     int
+	tasks       atomic.Int64
 }
 
 // firstJob is the number of the first job.
@@ -70,20 +70,20 @@
 
 // NewGenerator makes a generator of jobs from a time on, at so many starts a second.
 func NewGenerator(seed uint64, classes []Class, teams []string, startsPerS float64, from time.Duration) *Generator {
-	g := &Generator{rnd: rand.New(rand.NewPCG(seed, 1)), classes: classes, teams: teams, rate: startsPerS}
+	g := &Generator{random: rand.New(rand.NewPCG(seed, 1)), classes: classes, teams: teams, startsPerS: startsPerS}
 	for i := range classes {
-		g.next = append(g.next, from+g.pause(&classes[i]))
+		g.nextArrival = append(g.nextArrival, from+g.nextGap(&classes[i]))
 	}
 	return g
 }
 
-// pause is the time to a class's next job.
-func (g *Generator) pause(c *Class) time.Duration {
-	perSecond := g.rate * c.Share / float64(c.Tasks)
+// nextGap is the time to a class's next job.
+func (g *Generator) nextGap(c *Class) time.Duration {
+	perSecond := g.startsPerS * c.Share / float64(c.Tasks)
 	if perSecond <= 0 {
 		return math.MaxInt64 / 2
 	}
-	return config.Seconds(g.rnd.ExpFloat64() / perSecond)
+	return config.Seconds(g.random.ExpFloat64() / perSecond)
 }
 
 // AtStart gives the jobs that are there at the start.
@@ -102,12 +102,12 @@
 	var all []Arrival
 	for i := range g.classes {
 		c := &g.classes[i]
-		for g.next[i] <= end {
-			all = append(all, Arrival{g.next[i], c, g.job(c)})
-			g.next[i] += g.pause(c)
+		for g.nextArrival[i] <= end {
+			all = append(all, Arrival{g.nextArrival[i], c, g.job(c)})
+			g.nextArrival[i] += g.nextGap(c)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.SubmitAt, b.SubmitAt) })
 	return all
 }
 
@@ -115,14 +115,14 @@
 func (g *Generator) Tasks() int64 { return g.tasks.Load() }
 
 func (g *Generator) job(c *Class) *wire.Job {
-	g.made++
+	g.created++
 	g.tasks.Add(int64(c.Tasks))
 	j := &wire.Job{
-		ID: fmt.Sprintf("run-%09d", firstJob+g.made), Class: c.Name, Team: g.teams[g.rnd.IntN(len(g.teams))],
+		ID: fmt.Sprintf("run-%09d", firstJob+g.created), Class: c.Name, Team: g.teams[g.random.IntN(len(g.teams))],
 		Kind: kinds[c.Kind], Priority: priorities[c.Priority], Tasks: c.Tasks,
 		CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB,
-		Image: fmt.Sprintf("%s-%02d", c.Name, g.rnd.IntN(max(1, c.Images))), ImageGB: c.ImageGB,
-		SingleZone: c.OneZone, SpreadZones: c.Spread, CheckpointIntervalS: c.Checkpoint,
+		Image: fmt.Sprintf("%s-%02d", c.Name, g.random.IntN(max(1, c.Images))), ImageGB: c.ImageGB,
+		SingleZone: c.OneZone, SpreadZones: c.Spread, CheckpointIntervalS: c.CheckpointS,
 	}
 	if j.Kind == wire.KindArray {
 		j.EstimatedRunS = c.RunS
--- a/internal/fleetsim/load/generator_test.go
+++ b/internal/fleetsim/load/generator_test.go
@@ -32,10 +32,10 @@
 		if a.Class.Urgent() {
 			urgent += a.Job.Tasks
 		}
-		if a.At < last || a.At > 101*time.Second {
-			t.Errorf("a job at %v after one at %v", a.At, last)
+		if a.SubmitAt < last || a.SubmitAt > 101*time.Second {
+			t.Errorf("a job at %v after one at %v", a.SubmitAt, last)
 		}
-		last = a.At
+		last = a.SubmitAt
 		body, err := a.Job.Submission()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleetsim/load/run_time.go
+++ b/internal/fleetsim/load/run_time.go
@@ -18,8 +18,8 @@
 // Uploads is what workers fetch of the jobs that users have uploaded.
 type Uploads struct{ Completions }
 
-// spread is by how much a task's run time differs from its class's, both ways.
-const spread = 0.25
+// runTimeSpread is by how much a task's run time differs from its class's, both ways.
+const runTimeSpread = 0.25
 
 // RunTime is how long a task of a job runs. A task that has completed before is done at once.
 func (u Uploads) RunTime(job *wire.Job, task int) time.Duration {
@@ -32,5 +32,5 @@
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(wire.TaskName(job.ID, task))) // a hash takes all
 	part := float64(h.Sum32()) / (1 << 32)
-	return config.Seconds(job.EstimatedRunS * (1 - spread + 2*spread*part))
+	return config.Seconds(job.EstimatedRunS * (1 - runTimeSpread + 2*runTimeSpread*part))
 }
--- a/internal/fleetsim/load/transport.go
+++ b/internal/fleetsim/load/transport.go
@@ -29,7 +29,7 @@
 	return resp, nil
 }
 
-func kindOf(r *http.Request) simworker.Kind {
+func kindOf(r *http.Request) simworker.MessageKind {
 	switch {
 	case r.Method == http.MethodGet:
 		return measure.KindPoll
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -17,25 +17,25 @@
 
 // The users' times by the protocol.
 const (
-	submitPatience = 60 * time.Second
-	pollInterval   = 5 * time.Second
-	cancelPatience = 2 * time.Minute
+	submitTimeout = 60 * time.Second
+	pollInterval  = 5 * time.Second
+	cancelTimeout = 2 * time.Minute
 )
 
-// mostAtOnce bounds the users that wait for an answer.
-const mostAtOnce = 512
+// maxConcurrentRequests bounds the users that wait for an answer.
+const maxConcurrentRequests = 512
 
 // Ledger is told what users did and were told.
 type Ledger interface {
-	Submit(job *wire.Job)
-	Accepted(id string)
-	Told(id string, state wire.JobStatus)
-	Unknown(id string)
+	RecordSubmission(job *wire.Job)
+	RecordAccepted(id string)
+	RecordStatus(id string, state wire.JobStatus)
+	RecordNotFound(id string)
 }
 
 // Traffic counts users' messages.
 type Traffic interface {
-	Count(controller string, kind simworker.Kind, received, sent int)
+	Count(controller string, kind simworker.MessageKind, received, sent int)
 }
 
 // Users submit jobs, ask about them until they are over, and cancel services in the end. They reach the
@@ -59,26 +59,26 @@
 // NewUsers makes users of controllers at addresses.
 func NewUsers(addresses []string, ledger Ledger, traffic Traffic, names map[string]string) *Users {
 	transport := &countingTransport{traffic: traffic, names: names, next: &http.Transport{
-		MaxIdleConnsPerHost: mostAtOnce, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), slots: make(chan struct{}, mostAtOnce),
+		MaxIdleConnsPerHost: maxConcurrentRequests, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
+	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), slots: make(chan struct{}, maxConcurrentRequests),
 		SubmitTimes: measure.NewHistogram()}
 }
 
-// Play has a user submit a job and follow it, in the background, until the context ends.
-func (u *Users) Play(ctx context.Context, a Arrival) {
-	u.ledger.Submit(a.Job)
+// Start has a user submit a job and follow it, in the background, until the context ends.
+func (u *Users) Start(ctx context.Context, a Arrival) {
+	u.ledger.RecordSubmission(a.Job)
 	u.Submitted.Add(1)
 	u.running.Add(1)
 	go func() {
 		defer u.running.Done()
-		u.live(ctx, a)
+		u.followJob(ctx, a)
 	}()
 }
 
 // Wait waits for all users. Their context has to have ended.
 func (u *Users) Wait() { u.running.Wait() }
 
-func (u *Users) live(ctx context.Context, a Arrival) {
+func (u *Users) followJob(ctx context.Context, a Arrival) {
 	if !u.submit(ctx, a.Job) {
 		return
 	}
@@ -108,15 +108,15 @@
 		return false
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, submitPatience)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	_, err = u.ask(ctx, func() (wire.JobState, error) { return u.client.Submit(ctx, body) })
+	_, err = u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Submit(ctx, body) })
 	var refused *apiclient.RefusedError
 	switch {
 	case err == nil:
 		u.SubmitTimes.Add(time.Since(began))
 		u.Accepted.Add(1)
-		u.ledger.Accepted(job.ID)
+		u.ledger.RecordAccepted(job.ID)
 		return true
 	case errors.As(err, &refused):
 		u.Refused.Add(1)
@@ -130,30 +130,30 @@
 func (u *Users) poll(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
-	state, err := u.ask(ctx, func() (wire.JobState, error) { return u.client.Show(ctx, id) })
+	state, err := u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Show(ctx, id) })
 	if errors.Is(err, apiclient.ErrNotFound) {
-		u.ledger.Unknown(id)
+		u.ledger.RecordNotFound(id)
 	}
 	if err != nil {
 		return false
 	}
-	u.ledger.Told(id, state.State)
-	return u.over(state.State)
+	u.ledger.RecordStatus(id, state.State)
+	return u.countFinal(state.State)
 }
 
 // Cancel has a user cancel a job.
 func (u *Users) Cancel(ctx context.Context, id string) {
-	ctx, cancel := context.WithTimeout(ctx, cancelPatience)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	state, err := u.ask(ctx, func() (wire.JobState, error) { return u.client.Cancel(ctx, id) })
+	state, err := u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Cancel(ctx, id) })
 	if err == nil {
-		u.ledger.Told(id, state.State)
-		u.over(state.State)
+		u.ledger.RecordStatus(id, state.State)
+		u.countFinal(state.State)
 	}
 }
 
-// over counts final states.
-func (u *Users) over(state wire.JobStatus) bool {
+// countFinal counts final states.
+func (u *Users) countFinal(state wire.JobStatus) bool {
 	switch state {
 	case wire.JobDone:
 		u.Done.Add(1)
@@ -166,8 +166,8 @@
 	return false
 }
 
-// ask waits for its turn among all users.
-func (u *Users) ask(ctx context.Context, f func() (wire.JobState, error)) (wire.JobState, error) {
+// withSlot waits for its turn among all users.
+func (u *Users) withSlot(ctx context.Context, f func() (wire.JobState, error)) (wire.JobState, error) {
 	select {
 	case u.slots <- struct{}{}:
 	case <-ctx.Done():
--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	mostMilliseconds  = 3_600_000
+	maxMilliseconds   = 3_600_000
 	significantDigits = 3
 )
 
 // Histogram keeps times, to the millisecond.
 type Histogram struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+	mu     sync.Mutex
+	values *hdrhistogram.Histogram
 }
 
 // NewHistogram makes an empty one.
 func NewHistogram() *Histogram {
-	return &Histogram{h: hdrhistogram.New(1, mostMilliseconds, significantDigits)}
+	return &Histogram{values: hdrhistogram.New(1, maxMilliseconds, significantDigits)}
 }
 
 // Add adds a time; what is beyond the range counts as its end.
@@ -30,7 +30,7 @@
 func (h *Histogram) AddValue(v int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(max(v, 0), mostMilliseconds)) // within its range
+	_ = h.values.RecordValue(min(max(v, 0), maxMilliseconds)) // within its range
 }
 
 // Summary is what a histogram comes to.
@@ -46,5 +46,5 @@
 func (h *Histogram) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Summary{Count: h.h.TotalCount(), Mean: h.h.Mean(), P50: h.h.ValueAtQuantile(50), P99: h.h.ValueAtQuantile(99), Max: h.h.Max()}
+	return Summary{Count: h.values.TotalCount(), Mean: h.values.Mean(), P50: h.values.ValueAtQuantile(50), P99: h.values.ValueAtQuantile(99), Max: h.values.Max()}
 }
--- a/internal/fleetsim/measure/measure_test.go
+++ b/internal/fleetsim/measure/measure_test.go
@@ -12,10 +12,10 @@
 	for end := time.Now().Add(50 * time.Millisecond); time.Now().Before(end); {
 		_ = make([]byte, 1<<10)
 	}
-	if err := p.Take(1); err != nil {
+	if err := p.Sample(1); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Take(2); err != nil {
+	if err := p.Sample(2); err != nil {
 		t.Fatal(err)
 	}
 	u := p.Usage(0)
@@ -23,7 +23,7 @@
 		t.Errorf("%+v", u)
 	}
 	gone := &Process{pid: -1}
-	if gone.Take(1) == nil {
+	if gone.Sample(1) == nil {
 		t.Error("a process that is not there was sampled")
 	}
 }
@@ -35,7 +35,7 @@
 		h.Add(time.Duration(i+1) * time.Millisecond)
 	}
 	h.Add(24 * time.Hour)
-	if s := h.Summary(); s.Count != 101 || s.P50 != 51 || s.P99 != 100 || s.Max < mostMilliseconds-mostMilliseconds/1000 {
+	if s := h.Summary(); s.Count != 101 || s.P50 != 51 || s.P99 != 100 || s.Max < maxMilliseconds-maxMilliseconds/1000 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/fleetsim/measure/process.go
+++ b/internal/fleetsim/measure/process.go
@@ -19,44 +19,44 @@
 	Name    string
 	Samples []Sample
 
-	pid  int
-	last reading
+	pid          int
+	lastCounters counters
 }
 
-// reading is a state of a process's counters.
-type reading struct {
+// counters is a state of a process's counters.
+type counters struct {
 	atS           float64
-	cpu           float64
+	cpuSeconds    float64
 	read, written uint64
 }
 
 // NewProcess begins to sample a process at a time in seconds.
 func NewProcess(name string, pid int, atS float64) *Process {
 	p := &Process{Name: name}
-	p.Restarted(pid, atS)
+	p.Restart(pid, atS)
 	return p
 }
 
-// Restarted goes on with another process under the same name.
-func (p *Process) Restarted(pid int, atS float64) {
+// Restart goes on with another process under the same name.
+func (p *Process) Restart(pid int, atS float64) {
 	p.pid = pid
-	p.last = reading{atS: atS}
+	p.lastCounters = counters{atS: atS}
 	if proc, err := procfs.NewProc(pid); err == nil {
-		p.last, _, _ = read(proc, atS) // what can't be read yet counts from 0
+		p.lastCounters, _, _ = readCounters(proc, atS) // what can't be read yet counts from 0
 	}
 }
 
-// read reads a process's counters and its resident memory.
-func read(proc procfs.Proc, atS float64) (reading, int, error) {
+// readCounters reads a process's counters and its resident memory.
+func readCounters(proc procfs.Proc, atS float64) (counters, int, error) {
 	stat, err := proc.Stat()
 	if err != nil {
-		return reading{atS: atS}, 0, err
+		return counters{atS: atS}, 0, err
 	}
 	io, err := proc.IO()
 	if err != nil {
-		return reading{atS: atS}, 0, err
+		return counters{atS: atS}, 0, err
 	}
-	return reading{atS, stat.CPUTime(), io.RChar, io.WChar}, stat.ResidentMemory(), nil
+	return counters{atS, stat.CPUTime(), io.RChar, io.WChar}, stat.ResidentMemory(), nil
 }
 
 // kilobyte and megabyte are the units of the samples, in bytes.
@@ -65,13 +65,13 @@
 	megabyte = 1 << 20
 )
 
-// Take takes a sample; an error says that the process is no more.
-func (p *Process) Take(atS float64) error {
+// Sample takes a sample; an error says that the process is no more.
+func (p *Process) Sample(atS float64) error {
 	proc, err := procfs.NewProc(p.pid)
 	if err != nil {
 		return err
 	}
-	now, resident, err := read(proc, atS)
+	now, resident, err := readCounters(proc, atS)
 	if err != nil {
 		return err
 	}
@@ -79,19 +79,19 @@
 	if err != nil {
 		return err
 	}
-	elapsed := now.atS - p.last.atS
+	elapsed := now.atS - p.lastCounters.atS
 	if elapsed <= 0 {
 		return nil
 	}
 	p.Samples = append(p.Samples, Sample{
 		AtS:       atS,
-		Cores:     (now.cpu - p.last.cpu) / elapsed,
+		Cores:     (now.cpuSeconds - p.lastCounters.cpuSeconds) / elapsed,
 		MemoryMB:  float64(resident) / megabyte,
-		ReadKB:    float64(now.read-p.last.read) / elapsed / kilobyte,
-		WrittenKB: float64(now.written-p.last.written) / elapsed / kilobyte,
+		ReadKB:    float64(now.read-p.lastCounters.read) / elapsed / kilobyte,
+		WrittenKB: float64(now.written-p.lastCounters.written) / elapsed / kilobyte,
 		Files:     files,
 	})
-	p.last = now
+	p.lastCounters = now
 	return nil
 }
 
--- a/internal/fleetsim/measure/traffic.go
+++ b/internal/fleetsim/measure/traffic.go
@@ -10,10 +10,10 @@
 // The kinds of messages beside those of the workers. Those to the state service and the cloud are named
 // by what they ask for.
 const (
-	KindPeer   simworker.Kind = "peer"
-	KindSubmit simworker.Kind = "submit"
-	KindPoll   simworker.Kind = "poll"
-	KindCancel simworker.Kind = "cancel"
+	KindPeer   simworker.MessageKind = "peer"
+	KindSubmit simworker.MessageKind = "submit"
+	KindPoll   simworker.MessageKind = "poll"
+	KindCancel simworker.MessageKind = "cancel"
 )
 
 // Count is a number of messages and the bytes of their bodies, seen from the controller.
@@ -26,28 +26,28 @@
 // Traffic counts messages by controller and kind.
 type Traffic struct {
 	mu     sync.Mutex
-	counts map[string]map[simworker.Kind]Count
+	counts map[string]map[simworker.MessageKind]Count
 }
 
 // NewTraffic makes a count of nothing.
-func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[simworker.Kind]Count{}} }
+func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[simworker.MessageKind]Count{}} }
 
 // Count counts a message and its answer.
-func (t *Traffic) Count(controller string, kind simworker.Kind, received, sent int) {
+func (t *Traffic) Count(controller string, kind simworker.MessageKind, received, sent int) {
 	t.add(controller, kind, Count{1, int64(received), int64(sent)})
 }
 
 // Bytes counts bytes of a stream whose messages can't be told apart.
-func (t *Traffic) Bytes(controller string, kind simworker.Kind, received, sent int) {
+func (t *Traffic) Bytes(controller string, kind simworker.MessageKind, received, sent int) {
 	t.add(controller, kind, Count{0, int64(received), int64(sent)})
 }
 
-func (t *Traffic) add(controller string, kind simworker.Kind, c Count) {
+func (t *Traffic) add(controller string, kind simworker.MessageKind, c Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kinds := t.counts[controller]
 	if kinds == nil {
-		kinds = map[simworker.Kind]Count{}
+		kinds = map[simworker.MessageKind]Count{}
 		t.counts[controller] = kinds
 	}
 	sum := kinds[kind]
@@ -58,10 +58,10 @@
 }
 
 // Of gives a controller's counts by kind.
-func (t *Traffic) Of(controller string) map[simworker.Kind]Count {
+func (t *Traffic) Of(controller string) map[simworker.MessageKind]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kinds := map[simworker.Kind]Count{}
+	kinds := map[simworker.MessageKind]Count{}
 	for k, c := range t.counts[controller] {
 		kinds[k] = c
 	}
--- a/internal/fleetsim/page.go
+++ b/internal/fleetsim/page.go
@@ -78,7 +78,7 @@
 	}
 	return append(res.rolloutDiagrams(), []diagram{
 		{"Starts", "tasks a second", []curve{
-			perSecond("asked", func(s Second) float64 { return float64(s.Asked) }),
+			perSecond("asked", func(s Second) float64 { return float64(s.Requested) }),
 			perSecond("started", func(s Second) float64 { return float64(s.Started) }),
 			perSecond("completed", func(s Second) float64 { return float64(s.Completed) })}},
 		{"On machines", "tasks", []curve{perSecond("tasks", func(s Second) float64 { return float64(s.OnMachine) })}},
@@ -140,11 +140,11 @@
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
-	return pictureOf(canvas)
+	return svgFragment(canvas)
 }
 
-// pictureOf gives a canvas as a part of a page.
-func pictureOf(canvas *vgsvg.Canvas) (template.HTML, error) {
+// svgFragment gives a canvas as a part of a page.
+func svgFragment(canvas *vgsvg.Canvas) (template.HTML, error) {
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
--- a/internal/fleetsim/print.go
+++ b/internal/fleetsim/print.go
@@ -13,10 +13,10 @@
 func printRollout(line func(name, format string, args ...any), r *rolling.Result) {
 	name := "rollout " + r.Model.Name
 	line(name, "%s: %s %s; least served %.2f of the promise at %.1f s, %d samples below it, %.0f extra replica seconds", r.Model.Mode,
-		r.Phase, r.Reason, r.Least, r.LeastS, r.Dips, r.Extra)
+		r.Phase, r.Reason, r.MinServed, r.MinServedAtS, r.SamplesBelowPromise, r.ExtraReplicaS)
 	if r.Model.Mode != rolling.Replace {
 		line(name, "%d requests, %d wrong (%d after detection, over %.1f s), %d lost, %d doubled, %d retried; longest without a status %.1f s",
-			r.Requests, r.Wrong, r.WrongAfter, r.WrongForS, r.Lost, r.Doubled, r.Retried, r.BlindS)
+			r.Requests, r.Wrong, r.WrongAfter, r.WrongForS, r.Lost, r.Doubled, r.Retried, r.MaxWithoutStatusS)
 	}
 }
 
@@ -32,7 +32,7 @@
 		}
 	}
 	line("scenario", "%s: %d workers, %d controllers, %.0f s, ended: %s", res.Scenario.Name, res.Workers.Count, res.Scenario.Controllers.Count, res.DurationS, res.Ended)
-	line("starts a second", "asked %.1f, reached %.1f, most over 10 s %.1f", res.AskedPerS, res.StartedPerS, res.PeakStartsPerS)
+	line("starts a second", "asked %.1f, reached %.1f, most over 10 s %.1f", res.RequestedPerS, res.StartedPerS, res.PeakStartsPerS)
 	line("tasks on machines", "most %d", res.PeakOnMachine)
 	line("jobs", "%d submitted, %d accepted, %d refused, %d done, %d cancelled", res.Jobs.Submitted, res.Jobs.Accepted, res.Jobs.Refused, res.Jobs.Done, res.Jobs.Cancelled)
 	times("submission", res.SubmitTimes)
--- a/internal/fleetsim/recorder.go
+++ b/internal/fleetsim/recorder.go
@@ -13,19 +13,19 @@
 
 // recorder is told what happens on the workers: it has the rules checked and takes the times.
 type recorder struct {
-	ledger *rules.Ledger
-	now    func() time.Duration
-	spread *spreading
+	ledger     *rules.Ledger
+	now        func() time.Duration
+	placements *placementTracker
 
-	mu        sync.Mutex
-	jobs      map[string]*jobTimes
-	classes   map[string]*measure.Histogram // start times by class
-	urgent    *measure.Histogram            // from submission until all of an urgent job runs
-	started   int64
-	completed int64
-	onMachine int64
-	newest    uint64 // highest token of a start
-	failovers []Failover
+	mu              sync.Mutex
+	jobs            map[string]*jobTimes
+	classes         map[string]*measure.Histogram // start times by class
+	urgent          *measure.Histogram            // from submission until all of an urgent job runs
+	started         int64
+	completed       int64
+	onMachine       int64
+	maxFencingToken uint64 // highest token of a start
+	failovers       []Failover
 }
 
 // jobTimes is what is measured of a job.
@@ -40,18 +40,18 @@
 type Failover struct {
 	AtS float64 `json:"at_s"`
 	// NextStartS is the time to the next start that another leader gave; 0: there was none.
-	NextStartS float64 `json:"next_start_s"`
-	Controller string  `json:"controller"`
-	token      uint64
+	NextStartS   float64 `json:"next_start_s"`
+	Controller   string  `json:"controller"`
+	fencingToken uint64
 }
 
-func newRecorder(ledger *rules.Ledger, now func() time.Duration, spread *spreading) *recorder {
-	return &recorder{ledger: ledger, now: now, spread: spread, jobs: map[string]*jobTimes{}, classes: map[string]*measure.Histogram{}, urgent: measure.NewHistogram()}
+func newRecorder(ledger *rules.Ledger, now func() time.Duration, spread *placementTracker) *recorder {
+	return &recorder{ledger: ledger, now: now, placements: spread, jobs: map[string]*jobTimes{}, classes: map[string]*measure.Histogram{}, urgent: measure.NewHistogram()}
 }
 
 // submit notes a job before it is submitted.
 func (r *recorder) submit(a load.Arrival) {
-	r.spread.submitted(a.Job)
+	r.placements.submitted(a.Job)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobs[a.Job.ID] = &jobTimes{class: a.Class, submitted: r.now(), tasks: a.Job.Tasks, ran: map[int]bool{}}
@@ -60,22 +60,22 @@
 	}
 }
 
-// leaderEnds notes that the leader was killed.
-func (r *recorder) leaderEnds(name string) {
+// leaderKilled notes that the leader was killed.
+func (r *recorder) leaderKilled(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failovers = append(r.failovers, Failover{AtS: r.now().Seconds(), Controller: name, token: r.newest})
+	r.failovers = append(r.failovers, Failover{AtS: r.now().Seconds(), Controller: name, fencingToken: r.maxFencingToken})
 }
 
 // StartReceived counts a start.
 func (r *recorder) StartReceived(s simworker.Start) {
-	r.spread.startReceived(s)
+	r.placements.startReceived(s)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
-	r.newest = max(r.newest, s.Token)
+	r.maxFencingToken = max(r.maxFencingToken, s.FencingToken)
 	for i := range r.failovers {
-		if f := &r.failovers[i]; f.NextStartS == 0 && s.Token > f.token && r.now().Seconds() > f.AtS {
+		if f := &r.failovers[i]; f.NextStartS == 0 && s.FencingToken > f.fencingToken && r.now().Seconds() > f.AtS {
 			f.NextStartS = r.now().Seconds() - f.AtS
 		}
 	}
@@ -84,7 +84,7 @@
 // TaskRuns takes the time of a task's first start.
 func (r *recorder) TaskRuns(machine, task string) {
 	r.ledger.TaskRuns(machine, task)
-	r.spread.runs(machine, task)
+	r.placements.taskRuns(machine, task)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onMachine++
@@ -104,7 +104,7 @@
 // TaskEnds counts a task's end.
 func (r *recorder) TaskEnds(machine, task string, done bool) {
 	r.ledger.TaskEnds(machine, task, done)
-	r.spread.ends(task)
+	r.placements.taskEnds(task)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onMachine--
--- a/internal/fleetsim/relay.go
+++ b/internal/fleetsim/relay.go
@@ -12,16 +12,16 @@
 // relay passes the connections of one controller to another one on, so that what they exchange can be
 // counted and cut off. While it is cut, bytes are held back and delivered when that ends.
 type relay struct {
-	from, to string // controllers
-	target   string // address
-	listener net.Listener
-	traffic  *measure.Traffic
+	source, target string // controllers
+	targetAddress  string // address
+	listener       net.Listener
+	traffic        *measure.Traffic
 
-	mu    sync.Mutex
-	open  *sync.Cond
-	cut   bool
-	ended bool
-	conns map[net.Conn]bool
+	mu          sync.Mutex
+	open        *sync.Cond
+	partitioned bool
+	closed      bool
+	conns       map[net.Conn]bool
 }
 
 func newRelay(from, to, target string, traffic *measure.Traffic) (*relay, error) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{from: from, to: to, target: target, listener: l, traffic: traffic, conns: map[net.Conn]bool{}}
+	r := &relay{source: from, target: to, targetAddress: target, listener: l, traffic: traffic, conns: map[net.Conn]bool{}}
 	r.open = sync.NewCond(&r.mu)
 	go r.serve()
 	return r, nil
@@ -49,28 +49,28 @@
 
 // connect passes a connection on until one of its sides ends it.
 func (r *relay) connect(in net.Conn) {
-	defer r.forget(in)
-	if !r.keep(in) || !r.pass() {
+	defer r.drop(in)
+	if !r.track(in) || !r.waitUntilOpen() {
 		return
 	}
-	out, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.target)
+	out, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.targetAddress)
 	if err != nil {
 		return
 	}
-	defer r.forget(out)
-	if !r.keep(out) {
+	defer r.drop(out)
+	if !r.track(out) {
 		return
 	}
 	go func() {
 		r.copy(out, in, func(n int) {
-			r.traffic.Bytes(r.from, measure.KindPeer, 0, n)
-			r.traffic.Bytes(r.to, measure.KindPeer, n, 0)
+			r.traffic.Bytes(r.source, measure.KindPeer, 0, n)
+			r.traffic.Bytes(r.target, measure.KindPeer, n, 0)
 		})
-		r.forget(out)
+		r.drop(out)
 	}()
 	r.copy(in, out, func(n int) {
-		r.traffic.Bytes(r.from, measure.KindPeer, n, 0)
-		r.traffic.Bytes(r.to, measure.KindPeer, 0, n)
+		r.traffic.Bytes(r.source, measure.KindPeer, n, 0)
+		r.traffic.Bytes(r.target, measure.KindPeer, 0, n)
 	})
 }
 
@@ -82,7 +82,7 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !r.pass() {
+			if !r.waitUntilOpen() {
 				return
 			}
 			count(n)
@@ -96,34 +96,34 @@
 	}
 }
 
-// pass waits while the relay is cut; false if it has ended.
-func (r *relay) pass() bool {
+// waitUntilOpen waits while the relay is cut; false if it has ended.
+func (r *relay) waitUntilOpen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.cut && !r.ended {
+	for r.partitioned && !r.closed {
 		r.open.Wait()
 	}
-	return !r.ended
+	return !r.closed
 }
 
-func (r *relay) setCut(cut bool) {
+func (r *relay) setPartitioned(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
+	r.partitioned = cut
 	r.open.Broadcast()
 }
 
-// keep remembers a connection until forget; false if the relay has ended.
-func (r *relay) keep(c net.Conn) bool {
+// track remembers a connection until forget; false if the relay has ended.
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.ended {
+	if !r.closed {
 		r.conns[c] = true
 	}
-	return !r.ended
+	return !r.closed
 }
 
-func (r *relay) forget(c net.Conn) {
+func (r *relay) drop(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
@@ -133,7 +133,7 @@
 func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = true
+	r.closed = true
 	r.open.Broadcast()
 	_ = r.listener.Close()
 	for c := range r.conns {
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -13,7 +13,7 @@
 // Second is what was counted in a second of a run.
 type Second struct {
 	AtS        float64 `json:"at_s"`
-	Asked      int64   `json:"asked"`   // tasks submitted
+	Requested  int64   `json:"asked"`   // tasks submitted
 	Started    int64   `json:"started"` // starts that workers took in
 	Completed  int64   `json:"completed"`
 	OnMachine  int64   `json:"on_machine"`
@@ -24,12 +24,12 @@
 
 // ProcessResult is what a process used, and its messages by kind.
 type ProcessResult struct {
-	Name    string                           `json:"name"`
-	Zone    string                           `json:"zone,omitempty"`
-	Led     bool                             `json:"led"`
-	Usage   measure.Usage                    `json:"usage"`
-	Traffic map[simworker.Kind]measure.Count `json:"traffic,omitempty"`
-	Samples []measure.Sample                 `json:"samples"`
+	Name    string                                  `json:"name"`
+	Zone    string                                  `json:"zone,omitempty"`
+	Led     bool                                    `json:"led"`
+	Usage   measure.Usage                           `json:"usage"`
+	Traffic map[simworker.MessageKind]measure.Count `json:"traffic,omitempty"`
+	Samples []measure.Sample                        `json:"samples"`
 }
 
 // WorkerResult is the traffic of the workers, in bytes a second over windows of five seconds, both ways.
@@ -61,36 +61,36 @@
 	// Spread is what became of the services' weights and zones.
 	Spread SpreadResult `json:"spread"`
 
-	Asked          int64   `json:"asked"`
+	Requested      int64   `json:"asked"`
 	Started        int64   `json:"started"`
 	Completed      int64   `json:"completed"`
-	AskedPerS      float64 `json:"asked_per_s"`
+	RequestedPerS  float64 `json:"asked_per_s"`
 	StartedPerS    float64 `json:"started_per_s"`
 	PeakStartsPerS float64 `json:"peak_starts_per_s"` // over ten seconds
 	PeakOnMachine  int64   `json:"peak_on_machine"`
 
-	Jobs        JobCounts                        `json:"jobs"`
-	SubmitTimes measure.Summary                  `json:"submit_ms"`
-	StartTimes  map[string]measure.Summary       `json:"start_ms"`  // by class, from submission
-	UrgentTimes measure.Summary                  `json:"urgent_ms"` // from submission until all of a job runs
-	Failovers   []Failover                       `json:"failovers"`
-	Workers     WorkerResult                     `json:"workers"`
-	Processes   []ProcessResult                  `json:"processes"`
-	Direct      map[simworker.Kind]measure.Count `json:"direct"` // messages of controllers to workers
-	Seconds     []Second                         `json:"seconds"`
+	Jobs        JobCounts                               `json:"jobs"`
+	SubmitTimes measure.Summary                         `json:"submit_ms"`
+	StartTimes  map[string]measure.Summary              `json:"start_ms"`  // by class, from submission
+	UrgentTimes measure.Summary                         `json:"urgent_ms"` // from submission until all of a job runs
+	Failovers   []Failover                              `json:"failovers"`
+	Workers     WorkerResult                            `json:"workers"`
+	Processes   []ProcessResult                         `json:"processes"`
+	Direct      map[simworker.MessageKind]measure.Count `json:"direct"` // messages of controllers to workers
+	Seconds     []Second                                `json:"seconds"`
 }
 
 // endedInTime is the reason of an end that nothing else has caused.
 const endedInTime = "in time"
 
 // result sums a run up.
-func (r *run) result(err error) *Result {
+func (r *simulation) result(err error) *Result {
 	s := r.scenario
 	now := r.recorder.totals()
 	measured := max(1, r.now().Seconds()-s.WarmUpS)
 	res := &Result{Scenario: s, Ended: endedInTime, DurationS: r.now().Seconds(), Violations: r.ledger.Violations(),
-		Asked: r.generator.Tasks(), Started: now.started, Completed: now.completed,
-		AskedPerS: float64(r.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
+		Requested: r.generator.Tasks(), Started: now.started, Completed: now.completed,
+		RequestedPerS: float64(r.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
 		PeakStartsPerS: peakStarts(r.seconds), SubmitTimes: r.users.SubmitTimes.Summary(), UrgentTimes: r.recorder.urgent.Summary(),
 		StartTimes: map[string]measure.Summary{}, Failovers: r.recorder.failovers, Seconds: r.seconds,
 		Direct: r.traffic.Of(simworker.AnyController),
@@ -100,7 +100,7 @@
 		res.Ended = err.Error()
 	}
 	res.Rollouts, res.BrokenRollout = r.rollouts.results()
-	res.Spread = r.recorder.spread.sum(r.fleet)
+	res.Spread = r.recorder.placements.summary(r.fleet)
 	for class, h := range r.recorder.classes {
 		res.StartTimes[class] = h.Summary()
 	}
@@ -110,7 +110,7 @@
 		led[second.Leader] = true
 	}
 	res.Workers = WorkerResult{s.workers(), r.workers.windows.Summary(), r.workers.peak}
-	for _, x := range r.controllers.all {
+	for _, x := range r.controllers.list {
 		res.Processes = append(res.Processes, ProcessResult{x.name, x.zone, led[x.name], x.usage.Usage(s.WarmUpS), r.traffic.Of(x.name), x.usage.Samples})
 	}
 	res.Processes = append(res.Processes, ProcessResult{Name: r.self.Name, Usage: r.self.Usage(s.WarmUpS), Samples: r.self.Samples})
--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -24,19 +24,19 @@
 
 // Model is a model whose new version is rolled out.
 type Model struct {
-	Name            string  `json:"name"`
-	Mode            Mode    `json:"mode"`
-	AtS             float64 `json:"at_s"`     // when the plan is applied
-	Jobs            int     `json:"jobs"`     // of each version
-	Replicas        int     `json:"replicas"` // of each job
-	GPUs            float64 `json:"gpus"`     // of each replica
-	ReplicaCapacity float64 `json:"replica_capacity"`
-	Promised        float64 `json:"promised_capacity"`
-	BakeS           float64 `json:"bake_s"`
-	Routers         int     `json:"routers"`
-	RequestsPerS    float64 `json:"requests_per_s"`
-	Wrong           *Wrong  `json:"wrong,omitempty"`
-	CutRouter       *Cut    `json:"cut_router,omitempty"`
+	Name            string     `json:"name"`
+	Mode            Mode       `json:"mode"`
+	AtS             float64    `json:"at_s"`     // when the plan is applied
+	Jobs            int        `json:"jobs"`     // of each version
+	Replicas        int        `json:"replicas"` // of each job
+	GPUs            float64    `json:"gpus"`     // of each replica
+	ReplicaCapacity float64    `json:"replica_capacity"`
+	Promised        float64    `json:"promised_capacity"`
+	BakeS           float64    `json:"bake_s"`
+	Routers         int        `json:"routers"`
+	RequestsPerS    float64    `json:"requests_per_s"`
+	Wrong           *Wrong     `json:"wrong,omitempty"`
+	RouterPartition *Partition `json:"cut_router,omitempty"`
 	// Expect is the phase in which the plan is to end.
 	Expect rollout.Phase `json:"expect,omitempty"`
 }
@@ -48,8 +48,8 @@
 	Every  int64         `json:"every"`   // of so many requests one
 }
 
-// Cut cuts the first router off from all controllers.
-type Cut struct {
+// Partition cuts the first router off from all controllers.
+type Partition struct {
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
 }
@@ -82,8 +82,8 @@
 		Image: m.Name + "-" + string(version), ImageGB: 2}}
 }
 
-// checkScript compares the text of a completion.
-const checkScript = `def check(request, answer, expected):
+// compareScript compares the text of a completion.
+const compareScript = `def check(request, answer, expected):
     return answer["choices"][0]["text"] == expected["choices"][0]["text"]
 `
 
@@ -99,7 +99,7 @@
 		New: rollout.Fleet{Jobs: m.jobIDs(model, rollout.NewVersion), ReplicaCapacity: m.ReplicaCapacity},
 		Checks: []rollout.Check{
 			{Name: "given", Request: json.RawMessage(`{"model":"m","prompt":"border post"}`), Expected: json.RawMessage(`"BORDER POST"`), Script: givenScript},
-			{Name: "as before", Request: json.RawMessage(`{"model":"m","prompt":"goods code"}`), CompareWithOld: true, Script: checkScript}},
+			{Name: "as before", Request: json.RawMessage(`{"model":"m","prompt":"goods code"}`), CompareWithOld: true, Script: compareScript}},
 		Limits: rollout.Limits{WaitS: 120, UnreachableS: 60, RouterGoneS: 30, KeepS: 3600}}
 	if m.Mode == AtOnce {
 		p.Steps = []rollout.Step{{Jobs: p.New.Jobs, Share: 1, BakeS: m.BakeS}}
--- a/internal/fleetsim/rolling/result.go
+++ b/internal/fleetsim/rolling/result.go
@@ -17,17 +17,17 @@
 
 // Result is what the rollout of a model came to.
 type Result struct {
-	Model    Model   `json:"model"`
-	Phase    string  `json:"phase"` // in the end
-	Reason   string  `json:"reason,omitempty"`
-	Events   []Event `json:"events"`
-	Samples  []Point `json:"samples"`
-	LeastS   float64 `json:"least_served_at_s"`
-	Least    float64 `json:"least_served_over_promised"` // capacity that the worst router reaches
-	Dips     int     `json:"dips"`                       // samples below the promise
-	Extra    float64 `json:"extra_replica_s"`            // beyond what the old version has
-	Requests int64   `json:"requests"`
-	Wrong    int64   `json:"wrong"`
+	Model               Model   `json:"model"`
+	Phase               string  `json:"phase"` // in the end
+	Reason              string  `json:"reason,omitempty"`
+	Events              []Event `json:"events"`
+	Samples             []Point `json:"samples"`
+	MinServedAtS        float64 `json:"least_served_at_s"`
+	MinServed           float64 `json:"least_served_over_promised"` // capacity that the worst router reaches
+	SamplesBelowPromise int     `json:"dips"`                       // samples below the promise
+	ExtraReplicaS       float64 `json:"extra_replica_s"`            // beyond what the old version has
+	Requests            int64   `json:"requests"`
+	Wrong               int64   `json:"wrong"`
 	// WrongAfter are wrong answers to users after the plan was seen to roll back, and WrongForS is the time from the first
 	// wrong answer to the last one.
 	WrongAfter int64   `json:"wrong_after_detection"`
@@ -35,8 +35,8 @@
 	Lost       int64   `json:"lost"`    // no replica has answered
 	Doubled    int64   `json:"doubled"` // an answer to another request
 	Retried    int64   `json:"retried"`
-	// BlindS is the longest time in which no controller could say how the plan stands, as after a leader's end.
-	BlindS float64 `json:"longest_without_status_s"`
+	// MaxWithoutStatusS is the longest time in which no controller could say how the plan stands, as after a leader's end.
+	MaxWithoutStatusS float64 `json:"longest_without_status_s"`
 }
 
 // Event is something that happened.
@@ -61,32 +61,32 @@
 }
 
 // sample takes what routers reach now.
-func (p *Play) sample() {
+func (p *Rollout) sample() {
 	served, running := p.served()
-	now := p.world.Now()
+	now := p.environment.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	point := Point{AtS: now.Seconds(), Promised: p.model.Promised, Served: served}
 	if p.status != nil {
 		point.Proved, point.NewShare = p.status.GetOldCapacity()+p.status.GetNewCapacity(), p.status.GetNewShare()
-		p.result.BlindS = max(p.result.BlindS, (now - p.seenAt).Seconds())
+		p.result.MaxWithoutStatusS = max(p.result.MaxWithoutStatusS, (now - p.statusAt).Seconds())
 	}
 	p.result.Samples = append(p.result.Samples, point)
-	p.result.Extra += float64(max(0, running-p.model.Jobs*p.model.Replicas)) * sampleInterval.Seconds()
+	p.result.ExtraReplicaS += float64(max(0, running-p.model.Jobs*p.model.Replicas)) * sampleInterval.Seconds()
 	over := served / p.model.Promised
-	if p.result.LeastS == 0 || over < p.result.Least {
-		p.result.Least, p.result.LeastS = over, now.Seconds()
+	if p.result.MinServedAtS == 0 || over < p.result.MinServed {
+		p.result.MinServed, p.result.MinServedAtS = over, now.Seconds()
 	}
 	if served < p.model.Promised {
-		p.result.Dips++
+		p.result.SamplesBelowPromise++
 	}
 }
 
 // served gives the capacity that the worst router reaches, and how many replicas run. Without a plan there are no
 // routers: then all that runs is reached.
-func (p *Play) served() (capacity float64, running int) {
+func (p *Rollout) served() (capacity float64, running int) {
 	for _, id := range append(append([]string{}, p.old...), p.new...) {
-		running += p.world.Fleet.Running(id)
+		running += p.environment.Fleet.Running(id)
 	}
 	if p.model.Mode == Replace {
 		return float64(running) * p.model.ReplicaCapacity, running
@@ -109,13 +109,13 @@
 }
 
 // serves tells whether a replica runs where a router sends requests, and answers rightly.
-func (p *Play) serves(w *operatorpb.Weight) bool {
+func (p *Rollout) serves(w *operatorpb.Weight) bool {
 	host, _, err := net.SplitHostPort(w.GetAddress())
-	return err == nil && p.world.Fleet.Serves(host, w.GetTask()) && !p.IsWrong(w.GetTask(), 0)
+	return err == nil && p.environment.Fleet.Serves(host, w.GetTask()) && !p.IsWrong(w.GetTask(), 0)
 }
 
-// load sends requests by all routers.
-func (p *Play) load(ctx context.Context) {
+// sendLoad sends requests by all routers.
+func (p *Rollout) sendLoad(ctx context.Context) {
 	every := time.Duration(float64(time.Second) / p.model.RequestsPerS)
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -139,7 +139,7 @@
 }
 
 // request sends a request and judges the answer.
-func (p *Play) request(ctx context.Context, r *simrouter.Router, prompt string) {
+func (p *Rollout) request(ctx context.Context, r *simrouter.Router, prompt string) {
 	body, err := json.Marshal(simmodelserver.Request{Model: p.model.Name, Prompt: prompt})
 	if err != nil {
 		return
@@ -154,13 +154,13 @@
 		c.lost.Add(1)
 		return
 	}
-	if served.Tries > 1 {
+	if served.Attempts > 1 {
 		c.retried.Add(1)
 	}
 	var answer simmodelserver.Completion
-	right := simmodelserver.Right(prompt)
+	right := simmodelserver.ExpectedText(prompt)
 	switch {
-	case json.Unmarshal(served.Answer, &answer) != nil || len(answer.Choices) != 1:
+	case json.Unmarshal(served.Body, &answer) != nil || len(answer.Choices) != 1:
 		c.lost.Add(1)
 	case answer.Choices[0].Text == "?"+right:
 		p.wrongAnswer()
@@ -169,20 +169,20 @@
 	}
 }
 
-func (p *Play) wrongAnswer() {
-	now := p.world.Now()
+func (p *Rollout) wrongAnswer() {
+	now := p.environment.Now()
 	p.requests.wrong.Add(1)
 	p.requests.firstWrong.CompareAndSwap(0, int64(now))
 	p.requests.lastWrong.Store(int64(now))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.rollsAt > 0 && now > p.rollsAt {
+	if p.rollbackAt > 0 && now > p.rollbackAt {
 		p.requests.wrongAfter.Add(1)
 	}
 }
 
-// finish sums up.
-func (p *Play) finish() {
+// summarize sums up.
+func (p *Rollout) summarize() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c, r := &p.requests, &p.result
@@ -194,15 +194,15 @@
 }
 
 // Result gives what it came to, after Run has returned.
-func (p *Play) Result() Result { return p.result }
+func (p *Rollout) Result() Result { return p.result }
 
-// Broken tells what the rollout did not keep; "" if it kept all. Baselines promise nothing.
-func (r *Result) Broken() string {
+// BrokenPromise tells what the rollout did not keep; "" if it kept all. Baselines promise nothing.
+func (r *Result) BrokenPromise() string {
 	switch {
 	case r.Model.Mode != Steps:
 		return ""
-	case r.Dips > 0:
-		return fmt.Sprintf("%s: served capacity was %.2f of the promise at %.1f s", r.Model.Name, r.Least, r.LeastS)
+	case r.SamplesBelowPromise > 0:
+		return fmt.Sprintf("%s: served capacity was %.2f of the promise at %.1f s", r.Model.Name, r.MinServed, r.MinServedAtS)
 	case r.Lost > 0 || r.Doubled > 0:
 		return fmt.Sprintf("%s: %d answers were lost and %d doubled", r.Model.Name, r.Lost, r.Doubled)
 	case r.Model.Expect != "" && rollout.Phase(r.Phase) != r.Model.Expect:
--- a/internal/fleetsim/rolling/rolling_test.go
+++ b/internal/fleetsim/rolling/rolling_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := rollout.ParsePlan(text, adminapi.MostPlanBytes)
+		plan, err := rollout.ParsePlan(text, adminapi.MaxPlanBytes)
 		if err != nil || len(plan.Steps) != steps || adminapi.CompileChecks(plan) != nil {
 			t.Errorf("%s: %+v, %v", mode, plan, err)
 		}
@@ -31,18 +31,18 @@
 func TestBroken(t *testing.T) {
 	for want, r := range map[string]Result{
 		"":              {Model: model(Steps), Phase: "completed"},
-		"0.57":          {Model: model(Steps), Phase: "completed", Dips: 5, Least: 0.57},
+		"0.57":          {Model: model(Steps), Phase: "completed", SamplesBelowPromise: 5, MinServed: 0.57},
 		"1 answers":     {Model: model(Steps), Phase: "completed", Lost: 1},
 		"2 doubled":     {Model: model(Steps), Phase: "completed", Doubled: 2},
 		"rolled_back":   {Model: model(Steps), Phase: "rolled_back"},
 		"not completed": {Model: model(Steps)},
 	} {
-		if got := r.Broken(); (want == "") != (got == "") || !strings.Contains(got, want) {
+		if got := r.BrokenPromise(); (want == "") != (got == "") || !strings.Contains(got, want) {
 			t.Errorf("%q: %q", want, got)
 		}
 	}
-	baseline := Result{Model: model(Replace), Dips: 5}
-	if got := baseline.Broken(); got != "" {
+	baseline := Result{Model: model(Replace), SamplesBelowPromise: 5}
+	if got := baseline.BrokenPromise(); got != "" {
 		t.Errorf("a baseline promises nothing: %q", got)
 	}
 }
--- a/internal/fleetsim/rolling/run.go
+++ b/internal/fleetsim/rolling/rollout.go
@@ -19,8 +19,8 @@
 	"bitternwing/internal/simworker"
 )
 
-// World is what models are played in.
-type World struct {
+// Environment is what models are played in.
+type Environment struct {
 	Binary      string   // of the product, for its commands
 	Dir         string   // for plans
 	Controllers []string // internal addresses
@@ -35,31 +35,31 @@
 const (
 	routerInterval = 500 * time.Millisecond
 	sampleInterval = 200 * time.Millisecond
-	commandTime    = time.Minute
+	commandTimeout = time.Minute
 )
 
-// Play is the rollout of a model while it is played.
-type Play struct {
-	model    Model
-	index    int
-	team     string
-	world    *World
-	operator *adminapi.Client
-	routers  []*simrouter.Router
-	old, new []string
-
-	mu       sync.Mutex
-	status   *operatorpb.PlanStatus // as last seen
-	seenAt   time.Duration
-	wrongAt  time.Duration // 0: nothing is wrong yet
-	rollsAt  time.Duration // when it was first seen to roll back
-	result   Result
-	requests requestCounts
+// Rollout is the rollout of a model while it is played.
+type Rollout struct {
+	model       Model
+	index       int
+	team        string
+	environment *Environment
+	operator    *adminapi.Client
+	routers     []*simrouter.Router
+	old, new    []string
+
+	mu         sync.Mutex
+	status     *operatorpb.PlanStatus // as last seen
+	statusAt   time.Duration
+	wrongFrom  time.Duration // 0: nothing is wrong yet
+	rollbackAt time.Duration // when it was first seen to roll back
+	result     Result
+	requests   requestCounts
 }
 
 // New prepares the rollout of a model, with a number among all models of the run.
-func New(model Model, index int, world *World) (*Play, error) {
-	p := &Play{model: model, index: index, team: world.Teams[index%len(world.Teams)], world: world,
+func New(model Model, index int, world *Environment) (*Rollout, error) {
+	p := &Rollout{model: model, index: index, team: world.Teams[index%len(world.Teams)], environment: world,
 		old: model.jobIDs(index, rollout.OldVersion), new: model.jobIDs(index, rollout.NewVersion)}
 	var err error
 	if p.operator, err = adminapi.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
@@ -79,7 +79,7 @@
 }
 
 // Run plays the rollout until the context ends.
-func (p *Play) Run(ctx context.Context) {
+func (p *Rollout) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	background := func(f func(context.Context)) {
@@ -87,7 +87,7 @@
 		go func() { defer running.Done(); f(ctx) }()
 	}
 	for _, id := range p.old {
-		p.world.Submit(ctx, p.model.arrival(id, p.team, rollout.OldVersion))
+		p.environment.Submit(ctx, p.model.arrival(id, p.team, rollout.OldVersion))
 	}
 	p.sleepUntil(ctx, config.Seconds(p.model.AtS))
 	if p.model.Mode == Replace {
@@ -97,10 +97,10 @@
 		for _, r := range p.routers {
 			background(r.Run)
 		}
-		background(p.load)
-		background(p.cutRouter)
+		background(p.sendLoad)
+		background(p.partitionRouter)
 	}
-	p.measure(ctx)
+	p.sampleUntilDone(ctx)
 	for _, r := range p.routers {
 		defer r.Close()
 	}
@@ -108,35 +108,35 @@
 }
 
 // sleepUntil waits for a moment of the run.
-func (p *Play) sleepUntil(ctx context.Context, moment time.Duration) {
+func (p *Rollout) sleepUntil(ctx context.Context, moment time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(moment - p.world.Now()):
+	case <-time.After(moment - p.environment.Now()):
 	}
 }
 
 // apply has the owner apply the plan by the command, and submit the new jobs.
-func (p *Play) apply(ctx context.Context) {
+func (p *Rollout) apply(ctx context.Context) {
 	plan, err := p.model.plan(p.index, p.team)
-	file := filepath.Join(p.world.Dir, p.model.Name+".plan.json")
+	file := filepath.Join(p.environment.Dir, p.model.Name+".plan.json")
 	if err == nil {
 		err = os.WriteFile(file, plan, 0o600)
 	}
 	if err == nil {
 		err = p.command(ctx, "apply", file)
 	}
-	p.note("plan applied", err)
+	p.recordEvent("plan applied", err)
 	for _, id := range p.new {
-		p.world.Submit(ctx, p.model.arrival(id, p.team, rollout.NewVersion))
+		p.environment.Submit(ctx, p.model.arrival(id, p.team, rollout.NewVersion))
 	}
 }
 
 // command runs a command for rollouts, as operators do.
-func (p *Play) command(ctx context.Context, args ...string) error {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+func (p *Rollout) command(ctx context.Context, args ...string) error {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	args = append([]string{"rollout"}, args...)
-	out, err := exec.CommandContext(ctx, p.world.Binary, append(args, "--controller", p.world.Controllers[p.index%len(p.world.Controllers)])...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, p.environment.Binary, append(args, "--controller", p.environment.Controllers[p.index%len(p.environment.Controllers)])...).CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(out)))
 	}
@@ -144,65 +144,65 @@
 }
 
 // replace cancels the old jobs as it submits the new ones.
-func (p *Play) replace(ctx context.Context) {
-	p.note("old jobs cancelled, new ones submitted", nil)
+func (p *Rollout) replace(ctx context.Context) {
+	p.recordEvent("old jobs cancelled, new ones submitted", nil)
 	for i := range p.old {
-		go p.world.Cancel(ctx, p.old[i])
-		p.world.Submit(ctx, p.model.arrival(p.new[i], p.team, rollout.NewVersion))
+		go p.environment.Cancel(ctx, p.old[i])
+		p.environment.Submit(ctx, p.model.arrival(p.new[i], p.team, rollout.NewVersion))
 	}
 }
 
-// cutRouter cuts the first router off for a while.
-func (p *Play) cutRouter(ctx context.Context) {
-	cut := p.model.CutRouter
+// partitionRouter cuts the first router off for a while.
+func (p *Rollout) partitionRouter(ctx context.Context) {
+	cut := p.model.RouterPartition
 	if cut == nil {
 		return
 	}
 	p.sleepUntil(ctx, config.Seconds(cut.AtS))
-	p.routers[0].SetCut(true)
-	p.note("router cut off", nil)
+	p.routers[0].SetPartitioned(true)
+	p.recordEvent("router cut off", nil)
 	p.sleepUntil(ctx, config.Seconds(cut.AtS+cut.ForS))
-	p.routers[0].SetCut(false)
-	p.note("router back", nil)
+	p.routers[0].SetPartitioned(false)
+	p.recordEvent("router back", nil)
 }
 
-// note keeps an event.
-func (p *Play) note(what string, err error) {
+// recordEvent keeps an event.
+func (p *Rollout) recordEvent(what string, err error) {
 	if err != nil {
 		what += ": " + err.Error()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.result.Events = append(p.result.Events, Event{AtS: p.world.Now().Seconds(), What: what})
+	p.result.Events = append(p.result.Events, Event{AtS: p.environment.Now().Seconds(), What: what})
 }
 
 // IsWrong tells whether a task answers a request wrongly now.
-func (p *Play) IsWrong(task string, request int64) bool {
+func (p *Rollout) IsWrong(task string, request int64) bool {
 	w := p.model.Wrong
 	if w == nil || !strings.HasPrefix(task, p.new[0]+"/") || request%w.Every != 0 {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.wrongAt > 0 && p.world.Now() >= p.wrongAt
+	return p.wrongFrom > 0 && p.environment.Now() >= p.wrongFrom
 }
 
-// measure takes samples until the context ends.
-func (p *Play) measure(ctx context.Context) {
+// sampleUntilDone takes samples until the context ends.
+func (p *Rollout) sampleUntilDone(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	asking := make(chan struct{}, 1)
 	for {
 		select {
 		case <-ctx.Done():
-			p.finish()
+			p.summarize()
 			return
 		case <-ticker.C:
 		}
 		if p.model.Mode != Replace {
 			select {
 			case asking <- struct{}{}:
-				go func() { p.look(ctx); <-asking }()
+				go func() { p.refreshStatus(ctx); <-asking }()
 			default: // the last question has no answer yet
 			}
 		}
@@ -210,15 +210,15 @@
 	}
 }
 
-// look asks how the plan stands.
-func (p *Play) look(ctx context.Context) {
+// refreshStatus asks how the plan stands.
+func (p *Rollout) refreshStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	status, err := p.operator.Show(ctx, p.model.Name)
 	if err != nil {
 		return
 	}
-	now := p.world.Now()
+	now := p.environment.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.status == nil || p.status.GetPhase() != status.GetPhase() || p.status.GetStep() != status.GetStep() {
@@ -228,12 +228,12 @@
 		}
 		p.result.Events = append(p.result.Events, Event{AtS: now.Seconds(), What: what})
 	}
-	p.status, p.seenAt = status, now
+	p.status, p.statusAt = status, now
 	phase := rollout.Phase(status.GetPhase())
-	if w := p.model.Wrong; w != nil && p.wrongAt == 0 && phase == w.Phase {
-		p.wrongAt = now + config.Seconds(w.AfterS)
+	if w := p.model.Wrong; w != nil && p.wrongFrom == 0 && phase == w.Phase {
+		p.wrongFrom = now + config.Seconds(w.AfterS)
 	}
-	if phase == rollout.RollingBack && p.rollsAt == 0 {
-		p.rollsAt = now
+	if phase == rollout.RollingBack && p.rollbackAt == 0 {
+		p.rollbackAt = now
 	}
 }
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -14,11 +14,11 @@
 // rollouts are the models of a run whose new version is rolled out, with their model servers; nil: there are none.
 type rollouts struct {
 	servers *simmodelserver.Server
-	plays   []*rolling.Play
+	models  []*rolling.Rollout
 }
 
 // setUpRollouts starts the model servers and prepares what is to be rolled out.
-func (r *run) setUpRollouts(teams []string) error {
+func (r *simulation) setUpRollouts(teams []string) error {
 	if len(r.scenario.Rollouts) == 0 {
 		return nil
 	}
@@ -27,23 +27,23 @@
 		return err
 	}
 	r.rollouts = &rollouts{servers: simmodelserver.New(listener, r.fleet)}
-	world := &rolling.World{Binary: r.options.Binary, Dir: r.options.Dir, Teams: teams, Fleet: r.fleet, Now: r.now,
+	world := &rolling.Environment{Binary: r.options.Binary, Dir: r.options.Dir, Teams: teams, Fleet: r.fleet, Now: r.now,
 		Cancel: r.users.Cancel, Submit: func(ctx context.Context, a load.Arrival) {
 			r.recorder.submit(a)
-			r.users.Play(ctx, a)
+			r.users.Start(ctx, a)
 		}}
-	for _, x := range r.controllers.all {
-		world.Controllers = append(world.Controllers, x.internal)
+	for _, x := range r.controllers.list {
+		world.Controllers = append(world.Controllers, x.internalAddress)
 	}
 	for i, model := range r.scenario.Rollouts {
 		play, err := rolling.New(model, i, world)
 		if err != nil {
 			return err
 		}
-		r.rollouts.plays = append(r.rollouts.plays, play)
+		r.rollouts.models = append(r.rollouts.models, play)
 	}
 	r.rollouts.servers.SetWrong(func(task string, request int64) bool {
-		for _, play := range r.rollouts.plays {
+		for _, play := range r.rollouts.models {
 			if play.IsWrong(task, request) {
 				return true
 			}
@@ -61,13 +61,13 @@
 	return x.servers.Port()
 }
 
-// play plays all rollouts until the context ends.
-func (x *rollouts) play(ctx context.Context) *sync.WaitGroup {
+// start plays all rollouts until the context ends.
+func (x *rollouts) start(ctx context.Context) *sync.WaitGroup {
 	var running sync.WaitGroup
 	if x == nil {
 		return &running
 	}
-	for _, play := range x.plays {
+	for _, play := range x.models {
 		running.Add(1)
 		go func() { defer running.Done(); play.Run(ctx) }()
 	}
@@ -79,10 +79,10 @@
 	if x == nil {
 		return nil, ""
 	}
-	for _, play := range x.plays {
+	for _, play := range x.models {
 		result := play.Result()
 		if broken == "" {
-			broken = result.Broken()
+			broken = result.BrokenPromise()
 		}
 		all = append(all, result)
 	}
--- a/internal/fleetsim/rules/ledger.go
+++ b/internal/fleetsim/rules/ledger.go
@@ -31,8 +31,8 @@
 	Message string  `json:"message"`
 }
 
-// mostKept bounds the violations that are kept.
-const mostKept = 100
+// maxViolations bounds the violations that are kept.
+const maxViolations = 100
 
 // tolerance is what amounts may be off by after adding and subtracting.
 const tolerance = 1e-6
@@ -54,13 +54,13 @@
 
 // job is what is known of a job.
 type job struct {
-	spec        *wire.Job
-	accepted    bool
-	cancelTold  bool
-	cancelledAt time.Duration // when its user was told
-	reported    bool          // that it ran on after that
-	machines    map[int]string
-	done        map[int]bool
+	spec               *wire.Job
+	accepted           bool
+	cancelAcknowledged bool
+	cancelledAt        time.Duration // when its user was told
+	reported           bool          // that it ran on after that
+	machines           map[int]string
+	done               map[int]bool
 }
 
 // NewLedger makes a ledger with a clock. Cancelled jobs have cancelTime to be gone.
@@ -73,39 +73,39 @@
 	return l
 }
 
-// Submit notes a job before it is handed in.
-func (l *Ledger) Submit(spec *wire.Job) {
+// RecordSubmission notes a job before it is handed in.
+func (l *Ledger) RecordSubmission(spec *wire.Job) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[spec.ID] = &job{spec: spec, machines: map[int]string{}, done: map[int]bool{}}
 }
 
-// Accepted notes that a user was told that a job is accepted.
-func (l *Ledger) Accepted(id string) {
+// RecordAccepted notes that a user was told that a job is accepted.
+func (l *Ledger) RecordAccepted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[id].accepted = true
 }
 
-// Told checks a state that a user was told of a job.
-func (l *Ledger) Told(id string, state wire.JobStatus) {
+// RecordStatus checks a state that a user was told of a job.
+func (l *Ledger) RecordStatus(id string, state wire.JobStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
 	switch {
-	case state == wire.JobCancelled && !j.cancelTold:
-		j.cancelTold, j.cancelledAt = true, l.now()
+	case state == wire.JobCancelled && !j.cancelAcknowledged:
+		j.cancelAcknowledged, j.cancelledAt = true, l.now()
 	case state == wire.JobDone && len(j.done) < j.spec.Tasks:
-		l.broken(NotDone, "%s is called done with %d of %d tasks completed", id, len(j.done), j.spec.Tasks)
+		l.recordViolation(NotDone, "%s is called done with %d of %d tasks completed", id, len(j.done), j.spec.Tasks)
 	}
 }
 
-// Unknown checks an answer to a user that there is no such job.
-func (l *Ledger) Unknown(id string) {
+// RecordNotFound checks an answer to a user that there is no such job.
+func (l *Ledger) RecordNotFound(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if j := l.jobs[id]; j != nil && j.accepted {
-		l.broken(Forgotten, "%s was accepted and is unknown now", id)
+		l.recordViolation(Forgotten, "%s was accepted and is unknown now", id)
 	}
 }
 
@@ -118,13 +118,13 @@
 		return
 	}
 	if other, on := j.machines[index]; on {
-		l.broken(RanTwice, "%s starts on %s while it is on %s", task, machine, other)
+		l.recordViolation(RanTwice, "%s starts on %s while it is on %s", task, machine, other)
 	} else {
-		l.use(j, 1)
+		l.addUsage(j, 1)
 	}
 	j.machines[index] = machine
-	if l.late(j) {
-		l.broken(RanCancelled, "%s starts on %s after its job was cancelled", task, machine)
+	if l.cancelOverdue(j) {
+		l.recordViolation(RanCancelled, "%s starts on %s after its job was cancelled", task, machine)
 	}
 	l.checkLimit(j)
 }
@@ -142,7 +142,7 @@
 	}
 	if j.machines[index] == machine {
 		delete(j.machines, index)
-		l.use(j, -1)
+		l.addUsage(j, -1)
 	}
 }
 
@@ -169,12 +169,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, j := range l.jobs {
-		if !l.late(j) || j.reported {
+		if !l.cancelOverdue(j) || j.reported {
 			continue
 		}
 		for index, machine := range j.machines {
 			j.reported = true
-			l.broken(RanCancelled, "%s is on %s, %.1f s after its user was told that it is cancelled",
+			l.recordViolation(RanCancelled, "%s is on %s, %.1f s after its user was told that it is cancelled",
 				wire.TaskName(id, index), machine, (l.now() - j.cancelledAt).Seconds())
 			break
 		}
@@ -188,9 +188,9 @@
 	return append([]Violation(nil), l.violations...)
 }
 
-// late tells whether nothing of a job may be on a machine any more.
-func (l *Ledger) late(j *job) bool {
-	return j.cancelTold && l.now() > j.cancelledAt+l.cancelTime
+// cancelOverdue tells whether nothing of a job may be on a machine any more.
+func (l *Ledger) cancelOverdue(j *job) bool {
+	return j.cancelAcknowledged && l.now() > j.cancelledAt+l.cancelTime
 }
 
 func (l *Ledger) find(task string) (*job, int) {
@@ -201,7 +201,7 @@
 	return l.jobs[id], index
 }
 
-func (l *Ledger) use(j *job, tasks float64) {
+func (l *Ledger) addUsage(j *job, tasks float64) {
 	u := l.used[j.spec.Team]
 	u.gpus += tasks * j.spec.GPUs
 	u.cpus += tasks * j.spec.CPUs
@@ -210,13 +210,13 @@
 func (l *Ledger) checkLimit(j *job) {
 	t, u := l.teams[j.spec.Team], l.used[j.spec.Team]
 	if t.MaxGPUs > 0 && u.gpus > t.MaxGPUs+tolerance || t.MaxCPUs > 0 && u.cpus > t.MaxCPUs+tolerance {
-		l.broken(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", t.Name, u.gpus, t.MaxGPUs, u.cpus, t.MaxCPUs)
+		l.recordViolation(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", t.Name, u.gpus, t.MaxGPUs, u.cpus, t.MaxCPUs)
 	}
 }
 
-// broken keeps a violation. The caller holds the lock.
-func (l *Ledger) broken(rule Rule, format string, args ...any) {
-	if len(l.violations) < mostKept {
+// recordViolation keeps a violation. The caller holds the lock.
+func (l *Ledger) recordViolation(rule Rule, format string, args ...any) {
+	if len(l.violations) < maxViolations {
 		l.violations = append(l.violations, Violation{rule, l.now().Seconds(), fmt.Sprintf(format, args...)})
 	}
 }
--- a/internal/fleetsim/rules/ledger_test.go
+++ b/internal/fleetsim/rules/ledger_test.go
@@ -30,7 +30,7 @@
 		}, func(s setup) { s.ledger.TaskRuns("m1", job+"/2") }},
 		{RanCancelled, func(s setup) {
 			s.ledger.TaskRuns("m1", job+"/0")
-			s.ledger.Told(job, wire.JobCancelled)
+			s.ledger.RecordStatus(job, wire.JobCancelled)
 			*s.now += 30 * time.Second
 			s.ledger.CheckCancelled()
 		}, func(s setup) {
@@ -39,22 +39,22 @@
 			s.ledger.CheckCancelled()
 		}},
 		{RanCancelled, func(s setup) {
-			s.ledger.Told(job, wire.JobCancelled)
+			s.ledger.RecordStatus(job, wire.JobCancelled)
 			*s.now += 31 * time.Second
 			s.ledger.CheckCancelled()
 		}, func(s setup) { s.ledger.TaskRuns("m1", job+"/0") }},
-		{Forgotten, func(s setup) { s.ledger.Unknown(job) }, func(s setup) {
-			s.ledger.Accepted(job)
-			s.ledger.Unknown(job)
+		{Forgotten, func(s setup) { s.ledger.RecordNotFound(job) }, func(s setup) {
+			s.ledger.RecordAccepted(job)
+			s.ledger.RecordNotFound(job)
 		}},
 		{NotDone, func(s setup) {
 			s.ledger.TaskRuns("m1", job+"/0")
 			s.ledger.TaskEnds("m1", job+"/0", true)
-		}, func(s setup) { s.ledger.Told(job, wire.JobDone) }},
+		}, func(s setup) { s.ledger.RecordStatus(job, wire.JobDone) }},
 	} {
 		now := time.Duration(0)
 		l := NewLedger([]config.Team{{Name: "red", MaxGPUs: 2}}, 30*time.Second, func() time.Duration { return now })
-		l.Submit(&wire.Job{ID: job, Team: "red", Tasks: 3, GPUs: 1})
+		l.RecordSubmission(&wire.Job{ID: job, Team: "red", Tasks: 3, GPUs: 1})
 		s := setup{l, &now}
 		test.close(s)
 		if v := l.Violations(); len(v) > 0 {
--- a/internal/fleetsim/run.go
+++ b/internal/fleetsim/run.go
@@ -26,11 +26,11 @@
 
 // Options say where and with what a scenario is played.
 type Options struct {
-	Binary        string // of the controllers
-	Dir           string // for settings, logs and results
-	BasePort      int    // of the controllers; 0: any free ones
-	MostProcesses int
-	Progress      func(Second) // called each second
+	Binary       string // of the controllers
+	Dir          string // for settings, logs and results
+	BasePort     int    // of the controllers; 0: any free ones
+	MaxProcesses int
+	Progress     func(Second) // called each second
 }
 
 // workerMB is what a hollow worker is taken to need of this process, baseMB what all else needs.
@@ -48,17 +48,17 @@
 // ErrPromiseBroken says that a rollout did not keep what it promises.
 var ErrPromiseBroken = errors.New("a rollout did not keep its promise")
 
-// run is a scale run while it lasts.
-type run struct {
-	scenario *Scenario
-	options  Options
-	start    time.Time
-	memoryMB float64 // that all processes may use
+// simulation is a scale run while it lasts.
+type simulation struct {
+	scenario  *Scenario
+	options   Options
+	startedAt time.Time
+	memoryMB  float64 // that all processes may use
 
 	traffic     *measure.Traffic
 	ledger      *rules.Ledger
 	recorder    *recorder
-	state       *emulator.StateServer
+	store       *emulator.StoreServer
 	cloud       *emulator.Cloud
 	fleet       *simworker.Fleet
 	controllers *controllers
@@ -68,24 +68,24 @@
 	self        *measure.Process
 	rollouts    *rollouts
 
-	faults  []scheduled
-	asked   int64
-	seconds []Second
-	last    totals
+	faults         []scheduledAction
+	requestedTasks int64
+	seconds        []Second
+	lastTotals     totals
 }
 
 // Run plays a scenario. The result is there whenever it could be begun, also with an error.
 func Run(ctx context.Context, s *Scenario, o Options) (*Result, error) {
-	r := &run{scenario: s, options: o, start: time.Now()}
-	if err := r.check(); err != nil {
+	r := &simulation{scenario: s, options: o, startedAt: time.Now()}
+	if err := r.checkResources(); err != nil {
 		return nil, err
 	}
 	defer r.close()
 	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	err := r.play(ctx)
-	r.closeChildren()
+	err := r.execute(ctx)
+	r.stopControllers()
 	result := r.result(err)
 	if err == nil && result.BrokenRollout != "" {
 		err = fmt.Errorf("%w: %s", ErrPromiseBroken, result.BrokenRollout)
@@ -96,14 +96,14 @@
 	return result, err
 }
 
-// check refuses a run that the machine can't bear.
-func (r *run) check() error {
+// checkResources refuses a run that the machine can't bear.
+func (r *simulation) checkResources() error {
 	s, o := r.scenario, r.options
 	if _, err := os.Stat(o.Binary); err != nil {
 		return fmt.Errorf("binary: %w", err)
 	}
-	if n := s.Controllers.Count + 1; n > o.MostProcesses {
-		return fmt.Errorf("controllers: %d processes, %d at most", n, o.MostProcesses)
+	if n := s.Controllers.Count + 1; n > o.MaxProcesses {
+		return fmt.Errorf("controllers: %d processes, %d at most", n, o.MaxProcesses)
 	}
 	half, err := measure.HalfOfMemoryMB()
 	if err != nil {
@@ -117,10 +117,10 @@
 	return nil
 }
 
-func (r *run) now() time.Duration { return time.Since(r.start) }
+func (r *simulation) now() time.Duration { return time.Since(r.startedAt) }
 
 // setUp starts the stand-ins, the workers and the controllers.
-func (r *run) setUp() error {
+func (r *simulation) setUp() error {
 	s := r.scenario
 	params := s.params()
 	var teams []string
@@ -129,9 +129,9 @@
 	}
 	r.traffic = measure.NewTraffic()
 	r.ledger = rules.NewLedger(params.Teams, config.Seconds(s.Workers.CancelS), r.now)
-	r.recorder = newRecorder(r.ledger, r.now, newSpreading(r.now, func(machine string) string { return r.fleet.ZoneOf(machine) }))
+	r.recorder = newRecorder(r.ledger, r.now, newPlacementTracker(r.now, func(machine string) string { return r.fleet.ZoneOf(machine) }))
 	r.self = measure.NewProcess("fleetsim", os.Getpid(), 0)
-	r.controllers = &controllers{binary: r.options.Binary, dir: r.options.Dir, now: r.now, died: make(chan string, 16*s.Controllers.Count)}
+	r.controllers = &controllers{binary: r.options.Binary, dir: r.options.Dir, now: r.now, unexpectedExits: make(chan string, 16*s.Controllers.Count)}
 	if err := r.controllers.plan(s, r.options.BasePort, r.traffic); err != nil {
 		return err
 	}
@@ -153,17 +153,17 @@
 }
 
 // setUpServices starts the state service, the cloud and the workers.
-func (r *run) setUpServices() error {
+func (r *simulation) setUpServices() error {
 	s := r.scenario
-	r.state = emulator.NewStateServer()
-	r.state.SetRates(s.State.RPS, s.State.WriteRPS)
-	r.state.SetLimits(int(s.State.ValueKB*1024), s.State.TxnOps)
-	r.state.SetObserver(r.countService("state"))
+	r.store = emulator.NewStoreServer()
+	r.store.SetRateLimits(s.Store.RPS, s.Store.WriteRPS)
+	r.store.SetLimits(int(s.Store.ValueKB*1024), s.Store.TxnOps)
+	r.store.SetObserver(r.countService("state"))
 	var workersControllers []simworker.Controller
-	for _, x := range r.controllers.all {
-		workersControllers = append(workersControllers, simworker.Controller{Name: x.name, Zone: x.zone, Addr: x.listen})
+	for _, x := range r.controllers.list {
+		workersControllers = append(workersControllers, simworker.Controller{Name: x.name, Zone: x.zone, Addr: x.publicAddress})
 	}
-	fleet, err := simworker.NewFleet(simworker.Config{Seed: s.Seed, Report: config.Seconds(s.Workers.ReportS), Lease: config.Seconds(s.Workers.LeaseS),
+	fleet, err := simworker.NewFleet(simworker.Config{Seed: s.Seed, HeartbeatInterval: config.Seconds(s.Workers.HeartbeatIntervalS), LeaseDuration: config.Seconds(s.Workers.LeaseS),
 		Controllers: workersControllers, Jobs: load.Uploads{Completions: r.ledger}, Observer: r.recorder, Traffic: r.traffic})
 	if err != nil {
 		return err
@@ -172,30 +172,30 @@
 	r.workers = newWorkerTraffic(fleet)
 	r.cloud = emulator.NewCloud(s.catalog(), fleet.LaunchMachine)
 	r.cloud.SetObserver(r.countService("cloud"))
-	r.cloud.SetRate(s.Cloud.RPS)
-	r.cloud.SetBoots()
-	for _, x := range r.controllers.all {
-		if x.state, err = r.state.AddClient(x.name); err != nil {
+	r.cloud.SetRateLimit(s.Cloud.RPS)
+	r.cloud.EnableBootTimes()
+	for _, x := range r.controllers.list {
+		if x.storeAddress, err = r.store.AddClient(x.name); err != nil {
 			return err
 		}
-		if x.cloud, err = r.cloud.AddClient(x.name); err != nil {
+		if x.cloudAddress, err = r.cloud.AddClient(x.name); err != nil {
 			return err
 		}
 	}
 	for _, g := range s.Machines {
 		r.cloud.SetCapacity(g.Type, g.Count)
 		for i, zone := range s.Zones {
-			r.cloud.Have(g.Type, zone, share(g.Count, len(s.Zones), i))
+			r.cloud.AddRunning(g.Type, zone, evenShare(g.Count, len(s.Zones), i))
 		}
 	}
 	return nil
 }
 
 // countService counts the requests of controllers to a service, by what they ask for.
-func (r *run) countService(service string) emulator.Observe {
+func (r *simulation) countService(service string) emulator.RequestObserver {
 	return func(client, method, path string, received, sent int) {
 		// What a controller sends the service receives.
-		r.traffic.Count(client, simworker.Kind(service+" "+method+" "+resourceOf(path)), sent, received)
+		r.traffic.Count(client, simworker.MessageKind(service+" "+method+" "+resourceOf(path)), sent, received)
 	}
 }
 
@@ -205,15 +205,15 @@
 	return "/" + first
 }
 
-// play lets the time of the scenario pass.
-func (r *run) play(ctx context.Context) error {
+// execute lets the time of the scenario pass.
+func (r *simulation) execute(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, config.Seconds(r.scenario.DurationS))
 	submitted := make(chan struct{})
 	go func() {
 		defer close(submitted)
 		r.submitAll(ctx)
 	}()
-	rolled := r.rollouts.play(ctx)
+	rolled := r.rollouts.start(ctx)
 	err := r.untilEnd(ctx)
 	cancel()
 	<-submitted
@@ -223,7 +223,7 @@
 }
 
 // untilEnd does what is due each second until the time is over or something ends the run.
-func (r *run) untilEnd(ctx context.Context) error {
+func (r *simulation) untilEnd(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -233,10 +233,10 @@
 				return nil
 			}
 			return errors.New("interrupted")
-		case name := <-r.controllers.died:
+		case name := <-r.controllers.unexpectedExits:
 			return fmt.Errorf("%s ended by itself, see %s", name, filepath.Join(r.options.Dir, name+".log"))
 		case <-ticker.C:
-			if err := r.second(); err != nil {
+			if err := r.everySecond(); err != nil {
 				return err
 			}
 		}
@@ -247,7 +247,7 @@
 const submitStep = 20 * time.Millisecond
 
 // submitAll submits the jobs as they come.
-func (r *run) submitAll(ctx context.Context) {
+func (r *simulation) submitAll(ctx context.Context) {
 	warmUp := config.Seconds(r.scenario.WarmUpS)
 	ticker := time.NewTicker(submitStep)
 	defer ticker.Stop()
@@ -268,14 +268,14 @@
 		}
 		for _, a := range due {
 			r.recorder.submit(a)
-			r.users.Play(ctx, a)
+			r.users.Start(ctx, a)
 		}
 	}
 }
 
-// second does what is due each second: faults, checks, samples.
-func (r *run) second() error {
-	if err := r.carryOutFaults(); err != nil {
+// everySecond does what is due each second: faults, checks, samples.
+func (r *simulation) everySecond() error {
+	if err := r.injectDueFaults(); err != nil {
 		return err
 	}
 	if err := r.controllers.restartDue(); err != nil {
@@ -284,12 +284,12 @@
 	r.ledger.CheckCancelled()
 	at := r.now().Seconds()
 	r.controllers.sample(at)
-	if err := r.self.Take(at); err != nil {
+	if err := r.self.Sample(at); err != nil {
 		return err
 	}
 	r.workers.sample(at)
-	r.recorder.spread.sample()
-	r.note(at)
+	r.recorder.placements.sample()
+	r.recordSecond(at)
 	used := r.controllers.residentMB() + r.self.Samples[len(r.self.Samples)-1].MemoryMB
 	if used > r.memoryMB {
 		return fmt.Errorf("memory: %.0f MB are used, half of this machine's is %.0f MB", used, r.memoryMB)
@@ -297,14 +297,14 @@
 	return nil
 }
 
-// note keeps the counts of the last second.
-func (r *run) note(at float64) {
+// recordSecond keeps the counts of the last second.
+func (r *simulation) recordSecond(at float64) {
 	now := r.recorder.totals()
 	leader, reporting := r.leader()
-	second := Second{AtS: at, Started: now.started - r.last.started, Completed: now.completed - r.last.completed, OnMachine: now.onMachine,
-		Asked: r.generator.Tasks() - r.asked, Leader: leader, Reporting: reporting, Violations: len(r.ledger.Violations())}
-	r.asked = r.generator.Tasks()
-	r.last = now
+	second := Second{AtS: at, Started: now.started - r.lastTotals.started, Completed: now.completed - r.lastTotals.completed, OnMachine: now.onMachine,
+		Requested: r.generator.Tasks() - r.requestedTasks, Leader: leader, Reporting: reporting, Violations: len(r.ledger.Violations())}
+	r.requestedTasks = r.generator.Tasks()
+	r.lastTotals = now
 	r.seconds = append(r.seconds, second)
 	if r.options.Progress != nil {
 		r.options.Progress(second)
@@ -312,9 +312,9 @@
 }
 
 // leader gives the controller whose answers the most workers took last, and how many these are.
-func (r *run) leader() (string, int) {
+func (r *simulation) leader() (string, int) {
 	name, most := "", 0
-	for controller, n := range r.fleet.Followed() {
+	for controller, n := range r.fleet.WorkersByController() {
 		if n > most || n == most && controller < name {
 			name, most = controller, n
 		}
@@ -322,16 +322,16 @@
 	return name, most
 }
 
-// closeChildren ends the controllers.
-func (r *run) closeChildren() {
+// stopControllers ends the controllers.
+func (r *simulation) stopControllers() {
 	if r.controllers != nil {
 		_ = r.controllers.close() // what has ended has ended
 	}
 }
 
 // close ends all that the run has started.
-func (r *run) close() {
-	r.closeChildren()
+func (r *simulation) close() {
+	r.stopControllers()
 	if r.cloud != nil {
 		r.cloud.Close()
 	}
@@ -339,7 +339,7 @@
 	if r.fleet != nil {
 		r.fleet.Close()
 	}
-	if r.state != nil {
-		r.state.Close()
+	if r.store != nil {
+		r.store.Close()
 	}
 }
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -23,7 +23,7 @@
 	Machines    []MachineGroup  `json:"machines"`
 	Teams       Teams           `json:"teams"`
 	Workers     WorkerTimes     `json:"workers"`
-	State       StateLimits     `json:"state"`
+	Store       StoreLimits     `json:"state"`
 	Cloud       CloudLimits     `json:"cloud"`
 	StartsPerS  float64         `json:"starts_per_s"`
 	Classes     []load.Class    `json:"classes"`
@@ -63,13 +63,13 @@
 
 // WorkerTimes are the times of the workers' protocol.
 type WorkerTimes struct {
-	ReportS float64 `json:"report_s"`
-	LeaseS  float64 `json:"lease_s"`
-	CancelS float64 `json:"cancel_s"`
+	HeartbeatIntervalS float64 `json:"report_s"`
+	LeaseS             float64 `json:"lease_s"`
+	CancelS            float64 `json:"cancel_s"`
 }
 
-// StateLimits are the limits of the state service.
-type StateLimits struct {
+// StoreLimits are the limits of the state service.
+type StoreLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
@@ -89,11 +89,11 @@
 const (
 	KillLeader      FaultKind = "kill_leader"
 	KillControllers FaultKind = "kill_controllers"
-	WorkersDie      FaultKind = "workers_die"
-	WorstZoneLost   FaultKind = "worst_zone_lost"
-	RackSilent      FaultKind = "rack_silent"
-	ZoneCut         FaultKind = "zone_cut"
-	StateDown       FaultKind = "state_down"
+	KillWorkers     FaultKind = "workers_die"
+	KillWorstZone   FaultKind = "worst_zone_lost"
+	RackUnreachable FaultKind = "rack_silent"
+	ZonePartitioned FaultKind = "zone_cut"
+	StoreDown       FaultKind = "state_down"
 )
 
 // Fault goes wrong at a time, counted from the start of the run. Count is a number of workers.
@@ -163,10 +163,10 @@
 		if f.AtS >= s.DurationS {
 			return fmt.Errorf("/faults/%d/at_s: %g is not before the end of the run at %g", i, f.AtS, s.DurationS)
 		}
-		if f.Kind == WorstZoneLost && (len(s.Zones) < 2 || s.workers() < 2) {
+		if f.Kind == KillWorstZone && (len(s.Zones) < 2 || s.workers() < 2) {
 			return fmt.Errorf("/faults/%d/kind: %s takes two zones and two machines at least", i, f.Kind)
 		}
-		if f.Kind == ZoneCut && !slices.Contains(s.Zones, f.Zone) {
+		if f.Kind == ZonePartitioned && !slices.Contains(s.Zones, f.Zone) {
 			return fmt.Errorf("/faults/%d/zone: there is no zone %q", i, f.Zone)
 		}
 	}
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -24,9 +24,9 @@
 		gpus += float64(g.Count) * g.GPUs
 		cpus += float64(g.Count) * g.CPUs
 	}
-	p := config.Params{Nodes: s.Controllers.Count, Zones: s.Zones, ClockOffMS: 5,
-		Workers: config.Workers{HeartbeatIntervalS: s.Workers.ReportS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
-		Store:   config.Store{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
+	p := config.Params{Nodes: s.Controllers.Count, Zones: s.Zones, ClockErrorMS: 5,
+		Workers: config.Workers{HeartbeatIntervalS: s.Workers.HeartbeatIntervalS, LeaseS: s.Workers.LeaseS, CancelS: s.Workers.CancelS},
+		Store:   config.Store{RPS: s.Store.RPS, WriteRPS: s.Store.WriteRPS, ValueKB: s.Store.ValueKB, TxnOps: s.Store.TxnOps},
 		Cloud:   config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
 		Limits: config.Limits{CPUShare: s.Controllers.Cores, MemoryMB: s.Controllers.MemoryMB,
 			MaxConnections: s.Controllers.MaxConnections}}
@@ -38,8 +38,8 @@
 	return p
 }
 
-// share gives one of so many equal shares of a count; the first ones have what is left over.
-func share(count, parts, index int) int {
+// evenShare gives one of so many equal shares of a count; the first ones have what is left over.
+func evenShare(count, parts, index int) int {
 	n := count / parts
 	if index < count%parts {
 		n++
--- a/internal/fleetsim/sweep.go
+++ b/internal/fleetsim/sweep.go
@@ -100,7 +100,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "sweep.json"), append(data, '\n'), 0o600); err != nil {
 		return err
 	}
-	picture, err := curveOf(runs)
+	picture, err := sweepPlot(runs)
 	if err != nil {
 		return err
 	}
@@ -118,12 +118,12 @@
 </head><body><h1>Weights against spread</h1>
 {{.Curve}}
 <table><tr><th>variant</th><th>seed</th><th>cold starts</th><th>cold seconds</th><th>fetches</th><th>worst zone</th><th>taken of the worst model</th><th>lost replica s</th><th>full service s</th><th>least serving</th><th>broken rules</th></tr>
-{{range .Runs}}<tr><td>{{.Variant}}</td><td>{{.Seed}}</td><td>{{.Spread.ColdStarts}}</td><td>{{printf "%.0f" .Spread.ColdSeconds}}</td><td>{{.Spread.Fetches}}</td><td>{{printf "%.3f" .Spread.WorstZone}}</td><td>{{printf "%.3f" .Spread.Taken}}</td><td>{{printf "%.0f" .Spread.LostReplicaS}}</td><td>{{printf "%.0f" .Spread.FullServiceS}}</td><td>{{printf "%.2f" .Spread.LeastServing}}</td><td>{{.Violations}}</td></tr>
+{{range .Runs}}<tr><td>{{.Variant}}</td><td>{{.Seed}}</td><td>{{.Spread.ColdStarts}}</td><td>{{printf "%.0f" .Spread.ColdSeconds}}</td><td>{{.Spread.Fetches}}</td><td>{{printf "%.3f" .Spread.WorstZone}}</td><td>{{printf "%.3f" .Spread.LostShare}}</td><td>{{printf "%.0f" .Spread.LostReplicaS}}</td><td>{{printf "%.0f" .Spread.FullServiceS}}</td><td>{{printf "%.2f" .Spread.MinServingShare}}</td><td>{{.Violations}}</td></tr>
 {{end}}</table></body></html>
 `
 
-// curveOf draws the cold seconds of each run against the share that the loss of a model's worst zone takes.
-func curveOf(runs []SweepRun) (template.HTML, error) {
+// sweepPlot draws the cold seconds of each run against the share that the loss of a model's worst zone takes.
+func sweepPlot(runs []SweepRun) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "The trade", "share of a model's replicas in its worst zone", "cold seconds"
 	p.Add(plotter.NewGrid())
@@ -146,7 +146,7 @@
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
-	return pictureOf(canvas)
+	return svgFragment(canvas)
 }
 
 // PrintSweep writes a table of the runs.
@@ -156,7 +156,7 @@
 	for _, r := range runs {
 		x := r.Spread
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.0f\t%d\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f\t%d\n", r.Variant, r.Seed, x.ColdStarts, x.ColdSeconds, x.Fetches,
-			x.WorstZone, x.Taken, x.LostReplicaS, x.FullServiceS, x.LeastServing, r.Violations)
+			x.WorstZone, x.LostShare, x.LostReplicaS, x.FullServiceS, x.MinServingShare, r.Violations)
 	}
 	return w.Flush()
 }
--- a/internal/fleetsim/worker_traffic.go
+++ b/internal/fleetsim/worker_traffic.go
@@ -5,8 +5,8 @@
 	"bitternwing/internal/simworker"
 )
 
-// workerWindowS is over how many seconds a worker's traffic is taken.
-const workerWindowS = 5
+// workerTrafficWindowS is over how many seconds a worker's traffic is taken.
+const workerTrafficWindowS = 5
 
 // workerTraffic measures what each worker sends and receives.
 type workerTraffic struct {
@@ -24,7 +24,7 @@
 // sample takes the traffic of a window once it is over.
 func (t *workerTraffic) sample(atS float64) {
 	elapsed := atS - t.atS
-	if elapsed < workerWindowS {
+	if elapsed < workerTrafficWindowS {
 		return
 	}
 	t.atS = atS
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,8 +17,8 @@
 // countingListener counts the connections that are open at the same time.
 type countingListener struct {
 	net.Listener
-	mu         sync.Mutex
-	open, most int
+	mu            sync.Mutex
+	open, maxOpen int
 }
 
 type countedConn struct {
@@ -35,7 +35,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open++
-	l.most = max(l.most, l.open)
+	l.maxOpen = max(l.maxOpen, l.open)
 	return &countedConn{Conn: c, l: l}, nil
 }
 
@@ -82,7 +82,7 @@
 	r := New(func() core.Status { return core.Status{} })
 	r.Input("report", time.Millisecond)
 	r.Request("poll", http.StatusOK)
-	r.Call(StateService, "txn", "ok")
+	r.Call(Store, "txn", "ok")
 	problems, err := testutil.GatherAndLint(r.registry)
 	if err != nil {
 		t.Fatal(err)
@@ -97,13 +97,13 @@
 	var r *Recorder
 	r.Input("report", time.Millisecond)
 	r.Request("poll", http.StatusOK)
-	r.Call(StateService, "txn", "ok")
+	r.Call(Store, "txn", "ok")
 }
 
 // However many scrapers come and get stuck, no more connections are open than are allowed, and a scraper is served once
 // the others have had their time.
 func TestMostConnections(t *testing.T) {
-	addr, l := serve(t, Options{Connections: 2, RequestTime: 200 * time.Millisecond})
+	addr, l := serve(t, Options{MaxConnections: 2, RequestTimeout: 200 * time.Millisecond})
 	for range 40 {
 		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", addr)
 		if err != nil {
@@ -118,14 +118,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.most > 2 {
-		t.Errorf("%d connections were open at the same time", l.most)
+	if l.maxOpen > 2 {
+		t.Errorf("%d connections were open at the same time", l.maxOpen)
 	}
 }
 
 // Scrapes above the rate are told to come back, and profiles last as long as is allowed at most.
 func TestRefusals(t *testing.T) {
-	addr, _ := serve(t, Options{Connections: 8, RequestTime: time.Second, Profiles: true})
+	addr, _ := serve(t, Options{MaxConnections: 8, RequestTimeout: time.Second, Profiles: true})
 	refused := false
 	for range 10 * scrapeBurst {
 		status, retryAfter, err := get(t, addr, "/metrics")
@@ -158,7 +158,7 @@
 			for range b.N {
 				r.Input("report", time.Millisecond)
 				r.Request("report", http.StatusOK)
-				r.Call(StateService, "txn", "ok")
+				r.Call(Store, "txn", "ok")
 			}
 		})
 	}
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -21,12 +21,12 @@
 
 // The services.
 const (
-	StateService Service = "state"
-	Cloud        Service = "cloud"
-	Worker       Service = "worker"
-	Peer         Service = "peer"
-	Replica      Service = "replica"
-	Region       Service = "region"
+	Store   Service = "state"
+	Cloud   Service = "cloud"
+	Worker  Service = "worker"
+	Peer    Service = "peer"
+	Replica Service = "replica"
+	Region  Service = "region"
 )
 
 // Recorder counts what a node does. A nil Recorder counts nothing.
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// idleTime is how long a connection may wait for the next request.
-	idleTime = 10 * time.Second
-	// longestProfile bounds how long a profile or an execution trace may take.
-	longestProfile = 60 * time.Second
+	// idleTimeout is how long a connection may wait for the next request.
+	idleTimeout = 10 * time.Second
+	// maxProfileDuration bounds how long a profile or an execution trace may take.
+	maxProfileDuration = 60 * time.Second
 	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 8 << 10
 )
@@ -31,9 +31,9 @@
 
 // Options bound what scrapers may use.
 type Options struct {
-	Connections int
-	RequestTime time.Duration // in which a scraper gets its answer, or loses its connection, whatever it does
-	Profiles    bool          // are served as well
+	MaxConnections int
+	RequestTimeout time.Duration // in which a scraper gets its answer, or loses its connection, whatever it does
+	Profiles       bool          // are served as well
 }
 
 // Server serves the metrics of a recorder.
@@ -46,14 +46,14 @@
 func NewServer(r *Recorder, options Options, log *slog.Logger) *Server {
 	s := &Server{options: options}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", limitScrapes(promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{MaxRequestsInFlight: options.Connections})))
+	mux.Handle("GET /metrics", limitScrapes(promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{MaxRequestsInFlight: options.MaxConnections})))
 	if options.Profiles {
 		s.handleProfiles(mux)
 	}
 	s.http = &http.Server{
 		Handler:           s.withDeadline(mux),
-		ReadHeaderTimeout: options.RequestTime,
-		IdleTimeout:       idleTime,
+		ReadHeaderTimeout: options.RequestTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
@@ -62,7 +62,7 @@
 
 // Serve serves a listener until Close.
 func (s *Server) Serve(l net.Listener) error {
-	return s.http.Serve(netutil.LimitListener(l, s.options.Connections))
+	return s.http.Serve(netutil.LimitListener(l, s.options.MaxConnections))
 }
 
 // Close ends the server at once.
@@ -71,7 +71,7 @@
 // withDeadline bounds the time that a request may take. A body is not read: none of these requests has one.
 func (s *Server) withDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if setDeadline(w, s.options.RequestTime) == nil {
+		if setDeadline(w, s.options.RequestTimeout) == nil {
 			next.ServeHTTP(w, r)
 		}
 	})
@@ -101,24 +101,24 @@
 func (s *Server) handleProfiles(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/cmdline", pprof.Cmdline)
-	mux.HandleFunc("GET /debug/pprof/profile", s.forSeconds(30*time.Second, pprof.Profile))
-	mux.HandleFunc("GET /debug/pprof/trace", s.forSeconds(time.Second, pprof.Trace))
+	mux.HandleFunc("GET /debug/pprof/profile", s.withProfileDeadline(30*time.Second, pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", s.withProfileDeadline(time.Second, pprof.Trace))
 	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
 }
 
-// forSeconds gives a request as much time as its parameter seconds asks for; usual is what it takes without one.
-func (s *Server) forSeconds(usual time.Duration, next http.HandlerFunc) http.HandlerFunc {
+// withProfileDeadline gives a request as much time as its parameter seconds asks for; usual is what it takes without one.
+func (s *Server) withProfileDeadline(usual time.Duration, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		lasts := usual
 		if text := r.FormValue("seconds"); text != "" {
 			seconds, err := strconv.ParseFloat(text, 64)
-			if err != nil || !(seconds > 0) || seconds > longestProfile.Seconds() {
-				http.Error(w, "seconds: must be above 0 and at most "+longestProfile.String(), http.StatusBadRequest)
+			if err != nil || !(seconds > 0) || seconds > maxProfileDuration.Seconds() {
+				http.Error(w, "seconds: must be above 0 and at most "+maxProfileDuration.String(), http.StatusBadRequest)
 				return
 			}
 			lasts = time.Duration(seconds * float64(time.Second))
 		}
-		if setDeadline(w, lasts+s.options.RequestTime) == nil {
+		if setDeadline(w, lasts+s.options.RequestTimeout) == nil {
 			next(w, r)
 		}
 	}
