--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,21 +10,21 @@
 	"bitternwing/internal/server"
 )
 
-// scrapeTime is how long a scrape may take. Scrapers wait ten seconds by default.
-const scrapeTime = 5 * time.Second
+// scrapeTimeout is how long a scrape may take. Scrapers wait ten seconds by default.
+const scrapeTimeout = 5 * time.Second
 
-// metricsConns is how many connections scrapers may have, as a part of the sockets that the process may hold.
-const metricsConns = 100
+// socketsPerScraper is how many connections scrapers may have, as a part of the sockets that the process may hold.
+const socketsPerScraper = 100
 
 // newRecorder makes the recorder of a node's metrics; nil if the operators' settings name no address for them.
 func (n *Node) newRecorder() *metrics.Recorder {
-	if n.set.Operator.Metrics.Listen == "" {
+	if n.settings.Operator.Metrics.Listen == "" {
 		return nil
 	}
 	return metrics.New(func() core.Status {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		return n.core.Status(n.steady())
+		n.coreMu.Lock()
+		defer n.coreMu.Unlock()
+		return n.core.Status(n.steadyTime())
 	})
 }
 
@@ -34,7 +34,7 @@
 	if n.metrics == nil {
 		return
 	}
-	setting := n.set.Operator.Metrics
+	setting := n.settings.Operator.Metrics
 	failed := func(err error) {
 		n.log.Error("metrics are not served", "setting", "metrics.listen", "address", setting.Listen, "error", err.Error())
 	}
@@ -44,8 +44,8 @@
 		failed(err)
 		return
 	}
-	s := metrics.NewServer(n.metrics, metrics.Options{Connections: max(2, n.set.Params.Limits.MaxConnections/metricsConns),
-		RequestTime: scrapeTime, Profiles: setting.Pprof}, n.log)
+	s := metrics.NewServer(n.metrics, metrics.Options{MaxConnections: max(2, n.settings.Params.Limits.MaxConnections/socketsPerScraper),
+		RequestTimeout: scrapeTimeout, Profiles: setting.Pprof}, n.log)
 	context.AfterFunc(ctx, func() { _ = s.Close() })
 	n.log.Info("serving metrics", "address", setting.Listen, "profiles", setting.Pprof)
 	go func() {
@@ -84,8 +84,8 @@
 	return "operator"
 }
 
-// callName names a kind of call in the metrics.
-type callName struct {
-	service   metrics.Service
-	operation string
+// operation names a kind of call in the metrics.
+type operation struct {
+	service metrics.Service
+	name    string
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,41 +31,41 @@
 
 // Node is a running controller node.
 type Node struct {
-	set   *config.Settings
-	log   *slog.Logger
-	start time.Time
+	settings  *config.Settings
+	log       *slog.Logger
+	startedAt time.Time
 
-	mu   sync.Mutex // guards core
-	core *core.Core
+	coreMu sync.Mutex // guards core
+	core   *core.Core
 
-	inputs  chan arrival     // requests
+	inputs  chan queuedInput // requests
 	results chan core.Result // of calls; they are handed in before requests
 	healthy atomic.Bool
 
-	reqMu   sync.Mutex
-	nextReq uint64
-	waiting map[uint64]chan core.Response
+	requestsMu       sync.Mutex
+	lastRequestID    uint64
+	pendingResponses map[uint64]chan core.Response
 
-	state   *kvstore.Client
-	cloud   *cloud.Client
-	workers *httpclient.Client
-	peers   map[string]*peer.Client
-	regions map[string][]*peer.Client // the controllers of other regions
-	probes  *probe.Prober
-	patient time.Duration // how long a call may take
-	metrics *metrics.Recorder
+	store       *kvstore.Client
+	cloud       *cloud.Client
+	workers     *httpclient.Client
+	peers       map[string]*peer.Client
+	regions     map[string][]*peer.Client // the controllers of other regions
+	prober      *probe.Prober
+	callTimeout time.Duration // how long a call may take
+	metrics     *metrics.Recorder
 }
 
-// arrival is an input that waits for the core. A request is of no use to anybody after its
+// queuedInput is an input that waits for the core. A request is of no use to anybody after its
 // time: it is not handed in then, so that after a standstill what is asked now comes first.
-type arrival struct {
-	in    core.Input
-	at    time.Time // when it came
-	until time.Time // zero: it always counts
+type queuedInput struct {
+	input      core.Input
+	receivedAt time.Time // when it came
+	deadline   time.Time // zero: it always counts
 }
 
-// pendingResults is how many results of calls may wait before those who bring them do.
-const pendingResults = 64
+// maxQueuedResults is how many results of calls may wait before those who bring them do.
+const maxQueuedResults = 64
 
 // New makes a node.
 func New(set *config.Settings, log *slog.Logger) (*Node, error) {
@@ -76,13 +76,13 @@
 	p := set.Params
 	nodes := float64(len(set.Peers) + 1)
 	n := &Node{
-		set: set, log: log, start: time.Now(),
-		core:    core.New(set, hex.EncodeToString(inc[:])),
-		inputs:  make(chan arrival, max(4*set.Operator.MaxPendingRequests, publicSockets(set))),
-		results: make(chan core.Result, pendingResults),
-		waiting: map[uint64]chan core.Response{},
+		settings: set, log: log, startedAt: time.Now(),
+		core:             core.New(set, hex.EncodeToString(inc[:])),
+		inputs:           make(chan queuedInput, max(4*set.Operator.MaxPendingRequests, publicSockets(set))),
+		results:          make(chan core.Result, maxQueuedResults),
+		pendingResponses: map[uint64]chan core.Response{},
 		// The leader needs more than the others; all of them never need all.
-		state: kvstore.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
+		store: kvstore.New(set.Services.Store, p.Store.Next.Within(p.Store).RPS*math.Min(1, 2/nodes), max(4, p.Limits.MaxConnections/40),
 			int64(p.Limits.MemoryMB*(1<<20)/32)),
 		cloud: cloud.New(set.Services.Cloud, p.Cloud.RPS, 4),
 		// One connection a worker; the core bounds how many are in use at once.
@@ -90,17 +90,17 @@
 		workers: httpclient.Any(float64(p.Limits.MaxConnections), 1, max(4, p.Limits.MaxConnections/12), 1<<20),
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
-		probes:  probe.New(max(4, p.Limits.MaxConnections/40)),
+		prober:  probe.New(max(4, p.Limits.MaxConnections/40)),
 		// Workers wait four seconds at the most, users two for a poll, and a leader's lease
 		// is twice as long.
-		patient: config.FailureCheckInterval(p.Workers),
+		callTimeout: config.FailureCheckInterval(p.Workers),
 	}
 	if !log.Enabled(context.Background(), slog.LevelDebug) {
 		n.core.OmitDebugLines()
 	}
 	n.metrics = n.newRecorder()
 	for _, s := range set.Peers {
-		c, err := peer.NewClient(set.Node, s.Addr, n.patient)
+		c, err := peer.NewClient(set.Node, s.Addr, n.callTimeout)
 		if err != nil {
 			return nil, err
 		}
@@ -114,12 +114,12 @@
 
 // connectRegions makes clients of the controllers of other regions. They connect when they are needed.
 func (n *Node) connectRegions() error {
-	for _, region := range n.set.Operator.Regions.All {
+	for _, region := range n.settings.Operator.Regions.All {
 		for _, addr := range region.Controllers {
-			if region.Name == n.set.Operator.Regions.Name {
+			if region.Name == n.settings.Operator.Regions.Name {
 				continue
 			}
-			c, err := peer.NewClient(n.set.Node, addr, n.patient)
+			c, err := peer.NewClient(n.settings.Node, addr, n.callTimeout)
 			if err != nil {
 				return err
 			}
@@ -136,25 +136,25 @@
 // Run serves until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	var lc net.ListenConfig
-	public, err := lc.Listen(ctx, "tcp4", n.set.Listen)
+	public, err := lc.Listen(ctx, "tcp4", n.settings.Listen)
 	if err != nil {
 		return err
 	}
-	inner, err := lc.Listen(ctx, "tcp4", n.set.PeerListen)
+	inner, err := lc.Listen(ctx, "tcp4", n.settings.PeerListen)
 	if err != nil {
 		_ = public.Close()
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ps := peer.NewServer(n.set.Node, n.heard, n.peerStatus)
+	ps := peer.NewServer(n.settings.Node, n.receiveCancellations, n.peerStatus)
 	adminapi.Register(ps.Registrar(), n, n.connectionTo)
-	hs := server.New(n, publicSockets(n.set), n.observer())
+	hs := server.New(n, publicSockets(n.settings), n.observer())
 	n.serveMetrics(ctx)
 	errs := make(chan error, 2)
 	go func() { errs <- ps.Serve(inner) }()
 	go func() { errs <- hs.Serve(public) }()
-	n.log.Info("serving", "node", n.set.Node, "zone", n.set.Zone, "listen", n.set.Listen, "peers", len(n.set.Peers))
+	n.log.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone, "listen", n.settings.Listen, "peers", len(n.settings.Peers))
 	go n.loop(ctx)
 	select {
 	case <-ctx.Done():
@@ -185,10 +185,10 @@
 
 func (n *Node) now() core.Time {
 	t := time.Now()
-	return core.Time{Steady: t.Sub(n.start) + time.Second, WallMS: t.UnixMilli()}
+	return core.Time{Steady: t.Sub(n.startedAt) + time.Second, WallMS: t.UnixMilli()}
 }
 
-func (n *Node) steady() time.Duration { return time.Since(n.start) + time.Second }
+func (n *Node) steadyTime() time.Duration { return time.Since(n.startedAt) + time.Second }
 
 // loop is the one place where the core is stepped.
 func (n *Node) loop(ctx context.Context) {
@@ -197,21 +197,21 @@
 	var in core.Input = core.Tick{}
 	var took, waited time.Duration
 	for {
-		n.mu.Lock()
+		n.coreMu.Lock()
 		now := n.now()
 		now.Took, now.Waited = took, waited
 		effects := n.core.Step(now, in)
-		took = n.steady() - now.Steady
+		took = n.steadyTime() - now.Steady
 		n.metrics.Input(inputKind(in), took)
 		for _, e := range effects {
-			n.carryOut(ctx, e)
+			n.execute(ctx, e)
 		}
 		wake := n.core.Wake()
 		n.healthy.Store(n.core.Healthy())
-		n.mu.Unlock()
+		n.coreMu.Unlock()
 
 		waited = 0
-		timer.Reset(max(time.Millisecond, wake-n.steady()))
+		timer.Reset(max(time.Millisecond, wake-n.steadyTime()))
 		select {
 		case in = <-n.results:
 			continue
@@ -222,8 +222,8 @@
 			return
 		case in = <-n.results:
 		case a := <-n.inputs:
-			waited = time.Since(a.at)
-			if in = a.in; !a.until.IsZero() && !time.Now().Before(a.until) {
+			waited = time.Since(a.receivedAt)
+			if in = a.input; !a.deadline.IsZero() && !time.Now().Before(a.deadline) {
 				in = core.Tick{}
 			}
 		case <-timer.C:
@@ -235,35 +235,35 @@
 // Healthy tells whether this node can take requests.
 func (n *Node) Healthy() bool { return n.healthy.Load() }
 
-// heard hands the core the cancellations that another node sends; false if it did not take it in.
-func (n *Node) heard(ctx context.Context, items []core.Cancellation) bool {
-	_, ok := n.Ask(ctx, func(req uint64) core.Input { return core.ReplicateCancellations{RequestID: req, Cancellations: items} })
+// receiveCancellations hands the core the cancellations that another node sends; false if it did not take it in.
+func (n *Node) receiveCancellations(ctx context.Context, items []core.Cancellation) bool {
+	_, ok := n.Handle(ctx, func(req uint64) core.Input { return core.ReplicateCancellations{RequestID: req, Cancellations: items} })
 	return ok
 }
 
 func (n *Node) peerStatus() membership.Status {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.coreMu.Lock()
+	defer n.coreMu.Unlock()
 	return n.core.PeerStatus()
 }
 
-// Ask hands the core a request and waits for its answer. ok is false if there is
+// Handle hands the core a request and waits for its answer. ok is false if there is
 // none in time or too much waits already.
-func (n *Node) Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool) {
+func (n *Node) Handle(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool) {
 	ch := make(chan core.Response, 1)
-	n.reqMu.Lock()
-	n.nextReq++
-	req := n.nextReq
-	n.waiting[req] = ch
-	n.reqMu.Unlock()
+	n.requestsMu.Lock()
+	n.lastRequestID++
+	req := n.lastRequestID
+	n.pendingResponses[req] = ch
+	n.requestsMu.Unlock()
 	defer func() {
-		n.reqMu.Lock()
-		delete(n.waiting, req)
-		n.reqMu.Unlock()
+		n.requestsMu.Lock()
+		delete(n.pendingResponses, req)
+		n.requestsMu.Unlock()
 	}()
 	until, _ := ctx.Deadline()
 	select {
-	case n.inputs <- arrival{input(req), time.Now(), until}:
+	case n.inputs <- queuedInput{input(req), time.Now(), until}:
 	default:
 		return core.Response{}, false
 	}
@@ -280,12 +280,12 @@
 	}
 }
 
-// do makes a call in the background and feeds its result back.
+// startCall makes a call in the background and feeds its result back.
 //
 // Its time counts from the decision: what a standstill has held up until after that is not sent
 // any more, since it was decided on what was known before.
-func (n *Node) do(ctx context.Context, name callName, id uint64, patience time.Duration, f func(context.Context, *core.Result)) {
-	sent := n.steady()
+func (n *Node) startCall(ctx context.Context, name operation, id uint64, patience time.Duration, f func(context.Context, *core.Result)) {
+	sent := n.steadyTime()
 	until := time.Now().Add(patience)
 	go func() {
 		callCtx, cancel := context.WithDeadline(ctx, until)
@@ -295,7 +295,7 @@
 			r.Outcome = outcome.Unknown
 			f(callCtx, &r)
 		}
-		n.metrics.Call(name.service, name.operation, r.Outcome.String())
+		n.metrics.Call(name.service, name.name, r.Outcome.String())
 		select {
 		case n.results <- r: // the loop may be behind; it still has to learn of this
 		case <-ctx.Done():
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,7 +29,7 @@
 
 type site struct {
 	t      *testing.T
-	state  *emulator.StateServer
+	state  *emulator.StoreServer
 	cloud  *emulator.Cloud
 	fleet  *simworker.Fleet
 	addrs  map[string]string
@@ -83,7 +83,7 @@
 func (s *site) TaskEnds(_, _ string, _ bool) {}
 
 // Count counts no messages.
-func (s *site) Count(string, simworker.Kind, int, int) {}
+func (s *site) Count(string, simworker.MessageKind, int, int) {}
 
 // siteOptions is what a site may have beyond the usual.
 type siteOptions struct {
@@ -104,7 +104,7 @@
 	if options.log == nil {
 		options.log = io.Discard
 	}
-	s := &site{t: t, siteOptions: options, state: emulator.NewStateServer(), addrs: map[string]string{}, peers: map[string]string{},
+	s := &site{t: t, siteOptions: options, state: emulator.NewStoreServer(), addrs: map[string]string{}, peers: map[string]string{},
 		cancel: map[string]context.CancelFunc{}, done: map[string]chan struct{}{}, jobs: map[string]*wire.Job{}, starts: map[string]int{}}
 	types := []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300, FetchGBPerS: 4,
 		Price: 16, SpotPrice: 5, BootS: 5, Zones: []string{"z1"}}}
@@ -117,7 +117,7 @@
 		controllers = append(controllers, simworker.Controller{Name: n, Zone: "z1", Addr: s.addrs[n]})
 	}
 	var err error
-	s.fleet, err = simworker.NewFleet(simworker.Config{Seed: 1, Report: 200 * time.Millisecond, Lease: 2 * time.Second,
+	s.fleet, err = simworker.NewFleet(simworker.Config{Seed: 1, HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 2 * time.Second,
 		Controllers: controllers, Jobs: s, Observer: s, Traffic: s})
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 		Limits:  config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
 	if s.model != nil {
 		set.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: s.model.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
-			CheckTimeoutS: 1, MostPlans: 4, MostRouters: 4}
+			CheckTimeoutS: 1, MaxPlans: 4, MaxRouters: 4}
 	}
 	if s.operator != nil {
 		s.operator(name, set.Operator)
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -16,7 +16,7 @@
 	var regions []config.Region
 	for _, name := range []string{"north", "south"} {
 		internal[name] = map[string]string{}
-		region := config.Region{Name: name, Part: 0.5}
+		region := config.Region{Name: name, Share: 0.5}
 		for _, n := range []string{"a", "b", "c"} {
 			internal[name][n] = emulator.FreeAddr()
 			region.Controllers = append(region.Controllers, internal[name][n])
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -77,8 +77,8 @@
 		return false, err
 	}
 	var answer simmodelserver.Completion
-	err = json.Unmarshal(served.Answer, &answer)
-	return err == nil && len(answer.Choices) == 1 && answer.Choices[0].Text == simmodelserver.Right(prompt), err
+	err = json.Unmarshal(served.Body, &answer)
+	return err == nil && len(answer.Choices) == 1 && answer.Choices[0].Text == simmodelserver.ExpectedText(prompt), err
 }
 
 // TestRolloutOverALeadersEnd brings a new version in, with the leader killed on the way. Each request gets its answer.
--- a/internal/node/standstill_test.go
+++ b/internal/node/standstill_test.go
@@ -28,16 +28,16 @@
 	defer cancel()
 
 	// A call whose time was over before it went out.
-	n.do(ctx, callName{metrics.StateService, "get"}, 7, -time.Second, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
+	n.startCall(ctx, operation{metrics.Store, "get"}, 7, -time.Second, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
 	if r := <-n.results; r.CallID != 7 || r.Outcome != outcome.Dropped {
 		t.Errorf("the core is told %v", r)
 	}
 
 	// Two requests that are answered at once; the first one's user has gone.
 	late, now := make(chan core.Response, 1), make(chan core.Response, 1)
-	n.waiting[1], n.waiting[2] = late, now
-	n.inputs <- arrival{core.GetJob{RequestID: 1, ID: "x"}, time.Now(), time.Now().Add(-time.Second)}
-	n.inputs <- arrival{core.GetJob{RequestID: 2, ID: "x"}, time.Now(), time.Now().Add(time.Hour)}
+	n.pendingResponses[1], n.pendingResponses[2] = late, now
+	n.inputs <- queuedInput{core.GetJob{RequestID: 1, ID: "x"}, time.Now(), time.Now().Add(-time.Second)}
+	n.inputs <- queuedInput{core.GetJob{RequestID: 2, ID: "x"}, time.Now(), time.Now().Add(time.Hour)}
 	go n.loop(ctx)
 	if a := <-now; a.Status != 404 {
 		t.Errorf("the second one gets %d", a.Status)
@@ -51,7 +51,7 @@
 	// An answer that comes together with the end of its time.
 	gone, end := context.WithDeadline(ctx, time.Now().Add(-time.Second))
 	defer end()
-	if _, ok := n.Ask(gone, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "x"} }); ok {
+	if _, ok := n.Handle(gone, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "x"} }); ok {
 		t.Error("an answer was told after its time")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,27 +18,27 @@
 	"bitternwing/internal/peer/peerpb"
 )
 
-// maxMessage bounds a message between nodes.
-const maxMessage = 64 << 10
+// maxMessageBytes bounds a message between nodes.
+const maxMessageBytes = 64 << 10
 
 // flowWindow is the flow-control window of streams and connections. It holds a whole message. A fixed window also
 // keeps gRPC from measuring the connection, which it does with a ping for each message.
-const flowWindow = 2 * maxMessage
+const flowWindow = 2 * maxMessageBytes
 
 // Server answers other nodes.
 type Server struct {
 	peerpb.UnimplementedPeerServer
-	node   string
-	heard  func(context.Context, []core.Cancellation) bool
-	status func() membership.Status
-	grpc   *grpc.Server
+	node                 string
+	receiveCancellations func(context.Context, []core.Cancellation) bool
+	status               func() membership.Status
+	grpc                 *grpc.Server
 }
 
 // NewServer makes a server that hands on the cancellations that it hears of and tells what
 // status gives. heard is false where they could not be taken in.
 func NewServer(node string, heard func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
-	s := &Server{node: node, heard: heard, status: status, grpc: grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(16),
+	s := &Server{node: node, receiveCancellations: heard, status: status, grpc: grpc.NewServer(
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(16),
 		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
 		grpc.InitialWindowSize(flowWindow), grpc.InitialConnWindowSize(flowWindow))}
 	peerpb.RegisterPeerServer(s.grpc, s)
@@ -62,7 +62,7 @@
 			items[i] = core.Cancellation{Job: x.GetJob(), Value: x.GetValue(), Version: x.GetVersion()}
 		}
 		// An answer says that they are known from now on.
-		if !s.heard(ctx, items) {
+		if !s.receiveCancellations(ctx, items) {
 			return nil, status.Error(codes.Unavailable, "not taken in")
 		}
 	}
@@ -89,7 +89,7 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
 		grpc.WithInitialWindowSize(flowWindow), grpc.WithInitialConnWindowSize(flowWindow),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: patience / 4, Multiplier: 1.5, Jitter: 0.2, MaxDelay: patience},
 			MinConnectTimeout: patience,
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -26,8 +26,8 @@
 
 // maxAnswer bounds what is read of an answer, and mostCompiled the checks that are kept compiled.
 const (
-	maxAnswer    = 64 << 10
-	mostCompiled = 1000
+	maxResponseBytes  = 64 << 10
+	maxCompiledChecks = 1000
 )
 
 // Prober asks replicas.
@@ -44,11 +44,11 @@
 		MaxIdleConns: conns, MaxConnsPerHost: conns, MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
 }
 
-// errNotReached says that a replica can't be asked.
-var errNotReached = errors.New("not reached")
+// errUnreachable says that a replica can't be asked.
+var errUnreachable = errors.New("not reached")
 
-// Ask asks a replica, and gives the worst of what comes of it. A check that fails by itself proves nothing.
-func (p *Prober) Ask(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.Answer {
+// Probe asks a replica, and gives the worst of what comes of it. A check that fails by itself proves nothing.
+func (p *Prober) Probe(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.Answer {
 	if _, err := p.call(ctx, http.MethodGet, probe.Replica, HealthPath, nil); err != nil {
 		return rollout.Answer{Verdict: rollout.NotReached}
 	}
@@ -102,7 +102,7 @@
 	defer p.mu.Unlock()
 	compiled, known := p.compiled[script]
 	if !known {
-		if len(p.compiled) >= mostCompiled {
+		if len(p.compiled) >= maxCompiledChecks {
 			clear(p.compiled)
 		}
 		compiled, _ = responsecheck.Compile(script) // nil where it does not compile
@@ -124,9 +124,9 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
-	if err != nil || response.StatusCode != http.StatusOK || len(answer) > maxAnswer {
-		return nil, errNotReached
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil || response.StatusCode != http.StatusOK || len(answer) > maxResponseBytes {
+		return nil, errUnreachable
 	}
 	return answer, nil
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -60,7 +60,7 @@
 		{"wrong counts more", rollout.Probe{Replica: fresh}, []rollout.Check{fails, given}, fresh.Task, rollout.Answer{Verdict: rollout.Wrong, Check: "given"}},
 	} {
 		server.SetWrong(func(task string, _ int64) bool { return task == x.wrong })
-		if got := probe.New(4).Ask(context.Background(), x.probe, x.checks); got != x.want {
+		if got := probe.New(4).Probe(context.Background(), x.probe, x.checks); got != x.want {
 			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
 		}
 	}
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	replica := rollout.Replica{Task: "run-000001/0", Address: strings.TrimPrefix(server.URL, "http://")}
-	if got := probe.New(4).Ask(ctx, rollout.Probe{Replica: replica}, nil); got.Verdict != rollout.NotReached {
+	if got := probe.New(4).Probe(ctx, rollout.Probe{Replica: replica}, nil); got.Verdict != rollout.NotReached {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/responsecheck/answercheck.go
+++ b/internal/responsecheck/check.go
@@ -15,9 +15,9 @@
 
 // mostSteps bounds what a check computes, and functionName is what it defines.
 const (
-	mostSteps    = 1_000_000
-	functionName = "check"
-	parameters   = 3
+	maxSteps       = 1_000_000
+	functionName   = "check"
+	parameterCount = 3
 )
 
 // Check is a compiled check.
@@ -42,7 +42,7 @@
 
 func newThread() *starlark.Thread {
 	thread := &starlark.Thread{Name: functionName, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(mostSteps)
+	thread.SetMaxExecutionSteps(maxSteps)
 	return thread
 }
 
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("does not run: %w", err)
 	}
 	function, ok := globals[functionName].(*starlark.Function)
-	if !ok || function.NumParams() != parameters {
+	if !ok || function.NumParams() != parameterCount {
 		return nil, fmt.Errorf("defines no function %s(request, answer, expected)", functionName)
 	}
 	return function, nil
@@ -72,7 +72,7 @@
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
-	args := make(starlark.Tuple, 0, parameters)
+	args := make(starlark.Tuple, 0, parameterCount)
 	for _, text := range []json.RawMessage{request, answer, expected} {
 		value, err := decode(thread, text)
 		if err != nil {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		return err
 	}
-	return inOneLine(compiled.Validate(doc))
+	return singleLineError(compiled.Validate(doc))
 }
 
-// inOneLine gives the innermost cause of a validation error, with the place of the field.
-func inOneLine(err error) error {
+// singleLineError gives the innermost cause of a validation error, with the place of the field.
+func singleLineError(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,15 +20,15 @@
 // Core answers requests.
 type Core interface {
 	// Ask hands over a request and waits for the answer.
-	Ask(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
+	Handle(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
 	Healthy() bool
 }
 
 // Users wait five seconds for a submission and two for a poll, workers four for an
 // answer; each gets one before.
 const (
-	userPatience   = 1800 * time.Millisecond
-	workerPatience = 3 * time.Second
+	userTimeout   = 1800 * time.Millisecond
+	workerTimeout = 3 * time.Second
 )
 
 // Observer is told of each request that was answered, by endpoint and status.
@@ -36,33 +36,33 @@
 
 // Server serves a node's public address.
 type Server struct {
-	core  Core
-	http  *http.Server
-	conns int
+	core           Core
+	http           *http.Server
+	maxConnections int
 
 	// Connections that users keep open beyond their share are closed with the answer, so
 	// that workers, which keep theirs, always find one.
-	userShare int64
-	users     atomic.Int64
+	maxUserConnections int64
+	userConnections    atomic.Int64
 
 	// Workers keep theirs while there are some to spare. Beyond that each connection is closed with its
 	// answer, so that all of a fleet with more workers than sockets are served in turn.
-	keepUntil int64
-	open      atomic.Int64
+	keepAliveLimit  int64
+	openConnections atomic.Int64
 }
 
 // New makes a server that holds at most conns connections open, a third of them for users. observe may be nil.
 func New(c Core, conns int, observe Observer) *Server {
-	s := &Server{core: c, conns: conns, userShare: int64(max(1, conns/3)), keepUntil: int64(conns - conns/10)}
+	s := &Server{core: c, maxConnections: conns, maxUserConnections: int64(max(1, conns/3)), keepAliveLimit: int64(conns - conns/10)}
 	mux := http.NewServeMux()
 	handle := func(pattern, endpoint string, h http.HandlerFunc) {
 		mux.HandleFunc(pattern, observed(observe, endpoint, h))
 	}
 	handle("GET /healthz", "health", s.health)
-	handle("POST "+wire.JobsPath, "submit", s.forUsers(s.submit))
-	handle("GET "+wire.JobsPath+"/{id}", "poll", s.forUsers(s.poll))
-	handle("POST "+wire.JobsPath+"/{id}"+wire.CancelSuffix, "cancel", s.forUsers(s.cancel))
-	handle("POST "+wire.HeartbeatPath, "report", s.checkin)
+	handle("POST "+wire.JobsPath, "submit", s.countUserConnections(s.submit))
+	handle("GET "+wire.JobsPath+"/{id}", "poll", s.countUserConnections(s.poll))
+	handle("POST "+wire.JobsPath+"/{id}"+wire.CancelSuffix, "cancel", s.countUserConnections(s.cancel))
+	handle("POST "+wire.HeartbeatPath, "report", s.heartbeat)
 	s.http = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: 10 * time.Second,
@@ -70,7 +70,7 @@
 		IdleTimeout:       2 * time.Minute,
 		MaxHeaderBytes:    16 << 10,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c.(*conn))
+			return context.WithValue(ctx, connectionKey{}, c.(*trackedConn))
 		},
 	}
 	return s
@@ -102,13 +102,13 @@
 
 // Serve serves a listener until Close.
 func (s *Server) Serve(l net.Listener) error {
-	return s.http.Serve(&listener{netutil.LimitListener(l, s.conns), s})
+	return s.http.Serve(&listener{netutil.LimitListener(l, s.maxConnections), s})
 }
 
 // listener gives connections that know whether a user has them.
 type listener struct {
 	net.Listener
-	s *Server
+	server *Server
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -116,36 +116,36 @@
 	if err != nil {
 		return nil, err
 	}
-	l.s.open.Add(1)
-	return &conn{Conn: c, s: l.s}, nil
+	l.server.openConnections.Add(1)
+	return &trackedConn{Conn: c, server: l.server}, nil
 }
 
-type conn struct {
+type trackedConn struct {
 	net.Conn
-	s      *Server
-	user   atomic.Bool
-	closed atomic.Bool
+	server        *Server
+	countedAsUser atomic.Bool
+	closed        atomic.Bool
 }
 
-type connKey struct{}
+type connectionKey struct{}
 
-func (c *conn) Close() error {
+func (c *trackedConn) Close() error {
 	if !c.closed.Swap(true) {
-		c.s.open.Add(-1)
+		c.server.openConnections.Add(-1)
 	}
-	if c.user.Swap(false) {
-		c.s.users.Add(-1)
+	if c.countedAsUser.Swap(false) {
+		c.server.userConnections.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// forUsers marks the connections of a handler's requests as users'.
-func (s *Server) forUsers(h http.HandlerFunc) http.HandlerFunc {
+// countUserConnections marks the connections of a handler's requests as users'.
+func (s *Server) countUserConnections(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connKey{}).(*conn); ok && !c.user.Swap(true) {
-			s.users.Add(1)
+		if c, ok := r.Context().Value(connectionKey{}).(*trackedConn); ok && !c.countedAsUser.Swap(true) {
+			s.userConnections.Add(1)
 		}
-		if s.users.Load() > s.userShare {
+		if s.userConnections.Load() > s.maxUserConnections {
 			w.Header().Set("Connection", "close")
 		}
 		h(w, r)
@@ -170,10 +170,10 @@
 	_, _ = w.Write(data) // a caller that has gone away learns nothing
 }
 
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, patience time.Duration, input func(uint64) core.Input) {
+func (s *Server) handle(w http.ResponseWriter, r *http.Request, patience time.Duration, input func(uint64) core.Input) {
 	ctx, cancel := context.WithTimeout(r.Context(), patience)
 	defer cancel()
-	a, ok := s.core.Ask(ctx, input)
+	a, ok := s.core.Handle(ctx, input)
 	if !ok {
 		reply(w, http.StatusServiceUnavailable, 1, wire.ErrorBody{Error: "no answer in time"})
 		return
@@ -189,8 +189,8 @@
 	reply(w, http.StatusServiceUnavailable, 0, wire.ErrorBody{Error: "can't take requests"})
 }
 
-// body reads a body within the protocol's limit; false if it was answered.
-func body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+// readBody reads a body within the protocol's limit; false if it was answered.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil || len(data) > wire.MaxBody {
 		w.Header().Set("Connection", "close")
@@ -201,7 +201,7 @@
 }
 
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
-	data, ok := body(w, r)
+	data, ok := readBody(w, r)
 	if !ok {
 		return
 	}
@@ -210,25 +210,25 @@
 		reply(w, http.StatusBadRequest, 0, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: job} })
+	s.handle(w, r, userTimeout, func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: job} })
 }
 
 func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} })
+	s.handle(w, r, userTimeout, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} })
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, wire.MaxBody))
-	s.ask(w, r, userPatience, func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id} })
+	s.handle(w, r, userTimeout, func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id} })
 }
 
-func (s *Server) checkin(w http.ResponseWriter, r *http.Request) {
-	if s.open.Load() > s.keepUntil {
+func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
+	if s.openConnections.Load() > s.keepAliveLimit {
 		w.Header().Set("Connection", "close")
 	}
-	data, ok := body(w, r)
+	data, ok := readBody(w, r)
 	if !ok {
 		return
 	}
@@ -237,5 +237,5 @@
 		reply(w, http.StatusBadRequest, 0, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	s.ask(w, r, workerPatience, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: report} })
+	s.handle(w, r, workerTimeout, func(req uint64) core.Input { return core.WorkerHeartbeat{RequestID: req, Heartbeat: report} })
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,12 +13,12 @@
 	"bitternwing/internal/wire"
 )
 
-type fixed struct{}
+type fixedCore struct{}
 
-func (fixed) Ask(context.Context, func(uint64) core.Input) (core.Response, bool) {
+func (fixedCore) Handle(context.Context, func(uint64) core.Input) (core.Response, bool) {
 	return core.Response{Status: 200, Body: struct{}{}}, true
 }
-func (fixed) Healthy() bool { return true }
+func (fixedCore) Healthy() bool { return true }
 
 // connectionCloses makes a request and tells whether the server closes the connection with its response.
 func connectionCloses(t *testing.T, client *http.Client, method, url, body string) bool {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(fixed{}, 9, nil)
+	s := New(fixedCore{}, 9, nil)
 	go func() { _ = s.Serve(l) }()
 	defer func() { _ = s.Close() }()
 	url := "http://" + l.Addr().String()
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(fixed{}, 20, nil)
+	s := New(fixedCore{}, 20, nil)
 	go func() { _ = s.Serve(l) }()
 	defer func() { _ = s.Close() }()
 	workers := make([]*http.Client, 40)
--- a/internal/simmodelserver/modelserver.go
+++ b/internal/simmodelserver/server.go
@@ -28,9 +28,9 @@
 	listener net.Listener
 	http     *http.Server
 
-	mu    sync.Mutex
-	wrong func(task string, request int64) bool
-	asked atomic.Int64
+	mu       sync.Mutex
+	wrong    func(task string, request int64) bool
+	requests atomic.Int64
 }
 
 // Completion is the answer to a request.
@@ -73,8 +73,8 @@
 	s.wrong = wrong
 }
 
-// Right gives the right completion of a prompt.
-func Right(prompt string) string { return strings.ToUpper(prompt) }
+// ExpectedText gives the right completion of a prompt.
+func ExpectedText(prompt string) string { return strings.ToUpper(prompt) }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
@@ -106,8 +106,8 @@
 		http.Error(w, "no request", http.StatusBadRequest)
 		return
 	}
-	n := s.asked.Add(1)
-	text := Right(q.Prompt)
+	n := s.requests.Add(1)
+	text := ExpectedText(q.Prompt)
 	if s.isWrong(task, n) {
 		text = "?" + text
 	}
--- a/internal/simrouter/router.go
+++ b/internal/simrouter/router.go
@@ -26,22 +26,22 @@
 	http        *http.Client
 	interval    time.Duration
 
-	mu    sync.Mutex
-	cut   bool
-	held  *operatorpb.RouteReply // nil: it has never had one
-	until time.Time              // of its lease
+	mu             sync.Mutex
+	partitioned    bool
+	routing        *operatorpb.RouteReply // nil: it has never had one
+	leaseExpiresAt time.Time              // of its lease
 }
 
 // mostAnswer bounds what is read of an answer, and tries is how many replicas a request is sent to in turn.
 const (
-	mostAnswer = 64 << 10
-	tries      = 3
-	tryTimeout = 2 * time.Second
+	maxResponseBytes = 64 << 10
+	maxAttempts      = 3
+	attemptTimeout   = 2 * time.Second
 )
 
 // New makes a router that asks controllers in turn, at their internal addresses.
 func New(name, plan string, controllers []string, interval time.Duration) (*Router, error) {
-	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: tryTimeout, Transport: &http.Transport{
+	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: attemptTimeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}}}
 	for _, address := range controllers {
 		client, err := adminapi.NewClient(address)
@@ -58,7 +58,7 @@
 	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
 	for turn := 0; ; turn++ {
-		r.ask(ctx, r.controllers[turn%len(r.controllers)])
+		r.refresh(ctx, r.controllers[turn%len(r.controllers)])
 		select {
 		case <-ctx.Done():
 			return
@@ -67,10 +67,10 @@
 	}
 }
 
-// ask asks a controller once. The lease counts from when the question was sent.
-func (r *Router) ask(ctx context.Context, controller *adminapi.Client) {
+// refresh asks a controller once. The lease counts from when the question was sent.
+func (r *Router) refresh(ctx context.Context, controller *adminapi.Client) {
 	r.mu.Lock()
-	cut, q := r.cut, &operatorpb.RouteRequest{Plan: r.plan, Router: r.name, Generation: r.held.GetGeneration()}
+	cut, q := r.partitioned, &operatorpb.RouteRequest{Plan: r.plan, Router: r.name, Generation: r.routing.GetGeneration()}
 	r.mu.Unlock()
 	if cut {
 		return
@@ -84,42 +84,42 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut || before(reply.GetGeneration(), r.held.GetGeneration()) {
+	if r.partitioned || isOlder(reply.GetGeneration(), r.routing.GetGeneration()) {
 		return
 	}
-	r.held, r.until = reply, sent.Add(time.Duration(reply.GetLeaseMs())*time.Millisecond)
+	r.routing, r.leaseExpiresAt = reply, sent.Add(time.Duration(reply.GetLeaseMs())*time.Millisecond)
 }
 
-// before tells whether a generation is older than another.
-func before(a, b *operatorpb.Generation) bool {
+// isOlder tells whether a generation is older than another.
+func isOlder(a, b *operatorpb.Generation) bool {
 	if a.GetTerm() != b.GetTerm() {
 		return a.GetTerm() < b.GetTerm()
 	}
 	return a.GetRevision() < b.GetRevision()
 }
 
-// SetCut cuts the router off from all controllers, or ends that.
-func (r *Router) SetCut(cut bool) {
+// SetPartitioned cuts the router off from all controllers, or ends that.
+func (r *Router) SetPartitioned(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
+	r.partitioned = cut
 }
 
 // Weights gives the shares by which the router goes now.
 func (r *Router) Weights() []*operatorpb.Weight {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Now().Before(r.until) {
-		return r.held.GetWeights()
+	if time.Now().Before(r.leaseExpiresAt) {
+		return r.routing.GetWeights()
 	}
-	return r.held.GetFallback()
+	return r.routing.GetFallback()
 }
 
 // Generation gives the generation that the router holds.
 func (r *Router) Generation() *operatorpb.Generation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.held.GetGeneration()
+	return r.routing.GetGeneration()
 }
 
 // Close ends the connections.
@@ -132,29 +132,29 @@
 // ErrNotServed says that no replica has answered a request.
 var ErrNotServed = errors.New("no replica has answered")
 
-// Served is the answer to a request, and whose it is.
-type Served struct {
-	Answer  json.RawMessage
-	Replica *operatorpb.Weight
-	Tries   int
+// Response is the answer to a request, and whose it is.
+type Response struct {
+	Body     json.RawMessage
+	Replica  *operatorpb.Weight
+	Attempts int
 }
 
 // Do sends a request to a replica, and to others where one does not answer.
-func (r *Router) Do(ctx context.Context, body []byte) (Served, error) {
-	for n := 1; n <= tries; n++ {
-		replica := pick(r.Weights())
+func (r *Router) Do(ctx context.Context, body []byte) (Response, error) {
+	for n := 1; n <= maxAttempts; n++ {
+		replica := pickReplica(r.Weights())
 		if replica == nil {
 			break
 		}
 		if answer, err := r.send(ctx, replica, body); err == nil {
-			return Served{Answer: answer, Replica: replica, Tries: n}, nil
+			return Response{Body: answer, Replica: replica, Attempts: n}, nil
 		}
 	}
-	return Served{}, ErrNotServed
+	return Response{}, ErrNotServed
 }
 
-// pick draws a replica by its share.
-func pick(weights []*operatorpb.Weight) *operatorpb.Weight {
+// pickReplica draws a replica by its share.
+func pickReplica(weights []*operatorpb.Weight) *operatorpb.Weight {
 	x := rand.Float64()
 	for _, w := range weights {
 		if x -= w.GetShare(); x < 0 {
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("status %d", resp.StatusCode)
 	}
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -22,16 +22,16 @@
 	"bitternwing/internal/emulator"
 )
 
-// Kind is a kind of message.
-type Kind string
+// MessageKind is a kind of message.
+type MessageKind string
 
 // The kinds of messages that workers see.
 const (
-	KindReport  Kind = "report"
-	KindOrders  Kind = "orders"
-	KindInspect Kind = "inspect"
+	KindHeartbeat   MessageKind = "report"
+	KindCommands    MessageKind = "orders"
+	KindStatusQuery MessageKind = "inspect"
 	// KindPrefetch is no part of the protocol.
-	KindPrefetch Kind = "prefetch"
+	KindPrefetch MessageKind = "prefetch"
 )
 
 // AnyController stands for a controller that can't be told.
@@ -39,7 +39,7 @@
 
 // Traffic counts messages. Sizes are those of the bodies, seen from the controller.
 type Traffic interface {
-	Count(controller string, kind Kind, received, sent int)
+	Count(controller string, kind MessageKind, received, sent int)
 }
 
 // Controller is a controller that workers may report to.
@@ -49,34 +49,34 @@
 
 // Config is what workers need to know.
 type Config struct {
-	Seed        uint64
-	Report      time.Duration // interval of reports
-	Lease       time.Duration
-	Controllers []Controller
-	Jobs        Jobs
-	Observer    Observer
-	Traffic     Traffic
+	Seed              uint64
+	HeartbeatInterval time.Duration // interval of reports
+	LeaseDuration     time.Duration
+	Controllers       []Controller
+	Jobs              Jobs
+	Observer          Observer
+	Traffic           Traffic
 }
 
 // Fleet is all hollow workers of a process. They share one listening socket, on which each has a loopback
 // address of its own.
 type Fleet struct {
-	config   Config
-	start    time.Time
-	ctx      context.Context
-	cancel   context.CancelFunc
-	listener net.Listener
-	port     string
-	server   *http.Server
-	running  sync.WaitGroup
-
-	mu       sync.Mutex
-	made     int
-	workers  map[string]*Worker // by name
-	byIP     map[string]*Worker
-	all      []*Worker         // ever launched
-	zones    map[string]string // of all of them, by name
-	cutZones map[string]bool
+	config    Config
+	startedAt time.Time
+	ctx       context.Context
+	cancel    context.CancelFunc
+	listener  net.Listener
+	port      string
+	server    *http.Server
+	running   sync.WaitGroup
+
+	mu               sync.Mutex
+	launched         int
+	workers          map[string]*Worker // by name
+	byIP             map[string]*Worker
+	everLaunched     []*Worker         // ever launched
+	zoneByMachine    map[string]string // of all of them, by name
+	partitionedZones map[string]bool
 }
 
 // workerKey is the key of the worker that a connection goes to, in a request's context.
@@ -94,10 +94,10 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{config: config, start: time.Now(), listener: listener, port: port,
-		workers: map[string]*Worker{}, byIP: map[string]*Worker{}, zones: map[string]string{}, cutZones: map[string]bool{}}
+	f := &Fleet{config: config, startedAt: time.Now(), listener: listener, port: port,
+		workers: map[string]*Worker{}, byIP: map[string]*Worker{}, zoneByMachine: map[string]string{}, partitionedZones: map[string]bool{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.server = &http.Server{Handler: http.HandlerFunc(serve), ReadHeaderTimeout: answerPatience,
+	f.server = &http.Server{Handler: http.HandlerFunc(serve), ReadHeaderTimeout: responseTimeout,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			if counted, ok := c.(workerConn); ok {
 				return context.WithValue(ctx, workerKey{}, counted.worker)
@@ -144,8 +144,8 @@
 			return nil, err
 		}
 		ip, _, _ := net.SplitHostPort(c.LocalAddr().String())
-		if w := l.fleet.at(ip); w != nil {
-			return workerConn{countedConn{c, &w.count}, w}, nil
+		if w := l.fleet.workerAt(ip); w != nil {
+			return workerConn{countedConn{c, &w.bytes}, w}, nil
 		}
 		_ = c.Close()
 	}
@@ -158,30 +158,30 @@
 }
 
 // now is the fleet's steady clock.
-func (f *Fleet) now() time.Duration { return time.Since(f.start) }
+func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
 // The loopback addresses of workers begin at 127.16.0.1, and a third byte has so many of them.
 const (
-	firstWorkerByte = 16
-	perThirdByte    = 250
+	firstSecondByte     = 16
+	workersPerThirdByte = 250
 )
 
 // addressOf gives the address of the worker with a number, counted from 0.
 func addressOf(index int) net.IP {
-	third := index / perThirdByte
-	return net.IPv4(127, byte(firstWorkerByte+third/256), byte(third%256), byte(1+index%perThirdByte))
+	third := index / workersPerThirdByte
+	return net.IPv4(127, byte(firstSecondByte+third/256), byte(third%256), byte(1+index%workersPerThirdByte))
 }
 
 // Launch starts a worker; the cloud calls it when a machine is up.
-func (f *Fleet) Launch(about Description) *Worker {
+func (f *Fleet) Launch(about MachineInfo) *Worker {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
-	w := newWorker(f, about, f.made, stop)
-	f.made++
+	w := newWorker(f, about, f.launched, stop)
+	f.launched++
 	f.workers[about.Name] = w
-	f.all = append(f.all, w)
-	f.zones[about.Name] = about.Zone
-	f.byIP[w.ip.String()] = w
+	f.everLaunched = append(f.everLaunched, w)
+	f.zoneByMachine[about.Name] = about.Zone
+	f.byIP[w.address.String()] = w
 	f.mu.Unlock()
 	f.running.Add(1)
 	go func() {
@@ -193,20 +193,20 @@
 
 // LaunchMachine starts a worker for a machine of a cloud.
 func (f *Fleet) LaunchMachine(m emulator.MachineSpec) emulator.Machine {
-	return f.Launch(Description{Name: m.Name, Zone: m.Zone, Spot: m.Spot, Type: m.Type})
+	return f.Launch(MachineInfo{Name: m.Name, Zone: m.Zone, Spot: m.Spot, Type: m.Type})
 }
 
-func (f *Fleet) at(ip string) *Worker {
+func (f *Fleet) workerAt(ip string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byIP[ip]
 }
 
-func (f *Fleet) forget(w *Worker) {
+func (f *Fleet) remove(w *Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.workers, w.machine.about.Name)
-	delete(f.byIP, w.ip.String())
+	delete(f.workers, w.machine.info.Name)
+	delete(f.byIP, w.address.String())
 }
 
 // Workers gives the workers that are there, in no order.
@@ -231,7 +231,7 @@
 
 // Serves tells whether a task runs on the worker with an address, and the worker can be reached.
 func (f *Fleet) Serves(host, task string) bool {
-	w := f.at(host)
+	w := f.workerAt(host)
 	return w != nil && w.serves(task)
 }
 
@@ -239,52 +239,52 @@
 func (f *Fleet) ZoneOf(machine string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.zones[machine]
+	return f.zoneByMachine[machine]
 }
 
 // Fetches gives how many fetches all workers have made, those that are no more included, and how long they take together.
 func (f *Fleet) Fetches() (count int64, took time.Duration) {
 	f.mu.Lock()
-	all := append([]*Worker{}, f.all...)
+	all := append([]*Worker{}, f.everLaunched...)
 	f.mu.Unlock()
 	for _, w := range all {
 		w.mu.Lock()
 		count += w.machine.fetches
-		took += w.machine.took
+		took += w.machine.fetchTime
 		w.mu.Unlock()
 	}
 	return count, took
 }
 
-// Followed counts the workers by the controller whose answer they took last.
-func (f *Fleet) Followed() map[string]int {
+// WorkersByController counts the workers by the controller whose answer they took last.
+func (f *Fleet) WorkersByController() map[string]int {
 	counts := map[string]int{}
 	for _, w := range f.Workers() {
 		w.mu.Lock()
-		if w.followed != "" && !w.dead {
-			counts[w.followed]++
+		if w.lastController != "" && !w.dead {
+			counts[w.lastController]++
 		}
 		w.mu.Unlock()
 	}
 	return counts
 }
 
-// SetCut cuts a zone's workers off from the controllers of other zones, or ends that.
-func (f *Fleet) SetCut(zone string, cut bool) {
+// SetZonePartitioned cuts a zone's workers off from the controllers of other zones, or ends that.
+func (f *Fleet) SetZonePartitioned(zone string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cutZones[zone] = cut
+	f.partitionedZones[zone] = cut
 }
 
-func (f *Fleet) isCut(zone string) bool {
+func (f *Fleet) isPartitioned(zone string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cutZones[zone]
+	return f.partitionedZones[zone]
 }
 
 // separated tells whether a cut lies between two zones.
 func (f *Fleet) separated(a, b string) bool {
-	return a != b && (f.isCut(a) || f.isCut(b))
+	return a != b && (f.isPartitioned(a) || f.isPartitioned(b))
 }
 
 // Close ends all workers.
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -37,12 +37,12 @@
 
 // Start is a start command that a worker took in.
 type Start struct {
-	Machine, Task  string
-	Attempt, Token uint64
+	Machine, Task         string
+	Attempt, FencingToken uint64
 }
 
-// Description names a machine and says what it is.
-type Description struct {
+// MachineInfo names a machine and says what it is.
+type MachineInfo struct {
 	Name string
 	Zone string
 	Spot bool
@@ -52,20 +52,20 @@
 // Machine is a worker's state without its clock and its network: what it holds, its session, and how it
 // obeys commands. Times are those of any steady clock.
 type Machine struct {
-	about    Description
-	addr     string
+	info     MachineInfo
+	address  string
 	jobs     Jobs
 	observer Observer
 
-	session uint64
-	seq     uint64
-	token   uint64
-	tasks   map[attempt]*task
-	images  map[string]time.Duration // when each is, or will be, there
-	fetches int64                    // made so far, and how long they take together
-	took    time.Duration
-	next    time.Duration // when something changes by itself
-	changed bool          // since the last report
+	incarnation  uint64
+	sequence     uint64
+	fencingToken uint64
+	tasks        map[attempt]*task
+	imageReadyAt map[string]time.Duration // when each is, or will be, there
+	fetches      int64                    // made so far, and how long they take together
+	fetchTime    time.Duration
+	nextEventAt  time.Duration // when something changes by itself
+	changed      bool          // since the last report
 }
 
 // attempt names an attempt of a task.
@@ -77,8 +77,8 @@
 // task is an attempt of a task on a machine.
 type task struct {
 	wire.TaskStatus
-	job   *wire.Job // nil: it was refused
-	until time.Duration
+	job          *wire.Job // nil: it was refused
+	transitionAt time.Duration
 }
 
 // onMachine tells whether the task's image is there and it has not ended.
@@ -87,37 +87,37 @@
 }
 
 // NewMachine makes a machine without tasks, in its first session.
-func NewMachine(about Description, addr string, jobs Jobs, observer Observer) *Machine {
-	return &Machine{about: about, addr: addr, jobs: jobs, observer: observer, session: 1, next: Never,
-		tasks: map[attempt]*task{}, images: map[string]time.Duration{}}
+func NewMachine(about MachineInfo, addr string, jobs Jobs, observer Observer) *Machine {
+	return &Machine{info: about, address: addr, jobs: jobs, observer: observer, incarnation: 1, nextEventAt: Never,
+		tasks: map[attempt]*task{}, imageReadyAt: map[string]time.Duration{}}
 }
 
 // Advance lets time pass: images arrive, tasks run, complete and finish saving.
 func (m *Machine) Advance(now time.Duration) {
-	if now < m.next {
+	if now < m.nextEventAt {
 		return
 	}
-	m.next = Never
-	for _, t := range m.sorted() {
-		for t.until <= now {
-			m.proceed(t)
+	m.nextEventAt = Never
+	for _, t := range m.sortedTasks() {
+		for t.transitionAt <= now {
+			m.transition(t)
 		}
-		m.next = min(m.next, t.until)
+		m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 	}
 }
 
-// proceed takes a task to its next state at the time that was set for it.
-func (m *Machine) proceed(t *task) {
-	at := t.until
-	t.until = Never
+// transition takes a task to its next state at the time that was set for it.
+func (m *Machine) transition(t *task) {
+	at := t.transitionAt
+	t.transitionAt = Never
 	m.changed = true
 	switch t.State {
 	case wire.TaskFetching:
 		t.State = wire.TaskRunning
-		m.observer.TaskRuns(m.about.Name, t.Task)
+		m.observer.TaskRuns(m.info.Name, t.Task)
 		_, index, _ := wire.ParseTaskName(t.Task)
 		if d := m.jobs.RunTime(t.job, index); d != Never {
-			t.until = at + d
+			t.transitionAt = at + d
 		}
 	case wire.TaskRunning:
 		m.exit(t, wire.CauseDone)
@@ -131,14 +131,14 @@
 // exit ends a task; it stays in the reports until it is forgotten.
 func (m *Machine) exit(t *task, why wire.ExitCause) {
 	if t.onMachine() {
-		m.observer.TaskEnds(m.about.Name, t.Task, why == wire.CauseDone)
+		m.observer.TaskEnds(m.info.Name, t.Task, why == wire.CauseDone)
 	}
-	t.State, t.Cause, t.until = wire.TaskExited, why, Never
+	t.State, t.Cause, t.transitionAt = wire.TaskExited, why, Never
 	m.changed = true
 }
 
-// Next is when something changes by itself.
-func (m *Machine) Next() time.Duration { return m.next }
+// NextEventAt is when something changes by itself.
+func (m *Machine) NextEventAt() time.Duration { return m.nextEventAt }
 
 // Changed tells whether tasks have changed since the last report.
 func (m *Machine) Changed() bool { return m.changed }
@@ -165,55 +165,55 @@
 }
 
 // Session is the number of the present session.
-func (m *Machine) Session() uint64 { return m.session }
+func (m *Machine) Session() uint64 { return m.incarnation }
 
-// Expire ends the session: the lease has run out, and all tasks are killed and forgotten.
-func (m *Machine) Expire() {
-	m.Clear()
-	m.session++
+// ExpireLease ends the session: the lease has run out, and all tasks are killed and forgotten.
+func (m *Machine) ExpireLease() {
+	m.KillAll()
+	m.incarnation++
 	m.changed = true
 }
 
-// Clear kills and forgets all tasks, as when the machine ends.
-func (m *Machine) Clear() {
-	for _, t := range m.sorted() {
+// KillAll kills and forgets all tasks, as when the machine ends.
+func (m *Machine) KillAll() {
+	for _, t := range m.sortedTasks() {
 		if t.onMachine() {
-			m.observer.TaskEnds(m.about.Name, t.Task, false)
+			m.observer.TaskEnds(m.info.Name, t.Task, false)
 		}
 	}
 	clear(m.tasks)
-	m.next = Never
+	m.nextEventAt = Never
 }
 
-// Report gives the next report.
-func (m *Machine) Report(now time.Duration) *wire.Heartbeat {
+// Heartbeat gives the next report.
+func (m *Machine) Heartbeat(now time.Duration) *wire.Heartbeat {
 	m.Advance(now)
-	m.seq++
+	m.sequence++
 	m.changed = false
-	r := &wire.Heartbeat{Machine: m.about.Name, Addr: m.addr, Type: m.about.Type.Name, Zone: m.about.Zone, Spot: m.about.Spot,
-		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: make([]wire.TaskStatus, 0, len(m.tasks))}
-	for _, t := range m.sorted() {
+	r := &wire.Heartbeat{Machine: m.info.Name, Addr: m.address, Type: m.info.Type.Name, Zone: m.info.Zone, Spot: m.info.Spot,
+		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: make([]wire.TaskStatus, 0, len(m.tasks))}
+	for _, t := range m.sortedTasks() {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
-// Answered takes the answer to a report of a session. False: it was dropped, and renews no lease.
-func (m *Machine) Answered(now time.Duration, session uint64, a wire.HeartbeatResponse) bool {
-	if a.FencingToken < m.token || session != m.session {
+// ApplyHeartbeatResponse takes the answer to a report of a session. False: it was dropped, and renews no lease.
+func (m *Machine) ApplyHeartbeatResponse(now time.Duration, session uint64, a wire.HeartbeatResponse) bool {
+	if a.FencingToken < m.fencingToken || session != m.incarnation {
 		return false
 	}
-	m.token = a.FencingToken
+	m.fencingToken = a.FencingToken
 	m.execute(now, a.Commands)
 	return true
 }
 
-// Ordered takes direct commands. False: nothing was executed.
-func (m *Machine) Ordered(now time.Duration, o wire.DirectCommands) bool {
-	if o.FencingToken < m.token || o.Incarnation != m.session {
+// ApplyDirectCommands takes direct commands. False: nothing was executed.
+func (m *Machine) ApplyDirectCommands(now time.Duration, o wire.DirectCommands) bool {
+	if o.FencingToken < m.fencingToken || o.Incarnation != m.incarnation {
 		return false
 	}
-	m.token = o.FencingToken
+	m.fencingToken = o.FencingToken
 	m.execute(now, o.Commands)
 	return true
 }
@@ -236,8 +236,8 @@
 
 // start begins an attempt, or reports why it is refused.
 func (m *Machine) start(now time.Duration, name attempt) {
-	m.observer.StartReceived(Start{m.about.Name, name.task, name.number, m.token})
-	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, until: Never}
+	m.observer.StartReceived(Start{m.info.Name, name.task, name.number, m.fencingToken})
+	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, transitionAt: Never}
 	id, index, ok := wire.ParseTaskName(name.task)
 	job := m.jobs.Job(id)
 	known := ok && job != nil && index < job.Tasks
@@ -257,15 +257,15 @@
 		return
 	}
 	t.job = job
-	t.until = m.fetch(now, job)
-	m.next = min(m.next, t.until)
+	t.transitionAt = m.fetch(now, job)
+	m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 }
 
 // Tasks counts the tasks in its reports.
 func (m *Machine) Tasks() int { return len(m.tasks) }
 
 // About says what machine it is.
-func (m *Machine) About() Description { return m.about }
+func (m *Machine) About() MachineInfo { return m.info }
 
 // Holds tells whether an attempt of a task is here that has not exited.
 func (m *Machine) Holds(name string) bool {
@@ -284,13 +284,13 @@
 
 // Prefetch begins to fetch an image, if it is not there, and gives the time at which it is.
 func (m *Machine) Prefetch(now time.Duration, image string, gb float64) time.Duration {
-	at, known := m.images[image]
+	at, known := m.imageReadyAt[image]
 	if !known {
-		takes := config.Seconds(gb / m.about.Type.FetchGBPerS)
+		takes := config.Seconds(gb / m.info.Type.FetchGBPerS)
 		m.fetches++
-		m.took += takes
+		m.fetchTime += takes
 		at = now + takes
-		m.images[image] = at
+		m.imageReadyAt[image] = at
 	}
 	return max(now, at)
 }
@@ -306,8 +306,8 @@
 	case t.State == wire.TaskCheckpointing && grace > 0:
 	case t.State == wire.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointTimeS:
 		t.State = wire.TaskCheckpointing
-		t.until = now + config.Seconds(t.job.CheckpointTimeS)
-		m.next = min(m.next, t.until)
+		t.transitionAt = now + config.Seconds(t.job.CheckpointTimeS)
+		m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 		m.changed = true
 	default:
 		m.exit(t, wire.CauseStopped)
@@ -316,7 +316,7 @@
 
 // free is what the tasks leave of the machine.
 func (m *Machine) free() resource.Amount {
-	free := resource.OfMachine(&m.about.Type)
+	free := resource.OfMachine(&m.info.Type)
 	for _, t := range m.tasks {
 		if t.job != nil && t.State != wire.TaskExited {
 			free.Take(resource.OfTask(t.job))
@@ -325,8 +325,8 @@
 	return free
 }
 
-// sorted gives the tasks in order of their names and attempts.
-func (m *Machine) sorted() []*task {
+// sortedTasks gives the tasks in order of their names and attempts.
+func (m *Machine) sortedTasks() []*task {
 	return slices.SortedFunc(maps.Values(m.tasks), func(a, b *task) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
--- a/internal/simworker/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -9,30 +9,30 @@
 	"bitternwing/internal/wire"
 )
 
-// world is the jobs and the events of a machine under test.
-type world struct {
+// testWorld is the jobs and the events of a machine under test.
+type testWorld struct {
 	jobs   map[string]*wire.Job
 	events []string
 }
 
-func (w *world) Job(id string) *wire.Job { return w.jobs[id] }
-func (w *world) RunTime(job *wire.Job, _ int) time.Duration {
+func (w *testWorld) Job(id string) *wire.Job { return w.jobs[id] }
+func (w *testWorld) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
 		return Never
 	}
 	return 10 * time.Second
 }
-func (w *world) StartReceived(s Start)        { w.note("start", s.Task, s.Attempt) }
-func (w *world) TaskRuns(_, task string)      { w.note("runs", task) }
-func (w *world) note(what ...any)             { w.events = append(w.events, fmt.Sprintln(what...)) }
-func (w *world) TaskEnds(_, t string, d bool) { w.note("ends", t, d) }
+func (w *testWorld) StartReceived(s Start)        { w.record("start", s.Task, s.Attempt) }
+func (w *testWorld) TaskRuns(_, task string)      { w.record("runs", task) }
+func (w *testWorld) record(what ...any)           { w.events = append(w.events, fmt.Sprintln(what...)) }
+func (w *testWorld) TaskEnds(_, t string, d bool) { w.record("ends", t, d) }
 
-func newTestMachine() (*Machine, *world) {
-	w := &world{jobs: map[string]*wire.Job{
+func newTestMachine() (*Machine, *testWorld) {
+	w := &testWorld{jobs: map[string]*wire.Job{
 		"run-000001": {ID: "run-000001", Kind: wire.KindArray, Tasks: 9, GPUs: 1, Image: "a", ImageGB: 4, CheckpointIntervalS: 5, CheckpointTimeS: 2},
 		"run-000002": {ID: "run-000002", Kind: wire.KindService, Tasks: 1, GPUs: 1, Image: "a", ImageGB: 4},
 	}}
-	about := Description{Name: "host-1", Zone: "z1", Type: wire.MachineType{Name: "g2", GPUs: 2, CPUs: 8, MemoryGB: 64, FetchGBPerS: 2}}
+	about := MachineInfo{Name: "host-1", Zone: "z1", Type: wire.MachineType{Name: "g2", GPUs: 2, CPUs: 8, MemoryGB: 64, FetchGBPerS: 2}}
 	return NewMachine(about, "127.16.0.1:1", w, w), w
 }
 
@@ -47,7 +47,7 @@
 // states gives the tasks of a report in short.
 func states(m *Machine, now time.Duration) []string {
 	var all []string
-	for _, t := range m.Report(now).Tasks {
+	for _, t := range m.Heartbeat(now).Tasks {
 		all = append(all, fmt.Sprint(t.Task, "#", t.Attempt, " ", t.State, t.Cause))
 	}
 	return all
@@ -66,7 +66,7 @@
 	m, _ := newTestMachine()
 	order := func(now time.Duration, commands ...wire.Command) {
 		t.Helper()
-		if !m.Ordered(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands}) {
+		if !m.ApplyDirectCommands(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands}) {
 			t.Errorf("the commands of second %d were dropped", now)
 		}
 	}
@@ -84,7 +84,7 @@
 	expect(t, m, 7, "run-000001/0#1 saving", "run-000001/0#2 exitedbusy", "run-000001/1#1 exitedstopped",
 		"run-000002/0#1 exitedstopped", "run-000009/0#1 exitedno_such")
 	m.Advance(8 * time.Second)
-	if r := m.Report(8 * time.Second); r.Tasks[0].State != wire.TaskExited || !r.Tasks[0].Checkpointed {
+	if r := m.Heartbeat(8 * time.Second); r.Tasks[0].State != wire.TaskExited || !r.Tasks[0].Checkpointed {
 		t.Errorf("what has saved is %+v", r.Tasks[0])
 	}
 }
@@ -92,20 +92,20 @@
 // TestTokensAndSessions drops what is not from who is entitled now, or was meant for an earlier session.
 func TestTokensAndSessions(t *testing.T) {
 	m, w := newTestMachine()
-	if !m.Answered(0, 1, wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{start("run-000002/0", 1)}}) {
+	if !m.ApplyHeartbeatResponse(0, 1, wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{start("run-000002/0", 1)}}) {
 		t.Error("an answer with a higher token was dropped")
 	}
-	if m.Answered(0, 1, wire.HeartbeatResponse{FencingToken: 6}) || m.Ordered(0, wire.DirectCommands{FencingToken: 6, Incarnation: 1}) {
+	if m.ApplyHeartbeatResponse(0, 1, wire.HeartbeatResponse{FencingToken: 6}) || m.ApplyDirectCommands(0, wire.DirectCommands{FencingToken: 6, Incarnation: 1}) {
 		t.Error("a lower token was obeyed")
 	}
 	m.Advance(3 * time.Second)
-	m.Expire()
-	if m.Answered(4*time.Second, 1, wire.HeartbeatResponse{FencingToken: 8}) || m.Ordered(0, wire.DirectCommands{FencingToken: 8, Incarnation: 1}) {
+	m.ExpireLease()
+	if m.ApplyHeartbeatResponse(4*time.Second, 1, wire.HeartbeatResponse{FencingToken: 8}) || m.ApplyDirectCommands(0, wire.DirectCommands{FencingToken: 8, Incarnation: 1}) {
 		t.Error("an earlier session was obeyed")
 	}
 	expect(t, m, 4)
 	want := []string{"start run-000002/0 1\n", "runs run-000002/0\n", "ends run-000002/0 false\n"}
-	if !slices.Equal(w.events, want) || m.Report(0).Incarnation != 2 {
+	if !slices.Equal(w.events, want) || m.Heartbeat(0).Incarnation != 2 {
 		t.Errorf("%q", w.events)
 	}
 }
@@ -113,13 +113,13 @@
 // TestCompletion has a task run for its time, to the end.
 func TestCompletion(t *testing.T) {
 	m, w := newTestMachine()
-	m.Ordered(0, wire.DirectCommands{Incarnation: 1, Commands: []wire.Command{start("run-000001/3", 1)}})
-	if m.Next() != 2*time.Second {
-		t.Errorf("the image is there after %v", m.Next())
+	m.ApplyDirectCommands(0, wire.DirectCommands{Incarnation: 1, Commands: []wire.Command{start("run-000001/3", 1)}})
+	if m.NextEventAt() != 2*time.Second {
+		t.Errorf("the image is there after %v", m.NextEventAt())
 	}
 	expect(t, m, 11, "run-000001/3#1 running")
 	expect(t, m, 12, "run-000001/3#1 exiteddone")
-	if m.Next() != Never || w.events[len(w.events)-1] != "ends run-000001/3 true\n" {
+	if m.NextEventAt() != Never || w.events[len(w.events)-1] != "ends run-000001/3 true\n" {
 		t.Errorf("%q", w.events)
 	}
 }
