--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -88,7 +88,7 @@
 	stops := len(o.commands) > len(o.starts)
 	if stops && r.Outcome == outcome.OK && r.Heartbeat.Machine == m.name {
 		// What was stopped shows at once: users may wait to be told that nothing starts.
-		l.reconcileIndirect(&r.Heartbeat, true)
+		l.reconcileIndirect(&r.Heartbeat, originQuery)
 	}
 	if r.Outcome == outcome.OK {
 		l.pendingDispatch = append(l.pendingDispatch, m) // for what was decided meanwhile
--- /dev/null
+++ b/internal/core/heartbeats.go
@@ -0,0 +1,74 @@
+package core
+
+import "bitternwing/internal/wire"
+
+// handleHeartbeat responds to a worker's heartbeat.
+func (c *Core) handleHeartbeat(in WorkerHeartbeat) {
+	c.lastHeartbeat = c.now.Steady
+	switch {
+	case c.leader == nil:
+		c.handleHeartbeatAsFollower(in)
+	case c.leader.mayRespond(in.Heartbeat):
+		c.leader.handleHeartbeat(in)
+	default:
+		c.handleHeartbeatWithoutAuthority(in)
+	}
+}
+
+// handleHeartbeatAsFollower renews the worker's lease where a node may that does not lead, or else redirects the
+// worker to the leader.
+func (c *Core) handleHeartbeatAsFollower(in WorkerHeartbeat) {
+	if !c.leaseRelay.handleHeartbeat(in) {
+		c.respond(in.RequestID, 421, wire.Redirect{Leader: c.redirectTarget()})
+	}
+}
+
+// redirectTarget gives the node to which workers are redirected; empty if no other node is known to lead.
+func (c *Core) redirectTarget() string {
+	if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
+		return c.cache.leader.Node
+	}
+	if !c.cache.ready {
+		return c.members.Leader(c.now.Steady) // this node was started while the key-value store is unavailable
+	}
+	return ""
+}
+
+// handleHeartbeatWithoutAuthority responds for a leader that may not.
+func (c *Core) handleHeartbeatWithoutAuthority(in WorkerHeartbeat) {
+	if len(in.Heartbeat.Tasks) > 0 && c.storeDown && c.leaseRelay.renewDuringStoreOutage(in) {
+		return
+	}
+	c.respond(in.RequestID, 421, wire.Redirect{})
+}
+
+// mayRespond tells whether this leader may respond to a heartbeat. A worker that knows a newer term would drop the
+// response; a leader whose own lease has expired has no authority.
+func (l *leader) mayRespond(heartbeat *wire.Heartbeat) bool {
+	return termOfFencingToken(heartbeat.FencingToken) <= l.term && l.hasAuthority()
+}
+
+// handleHeartbeat reconciles what the leader knows with a heartbeat and renews the worker's lease, now or when the
+// response is due that is held.
+func (l *leader) handleHeartbeat(in WorkerHeartbeat) {
+	c, heartbeat := l.core, in.Heartbeat
+	changesBefore := l.observedChanges
+	response := c.newLeaseResponse(heartbeat)
+	basis := l.reconcileHeartbeat(heartbeat, response)
+	token := l.responseToken(heartbeat)
+	if !l.holdResponse(in.RequestID, heartbeat, token, response) {
+		c.renewLease(in.RequestID, basis, token, response)
+	}
+	c.nothingChanged = l.recovered && l.observedChanges == changesBefore && len(response.commands) == 0
+}
+
+// responseToken gives the fencing token of the response to a heartbeat.
+func (l *leader) responseToken(heartbeat *wire.Heartbeat) uint64 {
+	token := max(firstFencingToken(l.term), heartbeat.FencingToken)
+	m := l.machines[heartbeat.Machine]
+	if m == nil {
+		return token
+	}
+	m.fencingToken = max(m.fencingToken, token)
+	return l.fencingToken(m)
+}
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -280,7 +280,7 @@
 		stray := rapid.SampledFrom([]string{f.anyJob().id + "/5", "run-999999/0"}).Draw(f.T, "which")
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
 	}
-	f.l.reconcileTasks(m, heartbeat, false)
+	f.l.reconcileTasks(m, heartbeat, originWorker)
 }
 
 // round compares what index and scan choose for some jobs, and does as they say.
--- /dev/null
+++ b/internal/core/relayed_heartbeats.go
@@ -0,0 +1,137 @@
+package core
+
+import (
+	"encoding/json"
+	"slices"
+
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
+	"bitternwing/internal/wire"
+)
+
+// writeWhenDue relays the heartbeats to the leader now and then.
+func (r *leaseRelay) writeWhenDue() {
+	c := r.core
+	nothingToWrite := len(r.order) == 0 && r.shards == 0
+	if r.writeInFlight || nothingToWrite || c.storeDown {
+		return
+	}
+	if c.now.Steady < r.nextWrite {
+		c.wakeBy(r.nextWrite)
+		return
+	}
+	r.nextWrite = c.now.Steady + 2*c.times.checkInterval
+	r.writeHeartbeats()
+}
+
+// relayWrite is a write of all relayed heartbeats, in as many transactions as it needs.
+type relayWrite struct {
+	relay      *leaseRelay
+	shards     int // keys that hold heartbeats once it is applied
+	pendingOps int // changes without a result
+	failed     bool
+}
+
+// writeHeartbeats writes the relayed heartbeats, as many to a key as fit. The workers of a whole zone don't fit into
+// one transaction: the store would reject it as malformed, and the leader would take them all for dead.
+func (r *leaseRelay) writeHeartbeats() {
+	packer := r.packer()
+	values, tooLarge := packer.Pack(r.encodeHeartbeats())
+	if tooLarge > 0 {
+		r.core.log(Debug, "heartbeats too large to relay", "workers", tooLarge)
+	}
+	ops := r.shardOps(values)
+	write := &relayWrite{relay: r, shards: len(values), pendingOps: len(ops)}
+	r.shards = max(r.shards, len(values))
+	opsPerTxn := min(r.core.limits.maxChanges(), wire.MaxBody*9/10/packer.MaxBytes)
+	for txnOps := range slices.Chunk(ops, opsPerTxn) {
+		write.send(txnOps)
+	}
+}
+
+// packer gives the packer of the heartbeats. It compresses them once all nodes are known to read that.
+func (r *leaseRelay) packer() stored.RelayedHeartbeatPacker {
+	c := r.core
+	if c.layout().ByTask > 0 {
+		return stored.RelayedHeartbeatPacker{MaxBytes: c.maxValueBytes(), Compressed: true}
+	}
+	return stored.RelayedHeartbeatPacker{MaxBytes: stored.UsableValueBytes(c.limits.largestAcceptedValue())}
+}
+
+func (r *leaseRelay) encodeHeartbeats() []json.RawMessage {
+	heartbeats := make([]json.RawMessage, 0, len(r.order))
+	for _, name := range r.order {
+		if encoded, err := json.Marshal(r.workers[name].heartbeat); err == nil {
+			heartbeats = append(heartbeats, encoded)
+		}
+	}
+	return heartbeats
+}
+
+// shardOps puts each value to a key of its own and deletes the keys beyond them.
+func (r *leaseRelay) shardOps(values []json.RawMessage) []wire.Op {
+	node := r.core.settings.Node
+	var ops []wire.Op
+	for i, value := range values {
+		ops = append(ops, wire.Op{Put: stored.RelayedHeartbeatsKey(node, i), Value: value})
+	}
+	for i := len(values); i < r.shards; i++ {
+		ops = append(ops, wire.Op{Delete: stored.RelayedHeartbeatsKey(node, i)})
+	}
+	return ops
+}
+
+// send sends a transaction of the write.
+func (w *relayWrite) send(ops []wire.Op) {
+	c := w.relay.core
+	w.relay.writeInFlight = true
+	txn := relayTxn{write: w, ops: ops}
+	id := c.registerStoreCall(txn.applyResult)
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{Then: ops}})
+}
+
+// relayTxn is a transaction of a relayWrite.
+type relayTxn struct {
+	write *relayWrite
+	ops   []wire.Op
+}
+
+func (t relayTxn) applyResult(result Result) {
+	write, relay := t.write, t.write.relay
+	if result.Outcome != outcome.OK {
+		write.failed = true
+	}
+	if result.Outcome == outcome.Invalid {
+		relay.core.limits.observeInvalid(wire.Txn{Then: t.ops})
+	}
+	write.pendingOps -= len(t.ops)
+	if write.pendingOps > 0 {
+		return
+	}
+	relay.writeInFlight = false
+	if !write.failed {
+		relay.shards = write.shards
+	}
+}
+
+// applyRelayedHeartbeats hands heartbeats that another node relayed to the leader.
+func (c *Core) applyRelayedHeartbeats(name string, value json.RawMessage) {
+	if c.leader == nil || value == nil {
+		return
+	}
+	c.observeRelay(stored.RelayingNode(name))
+	heartbeats, err := stored.DecodeRelayedHeartbeats(value)
+	if err != nil {
+		return
+	}
+	for _, heartbeat := range heartbeats {
+		if heartbeat != nil && heartbeat.Machine != "" && termOfFencingToken(heartbeat.FencingToken) <= c.leader.term {
+			c.leader.reconcileIndirect(heartbeat, originWorker)
+		}
+	}
+}
+
+// observeRelay notes that a node renews workers' leases in the leader's place, whether this one reaches it or not.
+func (c *Core) observeRelay(node string) {
+	c.members.ObserveRelay(node, c.now.Steady)
+}
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -158,7 +158,7 @@
 			m.unansweredQueries++
 		case r.Heartbeat.Machine == m.name:
 			m.queryAnsweredAt = l.core.now.Steady
-			l.reconcileIndirect(&r.Heartbeat, true)
+			l.reconcileIndirect(&r.Heartbeat, originQuery)
 		}
 	})
 	l.core.emit(QueryWorker{CallID: id, Addr: m.addr})
