--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,6 +6,7 @@
 
 	"bitternwing/internal/budget"
 	"bitternwing/internal/config"
+	"bitternwing/internal/election"
 	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/pacing"
@@ -29,7 +30,7 @@
 	dependencies  *dependencyTracker
 	limits        *storeLimits
 	users         *userRequests
-	election      *election
+	election      *election.Election
 	leaseRelay    *leaseRelay
 	cancellations *cancellationReplicator
 	leader        *leader // nil unless this node holds a term
@@ -119,10 +120,10 @@
 	c.dependencies = newDependencyTracker(c)
 	c.limits = newStoreLimits(s.Params.Store)
 	c.users = newUserRequests(c)
-	c.election = newElection(c)
 	c.leaseRelay = newLeaseRelay(c)
 	c.cancellations = &cancellationReplicator{core: c}
 	c.members = newMembers(s, c.times)
+	c.election = newElection(c)
 	return c
 }
 
@@ -200,7 +201,7 @@
 	c.probeStore()
 	c.queryPeers()
 	c.dependencies.run()
-	c.election.run()
+	c.election.Run()
 	c.leaseRelay.run()
 	if c.leader != nil {
 		c.leader.run()
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -45,7 +45,7 @@
 func (l *leader) newDirectCommand(m *machine) *directCommand {
 	o := &directCommand{machine: m, fencingToken: l.fencingToken(m), incarnation: m.incarnation}
 	// Through an outage stops still go out, of jobs that other nodes know to be cancelled.
-	mayStart := l.core.election.leaseValid() && !l.core.storeDown
+	mayStart := l.core.election.LeaseValid() && !l.core.storeDown
 	for _, p := range m.placementsSnapshot() {
 		if len(o.commands) >= maxCommands {
 			break
--- /dev/null
+++ b/internal/core/election_host.go
@@ -0,0 +1,108 @@
+package core
+
+import (
+	"time"
+
+	"bitternwing/internal/election"
+	"bitternwing/internal/stored"
+	"bitternwing/internal/wire"
+)
+
+// electionHost is the controller as its election sees it.
+type electionHost struct{ core *Core }
+
+// newElection makes this controller's part in the election of a leader.
+func newElection(c *Core) *election.Election {
+	return election.New(electionHost{c}, electionStore{c}, c.members, election.Timing{LeaseTTL: c.times.leaderTTL,
+		WorkerLease: c.times.lease, CheckInterval: c.times.checkInterval, RetryPause: c.times.retryPause})
+}
+
+func (h electionHost) Now() time.Duration { return h.core.now.Steady }
+
+func (h electionHost) WakeBy(at time.Duration) { h.core.wakeBy(at) }
+
+func (h electionHost) View() election.View {
+	d := h.core.cache
+	return election.View{Ready: d.ready, Vacant: d.leaderVersion == 0,
+		Leader: election.LeaderView{Node: d.leader.Node, Lease: d.leader.Lease},
+		Term:   election.TermView{Number: d.term.Number, Node: d.term.Node, Version: d.termVersion}}
+}
+
+func (h electionHost) StoreDown() bool { return h.core.storeDown }
+
+func (h electionHost) CandidacyBlocked() string {
+	if h.core.quotasDividedElsewhere() {
+		return "quotas are divided among regions and the settings name none"
+	}
+	return ""
+}
+
+func (h electionHost) HasTimeToSpare() bool {
+	return h.core.timerLoad.Level(h.core.now.Steady) <= shedBelow
+}
+
+func (h electionHost) WorkersReachOnlyPeers() bool {
+	c := h.core
+	lastHeartbeat := max(c.leader.startedAt, c.lastHeartbeat)
+	return c.members.WorkersReachOnlyPeers(c.now.Steady, lastHeartbeat) && len(c.leader.machines) > 0
+}
+
+func (h electionHost) Elected(term election.Term) {
+	c := h.core
+	c.log(Debug, "term started", "term", term.Number, "fencing_token", firstFencingToken(term.Number),
+		"entitled_ms", (term.LeaseDeadline - c.now.Steady).Milliseconds(), "term_revision", term.Version, "revision", c.cache.revision)
+	c.leader = newLeader(c, term.Number, term.Version)
+	if term.Version > c.cache.termVersion {
+		c.cache.term, c.cache.termVersion = stored.Term{Number: term.Number, Node: c.settings.Node}, term.Version
+	}
+}
+
+func (h electionHost) SteppedDown(election.StepDownReason) {
+	h.core.leader.turnAwayWaiting()
+	h.core.leader = nil
+}
+
+func (h electionHost) LogDebug(message string, fields ...any) { h.core.log(Debug, message, fields...) }
+func (h electionHost) LogInfo(message string, fields ...any)  { h.core.log(Info, message, fields...) }
+func (h electionHost) LogError(message string, fields ...any) { h.core.log(Error, message, fields...) }
+
+// electionStore makes the calls of an election.
+type electionStore struct{ core *Core }
+
+// register registers a call of an election for its reply.
+func (s electionStore) register(call election.Call) uint64 {
+	return s.core.registerStoreCall(func(r Result) {
+		call.Complete(election.Reply{Outcome: r.Outcome, SentAt: r.SentAt, Lease: r.Lease, Revision: r.Txn.Revision})
+	})
+}
+
+func (s electionStore) GrantLease(ttl time.Duration, call election.Call) {
+	s.core.emit(StoreGrantLease{CallID: s.register(call), TTL: ttl})
+}
+
+func (s electionStore) RenewLease(lease uint64, call election.Call) {
+	s.core.emit(StoreRenewLease{CallID: s.register(call), Lease: lease})
+}
+
+func (s electionStore) RevokeLease(lease uint64, call election.Call) {
+	s.core.emit(StoreRevokeLease{CallID: s.register(call), Lease: lease})
+}
+
+func (s electionStore) ClaimTerm(claim election.Claim, call election.Call) error {
+	c := s.core
+	leader := stored.Leader{Node: c.settings.Node, Incarnation: c.incarnation, Lease: claim.Lease, Term: claim.Term}
+	leaderValue, err := leader.Encode()
+	if err != nil {
+		return err
+	}
+	termValue, err := c.encodeTerm(stored.Term{Number: claim.Term, Node: c.settings.Node}, c.layout())
+	if err != nil {
+		return err
+	}
+	c.emit(StoreTxn{CallID: s.register(call), Txn: wire.Txn{
+		If: []wire.Condition{{Key: stored.LeaderKey}, {Key: stored.TermKey, Version: claim.TermVersion}},
+		Then: []wire.Op{{Put: stored.LeaderKey, Value: leaderValue, Lease: claim.Lease},
+			{Put: stored.TermKey, Value: termValue}},
+	}})
+	return nil
+}
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"time"
 
 	"bitternwing/internal/topologyspread"
 	"bitternwing/internal/wire"
@@ -126,12 +125,3 @@
 	var rollouts rolloutsTerm
 	return json.Unmarshal(value, &rollouts) == nil || ReadableBefore(value)
 }
-
-// LeaseTTL gives the life of the lease of a leader whose term begins now, after terms that began at some times.
-func LeaseTTL(now, lease, leaderTTL time.Duration, begins []time.Duration) time.Duration {
-	h := &termHistory{}
-	for i, at := range begins {
-		h.observe(at, uint64(i+1))
-	}
-	return h.leaseTTL(now, times{lease: lease, leaderTTL: leaderTTL})
-}
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -20,7 +20,7 @@
 		// No record explains it, and it has no right to run.
 		answer.add(stopImmediately(&m.orphanedTasks[i]))
 	}
-	mayStart := l.core.election.leaseValid()
+	mayStart := l.core.election.LeaseValid()
 	for _, p := range m.placementsInOrder {
 		if answer.full() {
 			break
@@ -56,7 +56,7 @@
 		return
 	}
 	right := "lease"
-	if !l.core.election.leaseValidAt(l.core.now.Steady) {
+	if !l.core.election.LeaseValidAt(l.core.now.Steady) {
 		right = "all nodes refused"
 	}
 	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", max(p.machine.fencingToken, firstFencingToken(l.term)),
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -45,7 +45,7 @@
 		return
 	}
 	l.applyArrivals()
-	if c.now.Steady < p.nextCheck || !c.election.leaseValid() || c.storeDown {
+	if c.now.Steady < p.nextCheck || !c.election.LeaseValid() || c.storeDown {
 		c.wakeBy(p.nextCheck)
 		return
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -127,11 +127,18 @@
 	l.unreachable.run()
 }
 
+// turnAwayWaiting answers everyone who waits for this leader, whose term ends.
+func (l *leader) turnAwayWaiting() {
+	l.redirectHeldResponses()
+	l.rollouts.refuseWaiting()
+	l.quotas.refuseWaiting()
+}
+
 // hasAuthority tells whether this leader may act for the controllers: in time, or in
 // an outage of the state service that all nodes confirm, in which nobody can win
 // a term.
 func (l *leader) hasAuthority() bool {
-	return l.core.election.leaseValid() || l.core.storeOutageConfirmed()
+	return l.core.election.LeaseValid() || l.core.storeOutageConfirmed()
 }
 
 // recoverState reads the run records and waits until the watch has come as far as the
--- a/internal/core/load_shedding_test.go
+++ b/internal/core/load_shedding_test.go
@@ -3,8 +3,6 @@
 import (
 	"testing"
 	"time"
-
-	"bitternwing/internal/core"
 )
 
 // TestLeaderShedsUsers has the leader run short of processor time. It tells the load balancer to send users to the others,
@@ -54,23 +52,3 @@
 		})
 	}
 }
-
-// TestLeaseAfterQuickTerms: the lease of a leader is longer the more terms began lately, up to a bound.
-func TestLeaseAfterQuickTerms(t *testing.T) {
-	const second = time.Second
-	for _, x := range []struct {
-		name   string
-		begins []time.Duration // of terms, the first of which a process heard of at its start
-		want   time.Duration
-	}{
-		{"the first term", []time.Duration{1 * second}, 2 * second},
-		{"one takeover", []time.Duration{1 * second, 95 * second}, 4 * second},
-		{"two", []time.Duration{1 * second, 90 * second, 95 * second}, 5 * second},
-		{"many", []time.Duration{1 * second, 80 * second, 85 * second, 90 * second, 95 * second}, 5 * second},
-		{"long ago", []time.Duration{1 * second, 20 * second, 30 * second, 40 * second}, 2 * second},
-	} {
-		if got := core.LeaseTTL(100*second, 10*second, 2*second, x.begins); got != x.want {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
-		}
-	}
-}
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"slices"
 
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/quota"
 	"bitternwing/internal/stored"
@@ -102,7 +103,7 @@
 	case r.Outcome == outcome.OK:
 		a.adoptAccount(t, next, r.Txn.Revision)
 	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
-		c.election.stepDown("term superseded")
+		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
 	default:
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/stored"
@@ -45,7 +46,7 @@
 // late, after the change, would else tell of tasks what newer ones don't.
 func (l *leader) migrateLayout() {
 	c, x := l.core, &l.layoutMigration
-	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.members.AllSupportRecordLayout(recordLayoutByTask) || c.storeDown || !c.election.leaseValid() {
+	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.members.AllSupportRecordLayout(recordLayoutByTask) || c.storeDown || !c.election.LeaseValid() {
 		x.requested = x.inFlight
 		return
 	}
@@ -72,7 +73,7 @@
 		case outcome.Conflict:
 			// It was applied before, its outcome unknown, or the term has moved on. The next leader
 			// finds out.
-			c.election.stepDown("record layout may have changed")
+			c.election.StepDown(election.RecordLayoutIndeterminate)
 		default:
 			x.retryAt = c.now.Steady + c.times.retryPause
 			c.wakeBy(x.retryAt)
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"bitternwing/internal/config"
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/stored"
@@ -63,7 +64,7 @@
 // routerLease is how long a router may go by a routing, by its own clock; heldLease by this node's.
 func (c *Core) routerLease() time.Duration { return config.Seconds(c.operator.Rollouts.RouterLeaseS) }
 func (c *Core) routingHoldTime() time.Duration {
-	return time.Duration(float64(c.routerLease()) * (1 + maxClockDrift))
+	return time.Duration(float64(c.routerLease()) * (1 + election.MaxClockDrift))
 }
 
 // maxReplicaProbes bounds the sockets that questions to replicas take.
@@ -171,7 +172,7 @@
 			l.writer.queueCancel(j)
 		}
 	}
-	if c.storeDown || !c.election.leaseValid() {
+	if c.storeDown || !c.election.LeaseValid() {
 		c.refuseJoins(run.joinRequests)
 		run.joinRequests = nil
 		return
@@ -389,7 +390,7 @@
 	case r.Outcome == outcome.OK:
 		c.applyPlan(run.name, value, r.Txn.Revision)
 	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
-		c.election.stepDown("term superseded")
+		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// A write of before was applied after all, or this one may be yet: what is there counts.
 		l.rereadPlan(run)
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -6,6 +6,7 @@
 	"reflect"
 	"slices"
 
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/scheduling"
@@ -107,7 +108,7 @@
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case len(c.cache.plans.byName) >= c.operator.Rollouts.MaxPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
-	case !c.election.leaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
+	case !c.election.LeaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case !c.members.AllSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
@@ -198,7 +199,7 @@
 			l.resolvePlanWrite(in.Plan)
 		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
-			c.election.stepDown("term superseded")
+			c.election.StepDown(election.TermSuperseded)
 		default:
 			l.planApplied(in.Plan)
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
@@ -238,7 +239,7 @@
 			l.planApplied(plan)
 			return
 		}
-		c.election.stepDown("a plan may yet be written")
+		c.election.StepDown(election.PlanWriteIndeterminate)
 	})
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(plan.Name)})
 }
@@ -255,7 +256,7 @@
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.problem != nil:
 		c.respondRefused(in.RequestID, current.problem.Error())
-	case run == nil || !c.election.leaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
+	case run == nil || !c.election.LeaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -41,7 +41,7 @@
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case run.recorded(current.record, in.Router):
 		l.grantRouting(run, join)
-	case !c.election.leaseValid() || c.storeDown || len(run.joinRequests) >= c.operator.MaxPendingRequests:
+	case !c.election.LeaseValid() || c.storeDown || len(run.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		run.joinRequests = append(run.joinRequests, join)
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
 	"bitternwing/internal/stored"
@@ -29,7 +30,7 @@
 	if g.target <= c.cache.termFormat {
 		g.target = stored.BaseTermFormat
 	}
-	if g.target == stored.BaseTermFormat || g.inFlight || l.writer.inFlight > 0 || l.layoutMigration.requested || c.storeDown || !c.election.leaseValid() {
+	if g.target == stored.BaseTermFormat || g.inFlight || l.writer.inFlight > 0 || l.layoutMigration.requested || c.storeDown || !c.election.LeaseValid() {
 		return
 	}
 	form := g.target
@@ -49,7 +50,7 @@
 			c.log(Info, "term format upgraded, older versions can no longer lead", "requires", form.String(), "term", l.term)
 		case outcome.Conflict, outcome.Unknown:
 			// It was applied, its outcome unknown, or the term has moved on. The next leader finds out.
-			c.election.stepDown("the form of the term may have changed")
+			c.election.StepDown(election.TermFormatIndeterminate)
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}},
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bitternwing/internal/config"
+	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
@@ -234,7 +235,7 @@
 			failed[k] = true
 		}
 		if failed[stored.TermKey] {
-			w.leader.core.election.stepDown("term superseded")
+			w.leader.core.election.StepDown(election.TermSuperseded)
 			return
 		}
 	}
--- a/internal/core/term_history.go
+++ b/internal/election/term_history.go
@@ -1,22 +1,22 @@
-package core
+package election
 
 import "time"
 
-// termHistory remembers when the last terms began. A leader that is short of processor time may lose its lease while
-// all workers come to it, and so may the next one, for as long as each takeover costs more than a lease's time. Terms
-// that follow each other quickly therefore get longer leases, where the last leader has not ended (lastLeaderIsThere).
+// termHistory remembers when the last terms began. A leader that is short of processor time may lose its lease while all
+// workers come to it, and so may the next one, for as long as each failover takes longer than a lease lives. Terms that
+// follow each other quickly therefore get longer leases, where the last leader still runs (lastLeaderAlive).
 type termHistory struct {
 	term   uint64
 	starts []time.Duration // of the last terms, by this node's clock, oldest first
 }
 
 const (
-	// recentTermLeases is for how long the begin of a term counts, in workers' leases.
+	// recentTermLeases is for how long the start of a term counts, in workers' leases.
 	recentTermLeases = 3
-	// maxRecentTerms bounds the begins that are remembered: the longest lease is reached before.
+	// maxRecentTerms bounds the starts that are remembered: the longest lease is reached before.
 	maxRecentTerms = 8
-	// maxTTLLeases is the longest life of a leader's lease, in workers' leases. Workers whose leader has
-	// ended are kept alive by the nodes they come to, until then and the next leader's begin.
+	// maxTTLLeases is the longest life of a leader's lease, in workers' leases. Workers whose leader has ended are kept
+	// alive by the nodes that they come to, until it expires and the next leader begins.
 	maxTTLLeases = 0.5
 )
 
@@ -35,11 +35,11 @@
 }
 
 // leaseTTL gives the life of the lease for a term that begins now: twice as long for each term that began lately.
-func (h *termHistory) leaseTTL(now time.Duration, t times) time.Duration {
-	ttl := t.leaderTTL
-	longest := max(ttl, time.Duration(maxTTLLeases*float64(t.lease)))
-	for _, began := range h.starts {
-		if now-began < recentTermLeases*t.lease {
+func (h *termHistory) leaseTTL(now time.Duration, timing Timing) time.Duration {
+	ttl := timing.LeaseTTL
+	longest := max(ttl, time.Duration(maxTTLLeases*float64(timing.WorkerLease)))
+	for _, start := range h.starts {
+		if now-start < recentTermLeases*timing.WorkerLease {
 			ttl = min(2*ttl, longest)
 		}
 	}
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -17,14 +17,15 @@
 func newTestMembers() *Members {
 	m := New(Node{"b", "z1"}, []Node{{"d", "z2"}, {"a", "z1"}, {"c", "z2"}}, Timing{CheckInterval: checkInterval, WorkerLease: workerLease})
 	for _, p := range m.Peers() {
-		answer(p, start, Status{Term: 1, HeartbeatAge: -1})
+		answer(p, Status{Term: 1, HeartbeatAge: -1})
 	}
 	return m
 }
 
-func answer(p *Peer, now time.Duration, status Status) {
-	p.QueryStarted(now)
-	p.QueryAnswered(now, status)
+// answer has a peer answer a query at start.
+func answer(p *Peer, status Status) {
+	p.QueryStarted(start)
+	p.QueryAnswered(start, status)
 }
 
 func fail(p *Peer, now time.Duration) {
@@ -60,8 +61,8 @@
 func TestProgressOfPeerOnlyGrows(t *testing.T) {
 	m := newTestMembers()
 	p := m.Peer("a")
-	answer(p, start, Status{Revision: 7, RecordLayouts: 2, SupportsRollouts: true})
-	answer(p, start, Status{}) // restarted, it has yet to read the store
+	answer(p, Status{Revision: 7, RecordLayouts: 2, SupportsRollouts: true})
+	answer(p, Status{}) // restarted, it has yet to read the store
 	if p.Revision() != 7 || p.recordLayouts != 2 || !p.supportsRollouts {
 		t.Errorf("revision %d, layouts %d, rollouts %v", p.Revision(), p.recordLayouts, p.supportsRollouts)
 	}
@@ -69,11 +70,11 @@
 
 func TestUnresolvedCancellations(t *testing.T) {
 	p := newTestMembers().Peer("a")
-	answer(p, start, Status{UnresolvedCancellations: []string{"run-1"}})
+	answer(p, Status{UnresolvedCancellations: []string{"run-1"}})
 	if !p.Unresolved("run-1") || p.Unresolved("run-2") {
 		t.Error("the listed job alone is unresolved")
 	}
-	answer(p, start, Status{MoreUnresolved: true})
+	answer(p, Status{MoreUnresolved: true})
 	if !p.Unresolved("run-2") {
 		t.Error("with more than are listed every job may be unresolved")
 	}
@@ -84,8 +85,8 @@
 	if got := m.Leader(start); got != "" {
 		t.Errorf("leader is %q, none was heard of", got)
 	}
-	answer(m.Peer("c"), start, Status{Leading: true, Term: 4})
-	answer(m.Peer("a"), start, Status{Leading: true, Term: 5})
+	answer(m.Peer("c"), Status{Leading: true, Term: 4})
+	answer(m.Peer("a"), Status{Leading: true, Term: 5})
 	if got := m.Leader(start); got != "a" {
 		t.Errorf("leader is %q, want a, of the newer term", got)
 	}
@@ -114,7 +115,7 @@
 func TestStoreOutageNeedsAllPeers(t *testing.T) {
 	m := newTestMembers()
 	for _, p := range m.Peers() {
-		answer(p, start, Status{StoreDown: true, Term: 3})
+		answer(p, Status{StoreDown: true, Term: 3})
 	}
 	if !m.StoreOutageConfirmed(start, 3) || !m.AllPeersLostStore(start) || m.AnyPeerServed(start) {
 		t.Error("all peers say that the store is down, of no newer term")
@@ -126,7 +127,7 @@
 	if m.StoreOutageConfirmed(start, 3) || m.AllPeersLostStore(start) {
 		t.Error("a peer that does not answer may be served")
 	}
-	answer(m.Peer("a"), start, Status{Term: 3})
+	answer(m.Peer("a"), Status{Term: 3})
 	if m.AllPeersLostStore(start) || !m.AnyPeerServed(start) {
 		t.Error("a peer is served")
 	}
@@ -138,7 +139,7 @@
 	if m.WorkersReachOnlyPeers(start, start-silence) {
 		t.Error("no worker reaches a peer")
 	}
-	answer(m.Peer("d"), start, Status{HeartbeatAge: time.Second})
+	answer(m.Peer("d"), Status{HeartbeatAge: time.Second})
 	if !m.WorkersReachOnlyPeers(start, start-silence) {
 		t.Error("a worker reached a peer a second ago, and none this node for long")
 	}
@@ -151,7 +152,7 @@
 	isolate := func(m *Members) {
 		fail(m.Peer("c"), start)
 		fail(m.Peer("d"), start)
-		answer(m.Peer("a"), start, Status{StoreDown: true})
+		answer(m.Peer("a"), Status{StoreDown: true})
 	}
 	for _, x := range []struct {
 		name      string
@@ -161,8 +162,8 @@
 	}{
 		{"no node outside and no store", func(*Members) {}, true, true},
 		{"the store serves this node", func(*Members) {}, false, false},
-		{"a node outside answers", func(m *Members) { answer(m.Peer("d"), start, Status{StoreDown: true}) }, true, false},
-		{"the store serves a node inside", func(m *Members) { answer(m.Peer("a"), start, Status{}) }, true, false},
+		{"a node outside answers", func(m *Members) { answer(m.Peer("d"), Status{StoreDown: true}) }, true, false},
+		{"the store serves a node inside", func(m *Members) { answer(m.Peer("a"), Status{}) }, true, false},
 		{"no node inside answers", func(m *Members) { fail(m.Peer("a"), start) }, true, false},
 	} {
 		m := newTestMembers()
@@ -206,7 +207,7 @@
 		if m.AllSupportRollouts() || m.AllSupportRecordLayout(2) {
 			t.Errorf("%s has not said what it supports", p.Name())
 		}
-		answer(p, start, Status{RecordLayouts: 2, SupportsRollouts: true})
+		answer(p, Status{RecordLayouts: 2, SupportsRollouts: true})
 	}
 	if !m.AllSupportRollouts() || !m.AllSupportRecordLayout(2) || m.AllSupportRecordLayout(3) {
 		t.Error("all have said that they support rollouts and the second layout")
