--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"fmt"
 	"maps"
 	"math"
 	"sort"
+	"time"
 
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/config"
@@ -12,7 +12,41 @@
 	"bitternwing/internal/wire"
 )
 
-// plannedMachine is a machine to come: booting, asked for, or planned.
+// capacityPlan is what the fleet lacks and what it has too much of. The provisioner carries it out.
+type capacityPlan struct {
+	scaleOut []scaleOutDemand
+	scaleIn  []*machine
+}
+
+// scaleOutDemand is a number of machines of a group that are missing.
+type scaleOutDemand struct {
+	capacity.Group
+	count int
+}
+
+// plannerInput is what a capacity plan is made from, besides the scheduling cycle that found unmet demand.
+type plannerInput struct {
+	machines []*machine         // all, by name
+	pending  []*scaleOutRequest // sent to the cloud and not answered yet
+	// unavailable tells for which groups the cloud is not asked for machines now.
+	unavailable func(capacity.Group) bool
+	overloaded  bool    // this node could not answer more machines
+	spareShare  float64 // of what services use, to be kept free for more of them
+	idleBoots   float64 // how long an idle machine is kept, in times of its boot
+}
+
+// capacityPlanner plans how many machines to scale out, by first-fit bin packing of the unmet demand into those that are
+// to come, and which idle ones to scale in. It reaches neither the cloud nor the store.
+type capacityPlanner struct {
+	plannerInput
+	cycle                *schedulingCycle
+	upcoming             []*plannedMachine
+	machinesByGroup      map[capacity.Group]int // those that there are, and those to come
+	zonesByJob           map[*job]map[string]int
+	pendingArrayMachines float64 // what is left of array work that is not worth a machine yet, in machines
+}
+
+// plannedMachine is a machine to come: booting, requested, or planned.
 type plannedMachine struct {
 	capacity.Group
 	machineType *wire.MachineType
@@ -20,304 +54,273 @@
 	unrequested bool
 }
 
-// capacityPlanner finds how many machines are missing by packing what waits into those
-// that are to come.
-type capacityPlanner struct {
-	leader               *leader
-	cycle                *schedulingCycle
-	provisioner          *provisioner
-	machines             []*plannedMachine
-	machinesByGroup      map[capacity.Group]int
-	zonesByJob           map[*job]map[string]int // where a job's tasks are or will be
-	pendingArrayMachines float64                 // array work not yet worth a machine, in machines
+func newPlannedMachine(group capacity.Group, machineType *wire.MachineType) *plannedMachine {
+	return &plannedMachine{Group: group, machineType: machineType, free: resource.OfMachine(machineType)}
 }
 
-// planCapacity rents and returns machines after a round.
+// planCapacity scales the fleet out and in after a scheduling cycle.
 func (l *leader) planCapacity(cycle *schedulingCycle) {
 	t := &l.provisioner
 	if !t.reconciled() {
 		return
 	}
-	now := l.core.now.Steady
 	t.dropUnsentRequests()
-	p := &capacityPlanner{leader: l, cycle: cycle, provisioner: t, machinesByGroup: map[capacity.Group]int{}, zonesByJob: map[*job]map[string]int{}}
-	for _, m := range l.machinesByName {
+	planner := newCapacityPlanner(cycle, plannerInput{
+		machines:    l.machinesByName,
+		pending:     t.requests,
+		unavailable: t.unavailable,
+		overloaded:  l.core.overloaded(),
+		spareShare:  l.core.operator.SpareShare,
+		idleBoots:   l.core.operator.IdleBoots,
+	})
+	t.apply(planner.plan())
+}
+
+func newCapacityPlanner(cycle *schedulingCycle, input plannerInput) *capacityPlanner {
+	p := &capacityPlanner{plannerInput: input, cycle: cycle, machinesByGroup: map[capacity.Group]int{}, zonesByJob: map[*job]map[string]int{}}
+	p.addBooting()
+	p.addPending()
+	return p
+}
+
+// overdueBoots is after how many times its boot time a machine is not counted on any more: what it should have taken is
+// not left waiting for it.
+const overdueBoots = 1.5
+
+// addBooting counts the machines that there are, and packs into those that have yet to send a first heartbeat.
+func (p *capacityPlanner) addBooting() {
+	for _, m := range p.machines {
 		if m.machineType == nil || m.releasing {
 			continue
 		}
-		o := m.group()
-		p.machinesByGroup[o]++
-		// A machine overdue may never come; what it should have taken is not
-		// left waiting for it.
-		if !m.reported && !m.everReported && now-m.requestedAt < config.Seconds(1.5*m.machineType.BootS) {
-			p.machines = append(p.machines, &plannedMachine{Group: o, machineType: m.machineType, free: resource.OfMachine(m.machineType)})
+		p.machinesByGroup[m.group()]++
+		overdue := p.cycle.params.now-m.requestedAt >= config.Seconds(overdueBoots*m.machineType.BootS)
+		if !m.reported && !m.everReported && !overdue {
+			p.upcoming = append(p.upcoming, newPlannedMachine(m.group(), m.machineType))
 		}
 	}
-	for _, q := range t.requests {
-		mt := l.core.machineType(q.Type)
-		for i := 0; mt != nil && i < q.count; i++ {
-			p.machinesByGroup[q.Group]++
-			p.machines = append(p.machines, &plannedMachine{Group: q.Group, machineType: mt, free: resource.OfMachine(mt)})
+}
+
+// addPending counts the machines that were requested.
+func (p *capacityPlanner) addPending() {
+	for _, request := range p.pending {
+		machineType := p.cycle.params.fleet.machineType(request.Type)
+		if machineType == nil {
+			continue
+		}
+		for range request.count {
+			p.machinesByGroup[request.Group]++
+			p.upcoming = append(p.upcoming, newPlannedMachine(request.Group, machineType))
 		}
 	}
+}
+
+// plan packs all that found no machine, and makes a plan of what is missing then.
+func (p *capacityPlanner) plan() capacityPlan {
 	counted := map[*job]int{}
-	for _, w := range cycle.unmetDemand {
-		counted[w.job] += w.tasks
-		for i := 0; i < w.tasks; i++ {
-			if !p.pack(w.job, w.job.spec.Spot) && !p.pack(w.job, false) {
-				break
-			}
-		}
+	for _, demand := range p.cycle.unmetDemand {
+		counted[demand.job] += demand.tasks
+		p.packDemand(demand)
 	}
-	for _, j := range l.queue {
-		if j.isArray() && cycle.schedulable(j) {
+	for _, j := range p.cycle.state.jobsToRun() {
+		if j.isArray() && p.cycle.schedulable(j) {
 			p.planArray(j, j.unplaced()-counted[j])
 		}
 	}
 	p.ensureHeadroom()
-	p.requestScaleOut()
-	p.scaleIn()
+	return capacityPlan{scaleOut: p.unrequested(), scaleIn: p.surplusMachines()}
+}
+
+// packDemand packs the tasks of an unmet demand, as far as there are machine types for them.
+func (p *capacityPlanner) packDemand(demand unmetDemand) {
+	for range demand.tasks {
+		if !p.pack(demand.job, demand.job.spec.Spot) && !p.pack(demand.job, false) {
+			return
+		}
+	}
 }
 
-// pack packs a task into a bin, opening one if need be.
+// pack packs a task into the first machine to come that holds it, and plans one if there is none.
 func (p *capacityPlanner) pack(j *job, spot bool) bool {
-	p.cycle.evaluations -= len(p.machines) / 4
-	for _, b := range p.machines {
-		if b.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, b.Group) {
-			p.packInto(b, j)
+	p.cycle.evaluations -= len(p.upcoming) / 4
+	for _, m := range p.upcoming {
+		if p.fits(j, m) {
+			p.assign(m, j)
 			return true
 		}
 	}
-	b := p.planMachine(j, spot)
-	if b == nil {
+	m := p.planMachine(j, spot)
+	if m == nil {
 		return false
 	}
-	p.packInto(b, j)
+	p.assign(m, j)
 	return true
 }
 
-func (p *capacityPlanner) packInto(b *plannedMachine, j *job) {
-	b.free.Take(resource.OfTask(j.spec))
-	p.zonesOf(j)[b.Zone]++
+func (p *capacityPlanner) fits(j *job, m *plannedMachine) bool {
+	return m.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, m.Group)
 }
 
+func (p *capacityPlanner) assign(m *plannedMachine, j *job) {
+	m.free.Take(resource.OfTask(j.spec))
+	p.zonesOf(j)[m.Zone]++
+}
+
+// zonesOf counts a job's tasks by zone: those that are placed, and those that were packed.
 func (p *capacityPlanner) zonesOf(j *job) map[string]int {
-	z := p.zonesByJob[j]
-	if z == nil {
-		z = maps.Clone(j.placementsByZone)
-		p.zonesByJob[j] = z
+	zones := p.zonesByJob[j]
+	if zones == nil {
+		zones = maps.Clone(j.placementsByZone)
+		p.zonesByJob[j] = zones
 	}
-	return z
+	return zones
 }
 
-func (p *capacityPlanner) mayRunOn(j *job, o capacity.Group) bool {
+// mayRunOn tells whether a job's next task may run on machines of a group, given where its other tasks are or will be.
+func (p *capacityPlanner) mayRunOn(j *job, group capacity.Group) bool {
 	s := j.spec
-	if o.Spot && !s.Spot || s.Zone != "" && s.Zone != o.Zone || !allowsType(s, o.Type) {
+	if group.Spot && !s.Spot || s.Zone != "" && s.Zone != group.Zone || !allowsType(s, group.Type) {
 		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
-	z := p.zonesOf(j)
-	if s.SingleZone && len(z) > 0 && z[o.Zone] == 0 {
+	zones := p.zonesOf(j)
+	if s.SingleZone && len(zones) > 0 && zones[group.Zone] == 0 {
 		return false
 	}
-	return !s.SpreadZones || z[o.Zone] < (s.Tasks+1)/2
+	return !s.SpreadZones || zones[group.Zone] < (s.Tasks+1)/2
 }
 
-// planMachine plans a new machine for a task: of the cheapest type that holds it, in the
-// zone with the fewest machines of that kind.
+// planMachine plans a new machine for a task: of the machine type that holds it at the lowest price per GPU, in the zone
+// with the fewest machines of that group; nil if there is none.
 func (p *capacityPlanner) planMachine(j *job, spot bool) *plannedMachine {
-	l := p.leader
-	if l.core.overloaded() {
-		return nil // more machines would report than this node can answer
+	if p.overloaded {
+		return nil
 	}
-	var best capacity.Group
-	var bestType *wire.MachineType
-	bestCost, bestCount := math.Inf(1), 0
-	for i := range l.core.catalog {
-		mt := &l.core.catalog[i]
-		if !resource.OfMachine(mt).Holds(resource.OfTask(j.spec)) {
+	var best *plannedMachine
+	bestPrice, bestCount := math.Inf(1), 0
+	catalog := p.cycle.params.fleet.catalog
+	for i := range catalog {
+		machineType := &catalog[i]
+		if !resource.OfMachine(machineType).Holds(resource.OfTask(j.spec)) {
 			continue
 		}
-		cost := mt.Price
-		if spot {
-			cost = mt.SpotPrice
-		}
-		cost /= max(1, mt.GPUs)
-		for _, z := range mt.Zones {
-			o := capacity.Group{Type: mt.Name, Zone: z, Spot: spot}
-			if _, cut := l.silentZones[z]; cut || l.core.now.Steady < p.provisioner.exhausted[o] || !p.mayRunOn(j, o) {
+		price := pricePerGPU(machineType, spot)
+		for _, zone := range machineType.Zones {
+			group := capacity.Group{Type: machineType.Name, Zone: zone, Spot: spot}
+			if p.unavailable(group) || !p.mayRunOn(j, group) {
 				continue
 			}
-			if cost < bestCost || cost == bestCost && p.machinesByGroup[o] < bestCount {
-				best, bestType, bestCost, bestCount = o, mt, cost, p.machinesByGroup[o]
+			count := p.machinesByGroup[group]
+			if price < bestPrice || price == bestPrice && count < bestCount {
+				best, bestPrice, bestCount = newPlannedMachine(group, machineType), price, count
 			}
 		}
 	}
-	if bestType == nil {
+	if best == nil {
 		return nil
 	}
-	p.machinesByGroup[best]++
-	b := &plannedMachine{Group: best, machineType: bestType, free: resource.OfMachine(bestType), unrequested: true}
-	p.machines = append(p.machines, b)
-	return b
+	best.unrequested = true
+	p.machinesByGroup[best.Group]++
+	p.upcoming = append(p.upcoming, best)
+	return best
+}
+
+// pricePerGPU is a machine type's price for each GPU, or for all of it if it has none.
+func pricePerGPU(machineType *wire.MachineType, spot bool) float64 {
+	price := machineType.Price
+	if spot {
+		price = machineType.SpotPrice
+	}
+	return price / max(1, machineType.GPUs)
 }
 
-// planArray plans machines for an array's n further waiting tasks. A machine costs its boot time
-// before it helps, so one is rented only for about as much work as that.
-func (p *capacityPlanner) planArray(j *job, n int) {
+// undoLastMachine takes back the machine that was planned last.
+func (p *capacityPlanner) undoLastMachine(m *plannedMachine) {
+	p.upcoming = p.upcoming[:len(p.upcoming)-1]
+	p.machinesByGroup[m.Group]--
+}
+
+// planArray plans machines for so many more tasks of an array. A machine costs its boot time before it is of use, so one
+// is requested only for about as much work as that.
+func (p *capacityPlanner) planArray(j *job, tasks int) {
 	if used := p.cycle.usage.Of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
-		n = min(n, int((j.team.MaxGPUs-used.GPUs)/j.spec.GPUs))
+		tasks = min(tasks, int((j.team.MaxGPUs-used.GPUs)/j.spec.GPUs))
 	}
-	for i := 0; n > 0 && i < len(p.machines); i++ {
-		for b := p.machines[i]; n > 0 && b.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, b.Group); n-- {
-			p.packInto(b, j)
-		}
+	for i := 0; tasks > 0 && i < len(p.upcoming); i++ {
+		tasks -= p.fill(p.upcoming[i], j, tasks)
 	}
 	for _, spot := range []bool{true, false} {
 		if spot && !j.spec.Spot {
 			continue
 		}
-		for n > 0 {
-			b := p.planMachine(j, spot)
-			if b == nil {
+		for tasks > 0 {
+			m := p.planMachine(j, spot)
+			if m == nil {
 				break
 			}
-			fits := 0
-			for n > 0 && b.free.Holds(resource.OfTask(j.spec)) {
-				p.packInto(b, j)
-				fits++
-				n--
+			tasks -= p.fill(m, j, tasks)
+			if !p.worthMachine(j, m) {
+				p.undoLastMachine(m)
+				return
 			}
-			share := 1 - b.free.GPUs/max(1, b.machineType.GPUs)
-			p.pendingArrayMachines += share * max(j.spec.EstimatedRunS, 1) / b.machineType.BootS
-			if !spot && j.spec.Spot {
-				// An ordinary machine in place of a cheap one has to be worth more.
-				p.pendingArrayMachines -= share * max(j.spec.EstimatedRunS, 1) / b.machineType.BootS * (1 - b.machineType.SpotPrice/b.machineType.Price)
-			}
-			if p.pendingArrayMachines >= 0.5 {
-				p.pendingArrayMachines -= 1
-				continue
-			}
-			// Not worth it yet.
-			p.machines = p.machines[:len(p.machines)-1]
-			p.machinesByGroup[b.Group]--
-			return
 		}
 	}
 }
 
-// headroomWanted is the room on ordinary machines to keep free for services to come.
-func (p *capacityPlanner) headroomWanted() float64 {
-	inUse, largest := 0.0, 0.0
-	for _, j := range p.leader.queue {
-		if !j.isArray() && !j.cancelled {
-			all := float64(j.spec.Tasks) * j.spec.GPUs
-			inUse += all
-			largest = max(largest, all)
-		}
+// fill packs up to so many tasks of a job into a machine, and gives how many.
+func (p *capacityPlanner) fill(m *plannedMachine, j *job, tasks int) int {
+	packed := 0
+	for packed < tasks && p.fits(j, m) {
+		p.assign(m, j)
+		packed++
 	}
-	if inUse == 0 || p.leader.core.operator.SpareShare == 0 {
-		return 0
-	}
-	return max(largest, inUse*p.leader.core.operator.SpareShare)
+	return packed
 }
 
-// headroom is the room on ordinary machines that services could have: free, to
-// come, or held by elastic jobs above their minimum (half of it, since those have
-// to stop first). It is added up no further than to an amount that is enough.
-func (p *capacityPlanner) headroom(enough float64) float64 {
-	sum := 0.0
-	for _, b := range p.machines {
-		if !b.Spot {
-			sum += max(0, b.free.GPUs)
-		}
-	}
-	for _, m := range p.leader.machinesByName {
-		if sum >= enough {
-			break
-		}
-		if m.schedulable != nil && !m.spot {
-			sum += p.headroomOn(m.schedulable)
-		}
+// worthMachine tells whether the work of arrays so far, with that of a job on a new machine, is worth one more: from half
+// of a machine's boot time on.
+func (p *capacityPlanner) worthMachine(j *job, m *plannedMachine) bool {
+	share := 1 - m.free.GPUs/max(1, m.machineType.GPUs)
+	p.pendingArrayMachines += share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
+	if !m.Spot && j.spec.Spot {
+		// An on-demand machine in place of a spot one has to be worth more.
+		p.pendingArrayMachines -= share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS * (1 - m.machineType.SpotPrice/m.machineType.Price)
 	}
-	return sum
-}
-
-func (p *capacityPlanner) headroomOn(h *schedulableMachine) float64 {
-	sum := max(0, h.free.GPUs)
-	for _, x := range h.machine.placementsInOrder {
-		if x.job.shrinkable() {
-			sum += x.job.spec.GPUs / 2
-		}
+	if p.pendingArrayMachines < 0.5 {
+		return false
 	}
-	return sum
+	p.pendingArrayMachines--
+	return true
 }
 
-func (p *capacityPlanner) ensureHeadroom() {
-	l := p.leader
-	wanted := p.headroomWanted()
-	for i := 0; i < 4 && p.headroom(wanted) < wanted; i++ {
-		var any *job
-		for _, j := range l.queue {
-			if !j.isArray() && !j.cancelled && j.team != nil && !j.spec.SpreadZones && !j.spec.SingleZone {
-				any = j
-			}
-		}
-		if any == nil || p.planMachine(any, false) == nil {
-			return
+// unrequested counts the planned machines by group. What is missing most goes first where the cloud's rate limit makes
+// the rest wait.
+func (p *capacityPlanner) unrequested() []scaleOutDemand {
+	var demands []scaleOutDemand
+	indexes := map[capacity.Group]int{}
+	for _, m := range p.upcoming {
+		if !m.unrequested {
+			continue
 		}
-	}
-}
-
-// requestScaleOut sends the new bins as requests, one for each kind and zone.
-func (p *capacityPlanner) requestScaleOut() {
-	c := p.leader.core
-	counts := map[capacity.Group]int{}
-	var kinds []capacity.Group
-	for _, b := range p.machines {
-		if b.unrequested {
-			if counts[b.Group] == 0 {
-				kinds = append(kinds, b.Group)
-			}
-			counts[b.Group]++
+		i, known := indexes[m.Group]
+		if !known {
+			i = len(demands)
+			indexes[m.Group] = i
+			demands = append(demands, scaleOutDemand{Group: m.Group})
 		}
+		demands[i].count++
 	}
-	// What is missing most goes first where the cloud's rate makes the rest wait.
-	sort.SliceStable(kinds, func(a, b int) bool { return counts[kinds[a]] > counts[kinds[b]] })
-	for _, o := range kinds {
-		p.provisioner.lastRequest++
-		p.provisioner.requests = append(p.provisioner.requests, &scaleOutRequest{Group: o, count: min(counts[o], wire.MaxScaleOut),
-			id: fmt.Sprintf("bw-%d-%d", p.leader.term, p.provisioner.lastRequest), nextTry: c.now.Steady})
-	}
+	sort.SliceStable(demands, func(a, b int) bool { return demands[a].count > demands[b].count })
+	return demands
 }
 
-// scaleIn returns idle machines. One is kept about as long as another takes to
-// boot, and ordinary ones as long as they are the spare room: those with the least in
-// their caches go first, since what the next service needs may be in the others'.
-func (p *capacityPlanner) scaleIn() {
-	l := p.leader
-	now := l.core.now.Steady
-	var idle []*machine
-	for _, m := range l.machinesByName {
-		if m.schedulable != nil && len(m.placementsInOrder) == 0 && len(m.orphanedTasks) == 0 && !m.releasing &&
-			now >= m.idleSince+config.Seconds(m.machineType.BootS*l.core.operator.IdleBoots) {
-			idle = append(idle, m)
-		}
-	}
-	if len(idle) == 0 {
-		return
-	}
-	surplus := p.headroom(math.Inf(1)) - p.headroomWanted()
-	sort.SliceStable(idle, func(a, b int) bool { return idle[a].cachedGB() < idle[b].cachedGB() })
-	for _, m := range idle {
-		if !m.spot {
-			if surplus < m.machineType.GPUs {
-				continue
-			}
-			surplus -= m.machineType.GPUs
-		}
-		p.provisioner.release(m, releaseIdle)
+// idleLongEnough tells whether a machine has been idle for as long as it is kept: for about as long as another one takes
+// to boot.
+func (p *capacityPlanner) idleLongEnough(m *machine, now time.Duration) bool {
+	if m.schedulable == nil || len(m.placementsInOrder) > 0 || len(m.orphanedTasks) > 0 || m.releasing {
+		return false
 	}
+	return now >= m.idleSince+config.Seconds(m.machineType.BootS*p.idleBoots)
 }
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -97,13 +97,21 @@
 	return fleetView{catalog: l.core.catalog, index: l.capacityIndex}
 }
 
-// coldStartSeconds is how long a job's image takes to fetch on a machine of a type that fetches nothing else.
-func (f fleetView) coldStartSeconds(j *job, typeName string) float64 {
+// machineType gives a type by name; nil if there is none.
+func (f fleetView) machineType(name string) *wire.MachineType {
 	for i := range f.catalog {
-		if machineType := &f.catalog[i]; machineType.Name == typeName && machineType.FetchGBPerS > 0 {
-			return j.spec.ImageGB / machineType.FetchGBPerS
+		if f.catalog[i].Name == name {
+			return &f.catalog[i]
 		}
 	}
+	return nil
+}
+
+// coldStartSeconds is how long a job's image takes to fetch on a machine of a type that fetches nothing else.
+func (f fleetView) coldStartSeconds(j *job, typeName string) float64 {
+	if machineType := f.machineType(typeName); machineType != nil && machineType.FetchGBPerS > 0 {
+		return j.spec.ImageGB / machineType.FetchGBPerS
+	}
 	return 0
 }
 
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -11,15 +12,15 @@
 	"bitternwing/internal/wire"
 )
 
-// provisioner keeps the fleet: what is rented, what goes back, and what the cloud's
-// list tells, within the cloud's rate.
+// provisioner is the client of the cloud: it requests machines, releases them and reads the cloud's list of them, within
+// the cloud's rate limit. What is missing and what is idle is decided by the capacity planner.
 type provisioner struct {
 	leader      *leader
 	requestRate ratelimit.Bucket // of requests to the cloud
 
 	lastRequest     int
 	requests        []*scaleOutRequest
-	scaleInQueue    []string // to be released
+	scaleInQueue    []string // names of machines to release
 	nextScaleIn     time.Duration
 	scaleInInFlight bool
 
@@ -29,18 +30,18 @@
 	nextPage      string        // of the list being read, the machine after which the next page begins; "": none is due
 	listedNames   map[string]bool
 	listRead      bool
-	exhausted     map[capacity.Group]time.Duration // refused lately; not asked before this
+	exhausted     map[capacity.Group]time.Duration // refused lately; not requested before this
 }
 
-// scaleOutRequest is a request for machines. Its name holds the term, so that no other
-// request ever has it; it is repeated under that name until its outcome is known.
+// scaleOutRequest is a request for machines. Its ID holds the term, so that no other request ever has it; it is retried
+// under that ID until its outcome is known, so that machines are granted once.
 type scaleOutRequest struct {
 	capacity.Group
 	id       string
 	count    int
-	sent     bool // it went out; until then the next plan makes it anew
+	sent     bool // until then the next plan replaces it
 	inFlight bool
-	nextTry  time.Duration // next try
+	nextTry  time.Duration
 }
 
 func (t *provisioner) init(l *leader) {
@@ -64,6 +65,7 @@
 	return true
 }
 
+// run sends the requests that are due, as far as the rate limit allows: releases first, then scale-out, then the list.
 func (t *provisioner) run() {
 	l, c := t.leader, t.leader.core
 	if !l.hasAuthority() {
@@ -90,27 +92,7 @@
 	t.runList()
 }
 
-// runList begins to read the cloud's list when that is due, and goes on with its pages as the cloud's rate
-// allows: a large fleet has more of them than may be asked for in a second.
-func (t *provisioner) runList() {
-	now := t.leader.core.now.Steady
-	switch {
-	case t.listInFlight:
-	case t.nextPage != "":
-		if t.takeRateToken() {
-			t.requestListPage(t.nextPage)
-		}
-	case now < t.nextList:
-		t.leader.core.wakeBy(t.nextList)
-	case t.takeRateToken():
-		t.nextList = t.leader.core.coalesce(now + t.leader.core.times.listLag)
-		t.listStartedAt = now
-		t.listedNames = map[string]bool{}
-		t.requestListPage("")
-	}
-}
-
-// releaseReason is why a machine is given back.
+// releaseReason is why a machine is released, for the log.
 type releaseReason string
 
 // The reasons.
@@ -123,7 +105,7 @@
 	releaseResponsesLost releaseReason = "answers don't reach it"
 )
 
-// release gives a machine back. What is on it counts until the cloud says 200.
+// release has a machine scaled in. What runs on it counts until the cloud has confirmed that it is gone.
 func (t *provisioner) release(m *machine, why releaseReason) {
 	if m.releasing {
 		return
@@ -134,9 +116,8 @@
 	t.leader.requestCycle()
 }
 
-// cancelRelease keeps a machine that was to be released as silent and is heard again, as long as no
-// request for it can have been carried out: while the cloud is out of reach its tasks may have gone
-// on all the time.
+// cancelRelease keeps a machine that was to be released as silent and sends heartbeats again, as long as no request for it
+// can have been applied: while the cloud is out of reach its tasks may have gone on all the time.
 func (t *provisioner) cancelRelease(m *machine) {
 	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
 		return
@@ -147,15 +128,17 @@
 	t.leader.requestCycle()
 }
 
-// markReleaseSent notes for machines whether a request to release them may have been carried out.
-func (t *provisioner) markReleaseSent(names []string, may bool) {
+// markReleaseSent notes whether a request to release machines may have been applied.
+func (t *provisioner) markReleaseSent(names []string, maybeApplied bool) {
 	for _, name := range names {
 		if m := t.leader.machines[name]; m != nil {
-			m.releaseSent = may
+			m.releaseSent = maybeApplied
 		}
 	}
 }
 
+// sendScaleIn sends a request to release the machines that have waited longest. It is idempotent, so it is retried after
+// any failure.
 func (t *provisioner) sendScaleIn() {
 	l, c := t.leader, t.leader.core
 	n := min(len(t.scaleInQueue), wire.MaxScaleIn)
@@ -176,7 +159,6 @@
 		if r.Outcome.CertainlyNotApplied() {
 			t.markReleaseSent(names, false)
 		}
-		// Releasing again does no harm.
 		t.scaleInQueue = append(names, t.scaleInQueue...)
 		t.nextScaleIn = c.now.Steady + c.times.checkInterval
 		c.wakeBy(t.nextScaleIn)
@@ -184,165 +166,105 @@
 	c.emit(CloudScaleIn{CallID: id, Names: names})
 }
 
+// sendScaleOut sends a request for machines.
 func (t *provisioner) sendScaleOut(q *scaleOutRequest) {
-	l, c := t.leader, t.leader.core
 	q.inFlight, q.sent = true, true
-	id := l.call(func(r Result) {
+	id := t.leader.call(func(r Result) {
 		q.inFlight = false
-		now := c.now.Steady
-		switch r.Outcome {
-		case outcome.OK:
-			for _, name := range r.MachineNames {
-				m := l.machineNamed(name)
-				m.requestedAt, m.requestedHere = r.SentAt, true
-				m.setIdentity(q.Type, q.Zone, "", q.Spot)
-				m.setType(c.machineType(q.Type))
-			}
-			if len(r.MachineNames) < q.count {
-				t.exhausted[q.Group] = now + 2*c.times.listLag
-			}
-			t.dropRequest(q)
-			l.requestCycle()
-			c.log(Info, "scaled out", "requested", q.count, "granted", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
-		case outcome.Unavailable:
-			t.exhausted[q.Group] = now + 2*c.times.listLag
-			t.dropRequest(q)
-			l.requestCycle()
-			c.log(Debug, "scale-out refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
-		case outcome.Invalid:
-			t.exhausted[q.Group] = now + 20*c.times.listLag
-			t.dropRequest(q)
-			c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
-		case outcome.Unknown, outcome.Conflict, outcome.NotFound, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
-			// It may have been applied or not: it is retried under the same ID.
-			q.nextTry = now + c.times.checkInterval
-			c.wakeBy(q.nextTry)
-		}
+		t.handleScaleOutResult(q, r)
 	})
-	c.emit(CloudScaleOut{CallID: id, Request: wire.ScaleOutRequest{RequestID: q.id, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
+	t.leader.core.emit(CloudScaleOut{CallID: id,
+		Request: wire.ScaleOutRequest{RequestID: q.id, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
 }
 
-// dropUnsentRequests drops requests that still wait for the cloud's rate. What is missing is counted
-// anew, so that one request asks for all of it: rounds come faster than requests may go
-// out, and a queue of small ones would hold the fleet back for many seconds.
-func (t *provisioner) dropUnsentRequests() {
-	tried := t.requests[:0]
-	for _, q := range t.requests {
-		if q.sent {
-			tried = append(tried, q)
-		}
-	}
-	clear(t.requests[len(tried):])
-	t.requests = tried
-}
-
-func (t *provisioner) dropRequest(q *scaleOutRequest) {
-	for i, x := range t.requests {
-		if x == q {
-			t.requests = append(t.requests[:i], t.requests[i+1:]...)
-			return
-		}
-	}
-}
+const (
+	// exhaustedListLags is for how many lags of the cloud's list a group is not requested after the cloud had too few.
+	exhaustedListLags = 2
+	// invalidListLags is the same after the cloud has called a request invalid.
+	invalidListLags = 20
+)
 
-// requestListPage reads a page of the cloud's list. One above the cloud's rate is asked for again; after any other
-// failure the list is read anew when the next one is due.
-func (t *provisioner) requestListPage(after string) {
+// handleScaleOutResult takes in the machines that the cloud granted. A request whose outcome is not known is retried under
+// its ID.
+func (t *provisioner) handleScaleOutResult(q *scaleOutRequest, r Result) {
 	l, c := t.leader, t.leader.core
-	t.listInFlight = true
-	id := l.call(func(r Result) {
-		t.listInFlight = false
-		if r.Outcome == outcome.Dropped && after != "" {
-			t.nextPage = after
-			return
-		}
-		t.nextPage = ""
-		if r.Outcome != outcome.OK {
-			return
-		}
-		for i := range r.Machines.Machines {
-			e := &r.Machines.Machines[i]
-			t.listedNames[e.Name] = true
-			t.applyListed(e)
+	now := c.now.Steady
+	switch r.Outcome {
+	case outcome.OK:
+		for _, name := range r.MachineNames {
+			m := l.machineNamed(name)
+			m.requestedAt, m.requestedHere = r.SentAt, true
+			m.setIdentity(q.Type, q.Zone, "", q.Spot)
+			m.setType(c.machineType(q.Type))
 		}
-		if n := len(r.Machines.Machines); r.Machines.More && n > 0 {
-			t.nextPage = r.Machines.Machines[n-1].Name
-			return
+		if len(r.MachineNames) < q.count {
+			t.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
 		}
-		t.listRead = true
-		t.findAbsent()
+		t.dropRequest(q)
 		l.requestCycle()
-	})
-	c.emit(CloudList{CallID: id, After: after})
+		c.log(Info, "scaled out", "requested", q.count, "granted", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+	case outcome.Unavailable:
+		t.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
+		t.dropRequest(q)
+		l.requestCycle()
+		c.log(Debug, "scale-out refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+	case outcome.Invalid:
+		t.exhausted[q.Group] = now + invalidListLags*c.times.listLag
+		t.dropRequest(q)
+		c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
+	case outcome.Unknown, outcome.Conflict, outcome.NotFound, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
+		q.nextTry = now + c.times.checkInterval
+		c.wakeBy(q.nextTry)
+	}
 }
 
-// applyListed takes an entry of the cloud's list.
-func (t *provisioner) applyListed(e *wire.Machine) {
-	l, c := t.leader, t.leader.core
-	now := c.now.Steady
-	if at, was := l.releasedMachines[e.Name]; was {
-		if now-at < 10*c.times.listLag {
-			return // the list lags
-		}
-		delete(l.releasedMachines, e.Name)
-	}
-	if e.State == wire.MachineFailed {
-		if m := l.machines[e.Name]; m != nil {
-			l.removeMachine(m, "failed")
-		} else {
-			l.releasedMachines[e.Name] = now
-		}
-		t.scaleInQueue = append(t.scaleInQueue, e.Name)
-		return
-	}
-	_, known := l.machines[e.Name]
-	m := l.machineNamed(e.Name)
-	if !known {
-		c.log(Info, "worker found in cloud list", "worker", e.Name, "state", e.State)
+// unavailable tells whether machines of a group are not to be requested now: its zone is cut off, or the cloud had too few
+// of them lately.
+func (t *provisioner) unavailable(group capacity.Group) bool {
+	_, cutOff := t.leader.silentZones[group.Zone]
+	return cutOff || t.leader.core.now.Steady < t.exhausted[group]
+}
+
+// apply has a capacity plan carried out: a request for each group that is missing, and the release of what is idle.
+func (t *provisioner) apply(plan capacityPlan) {
+	for _, demand := range plan.scaleOut {
+		t.lastRequest++
+		t.requests = append(t.requests, &scaleOutRequest{
+			Group:   demand.Group,
+			id:      fmt.Sprintf("bw-%d-%d", t.leader.term, t.lastRequest),
+			count:   min(demand.count, wire.MaxScaleOut),
+			nextTry: t.leader.core.now.Steady,
+		})
 	}
-	if !m.inCloudList {
-		m.inCloudList, m.listedAt = true, now
-		m.requestedAt = min(m.requestedAt, now-config.Seconds(e.AgeS))
+	for _, m := range plan.scaleIn {
+		t.release(m, releaseIdle)
 	}
-	m.setIdentity(e.Type, e.Zone, e.Addr, e.Spot)
-	m.missedLists = 0
 }
 
-// findAbsent looks for machines that a complete list lacks. A list may describe a
-// moment up to twice the lag ago, and one list may be older than the one before,
-// so a machine counts as gone only if the list was asked for well after it must
-// have been listed, and if two lists in a row lack it.
-func (t *provisioner) findAbsent() {
-	l, c := t.leader, t.leader.core
-	for _, m := range append([]*machine(nil), l.machinesByName...) {
-		if t.listedNames[m.name] {
-			continue
-		}
-		known := m.firstSeen
-		if m.inCloudList {
-			known = m.listedAt
-		}
-		if t.listStartedAt < known+3*c.times.listLag {
-			continue
-		}
-		if m.reported && c.now.Steady-m.lastHeardDirectlyOrRelayed() < 3*c.times.listLag {
-			continue
-		}
-		m.missedLists++
-		if m.missedLists >= 2 {
-			l.removeMachine(m, "no longer listed")
+// dropUnsentRequests drops requests that still wait for the cloud's rate limit. The next plan counts anew what is missing,
+// so that one request asks for all of it: cycles come faster than requests may be sent, and a queue of small ones would
+// delay the fleet by many seconds.
+func (t *provisioner) dropUnsentRequests() {
+	sent := t.requests[:0]
+	for _, q := range t.requests {
+		if q.sent {
+			sent = append(sent, q)
 		}
 	}
-	if len(l.releasedMachines) > 1000 {
-		for name, at := range l.releasedMachines {
-			if c.now.Steady-at > 30*c.times.lease {
-				delete(l.releasedMachines, name)
-			}
+	clear(t.requests[len(sent):])
+	t.requests = sent
+}
+
+func (t *provisioner) dropRequest(q *scaleOutRequest) {
+	for i, x := range t.requests {
+		if x == q {
+			t.requests = append(t.requests[:i], t.requests[i+1:]...)
+			return
 		}
 	}
 }
 
-// releaseNeverUp returns machines that don't come up.
+// releaseNeverUp releases machines that send no heartbeat long after they should have booted.
 func (t *provisioner) releaseNeverUp() {
 	l, c := t.leader, t.leader.core
 	if !l.hasAuthority() {
@@ -354,7 +276,7 @@
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
-			// Known from before this term: it may be up and yet to report here.
+			// Known from before this term: it may be up and not have found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
@@ -363,9 +285,8 @@
 	}
 }
 
-// reconciled tells whether this leader's picture of the fleet is good enough to rent
-// and return by: the list has been read, and the machines of earlier terms have
-// had time to be listed and to report.
+// reconciled tells whether this leader knows the fleet well enough to scale it out and in: the cloud's list has been read,
+// and the machines of earlier terms have had time to be listed and to send a heartbeat.
 func (t *provisioner) reconciled() bool {
 	l, c := t.leader, t.leader.core
 	if !t.listRead {
@@ -390,7 +311,7 @@
 			}
 		}
 	}
-	// The last few may be dead, and so may be those that were asked twice without an answer:
-	// what is missing without them is missing anyway.
+	// The last few may be dead, and so may those that left two queries unanswered: what the fleet lacks without them it
+	// lacks anyway.
 	return 10*up >= 9*awaited
 }
