--- a/internal/core/cancel_requests.go
+++ b/internal/core/cancel_requests.go
@@ -5,6 +5,7 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -25,7 +26,7 @@
 		c.respond(in.RequestID, 404, noSuchJob)
 		return
 	}
-	if final, ok := c.cache.finals[in.ID]; ok {
+	if final, ok := c.cache.FinalState(in.ID); ok {
 		c.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: final.State})
 		return
 	}
@@ -56,7 +57,7 @@
 	case lookupEnded:
 		p.respondState(result.final.State)
 	case lookupActive:
-		if result.job.cancelled() {
+		if result.job.Cancelled() {
 			p.respondState(wire.JobCancelled)
 			return
 		}
@@ -101,7 +102,7 @@
 
 // commitCancellation writes a job's cancellation, on the condition that its key is as it was seen, and has all nodes
 // acknowledge it.
-func (u *userRequests) commitCancellation(id string, seen *cachedJob, then func(cancelResult)) {
+func (u *userRequests) commitCancellation(id string, seen *watchcache.Job, then func(cancelResult)) {
 	c := u.core
 	job := seen.Job
 	job.CancelledMS = max(1, c.now.WallMS)
@@ -114,7 +115,7 @@
 	request := c.registerStoreCall(write.applyResult)
 	key := stored.JobKey(id)
 	c.emit(StoreTxn{CallID: request, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: key, Version: seen.version}},
+		If:   []wire.Condition{{Key: key, Version: seen.Version}},
 		Then: []wire.Op{{Put: key, Value: value}},
 	}})
 }
@@ -136,7 +137,7 @@
 	c := w.core
 	c.applyJobIfNewer(w.id, w.value, revision, fromWrite)
 	w.revision = revision
-	c.cancellations.awaitAcknowledgement(w.id, &cachedJob{w.job, revision}, w.applyAcknowledgement)
+	c.cancellations.awaitAcknowledgement(w.id, &watchcache.Job{Job: w.job, Version: revision}, w.applyAcknowledgement)
 }
 
 func (w *cancellationWrite) applyAcknowledgement(acknowledged bool) {
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
 	"slices"
 	"strings"
 	"time"
 
 	"bitternwing/internal/membership"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -62,8 +62,8 @@
 
 // awaitAcknowledgement hands over whether users may be told of a job's cancellation: at once where that is
 // known, else with the other nodes' answers.
-func (b *cancellationReplicator) awaitAcknowledgement(id string, e *cachedJob, then func(acknowledged bool)) {
-	if b.acknowledgedByAll(e.version, nil) && b.resolvedByLeaders(id) {
+func (b *cancellationReplicator) awaitAcknowledgement(id string, e *watchcache.Job, then func(acknowledged bool)) {
+	if b.acknowledgedByAll(e.Version, nil) && b.resolvedByLeaders(id) {
 		then(true)
 		return
 	}
@@ -79,7 +79,7 @@
 			b.pending = slices.Delete(b.pending, 0, 1)
 		}
 		i = len(b.pending)
-		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.version}, acknowledgedBy: map[*membership.Peer]bool{}})
+		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.Version}, acknowledgedBy: map[*membership.Peer]bool{}})
 	}
 	a := b.pending[i]
 	if len(a.waiters) == 0 {
@@ -142,8 +142,8 @@
 		listed = append(listed, id)
 	}
 	if !l.recovered {
-		for _, id := range slices.Sorted(maps.Keys(l.core.cache.jobs)) {
-			if l.core.cache.jobs[id].CancelledMS != 0 {
+		for _, id := range l.core.cache.JobIDs() {
+			if l.core.cache.Job(id).CancelledMS != 0 {
 				add(id)
 			}
 		}
@@ -244,7 +244,7 @@
 // watch. What is no newer than the watch has come to is in the directory already, or was
 // deleted since.
 func (c *Core) applyJobIfNewer(id string, value json.RawMessage, version uint64, source updateSource) {
-	if version <= c.cache.revision && c.cache.ready {
+	if version <= c.cache.Revision() && c.cache.Ready() {
 		return
 	}
 	c.applyJob(id, value, version, source)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,6 +10,7 @@
 	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/pacing"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -26,7 +27,8 @@
 	lastCallID uint64
 	pending    map[uint64]func(Result)
 
-	cache         *watchCache
+	cache         *watchcache.Cache
+	storeWatch    *storeWatch
 	dependencies  *dependencyTracker
 	limits        *storeLimits
 	users         *userRequests
@@ -116,7 +118,8 @@
 	c.pacer = pacing.NewPacer(c.times.heartbeatInterval, c.times.lease, wire.HeartbeatTimeout)
 	c.timerLoad = pacing.NewLoad(c.times.checkInterval, c.times.lease)
 	c.requestLoad = pacing.NewLoad(c.times.checkInterval, c.times.lease)
-	c.cache = newWatchCache()
+	c.cache = watchcache.New(int(finalStatesPerMB * s.Params.Limits.MemoryMB))
+	c.storeWatch = newStoreWatch(c)
 	c.dependencies = newDependencyTracker(c)
 	c.limits = newStoreLimits(s.Params.Store)
 	c.users = newUserRequests(c)
@@ -197,7 +200,7 @@
 func (c *Core) runDue() {
 	c.wakeAt = c.now.Steady + c.times.storeProbeInterval
 	c.refreshCatalog()
-	c.followStore()
+	c.storeWatch.run()
 	c.probeStore()
 	c.queryPeers()
 	c.dependencies.run()
@@ -288,7 +291,7 @@
 	c.storeProbeInFlight = true
 	c.nextStoreProbe = c.now.Steady + every
 	id := c.registerStoreCall(func(Result) { c.storeProbeInFlight = false })
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.leaderCondition()}}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.LeaderCondition()}}})
 }
 
 // Healthy tells whether this node can take requests. A node that alone is refused
@@ -298,7 +301,7 @@
 	if c.shedding {
 		return false
 	}
-	if !c.cache.ready || c.catalog == nil {
+	if !c.cache.Ready() || c.catalog == nil {
 		// Started in an outage for all: like the others.
 		return c.storeDown && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
@@ -313,9 +316,9 @@
 
 // PeerStatus is what this node tells the others of itself.
 func (c *Core) PeerStatus() membership.Status {
-	s := membership.Status{StoreDown: c.storeDown || !c.cache.ready, Term: c.cache.term.Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
-	if c.cache.ready {
-		s.Revision = c.cache.revision
+	s := membership.Status{StoreDown: c.storeDown || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
+	if c.cache.Ready() {
+		s.Revision = c.cache.Revision()
 	}
 	if c.leader != nil {
 		s.Leading = true
@@ -333,11 +336,11 @@
 // leader reads them anew now and then. The catalog is kept in the state service
 // too, so that a node can judge submissions while the cloud is down.
 func (c *Core) refreshCatalog() {
-	if c.catalogInFlight || !c.cache.ready {
+	if c.catalogInFlight || !c.cache.Ready() {
 		return
 	}
-	if c.catalog == nil && c.cache.catalog != nil {
-		c.catalog = c.cache.catalog
+	if c.catalog == nil && c.cache.Catalog() != nil {
+		c.catalog = c.cache.Catalog()
 		c.catalogAt = c.now.Steady
 	}
 	every := 30 * c.times.listLag
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -7,6 +7,7 @@
 	"bitternwing/internal/dependency"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -33,7 +34,7 @@
 
 // observeJob takes in a change of an active job.
 func (d *dependencyTracker) observeJob(id string) {
-	if e := d.core.cache.jobs[id]; e != nil {
+	if e := d.core.cache.Job(id); e != nil {
 		d.graph.Put(id, dependencyJob(e))
 	} else {
 		d.graph.Remove(id)
@@ -48,16 +49,16 @@
 // reload takes in a directory that was read anew.
 func (d *dependencyTracker) reload() {
 	for _, id := range d.graph.Active() {
-		if d.core.cache.jobs[id] == nil {
+		if d.core.cache.Job(id) == nil {
 			d.graph.Remove(id)
 		}
 	}
-	for id := range d.core.cache.jobs {
+	for _, id := range d.core.cache.JobIDs() {
 		d.observeJob(id)
 	}
 }
 
-func dependencyJob(e *cachedJob) dependency.Job {
+func dependencyJob(e *watchcache.Job) dependency.Job {
 	j := dependency.Job{Needs: e.Spec.Dependencies, Cancelled: e.CancelledMS != 0, Priority: e.Spec.Priority.Rank(),
 		AcceptedMS: e.AcceptedMS, EstimateMS: milliseconds(e.Spec.EstimatedRunS), DeadlineMS: dependency.Never}
 	if e.Spec.DeadlineS != nil {
@@ -71,11 +72,11 @@
 // run reads the ends that have to be known.
 func (d *dependencyTracker) run() {
 	c := d.core
-	if !c.cache.ready {
+	if !c.cache.Ready() {
 		return
 	}
 	for _, id := range d.graph.Unresolved() {
-		if f, ok := c.cache.finals[id]; ok {
+		if f, ok := c.cache.FinalState(id); ok {
 			d.observeEnd(id, f)
 			continue
 		}
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -28,7 +28,7 @@
 	n := 0
 	for ; n < len(w.cancels) && len(b.txn.Then) < ops; n++ {
 		j := w.cancels[n]
-		e := c.cache.jobs[j.id]
+		e := c.cache.Job(j.id)
 		if l.jobs[j.id] != j || j.cancelled || e == nil {
 			continue
 		}
@@ -39,7 +39,7 @@
 			continue
 		}
 		key := stored.JobKey(j.id)
-		b.addCondition(key, e.version)
+		b.addCondition(key, e.Version)
 		b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
 		b.size += len(value) + 128
 		b.cancels = append(b.cancels, cancelledJob{j, value})
--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -1,11 +1,14 @@
 package core
 
-import "bitternwing/internal/dependency"
+import (
+	"bitternwing/internal/dependency"
+	"bitternwing/internal/watchcache"
+)
 
 // mayDisclose tells whether users may be told the state of an active job as its own key has it. If not, it sees to
 // the response: a job that depends on a cancelled one is cancelled with it, and where the end of a dependency is not
 // known here yet nothing can be said.
-func (u *userRequests) mayDisclose(id string, job *cachedJob, then func(lookupResult)) bool {
+func (u *userRequests) mayDisclose(id string, job *watchcache.Job, then func(lookupResult)) bool {
 	switch u.core.dependencies.graph.Of(id).State {
 	case dependency.Unresolved:
 		then(lookupResult{state: lookupIndeterminate})
@@ -23,13 +26,13 @@
 type dependentCancellation struct {
 	requests *userRequests
 	id       string
-	job      *cachedJob // as it was before
+	job      *watchcache.Job // as it was before
 	waiters  []func(lookupResult)
 }
 
 // cancelDependent cancels a job that depends on a cancelled one, for a lookup of it. The leader does so as well, in
 // its own time. Lookups at the same time share one write.
-func (u *userRequests) cancelDependent(id string, job *cachedJob, then func(lookupResult)) {
+func (u *userRequests) cancelDependent(id string, job *watchcache.Job, then func(lookupResult)) {
 	if inFlight := u.dependentCancellations[id]; inFlight != nil {
 		inFlight.waiters = append(inFlight.waiters, then)
 		return
@@ -55,9 +58,9 @@
 }
 
 // jobAfterCancellation gives the job as it is after its cancellation was written.
-func (d *dependentCancellation) jobAfterCancellation() *cachedJob {
+func (d *dependentCancellation) jobAfterCancellation() *watchcache.Job {
 	c := d.requests.core
-	if job := c.cache.jobs[d.id]; job.cancelled() {
+	if job := c.cache.Job(d.id); job.Cancelled() {
 		return job
 	}
 	job := *d.job
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -22,10 +22,11 @@
 func (h electionHost) WakeBy(at time.Duration) { h.core.wakeBy(at) }
 
 func (h electionHost) View() election.View {
-	d := h.core.cache
-	return election.View{Ready: d.ready, Vacant: d.leaderVersion == 0,
-		Leader: election.LeaderView{Node: d.leader.Node, Lease: d.leader.Lease},
-		Term:   election.TermView{Number: d.term.Number, Node: d.term.Node, Version: d.termVersion}}
+	cache := h.core.cache
+	leader, term := cache.Leader(), cache.Term()
+	return election.View{Ready: cache.Ready(), Vacant: !cache.HasLeader(),
+		Leader: election.LeaderView{Node: leader.Node, Lease: leader.Lease},
+		Term:   election.TermView{Number: term.Number, Node: term.Node, Version: cache.TermVersion()}}
 }
 
 func (h electionHost) StoreDown() bool { return h.core.storeDown }
@@ -50,11 +51,9 @@
 func (h electionHost) Elected(term election.Term) {
 	c := h.core
 	c.log(Debug, "term started", "term", term.Number, "fencing_token", firstFencingToken(term.Number),
-		"entitled_ms", (term.LeaseDeadline - c.now.Steady).Milliseconds(), "term_revision", term.Version, "revision", c.cache.revision)
+		"entitled_ms", (term.LeaseDeadline - c.now.Steady).Milliseconds(), "term_revision", term.Version, "revision", c.cache.Revision())
 	c.leader = newLeader(c, term.Number, term.Version)
-	if term.Version > c.cache.termVersion {
-		c.cache.term, c.cache.termVersion = stored.Term{Number: term.Number, Node: c.settings.Node}, term.Version
-	}
+	c.cache.ObserveTerm(stored.Term{Number: term.Number, Node: c.settings.Node}, c.cache.TermFormat(), term.Version)
 }
 
 func (h electionHost) SteppedDown(election.StepDownReason) {
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -25,12 +25,12 @@
 
 // KnowsCancelled tells whether this node knows that a job is cancelled.
 func (c *Core) KnowsCancelled(id string) bool {
-	e, final := c.cache.jobs[id], c.cache.finals[id]
-	return e != nil && e.CancelledMS != 0 || final.State == wire.JobCancelled
+	final, _ := c.cache.FinalState(id)
+	return c.cache.Job(id).Cancelled() || final.State == wire.JobCancelled
 }
 
 // Finals is how many final states this node remembers.
-func (c *Core) Finals() int { return len(c.cache.finals) }
+func (c *Core) Finals() int { return c.cache.FinalStateCount() }
 
 // CheckRoom compares the index of room, and the counts of jobs' tasks by zone, with what they would be if they
 // were built anew.
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -91,7 +91,7 @@
 	}
 	j := l.jobs[id]
 	if j == nil || task >= j.spec.Tasks {
-		return l.core.cache.jobs[id] == nil || task >= l.core.cache.jobs[id].Spec.Tasks
+		return l.core.cache.Job(id) == nil || task >= l.core.cache.Job(id).Spec.Tasks
 	}
 	if j.ending {
 		// Its end holds what this exit tells, and is yet to be written: no record is written of it
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -25,10 +25,10 @@
 
 // redirectTarget gives the node to which workers are redirected; empty if no other node is known to lead.
 func (c *Core) redirectTarget() string {
-	if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
-		return c.cache.leader.Node
+	if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
+		return c.cache.Leader().Node
 	}
-	if !c.cache.ready {
+	if !c.cache.Ready() {
 		return c.members.Leader(c.now.Steady) // this node was started while the key-value store is unavailable
 	}
 	return ""
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -99,15 +99,13 @@
 // applyImageHints gives a machine, when first seen in this term, the images that the last
 // leader knew of.
 func (l *leader) applyImageHints(m *machine) {
-	for _, shard := range l.core.cache.images {
-		for _, name := range shard.get()[m.name] {
-			img := newCachedImage(name, l.imageGB(name))
-			// What a place costs is worked out from what is known; without weighing the hint is believed.
-			img.unconfirmed = l.core.operator.Spread.Enabled
-			img.ready = !img.unconfirmed
-			m.images = append(m.images, img)
-			m.capacityChanged = true
-		}
+	for _, name := range l.core.cache.Images(m.name) {
+		img := newCachedImage(name, l.imageGB(name))
+		// What a place costs is worked out from what is known; without weighing the hint is believed.
+		img.unconfirmed = l.core.operator.Spread.Enabled
+		img.ready = !img.unconfirmed
+		m.images = append(m.images, img)
+		m.capacityChanged = true
 	}
 }
 
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -13,6 +13,7 @@
 	"bitternwing/internal/record"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -267,9 +268,9 @@
 }
 
 // addJob takes a job up. One that needs others waits until they are done.
-func (l *leader) addJob(id string, e *cachedJob) *job {
+func (l *leader) addJob(id string, e *watchcache.Job) *job {
 	status := l.core.dependencies.graph.Of(id)
-	j := &job{id: id, spec: e.Spec, acceptedMS: e.AcceptedMS, queuedMS: e.AcceptedMS, version: e.version, team: l.teamOf(e.Spec.Team),
+	j := &job{id: id, spec: e.Spec, acceptedMS: e.AcceptedMS, queuedMS: e.AcceptedMS, version: e.Version, team: l.teamOf(e.Spec.Team),
 		rank: status.Priority, latestEndMS: status.LatestEndMS, chunks: map[int]*recordChunk{}, placements: map[int]*placement{}, placementsByZone: map[string]int{}, replicaLedger: l.replicaLedger}
 	l.jobs[id] = j
 	j.waitingForDependencies = len(e.Spec.Dependencies) > 0
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -5,13 +5,14 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
 // lookup finds out the state of a job.
 type lookup struct {
 	id     string
-	cached *cachedJob // what the watch cache has; nil: no such job
+	cached *watchcache.Job // what the watch cache has; nil: no such job
 	then   func(lookupResult)
 	// batchable tells that the caller can wait a little, so that one comparison serves many lookups.
 	batchable bool
@@ -32,12 +33,12 @@
 // lookupResult is the result of a lookup.
 type lookupResult struct {
 	state lookupState
-	job   *cachedJob        // of an active job
+	job   *watchcache.Job   // of an active job
 	final stored.FinalState // of a job that has ended
 }
 
 // activeLookup is the result for what is known of a job that has not ended; nil: there is none.
-func activeLookup(job *cachedJob) lookupResult {
+func activeLookup(job *watchcache.Job) lookupResult {
 	if job == nil {
 		return lookupResult{state: lookupNotFound}
 	}
@@ -72,7 +73,7 @@
 		c.respond(in.RequestID, 404, noSuchJob)
 		return
 	}
-	if final, ok := c.cache.finals[in.ID]; ok {
+	if final, ok := c.cache.FinalState(in.ID); ok {
 		c.respond(in.RequestID, 200, finalJobState(in.ID, final))
 		return
 	}
@@ -102,12 +103,12 @@
 
 // startLookup carries out a lookup. A cached cancellation needs no confirmation once all nodes know it.
 func (u *userRequests) startLookup(l *lookup) {
-	if !u.core.cache.ready {
+	if !u.core.cache.Ready() {
 		l.then(lookupResult{state: lookupIndeterminate})
 		return
 	}
-	cached := u.core.cache.jobs[l.id]
-	if cached.cancelled() {
+	cached := u.core.cache.Job(l.id)
+	if cached.Cancelled() {
 		u.resolveCancelled(l.id, cached, l.then)
 		return
 	}
@@ -122,7 +123,7 @@
 }
 
 // resolveCancelled hands over a cancelled job once users may be told of it.
-func (u *userRequests) resolveCancelled(id string, job *cachedJob, then func(lookupResult)) {
+func (u *userRequests) resolveCancelled(id string, job *watchcache.Job, then func(lookupResult)) {
 	disclosure := cancelledDisclosure{core: u.core, id: id, job: job, then: then}
 	u.core.cancellations.awaitAcknowledgement(id, job, disclosure.resolve)
 }
@@ -131,12 +132,12 @@
 type cancelledDisclosure struct {
 	core *Core
 	id   string
-	job  *cachedJob
+	job  *watchcache.Job
 	then func(lookupResult)
 }
 
 func (d cancelledDisclosure) resolve(acknowledged bool) {
-	final, ended := d.core.cache.finals[d.id]
+	final, ended := d.core.cache.FinalState(d.id)
 	switch {
 	case ended:
 		d.then(endedLookup(final))
@@ -189,7 +190,7 @@
 // conditions are those that hold as long as the cached state of the job is current.
 func (l *lookup) conditions() []wire.Condition {
 	if l.cached != nil {
-		return []wire.Condition{{Key: stored.JobKey(l.id), Version: l.cached.version}}
+		return []wire.Condition{{Key: stored.JobKey(l.id), Version: l.cached.Version}}
 	}
 	return []wire.Condition{{Key: stored.JobKey(l.id)}, {Key: stored.FinalStateKey(l.id)}}
 }
--- a/internal/core/job_reads.go
+++ b/internal/core/job_reads.go
@@ -3,6 +3,7 @@
 import (
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -52,12 +53,12 @@
 		r.finish(lookupResult{state: lookupIndeterminate})
 		return
 	}
-	job := &cachedJob{value, item.Version}
+	job := &watchcache.Job{Job: value, Version: item.Version}
 	if r.lookup.existenceOnly {
 		r.finish(activeLookup(job))
 		return
 	}
-	if job.cancelled() {
+	if job.Cancelled() {
 		u.core.applyJobIfNewer(id, item.Value, item.Version, fromRead)
 		u.resolveCancelled(id, job, r.finish)
 		return
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -151,19 +151,15 @@
 		}
 		l.readRecords()
 	}
-	if !l.allRecordsRead || l.core.cache.revision < l.termVersion {
+	if !l.allRecordsRead || l.core.cache.Revision() < l.termVersion {
 		l.warnSlowRecovery()
 		return
 	}
 	l.recordLayout = l.core.layout()
-	l.unreachable.written = l.core.cache.unreachableHintTexts()
-	ids := make([]string, 0, len(l.core.cache.jobs))
-	for id := range l.core.cache.jobs {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
+	l.unreachable.written = l.core.cache.UnreachableHintValues()
+	ids := l.core.cache.JobIDs()
 	for _, id := range ids {
-		l.addJob(id, l.core.cache.jobs[id])
+		l.addJob(id, l.core.cache.Job(id))
 	}
 	l.applyRecords(l.recordItems)
 	l.recordItems = nil
@@ -272,18 +268,18 @@
 	if !l.recovered {
 		return
 	}
-	e, j := l.core.cache.jobs[id], l.jobs[id]
+	e, j := l.core.cache.Job(id), l.jobs[id]
 	if e == nil {
 		return // only the leader ends jobs, and drops them itself
 	}
 	if j == nil {
-		if _, over := l.core.cache.finals[id]; over {
+		if _, over := l.core.cache.FinalState(id); over {
 			return
 		}
 		j = l.addJob(id, e)
 		l.requestCycle()
 	}
-	j.version = max(j.version, e.version)
+	j.version = max(j.version, e.Version)
 	if e.CancelledMS != 0 && !j.cancelled {
 		l.applyCancellation(j, e.CancelledMS)
 	}
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -24,12 +24,12 @@
 	}
 	l.recovery.warned = true
 	c.log(Info, "leader still recovering state", "term", l.term, "records_read", l.allRecordsRead,
-		"revision", c.cache.revision, "required_revision", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
+		"revision", c.cache.Revision(), "required_revision", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
 }
 
 // logFailover logs what a new leader has waited for, and what it did meanwhile.
 func (l *leader) logFailover() {
 	now := l.core.now.Steady
 	l.core.log(Debug, "failover completed", "term", l.term, "after_ms", (now - l.startedAt).Milliseconds(),
-		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "revision", l.core.cache.revision, "leases_renewed", l.renewalsDuringRecovery())
+		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "revision", l.core.cache.Revision(), "leases_renewed", l.renewalsDuringRecovery())
 }
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -43,17 +43,17 @@
 // leadingPeer gives the other node that leads, as far as this node knows.
 func (r *leaseRelay) leadingPeer() *membership.Peer {
 	c := r.core
-	if c.leader != nil || c.cache.leaderVersion == 0 || c.cache.leader.Node == c.settings.Node || c.storeDown {
+	if c.leader != nil || !c.cache.HasLeader() || c.cache.Leader().Node == c.settings.Node || c.storeDown {
 		return nil
 	}
-	return c.members.Peer(c.cache.leader.Node)
+	return c.members.Peer(c.cache.Leader().Node)
 }
 
 // leadershipVacant tells whether nobody leads, between two terms: the key-value store serves this node and shows no
 // leader, or an earlier process of this very node.
 func (r *leaseRelay) leadershipVacant() bool {
 	cache := r.core.cache
-	return cache.ready && (cache.leaderVersion == 0 || cache.leader.Node == r.core.settings.Node)
+	return cache.Ready() && (!cache.HasLeader() || cache.Leader().Node == r.core.settings.Node)
 }
 
 // leaderUnreachable tells whether there is a leader that can't be reached from here.
@@ -74,7 +74,7 @@
 func (r *leaseRelay) termIsCurrent(leader *membership.Peer) bool {
 	c := r.core
 	return r.termConfirmedAt != 0 && c.now.Steady-r.termConfirmedAt < 2*c.times.checkInterval ||
-		c.members.Leads(leader, c.now.Steady) && leader.Status().Term == c.cache.leader.Term
+		c.members.Leads(leader, c.now.Steady) && leader.Status().Term == c.cache.Leader().Term
 }
 
 // handleHeartbeat renews a worker's lease in the leader's place; false if this node may not, or if the worker had
@@ -102,7 +102,7 @@
 // renewForLeader renews the lease of a worker that can't reach the leader, and relays its heartbeat.
 func (r *leaseRelay) renewForLeader(in WorkerHeartbeat) bool {
 	c, heartbeat := r.core, in.Heartbeat
-	leader, term := r.leadingPeer(), c.cache.leader.Term
+	leader, term := r.leadingPeer(), c.cache.Leader().Term
 	if leader == nil || termOfFencingToken(heartbeat.FencingToken) > term {
 		return false
 	}
@@ -121,7 +121,7 @@
 	worker.renewedAt = c.now.Steady
 	if r.term != term {
 		r.term = term
-		c.log(Info, "lease relay started for unreachable leader", "leader", c.cache.leader.Node, "term", term)
+		c.log(Info, "lease relay started for unreachable leader", "leader", c.cache.Leader().Node, "term", term)
 	}
 	c.renewLease(in.RequestID, RelayBasis, max(firstFencingToken(term), heartbeat.FencingToken), c.newLeaseResponse(heartbeat))
 	return true
@@ -150,7 +150,7 @@
 	// With its next heartbeat it is redirected to the leader, which must have heard of it by then: else it counts as
 	// silent there while it is on its way.
 	r.nextWrite = min(r.nextWrite, now+c.times.checkInterval/2)
-	c.log(Debug, "worker adopted by lease relay", "worker", heartbeat.Machine, "leader", c.cache.leader.Node)
+	c.log(Debug, "worker adopted by lease relay", "worker", heartbeat.Machine, "leader", c.cache.Leader().Node)
 	return worker
 }
 
@@ -205,7 +205,7 @@
 // before.
 func (r *leaseRelay) mayOutlastStore() bool {
 	c := r.core
-	return c.members.AllPeersLostStore(c.now.Steady) && c.members.Leader(c.now.Steady) == "" && c.cache.ready
+	return c.members.AllPeersLostStore(c.now.Steady) && c.members.Leader(c.now.Steady) == "" && c.cache.Ready()
 }
 
 // run keeps the knowledge of the leader's term fresh while it is needed, and writes the relayed heartbeats.
@@ -229,7 +229,7 @@
 	r.confirmInFlight = true
 	r.nextConfirm = c.now.Steady + c.times.checkInterval/2
 	id := c.registerStoreCall(r.applyConfirmation)
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.leaderCondition()}}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.LeaderCondition()}}})
 }
 
 func (r *leaseRelay) applyConfirmation(result Result) {
@@ -242,7 +242,7 @@
 // dropExpired drops all workers once the leader has changed, and those whose leases have not been renewed here in time.
 func (r *leaseRelay) dropExpired() {
 	c := r.core
-	if r.leadingPeer() == nil || r.term != 0 && c.cache.leader.Term != r.term {
+	if r.leadingPeer() == nil || r.term != 0 && c.cache.Leader().Term != r.term {
 		clear(r.workers)
 		clear(r.redirected)
 		r.order = r.order[:0]
--- a/internal/core/lease_responses.go
+++ b/internal/core/lease_responses.go
@@ -102,7 +102,8 @@
 
 // isKnownCancelled tells whether this node knows that a job is cancelled.
 func (c *Core) isKnownCancelled(job string) bool {
-	return c.cache.jobs[job].cancelled() || c.cache.finals[job].State == wire.JobCancelled
+	final, _ := c.cache.FinalState(job)
+	return c.cache.Job(job).Cancelled() || final.State == wire.JobCancelled
 }
 
 // countLeaseRenewal counts an answer. The first one on a basis, or the first for a lease, is logged.
--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -31,11 +31,11 @@
 		job := fmt.Sprintf("run-%06d", i)
 		switch {
 		case i%10 >= cancelledOf10:
-			c.cache.jobs[job] = &cachedJob{Job: stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}}}
+			applyJob(t, c, stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}})
 		case i%2 == 0:
-			c.cache.jobs[job] = &cachedJob{Job: stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1}}
+			applyJob(t, c, stored.Job{Spec: &wire.Job{ID: job, Tasks: 1}, CancelledMS: 1})
 		default:
-			c.cache.finals[job] = stored.FinalState{State: wire.JobCancelled}
+			c.cache.AddFinalState(job, stored.FinalState{State: wire.JobCancelled})
 		}
 		state := states[rapid.IntRange(0, len(states)-1).Draw(t, "state")]
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
@@ -43,6 +43,15 @@
 	return r
 }
 
+// applyJob has the cache know a job.
+func applyJob(t *rapid.T, c *Core, job stored.Job) {
+	value, err := job.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.cache.ApplyJob(job.Spec.ID, value, 1)
+}
+
 // cancelledLeft counts the tasks of a report that have not exited and whose jobs are known to be cancelled.
 func cancelledLeft(c *Core, r *wire.Heartbeat) (left int) {
 	for _, t := range r.Tasks {
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -83,5 +83,5 @@
 // storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none knows
 // a newer term: nobody can then win one.
 func (c *Core) storeOutageConfirmed() bool {
-	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.term.Number)
+	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.Term().Number)
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -13,6 +13,7 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/resource"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -196,7 +197,7 @@
 }
 
 func (f *drawnFleet) queue(spec *wire.Job, rank int, team *config.Team) *job {
-	j := f.l.addJob(spec.ID, &cachedJob{Job: stored.Job{Spec: spec}})
+	j := f.l.addJob(spec.ID, &watchcache.Job{Job: stored.Job{Spec: spec}})
 	j.rank, j.team = rank, team
 	return j
 }
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -23,9 +23,9 @@
 func (a *quotaManager) writeNextChange(t *teamQuota, need teamDemand) {
 	c := a.leader.core
 	switch {
-	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil && c.cache.termFormat < stored.QuotasTermFormat:
+	case t.account == nil && c.cache.QuotaAccount(t.key) == nil && c.cache.TermFormat() < stored.QuotasTermFormat:
 		a.leader.termUpgrade.request(stored.QuotasTermFormat)
-	case t.account == nil && c.cache.quotaAccounts.byKey[t.key] == nil:
+	case t.account == nil && c.cache.QuotaAccount(t.key) == nil:
 		a.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
 		t.redirectWaiting(c) // it can't be read
@@ -122,7 +122,7 @@
 		t.writeInFlight = false
 		t.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK && r.Item.Version > t.version {
-			c.cache.quotaAccounts.apply(t.key, r.Item.Value, r.Item.Version)
+			c.cache.ApplyQuotaAccount(t.key, r.Item.Value, r.Item.Version)
 			a.readStored()
 		}
 	})
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -125,8 +125,8 @@
 	if len(a.teams) == 0 {
 		return
 	}
-	if a.cacheChangesSeen != c.cache.quotaAccounts.changes {
-		a.cacheChangesSeen = c.cache.quotaAccounts.changes
+	if a.cacheChangesSeen != c.cache.QuotaAccountChanges() {
+		a.cacheChangesSeen = c.cache.QuotaAccountChanges()
 		a.readStored()
 	}
 	if c.now.Steady < a.nextCheck {
@@ -156,14 +156,14 @@
 // readStored takes in the accounts as the watch shows them.
 func (a *quotaManager) readStored() {
 	for _, t := range a.ordered {
-		current := a.leader.core.cache.quotaAccounts.byKey[t.key]
-		if current == nil || current.version <= t.version {
+		current := a.leader.core.cache.QuotaAccount(t.key)
+		if current == nil || current.Version <= t.version {
 			continue
 		}
-		if current.problem != nil {
-			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", current.problem.Error())
+		if current.Problem != nil {
+			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", current.Problem.Error())
 		}
-		a.adoptAccount(t, current.account, current.version)
+		a.adoptAccount(t, current.Account, current.Version)
 	}
 }
 
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -36,8 +36,8 @@
 
 // layout gives the layout that the state service says is in use.
 func (c *Core) layout() record.Layout {
-	if c.cache.layoutVersion != 0 {
-		return c.cache.layout
+	if layout, known := c.cache.RecordLayout(); known {
+		return layout
 	}
 	return record.Layout{ByIndex: record.ByIndexFor(c.limits.present.ValueKB)}
 }
@@ -91,12 +91,8 @@
 	c, old := l.core, l.recordLayout
 	l.termVersion, l.recordLayout = version, next
 	l.layoutMigration.requested = false
-	if version > c.cache.termVersion {
-		c.cache.term, c.cache.termVersion = stored.Term{Number: l.term, Node: c.settings.Node}, version
-	}
-	if version > c.cache.layoutVersion {
-		c.cache.layout, c.cache.layoutVersion = next, version
-	}
+	c.cache.ObserveTerm(stored.Term{Number: l.term, Node: c.settings.Node}, c.cache.TermFormat(), version)
+	c.cache.ObserveRecordLayout(next, version)
 	l.writer.dirty = nil
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		l.migrateChunks(l.jobs[id], old)
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -84,6 +84,6 @@
 
 // planOwns tells whether a job is one of a rollout's plan.
 func (l *leader) planOwns(id string) bool {
-	_, owned := l.core.cache.plans.byJob[id]
+	owned := l.core.cache.PlanHolding(id) != nil
 	return owned
 }
--- a/internal/core/rollout_holds.go
+++ b/internal/core/rollout_holds.go
@@ -17,8 +17,8 @@
 // planHolds tells whether a job may not be started because of a plan.
 func (l *leader) planHolds(id string, spec *wire.Job) bool {
 	records := make([]*rollout.Record, 0, 2)
-	if current := l.core.cache.plans.byName[l.core.cache.plans.byJob[id]]; current != nil {
-		records = append(records, current.record)
+	if current := l.core.cache.PlanHolding(id); current != nil {
+		records = append(records, current.Record)
 	}
 	for _, applying := range l.rollouts.uncommitted {
 		records = append(records, applying)
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -13,6 +13,7 @@
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -73,7 +74,7 @@
 // run looks after all plans.
 func (t *rolloutManager) run() {
 	l, c := t.leader, t.leader.core
-	if len(c.cache.plans.byName) == 0 && len(t.runs) == 0 {
+	if c.cache.PlanCount() == 0 && len(t.runs) == 0 {
 		return
 	}
 	if c.now.Steady < t.nextCheck {
@@ -83,31 +84,31 @@
 	t.nextCheck = c.now.Steady + c.times.minCycleGap
 	c.wakeBy(t.nextCheck)
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
-		if c.cache.plans.byName[name] == nil {
+		if c.cache.Plan(name) == nil {
 			t.end(t.runs[name])
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.cache.plans.byName)) {
-		current := c.cache.plans.byName[name]
+	for _, name := range c.cache.PlanNames() {
+		current := c.cache.Plan(name)
 		run := t.runs[name]
 		if run == nil {
 			run = t.begin(name, current)
 		}
-		if current.problem == nil {
+		if current.Problem == nil {
 			l.runRollout(run, current)
 		}
 	}
 }
 
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
-func (t *rolloutManager) begin(name string, current *cachedPlan) *activeRollout {
+func (t *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
 	c := t.leader.core
 	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewProofs(c.probeInterval()),
 		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
-	if current.problem != nil {
-		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.problem.Error())
+	if current.Problem != nil {
+		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.Problem.Error())
 	}
 	return run
 }
@@ -141,20 +142,20 @@
 }
 
 // planChanged brings up to date which jobs are held after a plan has changed.
-func (l *leader) planChanged(before, after *cachedPlan) {
+func (l *leader) planChanged(before, after *watchcache.Plan) {
 	if !l.recovered {
 		return
 	}
-	for _, current := range []*cachedPlan{before, after} {
-		if current != nil && current.record != nil {
-			l.refreshHoldsOf(current.record.Plan.New.Jobs)
+	for _, current := range []*watchcache.Plan{before, after} {
+		if current != nil && current.Record != nil {
+			l.refreshHoldsOf(current.Record.Plan.New.Jobs)
 		}
 	}
 }
 
 // runRollout does what a plan is due to do.
-func (l *leader) runRollout(run *activeRollout, current *cachedPlan) {
-	c, r := l.core, current.record
+func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
+	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
 	run.validations.Track(replicas)
 	run.reconcile(l, &r.Plan)
@@ -278,9 +279,9 @@
 // observeRolloutJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
 // over.
 func (l *leader) observeRolloutJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
-	e := l.core.cache.jobs[id]
+	e := l.core.cache.Job(id)
 	if e == nil {
-		_, ended := l.core.cache.finals[id]
+		_, ended := l.core.cache.FinalState(id)
 		over := wasAccepted || ended
 		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
 	}
@@ -344,14 +345,14 @@
 }
 
 // commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
-func (l *leader) commitPlan(run *activeRollout, current *cachedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	run.writeInFlight = true
-	run.noteDropped(current.record, next)
+	run.noteDropped(current.Record, next)
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
@@ -361,11 +362,11 @@
 		}
 		then(r)
 	})
-	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.version, wire.Op{Put: stored.PlanKey(run.name), Value: value})})
+	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Put: stored.PlanKey(run.name), Value: value})})
 }
 
 // commitTransition writes a plan's next phase, or an operator's change, and logs it.
-func (l *leader) commitTransition(run *activeRollout, current *cachedPlan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
 			l.logPlan(run, next)
@@ -415,21 +416,21 @@
 }
 
 // removePlan forgets a plan that has ended a while ago.
-func (l *leader) removePlan(run *activeRollout, current *cachedPlan) {
+func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
 	l.writer.rateTokens--
 	id := l.stateCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, nil)
 	})
-	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.version, wire.Op{Delete: stored.PlanKey(run.name)})})
+	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Delete: stored.PlanKey(run.name)})})
 }
 
 // applyPlan takes a plan's key as it was read, written or heard of.
 func (c *Core) applyPlan(name string, value json.RawMessage, version uint64) {
-	before := c.cache.plans.byName[name]
-	c.cache.plans.apply(name, value, version)
+	before := c.cache.Plan(name)
+	c.cache.ApplyPlan(name, value, version)
 	if c.leader != nil {
-		c.leader.planChanged(before, c.cache.plans.byName[name])
+		c.leader.planChanged(before, c.cache.Plan(name))
 	}
 }
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -11,6 +11,7 @@
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/scheduling"
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -74,8 +75,8 @@
 	l := c.leader
 	if l == nil {
 		to := ""
-		if c.cache.leaderVersion != 0 && c.cache.leader.Node != c.settings.Node {
-			to = c.cache.leader.Node
+		if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
+			to = c.cache.Leader().Node
 		}
 		c.respond(req, 421, wire.Redirect{Leader: to})
 		return nil
@@ -98,21 +99,21 @@
 	if l == nil {
 		return
 	}
-	current := c.cache.plans.byName[in.Plan.Name]
+	current := c.cache.Plan(in.Plan.Name)
 	switch {
 	case !c.operator.Rollouts.Enabled:
 		c.respondRefused(in.RequestID, reasonRolloutsDisabled)
-	case current != nil && current.record != nil && reflect.DeepEqual(&current.record.Plan, in.Plan):
+	case current != nil && current.Record != nil && reflect.DeepEqual(&current.Record.Plan, in.Plan):
 		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
 	case current != nil:
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
-	case len(c.cache.plans.byName) >= c.operator.Rollouts.MaxPlans:
-		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", len(c.cache.plans.byName)))
+	case c.cache.PlanCount() >= c.operator.Rollouts.MaxPlans:
+		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", c.cache.PlanCount()))
 	case !c.election.LeaseValid() || c.storeDown || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case !c.members.AllSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
-	case c.cache.termFormat < stored.RolloutsTermFormat:
+	case c.cache.TermFormat() < stored.RolloutsTermFormat:
 		l.termUpgrade.request(stored.RolloutsTermFormat)
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
@@ -134,7 +135,7 @@
 	replicas := 0
 	var cpus, gpus float64
 	for i, id := range plan.Old.Jobs {
-		e := c.cache.jobs[id]
+		e := c.cache.Job(id)
 		if e == nil || !l.jobAvailableForPlan(plan, id) || e.CancelledMS != 0 {
 			return &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: "is no service of this team that a plan may have"}
 		}
@@ -143,10 +144,10 @@
 	}
 	for i, id := range plan.New.Jobs {
 		field := fmt.Sprintf("/new/jobs/%d", i)
-		e, j := c.cache.jobs[id], l.jobs[id]
-		_, ended := c.cache.finals[id]
+		e, j := c.cache.Job(id), l.jobs[id]
+		_, ended := c.cache.FinalState(id)
 		switch {
-		case !l.jobAvailableForPlan(plan, id) || ended || e.cancelled():
+		case !l.jobAvailableForPlan(plan, id) || ended || e.Cancelled():
 			return &rollout.FieldError{Field: field, Problem: "is no service of this team that a plan may have"}
 		case j != nil && (len(j.placements) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
@@ -167,10 +168,10 @@
 // jobAvailableForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
 // the team.
 func (l *leader) jobAvailableForPlan(plan *rollout.Plan, id string) bool {
-	if _, taken := l.core.cache.plans.byJob[id]; taken {
+	if l.core.cache.PlanHolding(id) != nil {
 		return false
 	}
-	e := l.core.cache.jobs[id]
+	e := l.core.cache.Job(id)
 	return e == nil || planMatchesJob(plan, e.Spec)
 }
 
@@ -213,8 +214,8 @@
 	txn := l.conditionalTxn(stored.PlanKey(plan.Name), 0, wire.Op{Put: stored.PlanKey(plan.Name), Value: value})
 	for _, id := range plan.Jobs() {
 		cond := wire.Condition{Key: stored.FinalStateKey(id)}
-		if e := l.core.cache.jobs[id]; e != nil {
-			cond = wire.Condition{Key: stored.JobKey(id), Version: e.version}
+		if e := l.core.cache.Job(id); e != nil {
+			cond = wire.Condition{Key: stored.JobKey(id), Version: e.Version}
 		}
 		if len(txn.If) < l.core.limits.maxConditions() {
 			txn.If = append(txn.If, cond)
@@ -250,12 +251,12 @@
 	if l == nil {
 		return
 	}
-	current, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
+	current, run := c.cache.Plan(in.Name), l.rollouts.runs[in.Name]
 	switch {
 	case current == nil:
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
-	case current.problem != nil:
-		c.respondRefused(in.RequestID, current.problem.Error())
+	case current.Problem != nil:
+		c.respondRefused(in.RequestID, current.Problem.Error())
 	case run == nil || !c.election.LeaseValid() || c.storeDown || len(run.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
@@ -265,14 +266,14 @@
 }
 
 // commitChange commits the first change that waits.
-func (l *leader) commitChange(run *activeRollout, current *cachedPlan) {
+func (l *leader) commitChange(run *activeRollout, current *watchcache.Plan) {
 	c, x := l.core, run.changes[0]
 	run.changes = run.changes[1:]
-	next, err := current.record.Change(x.change, c.now.WallMS)
+	next, err := current.Record.Change(x.change, c.now.WallMS)
 	switch {
 	case err != nil:
 		c.respondRefused(x.req, err.Error())
-	case next == current.record:
+	case next == current.Record:
 		c.respond(x.req, 200, l.planStatus(run.name))
 	default:
 		l.commitTransition(run, current, next, func(r Result) {
@@ -291,7 +292,7 @@
 	if l == nil {
 		return
 	}
-	if c.cache.plans.byName[in.Name] == nil {
+	if c.cache.Plan(in.Name) == nil {
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 		return
 	}
@@ -300,17 +301,17 @@
 
 // planStatus gives how a plan stands.
 func (l *leader) planStatus(name string) PlanStatus {
-	current, run := l.core.cache.plans.byName[name], l.rollouts.runs[name]
-	status := PlanStatus{Record: current.record}
-	if current.problem != nil {
-		status.Problem = current.problem.Error()
+	current, run := l.core.cache.Plan(name), l.rollouts.runs[name]
+	status := PlanStatus{Record: current.Record}
+	if current.Problem != nil {
+		status.Problem = current.Problem.Error()
 		return status
 	}
 	if run == nil {
 		return status
 	}
-	o := l.observeRollout(run, current.record)
-	status.Reconciled, status.Capacity, status.Routing = run.reconciled, current.record.Plan.CapacityOf(o), run.routing
+	o := l.observeRollout(run, current.Record)
+	status.Reconciled, status.Capacity, status.Routing = run.reconciled, current.Record.Plan.CapacityOf(o), run.routing
 	status.Replicas = run.validations.States(l.core.now.Steady)
 	status.Routers = run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -7,6 +7,7 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/rollout"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -32,14 +33,14 @@
 	if l == nil {
 		return
 	}
-	current, run := c.cache.plans.byName[in.Name], l.rollouts.runs[in.Name]
+	current, run := c.cache.Plan(in.Name), l.rollouts.runs[in.Name]
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case current == nil:
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
-	case current.problem != nil || run == nil || run.routing.Generation.Revision == 0:
+	case current.Problem != nil || run == nil || run.routing.Generation.Revision == 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
-	case run.recorded(current.record, in.Router):
+	case run.recorded(current.Record, in.Router):
 		l.grantRouting(run, join)
 	case !c.election.LeaseValid() || c.storeDown || len(run.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
@@ -82,8 +83,8 @@
 }
 
 // commitJoins records the names of the routers that wait, and then answers them. Routers that are gone make room.
-func (l *leader) commitJoins(run *activeRollout, current *cachedPlan, o *rollout.Observation) {
-	next := l.recordWithJoins(run, current.record, o)
+func (l *leader) commitJoins(run *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
+	next := l.recordWithJoins(run, current.Record, o)
 	if next == nil {
 		return
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -22,10 +22,10 @@
 
 // Status gives how this node does at a time.
 func (c *Core) Status(now time.Duration) Status {
-	s := Status{TermsLed: c.election.TermsLed(), Load: c.timerLoad.Level(now), Term: c.cache.term.Number, LeaseRenewals: c.leaseRenewals.responses,
+	s := Status{TermsLed: c.election.TermsLed(), Load: c.timerLoad.Level(now), Term: c.cache.Term().Number, LeaseRenewals: c.leaseRenewals.responses,
 		CancelledStops: c.leaseRenewals.stops, StoreDown: c.storeDown}
-	if c.cache.ready {
-		s.Revision = c.cache.revision
+	if c.cache.Ready() {
+		s.Revision = c.cache.Revision()
 	}
 	if l := c.leader; l != nil {
 		s.Leading, s.Machines, s.Term = true, len(l.machines), max(s.Term, l.term)
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -1,6 +1,9 @@
 package core
 
-import "bitternwing/internal/wire"
+import (
+	"bitternwing/internal/watchcache"
+	"bitternwing/internal/wire"
+)
 
 // dependencyCheck finds out whether all jobs that a submission depends on were accepted.
 type dependencyCheck struct {
@@ -35,8 +38,8 @@
 func (d *dependencyCheck) examineCached() (unknown []string) {
 	cache := d.requests.core.cache
 	for _, id := range d.request.Job.Dependencies {
-		job := cache.jobs[id]
-		_, ended := cache.finals[id]
+		job := cache.Job(id)
+		_, ended := cache.FinalState(id)
 		switch {
 		case job != nil:
 			d.examine(id, job)
@@ -54,7 +57,7 @@
 }
 
 // examine rejects a dependency that never ends by itself.
-func (d *dependencyCheck) examine(id string, job *cachedJob) {
+func (d *dependencyCheck) examine(id string, job *watchcache.Job) {
 	if job.Spec.Kind == wire.KindService {
 		d.rejected = id
 	}
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -28,21 +28,21 @@
 // submit accepts a job, or responds with the state of one that was accepted before.
 func (u *userRequests) submit(in SubmitJob) {
 	c := u.core
-	if final, ok := c.cache.finals[in.Job.ID]; ok {
+	if final, ok := c.cache.FinalState(in.Job.ID); ok {
 		c.respond(in.RequestID, 200, finalJobState(in.Job.ID, final))
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
 		return
 	}
-	if !c.cache.ready {
+	if !c.cache.Ready() {
 		u.respondIndeterminate(in.RequestID)
 		return
 	}
 	if u.joinSubmission(in) {
 		return
 	}
-	if c.cache.jobs[in.Job.ID] != nil {
+	if c.cache.Job(in.Job.ID) != nil {
 		u.respondIdempotent(in, rejection{})
 		return
 	}
--- a/internal/core/task_counts.go
+++ b/internal/core/task_counts.go
@@ -6,17 +6,6 @@
 	"bitternwing/internal/wire"
 )
 
-// countsOf finds the counts of a job among the shards.
-func (d *watchCache) countsOf(id string) stored.TaskCounts {
-	return stored.FindTaskCounts(id, func(key string) (stored.TaskCountShard, bool) {
-		shard, used := d.countShards[key]
-		if !used {
-			return nil, false
-		}
-		return shard.get(), true
-	})
-}
-
 // writeCounts writes how many tasks run and are done, for display at other nodes, at
 // most every other report interval and only with writes to spare.
 func (w *writer) writeCounts() {
@@ -72,7 +61,7 @@
 // down.
 func (w *writer) writeCatalog() {
 	l, c := w.leader, w.leader.core
-	if w.catalogInFlight || c.catalog == nil || c.cache.catalog != nil || c.storeDown {
+	if w.catalogInFlight || c.catalog == nil || c.cache.Catalog() != nil || c.storeDown {
 		return
 	}
 	value, err := stored.EncodeCatalog(c.catalog)
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -19,35 +19,6 @@
 	written   []string // as written, a value for each key
 }
 
-// unreachableHintShard is a shard of the hints as a node has read it.
-type unreachableHintShard struct {
-	lastHeardMS stored.UnreachableHints
-	encoded     string // the same, as written
-}
-
-// lastHeardMS gives the time of day when the last leader last heard a machine, if it told. Of two parts that
-// name the machine, one was to be written anew.
-func (d *watchCache) lastHeardMS(machine string) (at int64, told bool) {
-	for _, part := range d.unreachable {
-		if heard, named := part.lastHeardMS[machine]; named {
-			at, told = max(at, heard), true
-		}
-	}
-	return at, told
-}
-
-// unreachableHintTexts gives the parts of the hints as they are written.
-func (d *watchCache) unreachableHintTexts() []string {
-	var texts []string
-	for part := 0; ; part++ {
-		p, ok := d.unreachable[stored.UnreachableHintKey(part)]
-		if !ok {
-			return texts
-		}
-		texts = append(texts, p.encoded)
-	}
-}
-
 func (s *unreachableHints) run() {
 	l, c := s.leader, s.leader.core
 	if s.inFlight || c.storeDown || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
@@ -126,7 +97,7 @@
 // the last one told.
 func (l *leader) lastHeardByPredecessor(name string) time.Duration {
 	now := l.core.now
-	at, told := l.core.cache.lastHeardMS(name)
+	at, told := l.core.cache.LastHeardMS(name)
 	if !told {
 		return now.Steady
 	}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"bitternwing/internal/stored"
+	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
 
@@ -74,11 +75,11 @@
 }
 
 // activeJobState is what users are told of a job that has not ended.
-func (c *Core) activeJobState(id string, job *cachedJob) wire.JobState {
+func (c *Core) activeJobState(id string, job *watchcache.Job) wire.JobState {
 	counts := c.countsOf(id)
 	state := wire.JobState{ID: id, State: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
 	switch {
-	case job.cancelled():
+	case job.Cancelled():
 		state.State = wire.JobCancelled
 	case counts.Running > 0:
 		state.State = wire.JobRunning
@@ -93,5 +94,5 @@
 			return j.taskCounts()
 		}
 	}
-	return c.cache.countsOf(id)
+	return c.cache.TaskCounts(id)
 }
