--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -6,7 +6,7 @@
 )
 
 // sendDirectCommands sends committed starts, and stops, to their machines directly, instead of waiting for
-// the next report. See token for what bounds how late they can take effect.
+// the next report. Package fencing tells what bounds how late they can take effect.
 func (l *leader) sendDirectCommands() {
 	for _, m := range l.pendingDispatch {
 		l.sendHeldResponse(m)
@@ -22,7 +22,7 @@
 			l.pendingDispatch = append(l.pendingDispatch[:0], l.pendingDispatch[i:]...)
 			return
 		}
-		if m.commandInFlight || !l.acceptsTasks(m) || m.addr == "" || l.machines[m.name] != m || !l.mayStartDirectly(m) {
+		if m.commandInFlight || !l.acceptsTasks(m) || m.addr == "" || l.machines[m.name] != m || !m.fence.MayStartDirectly() {
 			continue
 		}
 		if o := l.newDirectCommand(m); len(o.commands) > 0 {
@@ -43,7 +43,7 @@
 
 // newDirectCommand puts together what a machine is to start and to stop.
 func (l *leader) newDirectCommand(m *machine) *directCommand {
-	o := &directCommand{machine: m, fencingToken: l.fencingToken(m), incarnation: m.incarnation}
+	o := &directCommand{machine: m, fencingToken: m.fence.Token(), incarnation: m.incarnation}
 	// Through an outage stops still go out, of jobs that other nodes know to be cancelled.
 	mayStart := l.core.election.LeaseValid() && !l.core.storeDown
 	for _, p := range m.placementsSnapshot() {
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -11,7 +11,7 @@
 		}
 		name := attemptName{t.Task, t.Attempt}
 		if used, ok := m.directStarts[name]; ok {
-			l.raiseFencingToken(m, used)
+			m.fence.RaiseAbove(used)
 			delete(m.directStarts, name)
 		}
 		answer.add(wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
@@ -59,7 +59,7 @@
 	if !l.core.election.LeaseValidAt(l.core.now.Steady) {
 		right = "all nodes refused"
 	}
-	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", max(p.machine.fencingToken, firstFencingToken(l.term)),
+	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", p.machine.fence.Token(),
 		"term", l.term, "path", way, "authority", right, "reason", p.stopReason, "store_available", !l.core.storeDown)
 }
 
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -1,6 +1,9 @@
 package core
 
-import "bitternwing/internal/wire"
+import (
+	"bitternwing/internal/fencing"
+	"bitternwing/internal/wire"
+)
 
 // heartbeatOrigin is how a heartbeat came to this node.
 type heartbeatOrigin int
@@ -83,18 +86,18 @@
 func (l *leader) checkContact(m *machine, heartbeat *wire.Heartbeat) {
 	now := l.core.now.Steady
 	switch {
-	case !m.reported && l.isUnknown(m) && termOfFencingToken(heartbeat.FencingToken) < l.term:
+	case !m.reported && l.isUnknown(m) && fencing.TermOf(heartbeat.FencingToken) < l.term:
 		// Its heartbeat may be a late copy, of a machine long gone.
-		l.requireFencingToken(m, firstFencingToken(l.term))
+		l.requireFencingToken(m, fencing.FirstToken(l.term))
 	case m.reported && heartbeat.Incarnation > m.incarnation:
 		l.core.log(Info, "worker restarted with new incarnation", "worker", m.name, "tasks", len(m.placements))
 		if now-m.lastHeartbeat < l.core.times.lease/2 {
 			// Its lease expired although its heartbeats came and were answered.
-			l.requireFencingToken(m, l.fencingToken(m)+1)
+			l.requireFencingToken(m, m.fence.Token()+1)
 		}
 	}
 	if now-m.lastHeartbeat > l.core.times.heartbeatTimeout {
-		m.fencingTokenRequiredSince = now
+		m.fence.RestartRequirement(now)
 	}
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -1,6 +1,9 @@
 package core
 
-import "bitternwing/internal/wire"
+import (
+	"bitternwing/internal/fencing"
+	"bitternwing/internal/wire"
+)
 
 // handleHeartbeat responds to a worker's heartbeat.
 func (c *Core) handleHeartbeat(in WorkerHeartbeat) {
@@ -45,7 +48,7 @@
 // mayRespond tells whether this leader may respond to a heartbeat. A worker that knows a newer term would drop the
 // response; a leader whose own lease has expired has no authority.
 func (l *leader) mayRespond(heartbeat *wire.Heartbeat) bool {
-	return termOfFencingToken(heartbeat.FencingToken) <= l.term && l.hasAuthority()
+	return fencing.TermOf(heartbeat.FencingToken) <= l.term && l.hasAuthority()
 }
 
 // handleHeartbeat reconciles what the leader knows with a heartbeat and renews the worker's lease, now or when the
@@ -64,11 +67,11 @@
 
 // responseToken gives the fencing token of the response to a heartbeat.
 func (l *leader) responseToken(heartbeat *wire.Heartbeat) uint64 {
-	token := max(firstFencingToken(l.term), heartbeat.FencingToken)
+	token := max(fencing.FirstToken(l.term), heartbeat.FencingToken)
 	m := l.machines[heartbeat.Machine]
 	if m == nil {
 		return token
 	}
-	m.fencingToken = max(m.fencingToken, token)
-	return l.fencingToken(m)
+	m.fence.Observe(token)
+	return m.fence.Token()
 }
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -37,7 +37,7 @@
 // mayHold tells whether a report is the newest of a machine that is to be kept.
 func (l *leader) mayHold(m *machine, r *wire.Heartbeat) bool {
 	newest := m.reported && m.incarnation == r.Incarnation && m.sequence == r.Sequence
-	return newest && l.recovered && m.requiredFencingToken == 0 && !m.reclaiming && !m.releasing && !m.quarantined
+	return newest && l.recovered && !m.fence.Required() && !m.reclaiming && !m.releasing && !m.quarantined
 }
 
 // steady tells whether nothing is under way on a machine that its next report would show: it has no task, or tasks that run
@@ -72,7 +72,7 @@
 	case l.mayHold(m, held.heartbeat):
 		l.addCommands(m, held.heartbeat, answer)
 	}
-	l.core.renewLease(held.requestID, basis, max(l.fencingToken(m), held.heartbeat.FencingToken), answer)
+	l.core.renewLease(held.requestID, basis, max(m.fence.Token(), held.heartbeat.FencingToken), answer)
 }
 
 // supersedeHeldResponse ends a held answer whose worker has sent a newer report, and so has given it up.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -299,7 +299,7 @@
 		p.stopSent = false
 		if p.directStartToken != 0 {
 			// Its start may still be on the way, behind the stop.
-			l.raiseFencingToken(p.machine, p.directStartToken)
+			p.machine.fence.RaiseAbove(p.directStartToken)
 		}
 		l.pendingDispatch = append(l.pendingDispatch, p.machine)
 	}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"bitternwing/internal/fencing"
 	"bitternwing/internal/membership"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
@@ -103,7 +104,7 @@
 func (r *leaseRelay) renewForLeader(in WorkerHeartbeat) bool {
 	c, heartbeat := r.core, in.Heartbeat
 	leader, term := r.leadingPeer(), c.cache.Leader().Term
-	if leader == nil || termOfFencingToken(heartbeat.FencingToken) > term {
+	if leader == nil || fencing.TermOf(heartbeat.FencingToken) > term {
 		return false
 	}
 	worker := r.workers[heartbeat.Machine]
@@ -123,7 +124,7 @@
 		r.term = term
 		c.log(Info, "lease relay started for unreachable leader", "leader", c.cache.Leader().Node, "term", term)
 	}
-	c.renewLease(in.RequestID, RelayBasis, max(firstFencingToken(term), heartbeat.FencingToken), c.newLeaseResponse(heartbeat))
+	c.renewLease(in.RequestID, RelayBasis, max(fencing.FirstToken(term), heartbeat.FencingToken), c.newLeaseResponse(heartbeat))
 	return true
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bitternwing/internal/capacity"
+	"bitternwing/internal/fencing"
 	"bitternwing/internal/wire"
 )
 
@@ -47,8 +48,8 @@
 	// Why it is given back, and whether a request for that may have been carried out.
 	releaseReason   releaseReason
 	releaseSent     bool
-	commandInFlight bool                   // direct commands are on the way
-	fencingToken    uint64                 // the token used with it
+	commandInFlight bool // direct commands are on the way
+	fence           fencing.Fence
 	directStarts    map[attemptName]uint64 // attempts started directly, and with which token
 	idleSince       time.Duration
 	images          []cachedImage // most recently used last
@@ -58,10 +59,6 @@
 	failures    map[string]int // by job, since something last started and ran well here
 	lastFailure time.Duration  // when something last failed
 	quarantined bool
-
-	// Whether answers reach it, see requireToken.
-	requiredFencingToken      uint64        // the token it has to show; 0: none
-	fencingTokenRequiredSince time.Duration // since when its reports come and don't show it
 }
 
 type attemptName struct {
@@ -116,7 +113,7 @@
 	if m := l.machines[name]; m != nil {
 		return m
 	}
-	m := &machine{name: name, firstSeen: l.core.now.Steady, requestedAt: l.core.now.Steady, lastHeartbeat: l.lastHeardByPredecessor(name),
+	m := &machine{name: name, fence: fencing.NewFence(l.term), firstSeen: l.core.now.Steady, requestedAt: l.core.now.Steady, lastHeartbeat: l.lastHeardByPredecessor(name),
 		idleSince: l.core.now.Steady, placements: map[string]*placement{}, failures: map[string]int{}}
 	l.machines[name] = m
 	l.applyImageHints(m)
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"slices"
 
+	"bitternwing/internal/fencing"
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
@@ -125,7 +126,7 @@
 		return
 	}
 	for _, heartbeat := range heartbeats {
-		if heartbeat != nil && heartbeat.Machine != "" && termOfFencingToken(heartbeat.FencingToken) <= c.leader.term {
+		if heartbeat != nil && heartbeat.Machine != "" && fencing.TermOf(heartbeat.FencingToken) <= c.leader.term {
 			c.leader.reconcileIndirect(heartbeat, originWorker)
 		}
 	}
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -47,7 +47,7 @@
 
 // acceptsTasks tells whether a machine may be given tasks: its heartbeats arrive, and it is not about to go.
 func (l *leader) acceptsTasks(m *machine) bool {
-	if !m.reported || m.machineType == nil || m.requiredFencingToken != 0 {
+	if !m.reported || m.machineType == nil || m.fence.Required() {
 		return false
 	}
 	if m.releasing || m.reclaiming || m.quarantined {
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"bitternwing/internal/fencing"
 	"bitternwing/internal/wire"
 )
 
@@ -11,8 +12,7 @@
 // response of this term, after which no earlier start can still take effect, and each response of this term before it
 // was either taken or dropped. That does not hold for a heartbeat that the worker was asked for.
 func (l *leader) reconcileTasks(m *machine, heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
-	if m.requiredFencingToken != 0 && heartbeat.FencingToken >= m.requiredFencingToken {
-		m.requiredFencingToken = 0
+	if m.fence.Shown(heartbeat.FencingToken) {
 		l.requestCycle()
 	}
 	if len(m.orphanedTasks) > 0 {
@@ -37,7 +37,7 @@
 // missingPlacements gives the placements of which a heartbeat shows that their tasks are lost with an earlier
 // incarnation, or that it lacks them.
 func (l *leader) missingPlacements(m *machine, heartbeat *wire.Heartbeat) []*placement {
-	ofThisTerm := termOfFencingToken(heartbeat.FencingToken) == l.term
+	ofThisTerm := fencing.TermOf(heartbeat.FencingToken) == l.term
 	var missing []*placement
 	for _, p := range m.placementsInOrder {
 		lost := p.incarnation < heartbeat.Incarnation
@@ -95,7 +95,7 @@
 	case p.directStartToken != 0 && heartbeat.FencingToken <= p.directStartToken:
 		// Its direct start may take effect yet.
 		if p.directStartSequence == 0 || heartbeat.Sequence > p.directStartSequence {
-			l.raiseFencingToken(p.machine, p.directStartToken)
+			p.machine.fence.RaiseAbove(p.directStartToken)
 		}
 		return
 	case p.directStartToken != 0, p.phase == phaseReported:
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -8,25 +8,6 @@
 	"bitternwing/internal/outcome"
 )
 
-// requireFencingToken makes a machine show a token before it gets work: answers and commands may not
-// reach it although its reports come. A worker that is reached shows the token at once,
-// or with its next report; one that does not for half a lease is given back.
-func (l *leader) requireFencingToken(m *machine, token uint64) {
-	m.fencingToken = max(m.fencingToken, token)
-	if m.requiredFencingToken == 0 {
-		m.fencingTokenRequiredSince = l.core.now.Steady
-	}
-	m.requiredFencingToken = max(m.requiredFencingToken, token)
-	l.observedChanges++
-}
-
-// responsesLost tells whether a machine's reports have come for half a lease without showing
-// that answers reach it.
-func (l *leader) responsesLost(m *machine) bool {
-	now := l.core.now.Steady
-	return m.requiredFencingToken != 0 && now-m.lastHeartbeat < l.core.times.heartbeatTimeout && now-max(m.fencingTokenRequiredSince, l.lastWithoutAuthority) > l.core.times.lease/2
-}
-
 // checkMachines looks for machines that are silent too long and stops what runs on
 // those that will be taken.
 func (l *leader) checkMachines() {
