--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,8 +13,11 @@
 // scrapeTimeout is how long a scrape may take. Scrapers wait ten seconds by default.
 const scrapeTimeout = 5 * time.Second
 
-// socketsPerScraper is how many connections scrapers may have, as a part of the sockets that the process may hold.
-const socketsPerScraper = 100
+// Scrapers may have one connection for so many sockets that the process may hold, and a few at least.
+const (
+	socketsPerScraper     = 100
+	minScraperConnections = 2
+)
 
 // newRecorder makes the recorder of a node's metrics; nil if the operators' settings name no address for them.
 func (n *Node) newRecorder() *metrics.Recorder {
@@ -36,26 +39,29 @@
 	}
 	setting := n.settings.Operator.Metrics
 	failed := func(err error) {
-		n.log.Error("metrics are not served", "setting", "metrics.listen", "address", setting.Listen, "error", err.Error())
+		n.log.Error("metrics not served", "setting", "metrics.listen", "address", setting.Listen, "error", err.Error())
 	}
-	var lc net.ListenConfig
-	l, err := lc.Listen(ctx, "tcp4", setting.Listen)
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp4", setting.Listen)
 	if err != nil {
 		failed(err)
 		return
 	}
-	s := metrics.NewServer(n.metrics, metrics.Options{MaxConnections: max(2, n.settings.Params.Limits.MaxConnections/socketsPerScraper),
-		RequestTimeout: scrapeTimeout, Profiles: setting.Pprof}, n.log)
-	context.AfterFunc(ctx, func() { _ = s.Close() })
+	metricsServer := metrics.NewServer(n.metrics, metrics.Options{
+		MaxConnections: max(minScraperConnections, n.settings.Params.Limits.MaxConnections/socketsPerScraper),
+		RequestTimeout: scrapeTimeout,
+		Profiles:       setting.Pprof,
+	}, n.log)
+	context.AfterFunc(ctx, func() { _ = metricsServer.Close() })
 	n.log.Info("serving metrics", "address", setting.Listen, "profiles", setting.Pprof)
 	go func() {
-		if err := s.Serve(l); err != nil && ctx.Err() == nil {
+		if err := metricsServer.Serve(listener); err != nil && ctx.Err() == nil {
 			failed(err)
 		}
 	}()
 }
 
-// observer gives what counts the requests that are answered; nil if nothing does.
+// observer gives what counts responses; nil if nothing does.
 func (n *Node) observer() server.Observer {
 	if n.metrics == nil {
 		return nil
@@ -83,9 +89,3 @@
 	}
 	return "operator"
 }
-
-// operation names a kind of call in the metrics.
-type operation struct {
-	service metrics.Service
-	name    string
-}
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -98,7 +98,7 @@
 	if status, _ := scrape(t, addrs["a"], "/debug/pprof/"); status != http.StatusNotFound {
 		t.Errorf("profiles get %d without their setting", status)
 	}
-	if !strings.Contains(log.String(), `msg="metrics are not served" setting=metrics.listen address=`+addrs["b"]) {
+	if !strings.Contains(log.String(), `msg="metrics not served" setting=metrics.listen address=`+addrs["b"]) {
 		t.Error("that the address is taken is not logged")
 	}
 }
--- a/internal/node/standstill_test.go
+++ b/internal/node/pause_test.go
@@ -13,14 +13,14 @@
 	"bitternwing/internal/outcome"
 )
 
-// TestStandstill: a process that stood still while its clocks ran on serves nobody who has gone,
+// TestProcessPause: a process that was paused while its clocks ran on serves nobody who has gone,
 // and sends nothing that was decided on what was known before.
-func TestStandstill(t *testing.T) {
-	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator(), Params: config.Params{Nodes: 1,
+func TestProcessPause(t *testing.T) {
+	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator(), Params: config.Params{Nodes: 1,
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
 		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
-	set.Services.Store, set.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	n, err := New(set, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	settings.Services.Store, settings.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+	n, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	defer cancel()
 
 	// A call whose time was over before it went out.
-	n.startCall(ctx, operation{metrics.Store, "get"}, 7, -time.Second, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
+	n.startCall(ctx, call{operation{metrics.Store, "get"}, 7, -time.Second}, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
 	if r := <-n.results; r.CallID != 7 || r.Outcome != outcome.Dropped {
 		t.Errorf("the core is told %v", r)
 	}
@@ -38,7 +38,7 @@
 	n.pendingResponses[1], n.pendingResponses[2] = late, now
 	n.inputs <- queuedInput{core.GetJob{RequestID: 1, ID: "x"}, time.Now(), time.Now().Add(-time.Second)}
 	n.inputs <- queuedInput{core.GetJob{RequestID: 2, ID: "x"}, time.Now(), time.Now().Add(time.Hour)}
-	go n.loop(ctx)
+	go n.runCore(ctx)
 	if a := <-now; a.Status != 404 {
 		t.Errorf("the second one gets %d", a.Status)
 	}
