--- a/internal/core/headroom.go
+++ b/internal/core/headroom.go
@@ -93,7 +93,7 @@
 		return nil
 	}
 	spareGPUs := p.headroom(math.Inf(1)) - p.headroomWanted()
-	sort.SliceStable(idle, func(a, b int) bool { return idle[a].cachedGB() < idle[b].cachedGB() })
+	sort.SliceStable(idle, func(a, b int) bool { return idle[a].images.readyGB() < idle[b].images.readyGB() })
 	for _, m := range idle {
 		if !m.spot {
 			if spareGPUs < m.machineType.GPUs {
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -70,7 +70,7 @@
 func (h *imageHints) encode(fleet []*machine) ([]json.RawMessage, error) {
 	packer := stored.NewImageHintPacker(h.leader.core.maxValueBytes())
 	for _, m := range fleet {
-		if names := m.imageNames(); len(names) > 0 {
+		if names := m.images.names(); len(names) > 0 {
 			packer.Add(m.name, names)
 		}
 	}
@@ -85,26 +85,17 @@
 	return values, nil
 }
 
-// imageNames gives the images that a machine is believed to have.
-func (m *machine) imageNames() []string {
-	var names []string
-	for _, img := range m.images {
-		if img.ready || img.unconfirmed {
-			names = append(names, img.name)
-		}
-	}
-	return names
-}
-
 // applyImageHints gives a machine, when first seen in this term, the images that the last
 // leader knew of.
 func (l *leader) applyImageHints(m *machine) {
 	for _, name := range l.core.cache.Images(m.name) {
-		img := newCachedImage(name, l.imageGB(name))
-		// What a place costs is worked out from what is known; without weighing the hint is believed.
-		img.unconfirmed = l.core.operator.Spread.Enabled
-		img.ready = !img.unconfirmed
-		m.images = append(m.images, img)
+		image := newCachedImage(name, l.imageGB(name))
+		image.state = cachedImageReady
+		if l.core.operator.Spread.Enabled {
+			// The cost of a placement is worked out from what is known; without that the hint is believed.
+			image.state = cachedImageUnconfirmed
+		}
+		m.images = append(m.images, image)
 		m.capacityChanged = true
 	}
 }
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -98,7 +98,7 @@
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
 	_, copied, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			w := h.machine.imageState(j.spec.Image)
+			w := h.machine.images.stateOf(j.spec.Image)
 			return w, w <= capacity.ImageFetching
 		}})
 	if copied {
@@ -106,11 +106,9 @@
 	}
 	h, found, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			sum := j.spec.ImageGB
-			for i := range h.machine.images {
-				sum += h.machine.images[i].gb
-			}
-			return capacity.ImageAbsent, h.machine.imageState(j.spec.Image) == capacity.ImageAbsent && sum <= h.machine.machineType.CacheGB && h.machine.addr != ""
+			m := h.machine
+			absent := m.images.stateOf(j.spec.Image) == capacity.ImageAbsent
+			return capacity.ImageAbsent, absent && m.images.fits(j.spec.ImageGB, m.machineType.CacheGB) && m.addr != ""
 		}})
 	if !found {
 		return nil
@@ -134,10 +132,8 @@
 			}
 			p.unsupported = true
 			m.removeImage(image)
-			m.capacityChanged = true
 		case outcome.Unknown, outcome.Unavailable, outcome.Conflict, outcome.Invalid, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
 			m.removeImage(image)
-			m.capacityChanged = true
 		}
 	})
 	l.core.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -137,7 +137,7 @@
 	j.placements[p.task] = p
 	j.placementsByZone[p.machine.zone]++
 	p.countReplica(true)
-	p.machine.add(p)
+	p.machine.addPlacement(p)
 }
 
 // removePlacement takes away the placement that the job has of a task.
@@ -145,7 +145,7 @@
 	delete(j.placements, p.task)
 	j.leaveZone(p.machine.zone)
 	p.countReplica(false)
-	p.machine.remove(p)
+	p.machine.removePlacement(p)
 }
 
 func (j *job) leaveZone(zone string) {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -76,7 +76,7 @@
 			return 0, allowed(g)
 		},
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			return h.machine.imageState(j.spec.Image), !cycle.state.avoidsMachine(j, h.machine)
+			return h.machine.images.stateOf(j.spec.Image), !cycle.state.avoidsMachine(j, h.machine)
 		},
 	})
 	cycle.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
@@ -100,7 +100,7 @@
 		machine:     m,
 		incarnation: m.incarnation,
 		placedAt:    cycle.params.now,
-		imageState:  m.imageState(j.spec.Image),
+		imageState:  m.images.stateOf(j.spec.Image),
 	}
 	if !j.isArray() {
 		p.cost = cycle.explainCost(j, m)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -51,7 +51,7 @@
 		if h == nil || !h.free.Holds(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		cost, left := w.cost(m.group(), m.imageState(j.spec.Image)), 1.0
+		cost, left := w.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
 		if w.Crowded(m.name) {
 			cost += w.Machine()
 		}
@@ -89,7 +89,7 @@
 		} else if m.machineType.CPUs > 0 {
 			left = (h.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
-		score := left + 2*float64(m.imageState(j.spec.Image))
+		score := left + 2*float64(m.images.stateOf(j.spec.Image))
 		if j.spec.Spot && !m.spot {
 			score += 4
 		}
@@ -262,15 +262,23 @@
 		mt.GPUs, mt.CPUs = float64(f.number("its gpus", 0, 6)), float64(f.number("its cpus", 1, 20))
 		m.setType(&mt)
 	case 19:
-		for i := range m.images {
-			m.images[i].ready, m.images[i].unconfirmed = false, f.chance("unknown", 2)
-		}
-		m.capacityChanged = true
+		f.loseImages(m)
 	case 12, 15, 16:
 		f.report(m)
 	}
 }
 
+// loseImages has the images of a machine fetched anew, or unconfirmed.
+func (f *drawnFleet) loseImages(m *machine) {
+	for i := range m.images {
+		m.images[i].state = cachedImageFetching
+		if f.chance("unknown", 2) {
+			m.images[i].state = cachedImageUnconfirmed
+		}
+	}
+	m.capacityChanged = true
+}
+
 // report has a machine report all that is on it, and perhaps a task that nobody knows of.
 func (f *drawnFleet) report(m *machine) {
 	heartbeat := &wire.Heartbeat{Machine: m.name, Incarnation: m.incarnation}
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -146,7 +146,7 @@
 // costOf gives what it costs to make room on a machine: work that is stopped, but for idle-time
 // work; then how long the image takes; then all that is stopped.
 func costOf(stops []*placement, h *schedulableMachine, j *job) capacity.Cost {
-	cost := capacity.Cost{ImageState: h.machine.imageState(j.spec.Image)}
+	cost := capacity.Cost{ImageState: h.machine.images.stateOf(j.spec.Image)}
 	for _, p := range stops {
 		if p.job.isIdlePriority() {
 			cost.IdleStops++
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -116,7 +116,7 @@
 			return w.cost(g, warmth), true
 		},
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool, bool) {
-			return h.machine.imageState(j.spec.Image), w.Crowded(h.machine.name), !cycle.state.avoidsMachine(j, h.machine)
+			return h.machine.images.stateOf(j.spec.Image), w.Crowded(h.machine.name), !cycle.state.avoidsMachine(j, h.machine)
 		},
 	})
 	cycle.evaluations -= max(1, looked)
@@ -128,7 +128,7 @@
 
 // costOn gives what a machine costs a job's next replica.
 func (w replicaCostModel) costOn(m *machine) placementCost {
-	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.imageState(w.job.spec.Image)), expectedLossS: w.Zone(m.zone)}
+	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.images.stateOf(w.job.spec.Image)), expectedLossS: w.Zone(m.zone)}
 	if w.Crowded(m.name) {
 		t.expectedLossS += w.Machine()
 	}
@@ -139,10 +139,10 @@
 func (cycle *schedulingCycle) explainCost(j *job, m *machine) placementCost {
 	w, weighed := cycle.replicaCostFor(j)
 	if !weighed {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.imageState(j.spec.Image)), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.images.stateOf(j.spec.Image)), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
 	}
 	t := w.costOn(m)
-	if m.imageState(j.spec.Image) == capacity.ImageReady {
+	if m.images.stateOf(j.spec.Image) == capacity.ImageReady {
 		return t
 	}
 	if warmest := cycle.warmestMachine(j); warmest != nil && warmest != m {
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -66,13 +66,13 @@
 		}
 	}
 	for i := range h.machine.images {
-		switch img := &h.machine.images[i]; {
-		case img.ready:
-			room.Images.Ready.Add(img.bit)
-		case img.unconfirmed:
-			room.Images.Unknown.Add(img.bit)
-		default:
-			room.Images.Fetching.Add(img.bit)
+		switch image := &h.machine.images[i]; image.state {
+		case cachedImageReady:
+			room.Images.Ready.Add(image.bit)
+		case cachedImageUnconfirmed:
+			room.Images.Unknown.Add(image.bit)
+		case cachedImageFetching:
+			room.Images.Fetching.Add(image.bit)
 		}
 	}
 	return room
