--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -11,8 +11,9 @@
 	"bitternwing/internal/resource"
 )
 
-// PrefetchImage asks a worker to fetch an image that no task there waits for. The workers' protocol has no such request: it is
-// sent only where operators' settings allow it, to workers that know it. Its Result is OK with the time until the image is there.
+// PrefetchImage requests a worker to fetch an image that no task there waits for. It is an extension of the workers'
+// protocol, sent only if operators enable it, to workers that support it. Its Result is OK with the time until the image is
+// there.
 type PrefetchImage struct {
 	CallID uint64
 	Addr   string
@@ -22,22 +23,22 @@
 
 func (PrefetchImage) effect() {}
 
-// imagePrefetcher has a copy of each model's weights in each zone where its replicas could go, within a budget.
+// imagePrefetcher keeps a copy of each model's weights in each zone where its replicas could run, within a budget.
 type imagePrefetcher struct {
 	budget      ratelimit.Bucket // in GB
 	inFlight    int
 	nextCheck   time.Duration
-	unsupported bool // a worker does not know the request: none does
+	unsupported bool // a worker does not support the request: none is taken to
 	arrivals    []imageArrival
 }
 
-// imageArrival is an image that is to be on a machine.
+// imageArrival is an image that will be on a machine.
 type imageArrival struct {
 	machine, image string
 	at             time.Duration
 }
 
-// runPrefetches notes which images are there, and asks for those that are missing.
+// runPrefetches notes which images have arrived, and requests those that are missing.
 func (l *leader) runPrefetches() {
 	c, p := l.core, &l.prefetches
 	perHour := c.operator.Spread.PrefetchGBPerHour
@@ -62,7 +63,7 @@
 	}
 }
 
-// applyArrivals marks the images that are there by now.
+// applyArrivals marks the images that have arrived by now.
 func (l *leader) applyArrivals() {
 	keep := l.prefetches.arrivals[:0]
 	for _, a := range l.prefetches.arrivals {
@@ -77,7 +78,7 @@
 	l.prefetches.arrivals = keep
 }
 
-// prefetchModel asks for a copy of a model's weights in each zone that has none.
+// prefetchModel requests a copy of a model's weights in each zone that has none.
 func (l *leader) prefetchModel(j *job) {
 	p := &l.prefetches
 	for _, zone := range l.fleet().zonesFor(j) {
@@ -91,15 +92,15 @@
 	}
 }
 
-// prefetchTarget gives the machine of a zone for a copy of a job's image: one with room for a replica, that fetches nothing and has
-// space for the image beside all that it has; nil if there is none, or if the zone has a copy.
+// prefetchTarget gives the machine of a zone for a copy of a job's image: one with the resources for a replica, that fetches
+// nothing, and whose cache holds the image beside all others there; nil if there is none, or if the zone has a copy.
 func (l *leader) prefetchTarget(j *job, zone string) *machine {
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
 	_, copied, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			w := h.machine.images.stateOf(j.spec.Image)
-			return w, w <= capacity.ImageFetching
+			state := h.machine.images.stateOf(j.spec.Image)
+			return state, state <= capacity.ImageFetching
 		}})
 	if copied {
 		return nil
@@ -116,7 +117,7 @@
 	return h.machine
 }
 
-// prefetch asks a machine for an image. Until it is there the machine counts as fetching it.
+// prefetch requests an image for a machine. Until it is there the machine counts as fetching it.
 func (l *leader) prefetch(j *job, m *machine) {
 	p, image := &l.prefetches, j.spec.Image
 	m.addImage(image, j.spec.ImageGB)
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -5,9 +5,9 @@
 	"bitternwing/internal/resource"
 )
 
-// zoneRules gives the zones in which a job's next task may run, given where its other tasks are. Tasks that
-// are stopping or out of sight count as being where they are. Where an earlier leader's machine is, a new one
-// learns from the cloud's list or from a report. Until then what has to be spread counts as being in each zone.
+// zoneRules gives the zones in which a job's next task may run, given where its other tasks are. Tasks that are stopping
+// or on silent machines count. A new leader learns the zone of an earlier leader's machine from the cloud's list or from a
+// heartbeat; until then a task on it counts in each zone if the job is to be spread.
 func (j *job) zoneRules() func(zone string) bool {
 	s := j.spec
 	if !s.SingleZone && !s.SpreadZones {
@@ -30,7 +30,7 @@
 	}
 }
 
-// groupRules tells whether a job's next task may run on machines of a group: type, zone and kind of machine.
+// groupRules tells whether a job's next task may run on machines of a group: by machine type, zone, and spot or on-demand.
 func (j *job) groupRules() func(capacity.Group) bool {
 	zone := j.zoneRules()
 	return func(g capacity.Group) bool {
@@ -38,14 +38,13 @@
 	}
 }
 
-// onDemandPenalty is by how many degrees of warmth an ordinary machine is behind a cheap one, for what may
-// run on both.
+// onDemandPenalty is by how many image states an on-demand machine comes after a spot one, for what may run on both.
 const onDemandPenalty = capacity.MaxPenalty
 
-// findMachine finds the machine for a job's next task: warm images first, except that what
-// may run on cheap machines prefers those; then the tightest, so that others empty
-// and can be returned. Replicas of a service go where the load of their weights and what they add to
-// the worst loss of a zone or machine cost the least, if operators have that weighed.
+// findMachine finds the machine for a job's next task; nil if none has the resources. Machines with the image come first,
+// except that what may run on spot machines prefers those; then best fit, so that other machines become idle and can be
+// scaled in. If operators have replicas spread, a service's replica goes where the load of its weights and the expected
+// loss of its zone and machine cost the least.
 func (cycle *schedulingCycle) findMachine(j *job) *machine {
 	a, plain := requestOf(j)
 	if plain && cycle.exhaustedRequests[a] {
@@ -55,7 +54,7 @@
 	if w, weighed := cycle.replicaCostFor(j); weighed {
 		m = cycle.cheapestReplicaMachine(j, w)
 	} else {
-		m = cycle.warmestMachine(j)
+		m = cycle.bestFit(j)
 	}
 	if m == nil && plain {
 		cycle.exhaustedRequests[a] = true
@@ -63,8 +62,9 @@
 	return m
 }
 
-// warmestMachine finds the warmest machine for a job's next task, and of these the tightest.
-func (cycle *schedulingCycle) warmestMachine(j *job) *machine {
+// bestFit finds the machine for a job's next task that is closest to having the image, and of these the one with the least
+// left free.
+func (cycle *schedulingCycle) bestFit(j *job) *machine {
 	allowed := j.groupRules()
 	h, found, looked := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:  resource.OfTask(j.spec),
@@ -86,12 +86,11 @@
 	return h.machine
 }
 
-// evaluationsPerIndexLevel is how many evaluations a change of a machine's room costs for each level of the index but the
-// first.
+// evaluationsPerIndexLevel is how many evaluations a change of a machine's free resources counts as, for each level of the
+// index but the first.
 const evaluationsPerIndexLevel = 4
 
-// place decides a placement; the caller marks its record once it stands. It is
-// written before anything is sent.
+// place decides a placement. The caller has it persisted once it is final; nothing is sent before it is written.
 func (cycle *schedulingCycle) place(j *job, task int, m *machine) *placement {
 	p := &placement{
 		job:         j,
@@ -118,8 +117,8 @@
 	return p
 }
 
-// revertPlacement takes back the last placement of this very round. Its attempt was never
-// written, so its number is free again.
+// revertPlacement takes back the last placement of this very cycle. Its attempt was never written, so its number is free
+// again.
 func (cycle *schedulingCycle) revertPlacement(p *placement) {
 	cycle.state.withdrawAttempt(p)
 	p.job.removePlacement(p)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -330,7 +330,7 @@
 	if (got == nil) != (want == nil) {
 		f.Fatalf("%s: %+v by the index, %+v by the scan", j.id, got, want)
 	}
-	request, plain := stopRequestOf(j, idleOnly)
+	request, plain := preemptionRequestOf(j, idleOnly)
 	if plain && cycle.hopelessPreemptions[request] && want != nil {
 		f.Fatalf("%s finds room on %s that is remembered as not there", j.id, want.machine.machine.name)
 	}
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -2,7 +2,7 @@
 
 import "bitternwing/internal/wire"
 
-// GetPlacements asks where the replicas of a job are, and what each place cost. Only the node that leads answers.
+// GetPlacements requests the placements of a job's replicas, with what each of them cost. Only the leader answers.
 type GetPlacements struct {
 	RequestID uint64
 	Job       string
@@ -10,24 +10,25 @@
 
 func (GetPlacements) input() {}
 
-// ReplicaPlacement is where a replica is. Costs are in seconds of replica time, see package spread.
+// ReplicaPlacement is the placement of a replica. Costs are in seconds of replica time, see package topologyspread.
 type ReplicaPlacement struct {
 	Task    string
 	Attempt uint64
 	Machine string
 	Zone    string
-	// Chosen tells that this leader chose the place, so that what follows is known; Weighed that spread was weighed.
+	// Chosen tells that this leader made the placement, so that what follows is known; Weighed that image load was weighed
+	// against spread.
 	Chosen  bool
 	Weighed bool
 	LoadS   float64
 	LossS   float64
-	// Warmest is the machine with the warmest weights where another one was chosen, "" else.
+	// Warmest is the machine that was closest to having the weights, if another one was chosen; "" otherwise.
 	Warmest      string
 	WarmestLoadS float64
 	AvoidedS     float64
 }
 
-// handleGetPlacements answers with the places of a job's replicas, and tells of that job alone.
+// handleGetPlacements answers with the placements of a job's replicas.
 func (c *Core) handleGetPlacements(in GetPlacements) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -43,7 +44,7 @@
 		t := p.cost
 		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
 			Chosen: p.startSequence != startSequenceUnknown, Weighed: t.spreadWeighed, LoadS: t.imageLoadS, LossS: t.expectedLossS,
-			Warmest: t.warmestMachine, WarmestLoadS: t.warmestLoadS, AvoidedS: t.avoidedS})
+			Warmest: t.bestCached, WarmestLoadS: t.bestCachedLoadS, AvoidedS: t.avoidedLossS})
 	}
 	c.respond(in.RequestID, 200, places)
 }
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -5,12 +5,12 @@
 	"bitternwing/internal/wire"
 )
 
-// preemptible are the jobs that can be shrunk in a round, in the order of the round. Within a phase of a round there
-// come no others: what is placed for minimums is at its minimum.
+// preemptibleJobs are the jobs that can be shrunk in a cycle, in the order of submission. Within a phase of a cycle no others
+// are added: a job that is placed for its minimum is at its minimum.
 type preemptibleJobs struct {
 	jobs        []*job
 	countByRank [capacity.Ranks]int
-	unknownTeam bool // one of them is of a team that there is no more
+	unknownTeam bool // one of them is of a team that does not exist any more
 }
 
 // findPreemptible looks for the jobs that can be shrunk.
@@ -27,7 +27,7 @@
 	return v
 }
 
-// highestRankBelow is the rank below which a job can have others stopped by its priority; 0 if there are none.
+// highestRankBelow is the rank below which a job can preempt others by its priority; 0 if there are none.
 func (v *preemptibleJobs) highestRankBelow(j *job) int {
 	for rank := range priority(j) {
 		if v.countByRank[rank] > 0 {
@@ -37,16 +37,16 @@
 	return 0
 }
 
-// preemptionRule tells which placements may be stopped to make room for a job.
+// preemptionRule tells which placements a job may preempt.
 type preemptionRule struct {
 	mayStop func(j *job, p *placement) bool
-	// belowRank bounds their ranks, and among names the jobs that are shrunk where these are few.
+	// belowRank bounds the ranks of their jobs, and candidates are these jobs where they are few.
 	belowRank  int
 	candidates []*job
 }
 
-// preemptionRule is the rule for a job that lacks its minimum or, with idleOnly, for one that has it: idle-time work alone
-// gives way to that.
+// preemptionRule is the rule for a job that lacks its minimum or, with idleOnly, for one that has it and may preempt only
+// idle-priority work.
 func (cycle *schedulingCycle) preemptionRule(j *job, idleOnly bool) preemptionRule {
 	if cycle.preemptible == nil {
 		cycle.preemptible = cycle.findPreemptible()
@@ -63,43 +63,43 @@
 	if !j.withinGuarantee && !v.unknownTeam {
 		return rule
 	}
-	among, placed := cycle.allowedPreemptions(j)
-	if len(among) == 0 {
+	victims, placed := cycle.allowedPreemptions(j)
+	if len(victims) == 0 {
 		return rule
 	}
 	rule.belowRank = capacity.AllRanks
 	if placed < cycle.params.fleet.index.Len()/fewPreemptibleRatio {
-		rule.candidates = among
+		rule.candidates = victims
 	}
 	return rule
 }
 
-// fewPreemptibleRatio says that instances on less than this part of the machines are few.
+// fewPreemptibleRatio says that fewer instances than one for so many machines are few.
 const fewPreemptibleRatio = 2
 
-// allowedPreemptions gives the jobs that may be shrunk for a job, whatever allows it, and counts their instances.
-func (cycle *schedulingCycle) allowedPreemptions(j *job) (among []*job, placed int) {
+// allowedPreemptions gives the jobs that a job may preempt, by priority or by guarantee, and counts their instances.
+func (cycle *schedulingCycle) allowedPreemptions(j *job) (victims []*job, placed int) {
 	cycle.evaluations -= len(cycle.preemptible.jobs) / 4
 	for _, v := range cycle.preemptible.jobs {
 		if cycle.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
-			among = append(among, v)
+			victims = append(victims, v)
 			placed += len(v.placements)
 		}
 	}
-	return among, placed
+	return victims, placed
 }
 
-// mayPreempt tells whether a placement may be stopped for a job that lacks its minimum.
+// mayPreempt tells whether a job that lacks its minimum may preempt a placement.
 func (cycle *schedulingCycle) mayPreempt(j *job, p *placement) bool {
 	return p.stop == stopNone && p.job.shrinkable() && cycle.usage.MayPreempt(j.claim(), p.job.claim())
 }
 
-// mayPreemptIdle tells whether a placement may be stopped for a job that has its minimum.
+// mayPreemptIdle tells whether a job that has its minimum may preempt a placement.
 func (cycle *schedulingCycle) mayPreemptIdle(j *job, p *placement) bool {
 	return p.job.isIdlePriority() && !j.isIdlePriority() && cycle.mayPreempt(j, p)
 }
 
-// preemptionRequest is what decides whether room can be made for a task, where no more than that does.
+// preemptionRequest is what decides whether preemption can help a task, where nothing else does.
 type preemptionRequest struct {
 	resourceRequest
 	team       string
@@ -108,8 +108,8 @@
 	idleOnly   bool
 }
 
-// stopRequestOf gives a job's request; false if more than that decides.
-func stopRequestOf(j *job, idleOnly bool) (preemptionRequest, bool) {
+// preemptionRequestOf gives a job's preemption request; false if more than that decides.
+func preemptionRequestOf(j *job, idleOnly bool) (preemptionRequest, bool) {
 	a, plain := requestOf(j)
 	return preemptionRequest{a, j.spec.Team, priority(j), j.withinGuarantee, idleOnly}, plain
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -6,18 +6,17 @@
 	"bitternwing/internal/scheduling"
 )
 
-// preemptFor makes room for a job: on the machines where the fewest instances have to
-// go, the most fulfilled jobs above their minimum give way. What it counts on is
-// held back from others in this round, and each round works it out anew, so an
-// instance that is already stopping is not asked for twice. It tells whether there is, or will
-// be, room for all. With idleOnly, idle-time work alone gives way.
+// preemptFor preempts instances for tasks of a job, on the machines where the fewest have to be stopped, and of the most
+// fulfilled jobs above their minimum. The resources it counts on are reserved in this cycle, and each cycle works that out
+// anew, so an instance that is stopping already is not replaced by another one. It tells whether all the tasks have, or
+// will have, a machine. With idleOnly, only idle-priority work is preempted.
 func (cycle *schedulingCycle) preemptFor(j *job, need int, idleOnly bool) bool {
-	request, plain := stopRequestOf(j, idleOnly)
+	request, plain := preemptionRequestOf(j, idleOnly)
 	if plain && cycle.hopelessPreemptions[request] {
 		return false
 	}
 	rule := cycle.preemptionRule(j, idleOnly)
-	for held := 0; held < need; held++ {
+	for range need {
 		best := cycle.cheapestPreemption(j, &rule)
 		if best == nil {
 			if plain {
@@ -30,18 +29,18 @@
 	return true
 }
 
-// preemptionPlan is a machine on which room can be made, and how.
+// preemptionPlan is a machine that will have the resources for a task, and what has to be stopped for that.
 type preemptionPlan struct {
 	machine *schedulableMachine
 	stops   []*placement
 	cost    capacity.Cost
 }
 
-// preempt stops what has to go for a task of a job, and holds the room back for it.
+// preempt stops what a plan names, and reserves the resources for a task of a job.
 func (cycle *schedulingCycle) preempt(j *job, c *preemptionPlan) {
 	h := c.machine
 	for _, p := range c.stops {
-		p.requestStop(cycle.stopModeFor(j, p), stopPreempted)
+		p.requestStop(stopModeFor(j, p), stopPreempted)
 		cycle.state.dispatch(p.machine)
 		if p.phase < phaseSent {
 			cycle.state.endPlacement(p)
@@ -52,25 +51,25 @@
 		cycle.state.logPreempted(p, j)
 	}
 	h.freeAfterStops.Take(resource.OfTask(j.spec))
-	// What is free there now is for this job too, as far as it needs it.
+	// What is free there already is reserved too, as far as the task needs it.
 	h.free = h.free.Within(h.freeAfterStops)
-	h.machine.capacityChanged = true // what is held back is so for this round only
+	h.machine.capacityChanged = true // the reservation is for this cycle only
 	cycle.state.updateCapacityIndex(h)
 }
 
-// capacityGrew notes that what found no room in this round may find some now.
+// capacityGrew notes that requests that failed in this cycle may succeed now.
 func (cycle *schedulingCycle) capacityGrew() {
 	clear(cycle.exhaustedRequests)
 	clear(cycle.hopelessPreemptions)
 }
 
-// cheapestPreemption finds the machine on which making room for a job's next task costs the least, and of these the first
-// by name; nil if there is none.
+// cheapestPreemption finds the machine on which preemption for a job's next task costs the least, and of these the first by
+// name; nil if there is none.
 func (cycle *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
 	s := &preemptionSearch{cycle: cycle, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
 	if len(rule.candidates) > 0 {
-		// Few jobs can be shrunk: the machines of their tasks are all that there is, beside those where room
-		// will be free anyway.
+		// Few jobs can be shrunk: only the machines of their tasks come into question, and those that will have the
+		// resources without preemption.
 		for _, victim := range rule.candidates {
 			for _, p := range victim.placements {
 				s.consider(p.machine)
@@ -83,7 +82,7 @@
 	return s.best
 }
 
-// preemptionSearch looks for the cheapest machine.
+// preemptionSearch is a search for the machine on which preemption costs the least.
 type preemptionSearch struct {
 	cycle   *schedulingCycle
 	job     *job
@@ -94,7 +93,7 @@
 	best    *preemptionPlan
 }
 
-// walk looks through all machines that may be better than the best so far, if work below a rank can be stopped.
+// walk evaluates all machines that may be better than the best so far, if work below a rank can be stopped.
 func (s *preemptionSearch) walk(below int) {
 	looked := s.cycle.params.fleet.index.Walk(s.allowed, func(b *capacity.Bounds) bool {
 		least, possible := b.MinCost(s.need, below, s.image)
@@ -133,18 +132,17 @@
 	}
 }
 
-// stopModeFor tells how a placement is stopped for a job. A service waits for each of its replicas, and
-// idle-time work, which loses at most what it did since its last checkpoint, does not
-// make it wait for one more.
-func (cycle *schedulingCycle) stopModeFor(j *job, p *placement) stopMode {
+// stopModeFor tells how a placement is stopped for a job. A service is not made to wait for one more checkpoint of
+// idle-priority work, which loses at most what it did since the last one.
+func stopModeFor(j *job, p *placement) stopMode {
 	if p.job.isIdlePriority() && !j.isArray() {
 		return stopImmediate
 	}
 	return stopAfterCheckpoint
 }
 
-// costOf gives what it costs to make room on a machine: work that is stopped, but for idle-time
-// work; then how long the image takes; then all that is stopped.
+// costOf gives what preemption on a machine costs: instances that are stopped, then the state of the job's image there, then
+// instances of idle priority that are stopped.
 func costOf(stops []*placement, h *schedulableMachine, j *job) capacity.Cost {
 	cost := capacity.Cost{ImageState: h.machine.images.stateOf(j.spec.Image)}
 	for _, p := range stops {
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// model gives what a job's replicas belong to; false if the job's tasks are not spread: it is no service.
+// model gives the model that a job's replicas serve; false if the job is not a service, whose tasks alone are spread.
 func (j *job) model() (topologyspread.Model, bool) {
 	if j.isArray() {
 		return topologyspread.Model{}, false
@@ -17,7 +17,7 @@
 	return topologyspread.Model{Team: j.spec.Team, Image: j.spec.Image}, true
 }
 
-// servicesByModel gives the services that are to run, by what their replicas belong to.
+// servicesByModel gives the services that are to run, by the model that they serve.
 func (l *leader) servicesByModel() map[topologyspread.Model][]*job {
 	services := map[topologyspread.Model][]*job{}
 	for _, j := range l.queue {
@@ -28,8 +28,8 @@
 	return services
 }
 
-// countReplica takes a placement up in the ledger of replicas, or takes it out. Where replicas are is known whether
-// spread is weighed or not, so that it can be shown.
+// countReplica adds a placement to the ledger of replicas, or removes it. The ledger is kept whether replicas are spread or
+// not, so that it can be shown.
 func (p *placement) countReplica(present bool) {
 	model, ok := p.job.model()
 	if !ok || p.job.replicaLedger == nil {
@@ -42,14 +42,14 @@
 	}
 }
 
-// placementCost is what a replica's place costs, in seconds of replica time.
+// placementCost is what the placement of a replica costs, in seconds of replica time.
 type placementCost struct {
-	spreadWeighed bool    // against spread; else the warmest machine was taken
+	spreadWeighed bool    // image load was weighed against spread; else the best fit was taken
 	imageLoadS    float64 // expected wait for the weights
 	expectedLossS float64 // expected to be lost by what the zone and the machine have beyond the balanced share
-	// warmestMachine is the machine that would have been taken without weighing, with what it would have cost.
-	warmestMachine         string
-	warmestLoadS, avoidedS float64
+	// bestCached is the machine that would have been the best fit, with what it would have cost; "" if it was taken.
+	bestCached                    string
+	bestCachedLoadS, avoidedLossS float64
 }
 
 // replicaCostModel is what a job's next replica goes by.
@@ -88,18 +88,18 @@
 	return topologyspread.Rates{ZoneLossesPerDay: spread.ZoneLossesPerDay, MachineLossesPerDay: spread.MachineLossesPerDay, ReplicaDays: spread.ReplicaDays}
 }
 
-// cost gives what a machine of a group costs the job's next replica, by its warmth.
-func (w replicaCostModel) cost(g capacity.Group, warmth capacity.ImageState) float64 {
-	cost := w.imageLoad(g, warmth) + w.Zone(g.Zone)
+// cost gives what a machine of a group costs the job's next replica, by the state of its image there.
+func (w replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
+	cost := w.imageLoad(g, state) + w.Zone(g.Zone)
 	if w.job.spec.Spot && !g.Spot {
-		// As far behind as without weighing: a loss is the unit of what comes before warmth.
+		// On-demand machines come as far behind spot ones as in bestFit, where a recovery counts as an image state.
 		cost += onDemandPenalty * w.recoveryTime.Seconds()
 	}
 	return cost
 }
 
-func (w replicaCostModel) imageLoad(g capacity.Group, warmth capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(warmth), w.fleet.coldStartSeconds(w.job, g.Type))
+func (w replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
+	return topologyspread.LoadSeconds(int(state), w.fleet.coldStartSeconds(w.job, g.Type))
 }
 
 // cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
@@ -109,11 +109,11 @@
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Crowded: w.Machine(),
-		Cost: func(g capacity.Group, warmth capacity.ImageState) (float64, bool) {
+		Cost: func(g capacity.Group, state capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
 			}
-			return w.cost(g, warmth), true
+			return w.cost(g, state), true
 		},
 		Suits: func(h *schedulableMachine) (capacity.ImageState, bool, bool) {
 			return h.machine.images.stateOf(j.spec.Image), w.Crowded(h.machine.name), !cycle.state.avoidsMachine(j, h.machine)
@@ -135,7 +135,8 @@
 	return t
 }
 
-// explainCost completes the trade of a machine that is not warm with what the warmest one would have cost.
+// explainCost gives the cost of the machine that was chosen for a replica and, if the image is not ready there, what the
+// best fit would have cost.
 func (cycle *schedulingCycle) explainCost(j *job, m *machine) placementCost {
 	w, weighed := cycle.replicaCostFor(j)
 	if !weighed {
@@ -145,9 +146,9 @@
 	if m.images.stateOf(j.spec.Image) == capacity.ImageReady {
 		return t
 	}
-	if warmest := cycle.warmestMachine(j); warmest != nil && warmest != m {
-		other := w.costOn(warmest)
-		t.warmestMachine, t.warmestLoadS, t.avoidedS = warmest.name, other.imageLoadS, other.expectedLossS-t.expectedLossS
+	if best := cycle.bestFit(j); best != nil && best != m {
+		other := w.costOn(best)
+		t.bestCached, t.bestCachedLoadS, t.avoidedLossS = best.name, other.imageLoadS, other.expectedLossS-t.expectedLossS
 	}
 	return t
 }
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -8,10 +8,9 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// rebalancing bring replicas of services back into balance, as after the return of a zone: one of a model at a time, within
-// a budget, only while all of the model runs, and only where what is gained by the balance is more than what the move
-// costs. A moved replica is stopped, which drains its machine of it, and started anew by the next round, where it costs
-// the least.
+// rebalancing brings replicas of services back into balance, as after the recovery of a zone: one replica of a model at a
+// time, within a budget, only while all of the model runs, and only if the gain in balance is more than what the move
+// costs. A moved replica is drained from its machine, and the next cycle places it where it costs the least.
 type rebalancing struct{ budget ratelimit.Bucket }
 
 // secondsPerHour turns an hourly budget into a rate per second.
@@ -20,7 +19,7 @@
 // rebalanceBurstSeconds is how many seconds' worth of the budget may be used at once; one move may be in any case.
 const rebalanceBurstSeconds = 60
 
-// rebalanceReplicas makes the moves that are worth it.
+// rebalanceReplicas moves the replicas for which it is worth it.
 func (l *leader) rebalanceReplicas(cycle *schedulingCycle) {
 	s := l.core.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
@@ -55,7 +54,7 @@
 	}
 	for _, j := range services {
 		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
-			continue // it has no choice, or its places are a rollout's matter just now
+			continue // it has no choice, or a rollout decides about it
 		}
 		zone := l.replicaLedger.Overfull(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
@@ -67,8 +66,9 @@
 	return nil
 }
 
-// moveSavesCost tells whether a replica would cost less elsewhere, its restart and the load of its weights included.
-func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, least time.Duration) bool {
+// moveSavesCost tells whether a replica would cost less elsewhere, including its restart of so long and the load of its
+// weights.
+func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, restart time.Duration) bool {
 	j.removePlacement(p)
 	w, _ := cycle.replicaCostFor(j)
 	stay := w.costOn(p.machine).expectedLossS
@@ -79,10 +79,10 @@
 		gain = stay - there.imageLoadS - there.expectedLossS
 	}
 	j.addPlacement(p)
-	return gain > least.Seconds()
+	return gain > restart.Seconds()
 }
 
-// planOwns tells whether a job is one of a rollout's plan.
+// planOwns tells whether a job belongs to the plan of a rollout.
 func (l *leader) planOwns(id string) bool {
 	owned := l.core.cache.PlanHolding(id) != nil
 	return owned
--- a/internal/core/team_usage.go
+++ b/internal/core/resource_request.go
@@ -2,22 +2,22 @@
 
 import "bitternwing/internal/resource"
 
-// resourceRequest is what a task needs of a machine, where any of its kind will do.
+// resourceRequest is what a task needs of a machine, if any machine with that will do.
 type resourceRequest struct {
 	resource.Amount
-	spot       bool
-	zone, kind string
+	spot              bool
+	zone, machineType string
 }
 
-// requestOf gives a job's resource request; false if more than that decides where it may run.
+// requestOf gives a job's resource request; false if more than that decides where its next task may run.
 func requestOf(j *job) (resourceRequest, bool) {
 	s := j.spec
 	if s.SingleZone || s.SpreadZones || len(j.failedOn) > 0 || len(s.MachineTypes) > 1 {
 		return resourceRequest{}, false
 	}
-	a := resourceRequest{Amount: resource.OfTask(s), spot: s.Spot, zone: s.Zone}
+	request := resourceRequest{Amount: resource.OfTask(s), spot: s.Spot, zone: s.Zone}
 	if len(s.MachineTypes) == 1 {
-		a.kind = s.MachineTypes[0]
+		request.machineType = s.MachineTypes[0]
 	}
-	return a, true
+	return request, true
 }
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -6,16 +6,16 @@
 	"bitternwing/internal/wire"
 )
 
-// schedulableMachine is the room of a machine that may take tasks. Within a round both amounts count what the round has
-// decided and holds back.
+// schedulableMachine is a machine that may be given tasks, with its free resources. Within a cycle both amounts count what
+// the cycle has placed and reserved.
 type schedulableMachine struct {
 	machine        *machine
 	free           resource.Amount
 	freeAfterStops resource.Amount // free once what was told to stop is gone
 }
 
-// refreshCapacityIndex brings the index of room up to date for a round: machines that may take tasks now and could not
-// before, or the other way, and those whose room has changed.
+// refreshCapacityIndex brings the capacity index up to date for a cycle: with the machines that have become schedulable or
+// unschedulable, and those whose free resources have changed.
 func (l *leader) refreshCapacityIndex() {
 	for _, m := range l.machinesByName {
 		if m.machineType == nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// refreshSchedulable works out a machine's room.
+// refreshSchedulable works out a machine's free resources.
 func (l *leader) refreshSchedulable(m *machine) {
 	if m.schedulable == nil {
 		m.schedulable = &schedulableMachine{machine: m}
@@ -40,46 +40,46 @@
 	l.updateCapacityIndex(m.schedulable)
 }
 
-// updateCapacityIndex has the index know of a change of a host's room.
+// updateCapacityIndex has the index know of a change of a machine's free resources.
 func (l *leader) updateCapacityIndex(h *schedulableMachine) {
 	l.capacityIndex.Put(h.machine.group(), resource.OfMachine(h.machine.machineType), h.indexEntry(), h)
 }
 
-// group is the machines among which the index has this one.
+// group is the group of the index that a machine is in.
 func (m *machine) group() capacity.Group {
 	return capacity.Group{Type: m.typeName, Zone: m.zone, Spot: m.spot}
 }
 
-// removeSchedulable takes a machine out of those that may take tasks.
+// removeSchedulable removes a machine from those that may be given tasks.
 func (l *leader) removeSchedulable(m *machine) {
 	m.schedulable = nil
 	l.capacityIndex.Remove(m.name)
 }
 
-// indexEntry gives what the index is to know of a host.
+// indexEntry gives what the index has to know of a machine.
 func (h *schedulableMachine) indexEntry() capacity.MachineCapacity {
-	room := capacity.MachineCapacity{Name: h.machine.name, Free: h.free, FreeAfterStops: h.freeAfterStops}
+	entry := capacity.MachineCapacity{Name: h.machine.name, Free: h.free, FreeAfterStops: h.freeAfterStops}
 	for _, p := range h.machine.placementsInOrder {
-		// Which of them can be shrunk, and for whom, is for the search to find out.
+		// Which of their jobs can be shrunk, and for whom, is decided in the search.
 		if p.stop == stopNone && p.job.isArray() {
-			room.Preemptible[priority(p.job)].Add(resource.OfTask(p.job.spec))
+			entry.Preemptible[priority(p.job)].Add(resource.OfTask(p.job.spec))
 		}
 	}
 	for i := range h.machine.images {
 		switch image := &h.machine.images[i]; image.state {
 		case cachedImageReady:
-			room.Images.Ready.Add(image.bit)
+			entry.Images.Ready.Add(image.bit)
 		case cachedImageUnconfirmed:
-			room.Images.Unknown.Add(image.bit)
+			entry.Images.Unknown.Add(image.bit)
 		case cachedImageFetching:
-			room.Images.Fetching.Add(image.bit)
+			entry.Images.Fetching.Add(image.bit)
 		}
 	}
-	return room
+	return entry
 }
 
 // freeCapacity gives what is free of a machine now, and once all that stops is gone.
-func (l *leader) freeCapacity(m *machine) (free, soon resource.Amount) {
+func (l *leader) freeCapacity(m *machine) (free, freeAfterStops resource.Amount) {
 	free = resource.OfMachine(m.machineType)
 	for _, p := range m.placementsInOrder {
 		free.Take(resource.OfTask(p.job.spec))
@@ -91,11 +91,11 @@
 			free = resource.Amount{}
 		}
 	}
-	soon = free
+	freeAfterStops = free
 	for _, p := range m.placementsInOrder {
 		if p.stop != stopNone {
-			soon.Give(resource.OfTask(p.job.spec))
+			freeAfterStops.Give(resource.OfTask(p.job.spec))
 		}
 	}
-	return free, soon
+	return free, freeAfterStops
 }
