--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -33,7 +33,7 @@
 func (t *provisioner) requestListPage(after string) {
 	l := t.leader
 	t.listInFlight = true
-	id := l.call(func(r Result) {
+	id := l.registerCall(func(r Result) {
 		t.listInFlight = false
 		if r.Outcome == outcome.Dropped && after != "" {
 			t.nextPage = after
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -74,7 +74,7 @@
 func (l *leader) sendDirectCommand(o *directCommand) {
 	o.machine.commandInFlight = true
 	l.commandsInFlight++
-	id := l.call(func(r Result) {
+	id := l.registerCall(func(r Result) {
 		o.machine.commandInFlight = false
 		l.commandsInFlight--
 		l.applyDirectCommandResult(o, r)
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -55,7 +55,7 @@
 	}
 	l.writer.rateTokens -= float64(len(txn.Then))
 	h.inFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		h.inFlight = false
 		if r.Outcome == outcome.OK {
 			for _, op := range txn.Then {
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -122,7 +122,7 @@
 	p, image := &l.prefetches, j.spec.Image
 	m.addImage(image, j.spec.ImageGB)
 	p.inFlight++
-	id := l.call(func(r Result) {
+	id := l.registerCall(func(r Result) {
 		p.inFlight--
 		switch r.Outcome {
 		case outcome.OK:
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -83,7 +83,7 @@
 // rereadJob finds out what became of a job's key without waiting for the watch.
 func (w *writer) rereadJob(j *job) {
 	l, c := w.leader, w.leader.core
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		switch r.Outcome {
 		case outcome.OK:
 			c.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -1,75 +1,71 @@
 package core
 
 import (
-	"maps"
-	"slices"
-	"sort"
 	"time"
 
 	"bitternwing/internal/capacity"
-	"bitternwing/internal/outcome"
 	"bitternwing/internal/record"
-	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
-	"bitternwing/internal/wire"
 )
 
-// leader is the state of a node that holds a term. All of it is rebuilt at a win:
-// first from the records in the state service, then from workers' reports.
+// leader is the state of a controller that leads a term. It is all rebuilt when a term begins: first from the key-value
+// store (leaderRecovery), then from the heartbeats of the workers.
 type leader struct {
-	core        *Core
-	term        uint64
-	termVersion uint64 // of the term key; every write is conditional on it
-	startedAt   time.Duration
+	core *Core
 
-	recovered          bool // the records are read
-	recordReadInFlight bool
-	nextRecordRead     time.Duration        // no reading before this
-	recordItems        map[string]wire.Item // records read so far
-	recordCursor       string               // the last key of the pages read so far
-	allRecordsRead     bool
-	recordsReadAt      time.Duration // when all were
-	recovery           recoveryStats
+	// The term, and the version of its key, on which every write is conditional.
+	term                 uint64
+	termVersion          uint64
+	startedAt            time.Duration
+	lastWithoutAuthority time.Duration // when this leader last had no authority to act
+
+	recovery        *leaderRecovery
+	recovered       bool          // the state of earlier terms is restored
+	recordLayout    record.Layout // of the run records
+	layoutMigration layoutMigration
+	termUpgrade     termFormatUpgrade
 
 	jobs             map[string]*job
 	queue            []*job // by acceptance
+	dependenciesSeen uint64 // evaluations of the dependency graph that are taken in
+
 	machines         map[string]*machine
-	machinesByName   []*machine // by name
+	machinesByName   []*machine               // by name
+	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
 	capacityIndex    *capacity.Index[*schedulableMachine]
 	replicaLedger    *topologyspread.Ledger
-	rebalancing      rebalancing
-	prefetches       imagePrefetcher
-	pendingDispatch  []*machine    // with starts that were just committed
-	recordLayout     record.Layout // of the run records
-	layoutMigration  layoutMigration
-	termUpgrade      termFormatUpgrade
-	rollouts         *rolloutManager
-	quotas           *quotaManager
-	dependenciesSeen uint64                   // evaluations of the dependency graph that are taken in
-	releasedMachines map[string]time.Duration // names given back, so that late reports of them don't count
-	// changes counts what reports change, and evidenceCount the reports that were taken as evidence.
-	observedChanges, reconciliations uint64
-	statusQueriesInFlight            int
-	commandsInFlight                 int                      // direct orders without an answer yet
-	lastWithoutAuthority             time.Duration            // when this leader was last not entitled to act
-	zoneIsolatedAt                   map[string]time.Duration // when a zone was last seen cut off with its nodes
-	unreachableZones                 []string                 // zones much of which can not be reached, whoever keeps it
-	silentZones                      map[string]bool          // zones much of which is silent; true: none of their nodes answers either
 
-	nextHeldResponse time.Duration // when held answers are given next
-	nextFleetCheck   time.Duration // when the fleet and the cancelled jobs are looked through next
-	writer           writer
-	provisioner      provisioner
-	cycles           cycleTimer
-	images           imageHints
-	unreachable      unreachableHints
+	observedChanges       uint64 // what heartbeats have changed
+	reconciliations       uint64 // heartbeats that were reconciled
+	statusQueriesInFlight int
+	pendingDispatch       []*machine // with starts that were just committed, or stops
+	commandsInFlight      int        // direct commands without an answer yet
+
+	zoneIsolatedAt   map[string]time.Duration // when a zone was last seen isolated with its controllers
+	unreachableZones []string                 // zones much of which this node can't reach, whoever renews the leases there
+	silentZones      map[string]bool          // zones much of which is silent; true: none of their controllers answers either
+
+	nextHeldResponse time.Duration // when held responses are sent next
+	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
+
+	writer      writer
+	provisioner provisioner
+	cycles      cycleTimer
+	rebalancing rebalancing
+	prefetches  imagePrefetcher
+	rollouts    *rolloutManager
+	quotas      *quotaManager
+	images      imageHints
+	unreachable unreachableHints
 }
 
+// newLeader makes the leader of a term that was just won, which has yet to recover the state of earlier terms.
 func newLeader(c *Core, term, version uint64) *leader {
 	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady, nextHeldResponse: farFuture,
-		recordItems: map[string]wire.Item{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(), releasedMachines: map[string]time.Duration{}, silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
-	l.recovery.renewalsBefore = c.leaseRenewals.responses[RecoveringLeaderBasis]
+		jobs: map[string]*job{}, machines: map[string]*machine{}, releasedMachines: map[string]time.Duration{},
+		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(),
+		silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
+	l.recovery = newLeaderRecovery(l)
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
 	l.writer.init(l)
@@ -80,8 +76,8 @@
 	return l
 }
 
-// call registers a result that counts only while this term lasts.
-func (l *leader) call(f func(Result)) uint64 {
+// registerCall registers the handler of a call's result. It is called only if this term still lasts.
+func (l *leader) registerCall(f func(Result)) uint64 {
 	return l.core.registerCall(func(r Result) {
 		if l.core.leader == l {
 			f(r)
@@ -89,7 +85,8 @@
 	})
 }
 
-func (l *leader) stateCall(f func(Result)) uint64 {
+// registerStoreCall is call for the key-value store.
+func (l *leader) registerStoreCall(f func(Result)) uint64 {
 	return l.core.registerStoreCall(func(r Result) {
 		if l.core.leader == l {
 			f(r)
@@ -97,23 +94,17 @@
 	})
 }
 
+// run does what is due. Every part sets when it wants to be woken.
 func (l *leader) run() {
 	if !l.recovered {
-		l.recoverState()
+		l.recovery.run()
 		if !l.recovered {
 			return
 		}
 	}
 	l.followDependencies()
 	l.quotas.run()
-	if now := l.core.now.Steady; now >= l.nextFleetCheck {
-		l.nextFleetCheck = l.core.coalesce(now + 1)
-		l.checkMachines()
-		l.enforceCancellations()
-		l.provisioner.releaseNeverUp()
-		l.core.warnOfUndersizedSettings(len(l.machinesByName))
-	}
-	l.core.wakeBy(l.nextFleetCheck)
+	l.checkFleet()
 	l.runSchedulingCycle()
 	l.migrateLayout()
 	l.upgradeTermFormat()
@@ -127,234 +118,28 @@
 	l.unreachable.run()
 }
 
-// turnAwayWaiting answers everyone who waits for this leader, whose term ends.
+// checkFleet looks through the machines and the cancelled jobs when that is due.
+func (l *leader) checkFleet() {
+	now := l.core.now.Steady
+	if now >= l.nextFleetCheck {
+		l.nextFleetCheck = l.core.coalesce(now + 1)
+		l.checkMachines()
+		l.enforceCancellations()
+		l.provisioner.releaseNeverUp()
+		l.core.warnOfUndersizedSettings(len(l.machinesByName))
+	}
+	l.core.wakeBy(l.nextFleetCheck)
+}
+
+// turnAwayWaiting responds to all requests that wait for this leader, whose term ends.
 func (l *leader) turnAwayWaiting() {
 	l.redirectHeldResponses()
 	l.rollouts.refuseWaiting()
 	l.quotas.refuseWaiting()
 }
 
-// hasAuthority tells whether this leader may act for the controllers: in time, or in
-// an outage of the state service that all nodes confirm, in which nobody can win
-// a term.
+// hasAuthority reports whether this leader may act: its lease is valid, or all controllers confirm an outage of the
+// key-value store, during which nobody can win a newer term.
 func (l *leader) hasAuthority() bool {
 	return l.core.election.LeaseValid() || l.core.storeOutageConfirmed()
 }
-
-// recoverState reads the run records and waits until the watch has come as far as the
-// win. Both are then complete: later writes of earlier terms fail.
-func (l *leader) recoverState() {
-	if !l.recordReadInFlight && !l.allRecordsRead {
-		if l.core.now.Steady < l.nextRecordRead {
-			l.core.wakeBy(l.nextRecordRead)
-			return
-		}
-		l.readRecords()
-	}
-	if !l.allRecordsRead || l.core.cache.Revision() < l.termVersion {
-		l.warnSlowRecovery()
-		return
-	}
-	l.recordLayout = l.core.layout()
-	l.unreachable.written = l.core.cache.UnreachableHintValues()
-	ids := l.core.cache.JobIDs()
-	for _, id := range ids {
-		l.addJob(id, l.core.cache.Job(id))
-	}
-	l.applyRecords(l.recordItems)
-	l.recordItems = nil
-	l.recovered = true
-	for _, id := range ids {
-		j := l.jobs[id]
-		l.applyJobChange(id)
-		l.finishIfDone(j)
-	}
-	l.core.log(Info, "leader recovered state", "term", l.term, "jobs", len(l.jobs))
-	l.logFailover()
-	l.requestCycle()
-}
-
-// readRecords reads the next page of the run records, and those after it.
-func (l *leader) readRecords() {
-	l.recordReadInFlight = true
-	id := l.stateCall(func(r Result) {
-		l.recordReadInFlight = false
-		if r.Outcome != outcome.OK {
-			// What was read stays as it is: nobody but this leader writes records in its term.
-			l.nextRecordRead = l.core.now.Steady + l.core.times.retryPause
-			l.core.wakeBy(l.nextRecordRead)
-			return
-		}
-		for _, it := range r.Page.Items {
-			l.recordItems[it.Key] = it
-		}
-		if n := len(r.Page.Items); r.Page.More && n > 0 {
-			l.recordCursor = r.Page.Items[n-1].Key
-			l.readRecords()
-			return
-		}
-		l.allRecordsRead, l.recordsReadAt = true, l.core.now.Steady
-	})
-	l.core.emit(StoreList{CallID: id, Prefix: stored.RunRecordPrefix, After: l.recordCursor})
-}
-
-// applyRecords takes the run records of earlier terms.
-func (l *leader) applyRecords(items map[string]wire.Item) {
-	found := map[string][]record.Entry{}
-	for _, name := range slices.Sorted(maps.Keys(items)) {
-		it := items[name]
-		key, ok := stored.ParseRunRecordKey(name)
-		if !ok {
-			l.core.log(Error, "run record key not recognized", "key", name)
-			continue
-		}
-		if l.jobs[key.Job] == nil {
-			l.writer.deleteOrphan(name, it.Version)
-			continue
-		}
-		r, err := record.Decode(it.Value, l.recordLayout.TasksOf(key))
-		if err != nil {
-			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
-			continue
-		}
-		found[key.Job] = append(found[key.Job], record.Entry{Key: key, Version: it.Version, Record: r})
-	}
-	for _, id := range slices.Sorted(maps.Keys(found)) {
-		l.applyJobRecords(l.jobs[id], found[id])
-	}
-}
-
-// applyJobRecords takes what a job's records tell. Each placement in them may be running, or its start still
-// on the way, until its machine tells.
-func (l *leader) applyJobRecords(j *job, found []record.Entry) {
-	if j.waitingForDependencies {
-		// A job has a record only if an earlier leader found it ready.
-		l.admit(j)
-	}
-	if !j.queued {
-		l.enqueue(j) // held by a plan that goes back, after it was placed
-	}
-	for _, s := range found {
-		if l.recordLayout.ByTask > 0 && !s.Key.ByTask {
-			j.supersede(stored.RunRecordKey(s.Key), s.Version)
-		}
-	}
-	parts := l.recordLayout.Assemble(found)
-	for _, index := range slices.Sorted(maps.Keys(parts)) {
-		part := parts[index]
-		ch := l.chunkOf(j, index*l.tasksPerRecord())
-		ch.version, ch.highestAttempt, ch.done = part.Version, part.HighestAttempt, part.Done
-		j.done += part.Done.Count()
-		for _, task := range slices.Sorted(maps.Keys(part.Placed)) {
-			if task < j.spec.Tasks {
-				l.adoptPlacement(j, task, part.Placed[task])
-			}
-		}
-	}
-}
-
-// adoptPlacement takes a placement of an earlier term.
-func (l *leader) adoptPlacement(j *job, task int, run record.Run) {
-	m := l.machineNamed(run.Machine)
-	m.everReported = true
-	p := &placement{job: j, task: task, attempt: run.Attempt, machine: m, incarnation: run.Incarnation,
-		phase: phaseSent, startSequence: startSequenceUnknown, placedAt: l.core.now.Steady}
-	j.addPlacement(p)
-	m.addImage(j.spec.Image, j.spec.ImageGB)
-}
-
-// applyJobChange takes a change of a job's key from the watch.
-func (l *leader) applyJobChange(id string) {
-	if !l.recovered {
-		return
-	}
-	e, j := l.core.cache.Job(id), l.jobs[id]
-	if e == nil {
-		return // only the leader ends jobs, and drops them itself
-	}
-	if j == nil {
-		if _, over := l.core.cache.FinalState(id); over {
-			return
-		}
-		j = l.addJob(id, e)
-		l.requestCycle()
-	}
-	j.version = max(j.version, e.Version)
-	if e.CancelledMS != 0 && !j.cancelled {
-		l.applyCancellation(j, e.CancelledMS)
-	}
-}
-
-// applyCancellation stops all of a job. What was not yet sent never will be.
-func (l *leader) applyCancellation(j *job, atMS int64) {
-	age := time.Duration(max(0, l.core.now.WallMS-atMS)) * time.Millisecond
-	j.cancelled = true
-	j.cancelledAt = l.core.now.Steady - age
-	for _, p := range j.placementsByTask() {
-		if p.phase < phaseSent {
-			l.endPlacement(p)
-			continue
-		}
-		p.requestStop(stopImmediate, stopCancelled)
-		p.stopSent = false
-		if p.directStartToken != 0 {
-			// Its start may still be on the way, behind the stop.
-			p.machine.fence.RaiseAbove(p.directStartToken)
-		}
-		l.pendingDispatch = append(l.pendingDispatch, p.machine)
-	}
-	l.requestCycle()
-	l.finishIfDone(j)
-}
-
-// placementsByTask gives a job's placements in order.
-func (j *job) placementsByTask() []*placement {
-	ps := make([]*placement, 0, len(j.placements))
-	for _, p := range j.placements {
-		ps = append(ps, p)
-	}
-	sort.Slice(ps, func(a, b int) bool { return ps[a].task < ps[b].task })
-	return ps
-}
-
-// finishIfDone writes a job's final state once all its tasks are done, or all are
-// gone after a cancel.
-func (l *leader) finishIfDone(j *job) {
-	if j.ending || len(j.placements) > 0 {
-		return
-	}
-	if j.cancelled || j.isArray() && j.done >= j.spec.Tasks {
-		j.ending = true
-		l.writer.queueEnd(j)
-	}
-}
-
-// enforceCancellations sees to it that a cancelled job's tasks are gone in time: a machine that
-// does not obey is released.
-func (l *leader) enforceCancellations() {
-	if !l.hasAuthority() {
-		return
-	}
-	for _, j := range l.queue {
-		if !j.cancelled || len(j.placements) == 0 {
-			continue
-		}
-		for _, p := range j.placementsByTask() {
-			if l.core.now.Steady >= l.cancellationDeadline(p) {
-				l.provisioner.release(p.machine, releaseCancelled)
-			}
-		}
-	}
-}
-
-// cancellationDeadline tells when a machine with a task of a cancelled job is released for it. Releasing takes
-// a call or two and a retry: half the time is left for it. What an earlier leader
-// recorded may long be gone, its end not yet written: the machine gets the time to say so here,
-// as far as there is any.
-func (l *leader) cancellationDeadline(p *placement) time.Duration {
-	due := p.job.cancelledAt + l.core.times.cancelDeadline*4/10
-	if !p.machine.reported {
-		due = max(due, min(l.startedAt+l.core.times.lease/2, p.job.cancelledAt+l.core.times.cancelDeadline*6/10))
-	}
-	return due
-}
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -1,35 +1,201 @@
 package core
 
-// A leader is unread from its win until it has read the run records and all changes up to its win. It answers reports,
-// since the workers' leases would run out, stops what it knows to be cancelled as any node does that renews a lease, and
-// decides nothing else.
+import (
+	"maps"
+	"slices"
+	"time"
 
-// recoveryStats is what a leader keeps of the time in which it was unread.
-type recoveryStats struct {
-	renewalsBefore uint64 // leases that this process had renewed as an unread leader of earlier terms
-	warned         bool
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
+	"bitternwing/internal/wire"
+)
+
+// leaderRecovery restores the state of earlier terms when a term begins: the jobs from the cache of the watched keys, and
+// their placements from the run records, which are read page by page.
+//
+// Both are complete once all pages are read and the watch has reached the revision of the win: later writes of earlier terms
+// fail on their version of the term key. Until then the leader renews the leases of workers, which would expire otherwise,
+// and stops the tasks that it knows to be cancelled, as every node does that renews a lease. It decides nothing else.
+type leaderRecovery struct {
+	leader *leader
+
+	records      map[string]wire.Item // read so far, by key
+	lastKey      string               // of the pages read so far
+	readInFlight bool
+	nextRead     time.Duration // no page is read before
+	recordsRead  bool          // all pages are
+	completedAt  time.Duration // when the last page was read
+
+	renewalsBefore uint64 // leases that this process had renewed while recovering earlier terms
+	slowLogged     bool
+}
+
+func newLeaderRecovery(l *leader) *leaderRecovery {
+	return &leaderRecovery{leader: l, records: map[string]wire.Item{},
+		renewalsBefore: l.core.leaseRenewals.responses[RecoveringLeaderBasis]}
+}
+
+// run reads what is due and restores the state once all is there.
+func (r *leaderRecovery) run() {
+	l, c := r.leader, r.leader.core
+	if !r.readInFlight && !r.recordsRead {
+		if c.now.Steady < r.nextRead {
+			c.wakeBy(r.nextRead)
+			return
+		}
+		r.readPage()
+	}
+	if !r.recordsRead || c.cache.Revision() < l.termVersion {
+		r.logIfSlow()
+		return
+	}
+	r.restore()
+}
+
+// readPage reads the next page of the run records.
+func (r *leaderRecovery) readPage() {
+	r.readInFlight = true
+	id := r.leader.registerStoreCall(r.handlePage)
+	r.leader.core.emit(StoreList{CallID: id, Prefix: stored.RunRecordPrefix, After: r.lastKey})
+}
+
+// handlePage takes in a page and reads the one after it. What was read stays valid if a page fails: nobody but this leader
+// writes records in its term.
+func (r *leaderRecovery) handlePage(result Result) {
+	c := r.leader.core
+	r.readInFlight = false
+	if result.Outcome != outcome.OK {
+		r.nextRead = c.now.Steady + c.times.retryPause
+		c.wakeBy(r.nextRead)
+		return
+	}
+	items := result.Page.Items
+	for _, item := range items {
+		r.records[item.Key] = item
+	}
+	if result.Page.More && len(items) > 0 {
+		r.lastKey = items[len(items)-1].Key
+		r.readPage()
+		return
+	}
+	r.recordsRead, r.completedAt = true, c.now.Steady
+}
+
+// restore builds the leader's jobs and placements from what was read.
+func (r *leaderRecovery) restore() {
+	l, c := r.leader, r.leader.core
+	l.recordLayout = c.layout()
+	l.unreachable.written = c.cache.UnreachableHintValues()
+	ids := c.cache.JobIDs()
+	for _, id := range ids {
+		l.addJob(id, c.cache.Job(id))
+	}
+	r.applyRecords()
+	r.records = nil
+	l.recovered = true
+	for _, id := range ids {
+		j := l.jobs[id]
+		l.applyJobChange(id)
+		l.finishIfDone(j)
+	}
+	c.log(Info, "leader recovered state", "term", l.term, "jobs", len(l.jobs))
+	r.logFailover()
+	l.requestCycle()
+}
+
+// applyRecords takes in the run records of earlier terms.
+func (r *leaderRecovery) applyRecords() {
+	byJob := r.decodeRecords()
+	for _, id := range slices.Sorted(maps.Keys(byJob)) {
+		r.applyJobRecords(r.leader.jobs[id], byJob[id])
+	}
+}
+
+// decodeRecords gives the records of each job. Those of jobs that are over are to be deleted.
+func (r *leaderRecovery) decodeRecords() map[string][]record.Entry {
+	l := r.leader
+	byJob := map[string][]record.Entry{}
+	for _, name := range slices.Sorted(maps.Keys(r.records)) {
+		item := r.records[name]
+		key, ok := stored.ParseRunRecordKey(name)
+		if !ok {
+			l.core.log(Error, "run record key not recognized", "key", name)
+			continue
+		}
+		if l.jobs[key.Job] == nil {
+			l.writer.deleteOrphan(name, item.Version)
+			continue
+		}
+		decoded, err := record.Decode(item.Value, l.recordLayout.TasksOf(key))
+		if err != nil {
+			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
+			continue
+		}
+		byJob[key.Job] = append(byJob[key.Job], record.Entry{Key: key, Version: item.Version, Record: decoded})
+	}
+	return byJob
+}
+
+// applyJobRecords takes in the records of a job.
+func (r *leaderRecovery) applyJobRecords(j *job, entries []record.Entry) {
+	l := r.leader
+	if j.waitingForDependencies {
+		// A job has a record only if an earlier leader found it ready.
+		l.admit(j)
+	}
+	if !j.queued {
+		l.enqueue(j) // held by a rollout plan that is rolled back, after it was placed
+	}
+	for _, entry := range entries {
+		if l.recordLayout.ByTask > 0 && !entry.Key.ByTask {
+			j.supersede(stored.RunRecordKey(entry.Key), entry.Version)
+		}
+	}
+	parts := l.recordLayout.Assemble(entries)
+	for _, index := range slices.Sorted(maps.Keys(parts)) {
+		part := parts[index]
+		chunk := l.chunkOf(j, index*l.tasksPerRecord())
+		chunk.version, chunk.highestAttempt, chunk.done = part.Version, part.HighestAttempt, part.Done
+		j.done += part.Done.Count()
+		for _, task := range slices.Sorted(maps.Keys(part.Placed)) {
+			if task < j.spec.Tasks {
+				r.adoptPlacement(j, task, part.Placed[task])
+			}
+		}
+	}
+}
+
+// adoptPlacement takes over a placement of an earlier term. It may be running, or its start still be on the way, until its
+// machine's heartbeat shows.
+func (r *leaderRecovery) adoptPlacement(j *job, task int, run record.Run) {
+	m := r.leader.machineNamed(run.Machine)
+	m.everReported = true
+	p := &placement{job: j, task: task, attempt: run.Attempt, machine: m, incarnation: run.Incarnation,
+		phase: phaseSent, startSequence: startSequenceUnknown, placedAt: r.leader.core.now.Steady}
+	j.addPlacement(p)
+	m.addImage(j.spec.Image, j.spec.ImageGB)
 }
 
-// renewalsDuringRecovery is how many leases were renewed in this term before the records were read.
-func (l *leader) renewalsDuringRecovery() uint64 {
-	return l.core.leaseRenewals.responses[RecoveringLeaderBasis] - l.recovery.renewalsBefore
+// renewals is how many leases were renewed in this term during the recovery.
+func (r *leaderRecovery) renewals() uint64 {
+	return r.leader.core.leaseRenewals.responses[RecoveringLeaderBasis] - r.renewalsBefore
 }
 
-// warnSlowRecovery logs, once, that a leader is unread for longer than reading should take.
-func (l *leader) warnSlowRecovery() {
-	c := l.core
-	since := c.now.Steady - l.startedAt
-	if l.recovery.warned || since < c.times.checkInterval {
+// logIfSlow logs, once, that the recovery takes longer than reading should.
+func (r *leaderRecovery) logIfSlow() {
+	l, c := r.leader, r.leader.core
+	if r.slowLogged || c.now.Steady-l.startedAt < c.times.checkInterval {
 		return
 	}
-	l.recovery.warned = true
-	c.log(Info, "leader still recovering state", "term", l.term, "records_read", l.allRecordsRead,
-		"revision", c.cache.Revision(), "required_revision", l.termVersion, "leases_renewed", l.renewalsDuringRecovery())
+	r.slowLogged = true
+	c.log(Info, "leader still recovering state", "term", l.term, "records_read", r.recordsRead,
+		"revision", c.cache.Revision(), "required_revision", l.termVersion, "leases_renewed", r.renewals())
 }
 
-// logFailover logs what a new leader has waited for, and what it did meanwhile.
-func (l *leader) logFailover() {
-	now := l.core.now.Steady
-	l.core.log(Debug, "failover completed", "term", l.term, "after_ms", (now - l.startedAt).Milliseconds(),
-		"records_ms", (l.recordsReadAt - l.startedAt).Milliseconds(), "revision", l.core.cache.Revision(), "leases_renewed", l.renewalsDuringRecovery())
+// logFailover logs how long the recovery took, and what was renewed meanwhile.
+func (r *leaderRecovery) logFailover() {
+	l, c := r.leader, r.leader.core
+	c.log(Debug, "failover completed", "term", l.term, "after_ms", (c.now.Steady - l.startedAt).Milliseconds(),
+		"records_ms", (r.completedAt - l.startedAt).Milliseconds(), "revision", c.cache.Revision(), "leases_renewed", r.renewals())
 }
--- a/internal/core/leader_recovery_test.go
+++ b/internal/core/leader_recovery_test.go
@@ -26,7 +26,7 @@
 	c := newIdleCore()
 	c.leader = newLeader(c, 1, 1)
 	failed, read := map[string]bool{}, map[string]int{}
-	for step := 0; !c.leader.allRecordsRead && step < 4*pages; step++ {
+	for step := 0; !c.leader.recovery.recordsRead && step < 4*pages; step++ {
 		list := nextRecordsPage(c.Step(Time{Steady: c.now.Steady + c.times.retryPause}, Tick{}))
 		for list != nil {
 			page := len(read)
@@ -40,8 +40,8 @@
 			list = nextRecordsPage(c.Step(c.now, Result{CallID: list.CallID, Outcome: outcome.OK, Page: wire.Page{Items: items, More: page+1 < pages}}))
 		}
 	}
-	if !c.leader.allRecordsRead || len(c.leader.recordItems) != pages || len(read) != pages {
-		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.recordItems), len(read), c.leader.allRecordsRead)
+	if !c.leader.recovery.recordsRead || len(c.leader.recovery.records) != pages || len(read) != pages {
+		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.recovery.records), len(read), c.leader.recovery.recordsRead)
 	}
 	for after, times := range read {
 		if times != 1 {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -146,7 +146,7 @@
 	t.scaleInQueue = append([]string(nil), t.scaleInQueue[n:]...)
 	t.scaleInInFlight = true
 	t.markReleaseSent(names, true)
-	id := l.call(func(r Result) {
+	id := l.registerCall(func(r Result) {
 		t.scaleInInFlight = false
 		if r.Outcome == outcome.OK {
 			for _, name := range names {
@@ -169,7 +169,7 @@
 // sendScaleOut sends a request for machines.
 func (t *provisioner) sendScaleOut(q *scaleOutRequest) {
 	q.inFlight, q.sent = true, true
-	id := t.leader.call(func(r Result) {
+	id := t.leader.registerCall(func(r Result) {
 		q.inFlight = false
 		t.handleScaleOutResult(q, r)
 	})
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -16,7 +16,7 @@
 		}
 		t.delivering[to] = true
 		t.attempts++
-		id := a.leader.call(func(r Result) {
+		id := a.leader.registerCall(func(r Result) {
 			delete(t.delivering, to)
 			if r.Outcome == outcome.OK {
 				a.settleTransfer(t, to, transfer.Number)
@@ -59,7 +59,7 @@
 	t.attempts++
 	region := others[t.nextRegion%len(others)]
 	t.nextRegion++
-	id := a.leader.call(func(Result) {
+	id := a.leader.registerCall(func(Result) {
 		t.requestInFlight = false
 		t.requestCount++
 		t.nextRequest = c.now.Steady + c.times.checkInterval*time.Duration(min(1+t.requestCount/len(others), maxRequestIntervals))
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -87,7 +87,7 @@
 	t.indeterminate = append(t.indeterminate, next)
 	a.refreshEffective(t)
 	l.writer.rateTokens--
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
 		a.inFlight--
 		a.applyWriteResult(t, next, r)
@@ -118,7 +118,7 @@
 func (a *quotaManager) reread(t *teamQuota) {
 	c := a.leader.core
 	t.writeInFlight = true
-	id := a.leader.stateCall(func(r Result) {
+	id := a.leader.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
 		t.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK && r.Item.Version > t.version {
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -65,7 +65,7 @@
 		return
 	}
 	x.inFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		x.inFlight = false
 		switch r.Outcome {
 		case outcome.OK:
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -319,7 +319,7 @@
 	t := l.rollouts
 	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probesInFlight) {
 		t.probesInFlight++
-		id := l.call(func(r Result) {
+		id := l.registerCall(func(r Result) {
 			t.probesInFlight--
 			if r.Outcome == outcome.Dropped {
 				run.validations.Missed(probe.Replica)
@@ -354,7 +354,7 @@
 	run.writeInFlight = true
 	run.noteDropped(current.Record, next)
 	l.writer.rateTokens--
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, value)
 		if r.Outcome == outcome.OK {
@@ -405,7 +405,7 @@
 func (l *leader) rereadPlan(run *activeRollout) {
 	c := l.core
 	run.writeInFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		run.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK {
@@ -419,7 +419,7 @@
 func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
 	l.writer.rateTokens--
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, nil)
 	})
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -188,7 +188,7 @@
 	l.rollouts.uncommitted[name] = record
 	l.refreshHoldsOf(in.Plan.New.Jobs)
 	l.writer.rateTokens--
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		switch {
 		case r.Outcome == outcome.OK:
 			c.applyPlan(name, value, r.Txn.Revision)
@@ -234,7 +234,7 @@
 // shows nothing does not end that, so the leader makes way for one whose term the late write can't pass.
 func (l *leader) resolvePlanWrite(plan *rollout.Plan) {
 	c := l.core
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		if r.Outcome == outcome.OK {
 			c.applyPlan(plan.Name, r.Item.Value, r.Item.Version)
 			l.planApplied(plan)
--- a/internal/core/task_counts.go
+++ b/internal/core/task_counts.go
@@ -46,7 +46,7 @@
 	}
 	w.rateTokens -= float64(len(txn.Then))
 	w.countsInFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		w.countsInFlight = false
 		if r.Outcome == outcome.OK {
 			for _, op := range txn.Then {
@@ -69,7 +69,7 @@
 		return
 	}
 	w.catalogInFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		if r.Outcome != outcome.OK {
 			w.catalogInFlight = false
 		}
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -39,7 +39,7 @@
 		return
 	}
 	g.inFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		g.inFlight, g.target = false, stored.BaseTermFormat
 		switch r.Outcome {
 		case outcome.OK:
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -39,7 +39,7 @@
 	}
 	l.writer.rateTokens -= float64(len(ops))
 	s.inFlight = true
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		s.inFlight = false
 		if r.Outcome == outcome.OK {
 			s.written = after
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -129,7 +129,7 @@
 	}
 	m.queryInFlight, m.queriedAt = true, now
 	l.statusQueriesInFlight++
-	id := l.call(func(r Result) {
+	id := l.registerCall(func(r Result) {
 		m.queryInFlight = false
 		l.statusQueriesInFlight--
 		switch {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -192,7 +192,7 @@
 	}
 	w.rateTokens -= float64(len(b.txn.Then))
 	w.inFlight++
-	id := l.stateCall(func(r Result) {
+	id := l.registerStoreCall(func(r Result) {
 		w.inFlight--
 		w.applyResult(b, r)
 	})
@@ -302,7 +302,7 @@
 		return
 	}
 	ch.rereadInFlight = true
-	id := w.leader.stateCall(func(r Result) {
+	id := w.leader.registerStoreCall(func(r Result) {
 		ch.rereadInFlight = false
 		switch r.Outcome {
 		case outcome.OK:
