--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -2,65 +2,76 @@
 
 import "bitternwing/internal/wire"
 
-// addCommands adds a machine's orders to an answer.
-func (l *leader) addCommands(m *machine, r *wire.Heartbeat, answer *leaseResponse) {
-	for i := range m.exitedTasks {
-		t := &m.exitedTasks[i]
-		if answer.full() || !l.mayForgetExit(t) {
-			continue
-		}
-		name := attemptName{t.Task, t.Attempt}
-		if used, ok := m.directStarts[name]; ok {
-			m.fence.RaiseAbove(used)
-			delete(m.directStarts, name)
-		}
-		answer.add(wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
-	}
+// addCommands adds the commands for a machine to the response to its heartbeat.
+func (l *leader) addCommands(m *machine, heartbeat *wire.Heartbeat, response *leaseResponse) {
+	l.addForgets(m, response)
 	for i := range m.orphanedTasks {
 		// No record explains it, and it has no right to run.
-		answer.add(stopImmediately(&m.orphanedTasks[i]))
+		response.add(stopImmediately(&m.orphanedTasks[i]))
 	}
 	mayStart := l.core.election.LeaseValid()
 	for _, p := range m.placementsInOrder {
-		if answer.full() {
+		if response.full() {
 			break
 		}
+		if p.incarnation != m.incarnation {
+			continue
+		}
 		switch {
-		case p.incarnation != m.incarnation:
 		case p.stop != stopNone && p.phase >= phaseSent:
-			if p.stop == stopAfterCheckpoint && p.state == wire.TaskCheckpointing {
-				continue
-			}
-			l.logCommand(wire.OpStop, p, viaHeartbeatResponse)
-			answer.add(p.stopCommand())
+			l.addStop(p, response)
 		case mayStart && p.startable():
-			p.phase, p.startSequence = phaseSent, r.Sequence
+			p.phase, p.startSequence = phaseSent, heartbeat.Sequence
 			l.logCommand(wire.OpStart, p, viaHeartbeatResponse)
-			answer.add(p.startCommand())
+			response.add(p.startCommand())
+		}
+	}
+}
+
+// addForgets has the worker forget exited tasks, as far as it may.
+func (l *leader) addForgets(m *machine, response *leaseResponse) {
+	for i := range m.exitedTasks {
+		task := &m.exitedTasks[i]
+		if response.full() || !l.mayForgetExit(task) {
+			continue
+		}
+		attempt := attemptName{task.Task, task.Attempt}
+		if used, ok := m.directStarts[attempt]; ok {
+			m.fence.RaiseAbove(used)
+			delete(m.directStarts, attempt)
 		}
+		response.add(wire.Command{Op: wire.OpForget, Task: task.Task, Attempt: task.Attempt})
+	}
+}
+
+// addStop has the worker stop a task, unless it is writing the checkpoint after which it stops.
+func (l *leader) addStop(p *placement, response *leaseResponse) {
+	if p.stop == stopAfterCheckpoint && p.state == wire.TaskCheckpointing {
+		return
 	}
+	l.logCommand(wire.OpStop, p, viaHeartbeatResponse)
+	response.add(p.stopCommand())
 }
 
-// commandPath is how a command goes to a machine.
+// commandPath is how a command is sent to a machine.
 type commandPath string
 
-// The ways.
 const (
-	viaHeartbeatResponse commandPath = "answer" // to a report
+	viaHeartbeatResponse commandPath = "answer"
 	viaDirectCommand     commandPath = "direct" // to the worker's address
 )
 
-// logCommand logs a command for a machine, and by which right it is given.
-func (l *leader) logCommand(op wire.CommandOp, p *placement, way commandPath) {
+// logCommand logs a command for a machine, and the authority by which it is given.
+func (l *leader) logCommand(op wire.CommandOp, p *placement, path commandPath) {
 	if l.core.omitDebug {
 		return
 	}
-	right := "lease"
+	authority := "lease"
 	if !l.core.election.LeaseValidAt(l.core.now.Steady) {
-		right = "all nodes refused"
+		authority = "all nodes refused"
 	}
 	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", p.machine.fence.Token(),
-		"term", l.term, "path", way, "authority", right, "reason", p.stopReason, "store_available", !l.core.storeDown)
+		"term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeDown)
 }
 
 // startable tells whether a task is committed and is to start.
@@ -73,35 +84,35 @@
 	return wire.Command{Op: wire.OpStart, Task: p.name(), Attempt: p.attempt}
 }
 
-// stopCommand stops a task, with time to save where it is to save.
+// stopCommand stops a task, with time for a checkpoint if it is to write one.
 func (p *placement) stopCommand() wire.Command {
-	grace := 0.0
+	gracePeriodS := 0.0
 	if p.stop == stopAfterCheckpoint {
-		grace = 1.5 * p.job.spec.CheckpointTimeS
+		gracePeriodS = 1.5 * p.job.spec.CheckpointTimeS
 	}
-	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &gracePeriodS}
 }
 
-// mayForgetExit tells whether an exit may be forgotten: only once all that it tells
-// is in the state service, for after that a repeated start would run again.
-func (l *leader) mayForgetExit(t *wire.TaskStatus) bool {
-	id, task, ok := wire.ParseTaskName(t.Task)
+// mayForgetExit tells whether an exit may be forgotten: only once all that it tells is in the key-value store, for after
+// that a repeated start would run again.
+func (l *leader) mayForgetExit(exited *wire.TaskStatus) bool {
+	id, task, ok := wire.ParseTaskName(exited.Task)
 	if !ok {
 		return true
 	}
 	j := l.jobs[id]
 	if j == nil || task >= j.spec.Tasks {
-		return l.core.cache.Job(id) == nil || task >= l.core.cache.Job(id).Spec.Tasks
+		cached := l.core.cache.Job(id)
+		return cached == nil || task >= cached.Spec.Tasks
 	}
 	if j.ending {
-		// Its end holds what this exit tells, and is yet to be written: no record is written of it
-		// any more, so a clean one proves nothing.
+		// Its end holds what this exit tells, and is yet to be written: no record is written of it any more, so a
+		// clean one proves nothing.
 		return false
 	}
-	ch := j.chunks[task/l.tasksPerRecord()]
-	if ch != nil && !ch.persisted() {
+	if chunk := j.chunks[task/l.tasksPerRecord()]; chunk != nil && !chunk.persisted() {
 		return false
 	}
 	p := j.placements[task]
-	return p == nil || p.attempt != t.Attempt
+	return p == nil || p.attempt != exited.Attempt
 }
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -6,20 +6,23 @@
 	"bitternwing/internal/wire"
 )
 
-// heldResponse is the answer to a report that is held back: there is nothing to tell, and until it is answered the
-// worker sends no other report. It goes at its time, or as soon as the machine has something to do.
+// heldResponse is the response to a heartbeat that is held: there are no commands, and until it is sent the worker
+// sends no other heartbeat. It is sent when it is due, or as soon as there is a command for the machine.
 type heldResponse struct {
 	requestID uint64
 	heartbeat *wire.Heartbeat
 	due       time.Duration
 }
 
-// holdResponse holds the answer to a report back if it tells nothing and no change is expected that the worker would
-// have to report; false if it has to be answered now.
-func (l *leader) holdResponse(req uint64, r *wire.Heartbeat, token uint64, answer *leaseResponse) bool {
+// holdResponse holds the response to a heartbeat if it has no commands and no change is expected that the worker would
+// have to report; false if it has to be sent now.
+func (l *leader) holdResponse(requestID uint64, heartbeat *wire.Heartbeat, token uint64, response *leaseResponse) bool {
 	c := l.core
-	m := l.machines[r.Machine]
-	if !c.operator.PaceHeartbeats || m == nil || c.storeDown || len(answer.commands) > 0 || token != r.FencingToken || m.heldResponse != nil || !l.mayHold(m, r) {
+	m := l.machines[heartbeat.Machine]
+	if !c.operator.PaceHeartbeats || m == nil || c.storeDown || m.heldResponse != nil {
+		return false
+	}
+	if len(response.commands) > 0 || token != heartbeat.FencingToken || !l.mayHold(m, heartbeat) {
 		return false
 	}
 	now := c.now.Steady
@@ -28,20 +31,21 @@
 		return false
 	}
 	m.lastHoldTime = hold
-	m.heldResponse = &heldResponse{requestID: req, heartbeat: r, due: c.pacer.Release(now, hold)}
+	m.heldResponse = &heldResponse{requestID: requestID, heartbeat: heartbeat, due: c.pacer.Release(now, hold)}
 	l.nextHeldResponse = min(l.nextHeldResponse, m.heldResponse.due)
 	c.wakeBy(l.nextHeldResponse)
 	return true
 }
 
-// mayHold tells whether a report is the newest of a machine that is to be kept.
-func (l *leader) mayHold(m *machine, r *wire.Heartbeat) bool {
-	newest := m.reported && m.incarnation == r.Incarnation && m.sequence == r.Sequence
-	return newest && l.recovered && !m.fence.Required() && !m.reclaiming && !m.releasing && !m.quarantined
+// mayHold tells whether a heartbeat is the newest of a machine that is to be kept.
+func (l *leader) mayHold(m *machine, heartbeat *wire.Heartbeat) bool {
+	newest := m.reported && m.incarnation == heartbeat.Incarnation && m.sequence == heartbeat.Sequence
+	kept := !m.reclaiming && !m.releasing && !m.quarantined
+	return newest && kept && l.recovered && !m.fence.Required()
 }
 
-// steady tells whether nothing is under way on a machine that its next report would show: it has no task, or tasks that run
-// and are to go on.
+// steady tells whether nothing is under way on a machine that its next heartbeat would show: it has no task, or tasks
+// that run and are to go on.
 func (m *machine) steady() bool {
 	if len(m.exitedTasks) > 0 || len(m.orphanedTasks) > 0 {
 		return false
@@ -54,7 +58,7 @@
 	return true
 }
 
-// sendHeldResponse gives a machine's held answer, with all that it is to do by now.
+// sendHeldResponse sends a machine's held response, with all commands that there are by now.
 func (l *leader) sendHeldResponse(m *machine) {
 	held := m.heldResponse
 	if held == nil {
@@ -65,25 +69,27 @@
 		l.core.respond(held.requestID, 421, wire.Redirect{})
 		return
 	}
-	basis, answer := LeaderBasis, l.core.newLeaseResponse(held.heartbeat)
+	basis, response := LeaderBasis, l.core.newLeaseResponse(held.heartbeat)
 	switch {
 	case l.machines[m.name] != m:
 		basis = RemovedMachineBasis
 	case l.mayHold(m, held.heartbeat):
-		l.addCommands(m, held.heartbeat, answer)
+		l.addCommands(m, held.heartbeat, response)
 	}
-	l.core.renewLease(held.requestID, basis, max(m.fence.Token(), held.heartbeat.FencingToken), answer)
+	l.core.renewLease(held.requestID, basis, max(m.fence.Token(), held.heartbeat.FencingToken), response)
 }
 
-// supersedeHeldResponse ends a held answer whose worker has sent a newer report, and so has given it up.
+// supersedeHeldResponse ends a held response whose worker has sent a newer heartbeat, and so has given it up.
 func (l *leader) supersedeHeldResponse(m *machine) {
-	if m.heldResponse != nil {
-		l.core.renewLease(m.heldResponse.requestID, StaleHeartbeatBasis, m.heldResponse.heartbeat.FencingToken, l.core.newLeaseResponse(m.heldResponse.heartbeat))
-		m.heldResponse = nil
+	held := m.heldResponse
+	if held == nil {
+		return
 	}
+	l.core.renewLease(held.requestID, StaleHeartbeatBasis, held.heartbeat.FencingToken, l.core.newLeaseResponse(held.heartbeat))
+	m.heldResponse = nil
 }
 
-// sendDueHeldResponses gives the held answers whose time has come.
+// sendDueHeldResponses sends the held responses that are due.
 func (l *leader) sendDueHeldResponses() {
 	now := l.core.now.Steady
 	if now < l.nextHeldResponse {
@@ -103,7 +109,7 @@
 	l.core.wakeBy(l.nextHeldResponse)
 }
 
-// redirectHeldResponses sends the workers with held answers to the next leader, at the end of this term.
+// redirectHeldResponses redirects the workers with held responses to the next leader, at the end of this term.
 func (l *leader) redirectHeldResponses() {
 	for _, m := range l.machinesByName {
 		if m.heldResponse != nil {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -29,7 +29,7 @@
 	incarnation   uint64
 	sequence      uint64
 	lastHeartbeat time.Duration
-	lastRelayed   time.Duration // when another node last relayed one, or the worker was last asked for one
+	lastRelayed   time.Duration // when one last came otherwise: relayed by another node, or asked for
 	reclaiming    bool
 	exitedTasks   []wire.TaskStatus // exited tasks in the last one
 	orphanedTasks []wire.TaskStatus // tasks in the last one that no record explains
@@ -157,3 +157,8 @@
 func (m *machine) lastHeardDirectlyOrRelayed() time.Duration {
 	return max(m.lastHeartbeat, m.lastRelayed)
 }
+
+// lastHeardDirectly is when a heartbeat of the machine, or its answer to a status query, last came here.
+func (m *machine) lastHeardDirectly() time.Duration {
+	return max(m.lastHeartbeat, m.queryAnsweredAt)
+}
