--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -294,44 +294,6 @@
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{c.cache.LeaderCondition()}}})
 }
 
-// Healthy tells whether this node can take requests. A node that alone is refused
-// by the state service is unhealthy, and one that sheds users; in an outage for all, nodes stay healthy, so
-// that users get their 503 at once and nothing has to be added again afterwards.
-func (c *Core) Healthy() bool {
-	if c.shedding {
-		return false
-	}
-	if !c.cache.Ready() || c.catalog == nil {
-		// Started in an outage for all: like the others.
-		return c.storeDown && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
-	}
-	if !c.storeDown {
-		return true
-	}
-	if c.now.Steady-c.storeServedAt < c.times.checkInterval {
-		return true
-	}
-	return c.storeOutageConfirmed()
-}
-
-// PeerStatus is what this node tells the others of itself.
-func (c *Core) PeerStatus() membership.Status {
-	s := membership.Status{StoreDown: c.storeDown || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1, RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
-	if c.cache.Ready() {
-		s.Revision = c.cache.Revision()
-	}
-	if c.leader != nil {
-		s.Leading = true
-		s.UnreachableZones = c.leader.unreachableZones
-		s.UnresolvedCancellations, s.MoreUnresolved = c.leader.unsettledJobs()
-		s.Term = max(s.Term, c.leader.term)
-	}
-	if c.lastHeartbeat >= 0 {
-		s.HeartbeatAge = c.now.Steady - c.lastHeartbeat
-	}
-	return s
-}
-
 // refreshCatalog keeps the machine types. They change seldom; prices drift, so the
 // leader reads them anew now and then. The catalog is kept in the state service
 // too, so that a node can judge submissions while the cloud is down.
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -33,12 +33,18 @@
 func (h electionHost) StoreDown() bool { return h.core.storeDown }
 
 func (h electionHost) CandidacyBlocked() string {
-	if h.core.quotasDividedElsewhere() {
+	if h.quotasDividedElsewhere() {
 		return "quotas are divided among regions and the settings name none"
 	}
 	return ""
 }
 
+// quotasDividedElsewhere reports whether this region's limits are divided among regions while this node's settings know of
+// none: it would grant the whole limits, and so must not lead.
+func (h electionHost) quotasDividedElsewhere() bool {
+	return h.core.cache.QuotaAccountCount() > 0 && !h.core.operator.Regions.Enabled()
+}
+
 func (h electionHost) HasTimeToSpare() bool {
 	return h.core.timerLoad.Level(h.core.now.Steady) <= shedBelow
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -68,6 +68,7 @@
 	l.recovery = newLeaderRecovery(l)
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
+	l.termUpgrade.leader = l
 	l.writer.init(l)
 	l.provisioner.init(l)
 	l.cycles.nextAt = c.now.Steady
@@ -107,7 +108,7 @@
 	l.checkFleet()
 	l.runSchedulingCycle()
 	l.migrateLayout()
-	l.upgradeTermFormat()
+	l.termUpgrade.run()
 	l.rollouts.run()
 	l.runPrefetches()
 	l.writer.run()
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -15,48 +15,82 @@
 	return t.Encode(c.cache.TermFormat(), layout)
 }
 
-// termFormatUpgrade has the term written in another form.
+// termFormatUpgrade writes the present term anew in a format that older versions can't read, so that none of them wins a
+// term again. That comes before the first write of what they would disregard (stored.TermFormat). Later terms keep the
+// format.
 type termFormatUpgrade struct {
-	target   stored.TermFormat // nothing else is written until it is settled; openTerm: none
+	leader   *leader
+	target   stored.TermFormat // stored.BaseTermFormat: no upgrade is wanted
 	inFlight bool
 }
 
-// request asks for a form.
-func (g *termFormatUpgrade) request(form stored.TermFormat) { g.target = max(g.target, form) }
+// request asks for a format, or a later one.
+func (u *termFormatUpgrade) request(format stored.TermFormat) { u.target = max(u.target, format) }
 
-// upgradeTermFormat writes the term anew where that is wanted, once no other write is on its way.
-func (l *leader) upgradeTermFormat() {
-	c, g := l.core, &l.termUpgrade
-	if g.target <= c.cache.TermFormat() {
-		g.target = stored.BaseTermFormat
+// pending reports whether an upgrade is wanted or under way. The leader writes nothing else until it is settled.
+func (u *termFormatUpgrade) pending() bool { return u.target != stored.BaseTermFormat }
+
+// run writes the term in the target format once no other write is in flight.
+func (u *termFormatUpgrade) run() {
+	l, c := u.leader, u.leader.core
+	if u.target <= c.cache.TermFormat() {
+		u.target = stored.BaseTermFormat
 	}
-	if g.target == stored.BaseTermFormat || g.inFlight || l.writer.inFlight > 0 || l.layoutMigration.requested || c.storeDown || !c.election.LeaseValid() {
+	if !u.pending() || u.inFlight || !u.mayWrite() {
 		return
 	}
-	form := g.target
-	value, err := stored.Term{Number: l.term, Node: c.settings.Node}.Encode(form, l.recordLayout)
+	value, err := l.storedTerm().Encode(u.target, l.recordLayout)
 	if err != nil {
 		return
 	}
-	g.inFlight = true
-	id := l.registerStoreCall(func(r Result) {
-		g.inFlight, g.target = false, stored.BaseTermFormat
-		switch r.Outcome {
-		case outcome.OK:
-			l.termVersion = r.Txn.Revision
-			c.cache.ObserveTerm(stored.Term{Number: l.term, Node: c.settings.Node}, form, l.termVersion)
-			c.log(Info, "term format upgraded, older versions can no longer lead", "requires", form.String(), "term", l.term)
-		case outcome.Conflict, outcome.Unknown:
-			// It was applied, its outcome unknown, or the term has moved on. The next leader finds out.
-			c.election.StepDown(election.TermFormatIndeterminate)
-		}
-	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}},
-		Then: []wire.Op{{Put: stored.TermKey, Value: value}}}})
-}
-
-// quotasDividedElsewhere reports whether this region's limits are divided among regions while this node's settings know of
-// none: it would grant the whole limits, and so must not lead.
-func (c *Core) quotasDividedElsewhere() bool {
-	return c.cache.QuotaAccountCount() > 0 && !c.operator.Regions.Enabled()
+	u.inFlight = true
+	write := &termFormatWrite{upgrade: u, format: u.target}
+	id := l.registerStoreCall(write.handleResult)
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
+		If:   []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}},
+		Then: []wire.Op{{Put: stored.TermKey, Value: value}},
+	}})
+}
+
+// mayWrite reports whether the leader may write, and no write is in flight that is conditional on the present version of the
+// term key.
+func (u *termFormatUpgrade) mayWrite() bool {
+	l, c := u.leader, u.leader.core
+	if l.writer.inFlight > 0 || l.layoutMigration.requested {
+		return false
+	}
+	return !c.storeDown && c.election.LeaseValid()
+}
+
+// termFormatWrite is the write of a term in another format.
+type termFormatWrite struct {
+	upgrade *termFormatUpgrade
+	format  stored.TermFormat
+}
+
+// handleResult takes the new version of the term key. Where the outcome is unknown, or the term key was changed by an earlier
+// attempt or a newer term, the leader can't tell which version its writes are to be conditional on.
+func (w *termFormatWrite) handleResult(r Result) {
+	u := w.upgrade
+	u.inFlight, u.target = false, stored.BaseTermFormat
+	if r.Outcome == outcome.OK {
+		w.applied(r.Txn.Revision)
+		return
+	}
+	if r.Outcome == outcome.Conflict || r.Outcome == outcome.Unknown {
+		u.leader.core.election.StepDown(election.TermFormatIndeterminate)
+	}
+}
+
+// applied goes on with the term in the new format.
+func (w *termFormatWrite) applied(version uint64) {
+	l, c := w.upgrade.leader, w.upgrade.leader.core
+	l.termVersion = version
+	c.cache.ObserveTerm(l.storedTerm(), w.format, version)
+	c.log(Info, "term format upgraded, older versions can no longer lead", "requires", w.format.String(), "term", l.term)
+}
+
+// storedTerm is this leader's term as it is stored.
+func (l *leader) storedTerm() stored.Term {
+	return stored.Term{Number: l.term, Node: l.core.settings.Node}
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -74,7 +74,7 @@
 		c.wakeBy(w.notBefore)
 		return
 	}
-	if w.leader.layoutMigration.requested || w.leader.termUpgrade.target != stored.BaseTermFormat {
+	if w.leader.layoutMigration.requested || w.leader.termUpgrade.pending() {
 		return
 	}
 	for w.inFlight < 2 && !c.storeDown {
