--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -189,7 +189,7 @@
 	}
 	for _, x := range s.Replicas {
 		reply.Replicas = append(reply.Replicas, &operatorpb.Replica{Task: x.Replica.Task, Attempt: x.Replica.Attempt,
-			Version: string(x.Replica.Version), Proved: x.Proved, Verdict: x.Verdict.String(), Check: x.Check, Share: shares[x.Replica.Task]})
+			Version: string(x.Replica.Version), Proved: x.Validated, Verdict: x.Verdict.String(), Check: x.Check, Share: shares[x.Replica.Task]})
 	}
 	return reply, nil
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -79,7 +79,7 @@
 	Machines     wire.MachineList
 	Heartbeat    wire.Heartbeat
 	Peer         membership.Status
-	Probe        rollout.Answer
+	Probe        rollout.ProbeResult
 	ReadyS       float64 // until an image is there
 }
 
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -31,7 +31,7 @@
 type activeRollout struct {
 	name          string
 	since         time.Duration // when this leader began with it
-	validations   *rollout.Proofs
+	validations   *rollout.Validations
 	routers       *rollout.Routers
 	routing       rollout.Routing
 	reconciled    bool
@@ -103,7 +103,7 @@
 // begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
 func (t *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
 	c := t.leader.core
-	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewProofs(c.probeInterval()),
+	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewValidations(c.probeInterval()),
 		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
 	t.runs[name] = run
@@ -257,8 +257,8 @@
 // observeRollout gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
-	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Settled: run.reconciled,
-		Jobs: map[string]rollout.Job{}, ProvedAnew: run.validations.NewProvedSince(run.phaseSince, c.now.Steady), Wrong: run.validations.Wrong(), NewServes: true, RoutersMissing: true}
+	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Reconciled: run.reconciled,
+		Jobs: map[string]rollout.Job{}, Revalidated: run.validations.NewValidatedSince(run.phaseSince, c.now.Steady), FailedCheck: run.validations.FailedCheck(), NewServes: true, RoutersMissing: true}
 	for _, id := range r.Plan.Old.Jobs {
 		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, true)
 	}
@@ -268,8 +268,8 @@
 	for _, s := range run.validations.States(c.now.Steady) {
 		j := o.Jobs[s.Replica.Job]
 		j.Running++
-		if s.Proved {
-			j.Proved++
+		if s.Validated {
+			j.Validated++
 		}
 		o.Jobs[s.Replica.Job] = j
 	}
@@ -311,7 +311,7 @@
 	routing.Generation.Revision++
 	run.routing = routing
 	c.log(Debug, "rollout routing updated", "plan", run.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
-		"replicas", len(routing.Weights), "aim", r.Aim(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
+		"replicas", len(routing.Weights), "aim", r.TargetShare(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
 // probeReplicas asks the replicas whose time it is.
@@ -322,11 +322,11 @@
 		id := l.registerCall(func(r Result) {
 			t.probesInFlight--
 			if r.Outcome == outcome.Dropped {
-				run.validations.Missed(probe.Replica)
+				run.validations.NotSent(probe.Replica)
 				return
 			}
-			run.validations.Take(probe.Replica, r.Probe, l.core.now.Steady)
-			if r.Probe.Verdict != rollout.Right {
+			run.validations.Observe(probe.Replica, r.Probe, l.core.now.Steady)
+			if r.Probe.Verdict != rollout.Passed {
 				l.core.log(Debug, "replica not validated", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
 			}
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -106,7 +106,7 @@
 // refused; nil if none is left.
 func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
-	if o.Settled {
+	if o.Reconciled {
 		known = o.Routers
 	}
 	for len(run.joinRequests) > 0 {
@@ -146,7 +146,7 @@
 		return
 	}
 	o.NewServes = run.routing.NewServes()
-	o.RoutersKnow = run.routers.Know(generation, now)
+	o.RoutersCurrent = run.routers.AllCurrent(generation, now)
 	o.Routers = run.routers.Present(r.Routers, gone, now)
 	o.RoutersMissing = run.routers.Missing(o.Routers, generation, gone, now)
 }
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -212,7 +212,7 @@
 	if r := w.record(); r.Phase != rollout.Starting || w.holds(newJob(0)) {
 		t.Errorf("the step does not wait: %+v", r)
 	}
-	w.checkRolledBack(rollout.WaitedOut)
+	w.checkRolledBack(rollout.TimedOut)
 }
 
 // TestTwoPlans has two teams' plans go on at once. One goes back, and the other does not care.
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -125,8 +125,8 @@
 	case core.ProbeReplica:
 		answer := w.probe(e.Probe.Replica)
 		compares := slices.ContainsFunc(e.Checks, func(c rollout.Check) bool { return c.CompareWithOld })
-		if answer.Verdict == rollout.Right && compares && (e.Probe.Reference == nil || w.probe(*e.Probe.Reference).Verdict != rollout.Right) {
-			answer = rollout.Answer{Verdict: rollout.NotCompared, Check: "as before"}
+		if answer.Verdict == rollout.Passed && compares && (e.Probe.Reference == nil || w.probe(*e.Probe.Reference).Verdict != rollout.Passed) {
+			answer = rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "as before"}
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Probe: answer}, true
 	}
@@ -152,15 +152,15 @@
 const detection = 2 * time.Second
 
 // probe gives what a replica answers.
-func (w *rolloutWorld) probe(r rollout.Replica) rollout.Answer {
+func (w *rolloutWorld) probe(r rollout.Replica) rollout.ProbeResult {
 	machine := w.byAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
 	case machine == nil || machine.dead || !machine.machine.Holds(r.Task) || w.unreachable != nil && w.unreachable(r.Task):
-		return rollout.Answer{Verdict: rollout.NotReached}
+		return rollout.ProbeResult{Verdict: rollout.NotReached}
 	case r.Version == rollout.NewVersion && w.wrong != nil && w.wrong(r.Task):
-		return rollout.Answer{Verdict: rollout.Wrong, Check: "sum"}
+		return rollout.ProbeResult{Verdict: rollout.Failed, Check: "sum"}
 	}
-	return rollout.Answer{Verdict: rollout.Right}
+	return rollout.ProbeResult{Verdict: rollout.Passed}
 }
 
 // ask hands a request to a node, which relays it to the leader once, and gives the answer.
@@ -270,7 +270,7 @@
 
 // serves tells whether a replica runs and answers rightly.
 func (w *rolloutWorld) serves(x rollout.Weight) bool {
-	return w.probe(rollout.Replica{Task: x.Task, Attempt: x.Attempt, Address: x.Address, Version: x.Version}).Verdict == rollout.Right
+	return w.probe(rollout.Replica{Task: x.Task, Attempt: x.Attempt, Address: x.Address, Version: x.Version}).Verdict == rollout.Passed
 }
 
 // check checks what a rollout promises, at this moment.
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -48,18 +48,18 @@
 var errUnreachable = errors.New("not reached")
 
 // Probe asks a replica, and gives the worst of what comes of it. A check that fails by itself proves nothing.
-func (p *Prober) Probe(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.Answer {
+func (p *Prober) Probe(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.ProbeResult {
 	if _, err := p.call(ctx, http.MethodGet, probe.Replica, HealthPath, nil); err != nil {
-		return rollout.Answer{Verdict: rollout.NotReached}
+		return rollout.ProbeResult{Verdict: rollout.NotReached}
 	}
-	worst := rollout.Answer{Verdict: rollout.Right}
+	worst := rollout.ProbeResult{Verdict: rollout.Passed}
 	for i := range checks {
 		verdict := p.check(ctx, probe, &checks[i])
-		if verdict == rollout.Wrong {
-			return rollout.Answer{Verdict: verdict, Check: checks[i].Name}
+		if verdict == rollout.Failed {
+			return rollout.ProbeResult{Verdict: verdict, Check: checks[i].Name}
 		}
-		if verdict != rollout.Right {
-			worst = rollout.Answer{Verdict: verdict, Check: checks[i].Name}
+		if verdict != rollout.Passed {
+			worst = rollout.ProbeResult{Verdict: verdict, Check: checks[i].Name}
 		}
 	}
 	return worst
@@ -82,18 +82,18 @@
 	}
 	compiled := p.compile(check.Script)
 	if compiled == nil {
-		return rollout.Unproved
+		return rollout.NotValidated
 	}
 	passes, err := compiled.Passes(ctx, check.Request, answer, expected)
 	switch {
 	case err != nil && !json.Valid(answer):
-		return rollout.Wrong // it is no answer in the form at all
+		return rollout.Failed // it is no answer in the form at all
 	case err != nil:
-		return rollout.Unproved
+		return rollout.NotValidated
 	case !passes:
-		return rollout.Wrong
+		return rollout.Failed
 	}
-	return rollout.Right
+	return rollout.Passed
 }
 
 // compile gives a check's program; nil if it has none.
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -45,19 +45,19 @@
 		probe  rollout.Probe
 		checks []rollout.Check
 		wrong  string // the task that answers wrongly
-		want   rollout.Answer
+		want   rollout.ProbeResult
 	}{
-		{"healthy", rollout.Probe{Replica: old}, nil, "", rollout.Answer{Verdict: rollout.Right}},
-		{"gone", rollout.Probe{Replica: gone}, nil, "", rollout.Answer{Verdict: rollout.NotReached}},
-		{"right", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{given, compared}, "", rollout.Answer{Verdict: rollout.Right}},
-		{"wrong", rollout.Probe{Replica: fresh}, []rollout.Check{given}, fresh.Task, rollout.Answer{Verdict: rollout.Wrong, Check: "given"}},
-		{"unlike the old one", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{compared}, fresh.Task, rollout.Answer{Verdict: rollout.Wrong, Check: "compared"}},
-		{"nothing to compare with", rollout.Probe{Replica: fresh}, []rollout.Check{compared}, "", rollout.Answer{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the old one is gone", rollout.Probe{Replica: fresh, Reference: &gone}, []rollout.Check{compared}, "", rollout.Answer{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the check fails", rollout.Probe{Replica: fresh}, []rollout.Check{given, fails}, "", rollout.Answer{Verdict: rollout.Unproved, Check: "fails"}},
-		{"the check hangs", rollout.Probe{Replica: fresh}, []rollout.Check{hangs, given}, "", rollout.Answer{Verdict: rollout.Unproved, Check: "hangs"}},
-		{"no check", rollout.Probe{Replica: fresh}, []rollout.Check{broken}, "", rollout.Answer{Verdict: rollout.Unproved, Check: "broken"}},
-		{"wrong counts more", rollout.Probe{Replica: fresh}, []rollout.Check{fails, given}, fresh.Task, rollout.Answer{Verdict: rollout.Wrong, Check: "given"}},
+		{"healthy", rollout.Probe{Replica: old}, nil, "", rollout.ProbeResult{Verdict: rollout.Passed}},
+		{"gone", rollout.Probe{Replica: gone}, nil, "", rollout.ProbeResult{Verdict: rollout.NotReached}},
+		{"right", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{given, compared}, "", rollout.ProbeResult{Verdict: rollout.Passed}},
+		{"wrong", rollout.Probe{Replica: fresh}, []rollout.Check{given}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
+		{"unlike the old one", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{compared}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "compared"}},
+		{"nothing to compare with", rollout.Probe{Replica: fresh}, []rollout.Check{compared}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"the old one is gone", rollout.Probe{Replica: fresh, Reference: &gone}, []rollout.Check{compared}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"the check fails", rollout.Probe{Replica: fresh}, []rollout.Check{given, fails}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "fails"}},
+		{"the check hangs", rollout.Probe{Replica: fresh}, []rollout.Check{hangs, given}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "hangs"}},
+		{"no check", rollout.Probe{Replica: fresh}, []rollout.Check{broken}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
+		{"wrong counts more", rollout.Probe{Replica: fresh}, []rollout.Check{fails, given}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
 	} {
 		server.SetWrong(func(task string, _ int64) bool { return task == x.wrong })
 		if got := probe.New(4).Probe(context.Background(), x.probe, x.checks); got != x.want {
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -4,17 +4,17 @@
 type Observation struct {
 	NowMS        int64 // time of day
 	ClockErrorMS int64 // what the clocks of two leaders may differ from the true time, each
-	// Settled tells that the leader has had time to ask each replica. Before that nothing is known to be missing.
-	Settled bool
-	Jobs    map[string]Job
-	// Wrong names a new replica that has answered wrongly, and the check; "": none has.
-	Wrong string
-	// RoutersKnow tells that each router knows of the shares that are in force, or that its lease has run out.
-	RoutersKnow bool
+	// Reconciled tells that the leader has had time to ask each replica. Before that nothing is known to be missing.
+	Reconciled bool
+	Jobs       map[string]Job
+	// FailedCheck names a new replica that has answered wrongly, and the check; "": none has.
+	FailedCheck string
+	// RoutersCurrent tells that each router knows of the shares that are in force, or that its lease has run out.
+	RoutersCurrent bool
 	// NewServes tells whether the shares that are in force send traffic to the new version.
 	NewServes bool
-	// ProvedAnew tells that each replica of the new version was asked after the phase began, and found right.
-	ProvedAnew bool
+	// Revalidated tells that each replica of the new version was asked after the phase began, and found right.
+	Revalidated bool
 	// Routers are those that are not gone.
 	Routers []string
 	// RoutersMissing tells that one of the record's routers does not know of the completion and is not gone.
@@ -28,7 +28,7 @@
 	Over      bool // nothing of it is left
 	Replicas  int  // that it has when it is whole
 	Running   int
-	Proved    int
+	Validated int
 }
 
 // count adds up something of some jobs.
@@ -59,16 +59,16 @@
 // tolerance is for sums of capacities.
 const tolerance = 1e-9
 
-// oldWhole tells whether the old version can serve all that is promised.
-func (c Capacity) oldWhole() bool { return c.Old >= c.Promised-tolerance }
+// oldSufficient tells whether the old version can serve all that is promised.
+func (c Capacity) oldSufficient() bool { return c.Old >= c.Promised-tolerance }
 
-// newCarries tells whether the new version can serve a share of what is promised.
-func (c Capacity) newCarries(share float64) bool { return c.New >= share*c.Promised-tolerance }
+// newSufficient tells whether the new version can serve a share of what is promised.
+func (c Capacity) newSufficient(share float64) bool { return c.New >= share*c.Promised-tolerance }
 
 // CapacityOf adds up the capacity of a plan. The promise is that of the plan, less what its owner took away
 // by cancelling old jobs.
 func (p *Plan) CapacityOf(o *Observation) Capacity {
-	proved := func(j Job) int { return j.Proved }
+	proved := func(j Job) int { return j.Validated }
 	whole := func(j Job) int {
 		if j.Cancelled {
 			return 0
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -32,7 +32,7 @@
 const (
 	WrongAnswer  Reason = "wrong_answer"
 	Unreachable  Reason = "unreachable"
-	WaitedOut    Reason = "waited_out"
+	TimedOut     Reason = "waited_out"
 	NewCancelled Reason = "new_job_cancelled"
 	Aborted      Reason = "aborted"
 )
@@ -119,8 +119,8 @@
 	return slices.DeleteFunc(slices.Clone(r.Plan.Checks), func(c Check) bool { return c.CompareWithOld })
 }
 
-// to gives the record in another phase.
-func (r *Record) to(phase Phase, nowMS int64) *Record {
+// inPhase gives the record in another phase.
+func (r *Record) inPhase(phase Phase, nowMS int64) *Record {
 	next := *r
 	next.Phase, next.SinceMS = phase, nowMS
 	return &next
@@ -135,9 +135,9 @@
 	return &next
 }
 
-// back gives the record as it begins to roll back.
-func (r *Record) back(reason Reason, detail string, nowMS int64) *Record {
-	next := r.to(RollingBack, nowMS)
+// rollBack gives the record as it begins to roll back.
+func (r *Record) rollBack(reason Reason, detail string, nowMS int64) *Record {
+	next := r.inPhase(RollingBack, nowMS)
 	next.Reason, next.Detail = reason, detail
 	next.Share, next.PausedMS = 0, 0
 	return next
@@ -167,7 +167,7 @@
 	case change == Abort && r.Phase.final():
 		return nil, &RefusedError{fmt.Sprintf("the plan is %s: the old version is being cancelled", r.Phase)}
 	case change == Abort:
-		return r.back(Aborted, "", nowMS), nil
+		return r.rollBack(Aborted, "", nowMS), nil
 	case r.Phase.final():
 		return nil, &RefusedError{fmt.Sprintf("the plan is %s", r.Phase)}
 	case change == Pause && r.PausedMS == 0:
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -64,11 +64,11 @@
 
 // whole is an observation in which all of both versions is there and proved, the new version as far as it is released.
 func whole(r *Record) *Observation {
-	o := &Observation{NowMS: r.SinceMS, Settled: true, Jobs: map[string]Job{}, RoutersKnow: true, ProvedAnew: true}
+	o := &Observation{NowMS: r.SinceMS, Reconciled: true, Jobs: map[string]Job{}, RoutersCurrent: true, Revalidated: true}
 	for _, id := range r.Plan.Jobs() {
 		j := Job{Accepted: true, Replicas: 2}
 		if !r.Holds(id) {
-			j.Running, j.Proved = 2, 2
+			j.Running, j.Validated = 2, 2
 		}
 		o.Jobs[id] = j
 	}
@@ -104,7 +104,7 @@
 	r := NewRecord(plan(t), 0)
 	var walked []string
 	for r.Phase != Completed {
-		walked = append(walked, fmt.Sprintf("%s %d %g", r.Phase, r.Step, r.Aim()))
+		walked = append(walked, fmt.Sprintf("%s %d %g", r.Phase, r.Step, r.TargetShare()))
 		o := whole(r)
 		o.NowMS += 40_000
 		if r.Phase == Retiring {
@@ -132,13 +132,15 @@
 		want  Phase // "": it stays
 		why   Reason
 	}{
-		{"wrong at once", Checking, 0, func(o *Observation) { o.Wrong = "run-000011/0, check sum" }, RollingBack, WrongAnswer},
-		{"wrong while baking", Baking, 1, func(o *Observation) { o.Wrong = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
-		{"wrong when complete", Completing, 1, func(o *Observation) { o.Wrong = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
-		{"wrong once the old version goes", Retiring, 1, func(o *Observation) { o.Wrong = "run-000011/1, check sum" }, "", ""},
-		{"wrong before the leader has settled", Baking, 1, func(o *Observation) { o.Settled, o.Wrong = false, "run-000011/1, check sum" }, RollingBack, WrongAnswer},
-		{"not proved while baking", Baking, 0, func(o *Observation) { o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2, Proved: 1} }, Checking, ""},
-		{"not proved, leader not settled", Baking, 0, func(o *Observation) { o.Settled = false; o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2} }, "", ""},
+		{"wrong at once", Checking, 0, func(o *Observation) { o.FailedCheck = "run-000011/0, check sum" }, RollingBack, WrongAnswer},
+		{"wrong while baking", Baking, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
+		{"wrong when complete", Completing, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
+		{"wrong once the old version goes", Retiring, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, "", ""},
+		{"wrong before the leader has settled", Baking, 1, func(o *Observation) { o.Reconciled, o.FailedCheck = false, "run-000011/1, check sum" }, RollingBack, WrongAnswer},
+		{"not proved while baking", Baking, 0, func(o *Observation) {
+			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2, Validated: 1}
+		}, Checking, ""},
+		{"not proved, leader not settled", Baking, 0, func(o *Observation) { o.Reconciled = false; o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2} }, "", ""},
 		{"not reached for too long", Checking, 0, func(o *Observation) {
 			o.NowMS += 31_000
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2}
@@ -148,16 +150,16 @@
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2}
 		}, "", ""},
 		{"no room", Starting, 1, func(o *Observation) { o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2, Running: 1} }, "", ""},
-		{"no room for too long", Starting, 1, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2} }, RollingBack, WaitedOut},
+		{"no room for too long", Starting, 1, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2} }, RollingBack, TimedOut},
 		{"new job not submitted", Pending, 0, func(o *Observation) { o.Jobs["run-000011"] = Job{} }, "", ""},
-		{"new job never submitted", Pending, 0, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000011"] = Job{} }, RollingBack, WaitedOut},
+		{"new job never submitted", Pending, 0, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000011"] = Job{} }, RollingBack, TimedOut},
 		{"new job cancelled by hand", Baking, 1, func(o *Observation) { o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2, Cancelled: true} }, RollingBack, NewCancelled},
 		{"old machines lost stop the next step", Baking, 0, func(o *Observation) {
 			o.NowMS += 25_000
 			o.Jobs["run-000001"] = Job{Accepted: true, Replicas: 2, Running: 1}
 		}, "", ""},
-		{"a router does not know", Shifting, 0, func(o *Observation) { o.RoutersKnow = false }, "", ""},
-		{"not proved since all is shifted", Completing, 1, func(o *Observation) { o.ProvedAnew = false }, "", ""},
+		{"a router does not know", Shifting, 0, func(o *Observation) { o.RoutersCurrent = false }, "", ""},
+		{"not proved since all is shifted", Completing, 1, func(o *Observation) { o.Revalidated = false }, "", ""},
 		{"a router does not know of the completion", Completing, 1, func(o *Observation) { o.RoutersMissing = true }, "", ""},
 		{"not baked", Baking, 1, func(o *Observation) { o.NowMS += 29_000 }, "", ""},
 	} {
@@ -194,7 +196,7 @@
 		want   int
 	}{
 		{"routers know", func(*Observation) {}, 2},
-		{"a router does not", func(o *Observation) { o.RoutersKnow = false }, 0},
+		{"a router does not", func(o *Observation) { o.RoutersCurrent = false }, 0},
 		{"the old version can't serve all", func(o *Observation) { o.NewServes = true }, 0},
 	} {
 		o := whole(back)
@@ -229,7 +231,7 @@
 	if next := paused.Next(o); next != nil {
 		t.Errorf("a paused plan goes on: %+v", next)
 	}
-	o.Wrong = "run-000011/0, check sum"
+	o.FailedCheck = "run-000011/0, check sum"
 	if next := paused.Next(o); next == nil || next.Phase != RollingBack || next.PausedMS != 0 {
 		t.Errorf("a wrong answer in a paused plan: %+v", next)
 	}
@@ -264,39 +266,39 @@
 
 // TestProofs counts an attempt only after its own answers.
 func TestProofs(t *testing.T) {
-	p := NewProofs(time.Second)
+	p := NewValidations(time.Second)
 	old := Replica{Job: "run-000001", Task: "run-000001/0", Attempt: 1, Version: OldVersion}
 	first := Replica{Job: "run-000011", Task: "run-000011/0", Attempt: 1, Version: NewVersion}
 	second := first
 	second.Attempt = 2
 	p.Track([]Replica{old, first})
 	probes := p.Due(0, 10)
-	if len(probes) != 2 || probes[1].Reference != nil || p.Proved(first, 0) || p.AllAnswered() {
+	if len(probes) != 2 || probes[1].Reference != nil || p.Validated(first, 0) || p.AllAnswered() {
 		t.Fatalf("%+v", probes)
 	}
-	p.Take(old, Answer{Verdict: Right}, 0)
-	p.Take(first, Answer{Verdict: Right}, 0)
-	if !p.Proved(first, 0) || !p.AllAnswered() || len(p.Due(500*time.Millisecond, 10)) > 0 {
+	p.Observe(old, ProbeResult{Verdict: Passed}, 0)
+	p.Observe(first, ProbeResult{Verdict: Passed}, 0)
+	if !p.Validated(first, 0) || !p.AllAnswered() || len(p.Due(500*time.Millisecond, 10)) > 0 {
 		t.Error("a right answer does not count, or is asked for again at once")
 	}
 	if probes = p.Due(time.Second, 10); len(probes) != 2 || probes[1].Reference == nil {
 		t.Errorf("no old replica to compare with: %+v", probes)
 	}
 	p.Track([]Replica{old, second})
-	if p.Proved(second, 0) || p.Proved(first, 0) {
+	if p.Validated(second, 0) || p.Validated(first, 0) {
 		t.Error("a restart begins with credit")
 	}
-	p.Take(first, Answer{Verdict: Wrong, Check: "sum"}, time.Second)
-	if p.Wrong() == "" {
+	p.Observe(first, ProbeResult{Verdict: Failed, Check: "sum"}, time.Second)
+	if p.FailedCheck() == "" {
 		t.Error("a late wrong answer of an attempt that is gone is not known")
 	}
-	p.Take(second, Answer{Verdict: Right}, time.Second)
-	if !p.Proved(second, 3*time.Second) || p.Proved(second, 4*time.Second) {
+	p.Observe(second, ProbeResult{Verdict: Passed}, time.Second)
+	if !p.Validated(second, 3*time.Second) || p.Validated(second, 4*time.Second) {
 		t.Error("credit does not run out")
 	}
-	for _, v := range []Verdict{Unproved, NotReached, NotCompared} {
-		p.Take(second, Answer{Verdict: v}, 5*time.Second)
-		if p.Proved(second, 5*time.Second) {
+	for _, v := range []Verdict{NotValidated, NotReached, NotCompared} {
+		p.Observe(second, ProbeResult{Verdict: v}, 5*time.Second)
+		if p.Validated(second, 5*time.Second) {
 			t.Errorf("%s counts as a pass", v)
 		}
 	}
@@ -310,16 +312,16 @@
 		t.Fatal("generations are out of order")
 	}
 	r := NewRouters(lease, 0, 2)
-	if r.Know(newer, lease-1) || !r.Know(newer, lease) {
+	if r.AllCurrent(newer, lease-1) || !r.AllCurrent(newer, lease) {
 		t.Error("what an earlier leader granted is believed to be over too soon, or never")
 	}
 	r.Grant("a", older, newer, lease)
-	if r.Know(newer, lease+1) {
+	if r.AllCurrent(newer, lease+1) {
 		t.Error("a router with an older generation is taken to know")
 	}
 	r.Grant("a", newer, newer, lease+2)
 	r.Grant("b", older, newer, lease+3)
-	if r.Know(newer, 2*lease+2) || !r.Know(newer, 2*lease+3) {
+	if r.AllCurrent(newer, 2*lease+2) || !r.AllCurrent(newer, 2*lease+3) {
 		t.Error("a router's lease does not run out, or too soon")
 	}
 	if r.Grant("c", newer, newer, 2*lease) {
--- a/internal/rollout/routing.go
+++ b/internal/rollout/routing.go
@@ -43,7 +43,7 @@
 // RoutingOf gives how traffic is to be shared by what the replicas have proved. The caller sets the generation.
 func RoutingOf(r *Record, c Capacity, states []ReplicaState) Routing {
 	var routing Routing
-	newShare := c.NewShare(r.Aim())
+	newShare := c.NewShare(r.TargetShare())
 	if r.Phase == Retiring || r.Phase == Completed {
 		newShare = 1 // the old version is on its way out
 	}
@@ -74,10 +74,10 @@
 		}
 		return weights
 	}
-	if proved := pick(func(s ReplicaState) bool { return s.Proved }); len(proved) > 0 {
+	if proved := pick(func(s ReplicaState) bool { return s.Validated }); len(proved) > 0 {
 		return proved
 	}
-	if weights := pick(func(s ReplicaState) bool { return s.Verdict != Wrong }); len(weights) > 0 {
+	if weights := pick(func(s ReplicaState) bool { return s.Verdict != Failed }); len(weights) > 0 {
 		return weights
 	}
 	return pick(func(ReplicaState) bool { return true })
@@ -140,8 +140,8 @@
 	}
 }
 
-// Know tells whether each router has a routing no older than this one, or none at all any more.
-func (t *Routers) Know(g Generation, now time.Duration) bool {
+// AllCurrent tells whether each router has a routing no older than this one, or none at all any more.
+func (t *Routers) AllCurrent(g Generation, now time.Duration) bool {
 	if now < t.since+t.lease {
 		return false // an earlier leader may have granted something that still holds
 	}
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -6,7 +6,7 @@
 // commits it before it acts by it.
 func (r *Record) Next(o *Observation) *Record {
 	next := r.next(o)
-	if next != nil && o.Settled {
+	if next != nil && o.Reconciled {
 		next.Routers = o.Routers
 	}
 	return next
@@ -17,13 +17,13 @@
 	case Completed, RolledBack:
 		return nil
 	case RollingBack:
-		if o.all(r.acceptedNew(o), func(j Job) bool { return j.Over }) && o.RoutersKnow && !o.NewServes {
-			return r.to(RolledBack, o.NowMS)
+		if o.all(r.acceptedNew(o), func(j Job) bool { return j.Over }) && o.RoutersCurrent && !o.NewServes {
+			return r.inPhase(RolledBack, o.NowMS)
 		}
 		return nil
 	case Retiring:
 		if o.all(r.Plan.Old.Jobs, func(j Job) bool { return j.Over }) {
-			return r.to(Completed, o.NowMS)
+			return r.inPhase(Completed, o.NowMS)
 		}
 		return nil
 	case Pending, Starting, Checking, Shifting, Baking, Completing:
@@ -31,7 +31,7 @@
 	if next := r.failed(o); next != nil {
 		return next
 	}
-	if !o.Settled || r.PausedMS != 0 {
+	if !o.Reconciled || r.PausedMS != 0 {
 		return nil
 	}
 	if next := r.forward(o); next != nil {
@@ -42,12 +42,12 @@
 
 // failed gives the record that rolls back for a fault that no wait can heal.
 func (r *Record) failed(o *Observation) *Record {
-	if o.Wrong != "" {
-		return r.back(WrongAnswer, o.Wrong, o.NowMS)
+	if o.FailedCheck != "" {
+		return r.rollBack(WrongAnswer, o.FailedCheck, o.NowMS)
 	}
 	for _, id := range r.Plan.New.Jobs {
 		if o.Jobs[id].Cancelled {
-			return r.back(NewCancelled, id, o.NowMS)
+			return r.rollBack(NewCancelled, id, o.NowMS)
 		}
 	}
 	return nil
@@ -56,30 +56,30 @@
 // forward gives the record of the next phase, once what this one waits for is there.
 func (r *Record) forward(o *Observation) *Record {
 	capacity := r.Plan.CapacityOf(o)
-	proved := o.all(r.released(), func(j Job) bool { return j.Accepted && j.Proved >= j.Replicas })
+	proved := o.all(r.released(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
 	switch r.Phase {
 	case Pending:
-		if capacity.oldWhole() && o.all(r.Plan.Steps[0].Jobs, func(j Job) bool { return j.Accepted }) {
-			return r.to(Starting, o.NowMS)
+		if capacity.oldSufficient() && o.all(r.Plan.Steps[0].Jobs, func(j Job) bool { return j.Accepted }) {
+			return r.inPhase(Starting, o.NowMS)
 		}
 	case Starting:
 		if o.all(r.released(), func(j Job) bool { return j.Accepted && j.Running >= j.Replicas }) {
-			return r.to(Checking, o.NowMS)
+			return r.inPhase(Checking, o.NowMS)
 		}
 	case Checking:
-		if proved && capacity.oldWhole() && capacity.newCarries(r.Plan.Steps[r.Step].Share) {
-			next := r.to(Shifting, o.NowMS)
+		if proved && capacity.oldSufficient() && capacity.newSufficient(r.Plan.Steps[r.Step].Share) {
+			next := r.inPhase(Shifting, o.NowMS)
 			next.Share = r.Plan.Steps[r.Step].Share
 			return next
 		}
 	case Shifting, Baking:
 		if !proved {
-			return r.to(Checking, o.NowMS) // what was baked counts no more
+			return r.inPhase(Checking, o.NowMS) // what was baked counts no more
 		}
 		return r.serving(o, capacity)
 	case Completing:
 		if proved && o.mayRetireOld(capacity) {
-			return r.to(Retiring, o.NowMS)
+			return r.inPhase(Retiring, o.NowMS)
 		}
 	case Retiring, Completed, RollingBack, RolledBack:
 		// They end by what next waits for, whatever the new version does.
@@ -89,16 +89,16 @@
 
 // mayRetireOld tells whether the new version serves everything and no router depends on the old one any more.
 func (o *Observation) mayRetireOld(capacity Capacity) bool {
-	return o.ProvedAnew && capacity.newCarries(1) && o.RoutersKnow && !o.RoutersMissing
+	return o.Revalidated && capacity.newSufficient(1) && o.RoutersCurrent && !o.RoutersMissing
 }
 
 // serving gives the record that follows a step whose replicas are all proved: it bakes once routers know its share,
 // and is over once it has baked and the old version can take everything back.
 func (r *Record) serving(o *Observation, capacity Capacity) *Record {
 	switch {
-	case r.Phase == Shifting && o.RoutersKnow:
-		return r.to(Baking, o.NowMS)
-	case r.Phase == Baking && capacity.oldWhole() && r.lasted(o, r.Plan.Steps[r.Step].BakeS):
+	case r.Phase == Shifting && o.RoutersCurrent:
+		return r.inPhase(Baking, o.NowMS)
+	case r.Phase == Baking && capacity.oldSufficient() && r.lasted(o, r.Plan.Steps[r.Step].BakeS):
 		return r.baked(o)
 	}
 	return nil
@@ -107,17 +107,17 @@
 // baked gives the record after a step has baked: the next step's, or that of completion.
 func (r *Record) baked(o *Observation) *Record {
 	if r.Step+1 < len(r.Plan.Steps) {
-		next := r.to(Starting, o.NowMS)
+		next := r.inPhase(Starting, o.NowMS)
 		next.Step++
 		return next
 	}
-	return r.to(Completing, o.NowMS)
+	return r.inPhase(Completing, o.NowMS)
 }
 
 // expired gives the record that rolls back since a phase has waited for too long.
 func (r *Record) expired(o *Observation) *Record {
 	limits := r.Plan.Limits
-	reason, limit := WaitedOut, limits.WaitS
+	reason, limit := TimedOut, limits.WaitS
 	switch r.Phase {
 	case Checking:
 		reason, limit = Unreachable, limits.UnreachableS
@@ -130,7 +130,7 @@
 	if !r.lasted(o, limit) {
 		return nil
 	}
-	return r.back(reason, fmt.Sprintf("%s for %g s", r.Phase, limit), o.NowMS)
+	return r.rollBack(reason, fmt.Sprintf("%s for %g s", r.Phase, limit), o.NowMS)
 }
 
 // lasted tells whether the phase has certainly lasted for some seconds, whichever clocks were used.
@@ -171,14 +171,14 @@
 	}
 	switch r.Phase {
 	case RollingBack:
-		if o.RoutersKnow && !o.NewServes {
+		if o.RoutersCurrent && !o.NewServes {
 			add(r.Plan.New.Jobs)
 		}
 	case RolledBack:
 		add(r.Plan.New.Jobs) // submitted since
 	case Retiring:
 		// A router that does not know yet would fall back to them.
-		if o.RoutersKnow && !o.RoutersMissing {
+		if o.RoutersCurrent && !o.RoutersMissing {
 			add(r.Plan.Old.Jobs)
 		}
 	case Pending, Starting, Checking, Shifting, Baking, Completing, Completed:
@@ -186,8 +186,8 @@
 	return jobs
 }
 
-// Aim gives the share of traffic that the new version is to get by the record.
-func (r *Record) Aim() float64 {
+// TargetShare gives the share of traffic that the new version is to get by the record.
+func (r *Record) TargetShare() float64 {
 	switch r.Phase {
 	case Completing, Retiring, Completed:
 		return 1
