--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,46 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Load reads and validates the platform's file.
+func Load(path string) (*Settings, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	s, err := Parse(data)
+	if err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return s, nil
+}
+
+// Parse decodes and validates the text of the platform's file.
+func Parse(data []byte) (*Settings, error) {
+	s := &Settings{}
+	if err := toml.Unmarshal(data, s); err != nil {
+		return nil, withPosition(err)
+	}
+	if err := s.validate(); err != nil {
+		return nil, err
+	}
+	s.Operator = DefaultOperator()
+	return s, nil
+}
+
+// withPosition adds the line and the field to an error of the TOML decoder.
+func withPosition(err error) error {
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
+		return err
+	}
+	line, _ := decodeError.Position()
+	return fmt.Errorf("line %d: %s: %w", line, strings.Join(decodeError.Key(), "."), decodeError)
+}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -18,7 +18,7 @@
 	EventDrivenCycles bool    `json:"event_rounds"`
 	DirectStarts      bool    `json:"direct_starts"`
 	CycleBudget       float64 `json:"round_budget"`
-	// PaceHeartbeats says that answers to reports that tell nothing may be held back, so that workers report less often.
+	// PaceHeartbeats says that responses to heartbeats without news may be held back, so that workers send fewer.
 	PaceHeartbeats     bool    `json:"pace_reports"`
 	SpareShare         float64 `json:"spare_share"`
 	IdleBoots          float64 `json:"idle_boots"`
@@ -27,15 +27,15 @@
 	PartitionLeases    float64 `json:"cut_leases"`
 	LeaderTTLLeases    float64 `json:"leader_ttl_leases"`
 	MaxPendingRequests int     `json:"max_pending_requests"`
-	// ExpectedMachines is the size of the fleet that the settings are checked for; 0: what is there.
+	// ExpectedMachines is the size of the fleet that the settings are checked for; 0: the present one.
 	ExpectedMachines int `json:"expected_machines"`
 	// Rollouts are the settings of stepwise rollouts.
 	Rollouts Rollouts `json:"rollouts"`
-	// Spread says what places of replicas are weighed by.
+	// Spread says by what the placements of replicas are scored.
 	Spread Spread `json:"spread"`
-	// Metrics says where a node shows what it does.
+	// Metrics says where a node serves its metrics.
 	Metrics Metrics `json:"metrics"`
-	// Regions are those that share the teams' limits and guarantees.
+	// Regions are those that share the teams' quotas.
 	Regions Regions `json:"regions"`
 }
 
@@ -56,14 +56,14 @@
 	MaxRouters     int     `json:"most_routers"`
 }
 
-// Spread says what places of replicas are weighed by: the losses that are expected, and for how long a replica stays.
+// Spread says by what the placements of replicas are scored: the expected losses, and for how long a replica stays.
 type Spread struct {
 	Enabled             bool    `json:"enabled"`
 	ZoneLossesPerDay    float64 `json:"zone_losses_per_day"`
 	MachineLossesPerDay float64 `json:"machine_losses_per_day"`
 	ReplicaDays         float64 `json:"replica_days"`
 	MovesPerHour        float64 `json:"moves_per_hour"` // of replicas, to bring them back into balance
-	// PrefetchGBPerHour is for workers that know the request, which the protocol does not have; 0: none.
+	// PrefetchGBPerHour bounds prefetches, for workers that support them, which the protocol does not have; 0: none.
 	PrefetchGBPerHour float64 `json:"prefetch_gb_per_hour"`
 }
 
@@ -84,7 +84,7 @@
 		MaxPendingRequests: 256,
 		Rollouts: Rollouts{ModelPort: 8000, RouterLeaseS: 15, CheckIntervalS: 2, CheckTimeoutS: 5,
 			MaxPlans: 100, MaxRouters: 100},
-		// A zone twice a year, 57 machines of 8,800 a day, and a month until a replica is placed anew.
+		// A zone is lost twice a year and 57 machines of 8,800 a day; a replica is placed anew after a month.
 		Spread: Spread{ZoneLossesPerDay: 2.0 / 365, MachineLossesPerDay: 57.0 / 8800, ReplicaDays: 30, MovesPerHour: 60},
 	}
 }
@@ -117,11 +117,11 @@
 	if err := json.Unmarshal(data, o); err != nil {
 		return nil, err
 	}
-	return o, errors.Join(o.Metrics.check(), o.Regions.check())
+	return o, errors.Join(o.Metrics.validate(), o.Regions.validate())
 }
 
-// check checks what the schema can't tell.
-func (m *Metrics) check() error {
+// validate checks what the schema can't express.
+func (m *Metrics) validate() error {
 	if m.Listen == "" {
 		if m.Pprof {
 			return errors.New("/metrics/pprof: profiles need an address in /metrics/listen")
--- a/internal/config/regions.go
+++ b/internal/config/regions.go
@@ -6,23 +6,23 @@
 	"math"
 )
 
-// Regions are the regions that share the teams' limits and guarantees, each with controllers and a state service of its
-// own. All of them have the same list, in the same order.
+// Regions are the regions that share the teams' quotas, each with controllers and a key-value store of its own. All of them
+// have the same list, in the same order.
 type Regions struct {
-	Name string   `json:"name"` // of this one; empty: the limits are not divided
+	Name string   `json:"name"` // of this one; empty: quotas are not divided
 	All  []Region `json:"all"`
 }
 
 // Region is one of them.
 type Region struct {
 	Name string `json:"name"`
-	// Share of each limit and guarantee that it begins with, from 0 to 1.
+	// Share of each quota that it begins with, from 0 to 1.
 	Share float64 `json:"part"`
 	// Controllers are the internal addresses of its controllers.
 	Controllers []string `json:"controllers"`
 }
 
-// Enabled tells whether limits are divided.
+// Enabled tells whether quotas are divided among regions.
 func (r *Regions) Enabled() bool { return r.Name != "" }
 
 // Others names the other regions.
@@ -46,11 +46,11 @@
 	return false
 }
 
-// shareTolerance is what the parts of all regions may differ from 1 by rounding.
+// shareTolerance is by how much the shares of all regions may differ from 1 for rounding.
 const shareTolerance = 1e-9
 
-// check checks what the schema can't tell.
-func (r *Regions) check() error {
+// validate checks what the schema can't express.
+func (r *Regions) validate() error {
 	if !r.Enabled() {
 		if len(r.All) > 0 {
 			return errors.New("/regions/name: is missing")
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -57,7 +57,7 @@
 		cloud: cloud.New(settings.Services.Cloud, params.Cloud.RPS, cloudConnections),
 		// One connection a worker; the core bounds how many are in use at once.
 		// As many calls a second as it may hold sockets, which follows the number of workers.
-		workers: httpclient.Any(float64(connections), 1, max(minConnections, connections/connectionsPerWorkerConnection), maxWorkerResponseBytes),
+		workers: httpclient.NewMultiHost(float64(connections), 1, max(minConnections, connections/connectionsPerWorkerConnection), maxWorkerResponseBytes),
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
 		prober:  probe.New(max(minConnections, connections/connectionsPerProbe)),
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,4 @@
-// Package schema checks JSON documents against published schemas, and says in one line what is wrong.
+// Package schema validates JSON documents against published JSON schemas. Its errors are one line that names the field.
 package schema
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Check checks a document against a schema with a name. The error names the field.
+// Check validates a document against a schema with a name. The error names the field.
 func Check(name string, schemaText, document []byte) error {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
+	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return fmt.Errorf("not JSON: %w", err)
 	}
-	schemaDoc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
+	parsedSchema, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
-		return err
+		return fmt.Errorf("schema %s: %w", name, err)
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, schemaDoc); err != nil {
-		return err
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(name, parsedSchema); err != nil {
+		return fmt.Errorf("schema %s: %w", name, err)
 	}
-	compiled, err := c.Compile(name)
+	compiled, err := compiler.Compile(name)
 	if err != nil {
-		return err
+		return fmt.Errorf("schema %s: %w", name, err)
 	}
-	return singleLineError(compiled.Validate(doc))
+	return singleLineError(compiled.Validate(parsed))
 }
 
-// singleLineError gives the innermost cause of a validation error, with the place of the field.
+// singleLineError gives the innermost cause of a validation error, with the path of the field.
 func singleLineError(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -43,12 +43,12 @@
 	return fmt.Errorf("/%s: %s", strings.Join(invalid.InstanceLocation, "/"), lastLine(invalid.Error()))
 }
 
-// lastLine keeps the part of a schema error that names the trouble.
-func lastLine(s string) string {
-	lines := strings.Split(strings.TrimSpace(s), "\n")
-	l := strings.TrimSpace(lines[len(lines)-1])
-	if _, after, ok := strings.Cut(l, "': "); ok {
-		return after
+// lastLine keeps the part of a validation error that names the problem.
+func lastLine(text string) string {
+	lines := strings.Split(strings.TrimSpace(text), "\n")
+	last := strings.TrimSpace(lines[len(lines)-1])
+	if _, problem, found := strings.Cut(last, "': "); found {
+		return problem
 	}
-	return l
+	return last
 }
