--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -14,87 +14,90 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// ErrNotFound says that there is no plan of the name, or no job of the id.
+// ErrNotFound is returned if there is no plan of the name, or no job of the id.
 var ErrNotFound = errors.New("not found")
 
-// InvalidError says which field of a plan is wrong.
+// InvalidError is returned for a malformed request, and names the field.
 type InvalidError struct{ Problem string }
 
+// Error implements error.
 func (e *InvalidError) Error() string { return e.Problem }
 
-// RefusedError says why a plan can't be taken or changed.
+// RefusedError is returned if a plan can't be accepted or changed, with the reason.
 type RefusedError struct{ Reason string }
 
+// Error implements error.
 func (e *RefusedError) Error() string { return "refused: " + e.Reason }
 
-// UnavailableError says that no controller could answer in time. A change may have been made.
+// UnavailableError is returned if no controller responded in time. A change may have been applied.
 type UnavailableError struct{ Reason string }
 
+// Error implements error.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("no answer in time: %s; ask again in %v", e.Reason, retryInterval)
 }
 
-// retryInterval is the time between two tries.
+// retryInterval is the time between two attempts.
 const retryInterval = time.Second
 
-// Client asks controllers about rollouts.
+// Client calls a controller.
 type Client struct {
-	conn       *grpc.ClientConn
-	rpc        operatorpb.RolloutsClient
+	connection *grpc.ClientConn
+	rollouts   operatorpb.RolloutsClient
 	placements operatorpb.PlacementsClient
 }
 
 // NewClient makes a client of a controller's internal address.
 func NewClient(address string) (*Client, error) {
-	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(unlimitedReplySize))
+	connection, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(largeReplies))
 	if err != nil {
 		return nil, err
 	}
-	return &Client{conn: conn, rpc: operatorpb.NewRolloutsClient(conn), placements: operatorpb.NewPlacementsClient(conn)}, nil
+	return &Client{connection: connection, rollouts: operatorpb.NewRolloutsClient(connection), placements: operatorpb.NewPlacementsClient(connection)}, nil
 }
 
 // Close ends the connection.
-func (c *Client) Close() error { return c.conn.Close() }
+func (c *Client) Close() error { return c.connection.Close() }
 
-// Apply hands in a plan.
+// Apply submits a plan. It is idempotent: the same plan again changes nothing.
 func (c *Client) Apply(ctx context.Context, plan []byte) (*operatorpb.PlanStatus, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlanStatus, error) {
-		return c.rpc.Apply(ctx, &operatorpb.ApplyRequest{Plan: plan})
+		return c.rollouts.Apply(ctx, &operatorpb.ApplyRequest{Plan: plan})
 	})
 }
 
 // Change pauses, resumes or aborts a plan.
 func (c *Client) Change(ctx context.Context, name string, change operatorpb.ChangeRequest_Change) (*operatorpb.PlanStatus, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlanStatus, error) {
-		return c.rpc.Change(ctx, &operatorpb.ChangeRequest{Name: name, Change: change})
+		return c.rollouts.Change(ctx, &operatorpb.ChangeRequest{Name: name, Change: change})
 	})
 }
 
-// Show tells how a plan stands.
+// Show returns the status of a plan.
 func (c *Client) Show(ctx context.Context, name string) (*operatorpb.PlanStatus, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlanStatus, error) {
-		return c.rpc.Show(ctx, &operatorpb.ShowRequest{Name: name})
+		return c.rollouts.Show(ctx, &operatorpb.ShowRequest{Name: name})
 	})
 }
 
-// Placements tells where the replicas of a job are, and what each place cost.
+// Placements returns the placements of a job's replicas, with their costs.
 func (c *Client) Placements(ctx context.Context, job string) (*operatorpb.PlacementReply, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlacementReply, error) {
 		return c.placements.Show(ctx, &operatorpb.PlacementRequest{Job: job})
 	})
 }
 
-// Route asks for a routing, once: a router goes on with what it has.
+// Route requests a routing, once: a router goes on with the one that it has.
 func (c *Client) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
-	return c.rpc.Route(ctx, q)
+	return c.rollouts.Route(ctx, q)
 }
 
-// retry asks until there is an answer or the context ends, and at least once.
-func retry[Reply any](ctx context.Context, ask func(context.Context) (*Reply, error)) (*Reply, error) {
+// retry makes a request until there is a final reply or the context ends, and at least once.
+func retry[Reply any](ctx context.Context, attempt func(context.Context) (*Reply, error)) (*Reply, error) {
 	for {
-		once, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout+retryInterval)
-		reply, err := ask(once)
+		attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout+retryInterval)
+		reply, err := attempt(attemptCtx)
 		cancel()
 		err = errorOf(err)
 		var unavailable *UnavailableError
--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -23,22 +23,40 @@
 	if !wire.ValidJobID(q.GetJob()) {
 		return nil, status.Error(codes.InvalidArgument, "job: is no job id")
 	}
-	return handle(ctx, p.server, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlacements{RequestID: req, Job: q.GetJob()} },
-		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
-			return operatorpb.NewPlacementsClient(leader).Show(ctx, &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}, unlimitedReplySize)
-		}, placementReply)
+	return handle(ctx, p.server, request[*operatorpb.PlacementReply]{
+		relayed: q.GetRelayed(),
+		input: func(requestID uint64) core.Input {
+			return core.GetPlacements{RequestID: requestID, Job: q.GetJob()}
+		},
+		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
+			relayed := &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}
+			return operatorpb.NewPlacementsClient(leader).Show(ctx, relayed, largeReplies)
+		},
+		convert: placementReply,
+	})
 }
 
-// placementReply gives the places of a job's replicas on the wire.
-func placementReply(a core.Response) (*operatorpb.PlacementReply, error) {
-	places, ok := a.Body.([]core.ReplicaPlacement)
+// placementReply gives the placements of a job's replicas on the wire.
+func placementReply(response core.Response) (*operatorpb.PlacementReply, error) {
+	replicas, ok := response.Body.([]core.ReplicaPlacement)
 	if !ok {
 		return nil, errUnexpectedResponse
 	}
 	reply := &operatorpb.PlacementReply{}
-	for _, x := range places {
-		reply.Replicas = append(reply.Replicas, &operatorpb.PlacedReplica{Task: x.Task, Attempt: x.Attempt, Machine: x.Machine, Zone: x.Zone,
-			Chosen: x.Chosen, Weighed: x.Weighed, LoadS: x.LoadS, LossS: x.LossS, Warmest: x.Warmest, WarmestLoadS: x.WarmestLoadS, AvoidedS: x.AvoidedS})
+	for _, r := range replicas {
+		reply.Replicas = append(reply.Replicas, &operatorpb.PlacedReplica{
+			Task:         r.Task,
+			Attempt:      r.Attempt,
+			Machine:      r.Machine,
+			Zone:         r.Zone,
+			Chosen:       r.Chosen,
+			Weighed:      r.Weighed,
+			LoadS:        r.LoadS,
+			LossS:        r.LossS,
+			Warmest:      r.Warmest,
+			WarmestLoadS: r.WarmestLoadS,
+			AvoidedS:     r.AvoidedS,
+		})
 	}
 	return reply, nil
 }
--- /dev/null
+++ b/internal/adminapi/rollouts.go
@@ -0,0 +1,118 @@
+package adminapi
+
+import (
+	"context"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"bitternwing/internal/adminapi/operatorpb"
+	"bitternwing/internal/core"
+	"bitternwing/internal/responsecheck"
+	"bitternwing/internal/rollout"
+)
+
+// parsePlan parses a plan and compiles its checks.
+func parsePlan(data []byte) (*rollout.Plan, error) {
+	plan, err := rollout.ParsePlan(data, MaxPlanBytes)
+	if err != nil {
+		return nil, err
+	}
+	return plan, CompileChecks(plan)
+}
+
+// CompileChecks returns an error for the first of a plan's checks that does not compile.
+func CompileChecks(plan *rollout.Plan) error {
+	for i, check := range plan.Checks {
+		if _, err := responsecheck.Compile(check.Script); err != nil {
+			return rollout.CheckError(i, err)
+		}
+	}
+	return nil
+}
+
+// Apply implements the service.
+func (s *Server) Apply(ctx context.Context, q *operatorpb.ApplyRequest) (*operatorpb.PlanStatus, error) {
+	plan, err := parsePlan(q.GetPlan())
+	if err != nil {
+		return nil, status.Error(codes.InvalidArgument, err.Error())
+	}
+	return handle(ctx, s, request[*operatorpb.PlanStatus]{
+		relayed: q.GetRelayed(),
+		input: func(requestID uint64) core.Input {
+			return core.ApplyPlan{RequestID: requestID, Plan: plan}
+		},
+		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
+			relayed := &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}
+			return operatorpb.NewRolloutsClient(leader).Apply(ctx, relayed, largeReplies)
+		},
+		convert: planStatus,
+	})
+}
+
+// changes are the changes of a plan by their numbers on the wire.
+var changes = map[operatorpb.ChangeRequest_Change]rollout.Change{
+	operatorpb.ChangeRequest_PAUSE:  rollout.Pause,
+	operatorpb.ChangeRequest_RESUME: rollout.Resume,
+	operatorpb.ChangeRequest_ABORT:  rollout.Abort,
+}
+
+// Change implements the service.
+func (s *Server) Change(ctx context.Context, q *operatorpb.ChangeRequest) (*operatorpb.PlanStatus, error) {
+	change, ok := changes[q.GetChange()]
+	if !ok {
+		return nil, status.Error(codes.InvalidArgument, "change: is not known")
+	}
+	return handle(ctx, s, request[*operatorpb.PlanStatus]{
+		relayed: q.GetRelayed(),
+		input: func(requestID uint64) core.Input {
+			return core.ChangePlan{RequestID: requestID, Name: q.GetName(), Change: change}
+		},
+		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
+			relayed := &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}
+			return operatorpb.NewRolloutsClient(leader).Change(ctx, relayed, largeReplies)
+		},
+		convert: planStatus,
+	})
+}
+
+// Show implements the service.
+func (s *Server) Show(ctx context.Context, q *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
+	return handle(ctx, s, request[*operatorpb.PlanStatus]{
+		relayed: q.GetRelayed(),
+		input: func(requestID uint64) core.Input {
+			return core.GetPlan{RequestID: requestID, Name: q.GetName()}
+		},
+		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
+			relayed := &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}
+			return operatorpb.NewRolloutsClient(leader).Show(ctx, relayed, largeReplies)
+		},
+		convert: planStatus,
+	})
+}
+
+// maxRouterNameBytes bounds the names of routers: they are kept in the plan's record.
+const maxRouterNameBytes = 100
+
+// Route implements the service.
+func (s *Server) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
+	if q.GetRouter() == "" {
+		return nil, status.Error(codes.InvalidArgument, "router: is missing")
+	}
+	if len(q.GetRouter()) > maxRouterNameBytes {
+		return nil, status.Errorf(codes.InvalidArgument, "router: has more than %d bytes", maxRouterNameBytes)
+	}
+	generation := rollout.Generation{Term: q.GetGeneration().GetTerm(), Revision: q.GetGeneration().GetRevision()}
+	return handle(ctx, s, request[*operatorpb.RouteReply]{
+		relayed: q.GetRelayed(),
+		input: func(requestID uint64) core.Input {
+			return core.GetRouting{RequestID: requestID, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
+		},
+		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.RouteReply, error) {
+			relayed := &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}
+			return operatorpb.NewRolloutsClient(leader).Route(ctx, relayed, largeReplies)
+		},
+		convert: routeReply,
+	})
+}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,9 +1,12 @@
-// Package adminapi is the gRPC service of rollouts on a controller's internal address, and its client.
+// Package adminapi is the gRPC interface on a controller's internal address for operators, routers and other regions: rollouts,
+// placements and quota transfers, with its client. Any controller takes a request; where another one leads, the request is
+// relayed to it, once. The package converts messages and decides nothing.
 package adminapi
 
 import (
 	"context"
 	"errors"
+	"net/http"
 	"time"
 
 	"google.golang.org/grpc"
@@ -12,26 +15,27 @@
 
 	"bitternwing/internal/adminapi/operatorpb"
 	"bitternwing/internal/core"
-	"bitternwing/internal/responsecheck"
-	"bitternwing/internal/rollout"
 	"bitternwing/internal/wire"
 )
 
-// Core answers requests; it is the one of server.Core.
+// Core handles requests; it is the one of server.Core.
 type Core interface {
-	Handle(ctx context.Context, input func(req uint64) core.Input) (core.Response, bool)
+	// Handle hands over the input that belongs to a request id, and waits for the response. It returns false if there is
+	// none before the context ends.
+	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
 }
 
-// requestTimeout is how long a request waits for its answer here.
+// requestTimeout is how long a request waits for the core's response.
 const requestTimeout = 3 * time.Second
 
-// MaxPlanBytes bounds a plan as it is handed in. What is stored has to fit into a value of the state service too.
+// MaxPlanBytes bounds a submitted plan. What is stored has to fit into a value of the key-value store too.
 const MaxPlanBytes = 32 << 10
 
-// unlimitedReplySize lets the leader's answer be as long as the plan's replicas make it; what they are is bounded by the team's limit.
-var unlimitedReplySize = grpc.MaxCallRecvMsgSize(64 << 20)
+// largeReplies lets the leader's reply be as long as the plan's replicas make it; how many there are is bounded by the team's
+// quota.
+var largeReplies = grpc.MaxCallRecvMsgSize(64 << 20)
 
-// Server implements the service.
+// Server implements the services.
 type Server struct {
 	operatorpb.UnimplementedRolloutsServer
 	core Core
@@ -40,178 +44,62 @@
 }
 
 // Register registers the services of a node.
-func Register(to grpc.ServiceRegistrar, c Core, peer func(node string) grpc.ClientConnInterface) {
+func Register(registrar grpc.ServiceRegistrar, c Core, peer func(node string) grpc.ClientConnInterface) {
 	server := &Server{core: c, peer: peer}
-	operatorpb.RegisterRolloutsServer(to, server)
-	operatorpb.RegisterPlacementsServer(to, &placements{server: server})
-	operatorpb.RegisterRegionsServer(to, &regions{server: server})
+	operatorpb.RegisterRolloutsServer(registrar, server)
+	operatorpb.RegisterPlacementsServer(registrar, &placements{server: server})
+	operatorpb.RegisterRegionsServer(registrar, &regions{server: server})
 }
 
-// handle has the core answer, or the leader where the core names it; a request that was handed on goes no further.
-func handle[Reply any](ctx context.Context, s *Server, relayed bool, input func(uint64) core.Input,
-	relay func(context.Context, grpc.ClientConnInterface) (Reply, error), convert func(core.Response) (Reply, error)) (Reply, error) {
+// request is a request as all services handle it.
+type request[Reply any] struct {
+	relayed bool // by another controller: it is not relayed again
+	input   func(requestID uint64) core.Input
+	// relay sends the request to the leader.
+	relay func(ctx context.Context, leader grpc.ClientConnInterface) (Reply, error)
+	// convert gives the reply for a response of the core.
+	convert func(core.Response) (Reply, error)
+}
+
+// handle has the core handle a request, or the leader where the core names it.
+func handle[Reply any](ctx context.Context, s *Server, r request[Reply]) (Reply, error) {
 	var none Reply
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	a, ok := s.core.Handle(ctx, input)
+	response, ok := s.core.Handle(ctx, r.input)
 	if !ok {
 		return none, status.Error(codes.Unavailable, "no answer in time")
 	}
-	if a.Status == 200 {
-		return convert(a)
-	}
-	if to, isRedirect := a.Body.(wire.Redirect); isRedirect {
-		if leader := s.peer(to.Leader); leader != nil && !relayed {
-			return relay(ctx, leader)
-		}
-		return none, status.Error(codes.Unavailable, "no controller leads")
+	if response.Status == http.StatusOK {
+		return r.convert(response)
 	}
-	return none, statusError(a)
-}
-
-// statusError gives the error for an answer that is not 200.
-func statusError(a core.Response) error {
-	why := "no reason is given"
-	if body, ok := a.Body.(wire.ErrorBody); ok {
-		why = body.Error
+	redirect, isRedirect := response.Body.(wire.Redirect)
+	if !isRedirect {
+		return none, statusError(response)
 	}
-	switch a.Status {
-	case 404:
-		return status.Error(codes.NotFound, why)
-	case 422:
-		return status.Error(codes.FailedPrecondition, why)
-	case 429:
-		return status.Error(codes.ResourceExhausted, why)
-	}
-	return status.Error(codes.Unavailable, why)
-}
-
-// parsePlan reads a plan and compiles its checks.
-func parsePlan(data []byte) (*rollout.Plan, error) {
-	plan, err := rollout.ParsePlan(data, MaxPlanBytes)
-	if err != nil {
-		return nil, err
-	}
-	return plan, CompileChecks(plan)
-}
-
-// CompileChecks tells which of a plan's checks does not compile.
-func CompileChecks(plan *rollout.Plan) error {
-	for i, check := range plan.Checks {
-		if _, err := responsecheck.Compile(check.Script); err != nil {
-			return rollout.CheckError(i, err)
-		}
-	}
-	return nil
-}
-
-// Apply implements the service.
-func (s *Server) Apply(ctx context.Context, q *operatorpb.ApplyRequest) (*operatorpb.PlanStatus, error) {
-	plan, err := parsePlan(q.GetPlan())
-	if err != nil {
-		return nil, status.Error(codes.InvalidArgument, err.Error())
-	}
-	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} },
-		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Apply(ctx, &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}, unlimitedReplySize)
-		}, planStatus)
-}
-
-// changes gives the meaning of a change on the wire.
-var changes = map[operatorpb.ChangeRequest_Change]rollout.Change{
-	operatorpb.ChangeRequest_PAUSE:  rollout.Pause,
-	operatorpb.ChangeRequest_RESUME: rollout.Resume,
-	operatorpb.ChangeRequest_ABORT:  rollout.Abort,
-}
-
-// Change implements the service.
-func (s *Server) Change(ctx context.Context, q *operatorpb.ChangeRequest) (*operatorpb.PlanStatus, error) {
-	change, ok := changes[q.GetChange()]
-	if !ok {
-		return nil, status.Error(codes.InvalidArgument, "change: is not known")
+	leader := s.peer(redirect.Leader)
+	if leader == nil || r.relayed {
+		return none, status.Error(codes.Unavailable, "no controller leads")
 	}
-	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.ChangePlan{RequestID: req, Name: q.GetName(), Change: change} },
-		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Change(ctx, &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}, unlimitedReplySize)
-		}, planStatus)
-}
-
-// Show implements the service.
-func (s *Server) Show(ctx context.Context, q *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
-	return handle(ctx, s, q.GetRelayed(), func(req uint64) core.Input { return core.GetPlan{RequestID: req, Name: q.GetName()} },
-		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			return operatorpb.NewRolloutsClient(leader).Show(ctx, &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}, unlimitedReplySize)
-		}, planStatus)
+	return r.relay(ctx, leader)
 }
 
-// maxRouterNameBytes bounds the names of routers, in bytes: they are kept in the plan's record.
-const maxRouterNameBytes = 100
-
-// Route implements the service.
-func (s *Server) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
-	if q.GetRouter() == "" {
-		return nil, status.Error(codes.InvalidArgument, "router: is missing")
+// statusError gives the error for a response that is no success.
+func statusError(response core.Response) error {
+	reason := "no reason is given"
+	if body, ok := response.Body.(wire.ErrorBody); ok {
+		reason = body.Error
 	}
-	if len(q.GetRouter()) > maxRouterNameBytes {
-		return nil, status.Errorf(codes.InvalidArgument, "router: has more than %d bytes", maxRouterNameBytes)
+	switch response.Status {
+	case http.StatusNotFound:
+		return status.Error(codes.NotFound, reason)
+	case http.StatusUnprocessableEntity:
+		return status.Error(codes.FailedPrecondition, reason)
+	case http.StatusTooManyRequests:
+		return status.Error(codes.ResourceExhausted, reason)
 	}
-	generation := rollout.Generation{Term: q.GetGeneration().GetTerm(), Revision: q.GetGeneration().GetRevision()}
-	return handle(ctx, s, q.GetRelayed(),
-		func(req uint64) core.Input {
-			return core.GetRouting{RequestID: req, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
-		},
-		func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.RouteReply, error) {
-			return operatorpb.NewRolloutsClient(leader).Route(ctx, &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}, unlimitedReplySize)
-		}, routeReply)
+	return status.Error(codes.Unavailable, reason)
 }
 
-// errUnexpectedResponse says that the core gave an answer of another kind.
+// errUnexpectedResponse says that the core gave a response of another kind.
 var errUnexpectedResponse = errors.New("an answer of an unexpected kind")
-
-// planStatus gives a plan's status on the wire.
-func planStatus(a core.Response) (*operatorpb.PlanStatus, error) {
-	s, ok := a.Body.(core.PlanStatus)
-	if !ok {
-		return nil, errUnexpectedResponse
-	}
-	reply := &operatorpb.PlanStatus{Problem: s.Problem, Settled: s.Reconciled, OldCapacity: s.Capacity.Old, NewCapacity: s.Capacity.New,
-		PromisedCapacity: s.Capacity.Promised, Generation: generationProto(s.Routing.Generation), Routers: s.Routers}
-	if r := s.Record; r != nil {
-		reply.Name, reply.Phase, reply.Step, reply.Steps = r.Plan.Name, string(r.Phase), int32(r.Step+1), int32(len(r.Plan.Steps))
-		reply.SinceMs, reply.Paused, reply.Reason, reply.Detail = r.SinceMS, r.PausedMS != 0, string(r.Reason), r.Detail
-	}
-	shares := map[string]float64{}
-	for _, w := range s.Routing.Weights {
-		shares[w.Task] = w.Share
-		if w.Version == rollout.NewVersion {
-			reply.NewShare += w.Share
-		}
-	}
-	for _, x := range s.Replicas {
-		reply.Replicas = append(reply.Replicas, &operatorpb.Replica{Task: x.Replica.Task, Attempt: x.Replica.Attempt,
-			Version: string(x.Replica.Version), Proved: x.Validated, Verdict: x.Verdict.String(), Check: x.Check, Share: shares[x.Replica.Task]})
-	}
-	return reply, nil
-}
-
-// routeReply gives a routing on the wire.
-func routeReply(a core.Response) (*operatorpb.RouteReply, error) {
-	g, ok := a.Body.(core.RoutingGrant)
-	if !ok {
-		return nil, errUnexpectedResponse
-	}
-	return &operatorpb.RouteReply{Generation: generationProto(g.Routing.Generation), Weights: weightsProto(g.Routing.Weights),
-		Fallback: weightsProto(g.Routing.Fallback), LeaseMs: g.LeaseMS}, nil
-}
-
-func generationProto(g rollout.Generation) *operatorpb.Generation {
-	return &operatorpb.Generation{Term: g.Term, Revision: g.Revision}
-}
-
-func weightsProto(ws []rollout.Weight) []*operatorpb.Weight {
-	var all []*operatorpb.Weight
-	for _, w := range ws {
-		all = append(all, &operatorpb.Weight{Task: w.Task, Attempt: w.Attempt, Address: w.Address, Version: string(w.Version), Share: w.Share})
-	}
-	return all
-}
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a node does and serves the counts in Prometheus' text form, with profiles of the process
-// behind a setting of its own. Labels name kinds of messages, services and outcomes; nothing in them tells of teams,
+// Package metrics counts the inputs, requests and calls of a node and serves the counts in Prometheus' text form, with profiles
+// of the process behind a setting of their own. It may not change what the node does. Labels name kinds of messages, services and outcomes; nothing in them tells of teams,
 // jobs, images or users.
 package metrics
 
@@ -38,7 +38,7 @@
 	calls    *prometheus.CounterVec
 }
 
-// New makes a recorder; status is asked at each scrape.
+// New makes a recorder; status is read at each scrape.
 func New(status func() core.Status) *Recorder {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
@@ -55,7 +55,7 @@
 	return r
 }
 
-// Input counts an input of the core and how long it took.
+// Input counts an input of the core and how long the step took.
 func (r *Recorder) Input(kind string, took time.Duration) {
 	if r == nil {
 		return
@@ -64,7 +64,7 @@
 	r.steps.WithLabelValues(kind).Add(took.Seconds())
 }
 
-// Request counts a request that was answered.
+// Request counts a request with its status.
 func (r *Recorder) Request(endpoint string, status int) {
 	if r == nil {
 		return
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -19,6 +19,9 @@
 	idleTimeout = 10 * time.Second
 	// maxProfileDuration bounds how long a profile or an execution trace may take.
 	maxProfileDuration = 60 * time.Second
+	// defaultCPUProfile and defaultTrace are how long these take where the request does not say: the defaults of net/http/pprof.
+	defaultCPUProfile = 30 * time.Second
+	defaultTrace      = time.Second
 	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 8 << 10
 )
@@ -32,7 +35,7 @@
 // Options bound what scrapers may use.
 type Options struct {
 	MaxConnections int
-	RequestTimeout time.Duration // in which a scraper gets its answer, or loses its connection, whatever it does
+	RequestTimeout time.Duration // in which a scraper gets its response, or loses its connection, whatever it does
 	Profiles       bool          // are served as well
 }
 
@@ -61,8 +64,8 @@
 }
 
 // Serve serves a listener until Close.
-func (s *Server) Serve(l net.Listener) error {
-	return s.http.Serve(netutil.LimitListener(l, s.options.MaxConnections))
+func (s *Server) Serve(listener net.Listener) error {
+	return s.http.Serve(netutil.LimitListener(listener, s.options.MaxConnections))
 }
 
 // Close ends the server at once.
@@ -101,24 +104,24 @@
 func (s *Server) handleProfiles(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/cmdline", pprof.Cmdline)
-	mux.HandleFunc("GET /debug/pprof/profile", s.withProfileDeadline(30*time.Second, pprof.Profile))
-	mux.HandleFunc("GET /debug/pprof/trace", s.withProfileDeadline(time.Second, pprof.Trace))
+	mux.HandleFunc("GET /debug/pprof/profile", s.withProfileDeadline(defaultCPUProfile, pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", s.withProfileDeadline(defaultTrace, pprof.Trace))
 	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
 }
 
-// withProfileDeadline gives a request as much time as its parameter seconds asks for; usual is what it takes without one.
-func (s *Server) withProfileDeadline(usual time.Duration, next http.HandlerFunc) http.HandlerFunc {
+// withProfileDeadline gives a request as much time as its parameter seconds says; defaultTime is what it takes without one.
+func (s *Server) withProfileDeadline(defaultTime time.Duration, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		lasts := usual
+		duration := defaultTime
 		if text := r.FormValue("seconds"); text != "" {
 			seconds, err := strconv.ParseFloat(text, 64)
 			if err != nil || !(seconds > 0) || seconds > maxProfileDuration.Seconds() {
 				http.Error(w, "seconds: must be above 0 and at most "+maxProfileDuration.String(), http.StatusBadRequest)
 				return
 			}
-			lasts = time.Duration(seconds * float64(time.Second))
+			duration = time.Duration(seconds * float64(time.Second))
 		}
-		if setDeadline(w, lasts+s.options.RequestTimeout) == nil {
+		if setDeadline(w, duration+s.options.RequestTimeout) == nil {
 			next(w, r)
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,5 @@
-// Package peer is what controller nodes ask of each other, over gRPC.
+// Package peer is the gRPC service between controller nodes: each requests the status of the others, and replicates
+// cancellations to them. It maps messages to the types of the core and decides nothing.
 package peer
 
 import (
@@ -18,14 +19,30 @@
 	"bitternwing/internal/peer/peerpb"
 )
 
-// maxMessageBytes bounds a message between nodes.
-const maxMessageBytes = 64 << 10
+// maxMessageBytes bounds a message between nodes, and maxStreams how many a connection carries at a time.
+const (
+	maxMessageBytes = 64 << 10
+	maxStreams      = 16
+)
+
+// socketBuffer is the size of the buffers of a connection: messages are small, and a node has many connections.
+const socketBuffer = 4 << 10
 
 // flowWindow is the flow-control window of streams and connections. It holds a whole message. A fixed window also
 // keeps gRPC from measuring the connection, which it does with a ping for each message.
 const flowWindow = 2 * maxMessageBytes
 
-// Server answers other nodes.
+// The back-off of a client that can't connect: it begins with a part of the call timeout.
+const (
+	callTimeoutsPerFirstBackoff = 4
+	backoffMultiplier           = 1.5
+	backoffJitter               = 0.2
+)
+
+// noHeartbeat is the age of the last heartbeat on the wire if there was none.
+const noHeartbeat = -1
+
+// Server serves the status of a node.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	node                 string
@@ -34,12 +51,12 @@
 	grpc                 *grpc.Server
 }
 
-// NewServer makes a server that hands on the cancellations that it hears of and tells what
-// status gives. heard is false where they could not be taken in.
-func NewServer(node string, heard func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
-	s := &Server{node: node, receiveCancellations: heard, status: status, grpc: grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(16),
-		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
+// NewServer makes a server that hands received cancellations on, and responds with the status. receiveCancellations is false
+// where they could not be taken in.
+func NewServer(node string, receiveCancellations func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
+	s := &Server{node: node, receiveCancellations: receiveCancellations, status: status, grpc: grpc.NewServer(
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.ReadBufferSize(socketBuffer), grpc.WriteBufferSize(socketBuffer),
 		grpc.InitialWindowSize(flowWindow), grpc.InitialConnWindowSize(flowWindow))}
 	peerpb.RegisterPeerServer(s.grpc, s)
 	return s
@@ -48,79 +65,113 @@
 // Registrar is where other services of the node's internal address are registered, before Serve.
 func (s *Server) Registrar() grpc.ServiceRegistrar { return s.grpc }
 
-// Serve answers on a listener until Stop.
-func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
+// Serve serves a listener until Stop.
+func (s *Server) Serve(listener net.Listener) error { return s.grpc.Serve(listener) }
 
 // Stop ends the server.
 func (s *Server) Stop() { s.grpc.Stop() }
 
 // Status implements the service.
-func (s *Server) Status(ctx context.Context, q *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	if cs := q.GetCancellations(); len(cs) > 0 {
-		items := make([]core.Cancellation, len(cs))
-		for i, x := range cs {
-			items[i] = core.Cancellation{Job: x.GetJob(), Value: x.GetValue(), Version: x.GetVersion()}
-		}
-		// An answer says that they are known from now on.
-		if !s.receiveCancellations(ctx, items) {
-			return nil, status.Error(codes.Unavailable, "not taken in")
-		}
+func (s *Server) Status(ctx context.Context, request *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
+	// A reply says that the cancellations are known from now on.
+	if cancellations := fromMessages(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
+		return nil, status.Error(codes.Unavailable, "not taken in")
+	}
+	return s.reply(s.status()), nil
+}
+
+// reply gives the status on the wire.
+func (s *Server) reply(current membership.Status) *peerpb.StatusReply {
+	age := int64(noHeartbeat)
+	if current.HeartbeatAge >= 0 {
+		age = current.HeartbeatAge.Milliseconds()
 	}
-	st := s.status()
-	age := int64(-1)
-	if st.HeartbeatAge >= 0 {
-		age = st.HeartbeatAge.Milliseconds()
+	return &peerpb.StatusReply{
+		Node:          s.node,
+		StateDown:     current.StoreDown,
+		Term:          current.Term,
+		Leads:         current.Leading,
+		ReportAgeMs:   age,
+		ZonesApart:    current.UnreachableZones,
+		Revision:      current.Revision,
+		Unsettled:     current.UnresolvedCancellations,
+		UnsettledMore: current.MoreUnresolved,
+		Layouts:       current.RecordLayouts,
+		KnowsPlans:    current.SupportsRollouts,
 	}
-	return &peerpb.StatusReply{Node: s.node, StateDown: st.StoreDown, Term: st.Term, Leads: st.Leading, ReportAgeMs: age, ZonesApart: st.UnreachableZones,
-		Revision: st.Revision, Unsettled: st.UnresolvedCancellations, UnsettledMore: st.MoreUnresolved, Layouts: st.RecordLayouts,
-		KnowsPlans: st.SupportsRollouts}, nil
 }
 
-// Client asks one other node.
+func fromMessages(messages []*peerpb.Cancellation) []core.Cancellation {
+	cancellations := make([]core.Cancellation, len(messages))
+	for i, message := range messages {
+		cancellations[i] = core.Cancellation{Job: message.GetJob(), Value: message.GetValue(), Version: message.GetVersion()}
+	}
+	return cancellations
+}
+
+func toMessages(cancellations []core.Cancellation) []*peerpb.Cancellation {
+	var messages []*peerpb.Cancellation
+	for _, c := range cancellations {
+		messages = append(messages, &peerpb.Cancellation{Job: c.Job, Value: c.Value, Version: c.Version})
+	}
+	return messages
+}
+
+// Client calls one other node.
 type Client struct {
-	self string
-	conn *grpc.ClientConn
-	rpc  peerpb.PeerClient
+	self       string
+	connection *grpc.ClientConn
+	rpc        peerpb.PeerClient
 }
 
-// NewClient makes a client of the node at an address; it connects when asked.
-func NewClient(self, addr string, patience time.Duration) (*Client, error) {
-	conn, err := grpc.NewClient("passthrough:///"+addr,
+// NewClient makes a client of the node at an address; it connects with the first call.
+func NewClient(self, addr string, callTimeout time.Duration) (*Client, error) {
+	connection, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
+		grpc.WithReadBufferSize(socketBuffer), grpc.WithWriteBufferSize(socketBuffer),
 		grpc.WithInitialWindowSize(flowWindow), grpc.WithInitialConnWindowSize(flowWindow),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: patience / 4, Multiplier: 1.5, Jitter: 0.2, MaxDelay: patience},
-			MinConnectTimeout: patience,
+			Backoff: backoff.Config{
+				BaseDelay:  callTimeout / callTimeoutsPerFirstBackoff,
+				Multiplier: backoffMultiplier,
+				Jitter:     backoffJitter,
+				MaxDelay:   callTimeout,
+			},
+			MinConnectTimeout: callTimeout,
 		}))
 	if err != nil {
 		return nil, err
 	}
-	return &Client{self: self, conn: conn, rpc: peerpb.NewPeerClient(conn)}, nil
+	return &Client{self: self, connection: connection, rpc: peerpb.NewPeerClient(connection)}, nil
 }
 
 // Conn is the connection, for other services of the node's internal address.
-func (c *Client) Conn() grpc.ClientConnInterface { return c.conn }
+func (c *Client) Conn() grpc.ClientConnInterface { return c.connection }
 
 // Close ends the connection.
-func (c *Client) Close() error { return c.conn.Close() }
+func (c *Client) Close() error { return c.connection.Close() }
 
-// Status asks the node for its status and hands it cancellations.
-func (c *Client) Status(ctx context.Context, items []core.Cancellation) (membership.Status, outcome.Outcome) {
-	q := &peerpb.StatusRequest{Node: c.self}
-	for _, it := range items {
-		q.Cancellations = append(q.Cancellations, &peerpb.Cancellation{Job: it.Job, Value: it.Value, Version: it.Version})
-	}
-	r, err := c.rpc.Status(ctx, q)
+// Status requests the node's status and replicates cancellations to it.
+func (c *Client) Status(ctx context.Context, cancellations []core.Cancellation) (membership.Status, outcome.Outcome) {
+	reply, err := c.rpc.Status(ctx, &peerpb.StatusRequest{Node: c.self, Cancellations: toMessages(cancellations)})
 	if err != nil {
 		return membership.Status{}, outcome.Unknown
 	}
-	st := membership.Status{StoreDown: r.GetStateDown(), Term: r.GetTerm(), Leading: r.GetLeads(), HeartbeatAge: -1, UnreachableZones: r.GetZonesApart(),
-		Revision: r.GetRevision(), UnresolvedCancellations: r.GetUnsettled(), MoreUnresolved: r.GetUnsettledMore(), RecordLayouts: r.GetLayouts(),
-		SupportsRollouts: r.GetKnowsPlans()}
-	if r.GetReportAgeMs() >= 0 {
-		st.HeartbeatAge = time.Duration(r.GetReportAgeMs()) * time.Millisecond
+	current := membership.Status{
+		StoreDown:               reply.GetStateDown(),
+		Term:                    reply.GetTerm(),
+		Leading:                 reply.GetLeads(),
+		HeartbeatAge:            noHeartbeat,
+		UnreachableZones:        reply.GetZonesApart(),
+		Revision:                reply.GetRevision(),
+		UnresolvedCancellations: reply.GetUnsettled(),
+		MoreUnresolved:          reply.GetUnsettledMore(),
+		RecordLayouts:           reply.GetLayouts(),
+		SupportsRollouts:        reply.GetKnowsPlans(),
+	}
+	if reply.GetReportAgeMs() >= 0 {
+		current.HeartbeatAge = time.Duration(reply.GetReportAgeMs()) * time.Millisecond
 	}
-	return st, outcome.OK
+	return current, outcome.OK
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,6 +1,7 @@
-// Package probe asks a replica's model server whether it is healthy, and has its answers judged by the checks of a
-// rollout plan. A model server serves the tasks of its machine at http://ADDRESS/TASK, with GET /health and, in the
-// field's usual form, POST /v1/completions.
+// Package probe checks the health of a replica's model server, and its responses by the checks of a rollout plan. A model server
+// serves the tasks of its machine at http://ADDRESS/TASK, with GET /health and, in the usual form, POST /v1/completions.
+//
+// It gives verdicts alone: what follows from them is decided elsewhere.
 package probe
 
 import (
@@ -24,13 +25,16 @@
 	CompletionsPath = "/v1/completions"
 )
 
-// maxAnswer bounds what is read of an answer, and mostCompiled the checks that are kept compiled.
+// maxResponseBytes bounds what is read of a response, and maxCompiledChecks the checks that are kept compiled.
 const (
 	maxResponseBytes  = 64 << 10
 	maxCompiledChecks = 1000
 )
 
-// Prober asks replicas.
+// idleTimeout is how long a connection to a replica is kept without use.
+const idleTimeout = 30 * time.Second
+
+// Prober probes replicas.
 type Prober struct {
 	http *http.Client
 
@@ -38,16 +42,22 @@
 	compiled map[string]*responsecheck.Check // by script; nil: it does not compile
 }
 
-// New makes a prober that keeps up to so many connections.
-func New(conns int) *Prober {
-	return &Prober{compiled: map[string]*responsecheck.Check{}, http: &http.Client{Transport: &http.Transport{
-		MaxIdleConns: conns, MaxConnsPerHost: conns, MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
+// New makes a prober with so many connections at most.
+func New(connections int) *Prober {
+	transport := &http.Transport{
+		MaxIdleConns:        connections,
+		MaxConnsPerHost:     connections,
+		MaxIdleConnsPerHost: 1,
+		IdleConnTimeout:     idleTimeout,
+		DisableCompression:  true,
+	}
+	return &Prober{compiled: map[string]*responsecheck.Check{}, http: &http.Client{Transport: transport}}
 }
 
-// errUnreachable says that a replica can't be asked.
+// errUnreachable says that a replica gave no usable response.
 var errUnreachable = errors.New("not reached")
 
-// Probe asks a replica, and gives the worst of what comes of it. A check that fails by itself proves nothing.
+// Probe probes a replica, and returns the worst verdict of all checks. A check that fails by itself proves nothing.
 func (p *Prober) Probe(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.ProbeResult {
 	if _, err := p.call(ctx, http.MethodGet, probe.Replica, HealthPath, nil); err != nil {
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
@@ -65,9 +75,9 @@
 	return worst
 }
 
-// check asks a replica what a check asks, and has the answer judged.
+// check sends a replica the request of a check, and returns the verdict on its response.
 func (p *Prober) check(ctx context.Context, probe rollout.Probe, check *rollout.Check) rollout.Verdict {
-	answer, err := p.call(ctx, http.MethodPost, probe.Replica, CompletionsPath, check.Request)
+	response, err := p.call(ctx, http.MethodPost, probe.Replica, CompletionsPath, check.Request)
 	if err != nil {
 		return rollout.NotReached
 	}
@@ -84,10 +94,10 @@
 	if compiled == nil {
 		return rollout.NotValidated
 	}
-	passes, err := compiled.Passes(ctx, check.Request, answer, expected)
+	passes, err := compiled.Passes(ctx, check.Request, response, expected)
 	switch {
-	case err != nil && !json.Valid(answer):
-		return rollout.Failed // it is no answer in the form at all
+	case err != nil && !json.Valid(response):
+		return rollout.Failed // it is no completion at all
 	case err != nil:
 		return rollout.NotValidated
 	case !passes:
@@ -96,7 +106,7 @@
 	return rollout.Passed
 }
 
-// compile gives a check's program; nil if it has none.
+// compile returns a compiled check; nil if it does not compile.
 func (p *Prober) compile(script string) *responsecheck.Check {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +121,7 @@
 	return compiled
 }
 
-// call makes a request to a replica and gives the answer's body.
+// call makes a request to a replica and returns the body of the response.
 func (p *Prober) call(ctx context.Context, method string, replica rollout.Replica, path string, body []byte) ([]byte, error) {
 	url := fmt.Sprintf("http://%s/%s%s", replica.Address, replica.Task, path)
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -124,9 +134,9 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
-	if err != nil || response.StatusCode != http.StatusOK || len(answer) > maxResponseBytes {
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil || response.StatusCode != http.StatusOK || len(data) > maxResponseBytes {
 		return nil, errUnreachable
 	}
-	return answer, nil
+	return data, nil
 }
--- a/internal/responsecheck/check.go
+++ b/internal/responsecheck/check.go
@@ -1,4 +1,4 @@
-// Package responsecheck judges answers of model servers with checks that operators write in Starlark. A check is
+// Package responsecheck judges responses of model servers with checks that operators write in Starlark. A check is
 // bounded in steps and time, reaches nothing outside itself, and passes only if it says so.
 package responsecheck
 
@@ -13,7 +13,7 @@
 	"go.starlark.net/syntax"
 )
 
-// mostSteps bounds what a check computes, and functionName is what it defines.
+// maxSteps bounds what a check computes. A check defines a function with a name and so many parameters.
 const (
 	maxSteps       = 1_000_000
 	functionName   = "check"
@@ -62,9 +62,9 @@
 // ErrNoVerdict says that a check has failed, or gave neither True nor False.
 var ErrNoVerdict = errors.New("the check gave no verdict")
 
-// Passes tells whether an answer is right. Each of the three is JSON. An error tells nothing of the answer; it
-// comes as well when the context ends.
-func (c *Check) Passes(ctx context.Context, request, answer, expected json.RawMessage) (bool, error) {
+// Passes tells whether a response is right. Each of the three is JSON. An error tells nothing of the response; it
+// is returned as well when the context ends.
+func (c *Check) Passes(ctx context.Context, request, response, expected json.RawMessage) (bool, error) {
 	thread := newThread()
 	stop := context.AfterFunc(ctx, func() { thread.Cancel("it took too long") })
 	defer stop()
@@ -72,15 +72,15 @@
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
-	args := make(starlark.Tuple, 0, parameterCount)
-	for _, text := range []json.RawMessage{request, answer, expected} {
+	arguments := make(starlark.Tuple, 0, parameterCount)
+	for _, text := range []json.RawMessage{request, response, expected} {
 		value, err := decode(thread, text)
 		if err != nil {
 			return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 		}
-		args = append(args, value)
+		arguments = append(arguments, value)
 	}
-	result, err := starlark.Call(thread, function, args, nil)
+	result, err := starlark.Call(thread, function, arguments, nil)
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
