--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"bitternwing/internal/config"
 	"bitternwing/internal/scheduling"
 	"bitternwing/internal/wire"
 )
@@ -27,12 +28,12 @@
 	if scheduling.ExceedsLimit(n*j.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(n*j.GPUs, team.MaxGPUs) {
 		return inadmissible
 	}
-	if c.catalog == nil {
+	if !c.catalog.known() {
 		return admissionUnknown
 	}
 	zones := map[string]bool{}
-	for i := range c.catalog {
-		t := &c.catalog[i]
+	for i := range c.catalog.types {
+		t := &c.catalog.types[i]
 		if !allowsType(j, t.Name) || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
 			continue
 		}
@@ -62,3 +63,13 @@
 	}
 	return false
 }
+
+// team gives the settings of a team; nil if there is no such team.
+func (c *Core) team(name string) *config.Team {
+	for i := range c.settings.Params.Teams {
+		if c.settings.Params.Teams[i].Name == name {
+			return &c.settings.Params.Teams[i]
+		}
+	}
+	return nil
+}
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -94,7 +94,7 @@
 }
 
 func (l *leader) fleet() fleetView {
-	return fleetView{catalog: l.core.catalog, index: l.capacityIndex}
+	return fleetView{catalog: l.core.catalog.types, index: l.capacityIndex}
 }
 
 // machineType gives a type by name; nil if there is none.
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -30,7 +30,7 @@
 		Term:   election.TermView{Number: term.Number, Node: term.Node, Version: cache.TermVersion()}}
 }
 
-func (h electionHost) StoreDown() bool { return h.core.storeDown }
+func (h electionHost) StoreDown() bool { return h.core.storeHealth.down }
 
 func (h electionHost) CandidacyBlocked() string {
 	if h.quotasDividedElsewhere() {
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -71,7 +71,7 @@
 		authority = "all nodes refused"
 	}
 	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", p.machine.fence.Token(),
-		"term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeDown)
+		"term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeHealth.down)
 }
 
 // startable tells whether a task is committed and is to start.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -39,7 +39,7 @@
 
 // handleHeartbeatWithoutAuthority responds for a leader that may not.
 func (c *Core) handleHeartbeatWithoutAuthority(in WorkerHeartbeat) {
-	if len(in.Heartbeat.Tasks) > 0 && c.storeDown && c.leaseRelay.renewDuringStoreOutage(in) {
+	if len(in.Heartbeat.Tasks) > 0 && c.storeHealth.down && c.leaseRelay.renewDuringStoreOutage(in) {
 		return
 	}
 	c.respond(in.RequestID, 421, wire.Redirect{})
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -19,7 +19,7 @@
 func (l *leader) holdResponse(requestID uint64, heartbeat *wire.Heartbeat, token uint64, response *leaseResponse) bool {
 	c := l.core
 	m := l.machines[heartbeat.Machine]
-	if !c.operator.PaceHeartbeats || m == nil || c.storeDown || m.heldResponse != nil {
+	if !c.operator.PaceHeartbeats || m == nil || c.storeHealth.down || m.heldResponse != nil {
 		return false
 	}
 	if len(response.commands) > 0 || token != heartbeat.FencingToken || !l.mayHold(m, heartbeat) {
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -23,7 +23,7 @@
 
 func (h *imageHints) run() {
 	l, c := h.leader, h.leader.core
-	if h.inFlight || c.storeDown {
+	if h.inFlight || c.storeHealth.down {
 		return
 	}
 	if due := h.nextWrite + c.times.lease/2; c.now.Steady < due {
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -46,7 +46,7 @@
 		return
 	}
 	l.applyArrivals()
-	if c.now.Steady < p.nextCheck || !c.election.LeaseValid() || c.storeDown {
+	if c.now.Steady < p.nextCheck || !c.election.LeaseValid() || c.storeHealth.down {
 		c.wakeBy(p.nextCheck)
 		return
 	}
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -117,7 +117,7 @@
 	}
 	l.cached = cached
 	u.comparisons = append(u.comparisons, l)
-	if !l.batchable || u.core.storeDown {
+	if !l.batchable || u.core.storeHealth.down {
 		u.nextCompare = min(u.nextCompare, u.lastCompare+u.core.times.minCompareGap)
 	}
 }
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -44,7 +44,7 @@
 // leadingPeer gives the other node that leads, as far as this node knows.
 func (r *leaseRelay) leadingPeer() *membership.Peer {
 	c := r.core
-	if c.leader != nil || !c.cache.HasLeader() || c.cache.Leader().Node == c.settings.Node || c.storeDown {
+	if c.leader != nil || !c.cache.HasLeader() || c.cache.Leader().Node == c.settings.Node || c.storeHealth.down {
 		return nil
 	}
 	return c.members.Peer(c.cache.Leader().Node)
@@ -84,7 +84,7 @@
 	switch {
 	case len(in.Heartbeat.Tasks) == 0:
 		return false // there is nothing to keep alive
-	case r.core.storeDown:
+	case r.core.storeHealth.down:
 		return r.renewDuringStoreOutage(in)
 	case r.leadershipVacant():
 		r.renewDuringVacancy(in)
@@ -187,7 +187,7 @@
 // cancellationReplicator).
 func (r *leaseRelay) renewDuringStoreOutage(in WorkerHeartbeat) bool {
 	c, heartbeat := r.core, in.Heartbeat
-	isolated := c.members.OwnZoneIsolated(c.now.Steady, c.storeDown)
+	isolated := c.members.OwnZoneIsolated(c.now.Steady, c.storeHealth.down)
 	if isolated && heartbeat.Zone != c.settings.Zone {
 		r.servesOtherZone = true
 	}
@@ -211,7 +211,7 @@
 
 // run keeps the knowledge of the leader's term fresh while it is needed, and writes the relayed heartbeats.
 func (r *leaseRelay) run() {
-	r.servesOtherZone = r.servesOtherZone && r.core.storeDown
+	r.servesOtherZone = r.servesOtherZone && r.core.storeHealth.down
 	r.confirmTerm()
 	r.dropExpired()
 	r.writeWhenDue()
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -51,7 +51,7 @@
 func (c *Core) peerQueryInterval(p *membership.Peer) time.Duration {
 	status := p.Status()
 	bothFollow := c.leader == nil && !status.Leading
-	bothServed := !c.storeDown && !status.StoreDown
+	bothServed := !c.storeHealth.down && !status.StoreDown
 	if bothFollow && bothServed && p.Reachable() && c.members.Leader(c.now.Steady) != "" {
 		return followerQueryFactor * c.times.checkInterval
 	}
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -145,7 +145,7 @@
 	f := &drawnFleet{T: t, l: l, types: []*wire.MachineType{
 		{Name: "g4", GPUs: 4, CPUs: 16, MemoryGB: 64, CacheGB: 8, FetchGBPerS: 0.2}, {Name: "g2", GPUs: 2, CPUs: 16, MemoryGB: 16, CacheGB: 8, FetchGBPerS: 0.5}, {Name: "c8", CPUs: 8, MemoryGB: 32, CacheGB: 8}}}
 	for _, mt := range f.types {
-		c.catalog = append(c.catalog, *mt)
+		c.catalog.types = append(c.catalog.types, *mt)
 	}
 	rates := []float64{0, 0.001, 0.02, 1}
 	c.operator.Spread = config.Spread{Enabled: f.chance("places are weighed", 2), ZoneLossesPerDay: rapid.SampledFrom(rates).Draw(t, "zone losses"),
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -195,7 +195,7 @@
 			m := l.machineNamed(name)
 			m.requestedAt, m.requestedHere = r.SentAt, true
 			m.setIdentity(q.Type, q.Zone, "", q.Spot)
-			m.setType(c.machineType(q.Type))
+			m.setType(c.catalog.machineType(q.Type))
 		}
 		if len(r.MachineNames) < q.count {
 			t.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -30,7 +30,7 @@
 // delivery, which the receiver knows already.
 func (a *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
 	c := a.leader.core
-	if t.writeInFlight || t.account == nil || !a.mayWrite() || !c.election.LeaseValid() || c.storeDown {
+	if t.writeInFlight || t.account == nil || !a.mayWrite() || !c.election.LeaseValid() || c.storeHealth.down {
 		return
 	}
 	if next := t.account.Acknowledge(to, number); next != t.account {
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -135,7 +135,7 @@
 	}
 	a.nextCheck = c.now.Steady + c.times.timerCoalescing
 	c.wakeBy(a.nextCheck)
-	mayWrite := c.election.LeaseValid() && !c.storeDown
+	mayWrite := c.election.LeaseValid() && !c.storeHealth.down
 	needs := a.demands()
 	for _, t := range a.ordered {
 		if !mayWrite {
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -46,7 +46,7 @@
 // late, after the change, would else tell of tasks what newer ones don't.
 func (l *leader) migrateLayout() {
 	c, x := l.core, &l.layoutMigration
-	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.members.AllSupportRecordLayout(recordLayoutByTask) || c.storeDown || !c.election.LeaseValid() {
+	if l.recordLayout.ByTask > 0 || !c.limits.valuesShrink() || !c.members.AllSupportRecordLayout(recordLayoutByTask) || c.storeHealth.down || !c.election.LeaseValid() {
 		x.requested = x.inFlight
 		return
 	}
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -14,7 +14,7 @@
 func (r *leaseRelay) writeWhenDue() {
 	c := r.core
 	nothingToWrite := len(r.order) == 0 && r.shards == 0
-	if r.writeInFlight || nothingToWrite || c.storeDown {
+	if r.writeInFlight || nothingToWrite || c.storeHealth.down {
 		return
 	}
 	if c.now.Steady < r.nextWrite {
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -173,7 +173,7 @@
 			l.writer.queueCancel(j)
 		}
 	}
-	if c.storeDown || !c.election.LeaseValid() {
+	if c.storeHealth.down || !c.election.LeaseValid() {
 		c.refuseJoins(run.joinRequests)
 		run.joinRequests = nil
 		return
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -19,7 +19,7 @@
 func (l *leader) refreshCapacityIndex() {
 	for _, m := range l.machinesByName {
 		if m.machineType == nil {
-			m.setType(l.core.machineType(m.typeName))
+			m.setType(l.core.catalog.machineType(m.typeName))
 		}
 		switch usable := l.acceptsTasks(m); {
 		case !usable && m.schedulable != nil:
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -29,7 +29,7 @@
 func (c *Core) Status(now time.Duration) Status {
 	s := Status{TermsLed: c.election.TermsLed(), Load: c.timerLoad.Level(now), Term: c.cache.Term().Number,
 		LeaseRenewals: c.leaseRenewals.responses, CancelledStops: c.leaseRenewals.stops,
-		Revision: c.readRevision(), StoreDown: c.storeDown}
+		Revision: c.readRevision(), StoreDown: c.storeHealth.down}
 	if c.leader != nil {
 		c.leader.addStatus(&s, now)
 	}
@@ -52,7 +52,7 @@
 
 // PeerStatus is what this controller says of itself to the others.
 func (c *Core) PeerStatus() membership.Status {
-	s := membership.Status{StoreDown: c.storeDown || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1,
+	s := membership.Status{StoreDown: c.storeHealth.down || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1,
 		Revision: c.readRevision(), RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
 	if c.leader != nil {
 		s.Leading = true
@@ -81,11 +81,11 @@
 	if c.shedding {
 		return false
 	}
-	if !c.cache.Ready() || c.catalog == nil {
+	if !c.cache.Ready() || !c.catalog.known() {
 		// Started during an outage for all: healthy like the others.
-		return c.storeDown && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
+		return c.storeHealth.down && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
-	if !c.storeDown || c.now.Steady-c.storeServedAt < c.times.checkInterval {
+	if !c.storeHealth.down || c.storeHealth.servedLately() {
 		return true
 	}
 	return c.storeOutageConfirmed()
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -112,13 +112,13 @@
 	c := w.core
 	switch r.Outcome {
 	case outcome.OK:
-		c.observeStoreOutcome(r.Outcome)
+		c.storeHealth.observe(r.Outcome)
 		c.applyChanges(r.Changes)
 	case outcome.TooOld, outcome.TooLarge:
 		// The same watch would bring the same and more: the keys are listed anew.
 		w.listing = watchcache.NewListing()
 	case outcome.Unavailable:
-		c.observeStoreOutcome(r.Outcome)
+		c.storeHealth.observe(r.Outcome)
 		w.retryAt = c.now.Steady + c.times.retryPause
 	default:
 		w.retryAt = c.now.Steady + c.times.retryPause
--- a/internal/core/task_counts.go
+++ b/internal/core/task_counts.go
@@ -10,7 +10,7 @@
 // most every other report interval and only with writes to spare.
 func (w *writer) writeCounts() {
 	l, c := w.leader, w.leader.core
-	if w.countsInFlight || c.storeDown {
+	if w.countsInFlight || c.storeHealth.down {
 		return
 	}
 	if due := c.coalesce(w.nextCounts + 2*c.times.heartbeatInterval); c.now.Steady < due {
@@ -61,10 +61,10 @@
 // down.
 func (w *writer) writeCatalog() {
 	l, c := w.leader, w.leader.core
-	if w.catalogInFlight || c.catalog == nil || c.cache.Catalog() != nil || c.storeDown {
+	if w.catalogInFlight || !c.catalog.known() || c.cache.Catalog() != nil || c.storeHealth.down {
 		return
 	}
-	value, err := stored.EncodeCatalog(c.catalog)
+	value, err := stored.EncodeCatalog(c.catalog.types)
 	if err != nil || len(value) > c.limits.maxValueBytes() {
 		return
 	}
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -59,7 +59,7 @@
 	if l.writer.inFlight > 0 || l.layoutMigration.requested {
 		return false
 	}
-	return !c.storeDown && c.election.LeaseValid()
+	return !c.storeHealth.down && c.election.LeaseValid()
 }
 
 // termFormatWrite is the write of a term in another format.
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -21,7 +21,7 @@
 
 func (s *unreachableHints) run() {
 	l, c := s.leader, s.leader.core
-	if s.inFlight || c.storeDown || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
+	if s.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
 		return
 	}
 	if c.now.Steady < s.nextWrite {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -77,7 +77,7 @@
 	if w.leader.layoutMigration.requested || w.leader.termUpgrade.pending() {
 		return
 	}
-	for w.inFlight < 2 && !c.storeDown {
+	for w.inFlight < 2 && !c.storeHealth.down {
 		if need := w.minOps(); w.rateTokens < need {
 			w.wakeAt(need)
 			return
