--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -6,7 +6,6 @@
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
-	"bitternwing/internal/wire"
 )
 
 // queueCancel has a job cancelled that needs a cancelled one.
@@ -23,10 +22,10 @@
 }
 
 // addCancels adds the cancellations of jobs that need a cancelled one.
-func (w *writer) addCancels(b *writeBatch, ops int) {
+func (w *writer) addCancels(b *writeBatch) {
 	l, c := w.leader, w.leader.core
 	n := 0
-	for ; n < len(w.cancels) && len(b.txn.Then) < ops; n++ {
+	for ; n < len(w.cancels) && b.hasRoom(1); n++ {
 		j := w.cancels[n]
 		e := c.cache.Job(j.id)
 		if l.jobs[j.id] != j || j.cancelled || e == nil {
@@ -40,8 +39,7 @@
 		}
 		key := stored.JobKey(j.id)
 		b.addCondition(key, e.Version)
-		b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
-		b.size += len(value) + 128
+		b.put(key, value)
 		b.cancels = append(b.cancels, cancelledJob{j, value})
 	}
 	w.cancels = append(w.cancels[:0], w.cancels[n:]...)
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -1,92 +1,51 @@
 package core
 
 import (
-	"encoding/json"
 	"time"
 
-	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
-	"bitternwing/internal/wire"
 )
 
-// Workers don't report which images they have. The leader remembers what it placed
-// where, and keeps it in the state service as a hint for its successors; being
-// wrong costs a fetch and breaks nothing.
-
+// imageHints writes which images the leader believes to be on which machines, as hints for the next leader: workers don't
+// report their images.
 type imageHints struct {
 	leader    *leader
+	shards    shardWriter
 	nextWrite time.Duration
-	inFlight  bool
-	written   map[string]string // by key, as written
-	shards    int               // keys in use
 }
 
+// run writes the hints that have changed, every half of the workers' lease.
 func (h *imageHints) run() {
 	l, c := h.leader, h.leader.core
-	if h.inFlight || c.storeHealth.down {
+	if h.shards.inFlight || c.storeHealth.down {
 		return
 	}
-	if due := h.nextWrite + c.times.lease/2; c.now.Steady < due {
+	interval := c.times.lease / 2
+	if due := h.nextWrite + interval; c.now.Steady < due {
 		c.wakeBy(due)
 		return
 	}
-	if l.writer.rateTokens < l.writer.rate()/2 {
+	if !l.writer.mayWriteHints() {
 		return
 	}
 	h.nextWrite = c.now.Steady
-	values, err := h.encode(l.machinesByName)
-	if err != nil {
-		return
-	}
-	txn := wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}}}
-	for i, value := range values {
-		k := stored.ImageHintKey(i)
-		if string(value) == h.written[k] || string(value) == stored.EmptyImageHints && h.written[k] == "" {
-			continue
-		}
-		txn.Then = append(txn.Then, wire.Op{Put: k, Value: value})
-		if len(txn.Then) >= c.maxValuesPerTxn() {
-			h.nextWrite = c.now.Steady - c.times.lease/2 + c.times.checkInterval // the rest goes next
-			break
-		}
-	}
-	if len(txn.Then) == 0 {
-		return
-	}
-	l.writer.rateTokens -= float64(len(txn.Then))
-	h.inFlight = true
-	id := l.registerStoreCall(func(r Result) {
-		h.inFlight = false
-		if r.Outcome == outcome.OK {
-			for _, op := range txn.Then {
-				h.written[op.Put] = string(op.Value)
-			}
-		}
-	})
-	c.emit(StoreTxn{CallID: id, Txn: txn})
-}
-
-// encode gives the images of all machines, in as many values as the fleet needs.
-func (h *imageHints) encode(fleet []*machine) ([]json.RawMessage, error) {
-	packer := stored.NewImageHintPacker(h.leader.core.maxValueBytes())
-	for _, m := range fleet {
+	packer := stored.NewImageHintPacker(c.maxValueBytes())
+	for _, m := range l.machinesByName {
 		if names := m.images.names(); len(names) > 0 {
 			packer.Add(m.name, names)
 		}
 	}
 	values, err := packer.Encode()
 	if err != nil {
-		return nil, err
+		return
 	}
-	for len(values) < h.shards {
-		values = append(values, json.RawMessage(stored.EmptyImageHints)) // a smaller fleet empties the rest
+	if full := h.shards.write(values); full {
+		h.nextWrite = c.now.Steady - interval + c.times.checkInterval // the rest goes soon
 	}
-	h.shards = max(h.shards, len(values))
-	return values, nil
 }
 
-// applyImageHints gives a machine, when first seen in this term, the images that the last
-// leader knew of.
+// applyImageHints has a machine that is first seen in this term have the images that the leader before believed to be on
+// it.
 func (l *leader) applyImageHints(m *machine) {
 	for _, name := range l.core.cache.Images(m.name) {
 		image := newCachedImage(name, l.imageGB(name))
@@ -100,6 +59,7 @@
 	}
 }
 
+// imageGB returns the size of an image, from a job that uses it; 0 if none does.
 func (l *leader) imageGB(name string) float64 {
 	for _, j := range l.queue {
 		if j.spec.Image == name {
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -9,20 +9,41 @@
 	"bitternwing/internal/wire"
 )
 
+// queueEnd has a job's final state written.
 func (w *writer) queueEnd(j *job) { w.endings = append(w.endings, j) }
 
-// endWrites is what the end of a job takes at least: its final state is put, its key deleted.
-const endWrites = 2
+// endChanges is what the end of a job takes at least: its final state is put, its key deleted.
+const endChanges = 2
 
-// addEnd adds a job's end: its final state is put, its other keys go. Records
-// that don't fit any more are left to be swept as orphans.
-func (w *writer) addEnd(b *writeBatch, j *job, ops int) bool {
+// endChangeBytes is what each change of a job's end takes in the body, about.
+const endChangeBytes = 256
+
+// addEndings adds the ends of jobs.
+func (w *writer) addEndings(b *writeBatch) {
+	var later []*job
+	for i, j := range w.endings {
+		if w.leader.jobs[j.id] != j {
+			continue
+		}
+		if !b.hasRoom(endChanges) {
+			later = append(later, w.endings[i:]...)
+			break
+		}
+		if !w.addEnd(b, j) {
+			later = append(later, j)
+		}
+	}
+	w.endings = later
+}
+
+// addEnd adds a job's end: its final state is put, its other keys go. Records that don't fit any more are deleted as
+// orphans. It returns false if the version of a record is not known yet.
+func (w *writer) addEnd(b *writeBatch, j *job) bool {
 	for _, ch := range j.chunks {
 		if ch.inFlight || ch.rereadInFlight {
 			return false
 		}
 	}
-	records := w.leader.recordKeys(j)
 	j.finalState = stored.FinalState{State: wire.JobDone, Done: j.done, EndedMS: w.leader.core.now.WallMS}
 	if j.cancelled {
 		j.finalState.State = wire.JobCancelled
@@ -33,18 +54,18 @@
 	}
 	b.addCondition(stored.JobKey(j.id), j.version)
 	b.txn.Then = append(b.txn.Then, wire.Op{Put: stored.FinalStateKey(j.id), Value: value}, wire.Op{Delete: stored.JobKey(j.id)})
+	records := w.leader.recordKeys(j)
 	for _, r := range records {
-		if len(b.txn.Then) < ops && len(b.txn.If)+2 < w.leader.core.limits.maxConditions() {
-			b.addCondition(r.Key, r.Version)
-			b.txn.Then = append(b.txn.Then, wire.Op{Delete: r.Key})
+		if b.hasRoom(1) && len(b.txn.If)+2 < w.leader.core.limits.maxConditions() {
+			b.delete(r.Key, r.Version)
 		}
 	}
-	b.size += 256 * (2 + len(records))
+	b.size += endChangeBytes * (endChanges + len(records))
 	b.endings = append(b.endings, j)
 	return true
 }
 
-// applyEndResult takes what became of the end of a job.
+// applyEndResult takes what became of the write of a job's end.
 func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failed map[string]bool) {
 	switch {
 	case r.Outcome == outcome.OK:
@@ -65,16 +86,12 @@
 	}
 }
 
-// completeEnd drops a job whose end is written, and sweeps the records that did not fit into that
-// transaction.
+// completeEnd drops a job whose end is written, and has the records deleted that did not fit into that transaction.
 func (w *writer) completeEnd(j *job, b *writeBatch) {
 	l, c := w.leader, w.leader.core
 	c.cacheFinalState(j.id, j.finalState)
-	for _, r := range l.recordKeys(j) {
-		if !b.conditions[r.Key] {
-			w.deleteOrphan(r.Key, r.Version)
-		}
-	}
+	left := slices.DeleteFunc(l.recordKeys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
+	w.deleteOrphans(left)
 	l.dropJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
 	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
@@ -82,28 +99,26 @@
 
 // rereadJob finds out what became of a job's key without waiting for the watch.
 func (w *writer) rereadJob(j *job) {
-	l, c := w.leader, w.leader.core
-	id := l.registerStoreCall(func(r Result) {
-		switch r.Outcome {
-		case outcome.OK:
-			c.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
-			l.applyJobChange(j.id)
-			if j.ending {
-				w.queueEnd(j)
-			}
-		case outcome.NotFound:
-			// Its end, whose outcome was unknown, was applied.
-			if j.ending && l.jobs[j.id] == j {
-				for _, r := range l.recordKeys(j) {
-					w.deleteOrphan(r.Key, r.Version)
-				}
-				l.dropJob(j)
-			}
-		default:
-			if j.ending {
-				w.queueEnd(j)
-			}
+	id := w.leader.registerStoreCall(func(r Result) { w.applyReread(j, r) })
+	w.leader.core.emit(StoreGet{CallID: id, Key: stored.JobKey(j.id)})
+}
+
+// applyReread takes a job's key as it was read, and goes on with the job's end.
+func (w *writer) applyReread(j *job, r Result) {
+	l := w.leader
+	if r.Outcome == outcome.NotFound {
+		// Its end, whose outcome was unknown, was applied.
+		if j.ending && l.jobs[j.id] == j {
+			w.deleteOrphans(l.recordKeys(j))
+			l.dropJob(j)
 		}
-	})
-	c.emit(StoreGet{CallID: id, Key: stored.JobKey(j.id)})
+		return
+	}
+	if r.Outcome == outcome.OK {
+		l.core.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
+		l.applyJobChange(j.id)
+	}
+	if j.ending {
+		w.queueEnd(j)
+	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -5,6 +5,7 @@
 
 	"bitternwing/internal/capacity"
 	"bitternwing/internal/record"
+	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
 )
 
@@ -73,7 +74,7 @@
 	l.provisioner.init(l)
 	l.cycles.nextAt = c.now.Steady
 	l.unreachable = unreachableHints{leader: l, nextWrite: c.now.Steady + c.times.checkInterval}
-	l.images = imageHints{leader: l, nextWrite: c.now.Steady, written: map[string]string{}}
+	l.images = imageHints{leader: l, nextWrite: c.now.Steady, shards: newShardWriter(l, stored.ImageHintKey)}
 	return l
 }
 
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -16,7 +16,7 @@
 
 // mayWrite tells whether one more account may be written now.
 func (a *quotaManager) mayWrite() bool {
-	return a.inFlight < maxAccountWrites && a.leader.writer.rateTokens >= 1
+	return a.inFlight < maxAccountWrites && a.leader.writer.mayWriteOne()
 }
 
 // writeNextChange commits the first change that an account waits for: the beginning, transfers that came in, requests of others.
@@ -86,7 +86,7 @@
 	a.inFlight++
 	t.indeterminate = append(t.indeterminate, next)
 	a.refreshEffective(t)
-	l.writer.rateTokens--
+	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
 		a.inFlight--
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -353,7 +353,7 @@
 	}
 	run.writeInFlight = true
 	run.noteDropped(current.Record, next)
-	l.writer.rateTokens--
+	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, value)
@@ -418,7 +418,7 @@
 // removePlan forgets a plan that has ended a while ago.
 func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
-	l.writer.rateTokens--
+	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, nil)
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -187,7 +187,7 @@
 	name := in.Plan.Name
 	l.rollouts.uncommitted[name] = record
 	l.refreshHoldsOf(in.Plan.New.Jobs)
-	l.writer.rateTokens--
+	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		switch {
 		case r.Outcome == outcome.OK:
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -110,17 +110,16 @@
 // applyResult takes the outcome of a watch.
 func (w *storeWatch) applyResult(r Result) {
 	c := w.core
+	if r.Outcome == outcome.OK || r.Outcome == outcome.Unavailable {
+		c.storeHealth.observe(r.Outcome)
+	}
 	switch r.Outcome {
 	case outcome.OK:
-		c.storeHealth.observe(r.Outcome)
 		c.applyChanges(r.Changes)
 	case outcome.TooOld, outcome.TooLarge:
 		// The same watch would bring the same and more: the keys are listed anew.
 		w.listing = watchcache.NewListing()
-	case outcome.Unavailable:
-		c.storeHealth.observe(r.Outcome)
-		w.retryAt = c.now.Steady + c.times.retryPause
-	default:
+	case outcome.Unknown, outcome.Unavailable, outcome.Conflict, outcome.NotFound, outcome.Invalid, outcome.Dropped:
 		w.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -16,9 +16,13 @@
 	leader    *leader
 	nextWrite time.Duration
 	inFlight  bool
-	written   []string // as written, a value for each key
+	written   []string // the values as they were written, by shard
 }
 
+// lastHeardPrecisionMS is the precision of the times, so that a machine's stays the same from one write to the next.
+const lastHeardPrecisionMS = 100
+
+// run writes the hints that have changed.
 func (s *unreachableHints) run() {
 	l, c := s.leader, s.leader.core
 	if s.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
@@ -37,7 +41,7 @@
 	if len(ops) == 0 {
 		return
 	}
-	l.writer.rateTokens -= float64(len(ops))
+	l.writer.spend(len(ops))
 	s.inFlight = true
 	id := l.registerStoreCall(func(r Result) {
 		s.inFlight = false
@@ -45,67 +49,68 @@
 			s.written = after
 		}
 	})
-	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}}, Then: ops}})
+	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{l.termCondition()}, Then: ops}})
 }
 
-// encode gives the hints as they are to be written, a value for each key.
+// encode returns the hints as they are to be written, by shard.
 func (s *unreachableHints) encode() ([]string, error) {
 	l, c := s.leader, s.leader.core
 	packer := stored.NewUnreachableHintPacker(c.maxValueBytes())
 	for _, m := range l.machinesByName {
-		quiet := c.now.Steady - m.lastHeardDirectlyOrRelayed()
-		if _, many := l.silentZones[m.zone]; !many || m.releasing || quiet < c.times.lease/3 {
+		silence := c.now.Steady - m.lastHeardDirectlyOrRelayed()
+		if _, zoneSilent := l.silentZones[m.zone]; !zoneSilent || m.releasing || silence < c.times.lease/3 {
 			continue
 		}
-		packer.Add(m.name, (c.now.WallMS-quiet.Milliseconds())/100*100) // rounded, so that it stays the same
+		lastHeardMS := c.now.WallMS - silence.Milliseconds()
+		packer.Add(m.name, lastHeardMS/lastHeardPrecisionMS*lastHeardPrecisionMS)
 	}
 	values, err := packer.Encode()
 	if err != nil {
 		return nil, err
 	}
-	texts := make([]string, len(values))
+	hints := make([]string, len(values))
 	for i, value := range values {
-		texts[i] = string(value)
+		hints[i] = string(value)
 	}
-	return texts, nil
+	return hints, nil
 }
 
-// changes gives what has to be written, as much as a transaction holds, and what stands in the state service
-// after it: the rest goes with the next one. Keys are added from the first on and taken away from the last on, so
-// that those in use have no gap.
+// changes returns what has to be written, as much as a transaction holds, and what the store holds after it: the rest goes
+// with the next one. Shards are added after the last one and deleted from the last one on, so that those in use have no
+// gap.
 func (s *unreachableHints) changes(next []string) (ops []wire.Op, after []string) {
 	after = slices.Clone(s.written)
-	most := s.leader.core.maxValuesPerTxn()
-	for len(after) > len(next) && len(ops) < most {
+	maxOps := s.leader.core.maxValuesPerTxn()
+	for len(after) > len(next) && len(ops) < maxOps {
 		after = after[:len(after)-1]
 		ops = append(ops, wire.Op{Delete: stored.UnreachableHintKey(len(after))})
 	}
-	for part, text := range next {
-		if len(ops) >= most || part < len(after) && after[part] == text {
+	for shard, value := range next {
+		if len(ops) >= maxOps || shard < len(after) && after[shard] == value {
 			continue
 		}
-		if part == len(after) {
+		if shard == len(after) {
 			after = append(after, "")
 		}
-		after[part] = text
-		ops = append(ops, wire.Op{Put: stored.UnreachableHintKey(part), Value: json.RawMessage(text)})
+		after[shard] = value
+		ops = append(ops, wire.Op{Put: stored.UnreachableHintKey(shard), Value: json.RawMessage(value)})
 	}
 	return ops, after
 }
 
-// lastHeardByPredecessor gives when a machine that is new to this leader was last heard, as far as
-// the last one told.
+// lastHeardByPredecessor returns when a machine that is new to this leader was last heard, as far as the leader before it
+// wrote that.
 func (l *leader) lastHeardByPredecessor(name string) time.Duration {
 	now := l.core.now
-	at, told := l.core.cache.LastHeardMS(name)
-	if !told {
+	lastHeardMS, known := l.core.cache.LastHeardMS(name)
+	if !known {
 		return now.Steady
 	}
-	ago := time.Duration(now.WallMS-at)*time.Millisecond - 2*l.core.clockError()
-	return now.Steady - max(0, ago)
+	silence := time.Duration(now.WallMS-lastHeardMS)*time.Millisecond - 2*l.core.clockError()
+	return now.Steady - max(0, silence)
 }
 
-// clockError is what the time of day of a node may be off.
+// clockError is how much the time of day of a node may be off.
 func (c *Core) clockError() time.Duration {
 	return time.Duration(c.settings.Params.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -1,84 +1,96 @@
 package core
 
 import (
-	"slices"
 	"time"
 
-	"bitternwing/internal/config"
 	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/wire"
 )
 
-// writer brings what the leader decided into the state service, many changes to a
-// transaction and within the write rate. Each transaction is conditional on the
-// term, and on the version of each key that it changes: one that is applied late
-// changes nothing.
+// writer brings what the leader decided into the key-value store, many changes to a transaction and within the write rate.
+// Each transaction is a compare-and-swap: it is conditional on the term, which fences off earlier leaders, and on the
+// version of each key that it changes. One that is applied late changes nothing.
 type writer struct {
 	leader    *leader
-	dirty     []*recordChunk
-	endings   []*job
-	cancels   []*job // that need a cancelled job
+	dirty     []*recordChunk // whose records have to be written
+	endings   []*job         // whose final states have to be written
+	cancels   []*job         // to be cancelled with a job that they depend on
 	orphans   []wire.Condition
 	inFlight  int
-	notBefore time.Duration // after a transaction above the service's rate
+	notBefore time.Duration // no transaction before this, after one above the store's rate
+	budget    ratelimit.Bucket
 
-	rateTokens float64
-	refilledAt time.Duration
-
-	nextCounts       time.Duration
-	countsInFlight   bool
-	countsWritten    map[string]string
-	countShardsInUse int // shards that were needed at some time
-	catalogInFlight  bool
+	counts          shardWriter
+	nextCounts      time.Duration
+	catalogInFlight bool
 }
 
+// maxTxnsInFlight is how many transactions are on their way at a time.
+const maxTxnsInFlight = 2
+
+// leaderWriteShare is the leader's part of the write rate. The rest is left to submissions and cancellations at all nodes.
+const leaderWriteShare = 0.6
+
+// throttleLeases is for how many of workers' leases writes keep to the rate that is to come, after one was above the
+// store's rate.
+const throttleLeases = 6
+
 func (w *writer) init(l *leader) {
 	w.leader = l
-	w.countsWritten = map[string]string{}
-	w.refilledAt = l.core.now.Steady
-	w.rateTokens = w.rate()
+	w.counts = newShardWriter(l, stored.TaskCountKey)
+	w.budget = ratelimit.NewBucket(w.rate(), l.core.now.Steady)
 }
 
-// rate leaves a part of the writes to submissions and cancels at all nodes.
+// rate returns how many changes a second the leader may write.
 func (w *writer) rate() float64 {
-	return 0.6 * w.leader.core.limits.writesPerSecond(w.leader.core.now.Steady)
+	c := w.leader.core
+	return leaderWriteShare * c.limits.writesPerSecond(c.now.Steady)
 }
 
-func (l *leader) markDirty(ch *recordChunk) {
-	l.observedChanges++
-	if !ch.dirty {
-		ch.dirty = true
-		l.writer.dirty = append(l.writer.dirty, ch)
-	}
-}
+// spend takes changes from the write budget. It may go into debt, which later changes wait for.
+func (w *writer) spend(changes int) { w.budget.Spend(float64(changes)) }
+
+// mayWriteOne reports whether the budget has a change left.
+func (w *writer) mayWriteOne() bool { return w.budget.Tokens() >= 1 }
+
+// mayWriteHints reports whether the budget has enough left for what nobody waits for.
+func (w *writer) mayWriteHints() bool { return w.budget.Tokens() >= w.urgentReserve() }
 
-// persisted tells whether all that is known about a chunk is in the state service.
-func (ch *recordChunk) persisted() bool { return !ch.dirty && !ch.inFlight }
+// urgentReserve is what hints and records of idle-priority jobs leave to all other writes: a huge array of short tasks
+// always has more to write than the rate allows.
+func (w *writer) urgentReserve() float64 { return w.rate() / 2 }
 
-func (w *writer) deleteOrphan(key string, version uint64) {
-	w.orphans = append(w.orphans, wire.Condition{Key: key, Version: version})
+// minChanges is what a transaction has to be able to write. Where writes are scarce the end of a job would never find its
+// two at once, were records of tasks to take each as it comes.
+func (w *writer) minChanges() float64 {
+	if len(w.endings) > 0 {
+		return endChanges
+	}
+	return 1
 }
 
-func (w *writer) refill() {
-	now := w.leader.core.now.Steady
-	w.rateTokens = min(max(w.rate(), endWrites), w.rateTokens+w.rate()*(now-w.refilledAt).Seconds())
-	w.refilledAt = now
+// wakeAt has the core woken when the budget has so many changes.
+func (w *writer) wakeAt(changes float64) {
+	c := w.leader.core
+	c.wakeBy(c.now.Steady + max(time.Millisecond, w.budget.WaitFor(changes, w.rate())))
 }
 
+// run sends what there is to write, as far as the budget allows.
 func (w *writer) run() {
-	c := w.leader.core
-	w.refill()
+	l, c := w.leader, w.leader.core
+	w.budget.Refill(c.now.Steady, w.rate(), max(w.rate(), endChanges))
 	if c.now.Steady < w.notBefore {
 		c.wakeBy(w.notBefore)
 		return
 	}
-	if w.leader.layoutMigration.requested || w.leader.termUpgrade.pending() {
+	if l.layoutMigration.requested || l.termUpgrade.pending() {
 		return
 	}
-	for w.inFlight < 2 && !c.storeHealth.down {
-		if need := w.minOps(); w.rateTokens < need {
+	for w.inFlight < maxTxnsInFlight && !c.storeHealth.down {
+		if need := w.minChanges(); w.budget.Tokens() < need {
 			w.wakeAt(need)
 			return
 		}
@@ -86,230 +98,88 @@
 			break
 		}
 	}
-	if len(w.dirty) > 0 && w.rateTokens < w.urgentReserve()+1 {
+	if len(w.dirty) > 0 && w.budget.Tokens() < w.urgentReserve()+1 {
 		w.wakeAt(w.urgentReserve() + 1)
 	}
 	w.writeCounts()
 	w.writeCatalog()
 }
 
-// throttleLeases is for how many of workers' leases writes keep to the rate that is to come, after one was
-// above the service's rate.
-const throttleLeases = 6
-
-// minOps is what a transaction has to be able to write. Where writes are scarce the end of a job
-// would never find its two at once, were records of tasks to take each as it comes.
-func (w *writer) minOps() float64 {
-	if len(w.endings) > 0 {
-		return endWrites
-	}
-	return 1
-}
-
-// urgentReserve is what records of idle-time work leave to all other writes: a huge array of short
-// tasks always has more to write than the rate allows.
-func (w *writer) urgentReserve() float64 { return w.rate() / 2 }
-
-// wakeAt has the core woken when there are so many tokens.
-func (w *writer) wakeAt(tokens float64) {
-	c := w.leader.core
-	c.wakeBy(c.now.Steady + max(time.Millisecond, config.Seconds((tokens-w.rateTokens)/w.rate())))
-}
-
-// writeBatch is a transaction being put together.
-type writeBatch struct {
-	txn        wire.Txn
-	size       int
-	conditions map[string]bool
-	chunks     []*recordChunk
-	placements []*placement
-	endings    []*job
-	cancels    []cancelledJob
-	orphans    []wire.Condition
-}
-
-func (b *writeBatch) addCondition(key string, version uint64) {
-	if !b.conditions[key] {
-		b.conditions[key] = true
-		b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
-	}
+// termCondition is the condition that no later leader was elected.
+func (l *leader) termCondition() wire.Condition {
+	return wire.Condition{Key: stored.TermKey, Version: l.termVersion}
 }
 
-// sendNext sends one transaction; false if there is nothing to write.
+// sendNext sends one transaction; false if there is nothing to write. Ends of jobs go first, since users wait for them,
+// records of tasks next, since starts wait for them, and the deletion of orphaned records last.
 func (w *writer) sendNext() bool {
-	l, c := w.leader, w.leader.core
-	ops := min(c.limits.maxChanges(), int(w.rateTokens))
-	b := &writeBatch{conditions: map[string]bool{}}
-	b.addCondition(stored.TermKey, l.termVersion)
-
-	// Ends of jobs first: users wait for them.
-	var laterJobs []*job
-	for i, j := range w.endings {
-		if l.jobs[j.id] != j {
-			continue
-		}
-		if len(b.txn.Then)+endWrites > ops {
-			laterJobs = append(laterJobs, w.endings[i:]...)
-			break
-		}
-		if !w.addEnd(b, j, ops) {
-			laterJobs = append(laterJobs, j)
-		}
-	}
-	w.endings = laterJobs
-
-	w.addCancels(b, ops)
-
-	// Then records of tasks, the most urgent work first: what starts waits for them.
-	slices.SortStableFunc(w.dirty, func(a, b *recordChunk) int { return priority(b.job) - priority(a.job) })
-	idleOps := int(w.rateTokens - w.urgentReserve())
-	var laterChunks []*recordChunk
-	for _, ch := range w.dirty {
-		if ch.job.ending || l.jobs[ch.job.id] != ch.job {
-			ch.dirty = false
-			continue
-		}
-		if ch.inFlight || ch.rereadInFlight || len(b.txn.Then) >= ops || len(b.txn.If)+2 > c.limits.maxConditions() ||
-			b.size > wire.MaxBody/2 || ch.job.isIdlePriority() && len(b.txn.Then) >= idleOps {
-			laterChunks = append(laterChunks, ch)
-			continue
-		}
-		if !w.addChunk(b, ch) {
-			laterChunks = append(laterChunks, ch)
-		}
-	}
-	w.dirty = laterChunks
-
-	for len(w.orphans) > 0 && len(b.txn.Then) < ops {
-		o := w.orphans[0]
-		w.orphans = w.orphans[1:]
-		b.addCondition(o.Key, o.Version)
-		b.txn.Then = append(b.txn.Then, wire.Op{Delete: o.Key})
-		b.orphans = append(b.orphans, o)
-	}
+	b := w.newBatch()
+	w.addEndings(b)
+	w.addCancels(b)
+	w.addRecords(b)
+	w.addOrphans(b)
 	if len(b.txn.Then) == 0 {
 		return false
 	}
-	w.rateTokens -= float64(len(b.txn.Then))
+	w.spend(len(b.txn.Then))
 	w.inFlight++
-	id := l.registerStoreCall(func(r Result) {
+	id := w.leader.registerStoreCall(func(r Result) {
 		w.inFlight--
 		w.applyResult(b, r)
 	})
-	c.emit(StoreTxn{CallID: id, Txn: b.txn})
-	return true
-}
-
-// addChunk adds a record; false if it is too large to be written now.
-func (w *writer) addChunk(b *writeBatch, ch *recordChunk) bool {
-	value, placed := w.leader.encodeRecord(ch)
-	if len(value) > w.leader.maxRecordBytes() {
-		w.leader.revertUnwritten(ch)
-		if value, placed = w.leader.encodeRecord(ch); len(value) > w.leader.maxRecordBytes() {
-			return false
-		}
-	}
-	key := w.leader.recordKey(ch)
-	b.addCondition(key, ch.version)
-	for _, p := range placed {
-		if p.phase == phaseUncommitted {
-			// A new placement stands only while the job is not cancelled.
-			b.addCondition(stored.JobKey(ch.job.id), ch.job.version)
-			b.placements = append(b.placements, p)
-		}
-	}
-	b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
-	b.size += len(value) + 128
-	b.chunks = append(b.chunks, ch)
-	ch.dirty, ch.inFlight = false, true
+	w.leader.core.emit(StoreTxn{CallID: id, Txn: b.txn})
 	return true
 }
 
-// applyResult takes a transaction's outcome. Unless it is known to have been applied,
-// all of it is written again from what is known now; if an unknown one was applied
-// after all, the versions no longer match and are read.
+// applyResult takes a transaction's outcome. Unless it is known to have been applied, all of it is written again from
+// what is known then; if one of unknown outcome was applied after all, the versions no longer match and are read.
 func (w *writer) applyResult(b *writeBatch, r Result) {
-	failed := map[string]bool{}
-	if r.Outcome == outcome.Conflict {
-		for _, k := range r.Txn.Failed {
-			failed[k] = true
-		}
-		if failed[stored.TermKey] {
-			w.leader.core.election.StepDown(election.TermSuperseded)
-			return
-		}
+	failed := r.conflictingKeys()
+	if failed[stored.TermKey] {
+		w.leader.core.election.StepDown(election.TermSuperseded)
+		return
 	}
 	for _, ch := range b.chunks {
-		w.applyChunkResult(ch, r, failed)
+		w.applyRecordResult(ch, r, failed)
 	}
 	if r.Outcome == outcome.OK {
-		for _, p := range b.placements {
-			if p.phase == phaseUncommitted {
-				p.phase = phaseCommitted
-				w.leader.pendingDispatch = append(w.leader.pendingDispatch, p.machine)
-			}
-		}
+		w.commitPlacements(b)
 	}
 	for _, x := range b.cancels {
 		w.applyCancelResult(x, r, failed)
 	}
 	for _, j := range b.endings {
-		if w.leader.jobs[j.id] == j { // else it was found to be over meanwhile
+		if w.leader.jobs[j.id] == j { // else it was found to have ended meanwhile
 			w.applyEndResult(j, b, r, failed)
 		}
 	}
-	if r.Outcome == outcome.OK {
-		return
-	}
-	if r.Outcome == outcome.Dropped {
-		w.rateTokens += float64(len(b.txn.Then))
-		w.notBefore = w.leader.core.now.Steady + w.leader.core.times.retryPause
-		w.leader.core.limits.throttle(w.leader.core.now.Steady, throttleLeases*w.leader.core.times.lease)
-	}
-	for _, o := range b.orphans {
-		if !failed[o.Key] {
-			w.orphans = append(w.orphans, o)
-		}
-	}
-	if r.Outcome == outcome.Invalid {
-		w.leader.core.limits.observeInvalid(b.txn)
-		w.leader.core.log(Error, "transaction rejected as invalid", "ops", len(b.txn.Then))
+	if r.Outcome != outcome.OK {
+		w.applyFailure(b, r, failed)
 	}
 }
 
-// applyChunkResult takes what became of a record.
-func (w *writer) applyChunkResult(ch *recordChunk, r Result, failed map[string]bool) {
-	ch.inFlight = false
-	key := w.leader.recordKey(ch)
-	switch {
-	case r.Outcome == outcome.OK:
-		ch.version = r.Txn.Revision
-	case failed[key]:
-		w.leader.markDirty(ch)
-		w.reread(ch)
-	default:
-		w.leader.markDirty(ch)
+// applyFailure takes what follows for the writer from a transaction that is not known to have been applied.
+func (w *writer) applyFailure(b *writeBatch, r Result, failed map[string]bool) {
+	c := w.leader.core
+	if r.Outcome == outcome.Dropped {
+		w.budget.Return(float64(len(b.txn.Then)))
+		w.notBefore = c.now.Steady + c.times.retryPause
+		c.limits.throttle(c.now.Steady, throttleLeases*c.times.lease)
 	}
-	if failed[stored.JobKey(ch.job.id)] {
-		w.rereadJob(ch.job)
+	w.requeueOrphans(b, failed)
+	if r.Outcome == outcome.Invalid {
+		c.limits.observeInvalid(b.txn)
+		c.log(Error, "transaction rejected as invalid", "ops", len(b.txn.Then))
 	}
 }
 
-// reread finds the version of a record whose last write had an unknown outcome.
-// Only the version counts: the leader is the only writer of its term.
-func (w *writer) reread(ch *recordChunk) {
-	if ch.rereadInFlight {
-		return
-	}
-	ch.rereadInFlight = true
-	id := w.leader.registerStoreCall(func(r Result) {
-		ch.rereadInFlight = false
-		switch r.Outcome {
-		case outcome.OK:
-			ch.version = r.Item.Version
-		case outcome.NotFound:
-			ch.version = 0
+// conflictingKeys returns the keys whose conditions failed, if that is why nothing was applied.
+func (r Result) conflictingKeys() map[string]bool {
+	failed := map[string]bool{}
+	if r.Outcome == outcome.Conflict {
+		for _, key := range r.Txn.Failed {
+			failed[key] = true
 		}
-	})
-	w.leader.core.emit(StoreGet{CallID: id, Key: w.leader.recordKey(ch)})
+	}
+	return failed
 }
--- a/internal/stored/image_hints.go
+++ b/internal/stored/image_hints.go
@@ -9,9 +9,6 @@
 // DecodeImageHints reads a shard of the image hints.
 func DecodeImageHints(value json.RawMessage) (ImageHints, error) { return decode[ImageHints](value) }
 
-// EmptyImageHints is the stored form of a shard that is not needed any more.
-const EmptyImageHints = "{}"
-
 // imageHintOverhead is what each name in the image hints takes beside itself.
 const imageHintOverhead = 8
 
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -226,11 +226,14 @@
 	packer := stored.NewTaskCountPacker(16 << 10)
 	packer.Add("run-000412", stored.TaskCounts{Running: 17, Done: 3})
 	packer.Add("run-000413", stored.TaskCounts{})
-	if got, err := packer.Shard(6).Encode(); err != nil || packer.Len() != 7 || string(got) != values["w/n/6"] {
-		t.Errorf("the last of %d shards is %s, %v", packer.Len(), got, err)
+	shards, err := packer.Encode()
+	if err != nil || len(shards) != 7 || string(shards[6]) != values["w/n/6"] {
+		t.Fatalf("%d shards, %s, %v", len(shards), shards, err)
 	}
-	if got, err := packer.Shard(7).Encode(); err != nil || string(got) != "{}" {
-		t.Errorf("a shard that is not needed is %s, %v", got, err)
+	for i, shard := range shards[:6] {
+		if string(shard) != stored.EmptyShard {
+			t.Errorf("shard %d without a job is %s", i, shard)
+		}
 	}
 }
 
--- a/internal/stored/shards.go
+++ b/internal/stored/shards.go
@@ -2,6 +2,9 @@
 
 import "encoding/json"
 
+// EmptyShard is the stored form of a shard that is not needed any more.
+const EmptyShard = "{}"
+
 // shardPacker spreads the entries of a map over shards in the order in which they come, each shard within the limit
 // of a value.
 type shardPacker[V any] struct {
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -20,14 +20,6 @@
 	return TaskCounts{Running: n[0], Done: n[1]}, found
 }
 
-// Encode returns the stored form of a shard.
-func (s TaskCountShard) Encode() (json.RawMessage, error) {
-	if s == nil {
-		s = TaskCountShard{}
-	}
-	return json.Marshal(s)
-}
-
 // DecodeTaskCountShard reads a shard of the task counts.
 func DecodeTaskCountShard(value json.RawMessage) (TaskCountShard, error) {
 	return decode[TaskCountShard](value)
@@ -91,21 +83,20 @@
 	}
 	i := p.last[first]
 	for len(p.shards) <= i {
-		p.shards = append(p.shards, nil)
-	}
-	if p.shards[i] == nil {
-		p.shards[i] = TaskCountShard{}
+		p.shards = append(p.shards, TaskCountShard{})
 	}
 	p.shards[i][job] = encodedTaskCounts{counts.Running, counts.Done}
 }
 
-// Len returns how many shards the counts take.
-func (p *TaskCountPacker) Len() int { return len(p.shards) }
-
-// Shard returns a shard; an empty one beyond those that the counts take.
-func (p *TaskCountPacker) Shard(i int) TaskCountShard {
-	if i >= len(p.shards) {
-		return nil
+// Encode returns the stored forms of all shards.
+func (p *TaskCountPacker) Encode() ([]json.RawMessage, error) {
+	values := make([]json.RawMessage, len(p.shards))
+	for i, shard := range p.shards {
+		value, err := json.Marshal(shard)
+		if err != nil {
+			return nil, err
+		}
+		values[i] = value
 	}
-	return p.shards[i]
+	return values, nil
 }
