--- a/internal/core/rollout_holds.go
+++ b/internal/core/rollout_holds.go
@@ -8,8 +8,8 @@
 	"bitternwing/internal/wire"
 )
 
-// planMatchesJob tells whether a plan may decide about a job: it is a service of the plan's team. An id that
-// somebody else has taken is none of its business.
+// planMatchesJob tells whether a plan may decide about a job: it is a service of the plan's team. An ID that somebody else
+// has taken is not the plan's.
 func planMatchesJob(plan *rollout.Plan, spec *wire.Job) bool {
 	return spec.Team == plan.Team && spec.Kind == wire.KindService
 }
@@ -20,15 +20,15 @@
 	if current := l.core.cache.PlanHolding(id); current != nil {
 		records = append(records, current.Record)
 	}
-	for _, applying := range l.rollouts.uncommitted {
-		records = append(records, applying)
+	for _, uncommitted := range l.rollouts.uncommitted {
+		records = append(records, uncommitted)
 	}
 	return slices.ContainsFunc(records, func(r *rollout.Record) bool {
 		return r != nil && planMatchesJob(&r.Plan, spec) && r.Holds(id)
 	})
 }
 
-// refreshHoldsOf brings up to date which of some jobs are held.
+// refreshHoldsOf updates which of some jobs are held.
 func (l *leader) refreshHoldsOf(ids []string) {
 	for _, id := range ids {
 		if j := l.jobs[id]; j != nil {
@@ -37,15 +37,15 @@
 	}
 }
 
-// refreshHolds brings up to date which jobs are held.
+// refreshHolds updates which jobs are held.
 func (l *leader) refreshHolds() {
 	if l.recovered {
 		l.refreshHoldsOf(slices.Sorted(maps.Keys(l.jobs)))
 	}
 }
 
-// refreshHold takes a job that is held out of the order, as long as nothing of it was placed, and puts one that is
-// no longer held into it. Its waits count from then.
+// refreshHold removes a job that is held from the queue, unless some of it was placed, and queues one that is no longer held.
+// Its wait counts from then.
 func (l *leader) refreshHold(j *job) {
 	held := l.planHolds(j.id, j.spec)
 	if held == j.heldByRollout {
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -17,36 +17,36 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutManager carries out the plans of rollouts on the node that leads. What a plan is to do is decided by package
-// rollout, committed, and only then done.
+// rolloutManager carries out the plans of rollouts on the leader. Package rollout decides what a plan does next; that is
+// committed before it takes effect.
 type rolloutManager struct {
 	leader         *leader
 	nextCheck      time.Duration
 	runs           map[string]*activeRollout
-	uncommitted    map[string]*rollout.Record // accepted in memory, their commit is on its way: they hold already
+	uncommitted    map[string]*rollout.Record // their first write is in flight: they hold their jobs already
 	probesInFlight int
 }
 
 // activeRollout is a plan while a leader carries it out.
 type activeRollout struct {
 	name          string
-	since         time.Duration // when this leader began with it
+	since         time.Duration // when this leader took it over
 	validations   *rollout.Validations
 	routers       *rollout.Routers
 	routing       rollout.Routing
 	reconciled    bool
-	phase         rollout.Phase // as it was last seen, and since when
+	phase         rollout.Phase // that was last seen, and since when
 	phaseSince    time.Duration
 	writeInFlight bool
 	retryAt       time.Duration
-	changes       []planChange // of operators, to be committed
-	joinRequests  []routerJoin // of routers whose names are not known to be recorded
-	joinsInFlight []routerJoin // of those whose names are being written
-	// droppedRouters holds the routers that a write of this term was to take out of the record, and may yet.
+	changes       []planChange // of operators, that wait to be committed
+	joinRequests  []routerJoin // of routers whose names are not in the record yet
+	joinsInFlight []routerJoin // of routers whose names are being written
+	// droppedRouters holds the routers that a write of this term removes from the record, or may yet remove.
 	droppedRouters map[string]bool
 }
 
-// planChange is a change that an operator waits for.
+// planChange is a request of an operator to change a plan.
 type planChange struct {
 	req    uint64
 	change rollout.Change
@@ -56,22 +56,24 @@
 	return &rolloutManager{leader: l, nextCheck: l.core.now.Steady, runs: map[string]*activeRollout{}, uncommitted: map[string]*rollout.Record{}}
 }
 
-// The times of rollouts, from the operators' settings.
+// probeInterval and probeTimeout are the operators' settings for the probes of replicas.
 func (c *Core) probeInterval() time.Duration {
 	return config.Seconds(c.operator.Rollouts.CheckIntervalS)
 }
+
 func (c *Core) probeTimeout() time.Duration { return config.Seconds(c.operator.Rollouts.CheckTimeoutS) }
 
-// routerLease is how long a router may go by a routing, by its own clock; heldLease by this node's.
+// routerLease is how long a router may use a routing, by its own clock; routingHoldTime is the same by this node's clock.
 func (c *Core) routerLease() time.Duration { return config.Seconds(c.operator.Rollouts.RouterLeaseS) }
+
 func (c *Core) routingHoldTime() time.Duration {
 	return time.Duration(float64(c.routerLease()) * (1 + election.MaxClockDrift))
 }
 
-// maxReplicaProbes bounds the sockets that questions to replicas take.
+// maxReplicaProbes bounds the number of connections for probes of replicas.
 func (c *Core) maxReplicaProbes() int { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 
-// run looks after all plans.
+// run advances all plans.
 func (t *rolloutManager) run() {
 	l, c := t.leader, t.leader.core
 	if c.cache.PlanCount() == 0 && len(t.runs) == 0 {
@@ -100,12 +102,17 @@
 	}
 }
 
-// begin takes a plan up. Nothing that an earlier leader knew of its replicas and routers counts.
+// begin takes a plan over. What an earlier leader knew of its replicas and routers is not known here.
 func (t *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
 	c := t.leader.core
-	run := &activeRollout{name: name, since: c.now.Steady, validations: rollout.NewValidations(c.probeInterval()),
-		routers: rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
-		routing: rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}}, droppedRouters: map[string]bool{}}
+	run := &activeRollout{
+		name:           name,
+		since:          c.now.Steady,
+		validations:    rollout.NewValidations(c.probeInterval()),
+		routers:        rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
+		routing:        rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}},
+		droppedRouters: map[string]bool{},
+	}
 	t.runs[name] = run
 	if current.Problem != nil {
 		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.Problem.Error())
@@ -120,7 +127,7 @@
 	}
 }
 
-// waiting gives the requests that wait for a commit.
+// waiting gives the IDs of the requests that wait for a commit.
 func (run *activeRollout) waiting() []uint64 {
 	var requests []uint64
 	for _, x := range run.changes {
@@ -132,7 +139,7 @@
 	return requests
 }
 
-// refuseWaiting sends all requests that wait for a commit away, at the end of this term.
+// refuseWaiting answers all requests that wait for a commit, at the end of this term.
 func (t *rolloutManager) refuseWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
 		for _, req := range t.runs[name].waiting() {
@@ -141,7 +148,7 @@
 	}
 }
 
-// planChanged brings up to date which jobs are held after a plan has changed.
+// planChanged updates which jobs are held after a plan has changed.
 func (l *leader) planChanged(before, after *watchcache.Plan) {
 	if !l.recovered {
 		return
@@ -153,7 +160,7 @@
 	}
 }
 
-// runRollout does what a plan is due to do.
+// runRollout advances a plan by what is observed.
 func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
 	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
@@ -162,7 +169,7 @@
 	if run.phase != r.Phase {
 		run.phase, run.phaseSince = r.Phase, c.now.Steady
 	}
-	l.probeReplicas(run, r) // of an ended plan too: routers go by it until it is removed
+	l.probeReplicas(run, r) // of an ended plan too: routers use its routing until it is removed
 	o := l.observeRollout(run, r)
 	if run.mayRoute(r, o) && l.hasAuthority() {
 		run.route(c, r, o)
@@ -195,19 +202,19 @@
 	}
 }
 
-// reconcile notes when this leader has heard of all machines with tasks of the plan and has asked all replicas. A worker
-// that has not found it within a lease has lost its tasks.
+// reconcile notes when this leader has a heartbeat of each machine with tasks of the plan, and has probed each replica. A
+// worker that has not found the leader within a lease has stopped its tasks.
 func (run *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
 	c := l.core
 	if run.reconciled {
 		return
 	}
-	late := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
-	heard := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
-	run.reconciled = c.now.Steady >= late || heard && run.validations.AllAnswered()
+	deadline := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
+	reported := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
+	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllAnswered()
 }
 
-// allPlanMachinesReported tells whether each machine with a task of a plan has reported in this term.
+// allPlanMachinesReported tells whether each machine with a task of a plan has sent a heartbeat in this term.
 func (l *leader) allPlanMachinesReported(plan *rollout.Plan) bool {
 	for _, id := range plan.Jobs() {
 		j := l.jobs[id]
@@ -245,7 +252,7 @@
 	return replicas
 }
 
-// modelAddress gives where the model server of a machine's tasks is.
+// modelAddress gives the address of the model server on a machine; false if the machine's address is invalid.
 func (c *Core) modelAddress(machine string) (string, bool) {
 	host, _, err := net.SplitHostPort(machine)
 	if err != nil {
@@ -254,11 +261,20 @@
 	return net.JoinHostPort(host, strconv.Itoa(c.operator.Rollouts.ModelPort)), true
 }
 
-// observeRollout gives what is seen of a plan. Until the leader has settled nothing is known of the routers.
+// observeRollout observes a plan's jobs and replicas. Routers are added by addRouterObservations once the leader has
+// reconciled.
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
-	o := &rollout.Observation{NowMS: c.now.WallMS, ClockErrorMS: c.clockError().Milliseconds(), Reconciled: run.reconciled,
-		Jobs: map[string]rollout.Job{}, Revalidated: run.validations.NewValidatedSince(run.phaseSince, c.now.Steady), FailedCheck: run.validations.FailedCheck(), NewServes: true, RoutersMissing: true}
+	o := &rollout.Observation{
+		NowMS:          c.now.WallMS,
+		ClockErrorMS:   c.clockError().Milliseconds(),
+		Reconciled:     run.reconciled,
+		Jobs:           map[string]rollout.Job{},
+		Revalidated:    run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
+		FailedCheck:    run.validations.FailedCheck(),
+		NewServes:      true,
+		RoutersMissing: true,
+	}
 	for _, id := range r.Plan.Old.Jobs {
 		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, true)
 	}
@@ -276,8 +292,7 @@
 	return o
 }
 
-// observeRolloutJob gives what is seen of a job. One that was accepted, as all old jobs were, and is not there any more is
-// over.
+// observeRolloutJob observes a job. One that was accepted, as all old jobs were, and does not exist any more is over.
 func (l *leader) observeRolloutJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
 	e := l.core.cache.Job(id)
 	if e == nil {
@@ -291,17 +306,17 @@
 	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Spec.Tasks}
 }
 
-// mayRoute tells whether enough is known to share traffic by. A plan that goes back does not wait for proofs once so
-// much of the old version runs that it can serve: each moment more is one with wrong answers.
+// mayRoute tells whether enough is known for a routing. A rollback does not wait for validations once as much of the old
+// version runs as can serve: the sooner traffic returns to it, the fewer wrong answers.
 func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
 	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
 }
 
-// route brings a plan's routing up to date with what its replicas have proved.
+// route updates a plan's routing by the validations of its replicas.
 func (run *activeRollout) route(c *Core, r *rollout.Record, o *rollout.Observation) {
 	capacity := r.Plan.CapacityOf(o)
 	if !run.reconciled {
-		capacity.New = 0 // the old version runs, and has yet to prove it
+		capacity.New = 0 // the old version runs, though it is not validated yet
 	}
 	routing := rollout.RoutingOf(r, capacity, run.validations.States(c.now.Steady))
 	routing.Generation = run.routing.Generation
@@ -314,7 +329,7 @@
 		"replicas", len(routing.Weights), "aim", r.TargetShare(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
-// probeReplicas asks the replicas whose time it is.
+// probeReplicas probes the replicas that are due.
 func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
 	t := l.rollouts
 	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probesInFlight) {
@@ -339,12 +354,12 @@
 	}
 }
 
-// conditionalTxn is a change of a key, conditional on the term and on the key's version.
+// conditionalTxn is a compare-and-swap of a key on its version, fenced by the leader's term.
 func (l *leader) conditionalTxn(key string, version uint64, op wire.Op) wire.Txn {
 	return wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}, {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
-// commitPlan writes a plan's next record. Nothing is done by it before that is known to be written.
+// commitPlan writes a plan's next record, which takes effect once it is known to be written.
 func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
@@ -365,7 +380,7 @@
 	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Put: stored.PlanKey(run.name), Value: value})})
 }
 
-// commitTransition writes a plan's next phase, or an operator's change, and logs it.
+// commitTransition commits a plan's next phase, or an operator's change, and logs it.
 func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
@@ -375,7 +390,7 @@
 	})
 }
 
-// logPlan logs a transition that was committed, with what the plan could serve then.
+// logPlan logs a committed transition, with the plan's capacity.
 func (l *leader) logPlan(run *activeRollout, record *rollout.Record) {
 	capacity := record.Plan.CapacityOf(l.observeRollout(run, record))
 	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
@@ -384,7 +399,7 @@
 		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
-// applyPlanWriteResult takes what became of a write of a plan; value is nil if it was removed.
+// applyPlanWriteResult takes in the result of a write of a plan; value is nil if it removes the plan.
 func (l *leader) applyPlanWriteResult(run *activeRollout, r Result, value json.RawMessage) {
 	c := l.core
 	switch {
@@ -393,7 +408,7 @@
 	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
-		// A write of before was applied after all, or this one may be yet: what is there counts.
+		// An earlier write was applied after all, or this one may yet be: the stored record counts.
 		l.rereadPlan(run)
 	default:
 		run.retryAt = c.now.Steady + c.times.retryPause
@@ -401,7 +416,7 @@
 	}
 }
 
-// rereadPlan finds out how a plan stands.
+// rereadPlan reads the stored record of a plan.
 func (l *leader) rereadPlan(run *activeRollout) {
 	c := l.core
 	run.writeInFlight = true
@@ -415,7 +430,7 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(run.name)})
 }
 
-// removePlan forgets a plan that has ended a while ago.
+// removePlan removes the record of a plan that has ended long ago.
 func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
 	l.writer.spend(1)
@@ -426,7 +441,7 @@
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Delete: stored.PlanKey(run.name)})})
 }
 
-// applyPlan takes a plan's key as it was read, written or heard of.
+// applyPlan takes in a plan's record as it was read, written or watched.
 func (c *Core) applyPlan(name string, value json.RawMessage, version uint64) {
 	before := c.cache.Plan(name)
 	c.cache.ApplyPlan(name, value, version)
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -15,9 +15,9 @@
 	"bitternwing/internal/wire"
 )
 
-// Requests of operators and routers about plans. Only the node that leads answers them; others say who that is.
+// Requests of operators and routers about plans. Only the leader answers them; other controllers redirect to it.
 type (
-	// ApplyPlan hands in a plan.
+	// ApplyPlan submits a plan.
 	ApplyPlan struct {
 		RequestID uint64
 		Plan      *rollout.Plan
@@ -28,12 +28,12 @@
 		Name      string
 		Change    rollout.Change
 	}
-	// GetPlan asks how a plan stands.
+	// GetPlan requests the status of a plan.
 	GetPlan struct {
 		RequestID uint64
 		Name      string
 	}
-	// GetRouting is a router that asks how to share traffic, and tells which generation it goes by.
+	// GetRouting requests a router's routing, and confirms the generation that it uses.
 	GetRouting struct {
 		RequestID  uint64
 		Name       string
@@ -47,18 +47,18 @@
 func (GetPlan) input()    {}
 func (GetRouting) input() {}
 
-// PlanStatus is how a plan stands.
+// PlanStatus is the status of a plan.
 type PlanStatus struct {
 	Record     *rollout.Record
-	Problem    string // why the plan is left alone; "": it is carried out
-	Reconciled bool   // what follows is known
+	Problem    string // why the plan is not carried out; "": it is
+	Reconciled bool   // the leader has reconciled, so what follows is complete
 	Capacity   rollout.Capacity
 	Routing    rollout.Routing
 	Replicas   []rollout.ReplicaState
 	Routers    []string
 }
 
-// RoutingGrant is a routing with the time for which it may be gone by.
+// RoutingGrant is a routing with a lease.
 type RoutingGrant struct {
 	Routing rollout.Routing
 	LeaseMS int64
@@ -70,7 +70,7 @@
 	reasonUnavailable      = "can't be confirmed now"
 )
 
-// leaderForRequest gives the leader if it may answer; else the request is answered.
+// leaderForRequest gives the leader if this node leads and may answer; otherwise it answers the request itself and gives nil.
 func (c *Core) leaderForRequest(req uint64) *leader {
 	l := c.leader
 	if l == nil {
@@ -88,12 +88,12 @@
 	return l
 }
 
-// respondRefused answers that a request will not be carried out.
+// respondRefused answers that a request is invalid or not allowed.
 func (c *Core) respondRefused(req uint64, why string) {
 	c.respond(req, 422, wire.ErrorBody{Error: why})
 }
 
-// handleApplyPlan takes a plan, if its jobs and its team allow it.
+// handleApplyPlan accepts a plan, if its jobs and its team allow it.
 func (c *Core) handleApplyPlan(in ApplyPlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// checkPlan checks a plan against the teams and the jobs. Nothing is told of jobs of other teams.
+// checkPlan checks a plan against the teams and the jobs. Its errors disclose nothing about jobs of other teams.
 func (l *leader) checkPlan(plan *rollout.Plan) error {
 	c := l.core
 	team := c.team(plan.Team)
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// jobAvailableForPlan tells whether an id may be in a plan: no other plan has it, and if it was accepted it is a service of
+// jobAvailableForPlan tells whether a job may be in a plan: it is in no other plan, and if it was accepted it is a service of
 // the team.
 func (l *leader) jobAvailableForPlan(plan *rollout.Plan, id string) bool {
 	if l.core.cache.PlanHolding(id) != nil {
@@ -175,7 +175,7 @@
 	return e == nil || planMatchesJob(plan, e.Spec)
 }
 
-// commitNewPlan writes a plan. Its new jobs are held from here on, and let go again if it turns out not to be written.
+// commitNewPlan writes a plan. Its new jobs are held from here on, and released if the write turns out not to be applied.
 func (l *leader) commitNewPlan(in ApplyPlan) {
 	c := l.core
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
@@ -209,7 +209,7 @@
 	c.emit(StoreTxn{CallID: id, Txn: l.newPlanTxn(in.Plan, value)})
 }
 
-// newPlanTxn writes a plan on the condition that its jobs are as they were seen.
+// newPlanTxn writes a plan on the condition that its jobs have not changed since it was checked.
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
 	txn := l.conditionalTxn(stored.PlanKey(plan.Name), 0, wire.Op{Put: stored.PlanKey(plan.Name), Value: value})
 	for _, id := range plan.Jobs() {
@@ -224,14 +224,14 @@
 	return txn
 }
 
-// planApplied ends the time in which a plan holds its jobs without being known to be written.
+// planApplied notes that the write of a plan is decided: from here on its stored record says which jobs are held.
 func (l *leader) planApplied(plan *rollout.Plan) {
 	delete(l.rollouts.uncommitted, plan.Name)
 	l.refreshHoldsOf(plan.New.Jobs)
 }
 
-// resolvePlanWrite finds out whether a plan was written. Until then it holds its jobs: its write may come late. A read that
-// shows nothing does not end that, so the leader makes way for one whose term the late write can't pass.
+// resolvePlanWrite reads whether a plan was written. Until then it holds its jobs: the write may be applied late. If the read
+// fails the leader steps down, since a late write can't pass the fence of the next term.
 func (l *leader) resolvePlanWrite(plan *rollout.Plan) {
 	c := l.core
 	id := l.registerStoreCall(func(r Result) {
@@ -245,7 +245,7 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(plan.Name)})
 }
 
-// handleChangePlan takes a change of an operator, which is answered once it is committed.
+// handleChangePlan accepts a change of an operator, which is answered once it is committed.
 func (c *Core) handleChangePlan(in ChangePlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -286,7 +286,7 @@
 	}
 }
 
-// handleGetPlan answers how a plan stands.
+// handleGetPlan answers with the status of a plan.
 func (c *Core) handleGetPlan(in GetPlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -299,7 +299,7 @@
 	c.respond(in.RequestID, 200, l.planStatus(in.Name))
 }
 
-// planStatus gives how a plan stands.
+// planStatus gives the status of a plan.
 func (l *leader) planStatus(name string) PlanStatus {
 	current, run := l.core.cache.Plan(name), l.rollouts.runs[name]
 	status := PlanStatus{Record: current.Record}
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -11,20 +11,22 @@
 	"bitternwing/internal/wire"
 )
 
-// A router falls back to the old version when its lease ends, so the old version may go only once every router that
-// was ever answered has been heard of or waited for. A leader's memory ends with it; therefore a router's name is
-// committed to the plan's record before its first routing is granted.
+// A router falls back to the old version when its lease expires. So the old version may be retired only once each router
+// that was ever granted a routing has confirmed the one of completion, or has been silent for long enough to be gone. A
+// leader's memory does not survive it; therefore a router's name is committed to the plan's record before its first routing
+// is granted.
 
-// routerJoin is a router that waits for its name to be recorded.
+// routerJoin is a request of a router that waits for its name to be recorded.
 type routerJoin struct {
 	req        uint64
 	router     string
-	generation rollout.Generation // by which it goes
+	generation rollout.Generation // that it uses
 }
 
 const reasonTooManyRouters = "too many routers"
 
-// recordReserve is the part of the largest stored value that the names of routers leave to later transitions of the plan.
+// recordReserve is the fraction (one part in so many) of the largest stored value that routers' names leave to later
+// transitions of the plan.
 const recordReserve = 16
 
 // handleGetRouting gives a router its routing, with a lease.
@@ -50,12 +52,12 @@
 	}
 }
 
-// recorded tells whether a router's name is in the plan's record, and no write that is on its way takes it out.
+// recorded tells whether a router's name is in the plan's record, and no write that may yet be applied removes it.
 func (run *activeRollout) recorded(r *rollout.Record, router string) bool {
 	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
 }
 
-// noteDropped notes the routers that a write takes out of the record. Its answer may be lost and the write come late, so
+// noteDropped notes the routers that a write removes from the record. The write may be applied late without an answer, so
 // they count as recorded again only once a later write with their names has succeeded.
 func (run *activeRollout) noteDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
@@ -82,7 +84,8 @@
 	c.respond(join.req, 200, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
-// commitJoins records the names of the routers that wait, and then answers them. Routers that are gone make room.
+// commitJoins records the names of the routers that wait, and then answers them. It removes the names of routers that are
+// gone.
 func (l *leader) commitJoins(run *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
 	next := l.recordWithJoins(run, current.Record, o)
 	if next == nil {
@@ -102,8 +105,8 @@
 	})
 }
 
-// recordWithJoins gives the record with the names of the routers that wait. The last of those that there is no room for are
-// refused; nil if none is left.
+// recordWithJoins gives the record with the names of the routers that wait. If the record becomes too large the last of them
+// are refused; nil if none is left.
 func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Reconciled {
@@ -124,29 +127,29 @@
 	return nil
 }
 
-// fitsRouters tells whether a record has no more routers than are allowed, and leaves room for later transitions.
+// fitsRouters tells whether a record has no more routers than are allowed, and is small enough for later transitions.
 func (l *leader) fitsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
-	most := l.core.maxValueBytes()
-	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= most-most/recordReserve
+	maxBytes := l.core.maxValueBytes()
+	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserve
 }
 
-// refuseJoins tells routers to come back: their names can't be recorded now.
+// refuseJoins tells routers to retry: their names can't be recorded now.
 func (c *Core) refuseJoins(joins []routerJoin) {
 	for _, join := range joins {
 		c.respondRetryLater(join.req, 503, reasonUnavailable)
 	}
 }
 
-// addRouterObservations adds to an observation what is known of the routers.
+// addRouterObservations adds the state of the routers to an observation.
 func (l *leader) addRouterObservations(run *activeRollout, r *rollout.Record, o *rollout.Observation) {
 	now, generation := l.core.now.Steady, run.routing.Generation
-	gone := config.Seconds(r.Plan.Limits.RouterGoneS)
+	goneAfter := config.Seconds(r.Plan.Limits.RouterGoneS)
 	if !run.reconciled {
 		return
 	}
 	o.NewServes = run.routing.NewServes()
 	o.RoutersCurrent = run.routers.AllCurrent(generation, now)
-	o.Routers = run.routers.Present(r.Routers, gone, now)
-	o.RoutersMissing = run.routers.Missing(o.Routers, generation, gone, now)
+	o.Routers = run.routers.Present(r.Routers, goneAfter, now)
+	o.RoutersMissing = run.routers.Missing(o.Routers, generation, goneAfter, now)
 }
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -1,23 +1,23 @@
 package rollout
 
-// Observation is what a leader sees of a plan's jobs, replicas and routers at a moment.
+// Observation is the state of a plan's jobs, replicas and routers at a moment, as a leader sees it.
 type Observation struct {
 	NowMS        int64 // time of day
 	ClockErrorMS int64 // what the clocks of two leaders may differ from the true time, each
-	// Reconciled tells that the leader has had time to ask each replica. Before that nothing is known to be missing.
+	// Reconciled tells that the leader has had time to probe each replica. Before that nothing is known to be missing.
 	Reconciled bool
 	Jobs       map[string]Job
-	// FailedCheck names a new replica that has answered wrongly, and the check; "": none has.
+	// FailedCheck names a new replica that has failed a check, and the check; "": none has.
 	FailedCheck string
-	// RoutersCurrent tells that each router knows of the shares that are in force, or that its lease has run out.
+	// RoutersCurrent tells that each router has the current routing, or that its lease has expired.
 	RoutersCurrent bool
-	// NewServes tells whether the shares that are in force send traffic to the new version.
+	// NewServes tells whether the current routing sends traffic to the new version.
 	NewServes bool
-	// Revalidated tells that each replica of the new version was asked after the phase began, and found right.
+	// Revalidated tells that each replica of the new version was probed after the phase began, and passed.
 	Revalidated bool
-	// Routers are those that are not gone.
+	// Routers are those that still request their routing.
 	Routers []string
-	// RoutersMissing tells that one of the record's routers does not know of the completion and is not gone.
+	// RoutersMissing tells that one of the record's routers may be alive and does not have the current routing.
 	RoutersMissing bool
 }
 
@@ -25,13 +25,13 @@
 type Job struct {
 	Accepted  bool
 	Cancelled bool // or ended: it has no future
-	Over      bool // nothing of it is left
-	Replicas  int  // that it has when it is whole
+	Over      bool // none of its tasks is left
+	Replicas  int  // that it has when all of them run
 	Running   int
 	Validated int
 }
 
-// count adds up something of some jobs.
+// count adds up a number over jobs.
 func (o *Observation) count(jobs []string, of func(Job) int) int {
 	n := 0
 	for _, id := range jobs {
@@ -40,7 +40,7 @@
 	return n
 }
 
-// all tells whether something holds for all of some jobs.
+// all tells whether a condition holds for all of some jobs.
 func (o *Observation) all(jobs []string, of func(Job) bool) bool {
 	for _, id := range jobs {
 		if !of(o.Jobs[id]) {
@@ -52,45 +52,45 @@
 
 // Capacity is what a plan's versions can serve.
 type Capacity struct {
-	Old, New float64 // proved
-	Promised float64 // what the rollout may not go below
+	Old, New float64 // of validated replicas
+	Promised float64 // that the rollout has to keep
 }
 
 // tolerance is for sums of capacities.
 const tolerance = 1e-9
 
-// oldSufficient tells whether the old version can serve all that is promised.
+// oldSufficient tells whether the old version can serve all of the promised capacity.
 func (c Capacity) oldSufficient() bool { return c.Old >= c.Promised-tolerance }
 
-// newSufficient tells whether the new version can serve a share of what is promised.
+// newSufficient tells whether the new version can serve a share of the promised capacity.
 func (c Capacity) newSufficient(share float64) bool { return c.New >= share*c.Promised-tolerance }
 
-// CapacityOf adds up the capacity of a plan. The promise is that of the plan, less what its owner took away
-// by cancelling old jobs.
+// CapacityOf adds up the capacity of a plan's versions. What is promised is what the plan says, as far as its owner has not
+// cancelled the old jobs that serve it.
 func (p *Plan) CapacityOf(o *Observation) Capacity {
-	proved := func(j Job) int { return j.Validated }
-	whole := func(j Job) int {
+	validated := func(j Job) int { return j.Validated }
+	remaining := func(j Job) int {
 		if j.Cancelled {
 			return 0
 		}
 		return j.Replicas
 	}
 	return Capacity{
-		Old:      p.Old.ReplicaCapacity * float64(o.count(p.Old.Jobs, proved)),
-		New:      p.New.ReplicaCapacity * float64(o.count(p.New.Jobs, proved)),
-		Promised: min(p.PromisedCapacity, p.Old.ReplicaCapacity*float64(o.count(p.Old.Jobs, whole))),
+		Old:      p.Old.ReplicaCapacity * float64(o.count(p.Old.Jobs, validated)),
+		New:      p.New.ReplicaCapacity * float64(o.count(p.New.Jobs, validated)),
+		Promised: min(p.PromisedCapacity, p.Old.ReplicaCapacity*float64(o.count(p.Old.Jobs, remaining))),
 	}
 }
 
-// OldRuns tells whether so many replicas of the old version run as the promise takes, proved or not.
+// OldRuns tells whether as many replicas of the old version run as the promised capacity takes, validated or not.
 func (p *Plan) OldRuns(o *Observation) bool {
 	running := o.count(p.Old.Jobs, func(j Job) int { return j.Running })
 	return p.Old.ReplicaCapacity*float64(running) >= p.CapacityOf(o).Promised-tolerance
 }
 
-// NewShare gives the share of traffic for the new version that comes nearest to the one that is aimed for,
-// where each version gets no more of the promised load than it can serve, as far as both together can.
-func (c Capacity) NewShare(aim float64) float64 {
+// NewShare gives the share of traffic for the new version that is closest to a target, such that neither version gets more
+// of the promised load than it can serve, as far as both together can.
+func (c Capacity) NewShare(target float64) float64 {
 	if c.New <= 0 {
 		return 0
 	}
@@ -98,8 +98,8 @@
 		return c.New / (c.Old + c.New)
 	}
 	if c.Promised <= 0 {
-		return aim
+		return target
 	}
-	most, least := min(1, c.New/c.Promised), max(0, 1-c.Old/c.Promised)
-	return min(most, max(least, aim))
+	highest, lowest := min(1, c.New/c.Promised), max(0, 1-c.Old/c.Promised)
+	return min(highest, max(lowest, target))
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,7 +1,9 @@
-// Package rollout brings a new version of a model into service by steps, beside the old one, which stays whole
-// until the new one has taken over. It decides from what it is shown and keeps no clock, no network and no state
-// of its own beside its records: what a plan says, which phase it is in, what its replicas have proved, how
-// traffic is to be shared, and which routers know of it. It knows nothing of how jobs are placed.
+// Package rollout is progressive delivery for models: a new version comes into service step by step, beside the old one,
+// which keeps all of its replicas until the new one serves all traffic, so that a rollback is possible at any time.
+//
+// The package is pure: it reads no clock, makes no calls, and decides by an Observation alone. It holds plans and their
+// state machine (Record), the validations of replicas, the routing of traffic, and the leases of routers. It does not know
+// how jobs are placed.
 package rollout
 
 import (
@@ -20,7 +22,7 @@
 	Team string `json:"team"`
 	Old  Fleet  `json:"old"`
 	New  Fleet  `json:"new"`
-	// PromisedCapacity is never gone below by what the rollout does, in the unit of replica_capacity.
+	// PromisedCapacity is what the rollout keeps available at any time, in the unit of replica_capacity.
 	PromisedCapacity float64 `json:"promised_capacity"`
 	Steps            []Step  `json:"steps"`
 	Checks           []Check `json:"checks"`
@@ -33,30 +35,30 @@
 	ReplicaCapacity float64  `json:"replica_capacity"` // of one task
 }
 
-// Step brings in some of the new version's jobs.
+// Step starts some of the new version's jobs.
 type Step struct {
 	Jobs  []string `json:"jobs"`
 	Share float64  `json:"share"`  // of all traffic that the new version gets
-	BakeS float64  `json:"bake_s"` // how long it has to serve that share without fault
+	BakeS float64  `json:"bake_s"` // how long it has to serve that share without a failure
 }
 
-// Check judges an answer of a new replica.
+// Check validates an answer of a new replica.
 type Check struct {
 	Name    string          `json:"name"`
 	Request json.RawMessage `json:"request"` // body of the request
-	// Expected is what the script gets to compare with; absent where CompareWithOld is true.
+	// Expected is passed to the script; absent if CompareWithOld is true.
 	Expected       json.RawMessage `json:"expected,omitempty"`
-	CompareWithOld bool            `json:"compare_with_old,omitempty"` // the old version is asked the same
+	CompareWithOld bool            `json:"compare_with_old,omitempty"` // with the old version's answer to the same request
 	// Script is Starlark: a function check(request, answer, expected) that gives True for a right answer.
 	Script string `json:"script"`
 }
 
-// Limits are times after which a plan gives up or is forgotten.
+// Limits are the timeouts of a plan.
 type Limits struct {
-	WaitS        float64 `json:"wait_s"`        // for jobs, room, capacity or routers
-	UnreachableS float64 `json:"unreachable_s"` // for replicas that can't be proved
-	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that does not ask is taken for gone at completion
-	KeepS        float64 `json:"keep_s"`        // the result is kept for so long
+	WaitS        float64 `json:"wait_s"`        // of a phase that waits for jobs, machines, capacity or routers
+	UnreachableS float64 `json:"unreachable_s"` // of the phase in which replicas are validated
+	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that sends no requests counts as gone
+	KeepS        float64 `json:"keep_s"`        // for which the record of a completed plan is kept
 }
 
 //go:embed plan.schema.json
@@ -77,10 +79,10 @@
 	return &FieldError{Field: fmt.Sprintf(field, args...), Problem: problem}
 }
 
-// ParsePlan reads a plan of at most so many bytes and checks what it can tell by itself.
-func ParsePlan(data []byte, mostBytes int) (*Plan, error) {
-	if len(data) > mostBytes {
-		return nil, fieldError(fmt.Sprintf("the plan has %d bytes, at most %d are taken", len(data), mostBytes), "/")
+// ParsePlan reads a plan of at most maxBytes and checks it as far as that is possible without the jobs.
+func ParsePlan(data []byte, maxBytes int) (*Plan, error) {
+	if len(data) > maxBytes {
+		return nil, fieldError(fmt.Sprintf("the plan has %d bytes, at most %d are taken", len(data), maxBytes), "/")
 	}
 	if err := schema.Check("plan.schema.json", planSchema, data); err != nil {
 		return nil, err
@@ -92,7 +94,7 @@
 	return plan, plan.check()
 }
 
-// check checks what the schema can't tell.
+// check checks what the schema can't express.
 func (p *Plan) check() error {
 	for _, step := range []func() error{p.checkJobs, p.checkSteps, p.checkChecks} {
 		if err := step(); err != nil {
@@ -166,12 +168,12 @@
 // Jobs gives the ids of all jobs of both versions.
 func (p *Plan) Jobs() []string { return slices.Concat(p.Old.Jobs, p.New.Jobs) }
 
-// stepOf gives the step that brings in a new job; -1 for any other job.
+// stepOf gives the step that starts a new job; -1 for any other job.
 func (p *Plan) stepOf(id string) int {
 	return slices.IndexFunc(p.Steps, func(s Step) bool { return slices.Contains(s.Jobs, id) })
 }
 
-// CheckError says that the script of a check is none.
+// CheckError says that the script of a check is invalid.
 func CheckError(index int, problem error) error {
 	return fieldError(problem.Error(), "/checks/%d/script", index)
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -13,15 +13,15 @@
 // The phases, in order. A step goes through starting, checking, shifting and baking; any phase before
 // retiring may turn into rolling back.
 const (
-	Pending     Phase = "pending"    // the old version has to be whole, and the first new jobs accepted
+	Pending     Phase = "pending"    // waits for the old version's capacity and the first new jobs
 	Starting    Phase = "starting"   // the step's jobs may run
-	Checking    Phase = "checking"   // their replicas have to prove themselves
-	Shifting    Phase = "shifting"   // routers learn of the step's share
-	Baking      Phase = "baking"     // it has to serve that share for a while
-	Completing  Phase = "completing" // all routers have to be in touch
+	Checking    Phase = "checking"   // their replicas are validated
+	Shifting    Phase = "shifting"   // routers get the step's share
+	Baking      Phase = "baking"     // the new version serves that share for a while
+	Completing  Phase = "completing" // all routers get the new version alone
 	Retiring    Phase = "retiring"   // routers fall back to the new version; then the old jobs are cancelled
 	Completed   Phase = "completed"
-	RollingBack Phase = "rolling_back" // traffic goes back, then the new jobs are cancelled
+	RollingBack Phase = "rolling_back" // traffic returns to the old version, then the new jobs are cancelled
 	RolledBack  Phase = "rolled_back"
 )
 
@@ -37,20 +37,20 @@
 	Aborted      Reason = "aborted"
 )
 
-// Record is a plan as the state service holds it.
+// Record is a plan with its state, as it is stored.
 type Record struct {
 	Plan    Plan    `json:"plan"`
 	Phase   Phase   `json:"phase"`
 	Step    int     `json:"step"`
 	Share   float64 `json:"share"` // of traffic that the new version is to get
-	SinceMS int64   `json:"since"` // time of day when the phase began
+	SinceMS int64   `json:"since"` // Unix time in milliseconds when the phase began
 	Reason  Reason  `json:"reason,omitempty"`
-	// Detail names the replica and the check of a wrong answer, or the job.
+	// Detail names the replica and the check that failed, or the job that was cancelled.
 	Detail string `json:"detail,omitempty"`
-	// PausedMS is the time of day since when the plan is paused; 0: it is not.
+	// PausedMS is the Unix time in milliseconds since when the plan is paused; 0: it is not.
 	PausedMS int64 `json:"paused,omitempty"`
-	// Routers are all that may have been granted a routing, less those that were gone at an earlier write. They have
-	// to know of the completion before the old version goes.
+	// Routers are all that may have been granted a routing, without those that were gone at an earlier write. They have
+	// to have the routing of completion before the old version is retired.
 	Routers []string `json:"routers,omitempty"`
 }
 
@@ -62,8 +62,8 @@
 // ErrUnreadable says that a stored record is not one that this version understands.
 var ErrUnreadable = errors.New("the record of a plan can't be read")
 
-// Decode reads a stored record. Where only the phase is unknown the record is given with the error, so that
-// its jobs can be left as they are.
+// Decode reads a stored record. If only the phase is unknown the record is returned with the error, so that its jobs can be
+// left as they are.
 func Decode(data []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(data, r); err != nil {
@@ -89,13 +89,12 @@
 // Over tells whether a plan has ended.
 func (p Phase) Over() bool { return p == Completed || p == RolledBack }
 
-// final tells whether a plan can't be rolled back any more, or is.
+// final tells whether a plan can't be rolled back any more, or is being rolled back.
 func (p Phase) final() bool {
 	return p == Retiring || p == Completed || p == RollingBack || p == RolledBack
 }
 
-// Holds tells whether a job may not be started: it is a new one whose step has not come, or the plan goes or
-// went back.
+// Holds tells whether a job may not be started: it is a new one whose step has not begun, or the plan is rolled back.
 func (r *Record) Holds(job string) bool {
 	step := r.Plan.stepOf(job)
 	if step < 0 {
@@ -111,7 +110,7 @@
 	return step > r.Step
 }
 
-// Checks gives the checks that new replicas have to pass. Once the old version goes there is nothing to compare with.
+// Checks gives the checks that new replicas have to pass. Once the old version is retired there is nothing to compare with.
 func (r *Record) Checks() []Check {
 	if r.Phase != Retiring && r.Phase != Completed {
 		return r.Plan.Checks
@@ -126,7 +125,7 @@
 	return &next
 }
 
-// WithRouters gives the record with these routers: those that are known, and some that ask for the first time.
+// WithRouters gives the record with these routers: those that are known, and some that join.
 func (r *Record) WithRouters(known, joining []string) *Record {
 	next := *r
 	next.Routers = slices.Concat(known, joining)
@@ -135,7 +134,7 @@
 	return &next
 }
 
-// rollBack gives the record as it begins to roll back.
+// rollBack gives the record in the phase RollingBack.
 func (r *Record) rollBack(reason Reason, detail string, nowMS int64) *Record {
 	next := r.inPhase(RollingBack, nowMS)
 	next.Reason, next.Detail = reason, detail
@@ -143,7 +142,7 @@
 	return next
 }
 
-// Change is what an operator asks of a plan.
+// Change is an operator's request to change a plan.
 type Change string
 
 // The changes.
@@ -153,12 +152,12 @@
 	Abort  Change = "abort"
 )
 
-// RefusedError says why a plan can't be changed, or applied, now or ever.
+// RefusedError says why a plan can't be changed.
 type RefusedError struct{ Why string }
 
 func (e *RefusedError) Error() string { return e.Why }
 
-// Change gives the record after a change; the same one if there is nothing to do.
+// Change gives the record after a change; the same one if nothing changes.
 func (r *Record) Change(change Change, nowMS int64) (*Record, error) {
 	next := *r
 	switch {
@@ -173,7 +172,7 @@
 	case change == Pause && r.PausedMS == 0:
 		next.PausedMS = nowMS
 	case change == Resume && r.PausedMS != 0:
-		next.SinceMS += max(0, nowMS-r.PausedMS) // what the phase had used stays used
+		next.SinceMS += max(0, nowMS-r.PausedMS) // the time before the pause counts
 		next.PausedMS = 0
 	default:
 		return r, nil
--- a/internal/rollout/routing.go
+++ b/internal/rollout/routing.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Generation orders the routings that routers get: by term, then by a count within the term. It only grows.
+// Generation is the version of a routing: the leader's term, then a count within the term. It only increases.
 type Generation struct {
 	Term     uint64 `json:"term"`
 	Revision uint64 `json:"revision"`
@@ -28,7 +28,7 @@
 	Share   float64 `json:"share"`
 }
 
-// Routing is how routers share traffic. What they are to do when their lease runs out is in Fallback.
+// Routing is how routers distribute traffic. Fallback is how they do it once their lease has expired.
 type Routing struct {
 	Generation Generation `json:"generation"`
 	Weights    []Weight   `json:"weights"`
@@ -40,12 +40,12 @@
 	return slices.ContainsFunc(r.Weights, func(w Weight) bool { return w.Version == NewVersion })
 }
 
-// RoutingOf gives how traffic is to be shared by what the replicas have proved. The caller sets the generation.
+// RoutingOf gives the routing by the states of the replicas. The caller sets the generation.
 func RoutingOf(r *Record, c Capacity, states []ReplicaState) Routing {
 	var routing Routing
 	newShare := c.NewShare(r.TargetShare())
 	if r.Phase == Retiring || r.Phase == Completed {
-		newShare = 1 // the old version is on its way out
+		newShare = 1 // the old version is being retired
 	}
 	routing.Weights = append(spread(states, OldVersion, 1-newShare), spread(states, NewVersion, newShare)...)
 	fallback := OldVersion
@@ -56,8 +56,8 @@
 	return routing
 }
 
-// spread shares traffic equally over the proved replicas of a version; where none is proved over those that have not
-// answered wrongly, and where there is none of these over all: traffic has to go somewhere.
+// spread distributes a share of traffic equally over the validated replicas of a version; if none is validated, over those
+// that have not failed a check; and if there are none of these, over all: traffic has to go somewhere.
 func spread(states []ReplicaState, version Version, share float64) []Weight {
 	if share <= 0 {
 		return nil
@@ -74,8 +74,8 @@
 		}
 		return weights
 	}
-	if proved := pick(func(s ReplicaState) bool { return s.Validated }); len(proved) > 0 {
-		return proved
+	if validated := pick(func(s ReplicaState) bool { return s.Validated }); len(validated) > 0 {
+		return validated
 	}
 	if weights := pick(func(s ReplicaState) bool { return s.Verdict != Failed }); len(weights) > 0 {
 		return weights
@@ -88,62 +88,63 @@
 	return slices.Equal(r.Weights, other.Weights) && slices.Equal(r.Fallback, other.Fallback)
 }
 
-// Routers keeps the leases of routers, in a leader's memory. What earlier leaders granted is not known; it has
-// run out by a time that the caller gives.
+// Routers keeps the leases of routers, in a leader's memory. What an earlier leader granted is not known, but has expired a
+// lease after this one began.
 type Routers struct {
-	lease   time.Duration // as granted, with what clocks may drift
+	lease   time.Duration // as granted, plus the clock drift
 	since   time.Duration // when this leader began
-	most    int           // that are kept
+	limit   int           // of the number of routers
 	routers map[string]*routerLease
 }
 
-// routerLease is what is known of a router.
+// routerLease is the lease of a router.
 type routerLease struct {
-	granted   Generation
-	confirmed Generation
-	until     time.Duration
-	askedAt   time.Duration
+	granted     Generation
+	confirmed   Generation
+	until       time.Duration
+	requestedAt time.Duration
 }
 
-// NewRouters makes the leases of a leader that begins now, at most so many.
-func NewRouters(lease, now time.Duration, most int) *Routers {
-	return &Routers{lease: lease, since: now, most: most, routers: map[string]*routerLease{}}
+// NewRouters makes the leases of a leader that begins now, for at most limit routers.
+func NewRouters(lease, now time.Duration, limit int) *Routers {
+	return &Routers{lease: lease, since: now, limit: limit, routers: map[string]*routerLease{}}
 }
 
-// Grant renews a router's lease on a routing and takes in which one it has. false: there are too many routers.
+// Grant renews a router's lease on a routing and notes which one the router has confirmed. It returns false if there are too
+// many routers.
 func (t *Routers) Grant(name string, confirmed, granted Generation, now time.Duration) bool {
 	x := t.routers[name]
 	if x == nil {
 		t.drop(now)
-		if len(t.routers) >= t.most {
+		if len(t.routers) >= t.limit {
 			return false
 		}
 		x = &routerLease{}
 		t.routers[name] = x
 	}
 	x.confirmed, x.granted = confirmed, granted
-	x.until, x.askedAt = now+t.lease, now
+	x.until, x.requestedAt = now+t.lease, now
 	return true
 }
 
-// forgetLeases is after how many leases a router that does not ask is forgotten where room is needed.
+// forgetLeases is after how many leases without a request a router is forgotten to make space for others.
 const forgetLeases = 10
 
 func (t *Routers) drop(now time.Duration) {
-	if len(t.routers) < t.most {
+	if len(t.routers) < t.limit {
 		return
 	}
 	for name, x := range t.routers {
-		if now > x.askedAt+forgetLeases*t.lease {
+		if now > x.requestedAt+forgetLeases*t.lease {
 			delete(t.routers, name)
 		}
 	}
 }
 
-// AllCurrent tells whether each router has a routing no older than this one, or none at all any more.
+// AllCurrent tells whether each router has a routing no older than this one, or its lease has expired.
 func (t *Routers) AllCurrent(g Generation, now time.Duration) bool {
 	if now < t.since+t.lease {
-		return false // an earlier leader may have granted something that still holds
+		return false // a lease of an earlier leader may not have expired
 	}
 	for _, x := range t.routers {
 		if x.confirmed.Before(g) && now < x.until {
@@ -153,32 +154,32 @@
 	return true
 }
 
-// Missing tells whether one of some routers does not have this routing, unless it has not asked for as long as
-// after which it is taken for gone.
-func (t *Routers) Missing(names []string, g Generation, gone, now time.Duration) bool {
+// Missing tells whether one of some routers does not have this routing. Routers that have sent no request for goneAfter do
+// not count.
+func (t *Routers) Missing(names []string, g Generation, goneAfter, now time.Duration) bool {
 	for _, name := range names {
-		askedAt, confirmed := t.since, Generation{}
+		requestedAt, confirmed := t.since, Generation{}
 		if x := t.routers[name]; x != nil {
-			askedAt, confirmed = x.askedAt, x.confirmed
+			requestedAt, confirmed = x.requestedAt, x.confirmed
 		}
-		if confirmed.Before(g) && now < askedAt+gone {
+		if confirmed.Before(g) && now < requestedAt+goneAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// Present gives the routers that are not gone, by name: those that have asked lately, and of some that an earlier
-// leader knew those that may yet ask.
-func (t *Routers) Present(earlier []string, gone, now time.Duration) []string {
+// Present gives the routers that are not gone, by name: those that have sent a request within goneAfter, and of those that
+// an earlier leader knew the ones that may yet send one.
+func (t *Routers) Present(earlier []string, goneAfter, now time.Duration) []string {
 	var names []string
 	for name, x := range t.routers {
-		if now < x.askedAt+gone {
+		if now < x.requestedAt+goneAfter {
 			names = append(names, name)
 		}
 	}
 	for _, name := range earlier {
-		if t.routers[name] == nil && now < t.since+gone {
+		if t.routers[name] == nil && now < t.since+goneAfter {
 			names = append(names, name)
 		}
 	}
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Next gives the record that is to follow, by what is seen; nil if the plan stays where it is. The caller
-// commits it before it acts by it.
+// Next gives the record that follows by an observation; nil if the plan stays where it is. The caller commits it before it
+// acts on it.
 func (r *Record) Next(o *Observation) *Record {
 	next := r.next(o)
 	if next != nil && o.Reconciled {
@@ -40,7 +40,7 @@
 	return r.expired(o)
 }
 
-// failed gives the record that rolls back for a fault that no wait can heal.
+// failed gives the record that rolls back because of a failure that does not heal by itself; nil if there is none.
 func (r *Record) failed(o *Observation) *Record {
 	if o.FailedCheck != "" {
 		return r.rollBack(WrongAnswer, o.FailedCheck, o.NowMS)
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// forward gives the record of the next phase, once what this one waits for is there.
+// forward gives the record of the next phase, once the condition of this one is fulfilled.
 func (r *Record) forward(o *Observation) *Record {
 	capacity := r.Plan.CapacityOf(o)
-	proved := o.all(r.released(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
+	validated := o.all(r.released(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
 	switch r.Phase {
 	case Pending:
 		if capacity.oldSufficient() && o.all(r.Plan.Steps[0].Jobs, func(j Job) bool { return j.Accepted }) {
@@ -67,22 +67,21 @@
 			return r.inPhase(Checking, o.NowMS)
 		}
 	case Checking:
-		if proved && capacity.oldSufficient() && capacity.newSufficient(r.Plan.Steps[r.Step].Share) {
+		if validated && capacity.oldSufficient() && capacity.newSufficient(r.Plan.Steps[r.Step].Share) {
 			next := r.inPhase(Shifting, o.NowMS)
 			next.Share = r.Plan.Steps[r.Step].Share
 			return next
 		}
 	case Shifting, Baking:
-		if !proved {
-			return r.inPhase(Checking, o.NowMS) // what was baked counts no more
+		if !validated {
+			return r.inPhase(Checking, o.NowMS) // the time of baking is lost
 		}
 		return r.serving(o, capacity)
 	case Completing:
-		if proved && o.mayRetireOld(capacity) {
+		if validated && o.mayRetireOld(capacity) {
 			return r.inPhase(Retiring, o.NowMS)
 		}
 	case Retiring, Completed, RollingBack, RolledBack:
-		// They end by what next waits for, whatever the new version does.
 	}
 	return nil
 }
@@ -92,8 +91,8 @@
 	return o.Revalidated && capacity.newSufficient(1) && o.RoutersCurrent && !o.RoutersMissing
 }
 
-// serving gives the record that follows a step whose replicas are all proved: it bakes once routers know its share,
-// and is over once it has baked and the old version can take everything back.
+// serving gives the record that follows in a step whose replicas are all validated: it bakes once routers have its share, and
+// is complete once it has baked and the old version could serve everything after a rollback.
 func (r *Record) serving(o *Observation, capacity Capacity) *Record {
 	switch {
 	case r.Phase == Shifting && o.RoutersCurrent:
@@ -104,7 +103,7 @@
 	return nil
 }
 
-// baked gives the record after a step has baked: the next step's, or that of completion.
+// baked gives the record after a step has baked: in the next step, or in completion.
 func (r *Record) baked(o *Observation) *Record {
 	if r.Step+1 < len(r.Plan.Steps) {
 		next := r.inPhase(Starting, o.NowMS)
@@ -114,7 +113,7 @@
 	return r.inPhase(Completing, o.NowMS)
 }
 
-// expired gives the record that rolls back since a phase has waited for too long.
+// expired gives the record that rolls back because a phase has timed out.
 func (r *Record) expired(o *Observation) *Record {
 	limits := r.Plan.Limits
 	reason, limit := TimedOut, limits.WaitS
@@ -133,12 +132,12 @@
 	return r.rollBack(reason, fmt.Sprintf("%s for %g s", r.Phase, limit), o.NowMS)
 }
 
-// lasted tells whether the phase has certainly lasted for some seconds, whichever clocks were used.
+// lasted tells whether the phase has lasted for some seconds by any leader's clock, as far as clocks may be off.
 func (r *Record) lasted(o *Observation, seconds float64) bool {
 	return float64(o.NowMS-r.SinceMS-2*o.ClockErrorMS) >= 1000*seconds
 }
 
-// released gives the new jobs that may run.
+// released gives the new jobs of the steps so far.
 func (r *Record) released() []string {
 	var jobs []string
 	for _, step := range r.Plan.Steps[:r.Step+1] {
@@ -147,7 +146,7 @@
 	return jobs
 }
 
-// acceptedNew gives the new jobs that were accepted.
+// acceptedNew gives the new jobs that have been submitted and accepted.
 func (r *Record) acceptedNew(o *Observation) []string {
 	var jobs []string
 	for _, id := range r.Plan.New.Jobs {
@@ -158,8 +157,8 @@
 	return jobs
 }
 
-// Cancels gives the jobs that the plan asks to be cancelled now. New jobs go once no router sends them
-// traffic, old ones only after the decision to retire them.
+// Cancels gives the jobs to cancel now. New jobs are cancelled once no router sends them traffic, old ones only after the
+// decision to retire them is committed.
 func (r *Record) Cancels(o *Observation) []string {
 	var jobs []string
 	add := func(ids []string) {
@@ -175,9 +174,9 @@
 			add(r.Plan.New.Jobs)
 		}
 	case RolledBack:
-		add(r.Plan.New.Jobs) // submitted since
+		add(r.Plan.New.Jobs) // submitted after the rollback
 	case Retiring:
-		// A router that does not know yet would fall back to them.
+		// A router without the current routing would fall back to them.
 		if o.RoutersCurrent && !o.RoutersMissing {
 			add(r.Plan.Old.Jobs)
 		}
@@ -186,7 +185,7 @@
 	return jobs
 }
 
-// TargetShare gives the share of traffic that the new version is to get by the record.
+// TargetShare gives the share of traffic that the new version gets if its capacity allows.
 func (r *Record) TargetShare() float64 {
 	switch r.Phase {
 	case Completing, Retiring, Completed:
@@ -198,7 +197,7 @@
 	return r.Share
 }
 
-// Expired tells whether the result of a plan that has ended need not be kept any longer.
+// Expired tells whether the record of a plan that has ended need not be kept any longer.
 func (r *Record) Expired(o *Observation) bool {
 	return r.Phase.Over() && r.lasted(o, r.Plan.Limits.KeepS)
 }
--- a/internal/rollout/validation.go
+++ b/internal/rollout/validation.go
@@ -15,7 +15,7 @@
 	NewVersion Version = "new"
 )
 
-// Replica is an attempt of a task of one of a plan's jobs that its machine reports as running.
+// Replica is an attempt of a task of one of a plan's jobs that runs according to its machine's heartbeats.
 type Replica struct {
 	Job     string
 	Task    string
@@ -24,7 +24,7 @@
 	Version Version
 }
 
-// replicaName tells an attempt from all others.
+// replicaName identifies an attempt.
 type replicaName struct {
 	task    string
 	attempt uint64
@@ -32,67 +32,67 @@
 
 func (r Replica) name() replicaName { return replicaName{r.Task, r.Attempt} }
 
-// Verdict is what came of asking a replica.
+// Verdict is the result of probing a replica.
 type Verdict int
 
 // The verdicts.
 const (
-	NotValidated Verdict = iota // not asked yet, or the check itself failed: it proves nothing
-	Passed                      // it is healthy, and all its answers are right
-	Failed                      // an answer is wrong
-	NotReached                  // it can't be reached, or says that it is not healthy
-	NotCompared                 // the old version's answer, to compare with, could not be had
+	NotValidated Verdict = iota // not probed yet, or the check itself could not be made
+	Passed                      // it is healthy, and all its answers pass the checks
+	Failed                      // an answer fails a check
+	NotReached                  // it can't be reached, or its health check fails
+	NotCompared                 // there was no answer of the old version to compare with
 )
 
 var verdictNames = [...]string{"unproved", "right", "wrong", "not reached", "not compared"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Probe is a question to a replica.
+// Probe is a health check of a replica, with the checks of a plan if it is of the new version.
 type Probe struct {
 	Replica Replica
-	// Reference is an old replica to compare with; nil where there is none.
+	// Reference is an old replica to compare with; nil if there is none.
 	Reference *Replica
 }
 
-// ProbeResult is what came of a probe.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Verdict Verdict
-	Check   string // the check that was not passed
+	Check   string // the check that did not pass
 }
 
-// validation is what is known of a replica.
+// validation is what the probes of a replica have shown.
 type validation struct {
 	replica       Replica
 	verdict       Verdict
 	check         string
 	inFlight      bool
-	asked         bool
-	passedAskedAt time.Duration // when the question was sent to which the last right answer came
-	askedAt       time.Duration
-	passedAt      time.Duration // when it was last found right
-	answers       int
+	probed        bool
+	passedProbeAt time.Duration // when the last probe was sent that passed
+	probedAt      time.Duration
+	passedAt      time.Duration // when the result of that probe came
+	results       int
 }
 
-// Validations keep what the replicas of a plan have proved. A new attempt begins with nothing.
+// Validations keeps the validations of a plan's replicas. A new attempt begins unvalidated.
 type Validations struct {
-	interval  time.Duration // between two questions to a replica
+	interval  time.Duration // between two probes of a replica
 	byReplica map[replicaName]*validation
 	order     []replicaName
-	// failedCheck is the first new replica that answered wrongly, with the check. It stays, whatever becomes of it.
+	// failedCheck is the first new replica that failed a check, with the check. It stays, whatever the replica does later.
 	failedCheck string
 }
 
-// NewValidations makes proofs of replicas that are asked in an interval.
+// NewValidations makes validations of replicas that are probed at an interval.
 func NewValidations(interval time.Duration) *Validations {
 	return &Validations{interval: interval, byReplica: map[replicaName]*validation{}}
 }
 
-// validIntervals is for how many intervals a right answer counts. One whose next question is late is not lost
-// at once; one that can't be asked any more is.
+// validIntervals is for how many intervals a passed probe counts. A late probe does not invalidate a replica at once, the
+// lack of several does.
 const validIntervals = 3
 
-// Track takes the replicas that run now. Those that are gone lose what they had proved.
+// Track sets the replicas that run now. Those that are gone lose their validation.
 func (p *Validations) Track(replicas []Replica) {
 	next := make(map[replicaName]*validation, len(replicas))
 	p.order = p.order[:0]
@@ -107,34 +107,34 @@
 	p.byReplica = next
 }
 
-// Due gives up to so many probes that are due, those that have waited longest first.
-func (p *Validations) Due(now time.Duration, most int) []Probe {
+// Due gives up to limit probes that are due, those that have waited longest first.
+func (p *Validations) Due(now time.Duration, limit int) []Probe {
 	var due []*validation
 	for _, name := range p.order {
-		x := p.byReplica[name]
-		if !x.inFlight && (!x.asked || now >= x.askedAt+p.interval) {
-			due = append(due, x)
+		v := p.byReplica[name]
+		if !v.inFlight && (!v.probed || now >= v.probedAt+p.interval) {
+			due = append(due, v)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *validation) int { return cmp.Compare(a.askedAt, b.askedAt) })
+	slices.SortStableFunc(due, func(a, b *validation) int { return cmp.Compare(a.probedAt, b.probedAt) })
 	var probes []Probe
-	for _, x := range due[:min(len(due), max(0, most))] {
-		x.inFlight, x.asked, x.askedAt = true, true, now
-		probe := Probe{Replica: x.replica}
-		if x.replica.Version == NewVersion {
-			probe.Reference = p.reference(now, x.answers)
+	for _, v := range due[:min(len(due), max(0, limit))] {
+		v.inFlight, v.probed, v.probedAt = true, true, now
+		probe := Probe{Replica: v.replica}
+		if v.replica.Version == NewVersion {
+			probe.Reference = p.reference(now, v.results)
 		}
 		probes = append(probes, probe)
 	}
 	return probes
 }
 
-// reference gives an old replica that is known to be healthy, another one each time.
+// reference gives a healthy old replica, another one each turn; nil if there is none.
 func (p *Validations) reference(now time.Duration, turn int) *Replica {
 	var old []*validation
 	for _, name := range p.order {
-		if x := p.byReplica[name]; x.replica.Version == OldVersion && p.valid(x, now) {
-			old = append(old, x)
+		if v := p.byReplica[name]; v.replica.Version == OldVersion && p.valid(v, now) {
+			old = append(old, v)
 		}
 	}
 	if len(old) == 0 {
@@ -143,28 +143,28 @@
 	return &old[turn%len(old)].replica
 }
 
-// Observe takes the answer to a probe. One about an attempt that is gone counts only if it is wrong.
-func (p *Validations) Observe(r Replica, a ProbeResult, now time.Duration) {
-	if a.Verdict == Failed && r.Version == NewVersion && p.failedCheck == "" {
-		p.failedCheck = r.Task + ", check " + a.Check
+// Observe takes in the result of a probe. One of an attempt that is gone counts only if it failed a check.
+func (p *Validations) Observe(r Replica, result ProbeResult, now time.Duration) {
+	if result.Verdict == Failed && r.Version == NewVersion && p.failedCheck == "" {
+		p.failedCheck = r.Task + ", check " + result.Check
 	}
-	x := p.byReplica[r.name()]
-	if x == nil {
+	v := p.byReplica[r.name()]
+	if v == nil {
 		return
 	}
-	x.inFlight = false
-	x.answers++
-	x.verdict, x.check = a.Verdict, a.Check
-	if a.Verdict == Passed {
-		x.passedAt, x.passedAskedAt = now, x.askedAt
+	v.inFlight = false
+	v.results++
+	v.verdict, v.check = result.Verdict, result.Check
+	if result.Verdict == Passed {
+		v.passedAt, v.passedProbeAt = now, v.probedAt
 	}
 }
 
-// NewValidatedSince tells whether each new replica was asked after a moment, and found right.
+// NewValidatedSince tells whether each new replica was probed after a moment, and passed.
 func (p *Validations) NewValidatedSince(moment, now time.Duration) bool {
 	for _, name := range p.order {
-		x := p.byReplica[name]
-		if x.replica.Version == NewVersion && (!p.valid(x, now) || x.passedAskedAt < moment) {
+		v := p.byReplica[name]
+		if v.replica.Version == NewVersion && (!p.valid(v, now) || v.passedProbeAt < moment) {
 			return false
 		}
 	}
@@ -173,36 +173,36 @@
 
 // NotSent notes that a probe was not sent.
 func (p *Validations) NotSent(r Replica) {
-	if x := p.byReplica[r.name()]; x != nil {
-		x.inFlight = false
+	if v := p.byReplica[r.name()]; v != nil {
+		v.inFlight = false
 	}
 }
 
-// FailedCheck names the first new replica that answered wrongly, and the check; "": none.
+// FailedCheck names the first new replica that failed a check, and the check; "": none.
 func (p *Validations) FailedCheck() string { return p.failedCheck }
 
-// valid tells whether a replica counts as capacity.
-func (p *Validations) valid(x *validation, now time.Duration) bool {
-	return x.verdict == Passed && now-x.passedAt < validIntervals*p.interval
+// valid tells whether a validation counts: its replica passed the last probe, not long ago.
+func (p *Validations) valid(v *validation, now time.Duration) bool {
+	return v.verdict == Passed && now-v.passedAt < validIntervals*p.interval
 }
 
 // Validated tells whether a replica counts as capacity.
 func (p *Validations) Validated(r Replica, now time.Duration) bool {
-	x := p.byReplica[r.name()]
-	return x != nil && p.valid(x, now)
+	v := p.byReplica[r.name()]
+	return v != nil && p.valid(v, now)
 }
 
-// AllAnswered tells whether each replica has had an answer, of whatever kind.
+// AllAnswered tells whether each replica has been probed, with whatever result.
 func (p *Validations) AllAnswered() bool {
 	for _, name := range p.order {
-		if p.byReplica[name].answers == 0 {
+		if p.byReplica[name].results == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// ReplicaState is what is known of a replica, for people.
+// ReplicaState is a replica with the state of its validation.
 type ReplicaState struct {
 	Replica   Replica
 	Validated bool
@@ -210,12 +210,12 @@
 	Check     string
 }
 
-// States gives what is known of all replicas.
+// States gives the states of all replicas.
 func (p *Validations) States(now time.Duration) []ReplicaState {
 	states := make([]ReplicaState, 0, len(p.order))
 	for _, name := range p.order {
-		x := p.byReplica[name]
-		states = append(states, ReplicaState{Replica: x.replica, Validated: p.valid(x, now), Verdict: x.verdict, Check: x.check})
+		v := p.byReplica[name]
+		states = append(states, ReplicaState{Replica: v.replica, Validated: p.valid(v, now), Verdict: v.verdict, Check: v.check})
 	}
 	return states
 }
