--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -14,12 +14,12 @@
 	Zones       []string `json:"halls"`
 }
 
-// Catalog is the answer of GET /catalog.
+// Catalog is the response of GET /catalog.
 type Catalog struct {
 	Types []MachineType `json:"rigs"`
 }
 
-// ScaleOutRequest asks for machines (POST /rentals).
+// ScaleOutRequest requests machines (POST /rentals). Requests of the same id are idempotent.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"rig"`
@@ -28,15 +28,15 @@
 	Count     int    `json:"number"`
 }
 
-// MaxRent is the most machines one request may ask for, MaxRelease the most
-// names one release may hold, MaxList the most machines in one page.
+// MaxScaleOut is the most machines in one request, MaxScaleIn the most
+// names in one return, MaxList the most machines in one page.
 const (
 	MaxScaleOut = 50
 	MaxScaleIn  = 100
 	MaxList     = 500
 )
 
-// MachineNames is a list of machine names: a rental's answer and a release's request.
+// MachineNames is a list of machine names: the response to a scale-out and the request of a scale-in.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
--- a/internal/wire/user_test.go
+++ b/internal/wire/job_test.go
@@ -1,6 +1,8 @@
 package wire
 
 import (
+	"maps"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -75,3 +77,20 @@
 		t.Errorf("%d needed jobs for a value of 2 KiB", n)
 	}
 }
+
+// TestFieldNames has the names in errors be those of the tags.
+func TestFieldNames(t *testing.T) {
+	job := reflect.TypeFor[Job]()
+	tags := map[string]string{}
+	for i := range job.NumField() {
+		tags[job.Field(i).Name], _, _ = strings.Cut(job.Field(i).Tag.Get("json"), ",")
+	}
+	names := map[string]string{"ID": fieldID, "Class": fieldClass, "Team": fieldTeam, "Kind": fieldKind, "Priority": fieldPriority,
+		"Tasks": fieldTasks, "CPUs": fieldCPUs, "GPUs": fieldGPUs, "MemoryGB": fieldMemoryGB, "Image": fieldImage, "ImageGB": fieldImageGB,
+		"MachineTypes": fieldMachineTypes, "Zone": fieldZone, "SingleZone": fieldSingleZone, "SpreadZones": fieldSpreadZones,
+		"Spot": fieldSpot, "EstimatedRunS": fieldEstimatedRunS, "CheckpointIntervalS": fieldCheckpointIntervalS,
+		"CheckpointTimeS": fieldCheckpointTimeS, "DeadlineS": fieldDeadlineS, "Dependencies": FieldDependencies}
+	if !maps.Equal(tags, names) {
+		t.Errorf("the tags are %v, the names in errors %v", tags, names)
+	}
+}
--- a/internal/wire/prefetch.go
+++ b/internal/wire/prefetch.go
@@ -1,10 +1,10 @@
 package wire
 
-// PrefetchPath is where workers that know it take the request to fetch an image ahead of need. It is no part of the
-// workers' protocol: hollow workers alone have it.
+// PrefetchPath is where workers that support it take requests to fetch an image ahead of need. It is no part of the
+// workers' protocol: simulated workers alone have it.
 const PrefetchPath = "/prefetch"
 
-// PrefetchRequest asks for an image.
+// PrefetchRequest requests an image.
 type PrefetchRequest struct {
 	Image string  `json:"image"`
 	GB    float64 `json:"gb"`
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Item is a key of the state service with its value.
+// Item is a key of the key-value store with its value.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -10,7 +10,7 @@
 	Lease   uint64          `json:"permit,omitempty"`
 }
 
-// Page is a page of keys.
+// Page is a page of items, in order of their keys.
 type Page struct {
 	Items    []Item `json:"items"`
 	More     bool   `json:"truncated"`
@@ -20,13 +20,13 @@
 // MaxItems is the most items in a page.
 const MaxItems = 1000
 
-// Condition is a condition of a transaction; version 0: the key does not exist.
+// Condition is a condition of a compare-and-swap: the version of a key; 0: the key does not exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
 
-// Op is a change of a transaction: a put or a delete.
+// Op is an operation of a transaction: a put or a delete.
 type Op struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -34,29 +34,29 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a compare-and-swap transaction: all operations are applied if all conditions hold, or none.
 type Txn struct {
 	If   []Condition `json:"when"`
 	Then []Op        `json:"apply,omitempty"`
 }
 
-// TxnResponse is the answer to a transaction.
+// TxnResponse is the response to a transaction, with the keys whose conditions failed.
 type TxnResponse struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
 }
 
-// LeaseRequest and LeaseAnswer make a lease.
+// LeaseRequest requests a lease.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// LeaseResponse names the lease made.
+// LeaseResponse names the granted lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
 
-// Event is a change seen by a watch.
+// Event is a change that a watch returns.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -64,7 +64,7 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// WatchResponse is the answer of a watch.
+// WatchResponse is the response to a watch.
 type WatchResponse struct {
 	Revision uint64  `json:"epoch"`
 	Events   []Event `json:"log"`
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// The paths of the workers' protocol: reports to a controller, direct commands and questions to a worker.
+// The paths of the workers' protocol: heartbeats to a controller, direct commands and status queries to a worker.
 const (
 	HeartbeatPath = "/checkin"
 	CommandsPath  = "/orders"
 	StatusPath    = "/inspect"
 )
 
-// HeartbeatTimeout is how long a worker waits for the answer to a report.
+// HeartbeatTimeout is how long a worker waits for the response to a heartbeat.
 const HeartbeatTimeout = 4 * time.Second
 
-// TaskState is the state of a task in a worker's report.
+// TaskState is the state of a task in a heartbeat.
 type TaskState string
 
 // The task states.
@@ -40,7 +40,7 @@
 	CauseUnknownTask ExitCause = "no_such"
 )
 
-// CommandOp is what a command tells a worker to do with a task.
+// CommandOp is the operation of a command on a task.
 type CommandOp string
 
 // The commands.
@@ -50,7 +50,7 @@
 	OpForget CommandOp = "forget"
 )
 
-// TaskStatus is a task in a worker's report.
+// TaskStatus is the status of a task in a heartbeat.
 type TaskStatus struct {
 	Task         string    `json:"parcel"`
 	Attempt      uint64    `json:"try"`
@@ -59,7 +59,7 @@
 	Checkpointed bool      `json:"kept,omitempty"`
 }
 
-// Heartbeat is a worker's report (POST /checkin).
+// Heartbeat is a worker's heartbeat, with the status of all its tasks (POST /checkin).
 type Heartbeat struct {
 	Machine        string       `json:"host"`
 	Addr           string       `json:"addr"`
@@ -73,7 +73,7 @@
 	Tasks          []TaskStatus `json:"parcels"`
 }
 
-// Command is an order to a worker.
+// Command is a command to a worker.
 type Command struct {
 	Op           CommandOp `json:"verb"`
 	Task         string    `json:"parcel"`
@@ -81,7 +81,7 @@
 	GracePeriodS *float64  `json:"leeway_s,omitempty"`
 }
 
-// HeartbeatResponse is the 200 answer to a report.
+// HeartbeatResponse is the 200 response to a heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
@@ -94,19 +94,19 @@
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the 421 answer to a report.
+// Redirect is the 421 response to a heartbeat: another controller leads.
 type Redirect struct {
 	Leader string `json:"steward,omitempty"`
 }
 
-// ParseHeartbeat reads a worker's report.
+// ParseHeartbeat decodes a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil {
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, errors.New("report: is malformed")
 	}
-	if r.Machine == "" || r.Incarnation == 0 {
+	if heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
 		return nil, errors.New("report: names no machine or session")
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
