--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,45 +12,37 @@
 	"bitternwing/internal/wire"
 )
 
-// The exit statuses of the job commands; any other failure is exitFailure.
-const (
-	exitFailure     = 1
-	exitRefused     = 3
-	exitNotFound    = 4
-	exitUnavailable = 5
-)
-
-// jobCmd are the commands for people and scripts that hand in jobs.
+// jobCmd are the commands of users for their jobs.
 type jobCmd struct {
 	Submit submitCmd `cmd:"" help:"Submit a job from a file in the protocol's form (- for standard input)."`
 	Show   showCmd   `cmd:"" help:"Show a job's state."`
 	Cancel cancelCmd `cmd:"" help:"Cancel a job, and all jobs that need it."`
 }
 
-// serverFlags say whom to ask.
+// serverFlags name the server.
 type serverFlags struct {
 	Server string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_SERVER" help:"Address of a controller, or of the load balancer before them."`
 	responseFlags
 }
 
-// responseFlags say how long to wait for an answer, and how to print it.
+// responseFlags say how long to wait for a response, and how to print it.
 type responseFlags struct {
 	Wait time.Duration `default:"60s" help:"How long to go on asking while no answer can be had."`
 	JSON bool          `name:"json" help:"Print the answer as JSON."`
 }
 
-// run asks, and prints the answer.
-func (f *serverFlags) run(needs []string, ask func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
+// run makes a request, and prints the response with the dependencies of a submitted job.
+func (f *serverFlags) run(dependencies []string, request func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
-	state, err := ask(ctx, apiclient.New(f.Server))
+	state, err := request(ctx, apiclient.New(f.Server))
 	if err != nil {
 		return err
 	}
-	return f.print(os.Stdout, state, needs)
+	return f.print(os.Stdout, state, dependencies)
 }
 
-func (f *serverFlags) print(w io.Writer, state wire.JobState, needs []string) error {
+func (f *serverFlags) print(w io.Writer, state wire.JobState, dependencies []string) error {
 	if f.JSON {
 		return json.NewEncoder(w).Encode(state)
 	}
@@ -62,7 +53,7 @@
 	if _, err := fmt.Fprintln(w, line); err != nil {
 		return err
 	}
-	for _, id := range needs {
+	for _, id := range dependencies {
 		if _, err := fmt.Fprintln(w, "  needs", id); err != nil {
 			return err
 		}
@@ -77,7 +68,7 @@
 
 // Run submits a job. A file that is malformed is not sent.
 func (c *submitCmd) Run() error {
-	body, err := readFile(c.File)
+	body, err := readInput(c.File)
 	if err != nil {
 		return err
 	}
@@ -90,20 +81,6 @@
 	})
 }
 
-// readFile reads a file of at most the size of a request.
-func readFile(name string) ([]byte, error) {
-	file := os.Stdin
-	if name != "-" {
-		opened, err := os.Open(name)
-		if err != nil {
-			return nil, err
-		}
-		defer func() { _ = opened.Close() }()
-		file = opened
-	}
-	return io.ReadAll(io.LimitReader(file, wire.MaxBody+1))
-}
-
 type showCmd struct {
 	serverFlags
 	ID string `arg:"" help:"The job's id."`
@@ -134,27 +111,10 @@
 	})
 }
 
+// checkID checks the form of a job id.
 func checkID(id string) error {
 	if !wire.ValidJobID(id) {
 		return fmt.Errorf("%q is no job id (run- and six to twenty digits)", id)
 	}
 	return nil
 }
-
-// exitStatus gives the exit status for an error.
-func exitStatus(err error) int {
-	var refused *apiclient.RefusedError
-	var unavailable *apiclient.UnavailableError
-	switch {
-	case errors.As(err, &refused):
-		return exitRefused
-	case errors.Is(err, apiclient.ErrNotFound):
-		return exitNotFound
-	case errors.As(err, &unavailable):
-		return exitUnavailable
-	}
-	if status := rolloutExitStatus(err); status != 0 {
-		return status
-	}
-	return exitFailure
-}
--- a/cmd/bitternwing/placement.go
+++ b/cmd/bitternwing/placement.go
@@ -11,10 +11,10 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// errNotPlaced says that nothing of a job is placed.
+// errNotPlaced is returned if no replica of a job is placed.
 var errNotPlaced = errors.New("nothing of the job is placed")
 
-// placementCmd are the commands that explain places.
+// placementCmd are the commands that explain placements.
 type placementCmd struct {
 	Show placementShowCmd `cmd:"" help:"Show where a job's replicas are, and what each place cost."`
 }
@@ -24,7 +24,7 @@
 	ID string `arg:"" help:"The job's id."`
 }
 
-// Run shows the places of a job.
+// Run shows the placements of a job.
 func (c *placementShowCmd) Run() error {
 	if err := checkID(c.ID); err != nil {
 		return err
@@ -38,7 +38,7 @@
 	if c.JSON {
 		err = printJSON(os.Stdout, reply)
 	} else {
-		err = printPlaces(os.Stdout, reply)
+		err = printPlacements(os.Stdout, reply)
 	}
 	if err == nil && len(reply.GetReplicas()) == 0 {
 		err = errNotPlaced
@@ -46,20 +46,20 @@
 	return err
 }
 
-// printPlaces prints a line for each replica.
-func printPlaces(w io.Writer, reply *operatorpb.PlacementReply) error {
-	for _, r := range reply.GetReplicas() {
-		line := fmt.Sprintf("%s attempt %d: %s in %s", r.GetTask(), r.GetAttempt(), r.GetMachine(), r.GetZone())
+// printPlacements prints a line for each replica, with the costs that its placement was chosen by.
+func printPlacements(w io.Writer, reply *operatorpb.PlacementReply) error {
+	for _, replica := range reply.GetReplicas() {
+		line := fmt.Sprintf("%s attempt %d: %s in %s", replica.GetTask(), replica.GetAttempt(), replica.GetMachine(), replica.GetZone())
 		switch {
-		case !r.GetChosen():
+		case !replica.GetChosen():
 			line += "; an earlier leader chose it"
-		case !r.GetWeighed():
-			line += fmt.Sprintf("; the warmest, load %.1f s", r.GetLoadS())
-		case r.GetWarmest() == "":
-			line += fmt.Sprintf("; load %.1f s, expected loss %.1f s", r.GetLoadS(), r.GetLossS())
+		case !replica.GetWeighed():
+			line += fmt.Sprintf("; the warmest, load %.1f s", replica.GetLoadS())
+		case replica.GetWarmest() == "":
+			line += fmt.Sprintf("; load %.1f s, expected loss %.1f s", replica.GetLoadS(), replica.GetLossS())
 		default:
-			line += fmt.Sprintf("; load %.1f s, expected loss %.1f s; warmest %s, load %.1f s, which would lose %.1f s more", r.GetLoadS(), r.GetLossS(),
-				r.GetWarmest(), r.GetWarmestLoadS(), r.GetAvoidedS())
+			line += fmt.Sprintf("; load %.1f s, expected loss %.1f s; warmest %s, load %.1f s, which would lose %.1f s more", replica.GetLoadS(), replica.GetLossS(),
+				replica.GetWarmest(), replica.GetWarmestLoadS(), replica.GetAvoidedS())
 		}
 		if _, err := fmt.Fprintln(w, line); err != nil {
 			return err
--- /dev/null
+++ b/cmd/bitternwing/rollout_output.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"bitternwing/internal/adminapi/operatorpb"
+)
+
+// print prints the status of a plan, and a line for each replica.
+func (f *controllerFlags) print(w io.Writer, status *operatorpb.PlanStatus) error {
+	if f.JSON {
+		return printJSON(w, status)
+	}
+	if _, err := fmt.Fprintln(w, summary(status)); err != nil {
+		return err
+	}
+	for _, replica := range status.GetReplicas() {
+		if err := printReplica(w, replica); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func printReplica(w io.Writer, replica *operatorpb.Replica) error {
+	verdict := replica.GetVerdict()
+	if replica.GetCheck() != "" {
+		verdict += " (" + replica.GetCheck() + ")"
+	}
+	_, err := fmt.Fprintf(w, "  %s %s attempt %d: %s, %.1f%% of traffic\n", replica.GetVersion(), replica.GetTask(), replica.GetAttempt(),
+		verdict, 100*replica.GetShare())
+	return err
+}
+
+// summary gives the status of a plan in a line.
+func summary(status *operatorpb.PlanStatus) string {
+	if status.GetProblem() != "" {
+		return fmt.Sprintf("%s: left alone: %s", status.GetName(), status.GetProblem())
+	}
+	line := fmt.Sprintf("%s: %s, step %d of %d", status.GetName(), status.GetPhase(), status.GetStep(), status.GetSteps())
+	if status.GetPaused() {
+		line += ", paused"
+	}
+	if status.GetReason() != "" {
+		line += ", " + status.GetReason()
+	}
+	if status.GetDetail() != "" {
+		line += " (" + status.GetDetail() + ")"
+	}
+	if !status.GetSettled() {
+		return line + "; the leader has yet to ask all replicas"
+	}
+	return line + fmt.Sprintf("; capacity old %g, new %g, promised %g; %.1f%% of traffic to the new version, %d routers", status.GetOldCapacity(),
+		status.GetNewCapacity(), status.GetPromisedCapacity(), 100*status.GetNewShare(), len(status.GetRouters()))
+}
