--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"slices"
+
 	"bitternwing/internal/config"
 	"bitternwing/internal/scheduling"
 	"bitternwing/internal/wire"
@@ -10,58 +12,65 @@
 type admission int
 
 const (
-	admissible       admission = iota // it can run on some machine, within its team's limit
+	admissible       admission = iota // it can run on some machine, within its team's quota
 	inadmissible                      // it can't, whatever happens
 	admissionUnknown                  // the machine types are not known yet
 )
 
 // admissionOf tells whether a job can ever run here.
-func (c *Core) admissionOf(j *wire.Job) admission {
-	team := c.team(j.Team)
-	if team == nil {
-		return inadmissible
-	}
-	n := 1.0
-	if j.Kind == wire.KindService {
-		n = float64(j.Tasks)
-	}
-	if scheduling.ExceedsLimit(n*j.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(n*j.GPUs, team.MaxGPUs) {
+func (c *Core) admissionOf(spec *wire.Job) admission {
+	team := c.team(spec.Team)
+	if team == nil || exceedsQuota(spec, team) {
 		return inadmissible
 	}
 	if !c.catalog.known() {
 		return admissionUnknown
 	}
-	zones := map[string]bool{}
-	for i := range c.catalog.types {
-		t := &c.catalog.types[i]
-		if !allowsType(j, t.Name) || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
-			continue
-		}
-		for _, z := range t.Zones {
-			if j.Zone == "" || j.Zone == z {
-				zones[z] = true
-			}
-		}
-	}
+	zones := c.catalog.zonesFor(spec)
 	if len(zones) == 0 {
 		return inadmissible
 	}
-	if j.SpreadZones && j.Tasks > 1 && (j.SingleZone || len(zones) < 2) {
+	if spec.SpreadZones && spec.Tasks > 1 && (spec.SingleZone || len(zones) < 2) {
 		return inadmissible
 	}
 	return admissible
 }
 
-func allowsType(j *wire.Job, name string) bool {
-	if j.MachineTypes == nil {
-		return true
+// exceedsQuota tells whether a job can't run within its team's quota. All tasks of a service run at once, those of an
+// array one at a time if need be.
+func exceedsQuota(spec *wire.Job, team *config.Team) bool {
+	tasks := 1.0
+	if spec.Kind == wire.KindService {
+		tasks = float64(spec.Tasks)
 	}
-	for _, t := range j.MachineTypes {
-		if t == name {
-			return true
+	return scheduling.ExceedsLimit(tasks*spec.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(tasks*spec.GPUs, team.MaxGPUs)
+}
+
+// zonesFor gives the zones in which the cloud offers a machine type on which a job's tasks can run.
+func (m *machineCatalog) zonesFor(spec *wire.Job) map[string]bool {
+	zones := map[string]bool{}
+	for i := range m.types {
+		machineType := &m.types[i]
+		if !allowsType(spec, machineType.Name) || !fitsType(spec, machineType) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				zones[zone] = true
+			}
 		}
 	}
-	return false
+	return zones
+}
+
+// fitsType tells whether a task of a job fits into an empty machine of a type.
+func fitsType(spec *wire.Job, machineType *wire.MachineType) bool {
+	return spec.CPUs <= machineType.CPUs && spec.GPUs <= machineType.GPUs && spec.MemoryGB <= machineType.MemoryGB
+}
+
+// allowsType tells whether a job allows a machine type.
+func allowsType(spec *wire.Job, name string) bool {
+	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
 
 // team gives the settings of a team; nil if there is no such team.
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -9,29 +9,27 @@
 
 	"bitternwing/internal/membership"
 	"bitternwing/internal/watchcache"
-	"bitternwing/internal/wire"
 )
 
 // cancellationReplicator makes cancellations known to all nodes before users are told of them.
 //
-// Any node may be keeping workers' leases: as the leader, for it, or with the state service
-// out of reach and for as long as that lasts. What such a node does not know to be cancelled
-// goes on running. So a node tells a user that a job is cancelled only once
-//   - each other node has said that it knows, by the revision that it has read up to or by
-//     taking the cancellation from here, and the leader that no task of it can start any more
-//     and none is left in a zone that keeps itself alive when it is cut off, or
-//   - the job is over, which is written only when nothing of it is left on any machine.
+// Any node may be renewing workers' leases: as the leader, in its place, or for as long as a store outage lasts. What
+// such a node does not know to be cancelled goes on running. So a node tells a user that a job is cancelled only once
+//   - each other node has acknowledged it, by the revision that it has read up to or by taking the cancellation from
+//     here, and the leader has resolved it: no task of it can start any more and none is left in a zone that renews
+//     its own leases when it is isolated, or
+//   - the job has ended, which is written only when nothing of it is left on any machine.
 //
-// Until then users get 503, as for all that can't be confirmed. A node that starts anew has
-// forgotten what it knew. It keeps no leases before it has read the jobs, which is later than
-// the write of whatever its earlier process had said that it knows; but for those of its own
-// zone while that is cut off, where nothing is left of a job whose user was told.
+// Until then users get 503, as for all that can't be confirmed. A node that was restarted has forgotten what it knew. It
+// renews no leases before it has read the jobs, which is later than the write of whatever its earlier incarnation had
+// acknowledged; except for those of its own zone while that is isolated, where nothing is left of a job whose user was
+// told.
 type cancellationReplicator struct {
 	core    *Core
 	pending []*pendingCancellation // in the order in which they came
 }
 
-// pendingCancellation is a cancellation that not all other nodes are known to know.
+// pendingCancellation is a cancellation that not all other nodes have acknowledged.
 type pendingCancellation struct {
 	cancellation   Cancellation
 	since          time.Duration // when the first of those came who wait
@@ -39,210 +37,196 @@
 	waiters        []func(acknowledged bool)
 }
 
-// Cancellation is a cancelled job's key as it stands in the state service.
+// Cancellation is a cancelled job's key as it stands in the key-value store.
 type Cancellation struct {
 	Job     string
 	Value   json.RawMessage
 	Version uint64
 }
 
-// maxCancellationBytes bounds the cancellations in a message to another node, in bytes.
-const maxCancellationBytes = 32 << 10
-
-// maxUnsettledBytes bounds the unsettled jobs in a node's status, in bytes, and listedJobBytes is what each
-// takes beside its id.
 const (
-	maxUnresolvedBytes = 32 << 10
-	listedJobBytes     = 2
+	// maxCancellationBytes bounds the cancellations in a message to another node.
+	maxCancellationBytes = 32 << 10
+	// cancellationOverheadBytes is what a cancellation takes in a message beside its value.
+	cancellationOverheadBytes = 64
+	// pendingCancellationsPerRequest bounds the pending cancellations, in those of the pending requests of users.
+	pendingCancellationsPerRequest = 4
 )
 
-// maxPendingCancellations bounds the pending cancellations that are remembered. Beyond it the oldest goes: its
-// users have had their 503, and asking again begins anew.
-func (c *Core) maxPendingCancellations() int { return 4 * c.operator.MaxPendingRequests }
-
-// awaitAcknowledgement hands over whether users may be told of a job's cancellation: at once where that is
-// known, else with the other nodes' answers.
-func (b *cancellationReplicator) awaitAcknowledgement(id string, e *watchcache.Job, then func(acknowledged bool)) {
-	if b.acknowledgedByAll(e.Version, nil) && b.resolvedByLeaders(id) {
+// awaitAcknowledgement hands over whether users may be told of a job's cancellation: at once where that is known, else
+// with the other nodes' answers.
+func (r *cancellationReplicator) awaitAcknowledgement(id string, job *watchcache.Job, then func(acknowledged bool)) {
+	if r.acknowledgedByAll(job.Version, nil) && r.resolvedByLeaders(id) {
 		then(true)
 		return
 	}
-	i := slices.IndexFunc(b.pending, func(a *pendingCancellation) bool { return a.cancellation.Job == id })
-	if i < 0 {
-		value, err := e.Encode()
+	pending := r.pendingOf(id)
+	if pending == nil {
+		value, err := job.Encode()
 		if err != nil {
 			then(false)
 			return
 		}
-		if len(b.pending) >= b.core.maxPendingCancellations() {
-			b.complete(b.pending[0], false)
-			b.pending = slices.Delete(b.pending, 0, 1)
+		pending = r.add(Cancellation{Job: id, Value: value, Version: job.Version})
+	}
+	if len(pending.waiters) == 0 {
+		pending.since = r.core.now.Steady
+	}
+	pending.waiters = append(pending.waiters, then)
+	r.resolvePending()
+}
+
+// pendingOf gives the pending cancellation of a job; nil if there is none.
+func (r *cancellationReplicator) pendingOf(id string) *pendingCancellation {
+	for _, pending := range r.pending {
+		if pending.cancellation.Job == id {
+			return pending
 		}
-		i = len(b.pending)
-		b.pending = append(b.pending, &pendingCancellation{cancellation: Cancellation{Job: id, Value: value, Version: e.Version}, acknowledgedBy: map[*membership.Peer]bool{}})
 	}
-	a := b.pending[i]
-	if len(a.waiters) == 0 {
-		a.since = b.core.now.Steady
+	return nil
+}
+
+// add adds a pending cancellation. Where there are too many the oldest is dropped: its users get their 503, and asking
+// again begins anew.
+func (r *cancellationReplicator) add(cancellation Cancellation) *pendingCancellation {
+	if len(r.pending) >= pendingCancellationsPerRequest*r.core.operator.MaxPendingRequests {
+		r.pending[0].complete(false)
+		r.pending = slices.Delete(r.pending, 0, 1)
 	}
-	a.waiters = append(a.waiters, then)
-	b.resolvePending()
+	pending := &pendingCancellation{cancellation: cancellation, acknowledgedBy: map[*membership.Peer]bool{}}
+	r.pending = append(r.pending, pending)
+	return pending
+}
+
+// acknowledged tells whether a node knows the cancellation.
+func (p *pendingCancellation) acknowledged(peer *membership.Peer) bool {
+	return peer.Revision() >= p.cancellation.Version || p.acknowledgedBy[peer]
 }
 
-// acknowledgedByAll tells whether all other nodes know a cancellation of this version.
-func (b *cancellationReplicator) acknowledgedByAll(version uint64, a *pendingCancellation) bool {
-	for _, p := range b.core.members.Peers() {
-		if p.Revision() < version && (a == nil || !a.acknowledgedBy[p]) {
+// complete tells who waits whether users may be told of the cancellation.
+func (p *pendingCancellation) complete(acknowledged bool) {
+	waiters := p.waiters
+	p.waiters = nil
+	for _, then := range waiters {
+		then(acknowledged)
+	}
+}
+
+// acknowledgedByAll tells whether all other nodes know a cancellation of this version; pending is nil if it has not been
+// sent to them.
+func (r *cancellationReplicator) acknowledgedByAll(version uint64, pending *pendingCancellation) bool {
+	for _, peer := range r.core.members.Peers() {
+		if peer.Revision() < version && (pending == nil || !pending.acknowledgedBy[peer]) {
 			return false
 		}
 	}
 	return true
 }
 
-// resolvedByLeaders tells whether all who lead say that a cancelled job is settled. Without a leader nobody
-// can say.
-func (b *cancellationReplicator) resolvedByLeaders(id string) bool {
-	c := b.core
-	if l := c.leader; l != nil && (!l.recovered || l.jobs[id] != nil && l.unsettled(l.jobs[id])) {
+// resolvedByLeaders tells whether all who lead say that a cancelled job is resolved. Without a leader nobody can say.
+func (r *cancellationReplicator) resolvedByLeaders(id string) bool {
+	c := r.core
+	if c.leader != nil && !c.leader.hasResolved(id) {
 		return false
 	}
 	led := c.leader != nil
-	for _, p := range c.members.Peers() {
-		if !c.members.Leads(p, c.now.Steady) {
+	for _, peer := range c.members.Peers() {
+		if !c.members.Leads(peer, c.now.Steady) {
 			continue
 		}
 		led = true
-		if p.Unresolved(id) {
+		if peer.Unresolved(id) {
 			return false
 		}
 	}
 	return led
 }
 
-// unsettled tells whether a task of a cancelled job may start yet, its start or its image being
-// on the way, or is left in a zone whose nodes answer its workers while it is cut off.
-func (l *leader) unsettled(j *job) bool {
-	for _, p := range j.placements {
-		if p.phase < phaseReported || p.state == wire.TaskFetching || l.core.members.ZoneRenewsOwnLeases(p.machine.zone) {
-			return true
-		}
-	}
-	return false
+// resolveTimeout is how long a user waits until a leader's stops have resolved a job. They take a message to the machine
+// and back.
+func (r *cancellationReplicator) resolveTimeout() time.Duration {
+	return r.core.times.checkInterval / 2
 }
 
-// unsettledJobs gives the cancelled jobs that are not settled, as many as a message to another node holds, and
-// whether there are more. Before a leader has read the records it can't say so of any.
-func (l *leader) unsettledJobs() (listed []string, more bool) {
-	size := 0
-	add := func(id string) {
-		if size += len(id) + listedJobBytes; size > maxUnresolvedBytes {
-			more = true
-			return
-		}
-		listed = append(listed, id)
-	}
-	if !l.recovered {
-		for _, id := range l.core.cache.JobIDs() {
-			if l.core.cache.Job(id).CancelledMS != 0 {
-				add(id)
-			}
-		}
-		return listed, more
-	}
-	for _, j := range l.queue {
-		if j.cancelled && l.unsettled(j) {
-			add(j.id)
-		}
-	}
-	return listed, more
-}
-
-// resolveTimeout is how long a user waits until a leader's stops have settled a job. They take a
-// message to the machine and back.
-func (b *cancellationReplicator) resolveTimeout() time.Duration {
-	return b.core.times.checkInterval / 2
-}
-
-// awaitingLeader tells whether users wait for a leader to say that a job is settled.
-func (b *cancellationReplicator) awaitingLeader(p *membership.Peer) bool {
-	return p.Status().Leading && slices.ContainsFunc(b.pending, func(a *pendingCancellation) bool { return len(a.waiters) > 0 })
-}
-
-func (b *cancellationReplicator) complete(a *pendingCancellation, acknowledged bool) {
-	waiting := a.waiters
-	a.waiters = nil
-	for _, then := range waiting {
-		then(acknowledged)
-	}
+// awaitingLeader tells whether users wait for a leader to say that a job is resolved.
+func (r *cancellationReplicator) awaitingLeader(peer *membership.Peer) bool {
+	hasWaiters := func(pending *pendingCancellation) bool { return len(pending.waiters) > 0 }
+	return peer.Status().Leading && slices.ContainsFunc(r.pending, hasWaiters)
 }
 
-// resolvePending answers who waits: with yes where all nodes know and no task can start, with no where
-// one of those that don't know can't be reached, or a start is not settled in time.
-func (b *cancellationReplicator) resolvePending() {
-	keep := b.pending[:0]
-	for _, a := range b.pending {
-		switch {
-		case !b.acknowledgedByAll(a.cancellation.Version, a):
-		case b.resolvedByLeaders(a.cancellation.Job):
-			b.complete(a, true)
-			continue
-		case len(a.waiters) == 0:
-		case b.core.now.Steady < a.since+b.resolveTimeout():
-			b.core.wakeBy(a.since + b.resolveTimeout())
-		default:
-			b.complete(a, false)
+// resolvePending answers who waits: with yes where all nodes know and no task can start, with no where one of those that
+// don't know can't be reached, or a start is not resolved in time.
+func (r *cancellationReplicator) resolvePending() {
+	keep := r.pending[:0]
+	for _, pending := range r.pending {
+		if !r.resolve(pending) {
+			keep = append(keep, pending)
 		}
-		keep = append(keep, a)
-		for _, p := range b.core.members.Peers() {
-			if p.Revision() < a.cancellation.Version && !a.acknowledgedBy[p] && !p.Reachable() {
-				b.complete(a, false)
-				break
-			}
+	}
+	clear(r.pending[len(keep):])
+	r.pending = keep
+}
+
+// resolve answers who waits for a pending cancellation; true once it need not be kept.
+func (r *cancellationReplicator) resolve(pending *pendingCancellation) bool {
+	deadline := pending.since + r.resolveTimeout()
+	switch {
+	case !r.acknowledgedByAll(pending.cancellation.Version, pending):
+	case r.resolvedByLeaders(pending.cancellation.Job):
+		pending.complete(true)
+		return true
+	case len(pending.waiters) == 0:
+	case r.core.now.Steady < deadline:
+		r.core.wakeBy(deadline)
+	default:
+		pending.complete(false)
+	}
+	for _, peer := range r.core.members.Peers() {
+		if !pending.acknowledged(peer) && !peer.Reachable() {
+			pending.complete(false)
+			break
 		}
 	}
-	clear(b.pending[len(keep):])
-	b.pending = keep
+	return false
 }
 
-// unacknowledgedBy gives the pending cancellations that a node is not known to know, as many as a message
-// holds.
-func (b *cancellationReplicator) unacknowledgedBy(p *membership.Peer) []*pendingCancellation {
-	var as []*pendingCancellation
+// unacknowledgedBy gives the pending cancellations that a node is not known to know, as many as a message holds.
+func (r *cancellationReplicator) unacknowledgedBy(peer *membership.Peer) []*pendingCancellation {
+	var unacknowledged []*pendingCancellation
 	size := 0
-	for _, a := range b.pending {
-		if p.Revision() >= a.cancellation.Version || a.acknowledgedBy[p] {
+	for _, pending := range r.pending {
+		if pending.acknowledged(peer) {
 			continue
 		}
-		if size += len(a.cancellation.Value) + 64; size > maxCancellationBytes && len(as) > 0 {
+		size += len(pending.cancellation.Value) + cancellationOverheadBytes
+		if size > maxCancellationBytes && len(unacknowledged) > 0 {
 			break
 		}
-		as = append(as, a)
+		unacknowledged = append(unacknowledged, pending)
 	}
-	return as
+	return unacknowledged
 }
 
-// drop drops what need not be replicated any more: its job's end has been written.
-func (b *cancellationReplicator) drop(id string) {
-	for i, a := range b.pending {
-		if a.cancellation.Job == id {
-			b.pending = slices.Delete(b.pending, i, i+1)
-			b.complete(a, true)
-			return
-		}
+// drop drops the cancellation of a job whose end has been written: it need not be replicated any more.
+func (r *cancellationReplicator) drop(id string) {
+	pending := r.pendingOf(id)
+	if pending == nil {
+		return
 	}
+	i := slices.Index(r.pending, pending)
+	r.pending = slices.Delete(r.pending, i, i+1)
+	pending.complete(true)
 }
 
-// handleReplicatedCancellations takes in cancellations that another node sent. They act at once, whoever
-// serves this node.
-func (c *Core) handleReplicatedCancellations(items []Cancellation) {
-	for _, it := range items {
-		c.applyJobIfNewer(it.Job, it.Value, it.Version, fromPeer)
+// handleReplicatedCancellations takes in cancellations that another node sent. They act at once, whatever this node does.
+func (c *Core) handleReplicatedCancellations(cancellations []Cancellation) {
+	for _, cancellation := range cancellations {
+		c.applyJobIfNewer(cancellation.Job, cancellation.Value, cancellation.Version, fromPeer)
 	}
 }
 
-// applyJobIfNewer takes in a job's key as it was read, written or heard of, without waiting for the
-// watch. What is no newer than the watch has come to is in the directory already, or was
-// deleted since.
+// applyJobIfNewer takes in a job's key as it was read, written or received, without waiting for the watch. What is no
+// newer than the watch has come to is in the cache already, or was deleted since.
 func (c *Core) applyJobIfNewer(id string, value json.RawMessage, version uint64, source updateSource) {
 	if version <= c.cache.Revision() && c.cache.Ready() {
 		return
@@ -250,8 +234,8 @@
 	c.applyJob(id, value, version, source)
 }
 
-// logConfirmedCancellation logs that a user is told of a cancellation, and who led by then as far as this node knows: they have said
-// that nothing of the job can start any more.
+// logConfirmedCancellation logs that a user is told of a cancellation, and who led by then as far as this node knows:
+// they have said that nothing of the job can start any more.
 func (c *Core) logConfirmedCancellation(job string, version uint64) {
 	if c.omitDebug {
 		return
@@ -267,15 +251,3 @@
 	}
 	c.log(Debug, "cancellation acknowledged", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
 }
-
-// newNameSet gives the set of some names; nil for none.
-func newNameSet(names []string) map[string]bool {
-	if len(names) == 0 {
-		return nil
-	}
-	set := make(map[string]bool, len(names))
-	for _, name := range names {
-		set[name] = true
-	}
-	return set
-}
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -8,52 +8,57 @@
 	"bitternwing/internal/stored"
 )
 
-// queueCancel has a job cancelled that needs a cancelled one.
+// queueCancel has a job cancelled by the leader itself, such as one that depends on a cancelled job.
 func (w *writer) queueCancel(j *job) {
 	if !slices.Contains(w.cancels, j) {
 		w.cancels = append(w.cancels, j)
 	}
 }
 
-// cancelledJob is a job whose cancellation is in a batch, with its value.
-type cancelledJob struct {
+// batchedCancel is a job whose cancellation is in a batch, with its value.
+type batchedCancel struct {
 	job   *job
 	value json.RawMessage
 }
 
-// addCancels adds the cancellations of jobs that need a cancelled one.
+// addCancels adds queued cancellations to a batch, as far as there is room.
 func (w *writer) addCancels(b *writeBatch) {
-	l, c := w.leader, w.leader.core
 	n := 0
 	for ; n < len(w.cancels) && b.hasRoom(1); n++ {
-		j := w.cancels[n]
-		e := c.cache.Job(j.id)
-		if l.jobs[j.id] != j || j.cancelled || e == nil {
-			continue
-		}
-		v := e.Job
-		v.CancelledMS = max(1, c.now.WallMS)
-		value, err := v.EncodeWithin(c.limits.maxValueBytes())
-		if err != nil {
-			continue
-		}
-		key := stored.JobKey(j.id)
-		b.addCondition(key, e.Version)
-		b.put(key, value)
-		b.cancels = append(b.cancels, cancelledJob{j, value})
+		w.addCancel(b, w.cancels[n])
 	}
 	w.cancels = append(w.cancels[:0], w.cancels[n:]...)
 }
 
-// applyCancelResult takes what became of the cancellation of a job that needs a cancelled one.
-func (w *writer) applyCancelResult(x cancelledJob, r Result, failed map[string]bool) {
+// addCancel adds the cancellation of a job to a batch, unless it is cancelled or gone already.
+func (w *writer) addCancel(b *writeBatch, j *job) {
+	c := w.leader.core
+	cached := c.cache.Job(j.id)
+	if w.leader.jobs[j.id] != j || j.cancelled || cached == nil {
+		return
+	}
+	cancelled := cached.Job
+	cancelled.CancelledMS = max(1, c.now.WallMS)
+	value, err := cancelled.EncodeWithin(c.limits.maxValueBytes())
+	if err != nil {
+		return
+	}
+	key := stored.JobKey(j.id)
+	b.addCondition(key, cached.Version)
+	b.put(key, value)
+	b.cancels = append(b.cancels, batchedCancel{j, value})
+}
+
+// applyCancelResult takes in what became of a cancellation in a batch.
+func (w *writer) applyCancelResult(cancel batchedCancel, r Result, failedKeys map[string]bool) {
+	j := cancel.job
 	switch {
 	case r.Outcome == outcome.OK:
-		w.leader.core.applyJobIfNewer(x.job.id, x.value, r.Txn.Revision, fromWrite)
-	case failed[stored.JobKey(x.job.id)]:
-		w.rereadJob(x.job) // another node was quicker
+		w.leader.core.applyJobIfNewer(j.id, cancel.value, r.Txn.Revision, fromWrite)
+	case failedKeys[stored.JobKey(j.id)]:
+		w.rereadJob(j) // another node was quicker
 	}
-	if w.leader.jobs[x.job.id] == x.job && !x.job.cancelled {
-		w.queueCancel(x.job)
+	if w.leader.jobs[j.id] == j && !j.cancelled {
+		w.queueCancel(j)
 	}
 }
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -211,7 +211,7 @@
 func (b *comparisonBatch) applyResult(r Result) {
 	u := b.requests
 	u.compareInFlight = false
-	failed := newNameSet(r.Txn.Failed)
+	failed := r.failedKeys()
 	for _, l := range b.lookups {
 		switch {
 		case r.Outcome == outcome.OK, r.Outcome == outcome.Conflict && len(failed) > 0 && !l.failedIn(failed):
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// A node that is short of processor time does what matters first: reports are answered, seldomer (held_answers.go);
-// users are sent to nodes with time to spare; polls and rounds wait longer for others of their kind.
+// A node that is short of processor time does what matters first. Heartbeats are answered, less often (see
+// holdResponse). Users are shed to nodes with time to spare. Comparisons and scheduling cycles wait longer.
 
 // Users are shed above a load, until it has fallen below another, so that they are not sent to and fro. Above it no more
-// machines are rented either: each one reports.
+// machines are requested either: each one sends heartbeats.
 const (
 	shedAbove = 0.5
 	shedBelow = 0.1
 )
 
-// maxSlowdown is how much longer at full load things wait that can.
+// maxSlowdown is how much longer deferrable work waits at full load.
 const maxSlowdown = 4
 
-// slowdown is the factor by which things wait longer that can.
+// slowdown is the factor by which deferrable work waits longer.
 func (c *Core) slowdown() float64 {
 	return 1 + (maxSlowdown-1)*c.timerLoad.Level(c.now.Steady)
 }
 
-// observeLoad takes in how late this step comes: the last one asked to be woken before. Its input may have waited besides.
+// observeLoad takes in how late this step comes: the last one asked to be woken before. Its input may also have waited.
 func (c *Core) observeLoad() {
 	late := time.Duration(0)
 	if c.wakeAt != 0 {
@@ -36,12 +36,12 @@
 }
 
 // overloaded tells whether this node has so little processor time to spare that a larger fleet would be too much for it.
-// Requests that have waited tell it as well as late timers: a core that takes one input after the other has its timers in
-// time. They tell nothing else, since a moment with many requests is no reason to decide later.
+// Requests that have waited show it as well as late timers: a core that takes one input after the other has its timers in
+// time. They show nothing else, since a moment with many requests is no reason to defer work.
 func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
 
-// updateShedding decides whether the load balancer is to send users elsewhere. The leader alone does: it has work that
-// nobody else can do, and the others keep each other's users.
+// updateShedding decides whether the load balancer is to send users elsewhere. Only a leader sheds them: it has work that
+// no other node can do, and the others would keep shedding each other's users.
 func (c *Core) updateShedding() {
 	level := c.timerLoad.Level(c.now.Steady)
 	switch {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -57,7 +57,7 @@
 	if c.leader != nil {
 		s.Leading = true
 		s.UnreachableZones = c.leader.unreachableZones
-		s.UnresolvedCancellations, s.MoreUnresolved = c.leader.unsettledJobs()
+		s.UnresolvedCancellations, s.MoreUnresolved = c.leader.unresolvedJobs()
 		s.Term = max(s.Term, c.leader.term)
 	}
 	if c.lastHeartbeat >= 0 {
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -161,7 +161,7 @@
 func (b *submissionBatch) applyResult(r Result) {
 	u := b.requests
 	u.submitInFlight = false
-	failed := newNameSet(r.Txn.Failed)
+	failed := r.failedKeys()
 	for _, s := range b.submissions {
 		id := s.job.ID
 		s.attempts++
--- a/internal/core/write_batch.go
+++ b/internal/core/write_batch.go
@@ -16,7 +16,7 @@
 	chunks     []*recordChunk
 	placements []*placement // that may start once this is applied
 	endings    []*job
-	cancels    []cancelledJob
+	cancels    []batchedCancel
 	orphans    []wire.Condition
 }
 
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,9 +1,9 @@
-// Package dependency keeps the graph of jobs that wait for other jobs. It tells which of them are
-// ready, which are cancelled with a job that they need, and what the jobs that need a job lend to it:
-// their priority, and the time by which it has to end so that the last of them meets its deadline.
+// Package dependency keeps the dependency graph of jobs. It tells which jobs are ready, which are cancelled with a job
+// that they depend on, and what a job inherits from its dependents: their priority, and the time by which it has to end
+// so that the last of them meets its deadline.
 //
-// There is no clock and no I/O in it, and no recursion: long chains and wide fans cost one pass over
-// the jobs that are part of a pipeline, whenever one of them has changed.
+// There is no clock and no I/O in it, and no recursion: long chains and wide fans cost one pass over the jobs that are
+// part of a pipeline, whenever one of them has changed.
 package dependency
 
 import (
@@ -11,15 +11,15 @@
 	"slices"
 )
 
-// State is what a job's dependencies say of it.
+// State is what the dependencies of a job say of it.
 type State int
 
 // The states.
 const (
-	Ready      State = iota // all that it needs is done
-	Waiting                 // a job that it needs, directly or through others, is not done
-	Unresolved              // whether it is ready depends on a job whose end is not known here
-	Cancelled               // a job that it needs, directly or through others, is cancelled
+	Ready      State = iota // all dependencies are done
+	Waiting                 // a direct or indirect dependency is not done
+	Unresolved              // the end of a direct or indirect dependency is not known here
+	Cancelled               // a direct or indirect dependency is cancelled
 )
 
 // Never is the latest end of a job that no deadline depends on.
@@ -27,12 +27,12 @@
 
 // Job is an active job. Times of day are in milliseconds.
 type Job struct {
-	Needs      []string
-	Cancelled  bool
-	Priority   int
-	AcceptedMS int64
-	EstimateMS int64 // run time of its longest task
-	DeadlineMS int64 // time of day; Never if it has none
+	Dependencies []string
+	Cancelled    bool
+	Priority     int
+	AcceptedMS   int64
+	EstimateMS   int64 // run time of its longest task
+	DeadlineMS   int64 // time of day; Never if it has none
 }
 
 // End is how a job ended.
@@ -44,70 +44,72 @@
 // Status is what the graph tells of an active job.
 type Status struct {
 	State State
-	// ReadyMS is when the last job that it needs was done, and its acceptance for a job that needs none
-	// or whose needed jobs' ends carry no time.
+	// ReadyMS is when the last dependency was done, or when the job was accepted if it has none or their ends carry no
+	// time.
 	ReadyMS int64
-	// Priority is the highest of its own and of all jobs that need it.
+	// Priority is the highest of its own and of its direct and indirect dependents.
 	Priority int
-	// LatestEndMS is when it has to be done at the latest for every deadline of its own or of a job that
-	// needs it; Never for a job that is not part of a pipeline.
+	// LatestEndMS is when it has to be done at the latest for every deadline of its own or of a dependent; Never for a
+	// job that is not part of a pipeline.
 	LatestEndMS int64
 }
 
 // Graph is the graph of the active jobs.
 type Graph struct {
-	jobs     map[string]Job
-	needed   map[string]int // how many active jobs name a job
-	ends     map[string]End // of needed jobs that are not active any more
-	pipeline map[string]bool
-	status   map[string]Status
-	missing  []string
-	order    []string
+	jobs       map[string]Job
+	dependents map[string]int  // how many active jobs depend directly on a job
+	ends       map[string]End  // of dependencies that are not active any more
+	pipeline   map[string]bool // active jobs with dependencies
 
-	changed     bool
+	// What the last evaluation found.
+	status     map[string]Status
+	unresolved []string // dependencies whose ends have to be known
+	order      []string // active jobs with dependencies, in topological order
+
+	changed     bool // since the last evaluation
 	evaluations uint64
 }
 
 // New makes an empty graph.
 func New() *Graph {
-	return &Graph{jobs: map[string]Job{}, needed: map[string]int{}, ends: map[string]End{},
+	return &Graph{jobs: map[string]Job{}, dependents: map[string]int{}, ends: map[string]End{},
 		pipeline: map[string]bool{}, status: map[string]Status{}}
 }
 
-// Put takes in an active job, anew if it has changed.
+// Put adds an active job, or takes in its change.
 func (g *Graph) Put(id string, j Job) {
 	old, known := g.jobs[id]
 	if !known {
-		for _, need := range j.Needs {
-			g.needed[need]++
+		for _, dependency := range j.Dependencies {
+			g.dependents[dependency]++
 		}
 	}
 	if known && old.Cancelled == j.Cancelled {
 		return // nothing else of a job ever changes
 	}
 	if known {
-		j.Needs = old.Needs // a cancelled job may be stored without them
+		j.Dependencies = old.Dependencies // a cancelled job may be stored without them
 	}
 	g.jobs[id] = j
 	delete(g.ends, id)
-	if len(j.Needs) > 0 {
+	if len(j.Dependencies) > 0 {
 		g.pipeline[id] = true
 	}
-	g.changed = g.changed || len(j.Needs) > 0 || g.needed[id] > 0
+	g.changed = g.changed || len(j.Dependencies) > 0 || g.dependents[id] > 0
 }
 
-// End takes in the end of a job.
+// End takes in the end of a job and removes it.
 func (g *Graph) End(id string, e End) {
-	if g.needed[id] > 0 {
+	if g.dependents[id] > 0 {
 		g.ends[id] = e
 		g.changed = true
 	}
 	g.remove(id)
 }
 
-// Remove takes out an active job whose end is not known.
+// Remove removes an active job whose end is not known.
 func (g *Graph) Remove(id string) {
-	g.changed = g.changed || g.needed[id] > 0
+	g.changed = g.changed || g.dependents[id] > 0
 	g.remove(id)
 }
 
@@ -118,16 +120,16 @@
 	}
 	delete(g.jobs, id)
 	delete(g.pipeline, id)
-	for _, need := range j.Needs {
-		if g.needed[need]--; g.needed[need] == 0 {
-			delete(g.needed, need)
-			delete(g.ends, need)
+	for _, dependency := range j.Dependencies {
+		if g.dependents[dependency]--; g.dependents[dependency] == 0 {
+			delete(g.dependents, dependency)
+			delete(g.ends, dependency)
 		}
 		g.changed = true
 	}
 }
 
-// Active gives the ids of all active jobs, in no order.
+// Active gives the IDs of all active jobs, in no order.
 func (g *Graph) Active() []string {
 	ids := make([]string, 0, len(g.jobs))
 	for id := range g.jobs {
@@ -159,28 +161,28 @@
 	return s
 }
 
-// Unresolved gives the jobs whose ends have to be known, in order of their ids.
+// Unresolved gives the jobs whose ends have to be known, in order of their IDs.
 func (g *Graph) Unresolved() []string {
 	g.evaluate()
-	return g.missing
+	return g.unresolved
 }
 
-// InOrder gives the active jobs that need others, those that are needed before those that need them.
+// InOrder gives the active jobs with dependencies in topological order: dependencies come before their dependents.
 func (g *Graph) InOrder() []string {
 	g.evaluate()
 	return g.order
 }
 
-// ownStatus is the status of a job by itself. Its own deadline counts only if it needs others.
+// ownStatus is the status of a job by itself. Its own deadline counts only if it has dependencies.
 func ownStatus(j Job) Status {
 	s := Status{ReadyMS: j.AcceptedMS, Priority: j.Priority, LatestEndMS: Never}
-	if len(j.Needs) > 0 {
+	if len(j.Dependencies) > 0 {
 		s.LatestEndMS = j.DeadlineMS
 	}
 	return s
 }
 
-// evaluate brings the status of all jobs that need others, or are needed, up to date.
+// evaluate updates the status of all jobs that have dependencies or dependents.
 func (g *Graph) evaluate() {
 	if !g.changed {
 		return
@@ -188,41 +190,41 @@
 	g.changed = false
 	g.evaluations++
 	clear(g.status)
-	g.missing = g.missing[:0]
+	g.unresolved = g.unresolved[:0]
 	g.order = g.sorted()
 	for _, id := range g.order {
-		g.status[id] = g.stateOf(g.jobs[id])
+		g.status[id] = g.statusOf(g.jobs[id])
 	}
 	for _, id := range slices.Backward(g.order) {
-		g.lend(id)
+		g.lendToDependencies(id)
 	}
-	slices.Sort(g.missing)
-	g.missing = slices.Compact(g.missing)
+	slices.Sort(g.unresolved)
+	g.unresolved = slices.Compact(g.unresolved)
 }
 
-// sorted gives the active jobs that need others in topological order. Jobs name only jobs that were
-// accepted before them, so there are no cycles; were there one, its jobs would be left out and wait.
+// sorted gives the active jobs with dependencies in topological order. Jobs depend only on jobs that were accepted
+// before them, so there are no cycles; were there one, its jobs would be left out and wait.
 func (g *Graph) sorted() []string {
-	dependents := map[string][]string{}
-	open := map[string]int{}
+	dependentsOf := map[string][]string{}
+	pending := map[string]int{} // dependencies that are not in the order yet
 	var next []string
 	for id := range g.pipeline {
-		for _, need := range g.jobs[id].Needs {
-			if g.pipeline[need] {
-				dependents[need] = append(dependents[need], id)
-				open[id]++
+		for _, dependency := range g.jobs[id].Dependencies {
+			if g.pipeline[dependency] {
+				dependentsOf[dependency] = append(dependentsOf[dependency], id)
+				pending[id]++
 			}
 		}
-		if open[id] == 0 {
+		if pending[id] == 0 {
 			next = append(next, id)
 		}
 	}
 	slices.Sort(next)
 	for i := 0; i < len(next); i++ {
-		freed := dependents[next[i]]
+		freed := dependentsOf[next[i]]
 		slices.Sort(freed)
 		for _, id := range freed {
-			if open[id]--; open[id] == 0 {
+			if pending[id]--; pending[id] == 0 {
 				next = append(next, id)
 			}
 		}
@@ -230,13 +232,13 @@
 	return next
 }
 
-// stateOf finds a job's status from those of the jobs that it needs, which come before it.
-func (g *Graph) stateOf(j Job) Status {
+// statusOf gives a job's status from those of its dependencies, which come before it in the order.
+func (g *Graph) statusOf(j Job) Status {
 	s := ownStatus(j)
-	for _, need := range j.Needs {
-		state := g.stateOfNeeded(need)
+	for _, dependency := range j.Dependencies {
+		state := g.stateOfDependency(dependency)
 		s.State = max(s.State, state)
-		if end, ended := g.ends[need]; ended && state == Ready {
+		if end, ended := g.ends[dependency]; ended && state == Ready {
 			s.ReadyMS = max(s.ReadyMS, end.AtMS)
 		}
 	}
@@ -246,8 +248,8 @@
 	return s
 }
 
-// stateOfNeeded tells what a needed job makes of one that needs it.
-func (g *Graph) stateOfNeeded(id string) State {
+// stateOfDependency tells the state that a dependency gives its dependents.
+func (g *Graph) stateOfDependency(id string) State {
 	if j, active := g.jobs[id]; active {
 		if j.Cancelled {
 			return Cancelled
@@ -257,7 +259,7 @@
 	end, ended := g.ends[id]
 	switch {
 	case !ended:
-		g.missing = append(g.missing, id)
+		g.unresolved = append(g.unresolved, id)
 		return Unresolved
 	case end.Done:
 		return Ready
@@ -265,9 +267,8 @@
 	return Cancelled
 }
 
-// lend passes a job's priority and deadline on to the jobs that it needs. One that is cancelled
-// needs nothing any more.
-func (g *Graph) lend(id string) {
+// lendToDependencies passes a job's priority and deadline on to its dependencies. One that is cancelled has none any more.
+func (g *Graph) lendToDependencies(id string) {
 	s, j := g.status[id], g.jobs[id]
 	if s.State == Cancelled {
 		return
@@ -276,17 +277,17 @@
 	if latest != Never {
 		latest -= j.EstimateMS
 	}
-	for _, need := range j.Needs {
-		needed, active := g.jobs[need]
+	for _, dependency := range j.Dependencies {
+		job, active := g.jobs[dependency]
 		if !active {
 			continue
 		}
-		t, known := g.status[need]
+		status, known := g.status[dependency]
 		if !known {
-			t = ownStatus(needed)
+			status = ownStatus(job)
 		}
-		t.Priority = max(t.Priority, s.Priority)
-		t.LatestEndMS = min(t.LatestEndMS, latest)
-		g.status[need] = t
+		status.Priority = max(status.Priority, s.Priority)
+		status.LatestEndMS = min(status.LatestEndMS, latest)
+		g.status[dependency] = status
 	}
 }
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -8,7 +8,7 @@
 
 // Jobs of the table, by letter. Priorities from 0, estimates of 10 s.
 func job(accepted int64, priority int, needs ...string) Job {
-	return Job{Needs: needs, Priority: priority, AcceptedMS: accepted, EstimateMS: 10_000, DeadlineMS: Never}
+	return Job{Dependencies: needs, Priority: priority, AcceptedMS: accepted, EstimateMS: 10_000, DeadlineMS: Never}
 }
 
 func due(j Job, deadline int64) Job {
@@ -92,7 +92,7 @@
 	}
 	g.End("c", End{})
 	g.End("b", End{true, 60})
-	if len(g.jobs)+len(g.needed)+len(g.ends)+len(g.pipeline) != 0 {
+	if len(g.jobs)+len(g.dependents)+len(g.ends)+len(g.pipeline) != 0 {
 		t.Errorf("something is left: %+v", g)
 	}
 	g.Put("d", job(4, 0, "a"))
--- a/internal/pacing/load.go
+++ b/internal/pacing/load.go
@@ -1,11 +1,11 @@
-// Package pacing decides how often workers report. A worker has one report in flight at a time, so a controller
-// that holds back an answer holds back the next report as well. The package is pure: it is told the time.
+// Package pacing decides how often workers send heartbeats. A worker has one heartbeat in flight at a time, so a
+// controller that holds a response delays the next heartbeat as well. The package is pure: the time is an argument.
 package pacing
 
 import "time"
 
-// Load is how short of processor time a node is, between 0 (it keeps up) and 1. It is learned from how late the
-// node's own timers fire, which is all that a process knows of a share of a processor that is used up.
+// Load is how short of processor time a node is, between 0 (it keeps up) and 1. It is estimated from how late the node's
+// own timers fire, which is all that a process can observe of a processor share that is used up.
 type Load struct {
 	// unit is the lateness that alone raises the load from 0 to 1.
 	unit time.Duration
@@ -15,22 +15,22 @@
 	decay time.Duration
 
 	level float64
-	at    time.Duration // when level was right
+	at    time.Duration // when level was last updated
 }
 
-// longestSample bounds what a single late timer tells, as a share of the unit: after a standstill one
-// timer is late by all of it, which tells nothing of the processor.
+// longestSample bounds what a single late timer adds, as a share of the unit: after a suspension of the process one timer
+// is late by all of it, which shows nothing of the processor.
 const longestSample = 0.25
 
 // graceUnits is the grace, in the lateness that raises the load to 1. Clocks of some systems are as coarse as that.
 const graceUnits = 1.0 / 25
 
-// NewLoad makes a load that rises from 0 to 1 by so much lateness in all, and falls back within a time.
+// NewLoad makes a load that rises from 0 to 1 by a lateness of unit in all, and falls back within the decay time.
 func NewLoad(unit, decay time.Duration) *Load {
 	return &Load{unit: unit, grace: share(unit, graceUnits), decay: decay}
 }
 
-// Observe takes in that a timer fired late.
+// Observe takes in how late a timer fired.
 func (l *Load) Observe(now, late time.Duration) {
 	level := l.Level(now)
 	// What was late at the same time as something that was counted before counts once.
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,18 +1,18 @@
-// Package resource is the arithmetic of what machines have and what tasks take of them.
+// Package resource is the arithmetic of the resources that machines have and tasks take.
 package resource
 
 import "bitternwing/internal/wire"
 
-// tolerance is what amounts, given as decimal numbers, may be off by after adding and subtracting.
+// tolerance is the rounding error that amounts, given as decimal numbers, may have after additions and subtractions.
 const tolerance = 1e-9
 
 // Amount is an amount of each resource.
 type Amount struct{ GPUs, CPUs, MemoryGB float64 }
 
-// OfTask gives what a task of a job takes.
+// OfTask gives the resources that a task of a job takes.
 func OfTask(j *wire.Job) Amount { return Amount{j.GPUs, j.CPUs, j.MemoryGB} }
 
-// OfMachine gives what a machine of a type has.
+// OfMachine gives the resources of a machine of a type.
 func OfMachine(t *wire.MachineType) Amount { return Amount{t.GPUs, t.CPUs, t.MemoryGB} }
 
 // Holds tells whether there is room for another amount.
@@ -20,7 +20,7 @@
 	return a.GPUs+tolerance >= b.GPUs && a.CPUs+tolerance >= b.CPUs && a.MemoryGB+tolerance >= b.MemoryGB
 }
 
-// Take takes an amount away.
+// Take subtracts an amount.
 func (a *Amount) Take(b Amount) {
 	a.GPUs -= b.GPUs
 	a.CPUs -= b.CPUs
