--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/outcome"
 )
 
-// deliverTransfers sends the transfers that are on their way, the oldest to each region, until their receivers have them.
+// deliverTransfers sends the outgoing transfers, the oldest to each region, until their receivers acknowledge them.
 func (a *quotaManager) deliverTransfers(t *teamQuota) {
 	c := a.leader.core
 	for _, transfer := range t.account.Outgoing {
@@ -26,8 +26,8 @@
 	}
 }
 
-// settleTransfer takes a transfer out of the account whose receiver has it. A write that can't be made now is made after the next
-// delivery, which the receiver knows already.
+// settleTransfer removes a transfer from the account that its receiver has acknowledged. If that can't be written now, it is
+// after the next delivery, which the receiver acknowledges as a duplicate.
 func (a *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
 	c := a.leader.core
 	if t.writeInFlight || t.account == nil || !a.mayWrite() || !c.election.LeaseValid() || c.storeHealth.down {
@@ -38,16 +38,16 @@
 	}
 }
 
-// maxRequestIntervals is how long a region that gets nothing waits between two requests for a team, in heartbeat intervals.
+// maxRequestIntervals bounds the backoff between two requests for a team that bring nothing, in check intervals.
 const maxRequestIntervals = 10
 
-// requestFromRegion asks the other regions, one after the other, for what this one's work lacks.
-func (a *quotaManager) requestFromRegion(t *teamQuota, need teamDemand) {
+// requestFromRegion requests from the other regions in turn what this one's work lacks.
+func (a *quotaManager) requestFromRegion(t *teamQuota, demand teamDemand) {
 	c := a.leader.core
 	if t.requestInFlight || c.now.Steady < t.nextRequest {
 		return
 	}
-	missing := t.account.Shortfall(t.account.ToAccountUnits(equalShare(need.used.Plus(need.waiting)), t.whole))
+	missing := t.account.Shortfall(t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.whole))
 	if missing.Zero() {
 		return
 	}
@@ -68,7 +68,7 @@
 		Request: &RequestQuota{From: c.operator.Regions.Name, Team: t.settings.Name, Whole: t.whole, Share: missing}})
 }
 
-// redirectWaiting tells the regions whose messages wait to come back.
+// redirectWaiting tells the regions whose messages wait to retry later.
 func (t *teamQuota) redirectWaiting(c *Core) {
 	for _, in := range t.requests {
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
@@ -79,7 +79,7 @@
 	t.requests, t.deliveries = nil, nil
 }
 
-// refuseWaiting tells all regions whose messages wait to come back, at the end of this term.
+// refuseWaiting tells all regions whose messages wait to retry later, at the end of this term.
 func (a *quotaManager) refuseWaiting() {
 	for _, t := range a.ordered {
 		t.redirectWaiting(a.leader.core)
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -5,17 +5,17 @@
 	"bitternwing/internal/wire"
 )
 
-// Messages between regions about a team's allowance. Only the node that leads answers them; others say who that is.
+// Messages between regions about a team's quota. Only the leader answers them; other controllers redirect to it.
 type (
-	// RequestQuota is a region whose work of a team waits.
+	// RequestQuota is a request of another region whose work of a team waits.
 	RequestQuota struct {
 		RequestID uint64
 		From      string
 		Team      string
-		Whole     quota.Share // as the asking region knows it
+		Whole     quota.Share // by the settings of the requesting region
 		Share     quota.Share // what it lacks
 	}
-	// DeliverQuota is a transfer that comes in. The answer says that it is committed.
+	// DeliverQuota is a transfer of another region. A response of 200 acknowledges that it is committed.
 	DeliverQuota struct {
 		RequestID uint64
 		Team      string
@@ -27,7 +27,7 @@
 func (RequestQuota) input() {}
 func (DeliverQuota) input() {}
 
-// CallRegion sends one of the messages to a region. Attempt chooses among the addresses of its controllers.
+// CallRegion sends one of the messages to a region. Attempt selects one of the addresses of its controllers.
 type CallRegion struct {
 	CallID  uint64
 	Region  string
@@ -46,7 +46,7 @@
 	reasonTransferMissing = "an earlier transfer is missing"
 )
 
-// quotaForMessage gives the account that a message is about; nil if the message is answered.
+// quotaForMessage gives the quota that a message is about. If there is none it answers the message itself and gives nil.
 func (c *Core) quotaForMessage(req uint64, from, team string, whole quota.Share) *teamQuota {
 	l := c.leaderForRequest(req)
 	if l == nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// handleQuotaRequest takes a region's request for a part of a team's allowance.
+// handleQuotaRequest queues a region's request for a share of a team's quota.
 func (c *Core) handleQuotaRequest(in RequestQuota) {
 	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Whole); t != nil {
 		t.requests = append(t.requests, in)
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleQuotaDelivery takes a transfer in.
+// handleQuotaDelivery queues a transfer of another region.
 func (c *Core) handleQuotaDelivery(in DeliverQuota) {
 	if in.Transfer.To != c.operator.Regions.Name {
 		c.respondRefused(in.RequestID, reasonNoSuchRegion)
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -177,9 +177,9 @@
 	t.Logf("after %v", took)
 }
 
-// giftInDoubt has a region ask the other one for what it lacks, whose write of the transfer is held up, as are so many of its
-// writes of the account.
-func giftInDoubt(t *testing.T, heldUp int) (w *regionWorld, giver *worldRegion) {
+// transferInDoubt has a region request what it lacks from another one, whose write of the transfer is delayed, as are so many
+// of its writes of the account.
+func transferInDoubt(t *testing.T, heldUp int) (w *regionWorld, giver *worldRegion) {
 	t.Helper()
 	w = newRegionWorld(t, 2)
 	giver = w.regions[1]
@@ -192,7 +192,7 @@
 // TestGivenInDoubt has a region's write of a transfer be in doubt for a while in which work comes there. It must not use what
 // it may have given; the write is carried out later.
 func TestGivenInDoubt(t *testing.T) {
-	w, _ := giftInDoubt(t, 1000)
+	w, _ := transferInDoubt(t, 1000)
 	w.submit(1, "t1", 12, 2)
 	w.advance(4 * time.Second)
 	w.heal()
@@ -202,7 +202,7 @@
 // TestLateGift has the write of a transfer come after its leader has ended, and the next one has given the room to work of
 // its own: the write must not be carried out.
 func TestLateGift(t *testing.T) {
-	w, giver := giftInDoubt(t, 1)
+	w, giver := transferInDoubt(t, 1)
 	late := giver.late
 	giver.late = nil
 	w.cutOff(0, true) // so that nothing else is given
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -11,7 +11,7 @@
 	"bitternwing/internal/wire"
 )
 
-// maxAccountWrites is how many accounts are written at a time.
+// maxAccountWrites is how many writes of accounts may be in flight.
 const maxAccountWrites = 2
 
 // mayWrite tells whether one more account may be written now.
@@ -19,8 +19,9 @@
 	return a.inFlight < maxAccountWrites && a.leader.writer.mayWriteOne()
 }
 
-// writeNextChange commits the first change that an account waits for: the beginning, transfers that came in, requests of others.
-func (a *quotaManager) writeNextChange(t *teamQuota, need teamDemand) {
+// writeNextChange commits the first change that an account waits for: its creation, a delivered transfer, or a request of
+// another region.
+func (a *quotaManager) writeNextChange(t *teamQuota, demand teamDemand) {
 	c := a.leader.core
 	switch {
 	case t.account == nil && c.cache.QuotaAccount(t.key) == nil && c.cache.TermFormat() < stored.QuotasTermFormat:
@@ -32,13 +33,13 @@
 	case len(t.deliveries) > 0:
 		a.acceptDelivery(t)
 	case len(t.requests) > 0:
-		a.grantRequest(t, need)
+		a.grantRequest(t, demand)
 	case len(t.indeterminate) > 0:
-		a.commit(t, t.account, func(Result) {}) // so that what was sent before can't be applied any more
+		a.commit(t, t.account, func(Result) {}) // so that no earlier write can be applied any more
 	}
 }
 
-// acceptDelivery commits a transfer that came in, and then says so.
+// acceptDelivery commits a delivered transfer, and acknowledges it then.
 func (a *quotaManager) acceptDelivery(t *teamQuota) {
 	c, in := a.leader.core, t.deliveries[0]
 	t.deliveries = t.deliveries[1:]
@@ -53,11 +54,11 @@
 	}
 }
 
-// grantRequest commits a transfer to a region that asks, if there is something to give.
-func (a *quotaManager) grantRequest(t *teamQuota, need teamDemand) {
+// grantRequest commits a transfer to a region that requests one, if there is something to transfer.
+func (a *quotaManager) grantRequest(t *teamQuota, demand teamDemand) {
 	c, in := a.leader.core, t.requests[0]
 	t.requests = t.requests[1:]
-	next := t.account.Grant(c.operator.Regions.Name, in.From, in.Share, t.retained(need))
+	next := t.account.Grant(c.operator.Regions.Name, in.From, in.Share, t.retained(demand))
 	if next == nil {
 		c.respond(in.RequestID, 200, nil)
 		return
@@ -66,7 +67,7 @@
 	a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
-// respondCommitted answers a region whose message took a commit.
+// respondCommitted answers a region by the result of a commit.
 func (c *Core) respondCommitted(req uint64, r Result) {
 	if r.Outcome == outcome.OK {
 		c.respond(req, 200, nil)
@@ -75,7 +76,8 @@
 	c.respondRetryLater(req, 503, reasonUnavailable)
 }
 
-// commit writes an account, on the term and on what it was before. Until that is settled the lesser of both counts.
+// commit writes an account by compare-and-swap, fenced by the term. Until the result is known the minimum of the old and the
+// new account applies.
 func (a *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
 	l := a.leader
 	value, err := json.Marshal(next)
@@ -96,7 +98,7 @@
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
 
-// applyWriteResult takes what became of a write of an account.
+// applyWriteResult takes in the result of a write of an account.
 func (a *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
 	c := a.leader.core
 	switch {
@@ -107,14 +109,14 @@
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
 	default:
-		// It was certainly not carried out.
+		// It was certainly not applied.
 		t.indeterminate = t.indeterminate[:len(t.indeterminate)-1]
 		a.refreshEffective(t)
 		t.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
 
-// reread finds out how an account stands. One that is as it was may yet be changed by the write in doubt.
+// reread reads the stored account. If it has not changed, the indeterminate write may yet be applied.
 func (a *quotaManager) reread(t *teamQuota) {
 	c := a.leader.core
 	t.writeInFlight = true
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -8,58 +8,59 @@
 	"bitternwing/internal/stored"
 )
 
-// quotaManager keeps a leader within what its region holds of the teams' limits and guarantees, hands parts of it to
-// regions that lack them, and asks for what its own work lacks. An account is committed before anybody acts by it.
+// quotaManager keeps a leader within the shares that its region holds in escrow of the teams' limits and guarantees (package
+// quota), transfers shares to regions that lack them, and requests what its own work lacks. An account is committed before
+// anybody acts on it.
 type quotaManager struct {
 	leader           *leader
 	nextCheck        time.Duration
 	teams            map[string]*teamQuota
 	ordered          []*teamQuota // as the settings have them
-	inFlight         int          // writes of accounts
-	cacheChangesSeen uint64       // changes of the directory's accounts that were taken in
+	inFlight         int          // writes of accounts in flight
+	cacheChangesSeen uint64       // changes of the watched accounts that were taken in
 }
 
-// teamQuota is a team's allowance while a leader goes by it.
+// teamQuota is a team's quota in this region, as the leader applies it.
 type teamQuota struct {
-	// effective is the team with the limits and guarantees that may be gone by now; jobs of the team point to it.
+	// effective is the team with the limits and guarantees that apply now; jobs of the team point to it.
 	effective config.Team
 	settings  *config.Team
 	whole     quota.Share    // by the settings
-	initial   *quota.Account // with which this region would begin
+	initial   *quota.Account // that this region begins with
 	key       string
-	account   *quota.Account // as it is stored; nil: it is not there, or can't be read
+	account   *quota.Account // as it is stored; nil: it does not exist, or can't be read
 	version   uint64
-	// indeterminate are accounts that were sent to be written and may yet be: the least of all counts.
+	// indeterminate are accounts whose write may or may not be applied: the minimum of all of them applies.
 	indeterminate []*quota.Account
 	writeInFlight bool
 	retryAt       time.Duration
 
 	requests        []RequestQuota
 	deliveries      []DeliverQuota
-	delivering      map[string]bool // a transfer is on its way to these regions
+	delivering      map[string]bool // regions to which a delivery is in flight
 	requestInFlight bool
-	nextRegion      int // that is asked
+	nextRegion      int // that is requested next
 	nextRequest     time.Duration
-	requestCount    int // times, since something came last
+	requestCount    int // since the last transfer was received
 	attempts        int
-	regionDisagrees bool // a region has another limit of the team
+	regionDisagrees bool // a region has other limits of the team
 }
 
-// zeroLimit is what a limit is set to where nothing of it is held: a limit of 0 would mean that there is none.
+// zeroLimit stands for a limit of which nothing is held: a limit of 0 would mean that there is none.
 const zeroLimit = 1e-6
 
-// newQuotaManager takes the teams up; nobody has an allowance before its account is read.
+// newQuotaManager makes the quotas of all teams. A team has nothing before its account is read.
 func newQuotaManager(l *leader) *quotaManager {
 	a := &quotaManager{leader: l, teams: map[string]*teamQuota{}}
 	if !l.core.operator.Regions.Enabled() {
 		return a
 	}
-	parts := l.core.regionShares()
+	regions := l.core.regionShares()
 	for i := range l.core.settings.Params.Teams {
 		team := &l.core.settings.Params.Teams[i]
 		t := &teamQuota{effective: *team, settings: team, key: stored.QuotaAccountKey(team.Name), delivering: map[string]bool{},
 			whole: quota.Share{Limit: quota.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
-		t.initial = quota.Initial(t.whole, parts, l.core.operator.Regions.Name)
+		t.initial = quota.Initial(t.whole, regions, l.core.operator.Regions.Name)
 		t.setEffective(quota.Share{})
 		a.teams[team.Name] = t
 		a.ordered = append(a.ordered, t)
@@ -67,16 +68,16 @@
 	return a
 }
 
-// regionShares gives the regions with the part of each limit that they begin with.
+// regionShares gives the regions with the fraction of each limit that they begin with.
 func (c *Core) regionShares() []quota.Region {
-	var parts []quota.Region
+	var regions []quota.Region
 	for _, r := range c.operator.Regions.All {
-		parts = append(parts, quota.Region{Name: r.Name, Share: r.Share})
+		regions = append(regions, quota.Region{Name: r.Name, Share: r.Share})
 	}
-	return parts
+	return regions
 }
 
-// teamOf gives the limits and guarantees that a job's team may go by in this region.
+// teamOf gives a team with the limits and guarantees that apply to it in this region; nil if it does not exist.
 func (l *leader) teamOf(name string) *config.Team {
 	if t := l.quotas.teams[name]; t != nil {
 		return &t.effective
@@ -84,10 +85,10 @@
 	return l.core.team(name)
 }
 
-// setEffective sets the effective limits and guarantees to what is held; where the whole has none there is none.
+// setEffective sets the effective limits and guarantees to what is held. A resource without a limit stays so.
 func (t *teamQuota) setEffective(held quota.Share) {
 	team := t.settings
-	part := func(whole, held float64) float64 {
+	effective := func(whole, held float64) float64 {
 		if whole == 0 {
 			return 0
 		}
@@ -95,11 +96,11 @@
 	}
 	limitGPUs, limitCPUs := held.Limit.Float()
 	guaranteeGPUs, guaranteeCPUs := held.Guarantee.Float()
-	t.effective.MaxGPUs, t.effective.MaxCPUs = part(team.MaxGPUs, limitGPUs), part(team.MaxCPUs, limitCPUs)
-	t.effective.GuaranteedGPUs, t.effective.GuaranteedCPUs = part(team.GuaranteedGPUs, guaranteeGPUs), part(team.GuaranteedCPUs, guaranteeCPUs)
+	t.effective.MaxGPUs, t.effective.MaxCPUs = effective(team.MaxGPUs, limitGPUs), effective(team.MaxCPUs, limitCPUs)
+	t.effective.GuaranteedGPUs, t.effective.GuaranteedCPUs = effective(team.GuaranteedGPUs, guaranteeGPUs), effective(team.GuaranteedCPUs, guaranteeCPUs)
 }
 
-// usable gives what of the team's limits, as the settings have them now, may be used here.
+// usable gives the share of the team's limits, as they are now, that may be used here.
 func (t *teamQuota) usable() quota.Share {
 	if t.account == nil {
 		return quota.Share{}
@@ -107,7 +108,8 @@
 	return t.account.Usable(t.held(), t.whole, t.initial.Held)
 }
 
-// held gives what may be gone by: the least of what is stored and of what may yet be.
+// held gives the share that this region certainly holds: the minimum of the stored account and of those that may yet be
+// written.
 func (t *teamQuota) held() quota.Share {
 	if t.account == nil {
 		return quota.Share{}
@@ -119,7 +121,7 @@
 	return held
 }
 
-// run looks after all accounts.
+// run advances the accounts of all teams.
 func (a *quotaManager) run() {
 	c := a.leader.core
 	if len(a.teams) == 0 {
@@ -136,24 +138,24 @@
 	a.nextCheck = c.now.Steady + c.times.timerCoalescing
 	c.wakeBy(a.nextCheck)
 	mayWrite := c.election.LeaseValid() && !c.storeHealth.down
-	needs := a.demands()
+	demands := a.demands()
 	for _, t := range a.ordered {
 		if !mayWrite {
 			t.redirectWaiting(c)
 			continue
 		}
-		need := needs[t.settings.Name]
+		demand := demands[t.settings.Name]
 		if !t.writeInFlight && c.now.Steady >= t.retryAt && a.mayWrite() {
-			a.writeNextChange(t, need)
+			a.writeNextChange(t, demand)
 		}
 		if t.account != nil {
 			a.deliverTransfers(t)
-			a.requestFromRegion(t, need)
+			a.requestFromRegion(t, demand)
 		}
 	}
 }
 
-// readStored takes in the accounts as the watch shows them.
+// readStored takes in the accounts as they are watched.
 func (a *quotaManager) readStored() {
 	for _, t := range a.ordered {
 		current := a.leader.core.cache.QuotaAccount(t.key)
@@ -167,7 +169,7 @@
 	}
 }
 
-// adoptAccount goes by an account as it is stored. What was sent to be written before can't be applied any more.
+// adoptAccount applies an account as it is stored. No earlier write can be applied any more, since the version has changed.
 func (a *quotaManager) adoptAccount(t *teamQuota, account *quota.Account, version uint64) {
 	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).Zero() {
 		t.requestCount = 0
@@ -176,7 +178,7 @@
 	a.refreshEffective(t)
 }
 
-// refreshEffective brings the effective limits up to date, and has a round held.
+// refreshEffective updates the effective limits, and requests a scheduling cycle if they change.
 func (a *quotaManager) refreshEffective(t *teamQuota) {
 	before := t.effective
 	t.setEffective(t.usable())
@@ -185,10 +187,10 @@
 	}
 }
 
-// teamDemand is what a team's work takes in this region: what its tasks use, and what it could use beyond that.
+// teamDemand is what a team's work needs in this region: what its tasks use, and what waiting tasks would use beyond that.
 type teamDemand struct{ used, waiting quota.Amount }
 
-// demands works out what the teams' work takes. Each placement counts as used until there is evidence of its end.
+// demands works out the teams' demand. Each placement counts as used until there is evidence of its end.
 func (a *quotaManager) demands() map[string]teamDemand {
 	type sum struct{ usedGPUs, usedCPUs, allGPUs, allCPUs float64 }
 	sums := map[string]*sum{}
@@ -205,22 +207,23 @@
 		s.usedGPUs, s.usedCPUs = s.usedGPUs+placed*j.spec.GPUs, s.usedCPUs+placed*j.spec.CPUs
 		s.allGPUs, s.allCPUs = s.allGPUs+all*j.spec.GPUs, s.allCPUs+all*j.spec.CPUs
 	}
-	needs := map[string]teamDemand{}
+	demands := map[string]teamDemand{}
 	for team, s := range sums {
 		used := quota.RoundUp(s.usedGPUs, s.usedCPUs)
-		needs[team] = teamDemand{used: used, waiting: quota.RoundUp(s.allGPUs, s.allCPUs).Minus(used)}
+		demands[team] = teamDemand{used: used, waiting: quota.RoundUp(s.allGPUs, s.allCPUs).Minus(used)}
 	}
-	return needs
+	return demands
 }
 
-// equalShare gives an amount as a share: of the limit and of the guarantee.
+// equalShare gives a share with an amount of both the limit and the guarantee.
 func equalShare(a quota.Amount) quota.Share { return quota.Share{Limit: a, Guarantee: a} }
 
-// retained gives what a region keeps when another one asks, as accounts count: what is used, and of the rest what its own
-// waiting work takes, but no more than half. So neither region's work waits for all of the other's.
-func (t *teamQuota) retained(n teamDemand) quota.Share {
+// retained gives what this region keeps at another one's request, in units of the account: what is used, and of the rest what
+// its own waiting work needs, but no more than half. So neither region's work has to wait for all of the other's.
+func (t *teamQuota) retained(demand teamDemand) quota.Share {
 	held := t.held()
-	used, all := t.account.ToAccountUnits(equalShare(n.used), t.whole), t.account.ToAccountUnits(equalShare(n.used.Plus(n.waiting)), t.whole)
+	used := t.account.ToAccountUnits(equalShare(demand.used), t.whole)
+	all := t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.whole)
 	free := held.Minus(used)
 	return used.Plus(all.Minus(used).Min(free.Half()))
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -8,13 +8,14 @@
 	"slices"
 )
 
-// Region is one of the regions that share the limits, with the part of each that it begins with.
+// Region is one of the regions that divide the limits, with the fraction of each that it begins with.
 type Region struct {
 	Name  string
-	Share float64 // from 0 to 1; those of all regions add up to 1
+	Share float64 // from 0 to 1; the regions' fractions add up to 1
 }
 
-// Transfer is a share on its way from one region to another. The transfers between two regions are numbered from 1.
+// Transfer is a share that is moved from one region to another. The transfers from one region to another are numbered from
+// 1, so that each is applied once and in order.
 type Transfer struct {
 	From   string `json:"f"`
 	To     string `json:"t"`
@@ -22,29 +23,29 @@
 	Share  Share  `json:"s"`
 }
 
-// Account is what a region holds of one team, as it is stored.
+// Account is a region's escrow account of one team, as it is stored.
 type Account struct {
 	// Whole is the team's limit and guarantee that was divided.
 	Whole Share `json:"w"`
 	Held  Share `json:"h"`
-	// Outgoing are transfers that were taken from what is held, and that their receivers are not known to have.
+	// Outgoing are transfers that are debited here and not acknowledged by their receivers yet.
 	Outgoing []Transfer `json:"o,omitempty"`
-	// Sent and Received have the number of the last transfer to and from each region.
+	// Sent and Received are the numbers of the last transfers to and from each region.
 	Sent     map[string]uint64 `json:"x,omitempty"`
 	Received map[string]uint64 `json:"r,omitempty"`
 }
 
-// Receipt is what becomes of a transfer that comes in.
+// Receipt is the result of receiving a transfer.
 type Receipt int
 
 // The receipts.
 const (
-	Accepted   Receipt = iota // it is added, once the account is committed
-	Duplicate                 // it was added before
-	OutOfOrder                // one before it has not come: the sender has to send that first
+	Accepted   Receipt = iota // it is credited, once the account is committed
+	Duplicate                 // it was credited before
+	OutOfOrder                // an earlier one is missing: the sender has to send that first
 )
 
-// ErrUnreadable says that a stored account is not one that this version understands.
+// ErrUnreadable says that this version does not understand a stored account.
 var ErrUnreadable = errors.New("the account of a team's allowance can't be read")
 
 // Decode reads a stored account.
@@ -56,8 +57,8 @@
 	return a, nil
 }
 
-// Initial gives the account that a region begins with. The parts of all regions add up to the whole, to the last
-// thousandth: each begins where the one before it ends.
+// Initial gives the account that a region begins with. The regions' shares add up to the whole exactly: each begins where
+// the one before it ends.
 func Initial(whole Share, regions []Region, name string) *Account {
 	a := &Account{Whole: whole}
 	below := 0.0
@@ -67,26 +68,26 @@
 			above = 1
 		}
 		if r.Name == name {
-			a.Held = whole.upTo(above).Minus(whole.upTo(below))
+			a.Held = whole.firstPart(above).Minus(whole.firstPart(below))
 		}
 		below = above
 	}
 	return a
 }
 
-// Usable gives what of a whole may be used by an account of it. Accounts keep parts of the whole that was divided first; where
-// the whole is another one by now, the parts are parts of that: rounded down, so that those of all regions are not above it.
-// What had no limit when it was divided is divided by the parts that regions began with.
+// Usable converts the share that is held to the limits as they are now. Accounts keep shares of the whole that was divided
+// first. If the whole has changed since, a share is the same fraction of the new one, rounded down, so that the regions'
+// shares do not add up to more. What had no limit when it was divided is divided by the initial shares.
 func (a *Account) Usable(held, whole Share, initial Share) Share {
 	usable := Share{Limit: held.Limit.scaled(a.Whole.Limit, whole.Limit, false),
 		Guarantee: held.Guarantee.scaled(a.Whole.Guarantee, whole.Guarantee, false)}
-	usable.Limit = usable.Limit.where(a.Whole.Limit, initial.Limit)
-	usable.Guarantee = usable.Guarantee.where(a.Whole.Guarantee, initial.Guarantee)
+	usable.Limit = usable.Limit.orWhereUnlimited(a.Whole.Limit, initial.Limit)
+	usable.Guarantee = usable.Guarantee.orWhereUnlimited(a.Whole.Guarantee, initial.Guarantee)
 	return usable
 }
 
-// where gives the amounts, but others where a whole has nothing.
-func (a Amount) where(whole, others Amount) Amount {
+// orWhereUnlimited replaces the amounts of resources for which a whole has no limit.
+func (a Amount) orWhereUnlimited(whole, others Amount) Amount {
 	if whole.GPUs == 0 {
 		a.GPUs = others.GPUs
 	}
@@ -96,31 +97,32 @@
 	return a
 }
 
-// ToAccountUnits gives a share of a whole as accounts keep it, rounded up: for what is needed.
+// ToAccountUnits converts a share of the whole as it is now to one of the whole that was divided, rounded up: it is for what
+// is needed.
 func (a *Account) ToAccountUnits(s, whole Share) Share {
 	return Share{Limit: s.Limit.scaled(whole.Limit, a.Whole.Limit, true), Guarantee: s.Guarantee.scaled(whole.Guarantee, a.Whole.Guarantee, true)}
 }
 
-// upTo gives a fraction of a share, rounded down.
-func (s Share) upTo(fraction float64) Share {
+// firstPart gives the first part of a share, which is a fraction of it, rounded down.
+func (s Share) firstPart(fraction float64) Share {
 	part := func(x int64) int64 { return int64(float64(x)*fraction + roundingError) }
 	return Share{Limit: Amount{part(s.Limit.GPUs), part(s.Limit.CPUs)}, Guarantee: Amount{part(s.Guarantee.GPUs), part(s.Guarantee.CPUs)}}
 }
 
-// copied gives a copy that can be changed.
+// copied gives a deep copy.
 func (a *Account) copied() *Account {
 	b := *a
 	b.Outgoing, b.Sent, b.Received = slices.Clone(a.Outgoing), maps.Clone(a.Sent), maps.Clone(a.Received)
 	return &b
 }
 
-// Grant gives the account after what another region asks for was handed to it, as far as it is held beyond what is needed
-// here; nil if there is nothing to give. One transfer to a region is on its way at a time.
-func (a *Account) Grant(from, to string, asked, needed Share) *Account {
+// Grant gives the account after a transfer to another region of what that requests, as far as it is not needed here; nil if
+// there is nothing to transfer. There is one transfer to a region at a time.
+func (a *Account) Grant(from, to string, requested, needed Share) *Account {
 	if slices.ContainsFunc(a.Outgoing, func(t Transfer) bool { return t.To == to }) {
 		return nil
 	}
-	share := asked.Min(a.Held.Minus(needed))
+	share := requested.Min(a.Held.Minus(needed))
 	if share.Zero() {
 		return nil
 	}
@@ -134,7 +136,7 @@
 	return b
 }
 
-// Receive gives the account after a transfer has come in, and what becomes of it; the same account if nothing changes.
+// Receive gives the account after a transfer was received, and the result; the same account if nothing changes.
 func (a *Account) Receive(t Transfer) (*Account, Receipt) {
 	switch last := a.Received[t.From]; {
 	case t.Number <= last:
@@ -151,16 +153,16 @@
 	return b, Accepted
 }
 
-// Acknowledge gives the account after a region is known to have a transfer; the same account if it was settled before.
+// Acknowledge gives the account after a region has acknowledged a transfer; the same account if that was known.
 func (a *Account) Acknowledge(to string, number uint64) *Account {
-	has := func(t Transfer) bool { return t.To == to && t.Number <= number }
-	if !slices.ContainsFunc(a.Outgoing, has) {
+	acknowledged := func(t Transfer) bool { return t.To == to && t.Number <= number }
+	if !slices.ContainsFunc(a.Outgoing, acknowledged) {
 		return a
 	}
 	b := a.copied()
-	b.Outgoing = slices.DeleteFunc(b.Outgoing, has)
+	b.Outgoing = slices.DeleteFunc(b.Outgoing, acknowledged)
 	return b
 }
 
-// Shortfall gives what a region should ask for: what its work needs beyond what it holds, and no more than the whole.
+// Shortfall gives what a region has to request: what its work needs beyond what it holds, and no more than the whole.
 func (a *Account) Shortfall(needed Share) Share { return needed.Min(a.Whole).Minus(a.Held) }
--- a/internal/quota/allowance_test.go
+++ b/internal/quota/account_test.go
@@ -17,7 +17,7 @@
 	return regions
 }
 
-// The parts that regions begin with add up to the whole, however they are cut.
+// The initial shares of regions add up to the whole, whatever their fractions.
 func TestInitial(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "regions")
@@ -40,8 +40,8 @@
 	})
 }
 
-// What regions hold and what is on its way is the whole at each moment, with messages that are lost, repeated, late and in
-// any order.
+// What regions hold and what is in transfer is the whole at each moment, with messages that are lost, duplicated, delayed
+// and reordered.
 func TestTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := Share{Limit: RoundDown(48, 0), Guarantee: RoundDown(24, 0)}
@@ -79,7 +79,7 @@
 	})
 }
 
-// stored gives an account as it comes back from the state service.
+// stored gives an account as it is read from the store.
 func stored(t *rapid.T, a *Account) *Account {
 	data, err := json.Marshal(a)
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-// A region gives what it does not need, to one region once at a time, and asks for what it lacks of the whole.
+// A region grants what it does not need, one transfer to a region at a time, and requests what it lacks of the whole.
 func TestGiveAndAsk(t *testing.T) {
 	gpus := func(limit, guarantee float64) Share {
 		return Share{Limit: RoundDown(limit, 0), Guarantee: RoundDown(guarantee, 0)}
@@ -134,8 +134,8 @@
 	}
 }
 
-// However the limit changes after it was divided, what regions may use of it is not above it, and what is needed of it
-// is not below when it is kept as a part of what was divided.
+// However the limit changes after it was divided, what regions may use of it is not above it, and what is needed is not
+// less in the units of the accounts.
 func TestOtherWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		divided := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "divided")), 0)}
@@ -159,7 +159,7 @@
 	})
 }
 
-// Amounts of floating-point numbers neither grow beyond a limit nor hide a use.
+// Amounts rounded from floating-point numbers neither exceed a limit nor hide usage.
 func TestAmounts(t *testing.T) {
 	x := 0.0
 	for range 10 {
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,8 +1,12 @@
-// Package quota divides the limits and guarantees of teams among regions that may lose each other. Each region holds
-// a share of both for each team, in its own state service, and hands parts of it to other regions by numbered transfers.
-// What is held and what is on its way never adds up to more than the whole, whatever messages are lost, repeated or late
-// and whichever controllers fail, so no two regions can together take a team past its limit. The package is pure: it
-// says what an account becomes; the caller commits that before anybody acts by it.
+// Package quota divides the limits and guarantees of teams over regions that may be partitioned from each other. It is the
+// escrow transactional method (O'Neil, 1986) over the amounts of a limit: each region holds a share of each team's limit and
+// guarantee in escrow, in its own store, and uses it without asking the others; shares move between regions by numbered
+// transfers, which are debited in one region before they are credited in the other.
+//
+// The invariant is that what is held and what is in transfer never adds up to more than the whole, whatever messages are
+// lost, duplicated or delayed and whichever controllers fail. So no two regions can together take a team past its limit.
+//
+// The package is pure: it gives the account that follows; the caller commits it before anybody acts on it.
 package quota
 
 import (
@@ -10,26 +14,26 @@
 	"math/bits"
 )
 
-// Amount is a number of GPUs and CPUs, in thousandths: sums of it are exact.
+// Amount is a number of GPUs and CPUs in thousandths, so that sums are exact.
 type Amount struct {
 	GPUs int64 `json:"g,omitempty"`
 	CPUs int64 `json:"c,omitempty"`
 }
 
 const (
-	// unit is how many parts a GPU or a CPU has.
+	// unit is the number of parts of a GPU or a CPU.
 	unit = 1000
-	// roundingError is what an amount that was worked out in floating point may differ from what is meant, in parts.
+	// roundingError is the error, in parts, of an amount that was computed in floating point.
 	roundingError = 1e-3
 )
 
-// RoundDown gives an amount that is not above the one given, for what may be used.
+// RoundDown gives the amount not above the one given, for what may be used.
 func RoundDown(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Floor(x*unit + roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
 }
 
-// RoundUp gives an amount that is not below the one given, for what is used.
+// RoundUp gives the amount not below the one given, for what is used.
 func RoundUp(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Ceil(x*unit - roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
@@ -38,20 +42,20 @@
 // Float gives the amount in GPUs and CPUs.
 func (a Amount) Float() (gpus, cpus float64) { return float64(a.GPUs) / unit, float64(a.CPUs) / unit }
 
-// Plus gives a sum.
+// Plus gives the sum.
 func (a Amount) Plus(b Amount) Amount { return Amount{a.GPUs + b.GPUs, a.CPUs + b.CPUs} }
 
-// Minus gives a difference, where nothing is below 0.
+// Minus gives the difference, with 0 for what would be negative.
 func (a Amount) Minus(b Amount) Amount { return Amount{max(0, a.GPUs-b.GPUs), max(0, a.CPUs-b.CPUs)} }
 
-// Min gives the lesser of each.
+// Min gives the minimum of each resource.
 func (a Amount) Min(b Amount) Amount { return Amount{min(a.GPUs, b.GPUs), min(a.CPUs, b.CPUs)} }
 
-// Zero tells whether there is nothing.
+// Zero tells whether the amounts are all 0.
 func (a Amount) Zero() bool { return a == Amount{} }
 
-// scaled gives an amount that is to another whole what this one is to its own, rounded down, or up. What is beyond its own is
-// cut off.
+// scaled converts a part of one whole to the same fraction of another one, rounded down or up. An amount beyond its whole
+// counts as all of it.
 func (a Amount) scaled(from, to Amount, up bool) Amount {
 	part := func(x, from, to int64) int64 {
 		if from == 0 || from == to {
@@ -67,23 +71,23 @@
 	return Amount{part(a.GPUs, from.GPUs, to.GPUs), part(a.CPUs, from.CPUs, to.CPUs)}
 }
 
-// Share is a part of a team's limit and of its guarantee.
+// Share is a share of a team's limit and of its guarantee.
 type Share struct {
 	Limit     Amount `json:"l,omitzero"`
 	Guarantee Amount `json:"g,omitzero"`
 }
 
-// Plus gives a sum.
+// Plus gives the sum.
 func (s Share) Plus(t Share) Share {
 	return Share{s.Limit.Plus(t.Limit), s.Guarantee.Plus(t.Guarantee)}
 }
 
-// Minus gives a difference, where nothing is below 0.
+// Minus gives the difference, with 0 for what would be negative.
 func (s Share) Minus(t Share) Share {
 	return Share{s.Limit.Minus(t.Limit), s.Guarantee.Minus(t.Guarantee)}
 }
 
-// Min gives the lesser of each.
+// Min gives the minimum of each resource.
 func (s Share) Min(t Share) Share { return Share{s.Limit.Min(t.Limit), s.Guarantee.Min(t.Guarantee)} }
 
 // Half gives half of each, rounded down.
@@ -91,5 +95,5 @@
 	return Share{Limit: Amount{s.Limit.GPUs / 2, s.Limit.CPUs / 2}, Guarantee: Amount{s.Guarantee.GPUs / 2, s.Guarantee.CPUs / 2}}
 }
 
-// Zero tells whether there is nothing.
+// Zero tells whether the amounts are all 0.
 func (s Share) Zero() bool { return s.Limit.Zero() && s.Guarantee.Zero() }
