--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -32,15 +32,6 @@
 	handle(r)
 }
 
-// failedKeys gives the keys of a transaction's conditions that failed.
-func (r Result) failedKeys() map[string]bool {
-	failed := make(map[string]bool, len(r.Txn.Failed))
-	for _, key := range r.Txn.Failed {
-		failed[key] = true
-	}
-	return failed
-}
-
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // respond ends a request.
--- /dev/null
+++ b/internal/core/cloud_calls.go
@@ -0,0 +1,33 @@
+package core
+
+import (
+	"bitternwing/internal/wire"
+)
+
+// Calls of the cloud.
+
+// CloudCatalog reads the machine types.
+type CloudCatalog struct{ CallID uint64 }
+
+// CloudScaleOut requests machines.
+type CloudScaleOut struct {
+	CallID  uint64
+	Request wire.ScaleOutRequest
+}
+
+// CloudScaleIn releases machines.
+type CloudScaleIn struct {
+	CallID uint64
+	Names  []string
+}
+
+// CloudList reads a page of the machines that the cloud lists.
+type CloudList struct {
+	CallID uint64
+	After  string
+}
+
+func (CloudCatalog) effect()  {}
+func (CloudScaleOut) effect() {}
+func (CloudScaleIn) effect()  {}
+func (CloudList) effect()     {}
