--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -167,7 +167,7 @@
 	}
 	w.dead = true
 	y.rented--
-	if w.machine.Tasks() > 0 {
+	if w.machine.TaskCount() > 0 {
 		y.counted.released++
 	}
 }
@@ -182,7 +182,7 @@
 			r.Machines.More = true
 			break
 		}
-		about := w.machine.About()
+		about := w.machine.Info()
 		r.Machines.Machines = append(r.Machines.Machines, wire.Machine{Name: w.name, Addr: w.addr, Type: about.Type.Name,
 			Zone: w.zone, Spot: about.Spot, State: wire.MachineRunning})
 	}
--- a/internal/emulator/client_servers.go
+++ b/internal/emulator/client_servers.go
@@ -10,63 +10,54 @@
 	"sync/atomic"
 )
 
-// RequestObserver is told of each request that a stand-in answers: whose it is, and the sizes of the bodies.
+// RequestObserver is called after each request to an emulated service, with the client and the sizes of the bodies.
 type RequestObserver func(client, method, path string, received, sent int)
 
-// clientServers serves a stand-in at an address for each client, so that what each asks for can be counted.
+// clientHandler handles a request of a client.
+type clientHandler func(client string, w http.ResponseWriter, r *http.Request)
+
+// clientServers serves an emulated service at an address for each client, so that the requests of each can be counted, and
+// each can be partitioned by itself.
 type clientServers struct {
-	handle func(client string, w http.ResponseWriter, r *http.Request)
-	addr   string // of the client without a name
+	handle clientHandler
 
 	mu       sync.Mutex
 	observer RequestObserver
 	servers  []*http.Server
 }
 
-// serve begins with an address for a client without a name.
-func (c *clientServers) serve(handle func(client string, w http.ResponseWriter, r *http.Request)) {
-	c.handle = handle
-	addr, err := c.AddClient("")
-	if err != nil {
-		panic(err) // no port on loopback: nothing can be tested
-	}
-	c.addr = addr
-}
-
-// Addr is where the client without a name is served.
-func (c *clientServers) Addr() string { return c.addr }
-
-// SetObserver has requests counted from now on.
-func (c *clientServers) SetObserver(observe RequestObserver) {
+// SetObserver has an observer called from now on.
+func (c *clientServers) SetObserver(observer RequestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observer = observe
+	c.observer = observer
 }
 
-// AddClient gives an address for a client.
+// AddClient serves a client at an address of its own, until close, and gives the address.
 func (c *clientServers) AddClient(name string) (string, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
+	listener, err := listen(anyLoopbackPort)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("client %s: %w", name, err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		counted := &observedWriter{ResponseWriter: w}
 		c.handle(name, counted, r)
 		c.count(name, r, counted.sent)
 	})}
-	go func() { _ = server.Serve(l) }() // ends with close
+	go func() { _ = server.Serve(listener) }() // ends with close
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers = append(c.servers, server)
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
+// count tells the observer of a request.
 func (c *clientServers) count(client string, r *http.Request, sent int) {
 	c.mu.Lock()
-	observe := c.observer
+	observer := c.observer
 	c.mu.Unlock()
-	if observe != nil {
-		observe(client, r.Method, r.URL.Path, int(max(0, r.ContentLength)), sent)
+	if observer != nil {
+		observer(client, r.Method, r.URL.Path, int(max(0, r.ContentLength)), sent)
 	}
 }
 
@@ -91,8 +82,8 @@
 	return n, err
 }
 
-// The ports that FreeAddr gives are below those that the system gives to outgoing connections: else another connection may
-// take a port before whoever asked for it listens there. Processes begin at different ones.
+// The ports that FreeAddr gives are below those that the system gives to outgoing connections: else another connection could
+// take a port before the caller listens there. Processes begin at different ones.
 const (
 	firstFreePort   = 10_000
 	lastFreePort    = 20_000
@@ -101,14 +92,21 @@
 
 var freePorts atomic.Uint32
 
-// FreeAddr finds a free address on loopback, another one each time.
+// FreeAddr finds a free address on loopback, a different one each time.
 func FreeAddr() string {
 	for {
 		offset := os.Getpid()*portsPerProcess + int(freePorts.Add(1))
 		addr := fmt.Sprintf("127.0.0.1:%d", firstFreePort+offset%(lastFreePort-firstFreePort))
-		if l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr); err == nil {
-			_ = l.Close()
+		if listener, err := listen(addr); err == nil {
+			_ = listener.Close()
 			return addr
 		}
 	}
 }
+
+// anyLoopbackPort is a free port on loopback, as the system chooses it.
+const anyLoopbackPort = "127.0.0.1:0"
+
+func listen(address string) (net.Listener, error) {
+	return new(net.ListenConfig).Listen(context.Background(), "tcp4", address)
+}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -16,7 +16,7 @@
 	"bitternwing/internal/wire"
 )
 
-// MachineSpec is a machine that a cloud brings up.
+// MachineSpec describes a machine that a cloud starts.
 type MachineSpec struct {
 	Name string
 	Type wire.MachineType
@@ -26,36 +26,36 @@
 
 // Machine is a machine that is up, with a worker on it.
 type Machine interface {
-	// Addr is where its worker takes direct commands.
+	// Addr is the address of its worker for direct commands.
 	Addr() string
-	// State is the state that the cloud lists.
+	// State is the state in the cloud's list.
 	State() string
-	// Stop ends the machine: it was given back.
+	// Stop ends the machine: it was returned.
 	Stop()
 }
 
-// Launch brings a machine up.
+// Launch starts a machine.
 type Launch func(MachineSpec) Machine
 
-// Cloud rents machines. Each type has a capacity, and a machine is up after its type's boot time. Its list
+// Cloud emulates a cloud. Each machine type has a capacity, and a machine runs after its type's boot time. Its list
 // does not lag.
 type Cloud struct {
 	clientServers
 	mu            sync.Mutex
 	types         []wire.MachineType
-	capacity      map[string]int // by type; a type that is not there has no bound
+	capacity      map[string]int // by type; a type that is not in it has no bound
 	bootsTakeTime bool
 	launch        Launch
 	machines      map[string]*instance
 	responses     map[string]wire.MachineNames
 	created       int
 	closed        bool
-	partitioned   map[string]bool // clients that get no answer
+	partitioned   map[string]bool // clients that get no response
 
 	limiter *rate.Limiter // nil: no limit
 }
 
-// instance is a machine that was rented. It has no worker until it is up.
+// instance is a machine of the cloud. It has no worker until it runs.
 type instance struct {
 	spec      MachineSpec
 	rentedAt  time.Time
@@ -63,16 +63,15 @@
 	bootTimer *time.Timer
 }
 
-// NewCloud starts a cloud on loopback, with an address for a client without a name. Its machines are up at
-// once.
+// NewCloud makes a cloud on loopback, without clients. Its machines run at once.
 func NewCloud(types []wire.MachineType, launch Launch) *Cloud {
 	c := &Cloud{types: types, capacity: map[string]int{}, launch: launch,
 		machines: map[string]*instance{}, responses: map[string]wire.MachineNames{}, partitioned: map[string]bool{}}
-	c.clientServers.serve(c.serve)
+	c.handle = c.serve
 	return c
 }
 
-// EnableBootTimes has machines take their type's boot time to come up from now on.
+// EnableBootTimes has machines take their type's boot time to start from now on.
 func (c *Cloud) EnableBootTimes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,18 +85,18 @@
 	c.limiter = rate.NewLimiter(rate.Limit(requests), max(1, int(2*requests)))
 }
 
-// SetCapacity bounds the machines of a type that can be rented at a time.
-func (c *Cloud) SetCapacity(machineType string, most int) {
+// SetCapacity bounds the machines of a type.
+func (c *Cloud) SetCapacity(machineType string, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.capacity[machineType] = most
+	c.capacity[machineType] = machines
 }
 
-// SetPartitioned cuts a client off: what it asks for is lost until that ends.
-func (c *Cloud) SetPartitioned(client string, cut bool) {
+// SetPartitioned begins or ends a partition of a client: its requests are lost while it lasts.
+func (c *Cloud) SetPartitioned(client string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned[client] = cut
+	c.partitioned[client] = partitioned
 }
 
 func (c *Cloud) isPartitioned(client string) bool {
@@ -106,7 +105,7 @@
 	return c.partitioned[client]
 }
 
-// AddRunning brings machines up that were rented before.
+// AddRunning adds running machines, as if they had been requested before.
 func (c *Cloud) AddRunning(machineType, zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +132,7 @@
 	c.close()
 }
 
-// end stops a boot and gives the machine, if it is up.
+// end stops a boot and gives the machine, if it runs.
 func (r *instance) end() Machine {
 	if r.bootTimer != nil {
 		r.bootTimer.Stop()
@@ -141,6 +140,7 @@
 	return r.machine
 }
 
+// typeOf gives a machine type; nil if there is none of the name.
 func (c *Cloud) typeOf(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -150,6 +150,7 @@
 	return nil
 }
 
+// add adds a machine that does not run yet.
 func (c *Cloud) add(t wire.MachineType, zone string, spot bool) *instance {
 	c.created++
 	r := &instance{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.created), Type: t, Zone: zone, Spot: spot}, rentedAt: time.Now()}
@@ -159,7 +160,7 @@
 
 func (c *Cloud) bringUp(r *instance) { r.machine = c.launch(r.spec) }
 
-// boot brings a machine up after its boot time.
+// boot starts a machine after its boot time.
 func (c *Cloud) boot(r *instance) {
 	if !c.bootsTakeTime {
 		c.bringUp(r)
@@ -189,30 +190,35 @@
 	case "GET /catalog":
 		respond(w, http.StatusOK, wire.Catalog{Types: c.types})
 	case "GET /rentals":
-		q := r.URL.Query()
-		limit, _ := strconv.Atoi(q.Get("limit"))
-		respond(w, http.StatusOK, c.list(q.Get("after"), limit))
+		query := r.URL.Query()
+		limit, _ := strconv.Atoi(query.Get("limit"))
+		respond(w, http.StatusOK, c.list(query.Get("after"), limit))
 	case "POST /rentals":
-		var q wire.ScaleOutRequest
-		if json.NewDecoder(r.Body).Decode(&q) != nil || c.typeOf(q.Type) == nil || q.Count < 1 || q.Count > wire.MaxScaleOut {
+		var request wire.ScaleOutRequest
+		if json.NewDecoder(r.Body).Decode(&request) != nil || !c.valid(request) {
 			respond(w, http.StatusBadRequest, nil)
 			return
 		}
-		c.scaleOut(w, q)
+		c.scaleOut(w, request)
 	case "POST /rentals/release":
-		var n wire.MachineNames
-		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > wire.MaxScaleIn {
+		var names wire.MachineNames
+		if json.NewDecoder(r.Body).Decode(&names) != nil || len(names.Machines) > wire.MaxScaleIn {
 			respond(w, http.StatusBadRequest, nil)
 			return
 		}
-		c.scaleIn(n.Machines)
+		c.scaleIn(names.Machines)
 		respond(w, http.StatusOK, struct{}{})
 	default:
 		respond(w, http.StatusBadRequest, nil)
 	}
 }
 
-// list gives a page of the machines, by name.
+// valid tells whether a scale-out can be tried.
+func (c *Cloud) valid(request wire.ScaleOutRequest) bool {
+	return c.typeOf(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
+}
+
+// list gives a page of the machines, in order of their names.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
 	if limit <= 0 || limit > wire.MaxList {
 		limit = wire.MaxList
@@ -240,40 +246,42 @@
 	return m
 }
 
-// free is how many more machines of a type can be rented.
+// free is how many more machines of a type can be created.
 func (c *Cloud) free(machineType string) int {
-	most, bounded := c.capacity[machineType]
+	free, bounded := c.capacity[machineType]
 	if !bounded {
 		return wire.MaxScaleOut
 	}
 	for _, r := range c.machines {
 		if r.spec.Type.Name == machineType && (r.machine == nil || r.machine.State() != wire.MachineFailed) {
-			most--
+			free--
 		}
 	}
-	return most
+	return free
 }
 
-func (c *Cloud) scaleOut(w http.ResponseWriter, q wire.ScaleOutRequest) {
-	if a, ok := c.responses[q.RequestID]; ok {
-		respond(w, http.StatusOK, a)
+// scaleOut creates machines, once for each request id.
+func (c *Cloud) scaleOut(w http.ResponseWriter, request wire.ScaleOutRequest) {
+	if names, ok := c.responses[request.RequestID]; ok {
+		respond(w, http.StatusOK, names)
 		return
 	}
-	count := min(q.Count, c.free(q.Type))
+	count := min(request.Count, c.free(request.Type))
 	if count <= 0 {
 		respond(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 		return
 	}
-	var a wire.MachineNames
+	var names wire.MachineNames
 	for range count {
-		r := c.add(*c.typeOf(q.Type), q.Zone, q.Spot)
-		c.boot(r)
-		a.Machines = append(a.Machines, r.spec.Name)
+		machine := c.add(*c.typeOf(request.Type), request.Zone, request.Spot)
+		c.boot(machine)
+		names.Machines = append(names.Machines, machine.spec.Name)
 	}
-	c.responses[q.RequestID] = a
-	respond(w, http.StatusOK, a)
+	c.responses[request.RequestID] = names
+	respond(w, http.StatusOK, names)
 }
 
+// scaleIn ends machines; names of others are ignored.
 func (c *Cloud) scaleIn(names []string) {
 	for _, name := range names {
 		r := c.machines[name]
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -17,8 +17,8 @@
 func (m *testMachine) State() string { return wire.MachineRunning }
 func (m *testMachine) Stop()         { m.stopped = true }
 
-// TestCloud rents up to the capacity, answers a repeated request again, lists pages in order, and stops what
-// is given back.
+// TestCloud scales out up to the capacity, takes requests as idempotent, lists pages in order, and stops what
+// is returned.
 func TestCloud(t *testing.T) {
 	machines := map[string]*testMachine{}
 	c := NewCloud([]wire.MachineType{{Name: "g8", Zones: []string{"z1"}}}, func(s MachineSpec) Machine {
@@ -28,7 +28,11 @@
 	defer c.Close()
 	c.AddRunning("g8", "z1", 498)
 	c.SetCapacity("g8", 502)
-	client, ctx := cloud.New(c.Addr(), 1000, 4), context.Background()
+	addr, err := c.AddClient("test")
+	if err != nil {
+		t.Fatal(err)
+	}
+	client, ctx := cloud.New(addr, 1000, 4), context.Background()
 	want := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
 	for range 2 {
 		if names, o := client.ScaleOut(ctx, want); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -1,9 +1,8 @@
-// Package emulator has stand-ins of the state service and the cloud, for tests and scale runs. They keep to
-// the protocol's page and are no products. The workers are those of package hollow.
 package emulator
 
 import (
 	"encoding/json"
+	"slices"
 	"sort"
 	"strings"
 	"time"
@@ -14,7 +13,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Store is a state service without a clock or a network: it is told the time.
+// Store is a key-value store without a clock or a network: the caller gives the time.
 type Store struct {
 	now       time.Duration
 	revision  uint64
@@ -46,17 +45,17 @@
 	return &Store{items: btree.NewG(itemDegree, func(a, b wire.Item) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}, revision: 1}
 }
 
-// AdvanceTo moves the time on and ends leases that are over.
+// AdvanceTo advances the time, and expires leases.
 func (s *Store) AdvanceTo(now time.Duration) {
 	s.now = now
-	var over []uint64
+	var expired []uint64
 	for id, l := range s.leases {
 		if l.expiresAt <= now {
-			over = append(over, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(over, func(a, b int) bool { return over[a] < over[b] })
-	for _, id := range over {
+	slices.Sort(expired)
+	for _, id := range expired {
 		s.RevokeLease(id)
 	}
 }
@@ -67,12 +66,15 @@
 	s.maxValueBytes, s.maxChanges = valueBytes, changes
 }
 
+// conditionsPerChange is how many conditions a transaction may have for each change that it may have.
+const conditionsPerChange = 4
+
 // exceedsLimits tells whether a transaction is refused for its size.
-func (s *Store) exceedsLimits(t wire.Txn) bool {
-	if s.maxChanges > 0 && (len(t.Then) > s.maxChanges || len(t.If) > 4*s.maxChanges) {
+func (s *Store) exceedsLimits(txn wire.Txn) bool {
+	if s.maxChanges > 0 && (len(txn.Then) > s.maxChanges || len(txn.If) > conditionsPerChange*s.maxChanges) {
 		return true
 	}
-	for _, op := range t.Then {
+	for _, op := range txn.Then {
 		if s.maxValueBytes > 0 && len(op.Value) > s.maxValueBytes {
 			return true
 		}
@@ -80,7 +82,7 @@
 	return false
 }
 
-// RefreshLeases gives every lease its full time again, as after an outage.
+// RefreshLeases renews every lease, as after an outage.
 func (s *Store) RefreshLeases(now time.Duration) {
 	s.now = now
 	for _, l := range s.leases {
@@ -100,7 +102,7 @@
 	return item, outcome.OK
 }
 
-// visitPrefix visits the items with a prefix and a key after another one, in order, until it is told to end.
+// visitPrefix visits the items with a prefix and a key after another one, in order, until visit returns false.
 func (s *Store) visitPrefix(prefix, after string, visit func(wire.Item) bool) {
 	s.items.AscendGreaterOrEqual(wire.Item{Key: max(prefix, after)}, func(item wire.Item) bool {
 		if !strings.HasPrefix(item.Key, prefix) {
@@ -122,60 +124,69 @@
 
 // List reads a page.
 func (s *Store) List(prefix, after string, limit int) wire.Page {
-	p := wire.Page{Items: []wire.Item{}, Revision: s.revision}
+	page := wire.Page{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
 	s.visitPrefix(prefix, after, func(item wire.Item) bool {
 		size += len(item.Key) + len(item.Value) + itemOverhead
-		if len(p.Items) == limit || size > maxPageBytes && len(p.Items) > 0 {
-			p.More = true
+		if len(page.Items) == limit || size > maxPageBytes && len(page.Items) > 0 {
+			page.More = true
 			return false
 		}
-		p.Items = append(p.Items, item)
+		page.Items = append(page.Items, item)
 		return true
 	})
-	return p
+	return page
 }
 
-// pageBytes is the most that a page holds, itemOverhead what the form of an item takes of it.
+// maxPageBytes is the most that a page holds, itemOverhead what the form of an item takes of it.
 const (
 	maxPageBytes = 512 << 10
 	itemOverhead = 64
 )
 
-// Txn runs a transaction.
-func (s *Store) Txn(t wire.Txn) (wire.TxnResponse, outcome.Outcome) {
-	if s.exceedsLimits(t) {
+// Txn applies a transaction if all its conditions hold.
+func (s *Store) Txn(txn wire.Txn) (wire.TxnResponse, outcome.Outcome) {
+	if s.exceedsLimits(txn) || s.namesExpiredLease(txn) {
 		return wire.TxnResponse{}, outcome.Invalid
 	}
-	for _, op := range t.Then {
-		if op.Lease != 0 && s.leases[op.Lease] == nil {
-			return wire.TxnResponse{}, outcome.Invalid
-		}
-	}
-	var failed []string
-	for _, c := range t.If {
-		if item, _ := s.items.Get(wire.Item{Key: c.Key}); item.Version != c.Version {
-			failed = append(failed, c.Key)
-		}
-	}
-	if failed != nil {
+	if failed := s.failedConditions(txn.If); failed != nil {
 		return wire.TxnResponse{Failed: failed, Revision: s.revision}, outcome.Conflict
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.revision++
 	}
-	for _, op := range t.Then {
-		if op.Delete != "" {
-			s.remove(op.Delete)
-			continue
-		}
-		value := append(json.RawMessage(nil), op.Value...)
-		s.items.ReplaceOrInsert(wire.Item{Key: op.Put, Value: value, Version: s.revision, Lease: op.Lease})
-		s.appendChange(wire.Event{Put: op.Put, Value: value, Version: s.revision})
+	for _, op := range txn.Then {
+		s.apply(op)
 	}
 	return wire.TxnResponse{Revision: s.revision}, outcome.OK
 }
 
+func (s *Store) namesExpiredLease(txn wire.Txn) bool {
+	return slices.ContainsFunc(txn.Then, func(op wire.Op) bool { return op.Lease != 0 && s.leases[op.Lease] == nil })
+}
+
+// failedConditions gives the keys whose conditions do not hold; nil: none.
+func (s *Store) failedConditions(conditions []wire.Condition) []string {
+	var failed []string
+	for _, condition := range conditions {
+		if item, _ := s.items.Get(wire.Item{Key: condition.Key}); item.Version != condition.Version {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// apply applies an operation of a transaction at the present revision.
+func (s *Store) apply(op wire.Op) {
+	if op.Delete != "" {
+		s.remove(op.Delete)
+		return
+	}
+	value := append(json.RawMessage(nil), op.Value...)
+	s.items.ReplaceOrInsert(wire.Item{Key: op.Put, Value: value, Version: s.revision, Lease: op.Lease})
+	s.appendChange(wire.Event{Put: op.Put, Value: value, Version: s.revision})
+}
+
 func (s *Store) remove(key string) {
 	if _, ok := s.items.Delete(wire.Item{Key: key}); ok {
 		s.appendChange(wire.Event{Delete: key, Version: s.revision})
@@ -189,10 +200,10 @@
 	}
 }
 
-// keptLog is what a watch can still be given.
+// keptLog is the part of the log that a watch can still read.
 func (s *Store) keptLog() []change { return s.log[max(0, len(s.log)-keptChanges):] }
 
-// GrantLease makes a lease.
+// GrantLease creates a lease.
 func (s *Store) GrantLease(ttl time.Duration) uint64 {
 	s.lastLease++
 	s.leases[s.lastLease] = &lease{ttl, s.now + ttl}
@@ -225,8 +236,8 @@
 	if len(keys) > 0 {
 		s.revision++
 	}
-	for _, k := range keys {
-		s.remove(k)
+	for _, key := range keys {
+		s.remove(key)
 	}
 	return outcome.OK
 }
@@ -237,12 +248,12 @@
 	if len(kept) == keptChanges && kept[0].revision > after+1 {
 		return wire.WatchResponse{}, outcome.TooOld
 	}
-	c := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
+	response := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 	from := sort.Search(len(kept), func(i int) bool { return kept[i].revision > after })
-	for _, ch := range kept[from:] {
-		if strings.HasPrefix(ch.event.Put+ch.event.Delete, prefix) {
-			c.Events = append(c.Events, ch.event)
+	for _, c := range kept[from:] {
+		if strings.HasPrefix(c.event.Put+c.event.Delete, prefix) {
+			response.Events = append(response.Events, c.event)
 		}
 	}
-	return c, outcome.OK
+	return response, outcome.OK
 }
--- a/internal/emulator/store_server.go
+++ b/internal/emulator/store_server.go
@@ -15,7 +15,24 @@
 	"bitternwing/internal/wire"
 )
 
-// StoreServer serves a Store over HTTP. Each client can have an address of its own, and be cut off by itself.
+// The paths of the key-value store.
+const (
+	listPath        = "/kv"
+	keyPrefix       = "/kv/"
+	transactionPath = "/txn"
+	grantPath       = "/grants"
+	leasePrefix     = "/grants/"
+	renewSuffix     = "/extend"
+	watchPath       = "/changes"
+)
+
+// minTTLMillis is the shortest time to live of a lease.
+const minTTLMillis = 100
+
+// partitionCheckInterval is how often a request of a partitioned client looks whether that has ended, beside being woken.
+const partitionCheckInterval = time.Hour
+
+// StoreServer serves a Store over HTTP, each client at an address of its own.
 type StoreServer struct {
 	clientServers
 	mu          sync.Mutex
@@ -29,14 +46,14 @@
 	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
 }
 
-// NewStoreServer starts a state service on loopback.
+// NewStoreServer makes a server on loopback, without clients.
 func NewStoreServer() *StoreServer {
 	s := &StoreServer{store: NewStore(), start: time.Now(), partitioned: map[string]bool{}, changed: make(chan struct{}), closed: make(chan struct{})}
-	s.clientServers.serve(s.serve)
+	s.handle = s.serve
 	return s
 }
 
-// Close ends it.
+// Close ends the server.
 func (s *StoreServer) Close() {
 	close(s.closed)
 	s.close()
@@ -53,15 +70,15 @@
 	s.notify()
 }
 
-// SetPartitioned cuts a client off: nothing that it asks for is answered until that ends.
-func (s *StoreServer) SetPartitioned(client string, cut bool) {
+// SetPartitioned begins or ends a partition of a client: its requests get no response while it lasts.
+func (s *StoreServer) SetPartitioned(client string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.partitioned[client] = cut
+	s.partitioned[client] = partitioned
 	s.notify()
 }
 
-// SetLimits has it refuse larger values and transactions, as Store.SetLimits.
+// SetLimits has the server refuse larger values and transactions, as Store.SetLimits.
 func (s *StoreServer) SetLimits(valueBytes, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,22 +93,23 @@
 	s.writeLimiter = rate.NewLimiter(rate.Limit(writes), max(1, int(writes)))
 }
 
-// Keys gives the keys below a prefix.
-func (s *StoreServer) Keys(prefix string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.store.Keys(prefix)
-}
-
+// respond sends a response with a JSON body.
 func respond(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-var statusOf = map[outcome.Outcome]int{outcome.OK: 200, outcome.Conflict: 409, outcome.NotFound: 404, outcome.Invalid: 400, outcome.TooOld: 410}
+// statusOf gives the statuses of outcomes.
+var statusOf = map[outcome.Outcome]int{
+	outcome.OK:       http.StatusOK,
+	outcome.Conflict: http.StatusConflict,
+	outcome.NotFound: http.StatusNotFound,
+	outcome.Invalid:  http.StatusBadRequest,
+	outcome.TooOld:   http.StatusGone,
+}
 
-// catchUp brings the store to the present time; a lease that has ended is a change like any other. The caller
+// catchUp advances the store to the present time; the expiry of a lease is a change like any other. The caller
 // holds the lock.
 func (s *StoreServer) catchUp() {
 	before := s.store.Revision()
@@ -107,15 +125,15 @@
 	s.changed = make(chan struct{})
 }
 
-// admit waits until a client is not cut off, and takes the lock at the present time. Otherwise it gives the
-// status of the refusal; 0 if there is nobody to answer any more.
+// admit waits until a client is not partitioned, and takes the lock at the present time. Otherwise it gives the
+// status of the refusal; 0 if the client has gone away.
 func (s *StoreServer) admit(client string, r *http.Request) (status int) {
 	if !s.reachable(client, r) {
 		return 0
 	}
 	s.mu.Lock()
 	switch {
-	case s.down && r.URL.Path != "/changes":
+	case s.down && r.URL.Path != watchPath:
 		status = http.StatusServiceUnavailable
 	case s.requestLimiter != nil && !s.requestLimiter.Allow():
 		status = http.StatusTooManyRequests
@@ -127,24 +145,24 @@
 	return status
 }
 
-// reachable waits while a client is cut off; false if it or this server has gone away meanwhile.
+// reachable waits while a client is partitioned; false if it or this server has gone away meanwhile.
 func (s *StoreServer) reachable(client string, r *http.Request) bool {
 	for {
 		s.mu.Lock()
-		cut, changed := s.partitioned[client], s.changed
+		partitioned, changed := s.partitioned[client], s.changed
 		s.mu.Unlock()
-		if !cut {
+		if !partitioned {
 			return r.Context().Err() == nil
 		}
-		if !s.wait(r, changed, time.Hour) {
+		if !s.wait(r, changed, partitionCheckInterval) {
 			return false
 		}
 	}
 }
 
-// wait waits for a change, or for a time; false if the client or this server has gone away.
-func (s *StoreServer) wait(r *http.Request, changed <-chan struct{}, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// wait waits for a change, or a timeout; false if the client or this server has gone away.
+func (s *StoreServer) wait(r *http.Request, changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-r.Context().Done():
@@ -169,9 +187,9 @@
 	case status != http.StatusOK:
 		respond(w, status, nil)
 		return
-	case r.URL.Path == "/changes":
+	case r.URL.Path == watchPath:
 		s.mu.Unlock()
-		s.changes(client, w, r)
+		s.watch(client, w, r)
 		return
 	}
 	defer s.mu.Unlock()
@@ -182,74 +200,82 @@
 	}
 }
 
-// serveStore answers what needs no waiting. The caller holds the lock.
+// serveStore handles all requests but watches. The caller holds the lock.
 func (s *StoreServer) serveStore(w http.ResponseWriter, r *http.Request, body []byte) {
-	q := r.URL.Query()
-	switch {
-	case r.URL.Path == "/kv":
-		limit, _ := strconv.Atoi(q.Get("limit"))
-		respond(w, http.StatusOK, s.store.List(q.Get("under"), q.Get("after"), limit))
-	case strings.HasPrefix(r.URL.Path, "/kv/"):
-		item, got := s.store.Get(strings.TrimPrefix(r.URL.Path, "/kv/"))
-		if got == outcome.NotFound {
-			respond(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
-			return
-		}
-		respond(w, http.StatusOK, item)
-	case r.URL.Path == "/txn":
+	switch path := r.URL.Path; {
+	case path == listPath:
+		query := r.URL.Query()
+		limit, _ := strconv.Atoi(query.Get("limit"))
+		respond(w, http.StatusOK, s.store.List(query.Get("under"), query.Get("after"), limit))
+	case strings.HasPrefix(path, keyPrefix):
+		s.get(w, strings.TrimPrefix(path, keyPrefix))
+	case path == transactionPath:
 		s.transaction(w, body)
-	case r.URL.Path == "/grants":
-		var g wire.LeaseRequest
-		if json.Unmarshal(body, &g) != nil || g.TTLMillis < 100 {
-			respond(w, http.StatusBadRequest, nil)
-			return
-		}
-		respond(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.GrantLease(time.Duration(g.TTLMillis) * time.Millisecond)})
-	case strings.HasPrefix(r.URL.Path, "/grants/"):
-		id, extend := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/extend")
-		n, _ := strconv.ParseUint(id, 10, 64)
-		if extend {
-			respond(w, statusOf[s.store.RenewLease(n)], struct{}{})
-		} else {
-			respond(w, statusOf[s.store.RevokeLease(n)], struct{}{})
-		}
+	case path == grantPath:
+		s.grantLease(w, body)
+	case strings.HasPrefix(path, leasePrefix):
+		s.changeLease(w, strings.TrimPrefix(path, leasePrefix))
 	default:
 		respond(w, http.StatusBadRequest, nil)
 	}
 }
 
+func (s *StoreServer) get(w http.ResponseWriter, key string) {
+	item, found := s.store.Get(key)
+	if found == outcome.NotFound {
+		respond(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
+		return
+	}
+	respond(w, http.StatusOK, item)
+}
+
+func (s *StoreServer) grantLease(w http.ResponseWriter, body []byte) {
+	var request wire.LeaseRequest
+	if json.Unmarshal(body, &request) != nil || request.TTLMillis < minTTLMillis {
+		respond(w, http.StatusBadRequest, nil)
+		return
+	}
+	ttl := time.Duration(request.TTLMillis) * time.Millisecond
+	respond(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.GrantLease(ttl)})
+}
+
+// changeLease renews a lease, or revokes it.
+func (s *StoreServer) changeLease(w http.ResponseWriter, name string) {
+	id, renew := strings.CutSuffix(name, renewSuffix)
+	lease, _ := strconv.ParseUint(id, 10, 64)
+	change := s.store.RevokeLease
+	if renew {
+		change = s.store.RenewLease
+	}
+	respond(w, statusOf[change(lease)], struct{}{})
+}
+
+// transaction applies a transaction. The caller holds the lock.
 func (s *StoreServer) transaction(w http.ResponseWriter, body []byte) {
-	var t wire.Txn
-	if json.Unmarshal(body, &t) != nil {
+	var txn wire.Txn
+	if json.Unmarshal(body, &txn) != nil {
 		respond(w, http.StatusBadRequest, nil)
 		return
 	}
-	if n := len(t.Then); n > 0 && s.writeLimiter != nil && !s.writeLimiter.AllowN(time.Now(), n) {
+	if writes := len(txn.Then); writes > 0 && s.writeLimiter != nil && !s.writeLimiter.AllowN(time.Now(), writes) {
 		respond(w, http.StatusTooManyRequests, nil)
 		return
 	}
-	a, outcome := s.store.Txn(t)
-	respond(w, statusOf[outcome], a)
+	response, result := s.store.Txn(txn)
+	respond(w, statusOf[result], response)
 }
 
-// changes waits for changes; in an outage an open watch just waits.
-func (s *StoreServer) changes(client string, w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	ms, _ := strconv.Atoi(q.Get("block_ms"))
-	for end := time.Now().Add(time.Duration(ms) * time.Millisecond); ; {
-		s.mu.Lock()
-		served := !s.down && !s.partitioned[client]
-		var c wire.WatchResponse
-		got := outcome.OK
-		if served {
-			s.catchUp()
-			c, got = s.store.Changes(q.Get("under"), after)
-		}
-		changed := s.changed
-		s.mu.Unlock()
-		if served && (got != outcome.OK || len(c.Events) > 0 || time.Now().After(end)) {
-			respond(w, statusOf[got], c)
+// watch waits for changes; in an outage an open watch just waits.
+func (s *StoreServer) watch(client string, w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	milliseconds, _ := strconv.Atoi(query.Get("block_ms"))
+	end := time.Now().Add(time.Duration(milliseconds) * time.Millisecond)
+	for {
+		response, result, changed := s.changesFor(client, query.Get("under"), after)
+		served := response != nil
+		if served && (result != outcome.OK || len(response.Events) > 0 || time.Now().After(end)) {
+			respond(w, statusOf[result], *response)
 			return
 		}
 		if !s.wait(r, changed, leaseCheckInterval) {
@@ -258,6 +284,18 @@
 	}
 }
 
-// leaseCheckInterval is how often an open watch looks for what only time changes: ends of leases, and its own. The protocol
-// lets the end of a lease come up to 100 ms late.
+// changesFor gives the changes for a client, nil while it is not served, and a channel that is closed at the next change.
+func (s *StoreServer) changesFor(client, prefix string, after uint64) (*wire.WatchResponse, outcome.Outcome, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.down || s.partitioned[client] {
+		return nil, outcome.OK, s.changed
+	}
+	s.catchUp()
+	response, result := s.store.Changes(prefix, after)
+	return &response, result, s.changed
+}
+
+// leaseCheckInterval is how often an open watch looks for what only time changes: expiries of leases, and its own end. The protocol
+// lets the expiry of a lease come up to 100 ms late.
 const leaseCheckInterval = 50 * time.Millisecond
--- a/internal/emulator/store_server_test.go
+++ b/internal/emulator/store_server_test.go
@@ -18,7 +18,11 @@
 func TestWatchSeesLeaseEnd(t *testing.T) {
 	s := NewStoreServer()
 	defer s.Close()
-	client := kvstore.New(s.Addr(), 1000, 4, 1<<20)
+	addr, err := s.AddClient("test")
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := kvstore.New(addr, 1000, 4, 1<<20)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	lease, o := client.GrantLease(ctx, 200*time.Millisecond)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,9 @@
 
 	"bitternwing/internal/config"
 	"bitternwing/internal/emulator"
+	"bitternwing/internal/kvstore"
 	"bitternwing/internal/node"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/simmodelserver"
 	"bitternwing/internal/simworker"
 	"bitternwing/internal/wire"
@@ -146,8 +148,16 @@
 }
 
 func (s *site) run(name string) {
+	storeAddr, err := s.state.AddClient(name)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	cloudAddr, err := s.cloud.AddClient(name)
+	if err != nil {
+		s.t.Fatal(err)
+	}
 	set := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
-		Services: config.Services{Cloud: s.cloud.Addr(), Store: s.state.Addr()}, Operator: config.DefaultOperator()}
+		Services: config.Services{Cloud: cloudAddr, Store: storeAddr}, Operator: config.DefaultOperator()}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != name {
 			set.Peers = append(set.Peers, config.Peer{Node: p, Addr: s.peers[p]})
@@ -181,6 +191,29 @@
 	}()
 }
 
+// keys gives the keys below a prefix in the key-value store.
+func (s *site) keys(prefix string) []string {
+	s.t.Helper()
+	addr, err := s.state.AddClient("test")
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	client := kvstore.New(addr, 1000, 1, 1<<20)
+	var keys []string
+	for after := ""; ; after = keys[len(keys)-1] {
+		page, o := client.List(s.t.Context(), prefix, after, wire.MaxItems)
+		if o != outcome.OK {
+			s.t.Fatalf("list of %s: %v", prefix, o)
+		}
+		for _, item := range page.Items {
+			keys = append(keys, item.Key)
+		}
+		if !page.More {
+			return keys
+		}
+	}
+}
+
 func (s *site) kill(name string) {
 	s.cancel[name]()
 	<-s.done[name]
@@ -300,7 +333,7 @@
 	})
 	s.eventually("replicas gone", func() bool { return s.fleet.Running("run-000001") == 0 })
 	s.state3("run-000001", wire.JobCancelled)
-	s.eventually("records swept", func() bool { return len(s.state.Keys("r/")) == 0 && len(s.state.Keys("w/a/")) == 0 })
+	s.eventually("records swept", func() bool { return len(s.keys("r/")) == 0 && len(s.keys("w/a/")) == 0 })
 	if code, _ := s.call("GET", next, "/v2/runs/run-000999", ""); code != 404 {
 		t.Errorf("an unknown job got %d", code)
 	}
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -24,7 +24,7 @@
 func TestPipeline(t *testing.T) {
 	valueKB, changes := 2.0, 4
 	s := newSiteWith(t, siteOptions{next: &config.NextLimits{ValueKB: &valueKB, TxnOps: &changes}})
-	s.eventually("the layout changes", func() bool { return len(s.state.Keys("w/layout")) == 1 })
+	s.eventually("the layout changes", func() bool { return len(s.keys("w/layout")) == 1 })
 	s.state.SetLimits(int(1024*valueKB), changes)
 
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -55,6 +55,6 @@
 		t.Fatal(err)
 	}
 	s.state3("run-000020", state.State) // done, if the cancellation came too late
-	s.eventually("records swept", func() bool { return len(s.state.Keys("r/")) == 0 && len(s.state.Keys("w/a/")) == 0 })
+	s.eventually("records swept", func() bool { return len(s.keys("r/")) == 0 && len(s.keys("w/a/")) == 0 })
 	s.onceEach()
 }
--- /dev/null
+++ b/internal/simworker/direct_commands.go
@@ -0,0 +1,92 @@
+package simworker
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"bitternwing/internal/wire"
+)
+
+// The requests that a worker serves.
+const (
+	statusRequest   = http.MethodGet + " " + wire.StatusPath
+	commandsRequest = http.MethodPost + " " + wire.CommandsPath
+	prefetchRequest = http.MethodPost + " " + wire.PrefetchPath
+)
+
+// serve handles direct commands, status queries and prefetches.
+func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
+	if err != nil || w.dropsCommands() {
+		<-r.Context().Done() // nothing comes back
+		return
+	}
+	switch r.Method + " " + r.URL.Path {
+	case prefetchRequest:
+		w.prefetch(rw, body)
+	case statusRequest:
+		w.respondWithStatus(rw, KindStatusQuery, http.StatusOK, len(body))
+	case commandsRequest:
+		w.respondWithStatus(rw, KindCommands, w.executeCommands(body), len(body))
+	default:
+		w.respondWithStatus(rw, "", http.StatusNotFound, len(body))
+	}
+}
+
+// respondWithStatus sends a response, which carries the status of all tasks unless the request was not understood.
+func (w *Worker) respondWithStatus(rw http.ResponseWriter, kind MessageKind, status, receivedBytes int) {
+	var data []byte
+	if status == http.StatusOK || status == http.StatusConflict {
+		w.mu.Lock()
+		data, _ = json.Marshal(w.machine.Heartbeat(w.fleet.now())) // plain values: it can't fail
+		w.mu.Unlock()
+	}
+	w.respond(rw, kind, status, data, receivedBytes)
+	w.wakeUp()
+}
+
+// respond sends a response and counts the exchange. A caller that has gone away needs no response.
+func (w *Worker) respond(rw http.ResponseWriter, kind MessageKind, status int, data []byte, receivedBytes int) {
+	w.fleet.config.Traffic.Count(AnyController, kind, len(data), receivedBytes)
+	rw.Header().Set("Content-Type", "application/json")
+	rw.WriteHeader(status)
+	_, _ = rw.Write(data)
+}
+
+// prefetch begins to fetch an image ahead of need.
+func (w *Worker) prefetch(rw http.ResponseWriter, body []byte) {
+	var request wire.PrefetchRequest
+	if json.Unmarshal(body, &request) != nil || request.Image == "" || request.GB < 0 {
+		rw.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	w.mu.Lock()
+	now := w.fleet.now()
+	ready := w.machine.Prefetch(now, request.Image, request.GB) - now
+	w.mu.Unlock()
+	data, _ := json.Marshal(wire.PrefetchResponse{ReadyS: ready.Seconds()}) // plain values: it can't fail
+	w.respond(rw, KindPrefetch, http.StatusOK, data, len(body))
+}
+
+// executeCommands executes direct commands and gives the status of the response.
+func (w *Worker) executeCommands(body []byte) int {
+	var commands wire.DirectCommands
+	if json.Unmarshal(body, &commands) != nil || commands.Incarnation == 0 {
+		return http.StatusBadRequest
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.machine.ApplyDirectCommands(w.fleet.now(), commands) {
+		return http.StatusConflict
+	}
+	return http.StatusOK
+}
+
+// dropsCommands tells whether direct commands don't get through. Who sends them is not known here: in a
+// partitioned zone, none do.
+func (w *Worker) dropsCommands() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.dead || w.isolated || w.fleet.isPartitioned(w.machine.info.Zone)
+}
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -1,11 +1,3 @@
-// Package simworker simulates workers of the protocol, thousands in one process: each has its own address,
-// connection, lease and session, holds tasks, fetches and runs them on a clock, and computes nothing.
-//
-// Left out of the protocol's worker: images that are fetched at the same time do not share the rate, take
-// exactly as long as their size says, and are never dropped from the cache; machines do not differ in
-// speed, tasks do not fail, and there are no spot notices; a checkpoint keeps no progress, a task that
-// starts anew begins anew, unless it had completed before. A silent worker loses what is sent to it
-// instead of receiving it late. Direct commands to a zone that is cut off do not arrive, whoever sends them.
 package simworker
 
 import (
@@ -14,18 +6,15 @@
 	"net"
 	"net/http"
 	"sync"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"bitternwing/internal/emulator"
 )
 
 // MessageKind is a kind of message.
 type MessageKind string
 
-// The kinds of messages that workers see.
+// The kinds of messages that workers exchange.
 const (
 	KindHeartbeat   MessageKind = "report"
 	KindCommands    MessageKind = "orders"
@@ -34,7 +23,7 @@
 	KindPrefetch MessageKind = "prefetch"
 )
 
-// AnyController stands for a controller that can't be told.
+// AnyController stands for a controller that is not known.
 const AnyController = ""
 
 // Traffic counts messages. Sizes are those of the bodies, seen from the controller.
@@ -42,15 +31,15 @@
 	Count(controller string, kind MessageKind, received, sent int)
 }
 
-// Controller is a controller that workers may report to.
+// Controller is a controller that workers may send heartbeats to.
 type Controller struct {
 	Name, Zone, Addr string
 }
 
-// Config is what workers need to know.
+// Config is the configuration of a fleet.
 type Config struct {
 	Seed              uint64
-	HeartbeatInterval time.Duration // interval of reports
+	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration
 	Controllers       []Controller
 	Jobs              Jobs
@@ -58,7 +47,7 @@
 	Traffic           Traffic
 }
 
-// Fleet is all hollow workers of a process. They share one listening socket, on which each has a loopback
+// Fleet is all simulated workers of a process. They share one listening socket, on which each has a loopback
 // address of its own.
 type Fleet struct {
 	config    Config
@@ -79,9 +68,6 @@
 	partitionedZones map[string]bool
 }
 
-// workerKey is the key of the worker that a connection goes to, in a request's context.
-type workerKey struct{}
-
 // NewFleet makes a fleet without workers.
 func NewFleet(config Config) (*Fleet, error) {
 	// The socket takes the connections to all loopback addresses, and to no others: it is bound to the
@@ -92,95 +78,29 @@
 	}
 	_, port, err := net.SplitHostPort(listener.Addr().String())
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("workers' address: %w", err)
 	}
 	f := &Fleet{config: config, startedAt: time.Now(), listener: listener, port: port,
 		workers: map[string]*Worker{}, byIP: map[string]*Worker{}, zoneByMachine: map[string]string{}, partitionedZones: map[string]bool{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.server = &http.Server{Handler: http.HandlerFunc(serve), ReadHeaderTimeout: responseTimeout,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			if counted, ok := c.(workerConn); ok {
-				return context.WithValue(ctx, workerKey{}, counted.worker)
-			}
-			return ctx
-		}}
+		ConnContext: withWorker}
 	go func() { _ = f.server.Serve(&workerListener{listener, f}) }() // ends with Close
 	return f, nil
 }
 
-// ListenLoopback listens at a free port of all loopback addresses, and of no others.
-func ListenLoopback() (net.Listener, error) {
-	lc := net.ListenConfig{Control: bindToLoopback}
-	return lc.Listen(context.Background(), "tcp4", "0.0.0.0:0")
-}
-
-// bindToLoopback binds a socket to the loopback interface.
-func bindToLoopback(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) { failed = unix.BindToDevice(int(fd), "lo") })
-	if err != nil {
-		return err
-	}
-	return failed
-}
-
-// workerConn is a connection to a worker.
-type workerConn struct {
-	countedConn
-	worker *Worker
-}
-
-// workerListener finds the worker that a connection goes to.
-type workerListener struct {
-	net.Listener
-	fleet *Fleet
-}
-
-// Accept gives the next connection to a worker; others are closed.
-func (l *workerListener) Accept() (net.Conn, error) {
-	for {
-		c, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		ip, _, _ := net.SplitHostPort(c.LocalAddr().String())
-		if w := l.fleet.workerAt(ip); w != nil {
-			return workerConn{countedConn{c, &w.bytes}, w}, nil
-		}
-		_ = c.Close()
-	}
-}
-
-func serve(rw http.ResponseWriter, r *http.Request) {
-	if w, ok := r.Context().Value(workerKey{}).(*Worker); ok {
-		w.serve(rw, r)
-	}
-}
-
 // now is the fleet's steady clock.
 func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
-// The loopback addresses of workers begin at 127.16.0.1, and a third byte has so many of them.
-const (
-	firstSecondByte     = 16
-	workersPerThirdByte = 250
-)
-
-// addressOf gives the address of the worker with a number, counted from 0.
-func addressOf(index int) net.IP {
-	third := index / workersPerThirdByte
-	return net.IPv4(127, byte(firstSecondByte+third/256), byte(third%256), byte(1+index%workersPerThirdByte))
-}
-
 // Launch starts a worker; the cloud calls it when a machine is up.
-func (f *Fleet) Launch(about MachineInfo) *Worker {
+func (f *Fleet) Launch(info MachineInfo) *Worker {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
-	w := newWorker(f, about, f.launched, stop)
+	w := newWorker(f, info, f.launched, stop)
 	f.launched++
-	f.workers[about.Name] = w
+	f.workers[info.Name] = w
 	f.everLaunched = append(f.everLaunched, w)
-	f.zoneByMachine[about.Name] = about.Zone
+	f.zoneByMachine[info.Name] = info.Zone
 	f.byIP[w.address.String()] = w
 	f.mu.Unlock()
 	f.running.Add(1)
@@ -196,12 +116,14 @@
 	return f.Launch(MachineInfo{Name: m.Name, Zone: m.Zone, Spot: m.Spot, Type: m.Type})
 }
 
+// workerAt gives the worker at an address; nil if there is none.
 func (f *Fleet) workerAt(ip string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byIP[ip]
 }
 
+// remove takes a worker off the list whose machine was returned.
 func (f *Fleet) remove(w *Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +131,7 @@
 	delete(f.byIP, w.address.String())
 }
 
-// Workers gives the workers that are there, in no order.
+// Workers gives the present workers, in no order.
 func (f *Fleet) Workers() []*Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,11 +144,11 @@
 
 // Running counts the tasks of a job that run on all machines.
 func (f *Fleet) Running(job string) int {
-	n := 0
+	count := 0
 	for _, w := range f.Workers() {
-		n += w.Running(job)
+		count += w.Running(job)
 	}
-	return n
+	return count
 }
 
 // Serves tells whether a task runs on the worker with an address, and the worker can be reached.
@@ -235,14 +157,14 @@
 	return w != nil && w.serves(task)
 }
 
-// ZoneOf gives the zone of a worker, also of one that is no more; "" if there never was one of the name.
+// ZoneOf gives the zone of a machine, also of a former one; "" if there never was one of the name.
 func (f *Fleet) ZoneOf(machine string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.zoneByMachine[machine]
 }
 
-// Fetches gives how many fetches all workers have made, those that are no more included, and how long they take together.
+// Fetches gives how many images all workers have fetched, former ones included, and how long it took together.
 func (f *Fleet) Fetches() (count int64, took time.Duration) {
 	f.mu.Lock()
 	all := append([]*Worker{}, f.everLaunched...)
@@ -256,7 +178,7 @@
 	return count, took
 }
 
-// WorkersByController counts the workers by the controller whose answer they took last.
+// WorkersByController counts the workers by the controller whose response they accepted last.
 func (f *Fleet) WorkersByController() map[string]int {
 	counts := map[string]int{}
 	for _, w := range f.Workers() {
@@ -269,11 +191,11 @@
 	return counts
 }
 
-// SetZonePartitioned cuts a zone's workers off from the controllers of other zones, or ends that.
-func (f *Fleet) SetZonePartitioned(zone string, cut bool) {
+// SetZonePartitioned begins or ends a partition between a zone's workers and the controllers of other zones.
+func (f *Fleet) SetZonePartitioned(zone string, partitioned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.partitionedZones[zone] = cut
+	f.partitionedZones[zone] = partitioned
 }
 
 func (f *Fleet) isPartitioned(zone string) bool {
@@ -282,7 +204,7 @@
 	return f.partitionedZones[zone]
 }
 
-// separated tells whether a cut lies between two zones.
+// separated tells whether a partition lies between two zones.
 func (f *Fleet) separated(a, b string) bool {
 	return a != b && (f.isPartitioned(a) || f.isPartitioned(b))
 }
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -16,7 +16,7 @@
 // Never is the time of what does not happen by itself.
 const Never = time.Duration(math.MaxInt64)
 
-// Jobs tells what a task is to do, as the description that its user has uploaded.
+// Jobs gives the jobs that users have uploaded, and how long their tasks run.
 type Jobs interface {
 	// Job gives a submitted job; nil if there is none.
 	Job(id string) *wire.Job
@@ -24,24 +24,24 @@
 	RunTime(job *wire.Job, task int) time.Duration
 }
 
-// Observer is told what happens on the machines. It is called while the machine is locked, and must not
+// Observer observes the machines. It is called while the machine is locked, and must not
 // call back.
 type Observer interface {
-	// StartReceived tells that a worker took in a start command for an attempt that it does not hold.
+	// StartReceived is called for a start command of an attempt that the worker does not hold.
 	StartReceived(Start)
-	// TaskRuns tells that a task's image is there and that it is on its machine from now on.
+	// TaskRuns is called when a task's image is there: it is on its machine from now on.
 	TaskRuns(machine, task string)
-	// TaskEnds tells that a task that was on its machine is so no longer; done if it completed.
+	// TaskEnds is called when a task that was on its machine no longer is; done if it completed.
 	TaskEnds(machine, task string, done bool)
 }
 
-// Start is a start command that a worker took in.
+// Start is a start command that a worker received.
 type Start struct {
 	Machine, Task         string
 	Attempt, FencingToken uint64
 }
 
-// MachineInfo names a machine and says what it is.
+// MachineInfo describes a machine.
 type MachineInfo struct {
 	Name string
 	Zone string
@@ -49,8 +49,8 @@
 	Type wire.MachineType
 }
 
-// Machine is a worker's state without its clock and its network: what it holds, its session, and how it
-// obeys commands. Times are those of any steady clock.
+// Machine is a worker's state without its clock and its network: its tasks, its incarnation, and how it
+// executes commands. Times are those of any steady clock.
 type Machine struct {
 	info     MachineInfo
 	address  string
@@ -62,10 +62,10 @@
 	fencingToken uint64
 	tasks        map[attempt]*task
 	imageReadyAt map[string]time.Duration // when each is, or will be, there
-	fetches      int64                    // made so far, and how long they take together
+	fetches      int64                    // so far; fetchTime is how long they take together
 	fetchTime    time.Duration
 	nextEventAt  time.Duration // when something changes by itself
-	changed      bool          // since the last report
+	changed      bool          // since the last heartbeat
 }
 
 // attempt names an attempt of a task.
@@ -86,13 +86,13 @@
 	return t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing
 }
 
-// NewMachine makes a machine without tasks, in its first session.
-func NewMachine(about MachineInfo, addr string, jobs Jobs, observer Observer) *Machine {
-	return &Machine{info: about, address: addr, jobs: jobs, observer: observer, incarnation: 1, nextEventAt: Never,
+// NewMachine makes a machine without tasks, in its first incarnation.
+func NewMachine(info MachineInfo, address string, jobs Jobs, observer Observer) *Machine {
+	return &Machine{info: info, address: address, jobs: jobs, observer: observer, incarnation: 1, nextEventAt: Never,
 		tasks: map[attempt]*task{}, imageReadyAt: map[string]time.Duration{}}
 }
 
-// Advance lets time pass: images arrive, tasks run, complete and finish saving.
+// Advance advances the time: fetches end, tasks run, complete and finish their checkpoints.
 func (m *Machine) Advance(now time.Duration) {
 	if now < m.nextEventAt {
 		return
@@ -128,19 +128,19 @@
 	}
 }
 
-// exit ends a task; it stays in the reports until it is forgotten.
-func (m *Machine) exit(t *task, why wire.ExitCause) {
+// exit ends a task; it stays in the heartbeats until it is forgotten.
+func (m *Machine) exit(t *task, cause wire.ExitCause) {
 	if t.onMachine() {
-		m.observer.TaskEnds(m.info.Name, t.Task, why == wire.CauseDone)
+		m.observer.TaskEnds(m.info.Name, t.Task, cause == wire.CauseDone)
 	}
-	t.State, t.Cause, t.transitionAt = wire.TaskExited, why, Never
+	t.State, t.Cause, t.transitionAt = wire.TaskExited, cause, Never
 	m.changed = true
 }
 
 // NextEventAt is when something changes by itself.
 func (m *Machine) NextEventAt() time.Duration { return m.nextEventAt }
 
-// Changed tells whether tasks have changed since the last report.
+// Changed tells whether tasks have changed since the last heartbeat.
 func (m *Machine) Changed() bool { return m.changed }
 
 // Running counts the tasks of a job that run.
@@ -164,10 +164,7 @@
 	return false
 }
 
-// Session is the number of the present session.
-func (m *Machine) Session() uint64 { return m.incarnation }
-
-// ExpireLease ends the session: the lease has run out, and all tasks are killed and forgotten.
+// ExpireLease ends the incarnation: the lease has expired, and all tasks are killed and forgotten.
 func (m *Machine) ExpireLease() {
 	m.KillAll()
 	m.incarnation++
@@ -185,7 +182,7 @@
 	m.nextEventAt = Never
 }
 
-// Heartbeat gives the next report.
+// Heartbeat gives the next heartbeat.
 func (m *Machine) Heartbeat(now time.Duration) *wire.Heartbeat {
 	m.Advance(now)
 	m.sequence++
@@ -198,26 +195,27 @@
 	return r
 }
 
-// ApplyHeartbeatResponse takes the answer to a report of a session. False: it was dropped, and renews no lease.
-func (m *Machine) ApplyHeartbeatResponse(now time.Duration, session uint64, a wire.HeartbeatResponse) bool {
-	if a.FencingToken < m.fencingToken || session != m.incarnation {
+// ApplyHeartbeatResponse executes the response to a heartbeat of an incarnation. False: it was dropped, and renews no lease.
+func (m *Machine) ApplyHeartbeatResponse(now time.Duration, incarnation uint64, response wire.HeartbeatResponse) bool {
+	if response.FencingToken < m.fencingToken || incarnation != m.incarnation {
 		return false
 	}
-	m.fencingToken = a.FencingToken
-	m.execute(now, a.Commands)
+	m.fencingToken = response.FencingToken
+	m.execute(now, response.Commands)
 	return true
 }
 
-// ApplyDirectCommands takes direct commands. False: nothing was executed.
-func (m *Machine) ApplyDirectCommands(now time.Duration, o wire.DirectCommands) bool {
-	if o.FencingToken < m.fencingToken || o.Incarnation != m.incarnation {
+// ApplyDirectCommands executes direct commands. False: none were executed.
+func (m *Machine) ApplyDirectCommands(now time.Duration, direct wire.DirectCommands) bool {
+	if direct.FencingToken < m.fencingToken || direct.Incarnation != m.incarnation {
 		return false
 	}
-	m.fencingToken = o.FencingToken
-	m.execute(now, o.Commands)
+	m.fencingToken = direct.FencingToken
+	m.execute(now, direct.Commands)
 	return true
 }
 
+// execute executes commands in order.
 func (m *Machine) execute(now time.Duration, commands []wire.Command) {
 	m.Advance(now)
 	for _, c := range commands {
@@ -234,7 +232,7 @@
 	}
 }
 
-// start begins an attempt, or reports why it is refused.
+// start starts an attempt, or has it exit with the cause of its refusal.
 func (m *Machine) start(now time.Duration, name attempt) {
 	m.observer.StartReceived(Start{m.info.Name, name.task, name.number, m.fencingToken})
 	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, transitionAt: Never}
@@ -261,11 +259,11 @@
 	m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 }
 
-// Tasks counts the tasks in its reports.
-func (m *Machine) Tasks() int { return len(m.tasks) }
+// TaskCount counts the tasks in its heartbeats.
+func (m *Machine) TaskCount() int { return len(m.tasks) }
 
-// About says what machine it is.
-func (m *Machine) About() MachineInfo { return m.info }
+// Info describes the machine.
+func (m *Machine) Info() MachineInfo { return m.info }
 
 // Holds tells whether an attempt of a task is here that has not exited.
 func (m *Machine) Holds(name string) bool {
@@ -282,20 +280,20 @@
 	return m.Prefetch(now, job.Image, job.ImageGB)
 }
 
-// Prefetch begins to fetch an image, if it is not there, and gives the time at which it is.
+// Prefetch begins to fetch an image, if it is not there, and gives the time at which it will be.
 func (m *Machine) Prefetch(now time.Duration, image string, gb float64) time.Duration {
-	at, known := m.imageReadyAt[image]
+	readyAt, known := m.imageReadyAt[image]
 	if !known {
-		takes := config.Seconds(gb / m.info.Type.FetchGBPerS)
+		duration := config.Seconds(gb / m.info.Type.FetchGBPerS)
 		m.fetches++
-		m.fetchTime += takes
-		at = now + takes
-		m.imageReadyAt[image] = at
+		m.fetchTime += duration
+		readyAt = now + duration
+		m.imageReadyAt[image] = readyAt
 	}
-	return max(now, at)
+	return max(now, readyAt)
 }
 
-// stop ends a task, after it has saved if it can and is given the time.
+// stop ends a task, after a checkpoint if it can make one and the grace period allows it.
 func (m *Machine) stop(now time.Duration, t *task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
@@ -314,7 +312,7 @@
 	}
 }
 
-// free is what the tasks leave of the machine.
+// free is the free capacity of the machine.
 func (m *Machine) free() resource.Amount {
 	free := resource.OfMachine(&m.info.Type)
 	for _, t := range m.tasks {
--- a/internal/simworker/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -44,7 +44,7 @@
 	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
-// states gives the tasks of a report in short.
+// states gives the tasks of a heartbeat in short.
 func states(m *Machine, now time.Duration) []string {
 	var all []string
 	for _, t := range m.Heartbeat(now).Tasks {
@@ -89,19 +89,19 @@
 	}
 }
 
-// TestTokensAndSessions drops what is not from who is entitled now, or was meant for an earlier session.
-func TestTokensAndSessions(t *testing.T) {
+// TestFencingTokensAndIncarnations drops commands with a lower fencing token, or for an earlier incarnation.
+func TestFencingTokensAndIncarnations(t *testing.T) {
 	m, w := newTestMachine()
 	if !m.ApplyHeartbeatResponse(0, 1, wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{start("run-000002/0", 1)}}) {
-		t.Error("an answer with a higher token was dropped")
+		t.Error("a response with a higher fencing token was dropped")
 	}
 	if m.ApplyHeartbeatResponse(0, 1, wire.HeartbeatResponse{FencingToken: 6}) || m.ApplyDirectCommands(0, wire.DirectCommands{FencingToken: 6, Incarnation: 1}) {
-		t.Error("a lower token was obeyed")
+		t.Error("a lower fencing token was obeyed")
 	}
 	m.Advance(3 * time.Second)
 	m.ExpireLease()
 	if m.ApplyHeartbeatResponse(4*time.Second, 1, wire.HeartbeatResponse{FencingToken: 8}) || m.ApplyDirectCommands(0, wire.DirectCommands{FencingToken: 8, Incarnation: 1}) {
-		t.Error("an earlier session was obeyed")
+		t.Error("commands for an earlier incarnation were executed")
 	}
 	expect(t, m, 4)
 	want := []string{"start run-000002/0 1\n", "runs run-000002/0\n", "ends run-000002/0 false\n"}
--- a/internal/simworker/traffic.go
+++ b/internal/simworker/traffic.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// Counter counts bytes that pass through sockets, seen from the worker.
+// Counter counts the bytes through sockets, seen from the worker.
 type Counter struct {
 	Received atomic.Int64
 	Sent     atomic.Int64
 }
 
-// Total is what has passed in both directions.
+// Total is the sum of both directions.
 func (c *Counter) Total() int64 { return c.Received.Load() + c.Sent.Load() }
 
-// countedConn is a connection whose bytes count.
+// countedConn is a connection whose bytes are counted.
 type countedConn struct {
 	net.Conn
 	counter *Counter
