--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -51,7 +51,7 @@
 func (l *leader) newDirectCommand(m *machine) *directCommand {
 	command := &directCommand{leader: l, machine: m, fencingToken: m.fence.Token(), incarnation: m.incarnation}
 	// Through an outage stops still go out, of jobs that other nodes know to be cancelled.
-	mayStart := l.core.election.LeaseValid() && !l.core.storeHealth.down
+	mayStart := l.mayCommit()
 	for _, p := range m.placementsSnapshot() {
 		if len(command.commands) >= maxCommands {
 			break
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -46,7 +46,7 @@
 		return
 	}
 	l.applyArrivals()
-	if c.now.Steady < p.nextCheck || !c.election.LeaseValid() || c.storeHealth.down {
+	if c.now.Steady < p.nextCheck || !l.mayCommit() {
 		c.wakeBy(p.nextCheck)
 		return
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -139,9 +139,3 @@
 	l.rollouts.refuseWaiting()
 	l.quotas.refuseWaiting()
 }
-
-// hasAuthority reports whether this leader may act: its lease is valid, or all controllers confirm an outage of the
-// key-value store, during which nobody can win a newer term.
-func (l *leader) hasAuthority() bool {
-	return l.core.election.LeaseValid() || l.core.storeOutageConfirmed()
-}
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -58,30 +58,34 @@
 	return c.times.checkInterval
 }
 
-// queryPeer asks a peer for its status and hands it the cancellations that it may not know. The answer acknowledges them.
+// peerQuery is a query of a peer for its status. It hands over the cancellations that the peer may not know, and its answer
+// acknowledges them.
+type peerQuery struct {
+	core          *Core
+	peer          *membership.Peer
+	cancellations []*pendingCancellation
+}
+
+// queryPeer sends a query to a peer.
 func (c *Core) queryPeer(p *membership.Peer) {
-	unacknowledged := c.cancellations.unacknowledgedBy(p)
+	query := &peerQuery{core: c, peer: p, cancellations: c.cancellations.unacknowledgedBy(p)}
 	p.QueryStarted(c.now.Steady)
-	id := c.registerCall(func(r Result) {
-		if r.Outcome == outcome.OK {
-			p.QueryAnswered(c.now.Steady, r.Peer)
-			for _, pending := range unacknowledged {
-				pending.acknowledgedBy[p] = true
-			}
-		} else {
-			p.QueryFailed()
-		}
-		c.cancellations.resolvePending()
-	})
-	query := QueryPeer{CallID: id, Node: p.Name()}
-	for _, pending := range unacknowledged {
-		query.Cancellations = append(query.Cancellations, pending.cancellation)
+	effect := QueryPeer{CallID: c.registerCall(query.handleResult), Node: p.Name()}
+	for _, pending := range query.cancellations {
+		effect.Cancellations = append(effect.Cancellations, pending.cancellation)
 	}
-	c.emit(query)
+	c.emit(effect)
 }
 
-// storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none knows
-// a newer term: nobody can then win one.
-func (c *Core) storeOutageConfirmed() bool {
-	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.Term().Number)
+// handleResult takes in the peer's status, or that it did not answer.
+func (q *peerQuery) handleResult(r Result) {
+	if r.Outcome == outcome.OK {
+		q.peer.QueryAnswered(q.core.now.Steady, r.Peer)
+		for _, pending := range q.cancellations {
+			pending.acknowledgedBy[q.peer] = true
+		}
+	} else {
+		q.peer.QueryFailed()
+	}
+	q.core.cancellations.resolvePending()
 }
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -29,8 +29,7 @@
 // settleTransfer removes a transfer from the account that its receiver has acknowledged. If that can't be written now, it is
 // after the next delivery, which the receiver acknowledges as a duplicate.
 func (a *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
-	c := a.leader.core
-	if t.writeInFlight || t.account == nil || !a.mayWrite() || !c.election.LeaseValid() || c.storeHealth.down {
+	if t.writeInFlight || t.account == nil || !a.mayWrite() || !a.leader.mayCommit() {
 		return
 	}
 	if next := t.account.Acknowledge(to, number); next != t.account {
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -66,7 +66,7 @@
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
 		c.respondRefused(req, reasonLimitsDiffer)
-	case t.account == nil || !c.election.LeaseValid() || c.storeHealth.down || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
+	case t.account == nil || !l.mayCommit() || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(req, 503, reasonUnavailable)
 	default:
 		return t
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -137,10 +137,10 @@
 	}
 	a.nextCheck = c.now.Steady + c.times.timerCoalescing
 	c.wakeBy(a.nextCheck)
-	mayWrite := c.election.LeaseValid() && !c.storeHealth.down
+	mayCommit := a.leader.mayCommit()
 	demands := a.demands()
 	for _, t := range a.ordered {
-		if !mayWrite {
+		if !mayCommit {
 			t.redirectWaiting(c)
 			continue
 		}
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -47,7 +47,7 @@
 func (l *leader) mayMigrateLayout() bool {
 	c := l.core
 	return l.recordLayout.ByTask == 0 && c.limits.valuesShrink() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
-		!c.storeHealth.down && c.election.LeaseValid()
+		l.mayCommit()
 }
 
 // migrateLayout writes the next layout once it may be used and no record is on its way: a record of the first layout that
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -180,7 +180,7 @@
 			l.writer.queueCancel(j)
 		}
 	}
-	if c.storeHealth.down || !c.election.LeaseValid() {
+	if !l.mayCommit() {
 		c.refuseJoins(run.joinRequests)
 		run.joinRequests = nil
 		return
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -109,7 +109,7 @@
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case c.cache.PlanCount() >= c.operator.Rollouts.MaxPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", c.cache.PlanCount()))
-	case !c.election.LeaseValid() || c.storeHealth.down || len(l.rollouts.uncommitted) > 0:
+	case !l.mayCommit() || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case !c.members.AllSupportRollouts():
 		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
@@ -257,7 +257,7 @@
 		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil:
 		c.respondRefused(in.RequestID, current.Problem.Error())
-	case run == nil || !c.election.LeaseValid() || c.storeHealth.down || len(run.changes) >= c.operator.MaxPendingRequests:
+	case run == nil || !l.mayCommit() || len(run.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -44,7 +44,7 @@
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	case run.recorded(current.Record, in.Router):
 		l.grantRouting(run, join)
-	case !c.election.LeaseValid() || c.storeHealth.down || len(run.joinRequests) >= c.operator.MaxPendingRequests:
+	case !l.mayCommit() || len(run.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 	default:
 		run.joinRequests = append(run.joinRequests, join)
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -73,7 +73,7 @@
 	l.cycles.nextAt = now + l.core.times.cycleInterval
 	l.cycles.minPause = 0
 	l.core.wakeBy(l.cycles.nextAt)
-	if !l.core.catalog.known() || !l.core.election.LeaseValid() || l.core.storeHealth.down {
+	if !l.core.catalog.known() || !l.mayCommit() {
 		l.cycles.lastAt = now
 		l.cycles.nextAt = now + l.core.times.checkInterval
 		l.core.wakeBy(l.cycles.nextAt)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -39,7 +39,7 @@
 // addStatus adds a leader's part of the status.
 func (l *leader) addStatus(s *Status, now time.Duration) {
 	s.Leading, s.Machines, s.Term = true, len(l.machines), max(s.Term, l.term)
-	s.HasAuthority = l.core.election.LeaseValidAt(now) || l.core.storeOutageConfirmed()
+	s.HasAuthority = l.hasAuthorityAt(now)
 	if !l.recovered {
 		s.Recovering = now - l.startedAt
 	}
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -55,11 +55,8 @@
 // mayWrite reports whether the leader may write, and no write is in flight that is conditional on the present version of the
 // term key.
 func (u *termFormatUpgrade) mayWrite() bool {
-	l, c := u.leader, u.leader.core
-	if l.writer.inFlight > 0 || l.layoutMigration.requested {
-		return false
-	}
-	return !c.storeHealth.down && c.election.LeaseValid()
+	l := u.leader
+	return l.writer.inFlight == 0 && !l.layoutMigration.requested && l.mayCommit()
 }
 
 // termFormatWrite is the write of a term in another format.
