--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -260,7 +260,7 @@
 			if m == nil {
 				break
 			}
-			tasks -= p.fill(m, j, tasks)
+			tasks -= p.fillNew(m, j, tasks)
 			if !p.worthMachine(j, m) {
 				p.undoLastMachine(m)
 				return
@@ -279,6 +279,17 @@
 	return packed
 }
 
+// fillNew packs up to so many tasks of a job into a machine that was planned for it, and gives how many. The zone was
+// checked for the first of them only (planMachine); the scheduling cycle does it again for each.
+func (p *capacityPlanner) fillNew(m *plannedMachine, j *job, tasks int) int {
+	packed := 0
+	for packed < tasks && m.free.Holds(resource.OfTask(j.spec)) {
+		p.assign(m, j)
+		packed++
+	}
+	return packed
+}
+
 // worthMachine tells whether the work of arrays so far, with that of a job on a new machine, is worth one more: from half
 // of a machine's boot time on.
 func (p *capacityPlanner) worthMachine(j *job, m *plannedMachine) bool {
