--- a/internal/core/cancel_requests.go
+++ b/internal/core/cancel_requests.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/stored"
@@ -23,11 +24,11 @@
 func (u *userRequests) cancel(in CancelJob) {
 	c := u.core
 	if !wire.ValidJobID(in.ID) {
-		c.respond(in.RequestID, 404, noSuchJob)
+		c.respond(in.RequestID, http.StatusNotFound, noSuchJob)
 		return
 	}
 	if final, ok := c.cache.FinalState(in.ID); ok {
-		c.respond(in.RequestID, 200, wire.JobState{ID: in.ID, State: final.State})
+		c.respond(in.RequestID, http.StatusOK, wire.JobState{ID: in.ID, State: final.State})
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
@@ -53,7 +54,7 @@
 	case lookupIndeterminate:
 		u.respondIndeterminate(requestID)
 	case lookupNotFound:
-		u.respond(requestID, 404, noSuchJob)
+		u.respond(requestID, http.StatusNotFound, noSuchJob)
 	case lookupEnded:
 		p.respondState(result.final.State)
 	case lookupActive:
@@ -78,7 +79,7 @@
 }
 
 func (p *pendingCancel) respondState(state wire.JobStatus) {
-	p.requests.respond(p.request.RequestID, 200, wire.JobState{ID: p.request.ID, State: state})
+	p.requests.respond(p.request.RequestID, http.StatusOK, wire.JobState{ID: p.request.ID, State: state})
 }
 
 // cancelResult is what became of the write of a cancellation.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"net/http"
 	"time"
 
 	"bitternwing/internal/budget"
@@ -109,7 +110,7 @@
 		c.handleHeartbeat(in)
 	case ReplicateCancellations:
 		c.handleReplicatedCancellations(in.Cancellations)
-		c.respond(in.RequestID, 200, nil)
+		c.respond(in.RequestID, http.StatusOK, nil)
 	case ApplyPlan:
 		c.handleApplyPlan(in)
 	case ChangePlan:
--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -48,7 +48,7 @@
 	for _, then := range d.waiters {
 		switch result {
 		case cancelAcknowledged:
-			then(activeLookup(d.jobAfterCancellation()))
+			then(confirmedLookup(d.jobAfterCancellation()))
 		case cancelConflict:
 			u.reads = append(u.reads, &lookup{id: d.id, then: then})
 		case cancelIndeterminate:
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"net/http"
+
 	"bitternwing/internal/fencing"
 	"bitternwing/internal/wire"
 )
@@ -22,7 +24,7 @@
 // worker to the leader.
 func (c *Core) handleHeartbeatAsFollower(in WorkerHeartbeat) {
 	if !c.leaseRelay.handleHeartbeat(in) {
-		c.respond(in.RequestID, 421, wire.Redirect{Leader: c.redirectTarget()})
+		c.respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{Leader: c.redirectTarget()})
 	}
 }
 
@@ -42,7 +44,7 @@
 	if len(in.Heartbeat.Tasks) > 0 && c.storeHealth.down && c.leaseRelay.renewDuringStoreOutage(in) {
 		return
 	}
-	c.respond(in.RequestID, 421, wire.Redirect{})
+	c.respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{})
 }
 
 // mayRespond tells whether this leader may respond to a heartbeat. A worker that knows a newer term would drop the
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"net/http"
 	"time"
 
 	"bitternwing/internal/wire"
@@ -66,7 +67,7 @@
 	}
 	m.heldResponse = nil
 	if !l.hasAuthority() {
-		l.core.respond(held.requestID, 421, wire.Redirect{})
+		l.core.respond(held.requestID, http.StatusMisdirectedRequest, wire.Redirect{})
 		return
 	}
 	basis, response := LeaderBasis, l.core.newLeaseResponse(held.heartbeat)
@@ -113,7 +114,7 @@
 func (l *leader) redirectHeldResponses() {
 	for _, m := range l.machinesByName {
 		if m.heldResponse != nil {
-			l.core.respond(m.heldResponse.requestID, 421, wire.Redirect{})
+			l.core.respond(m.heldResponse.requestID, http.StatusMisdirectedRequest, wire.Redirect{})
 			m.heldResponse = nil
 		}
 	}
--- a/internal/core/job_reads.go
+++ b/internal/core/job_reads.go
@@ -55,7 +55,7 @@
 	}
 	job := &watchcache.Job{Job: value, Version: item.Version}
 	if r.lookup.existenceOnly {
-		r.finish(activeLookup(job))
+		r.finish(confirmedLookup(job))
 		return
 	}
 	if job.Cancelled() {
@@ -69,7 +69,7 @@
 			return
 		}
 	}
-	r.finish(activeLookup(job))
+	r.finish(confirmedLookup(job))
 }
 
 func (r jobRead) readFinalState() {
--- a/internal/core/lease_responses.go
+++ b/internal/core/lease_responses.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"net/http"
 	"time"
 
 	"bitternwing/internal/wire"
@@ -103,7 +104,7 @@
 		c.leaseRenewals.stops[basis] += uint64(n)
 		c.log(Debug, "stopping cancelled tasks", "worker", response.machine, "basis", basis, "tasks", n)
 	}
-	c.respond(requestID, 200, wire.HeartbeatResponse{FencingToken: token, Commands: response.commands})
+	c.respond(requestID, http.StatusOK, wire.HeartbeatResponse{FencingToken: token, Commands: response.commands})
 }
 
 // isKnownCancelled tells whether this node knows that a job is cancelled.
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"net/http"
+
 	"bitternwing/internal/watchcache"
 	"bitternwing/internal/wire"
 )
@@ -92,7 +94,7 @@
 	switch {
 	case d.rejected != "":
 		// The same words whatever the cause: nothing is disclosed of another's job.
-		u.respondIdempotent(d.request, rejection{status: 422, reason: wire.FieldDependencies + ": " + d.rejected + " can't be waited for"})
+		u.respondIdempotent(d.request, rejection{status: http.StatusUnprocessableEntity, reason: wire.FieldDependencies + ": " + d.rejected + " can't be waited for"})
 	case d.indeterminate:
 		u.respondIndeterminate(d.request.RequestID)
 	default:
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"net/http"
 	"time"
 
 	"bitternwing/internal/stored"
@@ -46,7 +47,7 @@
 // rejectIfOverloaded responds with 429 when too many requests wait already; else it counts the request as waiting.
 func (u *userRequests) rejectIfOverloaded(requestID uint64) bool {
 	if u.waiting >= u.core.operator.MaxPendingRequests {
-		u.core.respondRetryLater(requestID, 429, "too many requests")
+		u.core.respondRetryLater(requestID, http.StatusTooManyRequests, "too many requests")
 		return true
 	}
 	u.waiting++
@@ -62,7 +63,7 @@
 // respondIndeterminate ends a waiting request about which nothing can be confirmed now.
 func (u *userRequests) respondIndeterminate(requestID uint64) {
 	u.waiting--
-	u.core.respondRetryLater(requestID, 503, "can't be confirmed now")
+	u.core.respondRetryLater(requestID, http.StatusServiceUnavailable, "can't be confirmed now")
 }
 
 // noSuchJob is the body of a response about a job that was never accepted.
