--- a/internal/budget/cost.go
+++ b/internal/budget/cost.go
@@ -1,41 +1,39 @@
-// Package budget measures what evaluations cost, so that decision rounds keep within a share of the
-// processor, on a slow one as on a fast one.
+// Package budget measures the processor time that an evaluation takes, so that scheduling cycles keep within a share of the
+// processor, whether it is slow or fast.
 package budget
 
 import "time"
 
-// InitialSeconds is what an evaluation is taken to cost, in seconds, until it is measured.
+// InitialSeconds is the assumed cost of an evaluation in seconds until it is measured.
 const InitialSeconds = 60e-9
 
 const (
-	// measuredEvaluations is how many evaluations a measure needs.
+	// measuredEvaluations is the number of evaluations in a measurement.
 	measuredEvaluations = 5000
-	// minStepShare is the part of them that a step has to make at least: one with less does too much else
-	// to tell.
+	// minStepShare is the fraction (one part in so many) of them that a step has to make to be measured: one with fewer spends
+	// too much of its time on something else.
 	minStepShare = 10
-	// weight is the part that each measure tells.
+	// weight is the weight of each measurement in the moving average (one part in so many).
 	weight = 4
-	// maxRise is how much dearer than before a measure may make an evaluation, so that a pause of the
-	// process in a step is made good by the next ones.
+	// maxRise bounds a measurement in multiples of the average, so that a pause of the process in a step is soon forgotten.
 	maxRise = 4
 )
 
-// Cost is what an evaluation costs on this machine, as measured on the steps that made many.
+// Cost is the cost of an evaluation on this machine, measured in steps that made many.
 type Cost struct {
 	seconds     float64       // 0: not measured yet
-	taken       int           // evaluations of the present step
-	evaluations int           // of the steps since it was measured last
+	taken       int           // evaluations of the current step
+	evaluations int           // of the steps since the last measurement
 	took        time.Duration // the same
 }
 
-// Spend takes note of evaluations of the present step.
+// Spend counts evaluations of the current step.
 func (c *Cost) Spend(evaluations int) { c.taken += evaluations }
 
-// Taken gives the evaluations of the present step.
+// Taken is the number of evaluations of the current step.
 func (c *Cost) Taken() int { return c.taken }
 
-// Observe ends a step, with the time that it took; 0 if that is not known. All of its time counts as that
-// of its evaluations.
+// Observe ends a step, with the time that it took; 0 if that is not known. All of it counts as time of its evaluations.
 func (c *Cost) Observe(took time.Duration) {
 	evaluations := c.taken
 	c.taken = 0
@@ -52,7 +50,7 @@
 	c.evaluations, c.took = 0, 0
 }
 
-// Seconds gives what an evaluation costs.
+// Seconds is the cost of an evaluation.
 func (c *Cost) Seconds() float64 {
 	if c.seconds == 0 {
 		return InitialSeconds
--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/resource"
 )
 
-// freeBounds bound the free room of the machines below a node.
+// freeBounds are upper bounds of the free resources of the machines below a node of a tree.
 type freeBounds struct {
 	free   resource.Amount // the most, each resource by itself
 	images imageBounds
@@ -21,12 +21,12 @@
 	into.images.join(&other.images)
 }
 
-// Bounds bound what the machines below a node could have for a task if work on them were stopped.
+// Bounds are upper bounds of the resources that the machines below a node could have for a task after preemption.
 type Bounds struct {
 	FirstName string // the first of their names
 	images    imageBounds
-	// maxFree is what could be free once all work below a rank was stopped, so the first is what will be free anyway; largest is the largest task of
-	// such work that has a rank above 0, largestIdle that of rank 0.
+	// maxFree is what could be free once all work below a rank is stopped; the first is what will be free without
+	// preemption. largestTask is the largest task of such work of a rank above 0, largestIdleTask that of rank 0.
 	maxFree         [Ranks + 1]resource.Amount
 	largestTask     [Ranks + 1]resource.Amount
 	largestIdleTask resource.Amount
@@ -58,8 +58,8 @@
 	}
 }
 
-// Cost is what it costs to make room on a machine: tasks that are stopped, but for those of rank 0; then how
-// warm it is for the image; then the tasks of rank 0 that are stopped.
+// Cost is the cost of preemption on a machine: the tasks above rank 0 that are stopped, then the state of the image, then
+// the tasks of rank 0 that are stopped.
 type Cost struct {
 	Stops      int
 	ImageState ImageState
@@ -80,8 +80,8 @@
 // AllRanks stands for work of every rank.
 const AllRanks = Ranks
 
-// MinCost bounds from below what it costs to make room for a task, if work below a rank may be stopped;
-// false if it can't be done at all.
+// MinCost is a lower bound of the cost of preemption for a task, if work below a rank may be stopped; false if that can't
+// free enough.
 func (b *Bounds) MinCost(need resource.Amount, below int, bit ImageBit) (Cost, bool) {
 	if !b.maxFree[below].Holds(need) {
 		return Cost{}, false
@@ -97,15 +97,14 @@
 	return cost, true
 }
 
-// minTasks is the least number of tasks, each no larger than the largest, that make up for what is missing
-// of an amount.
+// minTasks is the minimum number of tasks, each no larger than the largest, that take as much as is missing.
 func minTasks(need, have, largest resource.Amount) int {
 	missing := need
 	missing.Take(have)
 	return max(1, tasksCovering(missing.GPUs, largest.GPUs), tasksCovering(missing.CPUs, largest.CPUs), tasksCovering(missing.MemoryGB, largest.MemoryGB))
 }
 
-// roundingError is what a quotient may be off by, so that a bound stays one.
+// roundingError is what a quotient may be off by. It is subtracted so that the result stays a lower bound.
 const roundingError = 1e-6
 
 func tasksCovering(missing, largest float64) int {
--- a/internal/capacity/room.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity keeps the machines of a fleet in order of their room, so that the machine for a task,
-// or the one on which the least has to stop for it, is found without a look at each. It knows nothing of
-// jobs: what may run where is for the caller to say.
+// Package capacity is an index of the free resources of a fleet's machines. It finds the machine for a task, or the one on
+// which preemption for it costs the least, without evaluating each machine. It does not know jobs: the caller says what may
+// run where.
 package capacity
 
 import (
@@ -9,17 +9,16 @@
 	"bitternwing/internal/resource"
 )
 
-// Ranks is the number of ranks of priority, from 0, of work that is to run when nobody else wants the
-// machines.
+// Ranks is the number of ranks of priority. Rank 0 is idle priority: work that runs when nobody else wants the machines.
 const Ranks = 4
 
-// Group is machines that are alike in what may run on them.
+// Group is the machines that do not differ in what may run on them.
 type Group struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// PreemptibleWork is what could be stopped on a machine, of one rank.
+// PreemptibleWork is the tasks of one rank that could be preempted on a machine.
 type PreemptibleWork struct {
 	Total   resource.Amount
 	Largest resource.Amount // of a single task, each resource by itself
@@ -31,7 +30,7 @@
 	s.Largest = larger(s.Largest, task)
 }
 
-// MachineCapacity is a machine's room.
+// MachineCapacity is a machine's free resources, preemptible work and images.
 type MachineCapacity struct {
 	Name           string
 	Free           resource.Amount // now
@@ -40,29 +39,29 @@
 	Images         Images
 }
 
-// Images are the images of a machine, as far as sets tell that may hold more than was put into them.
+// Images are the images of a machine, in sets that may have false positives.
 type Images struct {
 	Ready    ImageSet
 	Fetching ImageSet
-	Unknown  ImageSet // perhaps there: they count like those that are being fetched, and keep nothing from the machine
+	Unknown  ImageSet // perhaps there: they count as being fetched, but do not share the machine's fetch rate
 }
 
-// imageWords is the size of a set of images.
+// imageWords is the size of a set of images in words.
 const imageWords = 4
 
-// ImageSet is a set of images that may seem to hold others.
+// ImageSet is a Bloom filter of images with a single hash function.
 type ImageSet [imageWords]uint64
 
-// Add puts an image into a set.
+// Add adds an image.
 func (s *ImageSet) Add(bit ImageBit) { s[bit/64] |= 1 << (bit % 64) }
 
-// MayHold is false only if an image is not in the set.
+// MayHold is false only if the image was not added.
 func (s *ImageSet) MayHold(bit ImageBit) bool { return s[bit/64]&(1<<(bit%64)) != 0 }
 
-// ImageBit is an image's place in a set.
+// ImageBit is the bit of an image in a set.
 type ImageBit uint
 
-// BitOf gives the place of an image.
+// BitOf gives the bit of an image.
 func BitOf(name string) ImageBit { return ImageBit(hash(name) % (64 * imageWords)) }
 
 func hash(text string) uint64 {
@@ -81,10 +80,10 @@
 	return resource.Amount{GPUs: max(a.GPUs, b.GPUs), CPUs: max(a.CPUs, b.CPUs), MemoryGB: max(a.MemoryGB, b.MemoryGB)}
 }
 
-// ImageState is how far a machine is from having an image.
+// ImageState is how far a machine is from having an image, the closest first.
 type ImageState int
 
-// The degrees of warmth.
+// The image states.
 const (
 	ImageReady       ImageState = iota // the image is there
 	ImageFetching                      // it is being fetched, or it is not known whether it is there
@@ -93,7 +92,7 @@
 	ImageStates
 )
 
-// imageBounds tells how warm the machines below a node are at best.
+// imageBounds bounds the image states of the machines below a node of a tree.
 type imageBounds struct {
 	images      Images
 	idleFetcher bool // one of them fetches nothing
@@ -110,9 +109,9 @@
 	b.idleFetcher = b.idleFetcher || other.idleFetcher
 }
 
-// may tells whether a machine can be as warm as this for an image.
-func (b *imageBounds) may(warmth ImageState, bit ImageBit) bool {
-	switch warmth {
+// mayBe tells whether an image can be in a state on one of the machines.
+func (b *imageBounds) mayBe(state ImageState, bit ImageBit) bool {
+	switch state {
 	case ImageReady:
 		return b.images.Ready.MayHold(bit)
 	case ImageFetching:
@@ -124,11 +123,11 @@
 	return b.images.Fetching != ImageSet{}
 }
 
-// best is the least warmth that a machine can have for an image.
+// best is the best state that an image can have on one of the machines.
 func (b *imageBounds) best(bit ImageBit) ImageState {
-	for w := ImageReady; w < ImageFetchShared; w++ {
-		if b.may(w, bit) {
-			return w
+	for state := ImageReady; state < ImageFetchShared; state++ {
+		if b.mayBe(state, bit) {
+			return state
 		}
 	}
 	return ImageFetchShared
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/resource"
 )
 
-// Index keeps machines, each with a value of the caller's.
+// Index is an index of machines, each with a value of the caller's type.
 type Index[T any] struct {
 	groups  map[groupKey]*group[T]
 	order   []*group[T]
@@ -21,11 +21,11 @@
 	capacity MachineCapacity
 	group    *group[T]
 	value    T
-	// staleByName says that the order by name does not know of the present room yet.
+	// staleByName says that the tree by name does not have the present capacity yet.
 	staleByName bool
 }
 
-// primaryResource gives the resource by which a machine's room is ordered: GPUs, or CPUs where it has none.
+// primaryResource gives the resource by which free capacity is ordered: GPUs, or CPUs for machines without.
 func (e *entry[T]) primaryResource(a resource.Amount) float64 {
 	if e.group.size.GPUs > 0 {
 		return a.GPUs
@@ -33,7 +33,7 @@
 	return a.CPUs
 }
 
-// leftoverShare is the share of the machine that a task would leave free.
+// leftoverShare is the share of a machine's primary resource that a task would leave free.
 func (e *entry[T]) leftoverShare(need resource.Amount) float64 {
 	size := e.primaryResource(e.group.size)
 	if size == 0 {
@@ -42,7 +42,7 @@
 	return (e.primaryResource(e.capacity.Free) - e.primaryResource(need)) / size
 }
 
-// tighter tells whether a task would leave less of this machine than of another one.
+// tighter tells whether a machine is the better fit for a task: it would have less left.
 func (e *entry[T]) tighter(other *entry[T], need resource.Amount) bool {
 	if a, b := e.leftoverShare(need), other.leftoverShare(need); a != b {
 		return a < b
@@ -50,20 +50,19 @@
 	return e.capacity.Name < other.capacity.Name
 }
 
-// groupKey names a group. Machines of a type differ in size where the type has changed; their free room is in
-// order only among those of one size.
+// groupKey identifies a group of machines of one size. Machines of a type differ in size if the type has changed, and free
+// resources are comparable only among machines of one size.
 type groupKey struct {
 	Group
 	size resource.Amount
 }
 
-// group is the machines of a group, in two orders: by free room, for what is to be placed, and by name,
-// for what is to be stopped.
+// group is the machines of a group in two trees: by free resources, for placement, and by name, for preemption.
 type group[T any] struct {
 	groupKey
 	byFree treap[*entry[T], freeBounds]
 	byName treap[*entry[T], Bounds]
-	// staleByName are the machines whose change the order by name does not know of yet.
+	// staleByName are the machines whose change is not in the tree by name yet.
 	staleByName []*entry[T]
 }
 
@@ -104,43 +103,43 @@
 
 func lessName[T any](a, b **entry[T]) bool { return (*a).capacity.Name < (*b).capacity.Name }
 
-// Put takes a machine of some size in, or changes what is known of it.
-func (x *Index[T]) Put(key Group, size resource.Amount, room MachineCapacity, value T) {
-	e := x.entries[room.Name]
+// Put adds a machine of a size, or updates it.
+func (x *Index[T]) Put(key Group, size resource.Amount, capacity MachineCapacity, value T) {
+	e := x.entries[capacity.Name]
 	if e != nil && e.group.groupKey != (groupKey{key, size}) {
-		x.Remove(room.Name)
+		x.Remove(capacity.Name)
 		e = nil
 	}
 	if e == nil {
-		e = &entry[T]{capacity: room, group: x.group(groupKey{key, size})}
-		x.entries[room.Name] = e
+		e = &entry[T]{capacity: capacity, group: x.group(groupKey{key, size})}
+		x.entries[capacity.Name] = e
 		e.group.byFree.insert(e)
 		e.group.byName.insert(e)
 	}
 	e.value = value
-	if e.capacity != room {
-		e.group.change(e, room)
+	if e.capacity != capacity {
+		e.group.change(e, capacity)
 	}
 }
 
-// change takes in a change of a machine's room. The order by name follows when it is asked for next: most
-// changes come while nobody looks for what could be stopped.
-func (g *group[T]) change(e *entry[T], room MachineCapacity) {
+// change updates a machine's capacity. The tree by name is updated when it is used next: most changes come while nothing is
+// preempted.
+func (g *group[T]) change(e *entry[T], capacity MachineCapacity) {
 	if !e.staleByName {
 		e.staleByName = true
 		g.staleByName = append(g.staleByName, e)
 	}
-	if e.capacity.Free == room.Free {
-		e.capacity = room
+	if e.capacity.Free == capacity.Free {
+		e.capacity = capacity
 		g.byFree.replace(&e)
 		return
 	}
 	g.byFree.remove(&e)
-	e.capacity = room
+	e.capacity = capacity
 	g.byFree.insert(e)
 }
 
-// refreshByName brings the order by name up to date.
+// refreshByName brings the tree by name up to date.
 func (g *group[T]) refreshByName() {
 	for _, e := range g.staleByName {
 		if e.staleByName {
@@ -158,7 +157,7 @@
 	g.byName.remove(&e)
 }
 
-// Remove takes a machine out, if it is there.
+// Remove removes a machine, if it is there.
 func (x *Index[T]) Remove(name string) {
 	if e := x.entries[name]; e != nil {
 		e.group.remove(e)
@@ -180,10 +179,10 @@
 // Len is the number of machines.
 func (x *Index[T]) Len() int { return len(x.entries) }
 
-// Height is about the height of a balanced tree of all machines: what a change costs, in machines looked at.
+// Height is about the height of a balanced tree of all machines, which is what a change costs, in machines evaluated.
 func (x *Index[T]) Height() int { return bits.Len(uint(len(x.entries))) }
 
-// Get gives what is known of a machine; false if it is not there.
+// Get gives a machine's group and capacity; false if it is not there.
 func (x *Index[T]) Get(name string) (Group, MachineCapacity, bool) {
 	e := x.entries[name]
 	if e == nil {
@@ -192,63 +191,62 @@
 	return e.group.Group, e.capacity, true
 }
 
-// FitRequest is a task that looks for a machine.
+// FitRequest is a request for the best fit for a task.
 type FitRequest[T any] struct {
 	Need  resource.Amount
 	Image string
-	// Penalty is what the task would rather not have of a group, in degrees of warmth; false: it may not run
-	// there.
+	// Penalty is by how many image states the task prefers other groups; false: it may not run in this one.
 	Penalty func(Group) (ImageState, bool)
-	// Suits tells whether a machine that has the room will do, and how warm it is.
+	// Suits tells whether a machine that has the resources will do, and the state of the image there.
 	Suits func(T) (ImageState, bool)
 }
 
-// MaxPenalty is the most that a penalty may be.
+// MaxPenalty is the maximum of a penalty.
 const MaxPenalty = 2
 
-// BestFit finds the machine for a task: the warmest, counting penalties, and of these the one that has the
-// least left, and of these the first by name. It gives the number of machines looked at.
-func (x *Index[T]) BestFit(q FitRequest[T]) (found T, ok bool, looked int) {
+// BestFit finds the machine for a task: the one with the best image state, plus penalty; of these the one with the least left
+// free; of these the first by name. It also gives the number of machines evaluated.
+func (x *Index[T]) BestFit(q FitRequest[T]) (found T, ok bool, evaluated int) {
 	bit := BitOf(q.Image)
-	type open struct {
+	type candidate struct {
 		group   *group[T]
 		penalty ImageState
 	}
-	var groups []open
+	var groups []candidate
 	for _, g := range x.order {
 		if penalty, may := q.Penalty(g.Group); may && g.byFree.root != nil {
-			groups = append(groups, open{g, penalty})
+			groups = append(groups, candidate{g, penalty})
 		}
 	}
-	for degree := ImageReady; degree < ImageStates+MaxPenalty; degree++ {
+	for level := ImageReady; level < ImageStates+MaxPenalty; level++ {
 		var best *entry[T]
-		for _, o := range groups {
-			warmth := degree - o.penalty
-			if warmth < ImageReady || warmth >= ImageStates {
+		for _, c := range groups {
+			state := level - c.penalty
+			if state < ImageReady || state >= ImageStates {
 				continue
 			}
-			if e := o.group.bestFit(&q, warmth, bit, &looked); e != nil && (best == nil || e.tighter(best, q.Need)) {
+			if e := c.group.bestFit(&q, state, bit, &evaluated); e != nil && (best == nil || e.tighter(best, q.Need)) {
 				best = e
 			}
 		}
 		if best != nil {
-			return best.value, true, looked
+			return best.value, true, evaluated
 		}
 	}
-	return found, false, looked
+	return found, false, evaluated
 }
 
-// bestFit finds the machine of a group that has the least left, of those of one degree of warmth.
-func (g *group[T]) bestFit(q *FitRequest[T], warmth ImageState, bit ImageBit, looked *int) *entry[T] {
-	return g.bestFitting(q.Need, warmth, bit, looked, func(e *entry[T]) bool {
-		w, suits := q.Suits(e.value)
-		return suits && w == warmth
+// bestFit finds the machine of a group with the least left free, of those with one image state.
+func (g *group[T]) bestFit(q *FitRequest[T], state ImageState, bit ImageBit, evaluated *int) *entry[T] {
+	return g.bestFitting(q.Need, state, bit, evaluated, func(e *entry[T]) bool {
+		actual, suits := q.Suits(e.value)
+		return suits && actual == state
 	})
 }
 
-// Walk visits the machines of some groups, by name within each, except where skip says that none below some
-// bounds is worth it. It gives the number of machines looked at.
-func (x *Index[T]) Walk(within func(Group) bool, skip func(*Bounds) bool, visit func(T)) (looked int) {
+// Walk visits the machines of some groups, by name within each. It prunes subtrees for whose bounds skip is true. It gives
+// the number of machines evaluated.
+func (x *Index[T]) Walk(within func(Group) bool, skip func(*Bounds) bool, visit func(T)) (evaluated int) {
 	for _, g := range x.order {
 		if g.byName.root == nil || !within(g.Group) {
 			continue
@@ -257,7 +255,7 @@
 		g.byName.root.search(skip, func(e **entry[T]) bool {
 			visit((*e).value)
 			return false
-		}, &looked)
+		}, &evaluated)
 	}
-	return looked
+	return evaluated
 }
--- a/internal/capacity/treap.go
+++ b/internal/capacity/treap.go
@@ -1,14 +1,14 @@
 package capacity
 
-// treap is an ordered tree whose nodes know a summary of all that is below them. It balances itself by
-// priorities that are drawn from the values' names, so that the same values always give the same tree.
+// treap is a binary search tree whose nodes have a summary of their subtree. It is balanced by priorities that are hashes of
+// the values' names, so that the same values always give the same tree.
 type treap[V, S any] struct {
 	root *node[V, S]
-	// before orders the values, and no two are equal.
+	// before orders the values. No two are equal.
 	before func(a, b *V) bool
-	// priority gives a value's place in the heap.
+	// priority orders the values from the root down.
 	priority func(v *V) uint64
-	// summarize gives the summary of a value. join takes that of other values, all before or all after, into
+	// summarize gives the summary of a value. join merges the summary of other values, all before or all after, into
 	// another one.
 	summarize func(v *V) S
 	join      func(into, other *S, before bool)
@@ -21,7 +21,7 @@
 	left, right *node[V, S]
 }
 
-// insert adds a value, which is not there yet.
+// insert adds a value that is not there yet.
 func (t *treap[V, S]) insert(v V) {
 	s := t.summarize(&v)
 	t.root = t.insertAt(t.root, &node[V, S]{value: v, own: s, all: s, priority: t.priority(&v)})
@@ -44,7 +44,7 @@
 	return n
 }
 
-// split gives what is before a value and what is not.
+// split gives the subtrees of what is before a value and of the rest.
 func (t *treap[V, S]) split(n *node[V, S], at *V) (before, rest *node[V, S]) {
 	if n == nil {
 		return nil, nil
@@ -59,7 +59,7 @@
 	return before, n
 }
 
-// remove takes away a value, which is there.
+// remove removes a value that is there.
 func (t *treap[V, S]) remove(v *V) { t.root = t.removeAt(t.root, v) }
 
 func (t *treap[V, S]) removeAt(n *node[V, S], v *V) *node[V, S] {
@@ -93,7 +93,7 @@
 	return b
 }
 
-// replace changes a value that stays at its place in the order.
+// replace updates a value that keeps its place in the order.
 func (t *treap[V, S]) replace(v *V) { t.replaceAt(t.root, v) }
 
 func (t *treap[V, S]) replaceAt(n *node[V, S], v *V) {
@@ -110,7 +110,7 @@
 	t.pull(n)
 }
 
-// pull makes a node's summary anew from those of its children.
+// pull updates a node's summary from those of its children.
 func (t *treap[V, S]) pull(n *node[V, S]) {
 	n.all = n.own
 	if n.left != nil {
@@ -121,18 +121,18 @@
 	}
 }
 
-// search looks through the values in order until visit finds what it looks for. Subtrees whose summary is
-// to be skipped are left out. It counts the values that it does not skip.
-func (n *node[V, S]) search(skip func(*S) bool, visit func(*V) bool, looked *int) bool {
+// search visits the values in order until visit returns true. It prunes the subtrees for whose summary skip is true, and
+// counts the nodes that it does not prune.
+func (n *node[V, S]) search(skip func(*S) bool, visit func(*V) bool, evaluated *int) bool {
 	if n == nil || skip(&n.all) {
 		return false
 	}
-	*looked++
-	if n.left.search(skip, visit, looked) {
+	*evaluated++
+	if n.left.search(skip, visit, evaluated) {
 		return true
 	}
 	if !skip(&n.own) && visit(&n.value) {
 		return true
 	}
-	return n.right.search(skip, visit, looked)
+	return n.right.search(skip, visit, evaluated)
 }
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -54,7 +54,7 @@
 
 // replicaCostModel is what a job's next replica goes by.
 type replicaCostModel struct {
-	topologyspread.Weigher
+	topologyspread.Costs
 	fleet        fleetView
 	job          *job
 	recoveryTime time.Duration // until a lost replica runs again
@@ -78,7 +78,7 @@
 		w.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
 		w.fleet, w.job = fleet, j
 	}
-	w.Weigher = j.replicaLedger.Weigh(model, lossRates(cycle.params.spread), w.spreadOver, w.recoveryTime)
+	w.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), w.spreadOver, w.recoveryTime)
 	cycle.replicaCost, cycle.replicaCostVersion = w, j.replicaLedger.Changes()
 	return w, true
 }
@@ -90,7 +90,7 @@
 
 // cost gives what a machine of a group costs the job's next replica, by the state of its image there.
 func (w replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
-	cost := w.imageLoad(g, state) + w.Zone(g.Zone)
+	cost := w.imageLoad(g, state) + w.ZoneS(g.Zone)
 	if w.job.spec.Spot && !g.Spot {
 		// On-demand machines come as far behind spot ones as in bestFit, where a recovery counts as an image state.
 		cost += onDemandPenalty * w.recoveryTime.Seconds()
@@ -106,9 +106,9 @@
 func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, w replicaCostModel) *machine {
 	allowed := j.groupRules()
 	h, _, found, looked := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
-		Need:    resource.OfTask(j.spec),
-		Image:   j.spec.Image,
-		Crowded: w.Machine(),
+		Need:        resource.OfTask(j.spec),
+		Image:       j.spec.Image,
+		CrowdedCost: w.MachineS(),
 		Cost: func(g capacity.Group, state capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
@@ -128,9 +128,9 @@
 
 // costOn gives what a machine costs a job's next replica.
 func (w replicaCostModel) costOn(m *machine) placementCost {
-	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.images.stateOf(w.job.spec.Image)), expectedLossS: w.Zone(m.zone)}
+	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.images.stateOf(w.job.spec.Image)), expectedLossS: w.ZoneS(m.zone)}
 	if w.Crowded(m.name) {
-		t.expectedLossS += w.Machine()
+		t.expectedLossS += w.MachineS()
 	}
 	return t
 }
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -56,7 +56,7 @@
 		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
 			continue // it has no choice, or a rollout decides about it
 		}
-		zone := l.replicaLedger.Overfull(model, cycle.params.fleet.zonesFor(j))
+		zone := l.replicaLedger.OverfullZone(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
 			if zone != "" && p.machine.zone == zone && cycle.moveSavesCost(j, p, l.core.times.heartbeatInterval) {
 				return p
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -1,4 +1,4 @@
-// Package sizing tells which settings are too small for a fleet of a given size. It is pure.
+// Package sizing checks whether settings are large enough for a fleet of a given size. It is pure.
 package sizing
 
 import (
@@ -9,14 +9,14 @@
 	"bitternwing/internal/wire"
 )
 
-// What a machine takes of the node that leads, as docs/CAPACITY.md measured it.
+// What the leader needs for each machine, as measured in docs/CAPACITY.md.
 const (
 	// socketsPerMachine: half of the sockets are the workers' alone, and each keeps one.
 	socketsPerMachine = 2
 	baseMemoryMB      = 30
 	memoryPerMachine  = 0.1    // MB
 	coresPerMachine   = 0.0001 // of a fleet with little to start; a busy one takes twice as much
-	// listShare is how much of the cloud's rate the pages of its list may take: half of the eight tenths in use.
+	// listShare is the share of the cloud's rate limit that pages of its list may take: half of the eight tenths in use.
 	listShare = 0.4
 )
 
@@ -24,16 +24,16 @@
 type Shortfall struct {
 	Field  string  // its name in the platform's file
 	Value  float64 // as it is
-	Least  float64 // that would do
-	Effect string  // what happens for as long as it is too small
+	Least  float64 // that is sufficient
+	Effect string  // of a value that is too small
 }
 
-// String gives the shortfall as a line for people.
+// String describes the shortfall in a line.
 func (s Shortfall) String() string {
 	return fmt.Sprintf("%s: is %g, at least %g would do: %s", s.Field, s.Value, s.Least, s.Effect)
 }
 
-// Check gives the settings that are too small for so many machines.
+// Check gives the settings that are too small for a number of machines.
 func Check(p *config.Params, machines int) []Shortfall {
 	n := float64(machines)
 	pages := math.Ceil(n / wire.MaxList)
@@ -56,5 +56,5 @@
 	return short
 }
 
-// roundUp gives a number that is not less, with two decimals.
+// roundUp rounds up to two decimals.
 func roundUp(v float64) float64 { return math.Ceil(v*100) / 100 }
--- a/internal/topologyspread/spread_test.go
+++ b/internal/topologyspread/spread_test.go
@@ -70,19 +70,19 @@
 	l, m := NewLedger(), Model{"t", "a"}
 	rates := Rates{ZoneLossesPerDay: 0.01, MachineLossesPerDay: 0.002, ReplicaDays: 30}
 	three := Fleet{Zones: 3, Machines: 100}
-	weigh := func(fleet Fleet) Weigher { return l.Weigh(m, rates, fleet, 100*time.Second) }
+	weigh := func(fleet Fleet) Costs { return l.CostsFor(m, rates, fleet, 100*time.Second) }
 	w := weigh(three)
-	if w.Zone("z1") != 0 || w.Crowded("m1") || w.Machine() != 6 {
-		t.Errorf("the first replica: %g, %v, %g", w.Zone("z1"), w.Crowded("m1"), w.Machine())
+	if w.ZoneS("z1") != 0 || w.Crowded("m1") || w.MachineS() != 6 {
+		t.Errorf("the first replica: %g, %v, %g", w.ZoneS("z1"), w.Crowded("m1"), w.MachineS())
 	}
 	for i, zone := range []string{"z1", "z1", "z1", "z2", "z2", "z2", "z2"} {
 		l.Add(m, zone, []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"}[i])
 	}
 	w = weigh(three) // eight with the next: three in a zone
-	if w.Zone("z1") != 30 || w.Zone("z2") != 60 || w.Zone("z3") != 0 || w.Zone("") != 60 || !w.Crowded("m1") || w.Crowded("m8") {
-		t.Errorf("%g, %g, %g, %g, %v, %v", w.Zone("z1"), w.Zone("z2"), w.Zone("z3"), w.Zone(""), w.Crowded("m1"), w.Crowded("m8"))
+	if w.ZoneS("z1") != 30 || w.ZoneS("z2") != 60 || w.ZoneS("z3") != 0 || w.ZoneS("") != 60 || !w.Crowded("m1") || w.Crowded("m8") {
+		t.Errorf("%g, %g, %g, %g, %v, %v", w.ZoneS("z1"), w.ZoneS("z2"), w.ZoneS("z3"), w.ZoneS(""), w.Crowded("m1"), w.Crowded("m8"))
 	}
-	if w = weigh(Fleet{Zones: 1, Machines: 1}); w.Zone("z2") != 0 || w.Crowded("m1") {
+	if w = weigh(Fleet{Zones: 1, Machines: 1}); w.ZoneS("z2") != 0 || w.Crowded("m1") {
 		t.Error("with one zone and machine there is nothing to avoid")
 	}
 }
@@ -101,7 +101,7 @@
 			}
 		}
 		moves := 0
-		for from := l.Overfull(m, zones); from != ""; from = l.Overfull(m, zones) {
+		for from := l.OverfullZone(m, zones); from != ""; from = l.OverfullZone(m, zones) {
 			to := from
 			for _, zone := range zones {
 				if at[zone] < at[to] {
@@ -165,10 +165,10 @@
 	l, model, warm := NewLedger(), Model{"t", "a"}, c.warm
 	var chosen []int
 	for range c.replicas {
-		w := l.Weigh(model, Rates{ZoneLossesPerDay: c.zoneS, ReplicaDays: 1}, Fleet{Zones: 3, Machines: 6}, time.Second)
+		w := l.CostsFor(model, Rates{ZoneLossesPerDay: c.zoneS, ReplicaDays: 1}, Fleet{Zones: 3, Machines: 6}, time.Second)
 		at, least := 0, math.Inf(1)
 		for m := range warm {
-			cost := w.Zone(c.zone(m))
+			cost := w.ZoneS(c.zone(m))
 			if !warm[m] {
 				cost += c.coldS
 			}
