--- a/internal/core/fencing_tokens.go
+++ b/internal/core/fencing_tokens.go
@@ -7,7 +7,7 @@
 	l.observedChanges++
 }
 
-// responsesLost tells whether a machine's heartbeats have arrived for half a lease without showing that responses reach it.
+// responsesLost reports whether a machine's heartbeats have arrived for half a lease without showing that responses reach it.
 // The time in which this leader could not respond does not count.
 func (l *leader) responsesLost(m *machine) bool {
 	now := l.core.now.Steady
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -74,7 +74,7 @@
 // takes a call or two and a retry.
 const (
 	cancelReleaseTenths = 4
-	// cancelRecoveryTenths is the latest for a machine that has yet to report to a new leader: what an earlier leader
+	// cancelRecoveryTenths is the latest for a machine that has yet to send a new leader a heartbeat: what an earlier leader
 	// recorded may long be gone, its end not yet written.
 	cancelRecoveryTenths = 6
 )
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -79,19 +79,19 @@
 }
 
 // registerCall registers the handler of a call's result. It is called only if this term still lasts.
-func (l *leader) registerCall(f func(Result)) uint64 {
+func (l *leader) registerCall(handle resultHandler) uint64 {
 	return l.core.registerCall(func(r Result) {
 		if l.core.leader == l {
-			f(r)
+			handle(r)
 		}
 	})
 }
 
-// registerStoreCall is call for the key-value store.
-func (l *leader) registerStoreCall(f func(Result)) uint64 {
+// registerStoreCall is registerCall for a call of the key-value store.
+func (l *leader) registerStoreCall(handle resultHandler) uint64 {
 	return l.core.registerStoreCall(func(r Result) {
 		if l.core.leader == l {
-			f(r)
+			handle(r)
 		}
 	})
 }
--- a/internal/core/leader_authority.go
+++ b/internal/core/leader_authority.go
@@ -1,6 +1,12 @@
 package core
 
-import "time"
+import (
+	"slices"
+	"time"
+
+	"bitternwing/internal/outcome"
+	"bitternwing/internal/stored"
+)
 
 // A leader may have lost its term without knowing. What it may do follows from what it can be certain of:
 //
@@ -30,3 +36,8 @@
 func (c *Core) storeOutageConfirmed() bool {
 	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.Term().Number)
 }
+
+// termSuperseded reports whether a conditional write failed because a newer term has begun. The leader then steps down.
+func termSuperseded(r Result) bool {
+	return r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey)
+}
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// adoptPlacement takes over a placement of an earlier term. It may be running, or its start still be on the way, until its
-// machine's heartbeat shows.
+// adoptPlacement adopts a placement of an earlier term. It may be running, or its start still be on the way, until the
+// heartbeat of its machine shows.
 func (r *leaderRecovery) adoptPlacement(j *job, task int, run record.Run) {
 	m := r.leader.machineNamed(run.Machine)
 	m.everReported = true
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"slices"
 
 	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
@@ -104,7 +103,7 @@
 	switch {
 	case r.Outcome == outcome.OK:
 		a.adoptAccount(t, next, r.Txn.Revision)
-	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
+	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		a.reread(t)
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -356,7 +356,7 @@
 
 // conditionalTxn is a compare-and-swap of a key on its version, fenced by the leader's term.
 func (l *leader) conditionalTxn(key string, version uint64, op wire.Op) wire.Txn {
-	return wire.Txn{If: []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}, {Key: key, Version: version}}, Then: []wire.Op{op}}
+	return wire.Txn{If: []wire.Condition{l.termCondition(), {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
 // commitPlan writes a plan's next record, which takes effect once it is known to be written.
@@ -405,7 +405,7 @@
 	switch {
 	case r.Outcome == outcome.OK:
 		c.applyPlan(run.name, value, r.Txn.Revision)
-	case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
+	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// An earlier write was applied after all, or this one may yet be: the stored record counts.
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"reflect"
-	"slices"
 
 	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
@@ -198,7 +197,7 @@
 		case r.Outcome == outcome.Unknown:
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			l.resolvePlanWrite(in.Plan)
-		case r.Outcome == outcome.Conflict && slices.Contains(r.Txn.Failed, stored.TermKey):
+		case termSuperseded(r):
 			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
 			c.election.StepDown(election.TermSuperseded)
 		default:
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -47,7 +47,7 @@
 	write := &termFormatWrite{upgrade: u, format: u.target}
 	id := l.registerStoreCall(write.handleResult)
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: stored.TermKey, Version: l.termVersion}},
+		If:   []wire.Condition{l.termCondition()},
 		Then: []wire.Op{{Put: stored.TermKey, Value: value}},
 	}})
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/outcome"
 )
 
-// campaign stands for the next term: first a lease, then the leader key and the term in one compare-and-swap.
+// campaign begins a candidacy for the next term: first a lease, then the leader key and the term in one compare-and-swap.
 func (e *Election) campaign() {
 	e.campaignInFlight = true
 	ttl := e.timing.LeaseTTL
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -42,7 +42,7 @@
 	campaignInFlight bool
 	nextCampaign     time.Duration // no candidacy before
 	vacantSince      time.Duration // since when no leader is known; 0: one is
-	blockedCandidacy bool          // that this node must not stand was logged
+	blockLogged      bool          // that this node must not lead was logged
 	lastTermLed      uint64        // by this process; 0: none
 	termsLed         uint64        // by this process, in all
 	leading          bool
@@ -71,7 +71,7 @@
 	return true
 }
 
-// Run does what is due: it renews a leader's lease, or stands for the next term.
+// Run does what is due: it renews a leader's lease, or campaigns for the next term.
 func (e *Election) Run() {
 	view := e.host.View()
 	e.history.observe(e.host.Now(), view.Term.Number)
@@ -83,7 +83,7 @@
 		e.vacantSince = 0
 		e.endPredecessor(view)
 	default:
-		e.standIfDue()
+		e.campaignIfDue()
 	}
 }
 
@@ -99,8 +99,8 @@
 	e.store.RevokeLease(view.Leader.Lease, &predecessorRevocation{e})
 }
 
-// standIfDue stands for the next term once the leadership has been vacant for long enough.
-func (e *Election) standIfDue() {
+// campaignIfDue campaigns for the next term once the leadership has been vacant for long enough.
+func (e *Election) campaignIfDue() {
 	now := e.host.Now()
 	if e.vacantSince == 0 {
 		e.vacantSince = now
@@ -113,8 +113,8 @@
 		return
 	}
 	if reason := e.host.CandidacyBlocked(); reason != "" {
-		if !e.blockedCandidacy {
-			e.blockedCandidacy = true
+		if !e.blockLogged {
+			e.blockLogged = true
 			e.host.LogError("candidacy blocked: " + reason)
 		}
 		return
