--- a/internal/fleetsim/controllers.go
+++ b/internal/fleetsim/controllers.go
@@ -4,191 +4,120 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"sync"
 	"time"
 
-	"github.com/pelletier/go-toml/v2"
-
-	"bitternwing/internal/config"
-	"bitternwing/internal/emulator"
 	"bitternwing/internal/fleetsim/measure"
 )
 
-// controller is a controller process, with all that it needs to be started again.
+// controller is a controller process, with all that it takes to restart it.
 type controller struct {
 	name, zone                     string
-	publicAddress, internalAddress string // addresses
+	publicAddress, internalAddress string
 	storeAddress, cloudAddress     string
 	settingsFile                   string
 	relays                         []*relay // to the others
 
 	cmd       *exec.Cmd
 	exited    chan struct{}
-	killed    bool // it was killed on purpose
+	killed    bool // on purpose
 	restartAt time.Duration
 	usage     *measure.Process
 }
 
-// controllers are the controller processes of a run.
+// controllers are the controller processes of a simulation.
 type controllers struct {
 	binary          string
 	dir             string
-	operatorFile    string // file of the operators' settings; empty: none
+	operatorFile    string // of the operators' settings; empty: none
 	now             func() time.Duration
-	unexpectedExits chan string // names of those that ended by themselves
+	unexpectedExits chan string // names
 
 	mu   sync.Mutex
 	list []*controller
 }
 
-// plan gives controllers names, zones and addresses, and connects them by relays.
-func (c *controllers) plan(s *Scenario, basePort int, traffic *measure.Traffic) error {
-	free := addresses{basePort}
-	for i := range s.Controllers.Count {
-		x := &controller{name: fmt.Sprintf("controller-%02d", i), zone: s.Zones[i%len(s.Zones)]}
-		var err error
-		if x.publicAddress, err = free.next(); err != nil {
-			return err
-		}
-		if x.internalAddress, err = free.next(); err != nil {
-			return err
-		}
-		c.list = append(c.list, x)
-	}
-	for _, from := range c.list {
-		for _, to := range c.list {
-			if from == to {
-				continue
-			}
-			r, err := newRelay(from.name, to.name, to.internalAddress, traffic)
-			if err != nil {
-				return err
-			}
-			from.relays = append(from.relays, r)
+// named gives the controller of a name; nil if there is none.
+func (c *controllers) named(name string) *controller {
+	for _, process := range c.list {
+		if process.name == name {
+			return process
 		}
 	}
 	return nil
 }
 
-// addresses gives controllers addresses on loopback, from a port on, or any free ones for port 0.
-type addresses struct{ port int }
-
-// next gives another address; an error names the port that is not free.
-func (a *addresses) next() (string, error) {
-	if a.port == 0 {
-		return emulator.FreeAddr(), nil
-	}
-	addr := fmt.Sprintf("127.0.0.1:%d", a.port)
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr)
+// start starts a controller's process. Its log is kept beside its settings.
+func (c *controllers) start(process *controller) error {
+	cmd, err := c.spawn(process)
 	if err != nil {
-		return "", fmt.Errorf("port %d: %w", a.port, err)
-	}
-	a.port++
-	return addr, l.Close()
-}
-
-// writeSettings writes the settings files of all controllers.
-func (c *controllers) writeSettings(s *Scenario, params config.Params, modelPort int) error {
-	if len(s.Operator) > 0 {
-		operator, err := s.operatorWith(modelPort)
-		if err != nil {
-			return err
-		}
-		c.operatorFile = filepath.Join(c.dir, "operator.json")
-		if err := os.WriteFile(c.operatorFile, operator, 0o600); err != nil {
-			return err
-		}
-		if _, err := config.LoadOperator(c.operatorFile); err != nil {
-			return err
-		}
-	}
-	for _, x := range c.list {
-		settings := config.Settings{Node: x.name, Zone: x.zone, Listen: x.publicAddress, PeerListen: x.internalAddress,
-			Services: config.Services{Cloud: x.cloudAddress, Store: x.storeAddress}, Params: params}
-		for _, r := range x.relays {
-			settings.Peers = append(settings.Peers, config.Peer{Node: r.target, Zone: c.named(r.target).zone, Addr: r.addr()})
-		}
-		text, err := toml.Marshal(settings)
-		if err != nil {
-			return err
-		}
-		x.settingsFile = filepath.Join(c.dir, x.name+".toml")
-		if err := os.WriteFile(x.settingsFile, text, 0o600); err != nil {
-			return err
-		}
-		if _, err := config.Load(x.settingsFile); err != nil {
-			return err
-		}
+		return err
 	}
-	return nil
-}
-
-func (c *controllers) named(name string) *controller {
-	for _, x := range c.list {
-		if x.name == name {
-			return x
-		}
+	exited := make(chan struct{})
+	c.mu.Lock()
+	process.cmd, process.exited, process.killed, process.restartAt = cmd, exited, false, never
+	if process.usage == nil {
+		process.usage = measure.NewProcess(process.name, cmd.Process.Pid, c.now().Seconds())
+	} else {
+		process.usage.Restart(cmd.Process.Pid, c.now().Seconds())
 	}
+	c.mu.Unlock()
+	go c.awaitExit(process, cmd, exited)
 	return nil
 }
 
-// start starts a controller's process. Its log is kept beside its settings.
-func (c *controllers) start(x *controller) error {
-	args := []string{}
+// spawn starts the program of a controller.
+func (c *controllers) spawn(process *controller) (*exec.Cmd, error) {
+	args := []string{"--config", process.settingsFile}
 	if c.operatorFile != "" {
 		args = append(args, "--operator", c.operatorFile)
 	}
 	// The process outlives every context: it ends by kill, which waits for it.
-	cmd := exec.CommandContext(context.Background(), c.binary, append(args, "--config", x.settingsFile)...)
-	log, err := os.OpenFile(filepath.Join(c.dir, x.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	cmd := exec.CommandContext(context.Background(), c.binary, args...)
+	log, err := os.OpenFile(filepath.Join(c.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, logMode)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	defer func() { _ = log.Close() }()
 	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	exited := make(chan struct{})
+	return cmd, cmd.Start()
+}
+
+// logMode is the mode of the controllers' logs.
+const logMode = 0o600
+
+// awaitExit waits for the end of a process, and tells if it was unexpected.
+func (c *controllers) awaitExit(process *controller, cmd *exec.Cmd, exited chan<- struct{}) {
+	_ = cmd.Wait() // a killed process ends with an error
 	c.mu.Lock()
-	x.cmd, x.exited, x.killed, x.restartAt = cmd, exited, false, 0
-	if x.usage == nil {
-		x.usage = measure.NewProcess(x.name, cmd.Process.Pid, c.now().Seconds())
-	} else {
-		x.usage.Restart(cmd.Process.Pid, c.now().Seconds())
+	defer c.mu.Unlock()
+	if !process.killed {
+		c.unexpectedExits <- process.name
 	}
-	c.mu.Unlock()
-	go func() {
-		_ = cmd.Wait() // a killed process ends with an error
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if !x.killed {
-			c.unexpectedExits <- x.name
-		}
-		close(exited)
-	}()
-	return nil
+	close(exited)
 }
 
 // startAll starts all controllers.
 func (c *controllers) startAll() error {
-	for _, x := range c.list {
-		if err := c.start(x); err != nil {
-			return fmt.Errorf("%s: %w", x.name, err)
+	for _, process := range c.list {
+		if err := c.start(process); err != nil {
+			return fmt.Errorf("%s: %w", process.name, err)
 		}
 	}
 	return nil
 }
 
-// kill ends a controller's process by its id, and waits for it. It is to be started again at a time; 0: never.
-func (c *controllers) kill(x *controller, restartAt time.Duration) error {
+// never is the restart time of a controller that is not restarted.
+const never = 0
+
+// kill kills a controller's process, and waits for its end. restartAt is when it is restarted, or never.
+func (c *controllers) kill(process *controller, restartAt time.Duration) error {
 	c.mu.Lock()
-	cmd, exited := x.cmd, x.exited
-	x.killed, x.restartAt = true, restartAt
+	cmd, exited := process.cmd, process.exited
+	process.killed, process.restartAt = true, restartAt
 	c.mu.Unlock()
 	if cmd == nil {
 		return nil
@@ -200,39 +129,39 @@
 	return nil
 }
 
-// restartDue starts those again whose time has come.
+// restartDue restarts the controllers that are due.
 func (c *controllers) restartDue() error {
-	for _, x := range c.list {
+	for _, process := range c.list {
 		c.mu.Lock()
-		due := x.restartAt > 0 && c.now() >= x.restartAt
+		due := process.restartAt > 0 && c.now() >= process.restartAt
 		c.mu.Unlock()
 		if !due {
 			continue
 		}
-		if err := c.start(x); err != nil {
-			return fmt.Errorf("%s: %w", x.name, err)
+		if err := c.start(process); err != nil {
+			return fmt.Errorf("%s: %w", process.name, err)
 		}
 	}
 	return nil
 }
 
-// sample samples all processes that are there.
+// sample samples all running processes.
 func (c *controllers) sample(atS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.list {
-		if x.usage != nil && !x.killed {
-			_ = x.usage.Sample(atS) // one that just ended has no sample
+	for _, process := range c.list {
+		if process.usage != nil && !process.killed {
+			_ = process.usage.Sample(atS) // process that just ended has no sample
 		}
 	}
 }
 
-// residentMB is the memory of all processes as last sampled.
+// residentMB is the resident memory of all processes, as last sampled.
 func (c *controllers) residentMB() float64 {
 	sum := 0.0
-	for _, x := range c.list {
-		if x.usage != nil && len(x.usage.Samples) > 0 {
-			sum += x.usage.Samples[len(x.usage.Samples)-1].MemoryMB
+	for _, process := range c.list {
+		if process.usage != nil {
+			sum += process.usage.LastMemoryMB()
 		}
 	}
 	return sum
@@ -240,33 +169,33 @@
 
 // close ends all processes and relays.
 func (c *controllers) close() error {
-	var failed error
-	for _, x := range c.list {
-		failed = errors.Join(failed, c.kill(x, 0))
-		for _, r := range x.relays {
-			r.close()
+	var errs error
+	for _, process := range c.list {
+		errs = errors.Join(errs, c.kill(process, never))
+		for _, relay := range process.relays {
+			relay.close()
 		}
 	}
-	return failed
+	return errs
 }
 
 // addresses gives the public addresses, and the names by address.
 func (c *controllers) addresses() ([]string, map[string]string) {
 	names := map[string]string{}
 	var all []string
-	for _, x := range c.list {
-		all = append(all, x.publicAddress)
-		names[x.publicAddress] = x.name
+	for _, process := range c.list {
+		all = append(all, process.publicAddress)
+		names[process.publicAddress] = process.name
 	}
 	return all, names
 }
 
-// setZonePartitioned cuts the relays between a zone's controllers and the others, or ends that.
-func (c *controllers) setZonePartitioned(zone string, cut bool) {
-	for _, x := range c.list {
-		for _, r := range x.relays {
-			if (x.zone == zone) != (c.named(r.target).zone == zone) {
-				r.setPartitioned(cut)
+// setZonePartitioned begins or ends a partition between a zone's controllers and the others.
+func (c *controllers) setZonePartitioned(zone string, partitioned bool) {
+	for _, process := range c.list {
+		for _, relay := range process.relays {
+			if (process.zone == zone) != (c.named(relay.target).zone == zone) {
+				relay.setPartitioned(partitioned)
 			}
 		}
 	}
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -11,18 +11,18 @@
 	"bitternwing/internal/simworker"
 )
 
-// scheduledAction is something that is done once its time has come.
+// scheduledAction is an action with the time at which it is due.
 type scheduledAction struct {
 	dueAt  time.Duration
 	action func() error
 }
 
-// schedule gives what the scenario's faults come to, in order of their times.
-func (r *simulation) schedule() []scheduledAction {
+// schedule gives the actions of the scenario's faults, in order of their times.
+func (sim *simulation) schedule() []scheduledAction {
 	var all []scheduledAction
-	for i, f := range r.scenario.Faults {
+	for i, f := range sim.scenario.Faults {
 		at := config.Seconds(f.AtS)
-		begin, end := r.fault(f, uint64(i))
+		begin, end := sim.fault(f, uint64(i))
 		all = append(all, scheduledAction{at, begin})
 		if end != nil && f.ForS > 0 {
 			all = append(all, scheduledAction{at + config.Seconds(f.ForS), end})
@@ -32,66 +32,65 @@
 	return all
 }
 
-// injectDueFaults does what is due.
-func (r *simulation) injectDueFaults() error {
-	for len(r.faults) > 0 && r.now() >= r.faults[0].dueAt {
-		do := r.faults[0].action
-		r.faults = r.faults[1:]
-		if err := do(); err != nil {
+// injectDueFaults does the actions that are due.
+func (sim *simulation) injectDueFaults() error {
+	for len(sim.faults) > 0 && sim.now() >= sim.faults[0].dueAt {
+		action := sim.faults[0].action
+		sim.faults = sim.faults[1:]
+		if err := action(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fault gives how a fault begins and ends; no end: it ends by itself.
-func (r *simulation) fault(f Fault, number uint64) (begin, end func() error) {
+// fault gives the actions that begin and end a fault; no end: it ends by itself.
+func (sim *simulation) fault(f Fault, number uint64) (begin, end func() error) {
 	switch f.Kind {
 	case KillLeader:
-		return r.killLeader, nil
+		return sim.killLeader, nil
 	case KillControllers:
-		return r.killControllers, nil
+		return sim.killControllers, nil
 	case KillWorkers:
-		return func() error {
-			for _, w := range r.pickWorkers(f, number) {
-				w.Die()
-			}
-			return nil
-		}, nil
+		return func() error { return killWorkers(sim.pickWorkers(f, number)) }, nil
 	case KillWorstZone:
-		return r.killWorstZone, nil
+		return sim.killWorstZone, nil
 	case RackUnreachable:
 		var rack []*simworker.Worker
-		return func() error { rack = r.pickWorkers(f, number); return setUnreachable(rack, true) },
-			func() error { return setUnreachable(rack, false) }
+		begin = func() error {
+			rack = sim.pickWorkers(f, number)
+			return setUnreachable(rack, true)
+		}
+		return begin, func() error { return setUnreachable(rack, false) }
 	case ZonePartitioned:
-		return func() error { return r.setZonePartitioned(f.Zone, true) }, func() error { return r.setZonePartitioned(f.Zone, false) }
+		return func() error { return sim.setZonePartitioned(f.Zone, true) },
+			func() error { return sim.setZonePartitioned(f.Zone, false) }
 	case StoreDown:
-		return func() error { r.store.SetDown(true); return nil }, func() error { r.store.SetDown(false); return nil }
+		return func() error { return sim.setStoreDown(true) }, func() error { return sim.setStoreDown(false) }
 	}
 	return func() error { return fmt.Errorf("a fault of the unknown kind %q", f.Kind) }, nil
 }
 
-// restartTime is when a controller that ends now is started again.
-func (r *simulation) restartTime() time.Duration {
-	return r.now() + config.Seconds(r.scenario.Controllers.RestartS)
+// restartTime is when a controller that is killed now is restarted.
+func (sim *simulation) restartTime() time.Duration {
+	return sim.now() + config.Seconds(sim.scenario.Controllers.RestartS)
 }
 
-func (r *simulation) killLeader() error {
-	name, _ := r.leader()
-	x := r.controllers.named(name)
-	if x == nil {
-		return fmt.Errorf("no controller leads at %.0f s", r.now().Seconds())
+func (sim *simulation) killLeader() error {
+	name, _ := sim.leader()
+	leader := sim.controllers.named(name)
+	if leader == nil {
+		return fmt.Errorf("no controller leads at %.0f s", sim.now().Seconds())
 	}
-	r.recorder.leaderKilled(name)
-	return r.controllers.kill(x, r.restartTime())
+	sim.recorder.leaderKilled(name)
+	return sim.controllers.kill(leader, sim.restartTime())
 }
 
-func (r *simulation) killControllers() error {
-	name, _ := r.leader()
-	r.recorder.leaderKilled(name)
-	for _, x := range r.controllers.list {
-		if err := r.controllers.kill(x, r.restartTime()); err != nil {
+func (sim *simulation) killControllers() error {
+	name, _ := sim.leader()
+	sim.recorder.leaderKilled(name)
+	for _, process := range sim.controllers.list {
+		if err := sim.controllers.kill(process, sim.restartTime()); err != nil {
 			return err
 		}
 	}
@@ -99,49 +98,62 @@
 }
 
 // pickWorkers draws the workers of a fault, of its zone if it names one. A rack is a run of neighbours.
-func (r *simulation) pickWorkers(f Fault, number uint64) []*simworker.Worker {
+func (sim *simulation) pickWorkers(f Fault, number uint64) []*simworker.Worker {
 	var all []*simworker.Worker
-	for _, w := range r.fleet.Workers() {
+	for _, w := range sim.fleet.Workers() {
 		if f.Zone == "" || w.Zone() == f.Zone {
 			all = append(all, w)
 		}
 	}
 	slices.SortFunc(all, func(a, b *simworker.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
-	rnd := rand.New(rand.NewPCG(r.scenario.Seed, number))
+	random := rand.New(rand.NewPCG(sim.scenario.Seed, number))
 	if f.Kind == RackUnreachable {
-		first := rnd.IntN(max(1, len(all)-f.Count+1))
+		first := random.IntN(max(1, len(all)-f.Count+1))
 		return all[first:min(len(all), first+f.Count)]
 	}
-	rnd.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
+	random.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
 	return all[:min(len(all), f.Count)]
 }
 
 // killWorstZone ends all machines of the zone whose loss takes the most replicas of a model.
-func (r *simulation) killWorstZone() error {
-	zone := r.recorder.placements.worstZone()
-	for _, w := range r.fleet.Workers() {
+func (sim *simulation) killWorstZone() error {
+	zone := sim.recorder.placements.worstZone()
+	var lost []*simworker.Worker
+	for _, w := range sim.fleet.Workers() {
 		if w.Zone() == zone {
-			w.Die()
+			lost = append(lost, w)
 		}
 	}
+	return killWorkers(lost)
+}
+
+func killWorkers(workers []*simworker.Worker) error {
+	for _, w := range workers {
+		w.Die()
+	}
 	return nil
 }
 
-func setUnreachable(workers []*simworker.Worker, silent bool) error {
+func setUnreachable(workers []*simworker.Worker, unreachable bool) error {
 	for _, w := range workers {
-		w.SetUnreachable(silent)
+		w.SetUnreachable(unreachable)
 	}
 	return nil
 }
 
-// setZonePartitioned cuts a zone off from all outside it, or ends that.
-func (r *simulation) setZonePartitioned(zone string, cut bool) error {
-	r.fleet.SetZonePartitioned(zone, cut)
-	r.controllers.setZonePartitioned(zone, cut)
-	for _, x := range r.controllers.list {
-		if x.zone == zone {
-			r.store.SetPartitioned(x.name, cut)
-			r.cloud.SetPartitioned(x.name, cut)
+func (sim *simulation) setStoreDown(down bool) error {
+	sim.store.SetDown(down)
+	return nil
+}
+
+// setZonePartitioned begins or ends a partition between a zone and all outside it.
+func (sim *simulation) setZonePartitioned(zone string, partitioned bool) error {
+	sim.fleet.SetZonePartitioned(zone, partitioned)
+	sim.controllers.setZonePartitioned(zone, partitioned)
+	for _, process := range sim.controllers.list {
+		if process.zone == zone {
+			sim.store.SetPartitioned(process.name, partitioned)
+			sim.cloud.SetPartitioned(process.name, partitioned)
 		}
 	}
 	return nil
--- a/internal/fleetsim/measure/process.go
+++ b/internal/fleetsim/measure/process.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// Sample is what a process used in a second.
+// Sample is the resource usage of a process in a second.
 type Sample struct {
 	AtS       float64 `json:"at_s"`
 	Cores     float64 `json:"cores"`
@@ -37,7 +37,7 @@
 	return p
 }
 
-// Restart goes on with another process under the same name.
+// Restart goes on with another process of the same name.
 func (p *Process) Restart(pid int, atS float64) {
 	p.pid = pid
 	p.lastCounters = counters{atS: atS}
@@ -65,7 +65,7 @@
 	megabyte = 1 << 20
 )
 
-// Sample takes a sample; an error says that the process is no more.
+// Sample takes a sample; an error says that the process has ended.
 func (p *Process) Sample(atS float64) error {
 	proc, err := procfs.NewProc(p.pid)
 	if err != nil {
@@ -95,7 +95,15 @@
 	return nil
 }
 
-// Usage is what a process used over a run: means and peaks of its samples.
+// LastMemoryMB is the resident memory in the last sample; 0: there is none.
+func (p *Process) LastMemoryMB() float64 {
+	if len(p.Samples) == 0 {
+		return 0
+	}
+	return p.Samples[len(p.Samples)-1].MemoryMB
+}
+
+// Usage is the resource usage of a process over a simulation: means and peaks of its samples.
 type Usage struct {
 	Cores       float64 `json:"cores"`
 	PeakCores   float64 `json:"peak_cores"`
@@ -106,27 +114,27 @@
 	SampleCount int     `json:"samples"`
 }
 
-// Usage sums up the samples from a time on.
+// Usage summarizes the samples from a time on.
 func (p *Process) Usage(fromS float64) Usage {
-	var u Usage
+	var usage Usage
 	for _, s := range p.Samples {
 		if s.AtS < fromS {
 			continue
 		}
-		u.SampleCount++
-		u.Cores += s.Cores
-		u.ReadKB += s.ReadKB
-		u.WrittenKB += s.WrittenKB
-		u.PeakCores = max(u.PeakCores, s.Cores)
-		u.PeakMB = max(u.PeakMB, s.MemoryMB)
-		u.PeakFiles = max(u.PeakFiles, s.Files)
+		usage.SampleCount++
+		usage.Cores += s.Cores
+		usage.ReadKB += s.ReadKB
+		usage.WrittenKB += s.WrittenKB
+		usage.PeakCores = max(usage.PeakCores, s.Cores)
+		usage.PeakMB = max(usage.PeakMB, s.MemoryMB)
+		usage.PeakFiles = max(usage.PeakFiles, s.Files)
 	}
-	if n := float64(u.SampleCount); n > 0 {
-		u.Cores /= n
-		u.ReadKB /= n
-		u.WrittenKB /= n
+	if n := float64(usage.SampleCount); n > 0 {
+		usage.Cores /= n
+		usage.ReadKB /= n
+		usage.WrittenKB /= n
 	}
-	return u
+	return usage
 }
 
 // HalfOfMemoryMB gives half of the machine's memory.
--- a/internal/fleetsim/relay.go
+++ b/internal/fleetsim/relay.go
@@ -9,8 +9,8 @@
 	"bitternwing/internal/fleetsim/measure"
 )
 
-// relay passes the connections of one controller to another one on, so that what they exchange can be
-// counted and cut off. While it is cut, bytes are held back and delivered when that ends.
+// relay forwards the connections of one controller to another one, so that their traffic can be
+// counted and partitioned. During a partition bytes are held back and delivered when it ends.
 type relay struct {
 	source, target string // controllers
 	targetAddress  string // address
@@ -21,15 +21,16 @@
 	open        *sync.Cond
 	partitioned bool
 	closed      bool
-	conns       map[net.Conn]bool
+	connections map[net.Conn]bool
 }
 
-func newRelay(from, to, target string, traffic *measure.Traffic) (*relay, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
+// newRelay makes a relay between two controllers, to the internal address of the target.
+func newRelay(source, target, targetAddress string, traffic *measure.Traffic) (*relay, error) {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{source: from, target: to, targetAddress: target, listener: l, traffic: traffic, conns: map[net.Conn]bool{}}
+	r := &relay{source: source, target: target, targetAddress: targetAddress, listener: listener, traffic: traffic, connections: map[net.Conn]bool{}}
 	r.open = sync.NewCond(&r.mu)
 	go r.serve()
 	return r, nil
@@ -47,7 +48,7 @@
 	}
 }
 
-// connect passes a connection on until one of its sides ends it.
+// connect forwards a connection until one of its sides ends it.
 func (r *relay) connect(in net.Conn) {
 	defer r.drop(in)
 	if !r.track(in) || !r.waitUntilOpen() {
@@ -74,9 +75,10 @@
 	})
 }
 
-// relayBuffer is how many bytes are passed on at a time.
+// relayBuffer is how many bytes are forwarded at a time.
 const relayBuffer = 16 << 10
 
+// copy copies from one side to the other, and counts the bytes.
 func (r *relay) copy(to io.Writer, from io.Reader, count func(int)) {
 	buffer := make([]byte, relayBuffer)
 	for {
@@ -96,7 +98,7 @@
 	}
 }
 
-// waitUntilOpen waits while the relay is cut; false if it has ended.
+// waitUntilOpen waits for the end of a partition; false if the relay is closed.
 func (r *relay) waitUntilOpen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,37 +108,40 @@
 	return !r.closed
 }
 
-func (r *relay) setPartitioned(cut bool) {
+// setPartitioned begins or ends a partition.
+func (r *relay) setPartitioned(partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partitioned = cut
+	r.partitioned = partitioned
 	r.open.Broadcast()
 }
 
-// track remembers a connection until forget; false if the relay has ended.
-func (r *relay) track(c net.Conn) bool {
+// track keeps a connection until drop, to close it with the relay; false if the relay is closed.
+func (r *relay) track(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
-		r.conns[c] = true
+		r.connections[connection] = true
 	}
 	return !r.closed
 }
 
-func (r *relay) drop(c net.Conn) {
+// drop closes a connection.
+func (r *relay) drop(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
-	_ = c.Close()
+	delete(r.connections, connection)
+	_ = connection.Close()
 }
 
+// close closes the relay and its connections.
 func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 	r.open.Broadcast()
 	_ = r.listener.Close()
-	for c := range r.conns {
-		_ = c.Close()
+	for connection := range r.connections {
+		_ = connection.Close()
 	}
 }
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -83,37 +83,37 @@
 // endedInTime is the reason of an end that nothing else has caused.
 const endedInTime = "in time"
 
-// result sums a run up.
-func (r *simulation) result(err error) *Result {
-	s := r.scenario
-	now := r.recorder.totals()
-	measured := max(1, r.now().Seconds()-s.WarmUpS)
-	res := &Result{Scenario: s, Ended: endedInTime, DurationS: r.now().Seconds(), Violations: r.ledger.Violations(),
-		Requested: r.generator.Tasks(), Started: now.started, Completed: now.completed,
-		RequestedPerS: float64(r.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
-		PeakStartsPerS: peakStarts(r.seconds), SubmitTimes: r.users.SubmitTimes.Summary(), UrgentTimes: r.recorder.urgent.Summary(),
-		StartTimes: map[string]measure.Summary{}, Failovers: r.recorder.failovers, Seconds: r.seconds,
-		Direct: r.traffic.Of(simworker.AnyController),
-		Jobs: JobCounts{r.users.Submitted.Load(), r.users.Accepted.Load(), r.users.Refused.Load(), r.users.GivenUp.Load(),
-			r.users.Done.Load(), r.users.Cancelled.Load()}}
+// result summarizes the simulation.
+func (sim *simulation) result(err error) *Result {
+	s := sim.scenario
+	now := sim.recorder.totals()
+	measured := max(1, sim.now().Seconds()-s.WarmUpS)
+	res := &Result{Scenario: s, Ended: endedInTime, DurationS: sim.now().Seconds(), Violations: sim.ledger.Violations(),
+		Requested: sim.generator.Tasks(), Started: now.started, Completed: now.completed,
+		RequestedPerS: float64(sim.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
+		PeakStartsPerS: peakStarts(sim.seconds), SubmitTimes: sim.users.SubmitTimes.Summary(), UrgentTimes: sim.recorder.urgent.Summary(),
+		StartTimes: map[string]measure.Summary{}, Failovers: sim.recorder.failovers, Seconds: sim.seconds,
+		Direct: sim.traffic.Of(simworker.AnyController),
+		Jobs: JobCounts{sim.users.Submitted.Load(), sim.users.Accepted.Load(), sim.users.Refused.Load(), sim.users.GivenUp.Load(),
+			sim.users.Done.Load(), sim.users.Cancelled.Load()}}
 	if err != nil {
 		res.Ended = err.Error()
 	}
-	res.Rollouts, res.BrokenRollout = r.rollouts.results()
-	res.Spread = r.recorder.placements.summary(r.fleet)
-	for class, h := range r.recorder.classes {
+	res.Rollouts, res.BrokenRollout = sim.rollouts.results()
+	res.Spread = sim.recorder.placements.summary(sim.fleet)
+	for class, h := range sim.recorder.classes {
 		res.StartTimes[class] = h.Summary()
 	}
 	led := map[string]bool{}
-	for _, second := range r.seconds {
+	for _, second := range sim.seconds {
 		res.PeakOnMachine = max(res.PeakOnMachine, second.OnMachine)
 		led[second.Leader] = true
 	}
-	res.Workers = WorkerResult{s.workers(), r.workers.windows.Summary(), r.workers.peak}
-	for _, x := range r.controllers.list {
-		res.Processes = append(res.Processes, ProcessResult{x.name, x.zone, led[x.name], x.usage.Usage(s.WarmUpS), r.traffic.Of(x.name), x.usage.Samples})
+	res.Workers = WorkerResult{s.workers(), sim.workers.windows.Summary(), sim.workers.peak}
+	for _, x := range sim.controllers.list {
+		res.Processes = append(res.Processes, ProcessResult{x.name, x.zone, led[x.name], x.usage.Usage(s.WarmUpS), sim.traffic.Of(x.name), x.usage.Samples})
 	}
-	res.Processes = append(res.Processes, ProcessResult{Name: r.self.Name, Usage: r.self.Usage(s.WarmUpS), Samples: r.self.Samples})
+	res.Processes = append(res.Processes, ProcessResult{Name: sim.self.Name, Usage: sim.self.Usage(s.WarmUpS), Samples: sim.self.Samples})
 	return res
 }
 
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -18,32 +18,32 @@
 }
 
 // setUpRollouts starts the model servers and prepares what is to be rolled out.
-func (r *simulation) setUpRollouts(teams []string) error {
-	if len(r.scenario.Rollouts) == 0 {
+func (sim *simulation) setUpRollouts(teams []string) error {
+	if len(sim.scenario.Rollouts) == 0 {
 		return nil
 	}
 	listener, err := simworker.ListenLoopback()
 	if err != nil {
 		return err
 	}
-	r.rollouts = &rollouts{servers: simmodelserver.New(listener, r.fleet)}
-	world := &rolling.Environment{Binary: r.options.Binary, Dir: r.options.Dir, Teams: teams, Fleet: r.fleet, Now: r.now,
-		Cancel: r.users.Cancel, Submit: func(ctx context.Context, a load.Arrival) {
-			r.recorder.submit(a)
-			r.users.Start(ctx, a)
+	sim.rollouts = &rollouts{servers: simmodelserver.New(listener, sim.fleet)}
+	world := &rolling.Environment{Binary: sim.options.Binary, Dir: sim.options.Dir, Teams: teams, Fleet: sim.fleet, Now: sim.now,
+		Cancel: sim.users.Cancel, Submit: func(ctx context.Context, a load.Arrival) {
+			sim.recorder.submit(a)
+			sim.users.Start(ctx, a)
 		}}
-	for _, x := range r.controllers.list {
+	for _, x := range sim.controllers.list {
 		world.Controllers = append(world.Controllers, x.internalAddress)
 	}
-	for i, model := range r.scenario.Rollouts {
+	for i, model := range sim.scenario.Rollouts {
 		play, err := rolling.New(model, i, world)
 		if err != nil {
 			return err
 		}
-		r.rollouts.models = append(r.rollouts.models, play)
+		sim.rollouts.models = append(sim.rollouts.models, play)
 	}
-	r.rollouts.servers.SetWrong(func(task string, request int64) bool {
-		for _, play := range r.rollouts.models {
+	sim.rollouts.servers.SetWrong(func(task string, request int64) bool {
+		for _, play := range sim.rollouts.models {
 			if play.IsWrong(task, request) {
 				return true
 			}
