--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -20,11 +20,11 @@
 	return New(set, "first")
 }
 
-// drawReport draws a machine's tasks, and makes a part of their jobs known to be cancelled: those that still need attention,
-// and those whose end is known.
-func drawReport(t *rapid.T, c *Core) *wire.Heartbeat {
+// drawHeartbeat draws the tasks of a machine, and makes a part of their jobs known to be cancelled: active ones, and
+// ones whose final state is known.
+func drawHeartbeat(t *rapid.T, c *Core) *wire.Heartbeat {
 	states := []wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited}
-	r := &wire.Heartbeat{Machine: "m1", Incarnation: 1}
+	heartbeat := &wire.Heartbeat{Machine: "m1", Incarnation: 1}
 	tasks := rapid.IntRange(0, 3*maxCommands).Draw(t, "tasks")
 	cancelledOf10 := rapid.IntRange(0, 10).Draw(t, "cancelled of 10")
 	for i := range tasks {
@@ -38,9 +38,9 @@
 			c.cache.AddFinalState(job, stored.FinalState{State: wire.JobCancelled})
 		}
 		state := states[rapid.IntRange(0, len(states)-1).Draw(t, "state")]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: wire.TaskName(job, 0), Attempt: uint64(i), State: state})
 	}
-	return r
+	return heartbeat
 }
 
 // applyJob has the cache know a job.
@@ -52,62 +52,63 @@
 	c.cache.ApplyJob(job.Spec.ID, value, 1)
 }
 
-// cancelledLeft counts the tasks of a report that have not exited and whose jobs are known to be cancelled.
-func cancelledLeft(c *Core, r *wire.Heartbeat) (left int) {
-	for _, t := range r.Tasks {
-		job, _, _ := wire.ParseTaskName(t.Task)
-		if t.State != wire.TaskExited && c.isKnownCancelled(job) {
+// cancelledLeft counts the tasks of a heartbeat that have not exited and whose jobs are known to be cancelled.
+func cancelledLeft(c *Core, heartbeat *wire.Heartbeat) (left int) {
+	for _, task := range heartbeat.Tasks {
+		job, _, _ := wire.ParseTaskName(task.Task)
+		if task.State != wire.TaskExited && c.isKnownCancelled(job) {
 			left++
 		}
 	}
 	return left
 }
 
-// obey has a worker carry out the stops of an answer.
-func obey(r *wire.Heartbeat, a *leaseResponse) {
+// obey has a worker carry out the stops of a response.
+func obey(heartbeat *wire.Heartbeat, response *leaseResponse) {
 	stopped := map[attemptName]bool{}
-	for _, command := range a.commands {
+	for _, command := range response.commands {
 		stopped[attemptName{command.Task, command.Attempt}] = command.Op == wire.OpStop
 	}
-	for i := range r.Tasks {
-		if t := &r.Tasks[i]; stopped[attemptName{t.Task, t.Attempt}] {
-			t.State = wire.TaskExited
+	for i := range heartbeat.Tasks {
+		if task := &heartbeat.Tasks[i]; stopped[attemptName{task.Task, task.Attempt}] {
+			task.State = wire.TaskExited
 		}
 	}
 }
 
-// TestLeaseAnswersStopCancelled answers reports of many tasks, with many other commands to give. Each answer stops as many
-// cancelled tasks as it may hold commands, none of them twice; so all of them are stopped after as many answers as they fill.
+// TestLeaseAnswersStopCancelled responds to heartbeats of many tasks, with many other commands to give. Each response stops
+// as many cancelled tasks as it may hold commands, none of them twice; so all of them are stopped after as many responses
+// as they fill.
 func TestLeaseAnswersStopCancelled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newIdleCore()
-		r := drawReport(t, c)
+		heartbeat := drawHeartbeat(t, c)
 		others := rapid.IntRange(0, 2*maxCommands).Draw(t, "other commands")
-		for left := cancelledLeft(c, r); ; left = cancelledLeft(c, r) {
-			a := c.newLeaseResponse(r)
+		for left := cancelledLeft(c, heartbeat); ; left = cancelledLeft(c, heartbeat) {
+			response := c.newLeaseResponse(heartbeat)
 			for i := range others {
-				a.add(wire.Command{Op: wire.OpForget, Task: wire.TaskName("run-900000", i), Attempt: 1})
+				response.add(wire.Command{Op: wire.OpForget, Task: wire.TaskName("run-900000", i), Attempt: 1})
 			}
-			for i := range r.Tasks {
-				a.add(stopImmediately(&r.Tasks[i])) // the leader's own
+			for i := range heartbeat.Tasks {
+				response.add(stopImmediately(&heartbeat.Tasks[i])) // the leader's own
 			}
 			seen := map[attemptName]bool{}
-			for _, command := range a.commands {
+			for _, command := range response.commands {
 				name := attemptName{command.Task, command.Attempt}
 				if seen[name] {
 					t.Fatalf("two commands for %v", name)
 				}
 				seen[name] = true
 			}
-			if len(a.commands) > maxCommands {
-				t.Fatalf("%d commands", len(a.commands))
+			if len(response.commands) > maxCommands {
+				t.Fatalf("%d commands", len(response.commands))
 			}
 			if left == 0 {
 				return
 			}
-			obey(r, a)
-			if after, most := cancelledLeft(c, r), max(0, left-maxCommands); after > most {
-				t.Fatalf("%d of %d cancelled tasks are left after an answer, not %d at most", after, left, most)
+			obey(heartbeat, response)
+			if after, most := cancelledLeft(c, heartbeat), max(0, left-maxCommands); after > most {
+				t.Fatalf("%d of %d cancelled tasks are left after a response, not %d at most", after, left, most)
 			}
 		}
 	})
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	report  = time.Second
-	lease   = 10 * time.Second
-	timeout = 4 * time.Second
+	interval = time.Second
+	lease    = 10 * time.Second
+	timeout  = 4 * time.Second
 )
 
 func TestHold(t *testing.T) {
-	p := NewPacer(report, lease, timeout)
+	p := NewPacer(interval, lease, timeout)
 	for _, x := range []struct {
-		name    string
-		settled bool
-		load    float64
-		least   time.Duration
-		most    time.Duration
+		name   string
+		steady bool
+		load   float64
+		least  time.Duration
+		most   time.Duration
 	}{
-		{"a machine in change is answered at once", false, 0, 0, 0},
-		{"a settled one reports each sixth of a lease", true, 0, lease / 6, lease / 6},
+		{"a machine in change gets its response at once", false, 0, 0, 0},
+		{"a steady one sends a heartbeat each sixth of a lease", true, 0, lease / 6, lease / 6},
 		{"little load leaves a machine in change alone", false, 0.1, 0, 0},
 		{"full load holds every machine", false, 1, 2 * time.Second, timeout * 3 / 4},
-		{"and settled ones no less", true, 1, 2 * time.Second, timeout * 3 / 4},
+		{"and steady ones no less", true, 1, 2 * time.Second, timeout * 3 / 4},
 	} {
-		if got := p.Hold(x.settled, x.load); got < x.least || got > x.most {
+		if got := p.Hold(x.steady, x.load); got < x.least || got > x.most {
 			t.Errorf("%s: held for %v, want %v to %v", x.name, got, x.least, x.most)
 		}
 	}
-	// Workers that report as seldom as that by themselves are not held at all.
+	// Responses to workers whose interval is as long as that are not held at all.
 	if got := NewPacer(4*time.Second, lease, timeout).Hold(true, 1); got != 0 {
-		t.Errorf("reports each 4 s: held for %v", got)
+		t.Errorf("heartbeats each 4 s: held for %v", got)
 	}
 }
 
-// TestAnswersInTime draws settings and loads. A worker always has its answer before its timeout and well within its
-// lease, and answers that are held go at common moments.
+// TestAnswersInTime draws settings and loads. A worker always has its response before its timeout and well within its
+// lease, and held responses are released at common ticks.
 func TestAnswersInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reportInterval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "report ms")) * time.Millisecond
+		heartbeatInterval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "report ms")) * time.Millisecond
 		workerLease := time.Duration(rapid.IntRange(3, 60).Draw(t, "lease s")) * time.Second
-		p := NewPacer(reportInterval, workerLease, timeout)
+		p := NewPacer(heartbeatInterval, workerLease, timeout)
 		now := time.Duration(rapid.IntRange(0, 1e9).Draw(t, "now us")) * time.Microsecond
 		load := rapid.Float64Range(0, 1).Draw(t, "load")
 		hold := p.Hold(rapid.Bool().Draw(t, "settled"), load)
@@ -53,13 +53,13 @@
 		}
 		at := p.Release(now, hold)
 		if wait := at - now; wait < hold || wait >= timeout || wait > workerLease/2 {
-			t.Fatalf("held for %v: answered after %v", hold, wait)
+			t.Fatalf("held for %v: released after %v", hold, wait)
 		}
-		if at%(reportInterval/4) != 0 {
-			t.Fatalf("answered at %v, which is no common moment", at)
+		if at%(heartbeatInterval/4) != 0 {
+			t.Fatalf("released at %v, which is no common tick", at)
 		}
 		if patience := p.HeartbeatTimeout(0, hold); patience < at-now {
-			t.Fatalf("late after %v, answered after %v", patience, at-now)
+			t.Fatalf("late after %v, released after %v", patience, at-now)
 		}
 	})
 }
