--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -37,7 +37,7 @@
 	b.maxFree[0] = r.FreeAfterStops
 	for rank := range Ranks {
 		b.maxFree[rank+1] = b.maxFree[rank]
-		b.maxFree[rank+1].Give(r.Preemptible[rank].Total)
+		b.maxFree[rank+1].Add(r.Preemptible[rank].Total)
 		b.largestTask[rank+1] = b.largestTask[rank]
 		if rank > 0 {
 			b.largestTask[rank+1] = larger(b.largestTask[rank], r.Preemptible[rank].Largest)
@@ -83,13 +83,13 @@
 // MinCost is a lower bound of the cost of preemption for a task, if work below a rank may be stopped; false if that can't
 // free enough.
 func (b *Bounds) MinCost(need resource.Amount, below int, bit ImageBit) (Cost, bool) {
-	if !b.maxFree[below].Holds(need) {
+	if !b.maxFree[below].Covers(need) {
 		return Cost{}, false
 	}
 	cost := Cost{ImageState: b.images.best(bit)}
 	switch {
-	case b.maxFree[0].Holds(need):
-	case below > 0 && b.maxFree[1].Holds(need):
+	case b.maxFree[0].Covers(need):
+	case below > 0 && b.maxFree[1].Covers(need):
 		cost.IdleStops = minTasks(need, b.maxFree[0], b.largestIdleTask)
 	case below > 0:
 		cost.Stops = minTasks(need, b.maxFree[1], b.largestTask[below])
@@ -100,7 +100,7 @@
 // minTasks is the minimum number of tasks, each no larger than the largest, that take as much as is missing.
 func minTasks(need, have, largest resource.Amount) int {
 	missing := need
-	missing.Take(have)
+	missing.Subtract(have)
 	return max(1, tasksCovering(missing.GPUs, largest.GPUs), tasksCovering(missing.CPUs, largest.CPUs), tasksCovering(missing.MemoryGB, largest.MemoryGB))
 }
 
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -26,7 +26,7 @@
 
 // Add counts a task.
 func (s *PreemptibleWork) Add(task resource.Amount) {
-	s.Total.Give(task)
+	s.Total.Add(task)
 	s.Largest = larger(s.Largest, task)
 }
 
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -37,7 +37,7 @@
 	}
 	d.room = MachineCapacity{Name: name, Free: amount(t, "free", 8)}
 	d.room.FreeAfterStops = d.room.Free
-	d.room.FreeAfterStops.Give(amount(t, "soon", 2))
+	d.room.FreeAfterStops.Add(amount(t, "soon", 2))
 	for rank := range Ranks {
 		for range number(t, "tasks", 0, 2) {
 			task := amount(t, "task", 4)
@@ -96,7 +96,7 @@
 	best, bestScore := "", math.Inf(1)
 	for _, name := range names {
 		d := machines[name]
-		if d == nil || !d.room.Free.Holds(q.Need) {
+		if d == nil || !d.room.Free.Covers(q.Need) {
 			continue
 		}
 		penalty, may := q.Penalty(d.group)
@@ -181,14 +181,14 @@
 			if chosen&(1<<i) == 0 {
 				continue
 			}
-			room.Give(task)
+			room.Add(task)
 			if i < idle {
 				cost.IdleStops++
 			} else {
 				cost.Stops++
 			}
 		}
-		if room.Holds(need) && (!possible || cost.Less(best)) {
+		if room.Covers(need) && (!possible || cost.Less(best)) {
 			best, possible = cost, true
 		}
 	}
--- a/internal/capacity/lowest_cost.go
+++ b/internal/capacity/lowest_cost.go
@@ -77,7 +77,7 @@
 // bestFitting finds the machine of a group with the least left free, of those that may have an image state.
 func (g *group[T]) bestFitting(need resource.Amount, state ImageState, bit ImageBit, evaluated *int, suits func(*entry[T]) bool) (found *entry[T]) {
 	g.byFree.root.search(func(b *freeBounds) bool {
-		return !b.free.Holds(need) || !b.images.mayBe(state, bit)
+		return !b.free.Covers(need) || !b.images.mayBe(state, bit)
 	}, func(e **entry[T]) bool {
 		if suits(*e) {
 			found = *e
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -158,11 +158,11 @@
 }
 
 func (p *capacityPlanner) fits(j *job, m *plannedMachine) bool {
-	return m.free.Holds(resource.OfTask(j.spec)) && p.mayRunOn(j, m.Group)
+	return m.free.Covers(resource.OfTask(j.spec)) && p.mayRunOn(j, m.Group)
 }
 
 func (p *capacityPlanner) assign(m *plannedMachine, j *job) {
-	m.free.Take(resource.OfTask(j.spec))
+	m.free.Subtract(resource.OfTask(j.spec))
 	p.zonesOf(j)[m.Zone]++
 }
 
@@ -203,7 +203,7 @@
 	catalog := p.cycle.params.fleet.catalog
 	for i := range catalog {
 		machineType := &catalog[i]
-		if !resource.OfMachine(machineType).Holds(resource.OfTask(j.spec)) {
+		if !resource.OfMachine(machineType).Covers(resource.OfTask(j.spec)) {
 			continue
 		}
 		price := pricePerGPU(machineType, spot)
@@ -283,7 +283,7 @@
 // checked for the first of them only (planMachine); the scheduling cycle does it again for each.
 func (p *capacityPlanner) fillNew(m *plannedMachine, j *job, tasks int) int {
 	packed := 0
-	for packed < tasks && m.free.Holds(resource.OfTask(j.spec)) {
+	for packed < tasks && m.free.Covers(resource.OfTask(j.spec)) {
 		p.assign(m, j)
 		packed++
 	}
--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -10,62 +10,62 @@
 
 // runList begins to read the cloud's list when that is due, and goes on with its pages as the rate limit allows: a large
 // fleet has more of them than may be requested in a second.
-func (t *provisioner) runList() {
-	now := t.leader.core.now.Steady
+func (p *provisioner) runList() {
+	now := p.leader.core.now.Steady
 	switch {
-	case t.listInFlight:
-	case t.nextPage != "":
-		if t.takeRateToken() {
-			t.requestListPage(t.nextPage)
+	case p.listInFlight:
+	case p.nextPage != "":
+		if p.takeRateToken() {
+			p.requestListPage(p.nextPage)
 		}
-	case now < t.nextList:
-		t.leader.core.wakeBy(t.nextList)
-	case t.takeRateToken():
-		t.nextList = t.leader.core.coalesce(now + t.leader.core.times.listLag)
-		t.listStartedAt = now
-		t.listedNames = map[string]bool{}
-		t.requestListPage("")
+	case now < p.nextList:
+		p.leader.core.wakeBy(p.nextList)
+	case p.takeRateToken():
+		p.nextList = p.leader.core.coalesce(now + p.leader.core.times.listLag)
+		p.listStartedAt = now
+		p.listedNames = map[string]bool{}
+		p.requestListPage("")
 	}
 }
 
 // requestListPage requests a page of the cloud's list. One that the rate limit refused is requested again; after any other
 // failure the list is read from its beginning when the next one is due.
-func (t *provisioner) requestListPage(after string) {
-	l := t.leader
-	t.listInFlight = true
+func (p *provisioner) requestListPage(after string) {
+	l := p.leader
+	p.listInFlight = true
 	id := l.registerCall(func(r Result) {
-		t.listInFlight = false
+		p.listInFlight = false
 		if r.Outcome == outcome.Dropped && after != "" {
-			t.nextPage = after
+			p.nextPage = after
 			return
 		}
-		t.nextPage = ""
+		p.nextPage = ""
 		if r.Outcome != outcome.OK {
 			return
 		}
-		t.applyListPage(r.Machines.Machines, r.Machines.More)
+		p.applyListPage(r.Machines.Machines, r.Machines.More)
 	})
 	l.core.emit(CloudList{CallID: id, After: after})
 }
 
 // applyListPage takes in a page of the list, and the end of the list after the last one.
-func (t *provisioner) applyListPage(page []wire.Machine, more bool) {
+func (p *provisioner) applyListPage(page []wire.Machine, more bool) {
 	for i := range page {
-		t.listedNames[page[i].Name] = true
-		t.applyListed(&page[i])
+		p.listedNames[page[i].Name] = true
+		p.applyListed(&page[i])
 	}
 	if n := len(page); more && n > 0 {
-		t.nextPage = page[n-1].Name
+		p.nextPage = page[n-1].Name
 		return
 	}
-	t.listRead = true
-	t.findAbsent()
-	t.leader.requestCycle()
+	p.listRead = true
+	p.findAbsent()
+	p.leader.requestCycle()
 }
 
 // applyListed takes in an entry of the cloud's list.
-func (t *provisioner) applyListed(e *wire.Machine) {
-	l, c := t.leader, t.leader.core
+func (p *provisioner) applyListed(e *wire.Machine) {
+	l, c := p.leader, p.leader.core
 	now := c.now.Steady
 	if at, was := l.releasedMachines[e.Name]; was {
 		if now-at < releasedListLags*c.times.listLag {
@@ -79,7 +79,7 @@
 		} else {
 			l.releasedMachines[e.Name] = now
 		}
-		t.scaleInQueue = append(t.scaleInQueue, e.Name)
+		p.scaleInQueue = append(p.scaleInQueue, e.Name)
 		return
 	}
 	_, known := l.machines[e.Name]
@@ -110,10 +110,10 @@
 // findAbsent removes machines that are not in the cloud's list any more. A list may describe a moment up to twice the lag
 // ago, and one list may be older than the one before. So a machine counts as gone only if the list was requested well
 // after it must have been listed, and if several lists in a row lack it.
-func (t *provisioner) findAbsent() {
-	l := t.leader
+func (p *provisioner) findAbsent() {
+	l := p.leader
 	for _, m := range slices.Clone(l.machinesByName) {
-		if t.listedNames[m.name] || !t.mustBeListed(m) {
+		if p.listedNames[m.name] || !p.mustBeListed(m) {
 			continue
 		}
 		m.missedLists++
@@ -121,27 +121,27 @@
 			l.removeMachine(m, "no longer listed")
 		}
 	}
-	t.forgetReleased()
+	p.forgetReleased()
 }
 
 // mustBeListed tells whether a machine would be in the list that was read, if it still existed. One that sends heartbeats
 // exists.
-func (t *provisioner) mustBeListed(m *machine) bool {
-	c := t.leader.core
+func (p *provisioner) mustBeListed(m *machine) bool {
+	c := p.leader.core
 	known := m.firstSeen
 	if m.inCloudList {
 		known = m.listedAt
 	}
 	settled := settledListLags * c.times.listLag
-	if t.listStartedAt < known+settled {
+	if p.listStartedAt < known+settled {
 		return false
 	}
 	return !m.reported || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= settled
 }
 
 // forgetReleased forgets machines that were released long ago, once there are many.
-func (t *provisioner) forgetReleased() {
-	l, c := t.leader, t.leader.core
+func (p *provisioner) forgetReleased() {
+	l, c := p.leader, p.leader.core
 	if len(l.releasedMachines) <= maxReleasedMachines {
 		return
 	}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -107,8 +107,8 @@
 	j.addPlacement(p)
 	m.addImage(j.spec.Image, j.spec.ImageGB)
 	h := m.schedulable
-	h.free.Take(resource.OfTask(j.spec))
-	h.freeAfterStops.Take(resource.OfTask(j.spec))
+	h.free.Subtract(resource.OfTask(j.spec))
+	h.freeAfterStops.Subtract(resource.OfTask(j.spec))
 	cycle.state.updateCapacityIndex(h)
 	cycle.evaluations -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
 	cycle.countUsage(j, 1)
@@ -124,8 +124,8 @@
 	p.job.removePlacement(p)
 	p.job.nextUnplaced = min(p.job.nextUnplaced, p.task)
 	h := p.machine.schedulable
-	h.free.Give(resource.OfTask(p.job.spec))
-	h.freeAfterStops.Give(resource.OfTask(p.job.spec))
+	h.free.Add(resource.OfTask(p.job.spec))
+	h.freeAfterStops.Add(resource.OfTask(p.job.spec))
 	cycle.state.updateCapacityIndex(h)
 	cycle.capacityGrew()
 	cycle.countUsage(p.job, -1)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -48,7 +48,7 @@
 	need := resource.OfTask(j.spec)
 	for _, m := range allMachines(cycle) {
 		h := m.schedulable
-		if h == nil || !h.free.Holds(need) || !scanAllowed(cycle, j, m) {
+		if h == nil || !h.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
 		cost, left := w.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
@@ -80,7 +80,7 @@
 	need := resource.OfTask(j.spec)
 	for _, m := range allMachines(cycle) {
 		h := m.schedulable
-		if h == nil || !h.free.Holds(need) || !scanAllowed(cycle, j, m) {
+		if h == nil || !h.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
 		left := 1.0
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -44,15 +44,15 @@
 		cycle.state.dispatch(p.machine)
 		if p.phase < phaseSent {
 			cycle.state.endPlacement(p)
-			h.free.Give(resource.OfTask(p.job.spec))
+			h.free.Add(resource.OfTask(p.job.spec))
 			cycle.capacityGrew()
 		}
-		h.freeAfterStops.Give(resource.OfTask(p.job.spec))
+		h.freeAfterStops.Add(resource.OfTask(p.job.spec))
 		cycle.state.logPreempted(p, j)
 	}
-	h.freeAfterStops.Take(resource.OfTask(j.spec))
+	h.freeAfterStops.Subtract(resource.OfTask(j.spec))
 	// What is free there already is reserved too, as far as the task needs it.
-	h.free = h.free.Within(h.freeAfterStops)
+	h.free = h.free.CappedBy(h.freeAfterStops)
 	h.machine.capacityChanged = true // the reservation is for this cycle only
 	cycle.state.updateCapacityIndex(h)
 }
@@ -159,18 +159,18 @@
 // if all that may be stopped would not be enough.
 func (cycle *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
 	need := resource.OfTask(j.spec)
-	if h.freeAfterStops.Holds(need) {
+	if h.freeAfterStops.Covers(need) {
 		return nil, true
 	}
 	// Mostly all that may be stopped there would not be enough; that is the cheaper question.
 	freeAtMost := h.freeAfterStops
 	for _, p := range h.machine.placementsInOrder {
 		if mayStop(j, p) {
-			freeAtMost.Give(resource.OfTask(p.job.spec))
+			freeAtMost.Add(resource.OfTask(p.job.spec))
 		}
 	}
 	cycle.evaluations -= len(h.machine.placementsInOrder) / 4
-	if !freeAtMost.Holds(need) {
+	if !freeAtMost.Covers(need) {
 		return nil, false
 	}
 	var candidates []*placement
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -44,39 +44,39 @@
 	nextTry  time.Duration
 }
 
-func (t *provisioner) init(l *leader) {
-	t.leader = l
-	t.requestRate = ratelimit.NewBucket(l.core.settings.Params.Cloud.RPS, l.core.now.Steady)
-	t.exhausted = map[capacity.Group]time.Duration{}
+func (p *provisioner) init(l *leader) {
+	p.leader = l
+	p.requestRate = ratelimit.NewBucket(l.core.settings.Params.Cloud.RPS, l.core.now.Steady)
+	p.exhausted = map[capacity.Group]time.Duration{}
 }
 
 // usableRateShare is the share of the cloud's rate limit that the leader uses. The rest is a margin against refusals.
 const usableRateShare = 0.8
 
 // takeRateToken takes a token for a request to the cloud, or has the core woken when there will be one.
-func (t *provisioner) takeRateToken() bool {
-	now := t.leader.core.now.Steady
-	rate := usableRateShare * t.leader.core.settings.Params.Cloud.RPS
-	t.requestRate.Refill(now, rate, max(1, rate))
-	if !t.requestRate.TryTake(1) {
-		t.leader.core.wakeBy(now + t.requestRate.WaitFor(1, rate))
+func (p *provisioner) takeRateToken() bool {
+	now := p.leader.core.now.Steady
+	rate := usableRateShare * p.leader.core.settings.Params.Cloud.RPS
+	p.requestRate.Refill(now, rate, max(1, rate))
+	if !p.requestRate.TryTake(1) {
+		p.leader.core.wakeBy(now + p.requestRate.WaitFor(1, rate))
 		return false
 	}
 	return true
 }
 
 // run sends the requests that are due, as far as the rate limit allows: releases first, then scale-out, then the list.
-func (t *provisioner) run() {
-	l, c := t.leader, t.leader.core
+func (p *provisioner) run() {
+	l, c := p.leader, p.leader.core
 	if !l.hasAuthority() {
 		return
 	}
 	now := c.now.Steady
-	if len(t.scaleInQueue) > 0 && !t.scaleInInFlight && now >= t.nextScaleIn && t.takeRateToken() {
-		t.sendScaleIn()
+	if len(p.scaleInQueue) > 0 && !p.scaleInInFlight && now >= p.nextScaleIn && p.takeRateToken() {
+		p.sendScaleIn()
 	}
-	for i := 0; i < len(t.requests); i++ {
-		q := t.requests[i]
+	for i := 0; i < len(p.requests); i++ {
+		q := p.requests[i]
 		if q.inFlight {
 			continue
 		}
@@ -84,12 +84,12 @@
 			c.wakeBy(q.nextTry)
 			continue
 		}
-		if !t.takeRateToken() {
+		if !p.takeRateToken() {
 			break
 		}
-		t.sendScaleOut(q)
+		p.sendScaleOut(q)
 	}
-	t.runList()
+	p.runList()
 }
 
 // releaseReason is why a machine is released, for the log.
@@ -106,32 +106,32 @@
 )
 
 // release has a machine scaled in. What runs on it counts until the cloud has confirmed that it is gone.
-func (t *provisioner) release(m *machine, why releaseReason) {
+func (p *provisioner) release(m *machine, why releaseReason) {
 	if m.releasing {
 		return
 	}
 	m.releasing, m.releaseReason = true, why
-	t.scaleInQueue = append(t.scaleInQueue, m.name)
-	t.leader.core.log(Info, "releasing worker", "worker", m.name, "reason", why, "tasks", len(m.placements))
-	t.leader.requestCycle()
+	p.scaleInQueue = append(p.scaleInQueue, m.name)
+	p.leader.core.log(Info, "releasing worker", "worker", m.name, "reason", why, "tasks", len(m.placements))
+	p.leader.requestCycle()
 }
 
 // cancelRelease keeps a machine that was to be released as silent and sends heartbeats again, as long as no request for it
 // can have been applied: while the cloud is out of reach its tasks may have gone on all the time.
-func (t *provisioner) cancelRelease(m *machine) {
+func (p *provisioner) cancelRelease(m *machine) {
 	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
 		return
 	}
 	m.releasing = false
-	t.scaleInQueue = slices.DeleteFunc(t.scaleInQueue, func(name string) bool { return name == m.name })
-	t.leader.core.log(Info, "worker release cancelled", "worker", m.name)
-	t.leader.requestCycle()
+	p.scaleInQueue = slices.DeleteFunc(p.scaleInQueue, func(name string) bool { return name == m.name })
+	p.leader.core.log(Info, "worker release cancelled", "worker", m.name)
+	p.leader.requestCycle()
 }
 
 // markReleaseSent notes whether a request to release machines may have been applied.
-func (t *provisioner) markReleaseSent(names []string, maybeApplied bool) {
+func (p *provisioner) markReleaseSent(names []string, maybeApplied bool) {
 	for _, name := range names {
-		if m := t.leader.machines[name]; m != nil {
+		if m := p.leader.machines[name]; m != nil {
 			m.releaseSent = maybeApplied
 		}
 	}
@@ -139,15 +139,15 @@
 
 // sendScaleIn sends a request to release the machines that have waited longest. It is idempotent, so it is retried after
 // any failure.
-func (t *provisioner) sendScaleIn() {
-	l, c := t.leader, t.leader.core
-	n := min(len(t.scaleInQueue), wire.MaxScaleIn)
-	names := append([]string(nil), t.scaleInQueue[:n]...)
-	t.scaleInQueue = append([]string(nil), t.scaleInQueue[n:]...)
-	t.scaleInInFlight = true
-	t.markReleaseSent(names, true)
+func (p *provisioner) sendScaleIn() {
+	l, c := p.leader, p.leader.core
+	n := min(len(p.scaleInQueue), wire.MaxScaleIn)
+	names := append([]string(nil), p.scaleInQueue[:n]...)
+	p.scaleInQueue = append([]string(nil), p.scaleInQueue[n:]...)
+	p.scaleInInFlight = true
+	p.markReleaseSent(names, true)
 	id := l.registerCall(func(r Result) {
-		t.scaleInInFlight = false
+		p.scaleInInFlight = false
 		if r.Outcome == outcome.OK {
 			for _, name := range names {
 				if m := l.machines[name]; m != nil {
@@ -157,23 +157,23 @@
 			return
 		}
 		if r.Outcome.CertainlyNotApplied() {
-			t.markReleaseSent(names, false)
+			p.markReleaseSent(names, false)
 		}
-		t.scaleInQueue = append(names, t.scaleInQueue...)
-		t.nextScaleIn = c.now.Steady + c.times.checkInterval
-		c.wakeBy(t.nextScaleIn)
+		p.scaleInQueue = append(names, p.scaleInQueue...)
+		p.nextScaleIn = c.now.Steady + c.times.checkInterval
+		c.wakeBy(p.nextScaleIn)
 	})
 	c.emit(CloudScaleIn{CallID: id, Names: names})
 }
 
 // sendScaleOut sends a request for machines.
-func (t *provisioner) sendScaleOut(q *scaleOutRequest) {
+func (p *provisioner) sendScaleOut(q *scaleOutRequest) {
 	q.inFlight, q.sent = true, true
-	id := t.leader.registerCall(func(r Result) {
+	id := p.leader.registerCall(func(r Result) {
 		q.inFlight = false
-		t.handleScaleOutResult(q, r)
+		p.handleScaleOutResult(q, r)
 	})
-	t.leader.core.emit(CloudScaleOut{CallID: id,
+	p.leader.core.emit(CloudScaleOut{CallID: id,
 		Request: wire.ScaleOutRequest{RequestID: q.id, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
 }
 
@@ -186,8 +186,8 @@
 
 // handleScaleOutResult takes in the machines that the cloud granted. A request whose outcome is not known is retried under
 // its ID.
-func (t *provisioner) handleScaleOutResult(q *scaleOutRequest, r Result) {
-	l, c := t.leader, t.leader.core
+func (p *provisioner) handleScaleOutResult(q *scaleOutRequest, r Result) {
+	l, c := p.leader, p.leader.core
 	now := c.now.Steady
 	switch r.Outcome {
 	case outcome.OK:
@@ -198,19 +198,19 @@
 			m.setType(c.catalog.machineType(q.Type))
 		}
 		if len(r.MachineNames) < q.count {
-			t.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
+			p.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
 		}
-		t.dropRequest(q)
+		p.dropRequest(q)
 		l.requestCycle()
 		c.log(Info, "scaled out", "requested", q.count, "granted", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 	case outcome.Unavailable:
-		t.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
-		t.dropRequest(q)
+		p.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
+		p.dropRequest(q)
 		l.requestCycle()
 		c.log(Debug, "scale-out refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
 	case outcome.Invalid:
-		t.exhausted[q.Group] = now + invalidListLags*c.times.listLag
-		t.dropRequest(q)
+		p.exhausted[q.Group] = now + invalidListLags*c.times.listLag
+		p.dropRequest(q)
 		c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
 	case outcome.Unknown, outcome.Conflict, outcome.NotFound, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
 		q.nextTry = now + c.times.checkInterval
@@ -220,53 +220,53 @@
 
 // unavailable tells whether machines of a group are not to be requested now: its zone is cut off, or the cloud had too few
 // of them lately.
-func (t *provisioner) unavailable(group capacity.Group) bool {
-	_, cutOff := t.leader.silentZones[group.Zone]
-	return cutOff || t.leader.core.now.Steady < t.exhausted[group]
+func (p *provisioner) unavailable(group capacity.Group) bool {
+	_, cutOff := p.leader.silentZones[group.Zone]
+	return cutOff || p.leader.core.now.Steady < p.exhausted[group]
 }
 
 // apply has a capacity plan carried out: a request for each group that is missing, and the release of what is idle.
-func (t *provisioner) apply(plan capacityPlan) {
+func (p *provisioner) apply(plan capacityPlan) {
 	for _, demand := range plan.scaleOut {
-		t.lastRequest++
-		t.requests = append(t.requests, &scaleOutRequest{
+		p.lastRequest++
+		p.requests = append(p.requests, &scaleOutRequest{
 			Group:   demand.Group,
-			id:      fmt.Sprintf("bw-%d-%d", t.leader.term, t.lastRequest),
+			id:      fmt.Sprintf("bw-%d-%d", p.leader.term, p.lastRequest),
 			count:   min(demand.count, wire.MaxScaleOut),
-			nextTry: t.leader.core.now.Steady,
+			nextTry: p.leader.core.now.Steady,
 		})
 	}
 	for _, m := range plan.scaleIn {
-		t.release(m, releaseIdle)
+		p.release(m, releaseIdle)
 	}
 }
 
 // dropUnsentRequests drops requests that still wait for the cloud's rate limit. The next plan counts anew what is missing,
 // so that one request asks for all of it: cycles come faster than requests may be sent, and a queue of small ones would
 // delay the fleet by many seconds.
-func (t *provisioner) dropUnsentRequests() {
-	sent := t.requests[:0]
-	for _, q := range t.requests {
+func (p *provisioner) dropUnsentRequests() {
+	sent := p.requests[:0]
+	for _, q := range p.requests {
 		if q.sent {
 			sent = append(sent, q)
 		}
 	}
-	clear(t.requests[len(sent):])
-	t.requests = sent
+	clear(p.requests[len(sent):])
+	p.requests = sent
 }
 
-func (t *provisioner) dropRequest(q *scaleOutRequest) {
-	for i, x := range t.requests {
+func (p *provisioner) dropRequest(q *scaleOutRequest) {
+	for i, x := range p.requests {
 		if x == q {
-			t.requests = append(t.requests[:i], t.requests[i+1:]...)
+			p.requests = append(p.requests[:i], p.requests[i+1:]...)
 			return
 		}
 	}
 }
 
 // releaseNeverUp releases machines that send no heartbeat long after they should have booted.
-func (t *provisioner) releaseNeverUp() {
-	l, c := t.leader, t.leader.core
+func (p *provisioner) releaseNeverUp() {
+	l, c := p.leader, p.leader.core
 	if !l.hasAuthority() {
 		return
 	}
@@ -280,16 +280,16 @@
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
-			t.release(m, releaseNeverUp)
+			p.release(m, releaseNeverUp)
 		}
 	}
 }
 
 // reconciled tells whether this leader knows the fleet well enough to scale it out and in: the cloud's list has been read,
 // and the machines of earlier terms have had time to be listed and to send a heartbeat.
-func (t *provisioner) reconciled() bool {
-	l, c := t.leader, t.leader.core
-	if !t.listRead {
+func (p *provisioner) reconciled() bool {
+	l, c := p.leader, p.leader.core
+	if !p.listRead {
 		return false
 	}
 	if l.term == 1 {
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -7,8 +7,8 @@
 )
 
 // deliverTransfers sends the outgoing transfers, the oldest to each region, until their receivers acknowledge them.
-func (a *quotaManager) deliverTransfers(t *teamQuota) {
-	c := a.leader.core
+func (m *quotaManager) deliverTransfers(t *teamQuota) {
+	c := m.leader.core
 	for _, transfer := range t.account.Outgoing {
 		to := transfer.To
 		if t.delivering[to] {
@@ -16,10 +16,10 @@
 		}
 		t.delivering[to] = true
 		t.attempts++
-		id := a.leader.registerCall(func(r Result) {
+		id := m.leader.registerCall(func(r Result) {
 			delete(t.delivering, to)
 			if r.Outcome == outcome.OK {
-				a.settleTransfer(t, to, transfer.Number)
+				m.settleTransfer(t, to, transfer.Number)
 			}
 		})
 		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.attempts, Deliver: &DeliverQuota{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
@@ -28,12 +28,12 @@
 
 // settleTransfer removes a transfer from the account that its receiver has acknowledged. If that can't be written now, it is
 // after the next delivery, which the receiver acknowledges as a duplicate.
-func (a *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
-	if t.writeInFlight || t.account == nil || !a.mayWrite() || !a.leader.mayCommit() {
+func (m *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
+	if t.writeInFlight || t.account == nil || !m.mayWrite() || !m.leader.mayCommit() {
 		return
 	}
 	if next := t.account.Acknowledge(to, number); next != t.account {
-		a.commit(t, next, func(Result) {})
+		m.commit(t, next, func(Result) {})
 	}
 }
 
@@ -41,8 +41,8 @@
 const maxRequestIntervals = 10
 
 // requestFromRegion requests from the other regions in turn what this one's work lacks.
-func (a *quotaManager) requestFromRegion(t *teamQuota, demand teamDemand) {
-	c := a.leader.core
+func (m *quotaManager) requestFromRegion(t *teamQuota, demand teamDemand) {
+	c := m.leader.core
 	if t.requestInFlight || c.now.Steady < t.nextRequest {
 		return
 	}
@@ -58,7 +58,7 @@
 	t.attempts++
 	region := others[t.nextRegion%len(others)]
 	t.nextRegion++
-	id := a.leader.registerCall(func(Result) {
+	id := m.leader.registerCall(func(Result) {
 		t.requestInFlight = false
 		t.requestCount++
 		t.nextRequest = c.now.Steady + c.times.checkInterval*time.Duration(min(1+t.requestCount/len(others), maxRequestIntervals))
@@ -79,8 +79,8 @@
 }
 
 // refuseWaiting tells all regions whose messages wait to retry later, at the end of this term.
-func (a *quotaManager) refuseWaiting() {
-	for _, t := range a.ordered {
-		t.redirectWaiting(a.leader.core)
+func (m *quotaManager) refuseWaiting() {
+	for _, t := range m.ordered {
+		t.redirectWaiting(m.leader.core)
 	}
 }
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -14,33 +14,33 @@
 const maxAccountWrites = 2
 
 // mayWrite tells whether one more account may be written now.
-func (a *quotaManager) mayWrite() bool {
-	return a.inFlight < maxAccountWrites && a.leader.writer.mayWriteOne()
+func (m *quotaManager) mayWrite() bool {
+	return m.inFlight < maxAccountWrites && m.leader.writer.mayWriteOne()
 }
 
 // writeNextChange commits the first change that an account waits for: its creation, a delivered transfer, or a request of
 // another region.
-func (a *quotaManager) writeNextChange(t *teamQuota, demand teamDemand) {
-	c := a.leader.core
+func (m *quotaManager) writeNextChange(t *teamQuota, demand teamDemand) {
+	c := m.leader.core
 	switch {
 	case t.account == nil && c.cache.QuotaAccount(t.key) == nil && c.cache.TermFormat() < stored.QuotasTermFormat:
-		a.leader.termUpgrade.request(stored.QuotasTermFormat)
+		m.leader.termUpgrade.request(stored.QuotasTermFormat)
 	case t.account == nil && c.cache.QuotaAccount(t.key) == nil:
-		a.commit(t, t.initial, func(Result) {})
+		m.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
 		t.redirectWaiting(c) // it can't be read
 	case len(t.deliveries) > 0:
-		a.acceptDelivery(t)
+		m.acceptDelivery(t)
 	case len(t.requests) > 0:
-		a.grantRequest(t, demand)
+		m.grantRequest(t, demand)
 	case len(t.indeterminate) > 0:
-		a.commit(t, t.account, func(Result) {}) // so that no earlier write can be applied any more
+		m.commit(t, t.account, func(Result) {}) // so that no earlier write can be applied any more
 	}
 }
 
 // acceptDelivery commits a delivered transfer, and acknowledges it then.
-func (a *quotaManager) acceptDelivery(t *teamQuota) {
-	c, in := a.leader.core, t.deliveries[0]
+func (m *quotaManager) acceptDelivery(t *teamQuota) {
+	c, in := m.leader.core, t.deliveries[0]
 	t.deliveries = t.deliveries[1:]
 	next, receipt := t.account.Receive(in.Transfer)
 	switch receipt {
@@ -49,13 +49,13 @@
 	case quota.Duplicate:
 		c.respond(in.RequestID, 200, nil)
 	case quota.Accepted:
-		a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
+		m.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 	}
 }
 
 // grantRequest commits a transfer to a region that requests one, if there is something to transfer.
-func (a *quotaManager) grantRequest(t *teamQuota, demand teamDemand) {
-	c, in := a.leader.core, t.requests[0]
+func (m *quotaManager) grantRequest(t *teamQuota, demand teamDemand) {
+	c, in := m.leader.core, t.requests[0]
 	t.requests = t.requests[1:]
 	next := t.account.Grant(c.operator.Regions.Name, in.From, in.Share, t.retained(demand))
 	if next == nil {
@@ -63,7 +63,7 @@
 		return
 	}
 	c.log(Debug, "quota transferred", "team", t.settings.Name, "region", in.From, "gpus", next.Outgoing[len(next.Outgoing)-1].Share.Limit.GPUs)
-	a.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
+	m.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
 // respondCommitted answers a region by the result of a commit.
@@ -77,54 +77,54 @@
 
 // commit writes an account by compare-and-swap, fenced by the term. Until the result is known the minimum of the old and the
 // new account applies.
-func (a *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
-	l := a.leader
+func (m *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
+	l := m.leader
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	t.writeInFlight = true
-	a.inFlight++
+	m.inFlight++
 	t.indeterminate = append(t.indeterminate, next)
-	a.refreshEffective(t)
+	m.refreshEffective(t)
 	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
-		a.inFlight--
-		a.applyWriteResult(t, next, r)
+		m.inFlight--
+		m.applyWriteResult(t, next, r)
 		then(r)
 	})
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
 
 // applyWriteResult takes in the result of a write of an account.
-func (a *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
-	c := a.leader.core
+func (m *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
+	c := m.leader.core
 	switch {
 	case r.Outcome == outcome.OK:
-		a.adoptAccount(t, next, r.Txn.Revision)
+		m.adoptAccount(t, next, r.Txn.Revision)
 	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
-		a.reread(t)
+		m.reread(t)
 	default:
 		// It was certainly not applied.
 		t.indeterminate = t.indeterminate[:len(t.indeterminate)-1]
-		a.refreshEffective(t)
+		m.refreshEffective(t)
 		t.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
 
 // reread reads the stored account. If it has not changed, the indeterminate write may yet be applied.
-func (a *quotaManager) reread(t *teamQuota) {
-	c := a.leader.core
+func (m *quotaManager) reread(t *teamQuota) {
+	c := m.leader.core
 	t.writeInFlight = true
-	id := a.leader.registerStoreCall(func(r Result) {
+	id := m.leader.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
 		t.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK && r.Item.Version > t.version {
 			c.cache.ApplyQuotaAccount(t.key, r.Item.Value, r.Item.Version)
-			a.readStored()
+			m.readStored()
 		}
 	})
 	c.emit(StoreGet{CallID: id, Key: t.key})
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -122,68 +122,68 @@
 }
 
 // run advances the accounts of all teams.
-func (a *quotaManager) run() {
-	c := a.leader.core
-	if len(a.teams) == 0 {
+func (m *quotaManager) run() {
+	c := m.leader.core
+	if len(m.teams) == 0 {
 		return
 	}
-	if a.cacheChangesSeen != c.cache.QuotaAccountChanges() {
-		a.cacheChangesSeen = c.cache.QuotaAccountChanges()
-		a.readStored()
+	if m.cacheChangesSeen != c.cache.QuotaAccountChanges() {
+		m.cacheChangesSeen = c.cache.QuotaAccountChanges()
+		m.readStored()
 	}
-	if c.now.Steady < a.nextCheck {
-		c.wakeBy(a.nextCheck)
+	if c.now.Steady < m.nextCheck {
+		c.wakeBy(m.nextCheck)
 		return
 	}
-	a.nextCheck = c.now.Steady + c.times.timerCoalescing
-	c.wakeBy(a.nextCheck)
-	mayCommit := a.leader.mayCommit()
-	demands := a.demands()
-	for _, t := range a.ordered {
+	m.nextCheck = c.now.Steady + c.times.timerCoalescing
+	c.wakeBy(m.nextCheck)
+	mayCommit := m.leader.mayCommit()
+	demands := m.demands()
+	for _, t := range m.ordered {
 		if !mayCommit {
 			t.redirectWaiting(c)
 			continue
 		}
 		demand := demands[t.settings.Name]
-		if !t.writeInFlight && c.now.Steady >= t.retryAt && a.mayWrite() {
-			a.writeNextChange(t, demand)
+		if !t.writeInFlight && c.now.Steady >= t.retryAt && m.mayWrite() {
+			m.writeNextChange(t, demand)
 		}
 		if t.account != nil {
-			a.deliverTransfers(t)
-			a.requestFromRegion(t, demand)
+			m.deliverTransfers(t)
+			m.requestFromRegion(t, demand)
 		}
 	}
 }
 
 // readStored takes in the accounts as they are watched.
-func (a *quotaManager) readStored() {
-	for _, t := range a.ordered {
-		current := a.leader.core.cache.QuotaAccount(t.key)
+func (m *quotaManager) readStored() {
+	for _, t := range m.ordered {
+		current := m.leader.core.cache.QuotaAccount(t.key)
 		if current == nil || current.Version <= t.version {
 			continue
 		}
 		if current.Problem != nil {
-			a.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", current.Problem.Error())
+			m.leader.core.log(Error, "team quota unreadable, its jobs are not scheduled", "key", t.key, "error", current.Problem.Error())
 		}
-		a.adoptAccount(t, current.Account, current.Version)
+		m.adoptAccount(t, current.Account, current.Version)
 	}
 }
 
 // adoptAccount applies an account as it is stored. No earlier write can be applied any more, since the version has changed.
-func (a *quotaManager) adoptAccount(t *teamQuota, account *quota.Account, version uint64) {
+func (m *quotaManager) adoptAccount(t *teamQuota, account *quota.Account, version uint64) {
 	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).Zero() {
 		t.requestCount = 0
 	}
 	t.account, t.version, t.indeterminate = account, version, nil
-	a.refreshEffective(t)
+	m.refreshEffective(t)
 }
 
 // refreshEffective updates the effective limits, and requests a scheduling cycle if they change.
-func (a *quotaManager) refreshEffective(t *teamQuota) {
+func (m *quotaManager) refreshEffective(t *teamQuota) {
 	before := t.effective
 	t.setEffective(t.usable())
 	if before != t.effective {
-		a.leader.requestCycle()
+		m.leader.requestCycle()
 	}
 }
 
@@ -191,10 +191,10 @@
 type teamDemand struct{ used, waiting quota.Amount }
 
 // demands works out the teams' demand. Each placement counts as used until there is evidence of its end.
-func (a *quotaManager) demands() map[string]teamDemand {
+func (m *quotaManager) demands() map[string]teamDemand {
 	type sum struct{ usedGPUs, usedCPUs, allGPUs, allCPUs float64 }
 	sums := map[string]*sum{}
-	for _, j := range a.leader.jobs {
+	for _, j := range m.leader.jobs {
 		s := sums[j.spec.Team]
 		if s == nil {
 			s = &sum{}
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -74,27 +74,27 @@
 func (c *Core) maxReplicaProbes() int { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 
 // run advances all plans.
-func (t *rolloutManager) run() {
-	l, c := t.leader, t.leader.core
-	if c.cache.PlanCount() == 0 && len(t.runs) == 0 {
+func (m *rolloutManager) run() {
+	l, c := m.leader, m.leader.core
+	if c.cache.PlanCount() == 0 && len(m.runs) == 0 {
 		return
 	}
-	if c.now.Steady < t.nextCheck {
-		c.wakeBy(t.nextCheck)
+	if c.now.Steady < m.nextCheck {
+		c.wakeBy(m.nextCheck)
 		return
 	}
-	t.nextCheck = c.now.Steady + c.times.minCycleGap
-	c.wakeBy(t.nextCheck)
-	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
+	m.nextCheck = c.now.Steady + c.times.minCycleGap
+	c.wakeBy(m.nextCheck)
+	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
 		if c.cache.Plan(name) == nil {
-			t.end(t.runs[name])
+			m.end(m.runs[name])
 		}
 	}
 	for _, name := range c.cache.PlanNames() {
 		current := c.cache.Plan(name)
-		run := t.runs[name]
+		run := m.runs[name]
 		if run == nil {
-			run = t.begin(name, current)
+			run = m.begin(name, current)
 		}
 		if current.Problem == nil {
 			l.runRollout(run, current)
@@ -103,27 +103,27 @@
 }
 
 // begin takes a plan over. What an earlier leader knew of its replicas and routers is not known here.
-func (t *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
-	c := t.leader.core
+func (m *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
+	c := m.leader.core
 	run := &activeRollout{
 		name:           name,
 		since:          c.now.Steady,
 		validations:    rollout.NewValidations(c.probeInterval()),
 		routers:        rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
-		routing:        rollout.Routing{Generation: rollout.Generation{Term: t.leader.term}},
+		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
 		droppedRouters: map[string]bool{},
 	}
-	t.runs[name] = run
+	m.runs[name] = run
 	if current.Problem != nil {
 		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.Problem.Error())
 	}
 	return run
 }
 
-func (t *rolloutManager) end(run *activeRollout) {
-	delete(t.runs, run.name)
+func (m *rolloutManager) end(run *activeRollout) {
+	delete(m.runs, run.name)
 	for _, req := range run.waiting() {
-		t.leader.core.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
+		m.leader.core.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
@@ -140,10 +140,10 @@
 }
 
 // refuseWaiting answers all requests that wait for a commit, at the end of this term.
-func (t *rolloutManager) refuseWaiting() {
-	for _, name := range slices.Sorted(maps.Keys(t.runs)) {
-		for _, req := range t.runs[name].waiting() {
-			t.leader.core.respondRetryLater(req, 503, reasonUnavailable)
+func (m *rolloutManager) refuseWaiting() {
+	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
+		for _, req := range m.runs[name].waiting() {
+			m.leader.core.respondRetryLater(req, 503, reasonUnavailable)
 		}
 	}
 }
@@ -331,11 +331,11 @@
 
 // probeReplicas probes the replicas that are due.
 func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
-	t := l.rollouts
-	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-t.probesInFlight) {
-		t.probesInFlight++
+	m := l.rollouts
+	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
+		m.probesInFlight++
 		id := l.registerCall(func(r Result) {
-			t.probesInFlight--
+			m.probesInFlight--
 			if r.Outcome == outcome.Dropped {
 				run.validations.NotSent(probe.Replica)
 				return
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -82,11 +82,11 @@
 func (l *leader) freeCapacity(m *machine) (free, freeAfterStops resource.Amount) {
 	free = resource.OfMachine(m.machineType)
 	for _, p := range m.placementsInOrder {
-		free.Take(resource.OfTask(p.job.spec))
+		free.Subtract(resource.OfTask(p.job.spec))
 	}
 	for _, t := range m.orphanedTasks {
 		if id, _, ok := wire.ParseTaskName(t.Task); ok && l.jobs[id] != nil {
-			free.Take(resource.OfTask(l.jobs[id].spec))
+			free.Subtract(resource.OfTask(l.jobs[id].spec))
 		} else {
 			free = resource.Amount{}
 		}
@@ -94,7 +94,7 @@
 	freeAfterStops = free
 	for _, p := range m.placementsInOrder {
 		if p.stop != stopNone {
-			freeAfterStops.Give(resource.OfTask(p.job.spec))
+			freeAfterStops.Add(resource.OfTask(p.job.spec))
 		}
 	}
 	return free, freeAfterStops
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -15,26 +15,26 @@
 // OfMachine gives the resources of a machine of a type.
 func OfMachine(t *wire.MachineType) Amount { return Amount{t.GPUs, t.CPUs, t.MemoryGB} }
 
-// Holds tells whether there is room for another amount.
-func (a Amount) Holds(b Amount) bool {
+// Covers tells whether there is at least as much as another amount of each resource.
+func (a Amount) Covers(b Amount) bool {
 	return a.GPUs+tolerance >= b.GPUs && a.CPUs+tolerance >= b.CPUs && a.MemoryGB+tolerance >= b.MemoryGB
 }
 
-// Take subtracts an amount.
-func (a *Amount) Take(b Amount) {
+// Subtract subtracts an amount.
+func (a *Amount) Subtract(b Amount) {
 	a.GPUs -= b.GPUs
 	a.CPUs -= b.CPUs
 	a.MemoryGB -= b.MemoryGB
 }
 
-// Give adds an amount.
-func (a *Amount) Give(b Amount) {
+// Add adds an amount.
+func (a *Amount) Add(b Amount) {
 	a.GPUs += b.GPUs
 	a.CPUs += b.CPUs
 	a.MemoryGB += b.MemoryGB
 }
 
-// Within bounds each part by that of another amount, which counts as 0 where it is below.
-func (a Amount) Within(b Amount) Amount {
+// CappedBy limits each resource to that of another amount, of which negative ones count as 0.
+func (a Amount) CappedBy(b Amount) Amount {
 	return Amount{min(a.GPUs, max(0, b.GPUs)), min(a.CPUs, max(0, b.CPUs)), min(a.MemoryGB, max(0, b.MemoryGB))}
 }
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -10,27 +10,27 @@
 	free := OfMachine(&wire.MachineType{GPUs: 8, CPUs: 1, MemoryGB: 64})
 	task := OfTask(&wire.Job{GPUs: 1, CPUs: 0.1, MemoryGB: 4})
 	for range 10 {
-		if !free.Holds(task) {
+		if !free.Covers(task) {
 			break
 		}
-		free.Take(task)
+		free.Subtract(task)
 	}
-	if free.GPUs != 0 || free.Holds(task) || !free.Holds(Amount{CPUs: 0.2}) {
+	if free.GPUs != 0 || free.Covers(task) || !free.Covers(Amount{CPUs: 0.2}) {
 		t.Errorf("%+v is left", free)
 	}
-	free.Give(task)
-	if !free.Holds(task) {
+	free.Add(task)
+	if !free.Covers(task) {
 		t.Errorf("%+v does not hold what was given back", free)
 	}
 	// Ten times a tenth is not quite one.
 	tenths := Amount{CPUs: 1}
 	for range 9 {
-		tenths.Take(Amount{CPUs: 0.1})
+		tenths.Subtract(Amount{CPUs: 0.1})
 	}
-	if !tenths.Holds(Amount{CPUs: 0.1}) {
+	if !tenths.Covers(Amount{CPUs: 0.1}) {
 		t.Errorf("%+v does not hold the last tenth", tenths)
 	}
-	if got := (Amount{4, 4, 4}).Within(Amount{-1, 2, 9}); got != (Amount{0, 2, 4}) {
+	if got := (Amount{4, 4, 4}).CappedBy(Amount{-1, 2, 9}); got != (Amount{0, 2, 4}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -51,9 +51,9 @@
 			continue
 		}
 		surplus[instance.Job]--
-		free.Give(instance.Task)
+		free.Add(instance.Task)
 		victims = append(victims, i)
-		if free.Holds(need) {
+		if free.Covers(need) {
 			return victims, true
 		}
 	}
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -245,7 +245,7 @@
 		refusal = wire.CauseUnknownTask
 	case m.Holds(name.task):
 		refusal = wire.CauseBusy
-	case !m.free().Holds(resource.OfTask(job)):
+	case !m.free().Covers(resource.OfTask(job)):
 		refusal = wire.CauseNoCapacity
 	}
 	m.tasks[name] = t
@@ -317,7 +317,7 @@
 	free := resource.OfMachine(&m.info.Type)
 	for _, t := range m.tasks {
 		if t.job != nil && t.State != wire.TaskExited {
-			free.Take(resource.OfTask(t.job))
+			free.Subtract(resource.OfTask(t.job))
 		}
 	}
 	return free
