--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -51,7 +51,7 @@
 }
 
 // migrateLayout writes the next layout once it may be used and no record is on its way: a record of the first layout that
-// was written after the migration would tell of tasks what newer records don't.
+// was written after the migration would contradict newer records of the same tasks.
 func (l *leader) migrateLayout() {
 	c, migration := l.core, &l.layoutMigration
 	if !l.mayMigrateLayout() {
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -72,7 +72,7 @@
 	c.emit(StoreList{CallID: id, Prefix: stored.WatchedPrefix, After: after})
 }
 
-// finishList has the cache show what was listed, and tells those who follow it.
+// finishList has the cache show what was listed, and hands it to those who follow jobs and plans.
 func (w *storeWatch) finishList() {
 	c := w.core
 	c.cache.Replace(w.listing)
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -175,11 +175,8 @@
 
 // conflictingKeys returns the keys whose conditions failed, if that is why nothing was applied.
 func (r Result) conflictingKeys() map[string]bool {
-	failed := map[string]bool{}
-	if r.Outcome == outcome.Conflict {
-		for _, key := range r.Txn.Failed {
-			failed[key] = true
-		}
+	if r.Outcome != outcome.Conflict {
+		return nil
 	}
-	return failed
+	return r.failedKeys()
 }
--- a/internal/stored/keys.go
+++ b/internal/stored/keys.go
@@ -47,7 +47,7 @@
 // RunRecordKey is the key of a run record.
 func RunRecordKey(key record.Key) string { return RunRecordPrefix + key.String() }
 
-// ParseRunRecordKey reads what RunRecordKey gives; false if it is no such key.
+// ParseRunRecordKey reads the key of a run record; false if it is none.
 func ParseRunRecordKey(key string) (record.Key, bool) {
 	return record.ParseKey(strings.TrimPrefix(key, RunRecordPrefix))
 }
--- a/internal/stored/production_format_test.go
+++ b/internal/stored/production_format_test.go
@@ -10,7 +10,7 @@
 	"bitternwing/internal/wire"
 )
 
-// A frozen copy of what the version in production before dependencies reads from the state service. It
+// A frozen copy of what the version in production before dependencies reads from the key-value store. It
 // stays as it is: that version can't be mended, and nodes of both run side by side.
 type (
 	productionJob struct {
--- a/internal/stored/term.go
+++ b/internal/stored/term.go
@@ -86,7 +86,7 @@
 	return json.Marshal(t)
 }
 
-// DecodeTerm reads a stored term in any form, and tells which one it is.
+// DecodeTerm reads a stored term in any form, and returns the format that it is in.
 func DecodeTerm(value json.RawMessage) (Term, TermFormat, error) {
 	if t, err := decode[Term](value); err == nil {
 		return t, BaseTermFormat, nil
