--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -59,25 +59,25 @@
 }
 
 // New makes the core of a node.
-func New(s *config.Settings, incarnation string) *Core {
-	op := s.Operator
-	if op == nil {
-		op = config.DefaultOperator()
+func New(settings *config.Settings, incarnation string) *Core {
+	operator := settings.Operator
+	if operator == nil {
+		operator = config.DefaultOperator()
 	}
-	c := &Core{settings: s, operator: op, incarnation: incarnation, times: newTimes(s, op),
+	c := &Core{settings: settings, operator: operator, incarnation: incarnation, times: newTimes(settings, operator),
 		pendingCalls: map[uint64]resultHandler{}, lastHeartbeat: -1}
 	c.catalog.core, c.storeHealth.core = c, c
 	c.pacer = pacing.NewPacer(c.times.heartbeatInterval, c.times.lease, wire.HeartbeatTimeout)
 	c.timerLoad = pacing.NewLoad(c.times.checkInterval, c.times.lease)
 	c.requestLoad = pacing.NewLoad(c.times.checkInterval, c.times.lease)
-	c.cache = watchcache.New(int(finalStatesPerMB * s.Params.Limits.MemoryMB))
+	c.cache = watchcache.New(int(finalStatesPerMB * settings.Params.Limits.MemoryMB))
 	c.storeWatch = newStoreWatch(c)
 	c.dependencies = newDependencyTracker(c)
-	c.limits = newStoreLimits(s.Params.Store)
+	c.limits = newStoreLimits(settings.Params.Store)
 	c.users = newUserRequests(c)
 	c.leaseRelay = newLeaseRelay(c)
 	c.cancellations = &cancellationReplicator{core: c}
-	c.members = newMembers(s, c.times)
+	c.members = newMembers(settings, c.times)
 	c.election = newElection(c)
 	return c
 }
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -54,12 +54,17 @@
 	l.reconcileTasks(m, heartbeat, origin)
 }
 
-// isStale tells whether a heartbeat is no newer than one that was taken in before.
+// isStale tells whether a heartbeat is no newer than one that was taken in before in this term.
 func (m *machine) isStale(heartbeat *wire.Heartbeat) bool {
-	if !m.reported || heartbeat.Incarnation > m.incarnation {
-		return false
+	return m.reported && !isNewer(heartbeat, m.incarnation, m.sequence)
+}
+
+// isNewer tells whether a heartbeat was sent after the one of an incarnation with a sequence number.
+func isNewer(heartbeat *wire.Heartbeat, incarnation, sequence uint64) bool {
+	if heartbeat.Incarnation != incarnation {
+		return heartbeat.Incarnation > incarnation
 	}
-	return heartbeat.Incarnation < m.incarnation || heartbeat.Sequence <= m.sequence
+	return heartbeat.Sequence > sequence
 }
 
 // applyHeartbeat takes in what a heartbeat says of the machine itself.
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -130,8 +130,7 @@
 
 // observe keeps a heartbeat that is newer than the last one.
 func (w *relayedWorker) observe(heartbeat *wire.Heartbeat) {
-	last := w.heartbeat
-	if heartbeat.Incarnation > last.Incarnation || heartbeat.Incarnation == last.Incarnation && heartbeat.Sequence > last.Sequence {
+	if isNewer(heartbeat, w.heartbeat.Incarnation, w.heartbeat.Sequence) {
 		w.heartbeat = heartbeat
 	}
 }
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -24,17 +24,18 @@
 	minWatchGap        time.Duration // between two watches of a node
 }
 
-func newTimes(s *config.Settings, op *config.Operator) times {
-	params := s.Params
+// newTimes derives the durations from the settings.
+func newTimes(settings *config.Settings, operator *config.Operator) times {
+	params := settings.Params
 	t := times{
 		heartbeatInterval: config.Seconds(params.Workers.HeartbeatIntervalS),
 		lease:             config.Seconds(params.Workers.LeaseS),
 		cancelDeadline:    config.Seconds(params.Workers.CancelS),
 		listLag:           config.Seconds(params.Cloud.ListLagS),
-		cycleInterval:     config.Seconds(op.CycleIntervalS),
+		cycleInterval:     config.Seconds(operator.CycleIntervalS),
 	}
-	nodes := float64(len(s.Peers) + 1)
-	t.leaderTTL = time.Duration(float64(t.lease) * op.LeaderTTLLeases)
+	nodes := float64(len(settings.Peers) + 1)
+	t.leaderTTL = time.Duration(float64(t.lease) * operator.LeaderTTLLeases)
 	// What has to be noticed and repaired within workers' leases goes by these, however seldom workers send heartbeats.
 	t.checkInterval = config.FailureCheckInterval(params.Workers)
 	t.storeProbeInterval = t.checkInterval
