--- a/internal/fleetsim/page.go
+++ b/internal/fleetsim/page.go
@@ -26,49 +26,50 @@
 	points plotter.XYs
 }
 
-// page is what the page of a run shows.
+// page is the data of the page of a result.
 type page struct {
 	*Result
 	Plots []template.HTML
 }
 
-// WritePage writes the result as one HTML page that needs nothing else.
-func (res *Result) WritePage(path string) error {
+// WritePage writes the result as one self-contained HTML page.
+func (r *Result) WritePage(path string) error {
 	t, err := template.New("page").Funcs(template.FuncMap{"mib": func(bytes int64) string { return fmt.Sprintf("%.1f", float64(bytes)/(1<<20)) }}).Parse(pageText)
 	if err != nil {
 		return err
 	}
-	p := page{Result: res}
-	for _, d := range res.diagrams() {
+	data := page{Result: r}
+	for _, d := range r.diagrams() {
 		svg, err := d.svg()
 		if err != nil {
 			return err
 		}
-		p.Plots = append(p.Plots, svg)
+		data.Plots = append(data.Plots, svg)
 	}
 	var out bytes.Buffer
-	if err := t.Execute(&out, p); err != nil {
+	if err := t.Execute(&out, data); err != nil {
 		return err
 	}
 	return os.WriteFile(path, out.Bytes(), 0o600)
 }
 
-// diagram is a plot over the time of a run.
+// diagram is a plot over the time of a simulation.
 type diagram struct {
 	title, unit string
 	curves      []curve
 }
 
-func (res *Result) diagrams() []diagram {
+// diagrams gives the diagrams of the page.
+func (r *Result) diagrams() []diagram {
 	perSecond := func(name string, value func(Second) float64) curve {
 		c := curve{name: name}
-		for _, s := range res.Seconds {
+		for _, s := range r.Seconds {
 			c.points = append(c.points, plotter.XY{X: s.AtS, Y: value(s)})
 		}
 		return c
 	}
 	var cores, memory []curve
-	for _, p := range res.Processes {
+	for _, p := range r.Processes {
 		c, m := curve{name: p.Name}, curve{name: p.Name}
 		for _, s := range p.Samples {
 			c.points = append(c.points, plotter.XY{X: s.AtS, Y: s.Cores})
@@ -76,7 +77,7 @@
 		}
 		cores, memory = append(cores, c), append(memory, m)
 	}
-	return append(res.rolloutDiagrams(), []diagram{
+	return append(r.rolloutDiagrams(), []diagram{
 		{"Starts", "tasks a second", []curve{
 			perSecond("asked", func(s Second) float64 { return float64(s.Requested) }),
 			perSecond("started", func(s Second) float64 { return float64(s.Started) }),
@@ -89,23 +90,23 @@
 }
 
 // rolloutDiagrams shows the capacity and the shares of each rollout over time.
-func (res *Result) rolloutDiagrams() []diagram {
+func (r *Result) rolloutDiagrams() []diagram {
 	var all []diagram
-	for i := range res.Rollouts {
-		r := &res.Rollouts[i]
+	for i := range r.Rollouts {
+		model := &r.Rollouts[i]
 		over := func(name string, value func(rolling.Point) float64) curve {
 			c := curve{name: name}
-			for _, s := range r.Samples {
+			for _, s := range model.Samples {
 				c.points = append(c.points, plotter.XY{X: s.AtS, Y: value(s)})
 			}
 			return c
 		}
 		all = append(all,
-			diagram{r.Model.Name + " (" + string(r.Model.Mode) + "): capacity", "requests", []curve{
+			diagram{model.Model.Name + " (" + string(model.Model.Mode) + "): capacity", "requests", []curve{
 				over("promised", func(p rolling.Point) float64 { return p.Promised }),
 				over("proved", func(p rolling.Point) float64 { return p.Proved }),
 				over("served", func(p rolling.Point) float64 { return p.Served })}},
-			diagram{r.Model.Name + ": share of traffic", "share", []curve{
+			diagram{model.Model.Name + ": share of traffic", "share", []curve{
 				over("new version", func(p rolling.Point) float64 { return p.NewShare }),
 				over("old version", func(p rolling.Point) float64 { return 1 - p.NewShare })}})
 	}
@@ -143,13 +144,13 @@
 	return svgFragment(canvas)
 }
 
-// svgFragment gives a canvas as a part of a page.
+// svgFragment renders a canvas as a part of a page.
 func svgFragment(canvas *vgsvg.Canvas) (template.HTML, error) {
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	// Within a page a picture has no prologue. It is drawn from numbers and the names of processes alone.
-	picture := out.Bytes()
-	return template.HTML(picture[max(0, bytes.Index(picture, []byte("<svg"))):]), nil
+	// Within a page an SVG has no prologue. It is safe HTML: it is drawn from numbers and the names of processes alone.
+	svg := out.Bytes()
+	return template.HTML(svg[max(0, bytes.Index(svg, []byte("<svg"))):]), nil
 }
--- a/internal/fleetsim/placement_tracker.go
+++ b/internal/fleetsim/placement_tracker.go
@@ -9,11 +9,11 @@
 	"bitternwing/internal/wire"
 )
 
-// SpreadResult is what became of the weights and the zones of a run's services.
+// SpreadResult summarizes the cold starts of a simulation's services, and their spread over zones.
 type SpreadResult struct {
 	ColdStarts  int     `json:"cold_starts"`  // replicas that waited for their weights
 	ColdSeconds float64 `json:"cold_seconds"` // how long, all together
-	// Fetches are those that the workers counted themselves, of services and arrays.
+	// Fetches are counted by the workers themselves, for services and arrays.
 	Fetches         int64   `json:"fetches"`
 	FetchSeconds    float64 `json:"fetch_seconds"`
 	WorstZone       float64 `json:"worst_zone"`     // share of a model's replicas that the loss of its worst zone takes: mean over models and seconds
@@ -25,82 +25,82 @@
 	ReplicasAtEnd   int     `json:"replicas_at_the_end"`
 }
 
-// coldStartThreshold is from when on a replica's start counts as cold: a warm one runs with the next look at the clock.
+// coldStartThreshold is how long a start takes that counts as cold: a warm one takes until the next look at the clock.
 const coldStartThreshold = 100 * time.Millisecond
 
-// placementTracker follows the services' replicas.
+// placementTracker observes the placements of services' replicas.
 type placementTracker struct {
 	now    func() time.Duration
 	zoneOf func(machine string) string
 
 	mu       sync.Mutex
 	jobs     map[string]*wire.Job
-	wanted   int
+	desired  int // replicas
 	started  map[string]time.Duration
 	running  map[string]string // zones, by task
 	result   SpreadResult
 	samples  int
 	lostAt   time.Duration
 	sampleAt time.Duration
-	// missingBefore are the replicas that were missing in the last seconds before the loss: jobs come all the time, and each
-	// waits a while.
+	// missingBefore are how many replicas were missing in each of the last seconds before the loss: jobs arrive all the time,
+	// and each waits a while.
 	missingBefore []int
 }
 
-// missingWindow is over how many seconds what was missing before the loss is looked at.
+// missingWindow is how many seconds before the loss are kept.
 const missingWindow = 10
 
-func newPlacementTracker(now func() time.Duration, zone func(string) string) *placementTracker {
-	return &placementTracker{now: now, zoneOf: zone, jobs: map[string]*wire.Job{}, started: map[string]time.Duration{}, running: map[string]string{}}
+func newPlacementTracker(now func() time.Duration, zoneOf func(machine string) string) *placementTracker {
+	return &placementTracker{now: now, zoneOf: zoneOf, jobs: map[string]*wire.Job{}, started: map[string]time.Duration{}, running: map[string]string{}}
 }
 
-// submitted takes a service up. It is wanted from then on.
-func (x *placementTracker) submitted(job *wire.Job) {
+// submitted adds a service. Its replicas are desired from then on.
+func (t *placementTracker) submitted(job *wire.Job) {
 	if job.Kind != wire.KindService {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.jobs[job.ID] = job
-	x.wanted += job.Tasks
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.jobs[job.ID] = job
+	t.desired += job.Tasks
 }
 
-// startReceived notes when a replica's start came in.
-func (x *placementTracker) startReceived(s simworker.Start) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.started[s.Task] = x.now()
+// startReceived records the time of a replica's start command.
+func (t *placementTracker) startReceived(start simworker.Start) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.started[start.Task] = t.now()
 }
 
-// taskRuns notes that a replica runs, and what its weights took.
-func (x *placementTracker) taskRuns(machine, task string) {
-	zone := x.zoneOf(machine)
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// taskRuns records that a replica runs, and how long its weights took.
+func (t *placementTracker) taskRuns(machine, task string) {
+	zone := t.zoneOf(machine)
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	id, _, _ := wire.ParseTaskName(task)
-	if x.jobs[id] == nil {
+	if t.jobs[id] == nil {
 		return
 	}
-	x.running[task] = zone
-	if waited := x.now() - x.started[task]; waited > coldStartThreshold {
-		x.result.ColdStarts++
-		x.result.ColdSeconds += waited.Seconds()
+	t.running[task] = zone
+	if waited := t.now() - t.started[task]; waited > coldStartThreshold {
+		t.result.ColdStarts++
+		t.result.ColdSeconds += waited.Seconds()
 	}
 }
 
-// taskEnds notes that a replica does not run any more.
-func (x *placementTracker) taskEnds(task string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.running, task)
+// taskEnds records that a replica no longer runs.
+func (t *placementTracker) taskEnds(task string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.running, task)
 }
 
-// byModel counts the replicas of each model by zone.
-func (x *placementTracker) byModel() map[string]map[string]int {
+// replicasByModel counts the replicas of each model by zone.
+func (t *placementTracker) replicasByModel() map[string]map[string]int {
 	models := map[string]map[string]int{}
-	for task, zone := range x.running {
+	for task, zone := range t.running {
 		id, _, _ := wire.ParseTaskName(task)
-		job := x.jobs[id]
+		job := t.jobs[id]
 		model := job.Team + " " + job.Image
 		if models[model] == nil {
 			models[model] = map[string]int{}
@@ -110,84 +110,84 @@
 	return models
 }
 
-// largestZone gives a model's zone with the most replicas, how many these are, and how many it has in all.
-func largestZone(zones map[string]int) (zone string, most, total int) {
-	for z, n := range zones {
-		total += n
-		if n > most || n == most && z < zone {
-			zone, most = z, n
+// largestZone gives a model's zone with the most replicas, how many these are, and how many the model has in all.
+func largestZone(zones map[string]int) (zone string, largest, total int) {
+	for name, replicas := range zones {
+		total += replicas
+		if replicas > largest || replicas == largest && name < zone {
+			zone, largest = name, replicas
 		}
 	}
-	return zone, most, total
+	return zone, largest, total
 }
 
-// sample takes the present state in, each second.
-func (x *placementTracker) sample() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	now := x.now()
-	passed := (now - x.sampleAt).Seconds()
-	x.sampleAt = now
-	if x.lostAt > 0 {
-		x.afterLoss(now, passed)
+// sample samples the present state, each second.
+func (t *placementTracker) sample() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	passed := (now - t.sampleAt).Seconds()
+	t.sampleAt = now
+	if t.lostAt > 0 {
+		t.afterLoss(now, passed)
 		return
 	}
-	x.missingBefore = append(x.missingBefore, x.missing())
-	x.missingBefore = x.missingBefore[max(0, len(x.missingBefore)-missingWindow):]
+	t.missingBefore = append(t.missingBefore, t.missing())
+	t.missingBefore = t.missingBefore[max(0, len(t.missingBefore)-missingWindow):]
 	sum, models := 0.0, 0
-	for _, zones := range x.byModel() {
-		if _, most, total := largestZone(zones); total > 1 {
-			sum += float64(most) / float64(total)
+	for _, zones := range t.replicasByModel() {
+		if _, largest, total := largestZone(zones); total > 1 {
+			sum += float64(largest) / float64(total)
 			models++
 		}
 	}
 	if models > 0 {
-		x.result.WorstZone += sum / float64(models)
-		x.samples++
+		t.result.WorstZone += sum / float64(models)
+		t.samples++
 	}
 }
 
-// missing is how many replicas are wanted and do not run.
-func (x *placementTracker) missing() int { return max(0, x.wanted-len(x.running)) }
+// missing is how many replicas are desired and do not run.
+func (t *placementTracker) missing() int { return max(0, t.desired-len(t.running)) }
 
-// afterLoss counts what is missing until no more is than before the loss.
-func (x *placementTracker) afterLoss(now time.Duration, passed float64) {
-	if x.result.FullServiceS > 0 || x.wanted == 0 {
+// afterLoss counts the missing replicas until there are no more than before the loss.
+func (t *placementTracker) afterLoss(now time.Duration, passed float64) {
+	if t.result.FullServiceS > 0 || t.desired == 0 {
 		return
 	}
-	missing := x.missing()
-	x.result.LostReplicaS += float64(missing) * passed
-	x.result.MinServingShare = min(x.result.MinServingShare, float64(len(x.running))/float64(x.wanted))
-	if missing <= slices.Max(append(x.missingBefore, 0)) {
-		x.result.FullServiceS = (now - x.lostAt).Seconds()
+	missing := t.missing()
+	t.result.LostReplicaS += float64(missing) * passed
+	t.result.MinServingShare = min(t.result.MinServingShare, float64(len(t.running))/float64(t.desired))
+	if missing <= slices.Max(append(t.missingBefore, 0)) {
+		t.result.FullServiceS = (now - t.lostAt).Seconds()
 	}
 }
 
-// worstZone gives the zone that takes the most replicas of a model, and notes that it is lost now.
-func (x *placementTracker) worstZone() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	hit := 0
-	for _, zones := range x.byModel() {
-		if zone, most, total := largestZone(zones); most > hit || most == hit && zone < x.result.LostZone {
-			hit = most
-			x.result.LostZone, x.result.LostShare = zone, float64(most)/float64(total)
+// worstZone gives the zone with the most replicas of a model, and records that it is lost now.
+func (t *placementTracker) worstZone() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	lost := 0
+	for _, zones := range t.replicasByModel() {
+		if zone, largest, total := largestZone(zones); largest > lost || largest == lost && zone < t.result.LostZone {
+			lost = largest
+			t.result.LostZone, t.result.LostShare = zone, float64(largest)/float64(total)
 		}
 	}
-	x.lostAt, x.result.MinServingShare = x.now(), 1
-	return x.result.LostZone
+	t.lostAt, t.result.MinServingShare = t.now(), 1
+	return t.result.LostZone
 }
 
-// summary gives the result, with what the workers counted.
-func (x *placementTracker) summary(fleet *simworker.Fleet) SpreadResult {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	result := x.result
-	if x.samples > 0 {
-		result.WorstZone /= float64(x.samples)
+// summary gives the result, with the counts of the workers.
+func (t *placementTracker) summary(fleet *simworker.Fleet) SpreadResult {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	result := t.result
+	if t.samples > 0 {
+		result.WorstZone /= float64(t.samples)
 	}
-	fetches, took := fleet.Fetches()
-	result.Fetches, result.FetchSeconds = fetches, took.Seconds()
-	result.ReplicasAtEnd = len(x.running)
+	fetches, duration := fleet.Fetches()
+	result.Fetches, result.FetchSeconds = fetches, duration.Seconds()
+	result.ReplicasAtEnd = len(t.running)
 	return result
 }
--- a/internal/fleetsim/recorder.go
+++ b/internal/fleetsim/recorder.go
@@ -11,7 +11,7 @@
 	"bitternwing/internal/wire"
 )
 
-// recorder is told what happens on the workers: it has the rules checked and takes the times.
+// recorder observes the workers: it has the rules checked, and measures times.
 type recorder struct {
 	ledger     *rules.Ledger
 	now        func() time.Duration
@@ -24,43 +24,50 @@
 	started         int64
 	completed       int64
 	onMachine       int64
-	maxFencingToken uint64 // highest token of a start
+	maxFencingToken uint64 // highest fencing token of a start
 	failovers       []Failover
 }
 
-// jobTimes is what is measured of a job.
+// jobTimes are the measured times of a job.
 type jobTimes struct {
 	class     *load.Class
 	submitted time.Duration
 	tasks     int
-	ran       map[int]bool // tasks that have run at some time
+	ran       map[int]bool // by index, those that have run
 }
 
-// Failover is the end of a leader.
+// Failover is a failover after a leader was killed.
 type Failover struct {
 	AtS float64 `json:"at_s"`
-	// NextStartS is the time to the next start that another leader gave; 0: there was none.
+	// NextStartS is the time to the next start command of another leader; 0: there was none.
 	NextStartS   float64 `json:"next_start_s"`
 	Controller   string  `json:"controller"`
 	fencingToken uint64
 }
 
-func newRecorder(ledger *rules.Ledger, now func() time.Duration, spread *placementTracker) *recorder {
-	return &recorder{ledger: ledger, now: now, placements: spread, jobs: map[string]*jobTimes{}, classes: map[string]*measure.Histogram{}, urgent: measure.NewHistogram()}
+func newRecorder(ledger *rules.Ledger, now func() time.Duration, placements *placementTracker) *recorder {
+	return &recorder{
+		ledger:     ledger,
+		now:        now,
+		placements: placements,
+		jobs:       map[string]*jobTimes{},
+		classes:    map[string]*measure.Histogram{},
+		urgent:     measure.NewHistogram(),
+	}
 }
 
-// submit notes a job before it is submitted.
-func (r *recorder) submit(a load.Arrival) {
-	r.placements.submitted(a.Job)
+// submit records a job before it is submitted.
+func (r *recorder) submit(arrival load.Arrival) {
+	r.placements.submitted(arrival.Job)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs[a.Job.ID] = &jobTimes{class: a.Class, submitted: r.now(), tasks: a.Job.Tasks, ran: map[int]bool{}}
-	if r.classes[a.Class.Name] == nil {
-		r.classes[a.Class.Name] = measure.NewHistogram()
+	r.jobs[arrival.Job.ID] = &jobTimes{class: arrival.Class, submitted: r.now(), tasks: arrival.Job.Tasks, ran: map[int]bool{}}
+	if r.classes[arrival.Class.Name] == nil {
+		r.classes[arrival.Class.Name] = measure.NewHistogram()
 	}
 }
 
-// leaderKilled notes that the leader was killed.
+// leaderKilled records that the leader was killed.
 func (r *recorder) leaderKilled(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,20 +75,20 @@
 }
 
 // StartReceived counts a start.
-func (r *recorder) StartReceived(s simworker.Start) {
-	r.placements.startReceived(s)
+func (r *recorder) StartReceived(start simworker.Start) {
+	r.placements.startReceived(start)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
-	r.maxFencingToken = max(r.maxFencingToken, s.FencingToken)
+	r.maxFencingToken = max(r.maxFencingToken, start.FencingToken)
 	for i := range r.failovers {
-		if f := &r.failovers[i]; f.NextStartS == 0 && s.FencingToken > f.fencingToken && r.now().Seconds() > f.AtS {
+		if f := &r.failovers[i]; f.NextStartS == 0 && start.FencingToken > f.fencingToken && r.now().Seconds() > f.AtS {
 			f.NextStartS = r.now().Seconds() - f.AtS
 		}
 	}
 }
 
-// TaskRuns takes the time of a task's first start.
+// TaskRuns measures the time to a task's first start.
 func (r *recorder) TaskRuns(machine, task string) {
 	r.ledger.TaskRuns(machine, task)
 	r.placements.taskRuns(machine, task)
@@ -113,7 +120,7 @@
 	}
 }
 
-// totals are counts since the start of a run.
+// totals are counts since the start of the simulation.
 type totals struct{ started, completed, onMachine int64 }
 
 func (r *recorder) totals() totals {
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -10,19 +10,19 @@
 	"bitternwing/internal/simworker"
 )
 
-// Second is what was counted in a second of a run.
+// Second is the counts of a second.
 type Second struct {
 	AtS        float64 `json:"at_s"`
 	Requested  int64   `json:"asked"`   // tasks submitted
-	Started    int64   `json:"started"` // starts that workers took in
+	Started    int64   `json:"started"` // start commands that workers received
 	Completed  int64   `json:"completed"`
 	OnMachine  int64   `json:"on_machine"`
 	Leader     string  `json:"leader"`
-	Reporting  int     `json:"reporting"` // workers that the leader answered last
+	Reporting  int     `json:"reporting"` // workers that accepted the leader's response last
 	Violations int     `json:"violations"`
 }
 
-// ProcessResult is what a process used, and its messages by kind.
+// ProcessResult is the resource usage of a process, and its messages by kind.
 type ProcessResult struct {
 	Name    string                                  `json:"name"`
 	Zone    string                                  `json:"zone,omitempty"`
@@ -39,7 +39,7 @@
 	PeakMean float64         `json:"peak_mean_bytes_per_s"`
 }
 
-// JobCounts are the jobs of a run by what became of them.
+// JobCounts are the numbers of jobs by their outcomes.
 type JobCounts struct {
 	Submitted int64 `json:"submitted"`
 	Accepted  int64 `json:"accepted"`
@@ -49,16 +49,16 @@
 	Cancelled int64 `json:"cancelled"`
 }
 
-// Result is what a run came to. Times are in milliseconds where nothing else is said.
+// Result is the result of a simulation. Times are in milliseconds where nothing else is said.
 type Result struct {
 	Scenario   *Scenario         `json:"scenario"`
-	Ended      string            `json:"ended"` // why; "in time" if nothing ended it
+	Ended      string            `json:"ended"` // why; endedInTime if nothing but the time did
 	DurationS  float64           `json:"duration_s"`
 	Violations []rules.Violation `json:"violations"`
 	Rollouts   []rolling.Result  `json:"rollouts,omitempty"`
-	// BrokenRollout is what a rollout did not keep; empty if all kept what they promise.
+	// BrokenRollout is how a rollout broke its promise; empty: all kept theirs.
 	BrokenRollout string `json:"broken_rollout,omitempty"`
-	// Spread is what became of the services' weights and zones.
+	// Spread is the cold starts of the services, and their spread over zones.
 	Spread SpreadResult `json:"spread"`
 
 	Requested      int64   `json:"asked"`
@@ -83,65 +83,9 @@
 // endedInTime is the reason of an end that nothing else has caused.
 const endedInTime = "in time"
 
-// result summarizes the simulation.
-func (sim *simulation) result(err error) *Result {
-	s := sim.scenario
-	now := sim.recorder.totals()
-	measured := max(1, sim.now().Seconds()-s.WarmUpS)
-	res := &Result{Scenario: s, Ended: endedInTime, DurationS: sim.now().Seconds(), Violations: sim.ledger.Violations(),
-		Requested: sim.generator.Tasks(), Started: now.started, Completed: now.completed,
-		RequestedPerS: float64(sim.generator.Tasks()) / measured, StartedPerS: float64(now.started) / measured,
-		PeakStartsPerS: peakStarts(sim.seconds), SubmitTimes: sim.users.SubmitTimes.Summary(), UrgentTimes: sim.recorder.urgent.Summary(),
-		StartTimes: map[string]measure.Summary{}, Failovers: sim.recorder.failovers, Seconds: sim.seconds,
-		Direct: sim.traffic.Of(simworker.AnyController),
-		Jobs: JobCounts{sim.users.Submitted.Load(), sim.users.Accepted.Load(), sim.users.Refused.Load(), sim.users.GivenUp.Load(),
-			sim.users.Done.Load(), sim.users.Cancelled.Load()}}
-	if err != nil {
-		res.Ended = err.Error()
-	}
-	res.Rollouts, res.BrokenRollout = sim.rollouts.results()
-	res.Spread = sim.recorder.placements.summary(sim.fleet)
-	for class, h := range sim.recorder.classes {
-		res.StartTimes[class] = h.Summary()
-	}
-	led := map[string]bool{}
-	for _, second := range sim.seconds {
-		res.PeakOnMachine = max(res.PeakOnMachine, second.OnMachine)
-		led[second.Leader] = true
-	}
-	res.Workers = WorkerResult{s.workers(), sim.workers.windows.Summary(), sim.workers.peak}
-	for _, x := range sim.controllers.list {
-		res.Processes = append(res.Processes, ProcessResult{x.name, x.zone, led[x.name], x.usage.Usage(s.WarmUpS), sim.traffic.Of(x.name), x.usage.Samples})
-	}
-	res.Processes = append(res.Processes, ProcessResult{Name: sim.self.Name, Usage: sim.self.Usage(s.WarmUpS), Samples: sim.self.Samples})
-	return res
-}
-
-// peakWindow is over how many seconds the peak of starts is taken.
-const peakWindow = 10
-
-// peakStarts gives the most starts a second over a window.
-func peakStarts(seconds []Second) float64 {
-	peak, sum := 0.0, int64(0)
-	for i, s := range seconds {
-		sum += s.Started
-		if i >= peakWindow {
-			sum -= seconds[i-peakWindow].Started
-		}
-		if i >= peakWindow-1 {
-			first := seconds[max(0, i-peakWindow)].AtS
-			if i < peakWindow {
-				first = 0
-			}
-			peak = max(peak, float64(sum)/(s.AtS-first))
-		}
-	}
-	return peak
-}
-
 // Write writes the result as JSON.
-func (res *Result) Write(path string) error {
-	data, err := json.MarshalIndent(res, "", " ")
+func (r *Result) Write(path string) error {
+	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
 	}
@@ -149,14 +93,14 @@
 }
 
 // Leader gives the process that led the longest.
-func (res *Result) Leader() *ProcessResult {
+func (r *Result) Leader() *ProcessResult {
 	led := map[string]int{}
-	for _, s := range res.Seconds {
+	for _, s := range r.Seconds {
 		led[s.Leader]++
 	}
 	var longest *ProcessResult
-	for i := range res.Processes {
-		if p := &res.Processes[i]; led[p.Name] > 0 && (longest == nil || led[p.Name] > led[longest.Name]) {
+	for i := range r.Processes {
+		if p := &r.Processes[i]; led[p.Name] > 0 && (longest == nil || led[p.Name] > led[longest.Name]) {
 			longest = p
 		}
 	}
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -12,7 +12,7 @@
 	"bitternwing/internal/schema"
 )
 
-// Scenario says what a scale run plays.
+// Scenario describes a simulation.
 type Scenario struct {
 	Name        string          `json:"name"`
 	Seed        uint64          `json:"seed"`
@@ -33,7 +33,7 @@
 	Sweep       *Sweep          `json:"sweep,omitempty"`
 }
 
-// Controllers are the real processes.
+// Controllers are the controller processes.
 type Controllers struct {
 	Count          int     `json:"count"`
 	Cores          float64 `json:"cores"`
@@ -42,7 +42,7 @@
 	RestartS       float64 `json:"restart_s"`
 }
 
-// MachineGroup is a number of machines of a type, spread over all zones.
+// MachineGroup is a number of machines of a type, spread evenly over all zones.
 type MachineGroup struct {
 	Type        string  `json:"type"`
 	Count       int     `json:"count"`
@@ -68,7 +68,7 @@
 	CancelS            float64 `json:"cancel_s"`
 }
 
-// StoreLimits are the limits of the state service.
+// StoreLimits are the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -82,7 +82,7 @@
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The kinds of faults.
@@ -96,7 +96,7 @@
 	StoreDown       FaultKind = "state_down"
 )
 
-// Fault goes wrong at a time, counted from the start of the run. Count is a number of workers.
+// Fault is a fault that begins at a time after the start. Count is a number of workers.
 type Fault struct {
 	AtS   float64   `json:"at_s"`
 	Kind  FaultKind `json:"kind"`
@@ -111,7 +111,7 @@
 // ScenarioSchema is the published schema of scenarios.
 func ScenarioSchema() []byte { return scenarioSchema }
 
-// LoadScenario reads a scenario and checks it.
+// LoadScenario reads and validates a scenario.
 func LoadScenario(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return s, nil
 }
 
-// ParseScenario reads the text of a scenario and checks it.
+// ParseScenario decodes and validates a scenario.
 func ParseScenario(data []byte) (*Scenario, error) {
 	if err := schema.Check("scenario.schema.json", scenarioSchema, data); err != nil {
 		return nil, err
@@ -139,8 +139,8 @@
 	return s, s.checkRollouts()
 }
 
-// checkRollouts checks what a schema can't tell of rollouts: names of their own, times within the run, a promise that
-// the old version can keep.
+// checkRollouts checks what a schema can't express of rollouts: unique names, times within the simulation, a promised capacity
+// that the old version has.
 func (s *Scenario) checkRollouts() error {
 	names := map[string]bool{}
 	for i, m := range s.Rollouts {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// checkFaults checks what a schema can't tell: faults within the run, in zones that there are.
+// checkFaults checks what a schema can't express of faults: times within the simulation, and zones that there are.
 func (s *Scenario) checkFaults() error {
 	for i, f := range s.Faults {
 		if f.AtS >= s.DurationS {
@@ -175,11 +175,11 @@
 
 // workers counts the machines of all groups.
 func (s *Scenario) workers() int {
-	n := 0
-	for _, g := range s.Machines {
-		n += g.Count
+	count := 0
+	for _, group := range s.Machines {
+		count += group.Count
 	}
-	return n
+	return count
 }
 
 // Scale gives the scenario with a share of its workers, starts, teams and connections. Controllers stay as
