--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -12,11 +12,11 @@
 
 // drawn is a machine that was drawn, with the tasks that could be stopped on it.
 type drawn struct {
-	group  Group
-	size   resource.Amount
-	room   MachineCapacity
-	tasks  [Ranks][]resource.Amount
-	warmth map[string]ImageState
+	group       Group
+	size        resource.Amount
+	capacity    MachineCapacity
+	tasks       [Ranks][]resource.Amount
+	imageStates map[string]ImageState
 }
 
 var images = []string{"a", "b", "c"}
@@ -31,35 +31,35 @@
 
 func drawMachine(t *rapid.T, name string) *drawn {
 	d := &drawn{group: Group{Type: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "type"), Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
-		size: resource.Amount{GPUs: 4, CPUs: 16, MemoryGB: 8}, warmth: map[string]ImageState{}}
+		size: resource.Amount{GPUs: 4, CPUs: 16, MemoryGB: 8}, imageStates: map[string]ImageState{}}
 	if d.group.Type == "h" {
 		d.size.GPUs = 0
 	}
-	d.room = MachineCapacity{Name: name, Free: amount(t, "free", 8)}
-	d.room.FreeAfterStops = d.room.Free
-	d.room.FreeAfterStops.Add(amount(t, "soon", 2))
+	d.capacity = MachineCapacity{Name: name, Free: amount(t, "free", 8)}
+	d.capacity.FreeAfterStops = d.capacity.Free
+	d.capacity.FreeAfterStops.Add(amount(t, "soon", 2))
 	for rank := range Ranks {
 		for range number(t, "tasks", 0, 2) {
 			task := amount(t, "task", 4)
 			d.tasks[rank] = append(d.tasks[rank], task)
-			d.room.Preemptible[rank].Add(task)
+			d.capacity.Preemptible[rank].Add(task)
 		}
 	}
 	other := ImageAbsent
 	for _, image := range images {
 		switch number(t, "image", 0, 4) {
 		case 0:
-			d.room.Images.Ready.Add(BitOf(image))
-			d.warmth[image] = ImageReady
+			d.capacity.Images.Ready.Add(BitOf(image))
+			d.imageStates[image] = ImageReady
 		case 1:
-			d.room.Images.Fetching.Add(BitOf(image))
-			d.warmth[image] = ImageFetching
+			d.capacity.Images.Fetching.Add(BitOf(image))
+			d.imageStates[image] = ImageFetching
 			other = ImageFetchShared
 		}
 	}
 	for _, image := range images {
-		if _, has := d.warmth[image]; !has {
-			d.warmth[image] = other
+		if _, has := d.imageStates[image]; !has {
+			d.imageStates[image] = other
 		}
 	}
 	return d
@@ -96,18 +96,18 @@
 	best, bestScore := "", math.Inf(1)
 	for _, name := range names {
 		d := machines[name]
-		if d == nil || !d.room.Free.Covers(q.Need) {
+		if d == nil || !d.capacity.Free.Covers(q.Need) {
 			continue
 		}
 		penalty, may := q.Penalty(d.group)
 		if !may {
 			continue
 		}
-		left := (d.room.Free.GPUs - q.Need.GPUs) / max(d.size.GPUs, 1)
+		left := (d.capacity.Free.GPUs - q.Need.GPUs) / max(d.size.GPUs, 1)
 		if d.size.GPUs == 0 {
-			left = (d.room.Free.CPUs - q.Need.CPUs) / d.size.CPUs
+			left = (d.capacity.Free.CPUs - q.Need.CPUs) / d.size.CPUs
 		}
-		if score := left + 2*float64(d.warmth[image]+penalty); score < bestScore {
+		if score := left + 2*float64(d.imageStates[image]+penalty); score < bestScore {
 			best, bestScore = name, score
 		}
 	}
@@ -137,7 +137,7 @@
 			}
 			d := drawMachine(t, name)
 			machines[name] = d
-			x.Put(d.group, d.size, d.room, name)
+			x.Put(d.group, d.size, d.capacity, name)
 		}
 		seen := 0
 		for _, g := range x.order {
@@ -157,7 +157,7 @@
 				}
 				return 0, g.Spot || !spotOnly
 			},
-			Suits: func(name string) (ImageState, bool) { return machines[name].warmth[image], true }}
+			Suits: func(name string) (ImageState, bool) { return machines[name].imageStates[image], true }}
 		want := scanTightest(machines, q, image)
 		if got, ok, _ := x.BestFit(q); got != want || ok != (want != "") {
 			t.Fatalf("%q, not %q", got, want)
@@ -165,7 +165,7 @@
 	})
 }
 
-// leastCost is the least that it costs to make room on a machine, whichever tasks are stopped.
+// leastCost is the lowest cost of preemption on a machine, whichever tasks are stopped.
 func (d *drawn) leastCost(need resource.Amount, below int, image string) (best Cost, possible bool) {
 	var tasks []resource.Amount
 	idle := 0
@@ -176,26 +176,26 @@
 		}
 	}
 	for chosen := range 1 << len(tasks) {
-		room, cost := d.room.FreeAfterStops, Cost{ImageState: d.warmth[image]}
+		free, cost := d.capacity.FreeAfterStops, Cost{ImageState: d.imageStates[image]}
 		for i, task := range tasks {
 			if chosen&(1<<i) == 0 {
 				continue
 			}
-			room.Add(task)
+			free.Add(task)
 			if i < idle {
 				cost.IdleStops++
 			} else {
 				cost.Stops++
 			}
 		}
-		if room.Covers(need) && (!possible || cost.Less(best)) {
+		if free.Covers(need) && (!possible || cost.Less(best)) {
 			best, possible = cost, true
 		}
 	}
 	return best, possible
 }
 
-// TestBounds joins the bounds of some machines: no machine makes room for less than they say, and the first name is
+// TestBounds joins the bounds of some machines: preemption costs no less on any of them, and the first name is
 // that of the first.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -203,9 +203,9 @@
 		for i := range number(t, "machines", 1, 4) {
 			machines = append(machines, drawMachine(t, names[i]))
 		}
-		bounds := newBounds(&machines[len(machines)-1].room)
+		bounds := newBounds(&machines[len(machines)-1].capacity)
 		for i := len(machines) - 2; i >= 0; i-- {
-			b := newBounds(&machines[i].room)
+			b := newBounds(&machines[i].capacity)
 			joinBounds(&bounds, &b, true)
 		}
 		if bounds.FirstName != names[0] {
@@ -217,7 +217,7 @@
 		for _, d := range machines {
 			cost, can := d.leastCost(need, below, image)
 			if can && (!possible || cost.Less(least)) {
-				t.Fatalf("%s makes room for %+v, the bound is %+v, %v", d.room.Name, cost, least, possible)
+				t.Fatalf("%s preempts for %+v, the bound is %+v, %v", d.capacity.Name, cost, least, possible)
 			}
 		}
 	})
--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -9,17 +9,17 @@
 	"bitternwing/internal/wire"
 )
 
-// checkRoom checks that each node's index of room is what it would be if it were built anew.
-func (y *scaleCluster) checkRoom() {
+// checkCapacityIndex checks that each node's capacity index is what it would be if it were built anew.
+func (y *scaleCluster) checkCapacityIndex() {
 	y.t.Helper()
 	for _, n := range y.nodes {
-		if err := n.core.CheckRoom(); err != nil {
+		if err := n.core.CheckCapacityIndex(); err != nil {
 			y.t.Errorf("%s at %v: %v", n.name, y.now, err)
 		}
 	}
 }
 
-// fullCluster has machines that are full, and as many tasks that wait.
+// fullCluster has a full fleet, and as many tasks that wait.
 func fullCluster(t *testing.T, nodes, machines int) *scaleCluster {
 	t.Helper()
 	y := newLargeScaleCluster(t, nodes, 0)
@@ -33,31 +33,31 @@
 	return y
 }
 
-// TestTakeoverOfFullFleet has a leader take over a full fleet, with all workers reporting at once: the index is that of
-// what runs, nothing is lost, and what waits goes on.
+// TestTakeoverOfFullFleet has a leader take over a full fleet, with heartbeats of all workers at once: the index is that of
+// what runs, nothing is lost, and waiting tasks go on to be placed.
 func TestTakeoverOfFullFleet(t *testing.T) {
 	y := fullCluster(t, 3, 300)
 	running, started := len(y.holders), y.started
 	y.crash()
 	y.pass(8 * time.Second)
-	y.checkRoom()
+	y.checkCapacityIndex()
 	y.pass(60 * time.Second)
-	y.checkRoom()
+	y.checkCapacityIndex()
 	if running < 2900 || y.counted.released > 0 || y.started-started < 10 {
 		t.Errorf("%d tasks, %d machines with work released, %d starts after it", running, y.counted.released, y.started-started)
 	}
 }
 
-// TestRoomOfSilentZone has a zone out of reach and back: no room there is given away meanwhile, and all of it is there
+// TestCapacityOfSilentZone partitions a zone and heals it: nothing is placed there meanwhile, and all of its capacity is used
 // afterwards.
-func TestRoomOfSilentZone(t *testing.T) {
+func TestCapacityOfSilentZone(t *testing.T) {
 	y := newLargeScaleCluster(t, 3, 0)
 	y.have(100, "z1", "z2")
 	y.day(20, 0, 10)
-	y.checkRoom()
+	y.checkCapacityIndex()
 	y.apart = "z2"
 	y.pass(40 * time.Second)
-	y.checkRoom()
+	y.checkCapacityIndex()
 	y.submit(wire.Job{Kind: wire.KindArray, Tasks: 60, GPUs: 4})
 	y.pass(5 * time.Second)
 	if here, there := y.lastJobByZone(); here == 0 || there > 0 {
@@ -65,7 +65,7 @@
 	}
 	y.apart = ""
 	y.pass(20 * time.Second)
-	y.checkRoom()
+	y.checkCapacityIndex()
 	y.submit(wire.Job{Kind: wire.KindArray, Tasks: 400, GPUs: 1})
 	y.pass(10 * time.Second)
 	if here, there := y.lastJobByZone(); there == 0 {
@@ -87,8 +87,8 @@
 	return first, second
 }
 
-// TestHugeArray places an array of the largest size as far as there is room. Evaluations follow the tasks placed, not
-// those that wait.
+// TestHugeArray places an array of the largest size as far as there is capacity. The number of evaluations depends on the tasks
+// placed, not on those that wait.
 func TestHugeArray(t *testing.T) {
 	y := newLargeScaleCluster(t, 1, 0)
 	y.have(400)
@@ -104,11 +104,11 @@
 	if perStart := float64(n.Evaluations()-before) / float64(y.started); perStart > 100 {
 		t.Errorf("%.0f evaluations for a start", perStart)
 	}
-	y.checkRoom()
+	y.checkCapacityIndex()
 }
 
-// TestHopelessBacklog has jobs wait for which nothing can be done, as many as there are machines. Each round refuses
-// them without looking at machines for each.
+// TestHopelessBacklog has as many jobs wait as there are machines, for which there is no capacity. Each cycle refuses them
+// without evaluating machines for each.
 func TestHopelessBacklog(t *testing.T) {
 	y := fullCluster(t, 1, 200)
 	n := y.nodes[0].core
@@ -123,10 +123,10 @@
 	y.pass(seconds * time.Second)
 	spent := n.Evaluations() - before
 	t.Logf("%d evaluations, %d starts", spent, y.started-started)
-	// Eight rounds a second at the most, each with a few evaluations for each of two kinds of jobs of a team: among them
+	// Eight cycles a second at the most, each with a few evaluations for each of two kinds of jobs of a team: among them
 	// one for every four jobs that could be shrunk.
 	if most := seconds * 8 * 2 * len(y.set.Params.Teams) * 40; spent > most || y.started > started {
 		t.Errorf("%d evaluations in %d s for a backlog of %d, more than %d", spent, seconds, 2*jobs, most)
 	}
-	y.checkRoom()
+	y.checkCapacityIndex()
 }
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -28,7 +28,7 @@
 type plannerInput struct {
 	machines []*machine         // all, by name
 	pending  []*scaleOutRequest // sent to the cloud and not answered yet
-	// unavailable tells for which groups the cloud is not asked for machines now.
+	// unavailable tells for which groups no machines are to be requested now.
 	unavailable func(capacity.Group) bool
 	overloaded  bool    // this node could not answer more machines
 	spareShare  float64 // of what services use, to be kept free for more of them
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -28,7 +28,7 @@
 	updateCapacityIndex(h *schedulableMachine)
 	// endPlacement ends a placement of which nothing was sent.
 	endPlacement(p *placement)
-	// dispatch has a machine told at once what to start and stop.
+	// dispatch has commands sent to a machine at once.
 	dispatch(m *machine)
 	// logPreempted logs that a task is stopped for a job.
 	logPreempted(p *placement, by *job)
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Evaluations is how many the rounds of this node's present term took.
+// Evaluations is how many the cycles of this node's current term made.
 func (c *Core) Evaluations() int {
 	if c.leader == nil {
 		return 0
@@ -17,10 +17,10 @@
 	return c.leader.cycles.evaluationsSpent
 }
 
-// EvaluationsPerSecond is what the settings allow of them, at the cost that was measured.
+// EvaluationsPerSecond is how many the settings allow, at the measured cost.
 func (c *Core) EvaluationsPerSecond() float64 { return c.evaluationsPerSecond() }
 
-// LastEvaluations is how many the last step took.
+// LastEvaluations is how many the last step made.
 func (c *Core) LastEvaluations() int { return c.evaluationCost.Taken() }
 
 // KnowsCancelled tells whether this node knows that a job is cancelled.
@@ -32,31 +32,31 @@
 // Finals is how many final states this node remembers.
 func (c *Core) Finals() int { return c.cache.FinalStateCount() }
 
-// CheckRoom compares the index of room, and the counts of jobs' tasks by zone, with what they would be if they
+// CheckCapacityIndex compares the capacity index, and the counts of jobs' tasks by zone, with what they would be if they
 // were built anew.
-func (c *Core) CheckRoom() error {
+func (c *Core) CheckCapacityIndex() error {
 	l := c.leader
 	if l == nil {
 		return nil
 	}
-	hosts := 0
+	schedulable := 0
 	for _, m := range l.machinesByName {
 		if m.schedulable == nil {
 			continue
 		}
-		hosts++
+		schedulable++
 		if m.capacityChanged || len(m.orphanedTasks) > 0 {
-			continue // the next round works it out
+			continue // the next cycle refreshes it
 		}
-		free, soon := l.freeCapacity(m)
-		want := (&schedulableMachine{machine: m, free: free, freeAfterStops: soon}).indexEntry()
+		free, freeAfterStops := l.freeCapacity(m)
+		want := (&schedulableMachine{machine: m, free: free, freeAfterStops: freeAfterStops}).indexEntry()
 		group, got, ok := l.capacityIndex.Get(m.name)
 		if !ok || got != want || group != m.group() {
 			return fmt.Errorf("%s: %+v %+v in the index, %+v built anew", m.name, group, got, want)
 		}
 	}
-	if l.capacityIndex.Len() != hosts {
-		return fmt.Errorf("%d machines in the index, of %d", l.capacityIndex.Len(), hosts)
+	if l.capacityIndex.Len() != schedulable {
+		return fmt.Errorf("%d machines in the index, of %d", l.capacityIndex.Len(), schedulable)
 	}
 	if err := l.checkReplicas(); err != nil {
 		return err
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -37,7 +37,7 @@
 	placementsByZone map[string]int         // of these, how many are in each zone
 	replicaLedger    *topologyspread.Ledger // of all models
 	withinGuarantee  bool                   // in this cycle: it fits into its team's guarantee
-	stopping         int                    // of these, told to stop
+	stopping         int                    // of these, how many are stopping
 	done             int
 	nextUnplaced     int // no task below this is both undone and unplaced
 
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -15,8 +15,8 @@
 func (j *job) minInstances() int { return min(1, j.unfinished()) }
 func (j *job) maxInstances() int { return j.unfinished() }
 
-// activeInstances counts the instances that are to go on. One that was told to stop does not count, although its
-// resources are not free yet.
+// activeInstances counts the instances that are not stopping. A stopping one does not count, although its resources are not
+// free yet.
 func (j *job) activeInstances() int { return len(j.placements) - j.stopping }
 
 // instances gives the number of instances with its bounds.
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -20,7 +20,7 @@
 // allMachines gives the machines by name, those that may not be given tasks too.
 func allMachines(cycle *schedulingCycle) []*machine { return cycle.state.(*leader).machinesByName }
 
-// scanAllowed tells whether a job's next task may run on a machine, from where its tasks are.
+// scanAllowed tells whether a job's next task may run on a machine, given where its other tasks are.
 func scanAllowed(cycle *schedulingCycle, j *job, m *machine) bool {
 	s := j.spec
 	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || cycle.state.avoidsMachine(j, m) {
@@ -41,7 +41,7 @@
 	return !s.SpreadZones || here < (s.Tasks+1)/2
 }
 
-// scanWeighed finds the machine for a job's next replica that costs the least, by a look at each.
+// scanWeighed finds the machine that costs a job's next replica the least, by a scan of all.
 func scanWeighed(cycle *schedulingCycle, j *job, w replicaCostModel) *machine {
 	var best *schedulableMachine
 	bestCost, bestLeft := 0.0, 0.0
@@ -70,7 +70,7 @@
 	return best.machine
 }
 
-// scanFit finds the machine for a job's next task by a look at each.
+// scanFit finds the machine for a job's next task by a scan of all.
 func scanFit(cycle *schedulingCycle, j *job) *machine {
 	if w, weighed := cycle.replicaCostFor(j); weighed {
 		return scanWeighed(cycle, j, w)
@@ -103,7 +103,7 @@
 	return best.machine
 }
 
-// scanCheapest finds the machine on which room costs the least by a look at each.
+// scanCheapest finds the machine on which preemption costs the least by a scan of all.
 func scanCheapest(cycle *schedulingCycle, j *job, victim func(*job, *placement) bool) *preemptionPlan {
 	var best *preemptionPlan
 	for _, m := range allMachines(cycle) {
@@ -121,18 +121,18 @@
 	return best
 }
 
-// drawnFleet is a leader with a fleet that was drawn.
-type drawnFleet struct {
+// randomFleet is a leader with a fleet drawn by rapid.
+type randomFleet struct {
 	*rapid.T
 	l     *leader
 	types []*wire.MachineType
 	made  int
 }
 
-var drawnZones = []string{"", "z1", "z2", "z3"}
+var randomZones = []string{"", "z1", "z2", "z3"}
 
-func drawFleet(t *rapid.T) *drawnFleet {
-	set := &config.Settings{Node: "a", Zone: "z1", Params: config.Params{Zones: drawnZones[1:],
+func newRandomFleet(t *rapid.T) *randomFleet {
+	set := &config.Settings{Node: "a", Zone: "z1", Params: config.Params{Zones: randomZones[1:],
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 2, MaxGPUs: 64}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 64}, {Name: "guest"}},
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
 		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
@@ -142,7 +142,7 @@
 	l.recovered = true
 	l.recordLayout = c.layout()
 	c.leader = l
-	f := &drawnFleet{T: t, l: l, types: []*wire.MachineType{
+	f := &randomFleet{T: t, l: l, types: []*wire.MachineType{
 		{Name: "g4", GPUs: 4, CPUs: 16, MemoryGB: 64, CacheGB: 8, FetchGBPerS: 0.2}, {Name: "g2", GPUs: 2, CPUs: 16, MemoryGB: 16, CacheGB: 8, FetchGBPerS: 0.5}, {Name: "c8", CPUs: 8, MemoryGB: 32, CacheGB: 8}}}
 	for _, mt := range f.types {
 		c.catalog.types = append(c.catalog.types, *mt)
@@ -156,21 +156,21 @@
 	return f
 }
 
-func (f *drawnFleet) number(what string, least, most int) int {
+func (f *randomFleet) number(what string, least, most int) int {
 	return rapid.IntRange(least, most).Draw(f.T, what)
 }
 
-func (f *drawnFleet) chance(what string, oneIn int) bool { return f.number(what, 1, oneIn) == oneIn }
+func (f *randomFleet) chance(what string, oneIn int) bool { return f.number(what, 1, oneIn) == oneIn }
 
-func (f *drawnFleet) addMachine() {
+func (f *randomFleet) addMachine() {
 	f.made++
 	m := f.l.machineNamed(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
 	m.setType(rapid.SampledFrom(f.types).Draw(f.T, "type"))
-	m.setIdentity(m.machineType.Name, rapid.SampledFrom(drawnZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
+	m.setIdentity(m.machineType.Name, rapid.SampledFrom(randomZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
 	m.reported, m.lastHeartbeat = true, f.l.core.now.Steady
 }
 
-func (f *drawnFleet) addJob() *job {
+func (f *randomFleet) addJob() *job {
 	f.made++
 	if len(f.l.queue) > 0 && f.chance("like another", 2) {
 		like := f.anyJob()
@@ -196,21 +196,21 @@
 	return f.queue(spec, f.number("rank", 0, capacity.Ranks-1), team)
 }
 
-func (f *drawnFleet) queue(spec *wire.Job, rank int, team *config.Team) *job {
+func (f *randomFleet) queue(spec *wire.Job, rank int, team *config.Team) *job {
 	j := f.l.addJob(spec.ID, &watchcache.Job{Job: stored.Job{Spec: spec}})
 	j.rank, j.team = rank, team
 	return j
 }
 
-func (f *drawnFleet) anyJob() *job {
+func (f *randomFleet) anyJob() *job {
 	return f.l.queue[f.number("job", 0, len(f.l.queue)-1)]
 }
 
-func (f *drawnFleet) anyMachine() *machine {
+func (f *randomFleet) anyMachine() *machine {
 	return f.l.machinesByName[f.number("machine", 0, len(f.l.machinesByName)-1)]
 }
 
-func (f *drawnFleet) anyPlacement() *placement {
+func (f *randomFleet) anyPlacement() *placement {
 	m := f.anyMachine()
 	if len(m.placementsInOrder) == 0 {
 		return nil
@@ -218,8 +218,8 @@
 	return m.placementsInOrder[f.number("placement", 0, len(m.placementsInOrder)-1)]
 }
 
-// happens changes something between two rounds.
-func (f *drawnFleet) happens() {
+// randomEvent changes something between two cycles.
+func (f *randomFleet) randomEvent() {
 	l, m := f.l, f.anyMachine()
 	switch f.number("event", 0, 19) {
 	case 0:
@@ -244,7 +244,7 @@
 	case 8:
 		m.lastHeartbeat = l.core.now.Steady
 	case 9:
-		m.setIdentity(m.typeName, rapid.SampledFrom(drawnZones).Draw(f.T, "its zone"), m.addr, f.chance("spot now", 3))
+		m.setIdentity(m.typeName, rapid.SampledFrom(randomZones).Draw(f.T, "its zone"), m.addr, f.chance("spot now", 3))
 	case 10:
 		m.markImageReady(rapid.SampledFrom([]string{"i1", "i2", "i3", "i4"}).Draw(f.T, "ready"))
 	case 11:
@@ -269,7 +269,7 @@
 }
 
 // loseImages has the images of a machine fetched anew, or unconfirmed.
-func (f *drawnFleet) loseImages(m *machine) {
+func (f *randomFleet) loseImages(m *machine) {
 	for i := range m.images {
 		m.images[i].state = cachedImageFetching
 		if f.chance("unknown", 2) {
@@ -280,7 +280,7 @@
 }
 
 // report has a machine report all that is on it, and perhaps a task that nobody knows of.
-func (f *drawnFleet) report(m *machine) {
+func (f *randomFleet) report(m *machine) {
 	heartbeat := &wire.Heartbeat{Machine: m.name, Incarnation: m.incarnation}
 	for _, p := range m.placementsInOrder {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: p.name(), Attempt: p.attempt, State: wire.TaskRunning})
@@ -292,8 +292,8 @@
 	f.l.reconcileTasks(m, heartbeat, originWorker)
 }
 
-// round compares what index and scan choose for some jobs, and does as they say.
-func (f *drawnFleet) round() {
+// runCycle compares what index and scan choose for some jobs, and does that.
+func (f *randomFleet) runCycle() {
 	l := f.l
 	l.refreshCapacityIndex()
 	cycle := newSchedulingCycle(l, l.cycleParams(math.MaxInt32))
@@ -314,14 +314,14 @@
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
 		default:
-			f.shrink(cycle, j)
+			f.preempt(cycle, j)
 		}
 	}
 }
 
-// shrink compares how room is made for a job.
-func (f *drawnFleet) shrink(cycle *schedulingCycle, j *job) {
-	// The jobs that can be shrunk are looked for once in a round; here the next decision may follow any other.
+// preempt compares what index and scan preempt for a job.
+func (f *randomFleet) preempt(cycle *schedulingCycle, j *job) {
+	// A cycle looks for the jobs that can be shrunk once; here the next decision may follow any other.
 	cycle.preemptible = nil
 	idleOnly := f.chance("idle work only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
@@ -332,7 +332,7 @@
 	}
 	request, plain := preemptionRequestOf(j, idleOnly)
 	if plain && cycle.hopelessPreemptions[request] && want != nil {
-		f.Fatalf("%s finds room on %s that is remembered as not there", j.id, want.machine.machine.name)
+		f.Fatalf("%s could preempt on %s, though that is remembered as hopeless", j.id, want.machine.machine.name)
 	}
 	if got == nil {
 		if plain {
@@ -353,21 +353,21 @@
 	return m.name
 }
 
-// TestIndexChoosesAsScan draws fleets and days of them: spread and one zone, spot, avoided machines, ties, tasks that
-// stop, machines in notice and silent ones, unknown zones, room held back and placements taken back. The index
-// chooses the same machines and the same stops as a look at each machine, and stays equal to one built anew.
+// TestIndexChoosesAsScan draws fleets and their events: spread and single zones, spot machines, avoided machines, ties,
+// tasks that stop, reclaimed and silent machines, unknown zones, reserved resources and reverted placements. The index
+// chooses the same machines and the same tasks to stop as a scan, and stays equal to one built anew.
 func TestIndexChoosesAsScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawFleet(t)
+		f := newRandomFleet(t)
 		for range rapid.SampledFrom([]int{1, 4, 10, 40}).Draw(t, "jobs") {
 			f.addJob()
 		}
-		for range f.number("rounds", 1, 6) {
-			f.round()
+		for range f.number("cycles", 1, 6) {
+			f.runCycle()
 			for range f.number("events", 0, 12) {
-				f.happens()
+				f.randomEvent()
 			}
-			if err := f.l.core.CheckRoom(); err != nil {
+			if err := f.l.core.CheckCapacityIndex(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -26,7 +26,7 @@
 
 	nextList      time.Duration
 	listInFlight  bool          // a page is being read
-	listStartedAt time.Duration // when the list being read was asked for
+	listStartedAt time.Duration // when the list being read was requested
 	nextPage      string        // of the list being read, the machine after which the next page begins; "": none is due
 	listedNames   map[string]bool
 	listRead      bool
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -13,8 +13,8 @@
 	"bitternwing/internal/wire"
 )
 
-// TestAllowanceFollowsWork has all of a team's work come in one region, and then in another one: each gets the whole limit.
-func TestAllowanceFollowsWork(t *testing.T) {
+// TestQuotaFollowsDemand has all of a team's work submitted in one region, and then in another one: each gets the whole limit.
+func TestQuotaFollowsDemand(t *testing.T) {
 	w := newRegionWorld(t, 3)
 	for region := range w.regions {
 		ids := w.submitFor(region, "t1", 8, 8)
@@ -165,7 +165,7 @@
 }
 
 // TestGuaranteeMoves has another team's batch work fill the region in which a team's work comes, beyond what that region holds
-// of the team's guarantee: the rest of the guarantee comes from the other regions, and the batch work makes room.
+// of the team's guarantee: the rest of the guarantee is transferred from the other regions, and the batch work is preempted.
 func TestGuaranteeMoves(t *testing.T) {
 	w := newRegionWorldOf(t, 3, 5) // 40 GPUs in each
 	r := w.regions[0]
@@ -190,7 +190,7 @@
 }
 
 // TestGivenInDoubt has a region's write of a transfer be in doubt for a while in which work comes there. It must not use what
-// it may have given; the write is carried out later.
+// it may have transferred; the write is applied later.
 func TestGivenInDoubt(t *testing.T) {
 	w, _ := transferInDoubt(t, 1000)
 	w.submit(1, "t1", 12, 2)
@@ -199,8 +199,8 @@
 	w.usesAll("t1")
 }
 
-// TestLateGift has the write of a transfer come after its leader has ended, and the next one has given the room to work of
-// its own: the write must not be carried out.
+// TestLateGift has the write of a transfer arrive after its leader has ended, and the next one has used the share for work
+// of its own: the write must not be applied.
 func TestLateGift(t *testing.T) {
 	w, giver := transferInDoubt(t, 1)
 	late := giver.late
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -52,7 +52,7 @@
 	bestCachedLoadS, avoidedLossS float64
 }
 
-// replicaCostModel is what a job's next replica goes by.
+// replicaCostModel gives the cost of machines for a job's next replica.
 type replicaCostModel struct {
 	topologyspread.Costs
 	fleet        fleetView
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestWaveIsSpread has nine replicas of a model that is cold everywhere come in one round, as a rollout's new version does, and then
+// TestBurstIsSpread has nine replicas of a model whose image is nowhere placed in one cycle, as those of a rollout's new version, and then
 // more of the same model in another job.
-func TestWaveIsSpread(t *testing.T) {
+func TestBurstIsSpread(t *testing.T) {
 	w := newSpreadWorld(t, losses, threeZones)
 	w.service("run-000001", 9, "img-a", 8)
 	w.expect("a wave", 3, 3, 3)
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestWarmAgainstSpread has weights that take longer to load than what a balance is worth: replicas stay with them. With more losses
+// TestImageLoadAgainstSpread has weights that take longer to load than what a balance is worth: replicas stay with them. With more losses
 // expected they spread.
-func TestWarmAgainstSpread(t *testing.T) {
+func TestImageLoadAgainstSpread(t *testing.T) {
 	for _, x := range []struct {
 		zoneLosses float64
 		zones      int
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestZonesWithoutRoom has zones of unequal size, one without machines, and images larger than a machine's cache.
-func TestZonesWithoutRoom(t *testing.T) {
+// TestZonesWithoutCapacity has zones of unequal size, one without machines, and images larger than a machine's cache.
+func TestZonesWithoutCapacity(t *testing.T) {
 	w := newSpreadWorld(t, losses, map[string]int{"z1": 6, "z2": 6})
 	w.service("run-000001", 8, "img-a", 8)
 	w.expect("one zone without machines", 4, 4, 0)
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestZoneLostWithAllWarmCopies has all warm copies in the zone that is lost. The replicas come back elsewhere, in balance, and once
+// TestZoneLostWithAllReadyCopies has all copies of the image in the zone that is lost. The replicas come back elsewhere, in balance, and once
 // the zone is there again some return to it, a replica at a time; with all of the model running in between.
-func TestZoneLostWithAllWarmCopies(t *testing.T) {
+func TestZoneLostWithAllReadyCopies(t *testing.T) {
 	off := losses
 	off.Enabled = false
 	w := newSpreadWorld(t, off, threeZones)
@@ -214,7 +214,7 @@
 }
 
 // TestLastCopyDies has the weights on one machine only, which dies, hangs, or is to be taken: the replica comes back, and
-// its model is not thought to be warm there any more.
+// its image does not count as ready there any more.
 func TestLastCopyDies(t *testing.T) {
 	w := newSpreadWorld(t, losses, threeZones)
 	w.service("run-000001", 1, "img-a", 8)
@@ -229,8 +229,8 @@
 	}
 }
 
-// TestMovesKeepTheRules moves nothing that has no choice, nothing while the model is not whole, and nothing beyond the budget.
-func TestMovesKeepTheRules(t *testing.T) {
+// TestRebalancingKeepsConstraints moves nothing that has no choice, nothing while not all of the model runs, and nothing beyond the budget.
+func TestRebalancingKeepsConstraints(t *testing.T) {
 	none := losses
 	none.MovesPerHour = 0
 	w := newSpreadWorld(t, none, map[string]int{"z1": 6, "z2": 6, "z3": 6})
@@ -257,13 +257,13 @@
 	w.service("run-000002", 3, "img-a", 8)
 	w.expect("over a leader's end", 2, 2, 2)
 	for _, n := range w.nodes {
-		if err := n.core.CheckRoom(); err != nil {
+		if err := n.core.CheckCapacityIndex(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestExplained tells of a replica that was not put on the warmest machine what that would have cost, and of its job alone.
+// TestExplained requests the placements of a job: for a replica that was not placed on the best fit they have what that would have cost.
 func TestExplained(t *testing.T) {
 	w := newSpreadWorld(t, losses, threeZones)
 	w.service("run-000001", 1, "img-a", 8)
@@ -394,7 +394,7 @@
 	}
 }
 
-// TestManyModelsOnAFullFleet has no room for balance: all replicas run all the same.
+// TestManyModelsOnAFullFleet has no free capacity for balance: all replicas run all the same.
 func TestManyModelsOnAFullFleet(t *testing.T) {
 	w := newSpreadWorld(t, losses, map[string]int{"z1": 2, "z2": 2, "z3": 2})
 	for i := range 24 {
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -11,7 +11,7 @@
 type schedulableMachine struct {
 	machine        *machine
 	free           resource.Amount
-	freeAfterStops resource.Amount // free once what was told to stop is gone
+	freeAfterStops resource.Amount // free once all stopping tasks are gone
 }
 
 // refreshCapacityIndex brings the capacity index up to date for a cycle: with the machines that have become schedulable or
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -105,17 +105,17 @@
 	}
 	s.every(500*time.Millisecond, s.takeList)
 	s.every(100*time.Millisecond, func() { s.ruleChecker.passes(s.now) })
-	s.every(time.Second, s.checkRoom)
+	s.every(time.Second, s.checkCapacityIndex)
 	return s
 }
 
-// checkRoom checks that each leader's index of room is what it would be if it were built anew.
-func (s *sim) checkRoom() {
+// checkCapacityIndex checks that each leader's index of room is what it would be if it were built anew.
+func (s *sim) checkCapacityIndex() {
 	for _, n := range s.nodes {
 		if n.core == nil {
 			continue
 		}
-		if err := n.core.CheckRoom(); err != nil {
+		if err := n.core.CheckCapacityIndex(); err != nil {
 			s.t.Errorf("at %v: %s: %v", s.now, n.name, err)
 		}
 	}
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -2,7 +2,7 @@
 
 import "bitternwing/internal/sizing"
 
-// sizeWarnings are the settings of which the log has told that they are too small for the fleet.
+// sizeWarnings are the settings that were logged as too small for the fleet.
 type sizeWarnings struct {
 	machines int // the largest fleet that was checked
 	logged   map[string]bool
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -108,7 +108,7 @@
 }
 
 // A region grants what it does not need, one transfer to a region at a time, and requests what it lacks of the whole.
-func TestGiveAndAsk(t *testing.T) {
+func TestGrantAndShortfall(t *testing.T) {
 	gpus := func(limit, guarantee float64) Share {
 		return Share{Limit: RoundDown(limit, 0), Guarantee: RoundDown(guarantee, 0)}
 	}
@@ -136,7 +136,7 @@
 
 // However the limit changes after it was divided, what regions may use of it is not above it, and what is needed is not
 // less in the units of the accounts.
-func TestOtherWhole(t *testing.T) {
+func TestChangedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		divided := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "divided")), 0)}
 		now := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "now")), 30)}
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -2,7 +2,7 @@
 
 // Observation is the state of a plan's jobs, replicas and routers at a moment, as a leader sees it.
 type Observation struct {
-	NowMS        int64 // time of day
+	NowMS        int64 // Unix time in milliseconds
 	ClockErrorMS int64 // what the clocks of two leaders may differ from the true time, each
 	// Reconciled tells that the leader has had time to probe each replica. Before that nothing is known to be missing.
 	Reconciled bool
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -62,8 +62,9 @@
 	return p
 }
 
-// whole is an observation in which all of both versions is there and proved, the new version as far as it is released.
-func whole(r *Record) *Observation {
+// healthy is an observation in which all replicas of both versions run and are validated, the new version's as far as its
+// steps have begun.
+func healthy(r *Record) *Observation {
 	o := &Observation{NowMS: r.SinceMS, Reconciled: true, Jobs: map[string]Job{}, RoutersCurrent: true, Revalidated: true}
 	for _, id := range r.Plan.Jobs() {
 		j := Job{Accepted: true, Replicas: 2}
@@ -82,7 +83,7 @@
 		if r.Phase == phase && r.Step == step {
 			return r
 		}
-		o := whole(r)
+		o := healthy(r)
 		o.NowMS += 40_000
 		if r.Phase == Retiring {
 			for _, id := range r.Plan.Old.Jobs {
@@ -105,7 +106,7 @@
 	var walked []string
 	for r.Phase != Completed {
 		walked = append(walked, fmt.Sprintf("%s %d %g", r.Phase, r.Step, r.TargetShare()))
-		o := whole(r)
+		o := healthy(r)
 		o.NowMS += 40_000
 		if r.Phase == Retiring {
 			for _, id := range r.Plan.Old.Jobs {
@@ -137,10 +138,10 @@
 		{"wrong when complete", Completing, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
 		{"wrong once the old version goes", Retiring, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, "", ""},
 		{"wrong before the leader has settled", Baking, 1, func(o *Observation) { o.Reconciled, o.FailedCheck = false, "run-000011/1, check sum" }, RollingBack, WrongAnswer},
-		{"not proved while baking", Baking, 0, func(o *Observation) {
+		{"not validated while baking", Baking, 0, func(o *Observation) {
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2, Validated: 1}
 		}, Checking, ""},
-		{"not proved, leader not settled", Baking, 0, func(o *Observation) { o.Reconciled = false; o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2} }, "", ""},
+		{"not validated, leader not reconciled", Baking, 0, func(o *Observation) { o.Reconciled = false; o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2} }, "", ""},
 		{"not reached for too long", Checking, 0, func(o *Observation) {
 			o.NowMS += 31_000
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2}
@@ -149,8 +150,8 @@
 			o.NowMS, o.ClockErrorMS = o.NowMS+31_000, 1000
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2}
 		}, "", ""},
-		{"no room", Starting, 1, func(o *Observation) { o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2, Running: 1} }, "", ""},
-		{"no room for too long", Starting, 1, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2} }, RollingBack, TimedOut},
+		{"no capacity", Starting, 1, func(o *Observation) { o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2, Running: 1} }, "", ""},
+		{"no capacity for too long", Starting, 1, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2} }, RollingBack, TimedOut},
 		{"new job not submitted", Pending, 0, func(o *Observation) { o.Jobs["run-000011"] = Job{} }, "", ""},
 		{"new job never submitted", Pending, 0, func(o *Observation) { o.NowMS += 101_000; o.Jobs["run-000011"] = Job{} }, RollingBack, TimedOut},
 		{"new job cancelled by hand", Baking, 1, func(o *Observation) { o.Jobs["run-000012"] = Job{Accepted: true, Replicas: 2, Cancelled: true} }, RollingBack, NewCancelled},
@@ -159,12 +160,12 @@
 			o.Jobs["run-000001"] = Job{Accepted: true, Replicas: 2, Running: 1}
 		}, "", ""},
 		{"a router does not know", Shifting, 0, func(o *Observation) { o.RoutersCurrent = false }, "", ""},
-		{"not proved since all is shifted", Completing, 1, func(o *Observation) { o.Revalidated = false }, "", ""},
+		{"not validated since all is shifted", Completing, 1, func(o *Observation) { o.Revalidated = false }, "", ""},
 		{"a router does not know of the completion", Completing, 1, func(o *Observation) { o.RoutersMissing = true }, "", ""},
 		{"not baked", Baking, 1, func(o *Observation) { o.NowMS += 29_000 }, "", ""},
 	} {
 		r := follow(t, NewRecord(plan(t), 0), x.phase, x.step)
-		o := whole(r)
+		o := healthy(r)
 		x.fault(o)
 		next := r.Next(o)
 		switch {
@@ -179,7 +180,7 @@
 	r := NewRecord(plan(t), 0)
 	for _, phase := range []Phase{Pending, Starting, Checking, Shifting, Baking, Completing} {
 		r = follow(t, r, phase, r.Step)
-		if jobs := r.Cancels(whole(r)); len(jobs) > 0 {
+		if jobs := r.Cancels(healthy(r)); len(jobs) > 0 {
 			t.Errorf("%s cancels %v", phase, jobs)
 		}
 		if phase == Baking && r.Step == 0 {
@@ -199,14 +200,14 @@
 		{"a router does not", func(o *Observation) { o.RoutersCurrent = false }, 0},
 		{"the old version can't serve all", func(o *Observation) { o.NewServes = true }, 0},
 	} {
-		o := whole(back)
+		o := healthy(back)
 		x.change(o)
 		if jobs := back.Cancels(o); len(jobs) != x.want {
 			t.Errorf("rolling back, %s: %v are cancelled", x.name, jobs)
 		}
 	}
 	retiring := follow(t, r, Retiring, 1)
-	o := whole(retiring)
+	o := healthy(retiring)
 	if jobs := retiring.Cancels(o); len(jobs) != 2 || jobs[0] != "run-000001" {
 		t.Errorf("retiring cancels %v", jobs)
 	}
@@ -226,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := whole(paused)
+	o := healthy(paused)
 	o.NowMS += 500_000
 	if next := paused.Next(o); next != nil {
 		t.Errorf("a paused plan goes on: %+v", next)
@@ -279,7 +280,7 @@
 	p.Observe(old, ProbeResult{Verdict: Passed}, 0)
 	p.Observe(first, ProbeResult{Verdict: Passed}, 0)
 	if !p.Validated(first, 0) || !p.AllAnswered() || len(p.Due(500*time.Millisecond, 10)) > 0 {
-		t.Error("a right answer does not count, or is asked for again at once")
+		t.Error("a passed probe does not count, or is repeated at once")
 	}
 	if probes = p.Due(time.Second, 10); len(probes) != 2 || probes[1].Reference == nil {
 		t.Errorf("no old replica to compare with: %+v", probes)
