--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -1,5 +1,6 @@
-// Package rolling plays rollouts of models in a scale run: an owner who applies a plan by the command line and submits
-// the jobs, routers with load, and model servers that answer. It measures what users see of it.
+// Package rolling simulates rollouts of models in a fleet simulation: an owner who applies a plan with the command and submits
+// the jobs, routers with load, and model servers that respond. It measures what users see of it, and decides nothing about
+// the rollout: that is for the controllers.
 package rolling
 
 import (
@@ -11,7 +12,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Mode is how a model's new version comes in.
+// Mode is how a model's new version is brought into service.
 type Mode string
 
 // The modes. The last two are baselines: a plan of a single step, and the old jobs cancelled as the new ones are
@@ -41,11 +42,11 @@
 	Expect rollout.Phase `json:"expect,omitempty"`
 }
 
-// Wrong has replicas of the first new job answer wrongly.
+// Wrong has replicas of the first new job respond wrongly.
 type Wrong struct {
-	Phase  rollout.Phase `json:"phase"`   // from when it is seen
-	AfterS float64       `json:"after_s"` // and so much later
-	Every  int64         `json:"every"`   // of so many requests one
+	Phase  rollout.Phase `json:"phase"`   // from when this phase is seen
+	AfterS float64       `json:"after_s"` // and so many seconds later
+	Every  int64         `json:"every"`   // one of so many requests
 }
 
 // Partition cuts the first router off from all controllers.
@@ -54,7 +55,8 @@
 	ForS float64 `json:"for_s"`
 }
 
-// firstJob is the number of the first job of the first model, and jobsApart is how far those of two models, and of two versions, are apart.
+// firstJob is the number of the first job of the first model; modelsApart and versionsApart are how far the first jobs of two
+// models, and of two versions, are apart.
 const (
 	firstJob      = 900_000_000
 	modelsApart   = 10_000
@@ -74,12 +76,19 @@
 	return ids
 }
 
-// arrival gives a job as its owner submits it.
+// The resources of a replica.
+const (
+	cpusPerGPU     = 4
+	memoryGBPerGPU = 16
+	imageGB        = 2
+)
+
+// arrival gives a job as its owner submits it, with CPUs and memory in proportion to its GPUs.
 func (m *Model) arrival(id, team string, version rollout.Version) load.Arrival {
 	class := &load.Class{Name: m.Name, Kind: "service", Priority: "production", Tasks: m.Replicas, GPUs: m.GPUs}
 	return load.Arrival{Class: class, Job: &wire.Job{ID: id, Class: m.Name, Team: team, Kind: wire.KindService,
-		Priority: wire.PriorityProduction, Tasks: m.Replicas, CPUs: 4 * m.GPUs, GPUs: m.GPUs, MemoryGB: 16 * m.GPUs,
-		Image: m.Name + "-" + string(version), ImageGB: 2}}
+		Priority: wire.PriorityProduction, Tasks: m.Replicas, CPUs: cpusPerGPU * m.GPUs, GPUs: m.GPUs, MemoryGB: memoryGBPerGPU * m.GPUs,
+		Image: m.Name + "-" + string(version), ImageGB: imageGB}}
 }
 
 // compareScript compares the text of a completion.
@@ -92,9 +101,9 @@
     return answer["choices"][0]["text"] == expected
 `
 
-// plan gives the plan of a model. By steps a job comes in at a time, with its part of the traffic.
+// plan gives the plan of a model. In steps, one job comes into service at a time, with its share of the traffic.
 func (m *Model) plan(model int, team string) ([]byte, error) {
-	p := rollout.Plan{Name: m.Name, Team: team, PromisedCapacity: m.Promised,
+	plan := rollout.Plan{Name: m.Name, Team: team, PromisedCapacity: m.Promised,
 		Old: rollout.Fleet{Jobs: m.jobIDs(model, rollout.OldVersion), ReplicaCapacity: m.ReplicaCapacity},
 		New: rollout.Fleet{Jobs: m.jobIDs(model, rollout.NewVersion), ReplicaCapacity: m.ReplicaCapacity},
 		Checks: []rollout.Check{
@@ -102,11 +111,11 @@
 			{Name: "as before", Request: json.RawMessage(`{"model":"m","prompt":"goods code"}`), CompareWithOld: true, Script: compareScript}},
 		Limits: rollout.Limits{WaitS: 120, UnreachableS: 60, RouterGoneS: 30, KeepS: 3600}}
 	if m.Mode == AtOnce {
-		p.Steps = []rollout.Step{{Jobs: p.New.Jobs, Share: 1, BakeS: m.BakeS}}
-		return json.Marshal(p)
+		plan.Steps = []rollout.Step{{Jobs: plan.New.Jobs, Share: 1, BakeS: m.BakeS}}
+		return json.Marshal(plan)
 	}
-	for i, id := range p.New.Jobs {
-		p.Steps = append(p.Steps, rollout.Step{Jobs: []string{id}, Share: float64(i+1) / float64(m.Jobs), BakeS: m.BakeS})
+	for i, id := range plan.New.Jobs {
+		plan.Steps = append(plan.Steps, rollout.Step{Jobs: []string{id}, Share: float64(i+1) / float64(m.Jobs), BakeS: m.BakeS})
 	}
-	return json.Marshal(p)
+	return json.Marshal(plan)
 }
--- a/internal/fleetsim/rolling/rollout.go
+++ b/internal/fleetsim/rolling/rollout.go
@@ -19,26 +19,27 @@
 	"bitternwing/internal/simworker"
 )
 
-// Environment is what models are played in.
+// Environment is the simulation around the rollouts.
 type Environment struct {
-	Binary      string   // of the product, for its commands
+	Binary      string   // of the controllers, for its commands
 	Dir         string   // for plans
 	Controllers []string // internal addresses
 	Teams       []string
 	Fleet       *simworker.Fleet
 	Now         func() time.Duration
-	Submit      func(ctx context.Context, a load.Arrival) // has a user submit a job and follow it
-	Cancel      func(ctx context.Context, id string)      // has a user cancel it
+	Submit      func(ctx context.Context, a load.Arrival) // submits a job as a user does, and polls it
+	Cancel      func(ctx context.Context, id string)      // cancels it as a user does
 }
 
-// The intervals of what is played and measured.
+// The intervals of routers and samples, and the time for a command.
 const (
 	routerInterval = 500 * time.Millisecond
 	sampleInterval = 200 * time.Millisecond
 	commandTimeout = time.Minute
+	statusTimeout  = 2 * time.Second
 )
 
-// Rollout is the rollout of a model while it is played.
+// Rollout is the rollout of a model while it is simulated.
 type Rollout struct {
 	model       Model
 	index       int
@@ -51,92 +52,92 @@
 	mu         sync.Mutex
 	status     *operatorpb.PlanStatus // as last seen
 	statusAt   time.Duration
-	wrongFrom  time.Duration // 0: nothing is wrong yet
+	wrongFrom  time.Duration // 0: no response is wrong yet
 	rollbackAt time.Duration // when it was first seen to roll back
 	result     Result
 	requests   requestCounts
 }
 
-// New prepares the rollout of a model, with a number among all models of the run.
+// New prepares the rollout of a model, with an index among all models of the simulation.
 func New(model Model, index int, world *Environment) (*Rollout, error) {
-	p := &Rollout{model: model, index: index, team: world.Teams[index%len(world.Teams)], environment: world,
+	r := &Rollout{model: model, index: index, team: world.Teams[index%len(world.Teams)], environment: world,
 		old: model.jobIDs(index, rollout.OldVersion), new: model.jobIDs(index, rollout.NewVersion)}
 	var err error
-	if p.operator, err = adminapi.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
+	if r.operator, err = adminapi.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
 		return nil, err
 	}
 	if model.Mode == Replace {
-		return p, nil
+		return r, nil
 	}
 	for i := range model.Routers {
-		r, err := simrouter.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, world.Controllers, routerInterval)
+		router, err := simrouter.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, world.Controllers, routerInterval)
 		if err != nil {
 			return nil, err
 		}
-		p.routers = append(p.routers, r)
+		r.routers = append(r.routers, router)
 	}
-	return p, nil
+	return r, nil
 }
 
-// Run plays the rollout until the context ends.
-func (p *Rollout) Run(ctx context.Context) {
+// Run simulates the rollout until the context ends.
+func (r *Rollout) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	background := func(f func(context.Context)) {
 		running.Add(1)
 		go func() { defer running.Done(); f(ctx) }()
 	}
-	for _, id := range p.old {
-		p.environment.Submit(ctx, p.model.arrival(id, p.team, rollout.OldVersion))
+	for _, id := range r.old {
+		r.environment.Submit(ctx, r.model.arrival(id, r.team, rollout.OldVersion))
 	}
-	p.sleepUntil(ctx, config.Seconds(p.model.AtS))
-	if p.model.Mode == Replace {
-		p.replace(ctx)
+	r.sleepUntil(ctx, config.Seconds(r.model.AtS))
+	if r.model.Mode == Replace {
+		r.replace(ctx)
 	} else {
-		p.apply(ctx)
-		for _, r := range p.routers {
-			background(r.Run)
+		r.apply(ctx)
+		for _, router := range r.routers {
+			background(router.Run)
 		}
-		background(p.sendLoad)
-		background(p.partitionRouter)
+		background(r.sendLoad)
+		background(r.partitionRouter)
 	}
-	p.sampleUntilDone(ctx)
-	for _, r := range p.routers {
-		defer r.Close()
+	r.sampleUntilDone(ctx)
+	for _, router := range r.routers {
+		defer router.Close()
 	}
-	_ = p.operator.Close()
+	_ = r.operator.Close()
 }
 
-// sleepUntil waits for a moment of the run.
-func (p *Rollout) sleepUntil(ctx context.Context, moment time.Duration) {
+// sleepUntil waits until a time after the start.
+func (r *Rollout) sleepUntil(ctx context.Context, moment time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(moment - p.environment.Now()):
+	case <-time.After(moment - r.environment.Now()):
 	}
 }
 
-// apply has the owner apply the plan by the command, and submit the new jobs.
-func (p *Rollout) apply(ctx context.Context) {
-	plan, err := p.model.plan(p.index, p.team)
-	file := filepath.Join(p.environment.Dir, p.model.Name+".plan.json")
+// apply applies the plan with the command, and submits the new jobs.
+func (r *Rollout) apply(ctx context.Context) {
+	plan, err := r.model.plan(r.index, r.team)
+	file := filepath.Join(r.environment.Dir, r.model.Name+".plan.json")
 	if err == nil {
 		err = os.WriteFile(file, plan, 0o600)
 	}
 	if err == nil {
-		err = p.command(ctx, "apply", file)
+		err = r.command(ctx, "apply", file)
 	}
-	p.recordEvent("plan applied", err)
-	for _, id := range p.new {
-		p.environment.Submit(ctx, p.model.arrival(id, p.team, rollout.NewVersion))
+	r.recordEvent("plan applied", err)
+	for _, id := range r.new {
+		r.environment.Submit(ctx, r.model.arrival(id, r.team, rollout.NewVersion))
 	}
 }
 
-// command runs a command for rollouts, as operators do.
-func (p *Rollout) command(ctx context.Context, args ...string) error {
+// command runs a rollout command, as operators do.
+func (r *Rollout) command(ctx context.Context, args ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	args = append([]string{"rollout"}, args...)
-	out, err := exec.CommandContext(ctx, p.environment.Binary, append(args, "--controller", p.environment.Controllers[p.index%len(p.environment.Controllers)])...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, r.environment.Binary, append(args, "--controller", r.environment.Controllers[r.index%len(r.environment.Controllers)])...).CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(out)))
 	}
@@ -144,96 +145,96 @@
 }
 
 // replace cancels the old jobs as it submits the new ones.
-func (p *Rollout) replace(ctx context.Context) {
-	p.recordEvent("old jobs cancelled, new ones submitted", nil)
-	for i := range p.old {
-		go p.environment.Cancel(ctx, p.old[i])
-		p.environment.Submit(ctx, p.model.arrival(p.new[i], p.team, rollout.NewVersion))
+func (r *Rollout) replace(ctx context.Context) {
+	r.recordEvent("old jobs cancelled, new ones submitted", nil)
+	for i := range r.old {
+		go r.environment.Cancel(ctx, r.old[i])
+		r.environment.Submit(ctx, r.model.arrival(r.new[i], r.team, rollout.NewVersion))
 	}
 }
 
-// partitionRouter cuts the first router off for a while.
-func (p *Rollout) partitionRouter(ctx context.Context) {
-	cut := p.model.RouterPartition
-	if cut == nil {
+// partitionRouter partitions the first router from all controllers for a while.
+func (r *Rollout) partitionRouter(ctx context.Context) {
+	partition := r.model.RouterPartition
+	if partition == nil {
 		return
 	}
-	p.sleepUntil(ctx, config.Seconds(cut.AtS))
-	p.routers[0].SetPartitioned(true)
-	p.recordEvent("router cut off", nil)
-	p.sleepUntil(ctx, config.Seconds(cut.AtS+cut.ForS))
-	p.routers[0].SetPartitioned(false)
-	p.recordEvent("router back", nil)
+	r.sleepUntil(ctx, config.Seconds(partition.AtS))
+	r.routers[0].SetPartitioned(true)
+	r.recordEvent("router cut off", nil)
+	r.sleepUntil(ctx, config.Seconds(partition.AtS+partition.ForS))
+	r.routers[0].SetPartitioned(false)
+	r.recordEvent("router back", nil)
 }
 
-// recordEvent keeps an event.
-func (p *Rollout) recordEvent(what string, err error) {
+// recordEvent records an event, with its error.
+func (r *Rollout) recordEvent(what string, err error) {
 	if err != nil {
 		what += ": " + err.Error()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.result.Events = append(p.result.Events, Event{AtS: p.environment.Now().Seconds(), What: what})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Events = append(r.result.Events, Event{AtS: r.environment.Now().Seconds(), What: what})
 }
 
-// IsWrong tells whether a task answers a request wrongly now.
-func (p *Rollout) IsWrong(task string, request int64) bool {
-	w := p.model.Wrong
-	if w == nil || !strings.HasPrefix(task, p.new[0]+"/") || request%w.Every != 0 {
+// IsWrong tells whether a task responds wrongly to a request now.
+func (r *Rollout) IsWrong(task string, request int64) bool {
+	wrong := r.model.Wrong
+	if wrong == nil || !strings.HasPrefix(task, r.new[0]+"/") || request%wrong.Every != 0 {
 		return false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.wrongFrom > 0 && p.environment.Now() >= p.wrongFrom
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.wrongFrom > 0 && r.environment.Now() >= r.wrongFrom
 }
 
 // sampleUntilDone takes samples until the context ends.
-func (p *Rollout) sampleUntilDone(ctx context.Context) {
+func (r *Rollout) sampleUntilDone(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
-	asking := make(chan struct{}, 1)
+	refreshing := make(chan struct{}, 1)
 	for {
 		select {
 		case <-ctx.Done():
-			p.summarize()
+			r.summarize()
 			return
 		case <-ticker.C:
 		}
-		if p.model.Mode != Replace {
+		if r.model.Mode != Replace {
 			select {
-			case asking <- struct{}{}:
-				go func() { p.refreshStatus(ctx); <-asking }()
-			default: // the last question has no answer yet
+			case refreshing <- struct{}{}:
+				go func() { r.refreshStatus(ctx); <-refreshing }()
+			default: // the last request has no response yet
 			}
 		}
-		p.sample()
+		r.sample()
 	}
 }
 
-// refreshStatus asks how the plan stands.
-func (p *Rollout) refreshStatus(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+// refreshStatus requests the status of the plan.
+func (r *Rollout) refreshStatus(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	status, err := p.operator.Show(ctx, p.model.Name)
+	status, err := r.operator.Show(ctx, r.model.Name)
 	if err != nil {
 		return
 	}
-	now := p.environment.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.status == nil || p.status.GetPhase() != status.GetPhase() || p.status.GetStep() != status.GetStep() {
+	now := r.environment.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.status == nil || r.status.GetPhase() != status.GetPhase() || r.status.GetStep() != status.GetStep() {
 		what := fmt.Sprintf("%s, step %d", status.GetPhase(), status.GetStep())
 		if status.GetReason() != "" {
 			what += ": " + status.GetReason() + " " + status.GetDetail()
 		}
-		p.result.Events = append(p.result.Events, Event{AtS: now.Seconds(), What: what})
+		r.result.Events = append(r.result.Events, Event{AtS: now.Seconds(), What: what})
 	}
-	p.status, p.statusAt = status, now
+	r.status, r.statusAt = status, now
 	phase := rollout.Phase(status.GetPhase())
-	if w := p.model.Wrong; w != nil && p.wrongFrom == 0 && phase == w.Phase {
-		p.wrongFrom = now + config.Seconds(w.AfterS)
+	if wrong := r.model.Wrong; wrong != nil && r.wrongFrom == 0 && phase == wrong.Phase {
+		r.wrongFrom = now + config.Seconds(wrong.AfterS)
 	}
-	if phase == rollout.RollingBack && p.rollbackAt == 0 {
-		p.rollbackAt = now
+	if phase == rollout.RollingBack && r.rollbackAt == 0 {
+		r.rollbackAt = now
 	}
 }
--- a/internal/simmodelserver/server.go
+++ b/internal/simmodelserver/server.go
@@ -1,6 +1,6 @@
-// Package simmodelserver is a stand-in of the model servers on the workers' machines: it serves the tasks that run there
-// with the usual form of completions, and answers wrongly or not at all when it is told to. It computes nothing: the
-// answer to a prompt is the prompt in capitals.
+// Package simmodelserver simulates the model servers on the workers' machines, for tests and fleet simulations: it serves the
+// tasks that run there with the usual form of completions, and responds wrongly on demand. It runs no model: the completion of a
+// prompt is the prompt in capitals.
 package simmodelserver
 
 import (
@@ -16,7 +16,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Machines tells what runs where.
+// Machines tells which tasks run on which machines.
 type Machines interface {
 	// Serves tells whether a task runs on the machine with an address.
 	Serves(host, task string) bool
@@ -33,7 +33,7 @@
 	requests atomic.Int64
 }
 
-// Completion is the answer to a request.
+// Completion is the response to a request.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -46,7 +46,7 @@
 	Text  string `json:"text"`
 }
 
-// Request is what a completion is asked for with.
+// Request is the request of a completion.
 type Request struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
@@ -66,16 +66,20 @@
 // Close ends the server.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetWrong says which tasks answer wrongly from now on, by the number of the request; nil: none.
+// SetWrong says which tasks respond wrongly from now on, by the number of the request; nil: none.
 func (s *Server) SetWrong(wrong func(task string, request int64) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wrong = wrong
 }
 
-// ExpectedText gives the right completion of a prompt.
+// ExpectedText is the right completion of a prompt.
 func ExpectedText(prompt string) string { return strings.ToUpper(prompt) }
 
+// WrongText is the completion of a prompt by a task that responds wrongly.
+func WrongText(prompt string) string { return "?" + ExpectedText(prompt) }
+
+// serve serves the health and the completions of a task.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
@@ -100,26 +104,29 @@
 	}
 }
 
+// complete completes the prompt of a request.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, task string) {
-	var q Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxBody)).Decode(&q); err != nil {
+	var request Request
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxBody)).Decode(&request); err != nil {
 		http.Error(w, "no request", http.StatusBadRequest)
 		return
 	}
-	n := s.requests.Add(1)
-	text := ExpectedText(q.Prompt)
-	if s.isWrong(task, n) {
-		text = "?" + text
+	number := s.requests.Add(1)
+	text := ExpectedText(request.Prompt)
+	if s.isWrong(task, number) {
+		text = WrongText(request.Prompt)
 	}
-	answer, err := json.Marshal(Completion{ID: "cmpl-" + strconv.FormatInt(n, 10), Object: "text_completion", Choices: []Choice{{Text: text}}})
+	completion := Completion{ID: "cmpl-" + strconv.FormatInt(number, 10), Object: "text_completion", Choices: []Choice{{Text: text}}}
+	data, err := json.Marshal(completion)
 	if err != nil {
 		http.Error(w, "internal", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(answer) // who has gone away learns nothing
+	_, _ = w.Write(data) // nobody is left to tell when the client has gone away
 }
 
+// isWrong tells whether a task responds wrongly to a request.
 func (s *Server) isWrong(task string, request int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
