--- a/internal/fleetsim/load/generator.go
+++ b/internal/fleetsim/load/generator.go
@@ -1,4 +1,4 @@
-// Package load makes the jobs of a scale run and submits, asks about and cancels them as users do.
+// Package load generates the jobs of a fleet simulation, and submits, polls and cancels them as users do.
 package load
 
 import (
@@ -14,15 +14,15 @@
 	"bitternwing/internal/wire"
 )
 
-// Class is a class of jobs that are alike.
+// Class is a class of like jobs.
 type Class struct {
 	Name string `json:"name"`
 	// Kind is array or service.
 	Kind string `json:"kind"`
 	// Priority is production, high, standard or idle.
 	Priority string `json:"priority"`
-	// Share is the part of all starts a second that are tasks of this class; AtStart is how many jobs of
-	// it are submitted at once at the start.
+	// Share is the share of this class's tasks in all starts a second; AtStart is how many of its jobs
+	// are submitted at once at the start.
 	Share       float64 `json:"share"`
 	AtStart     int     `json:"at_start"`
 	Tasks       int     `json:"tasks"`
@@ -47,14 +47,14 @@
 	return priorities[c.Priority].Rank() >= wire.PriorityHigh.Rank()
 }
 
-// Arrival is a job and when its user submits it.
+// Arrival is a job and the time of its submission.
 type Arrival struct {
 	SubmitAt time.Duration
 	Class    *Class
 	Job      *wire.Job
 }
 
-// Generator makes the same jobs for the same seed.
+// Generator generates jobs, the same ones for the same seed.
 type Generator struct {
 	random      *rand.Rand
 	classes     []Class
@@ -65,28 +65,34 @@
 	tasks       atomic.Int64
 }
 
-// firstJob is the number of the first job.
+// firstJob is the number before that of the first job.
 const firstJob = 1_000_000
 
-// NewGenerator makes a generator of jobs from a time on, at so many starts a second.
+// arrivalStream is the stream of random numbers for arrivals.
+const arrivalStream = 1
+
+// NewGenerator makes a generator of jobs from a time on, at a rate of starts.
 func NewGenerator(seed uint64, classes []Class, teams []string, startsPerS float64, from time.Duration) *Generator {
-	g := &Generator{random: rand.New(rand.NewPCG(seed, 1)), classes: classes, teams: teams, startsPerS: startsPerS}
+	g := &Generator{random: rand.New(rand.NewPCG(seed, arrivalStream)), classes: classes, teams: teams, startsPerS: startsPerS}
 	for i := range classes {
 		g.nextArrival = append(g.nextArrival, from+g.nextGap(&classes[i]))
 	}
 	return g
 }
 
+// farFuture is beyond the end of any simulation.
+const farFuture = time.Duration(math.MaxInt64 / 2)
+
 // nextGap is the time to a class's next job.
-func (g *Generator) nextGap(c *Class) time.Duration {
-	perSecond := g.startsPerS * c.Share / float64(c.Tasks)
+func (g *Generator) nextGap(class *Class) time.Duration {
+	perSecond := g.startsPerS * class.Share / float64(class.Tasks)
 	if perSecond <= 0 {
-		return math.MaxInt64 / 2
+		return farFuture
 	}
 	return config.Seconds(g.random.ExpFloat64() / perSecond)
 }
 
-// AtStart gives the jobs that are there at the start.
+// AtStart gives the jobs that are submitted at the start.
 func (g *Generator) AtStart(at time.Duration) []Arrival {
 	var all []Arrival
 	for i := range g.classes {
@@ -97,14 +103,14 @@
 	return all
 }
 
-// Until gives the jobs that come until a time, in order.
+// Until gives the jobs that arrive until a time, in order.
 func (g *Generator) Until(end time.Duration) []Arrival {
 	var all []Arrival
 	for i := range g.classes {
-		c := &g.classes[i]
+		class := &g.classes[i]
 		for g.nextArrival[i] <= end {
-			all = append(all, Arrival{g.nextArrival[i], c, g.job(c)})
-			g.nextArrival[i] += g.nextGap(c)
+			all = append(all, Arrival{g.nextArrival[i], class, g.job(class)})
+			g.nextArrival[i] += g.nextGap(class)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.SubmitAt, b.SubmitAt) })
@@ -114,18 +120,28 @@
 // Tasks counts the tasks of all jobs so far.
 func (g *Generator) Tasks() int64 { return g.tasks.Load() }
 
-func (g *Generator) job(c *Class) *wire.Job {
+// job generates a job of a class.
+func (g *Generator) job(class *Class) *wire.Job {
 	g.created++
-	g.tasks.Add(int64(c.Tasks))
-	j := &wire.Job{
-		ID: fmt.Sprintf("run-%09d", firstJob+g.created), Class: c.Name, Team: g.teams[g.random.IntN(len(g.teams))],
-		Kind: kinds[c.Kind], Priority: priorities[c.Priority], Tasks: c.Tasks,
-		CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB,
-		Image: fmt.Sprintf("%s-%02d", c.Name, g.random.IntN(max(1, c.Images))), ImageGB: c.ImageGB,
-		SingleZone: c.OneZone, SpreadZones: c.Spread, CheckpointIntervalS: c.CheckpointS,
+	g.tasks.Add(int64(class.Tasks))
+	job := &wire.Job{
+		ID:                  fmt.Sprintf("run-%09d", firstJob+g.created),
+		Class:               class.Name,
+		Team:                g.teams[g.random.IntN(len(g.teams))],
+		Kind:                kinds[class.Kind],
+		Priority:            priorities[class.Priority],
+		Tasks:               class.Tasks,
+		CPUs:                class.CPUs,
+		GPUs:                class.GPUs,
+		MemoryGB:            class.MemoryGB,
+		Image:               fmt.Sprintf("%s-%02d", class.Name, g.random.IntN(max(1, class.Images))),
+		ImageGB:             class.ImageGB,
+		SingleZone:          class.OneZone,
+		SpreadZones:         class.Spread,
+		CheckpointIntervalS: class.CheckpointS,
 	}
-	if j.Kind == wire.KindArray {
-		j.EstimatedRunS = c.RunS
+	if job.Kind == wire.KindArray {
+		job.EstimatedRunS = class.RunS
 	}
-	return j
+	return job
 }
--- a/internal/fleetsim/load/run_time.go
+++ b/internal/fleetsim/load/run_time.go
@@ -9,13 +9,13 @@
 	"bitternwing/internal/wire"
 )
 
-// Completions tells which tasks have completed on some machine.
+// Completions gives the submitted jobs, and tells which tasks have completed.
 type Completions interface {
 	Completed(job string, task int) bool
 	Job(id string) *wire.Job
 }
 
-// Uploads is what workers fetch of the jobs that users have uploaded.
+// Uploads are the jobs that users have uploaded, as workers see them.
 type Uploads struct{ Completions }
 
 // runTimeSpread is by how much a task's run time differs from its class's, both ways.
@@ -29,8 +29,8 @@
 	if u.Completed(job.ID, task) {
 		return 0
 	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(wire.TaskName(job.ID, task))) // a hash takes all
-	part := float64(h.Sum32()) / (1 << 32)
-	return config.Seconds(job.EstimatedRunS * (1 - runTimeSpread + 2*runTimeSpread*part))
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(wire.TaskName(job.ID, task))) // a hash takes all
+	fraction := float64(hash.Sum32()) / (1 << 32)
+	return config.Seconds(job.EstimatedRunS * (1 - runTimeSpread + 2*runTimeSpread*fraction))
 }
--- a/internal/fleetsim/load/transport.go
+++ b/internal/fleetsim/load/transport.go
@@ -10,14 +10,14 @@
 	"bitternwing/internal/wire"
 )
 
-// countingTransport counts requests and answers by the controller that they go to.
+// countingTransport counts requests and responses by the controller that they go to.
 type countingTransport struct {
 	traffic Traffic
 	names   map[string]string // of the controllers, by address
 	next    http.RoundTripper
 }
 
-// RoundTrip makes a request.
+// RoundTrip implements http.RoundTripper.
 func (t *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
@@ -29,6 +29,7 @@
 	return resp, nil
 }
 
+// kindOf tells the kind of a request.
 func kindOf(r *http.Request) simworker.MessageKind {
 	switch {
 	case r.Method == http.MethodGet:
@@ -39,7 +40,7 @@
 	return measure.KindSubmit
 }
 
-// countingBody counts the bytes of an answer, and tells when it is closed.
+// countingBody counts the bytes of a response, and calls ended when it is closed.
 type countingBody struct {
 	io.ReadCloser
 	bytes int
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -22,10 +22,10 @@
 	cancelTimeout = 2 * time.Minute
 )
 
-// maxConcurrentRequests bounds the users that wait for an answer.
+// maxConcurrentRequests bounds the requests of all users at a time.
 const maxConcurrentRequests = 512
 
-// Ledger is told what users did and were told.
+// Ledger records what users submit, and the responses that they get.
 type Ledger interface {
 	RecordSubmission(job *wire.Job)
 	RecordAccepted(id string)
@@ -33,12 +33,12 @@
 	RecordNotFound(id string)
 }
 
-// Traffic counts users' messages.
+// Traffic counts the messages of users.
 type Traffic interface {
 	Count(controller string, kind simworker.MessageKind, received, sent int)
 }
 
-// Users submit jobs, ask about them until they are over, and cancel services in the end. They reach the
+// Users submit jobs, poll them until they have ended, and cancel services in the end. They reach the
 // controllers in turn, as through a load balancer that knows which are healthy.
 type Users struct {
 	ledger  Ledger
@@ -46,7 +46,7 @@
 	slots   chan struct{}
 	running sync.WaitGroup
 
-	// SubmitTimes are from the first try of a submission to its answer.
+	// SubmitTimes are from the first attempt of a submission to its response.
 	SubmitTimes *measure.Histogram
 	Submitted   atomic.Int64
 	Accepted    atomic.Int64
@@ -56,7 +56,7 @@
 	Cancelled   atomic.Int64
 }
 
-// NewUsers makes users of controllers at addresses.
+// NewUsers makes users of controllers at addresses; names are those of the controllers by address.
 func NewUsers(addresses []string, ledger Ledger, traffic Traffic, names map[string]string) *Users {
 	transport := &countingTransport{traffic: traffic, names: names, next: &http.Transport{
 		MaxIdleConnsPerHost: maxConcurrentRequests, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
@@ -64,44 +64,45 @@
 		SubmitTimes: measure.NewHistogram()}
 }
 
-// Start has a user submit a job and follow it, in the background, until the context ends.
-func (u *Users) Start(ctx context.Context, a Arrival) {
-	u.ledger.RecordSubmission(a.Job)
+// Start has a user submit a job and follow it in the background, until the context ends.
+func (u *Users) Start(ctx context.Context, arrival Arrival) {
+	u.ledger.RecordSubmission(arrival.Job)
 	u.Submitted.Add(1)
 	u.running.Add(1)
 	go func() {
 		defer u.running.Done()
-		u.followJob(ctx, a)
+		u.followJob(ctx, arrival)
 	}()
 }
 
 // Wait waits for all users. Their context has to have ended.
 func (u *Users) Wait() { u.running.Wait() }
 
-func (u *Users) followJob(ctx context.Context, a Arrival) {
-	if !u.submit(ctx, a.Job) {
+// followJob submits a job, and polls it until it has ended or is to be cancelled.
+func (u *Users) followJob(ctx context.Context, arrival Arrival) {
+	if !u.submit(ctx, arrival.Job) {
 		return
 	}
 	var cancelAt <-chan time.Time
-	if a.Job.Kind == wire.KindService && a.Class.RunS > 0 {
-		cancelAt = time.After(config.Seconds(a.Class.RunS))
+	if arrival.Job.Kind == wire.KindService && arrival.Class.RunS > 0 {
+		cancelAt = time.After(config.Seconds(arrival.Class.RunS))
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-cancelAt:
-			u.Cancel(ctx, a.Job.ID)
+			u.Cancel(ctx, arrival.Job.ID)
 			return
 		case <-time.After(pollInterval):
-			if u.poll(ctx, a.Job.ID) {
+			if u.poll(ctx, arrival.Job.ID) {
 				return
 			}
 		}
 	}
 }
 
-// submit hands a job in; true if it was accepted.
+// submit submits a job; true if it was accepted.
 func (u *Users) submit(ctx context.Context, job *wire.Job) bool {
 	body, err := job.Submission()
 	if err != nil {
@@ -126,7 +127,7 @@
 	return false
 }
 
-// poll asks about a job; true if it is over.
+// poll requests the state of a job; true if it has ended.
 func (u *Users) poll(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
@@ -152,7 +153,7 @@
 	}
 }
 
-// countFinal counts final states.
+// countFinal counts final states; false for others.
 func (u *Users) countFinal(state wire.JobStatus) bool {
 	switch state {
 	case wire.JobDone:
@@ -166,13 +167,13 @@
 	return false
 }
 
-// withSlot waits for its turn among all users.
-func (u *Users) withSlot(ctx context.Context, f func() (wire.JobState, error)) (wire.JobState, error) {
+// withSlot makes a request once fewer than maxConcurrentRequests are under way.
+func (u *Users) withSlot(ctx context.Context, request func() (wire.JobState, error)) (wire.JobState, error) {
 	select {
 	case u.slots <- struct{}{}:
 	case <-ctx.Done():
 		return wire.JobState{}, ctx.Err()
 	}
 	defer func() { <-u.slots }()
-	return f()
+	return request()
 }
--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -18,7 +18,7 @@
 	values *hdrhistogram.Histogram
 }
 
-// NewHistogram makes an empty one.
+// NewHistogram makes an empty histogram.
 func NewHistogram() *Histogram {
 	return &Histogram{values: hdrhistogram.New(1, maxMilliseconds, significantDigits)}
 }
@@ -33,7 +33,7 @@
 	_ = h.values.RecordValue(min(max(v, 0), maxMilliseconds)) // within its range
 }
 
-// Summary is what a histogram comes to.
+// Summary summarizes a histogram.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
--- a/internal/fleetsim/measure/traffic.go
+++ b/internal/fleetsim/measure/traffic.go
@@ -1,4 +1,4 @@
-// Package measure counts messages, samples processes and keeps histograms of a scale run.
+// Package measure counts messages, samples the resource usage of processes and keeps histograms for a fleet simulation.
 package measure
 
 import (
@@ -7,8 +7,8 @@
 	"bitternwing/internal/simworker"
 )
 
-// The kinds of messages beside those of the workers. Those to the state service and the cloud are named
-// by what they ask for.
+// The kinds of messages beside those of the workers. Those to the key-value store and the cloud are named
+// by their method and resource.
 const (
 	KindPeer   simworker.MessageKind = "peer"
 	KindSubmit simworker.MessageKind = "submit"
@@ -29,10 +29,10 @@
 	counts map[string]map[simworker.MessageKind]Count
 }
 
-// NewTraffic makes a count of nothing.
+// NewTraffic makes an empty count.
 func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[simworker.MessageKind]Count{}} }
 
-// Count counts a message and its answer.
+// Count counts a message and its response.
 func (t *Traffic) Count(controller string, kind simworker.MessageKind, received, sent int) {
 	t.add(controller, kind, Count{1, int64(received), int64(sent)})
 }
--- a/internal/fleetsim/rules/ledger.go
+++ b/internal/fleetsim/rules/ledger.go
@@ -1,6 +1,6 @@
-// Package rules checks what workers and users see against the rules of the protocol: a task on two
-// machines, a task of a cancelled job after its time, a team beyond its limit, an accepted job that is
-// unknown, a job that is called done too early.
+// Package rules checks what workers and users see against the rules of the protocol: no task on two machines, no task of a
+// cancelled job after its deadline, no team beyond its limit, no accepted job that is unknown, no job that is reported as done
+// too early. It only observes the simulated workers and users, and knows nothing of the controllers' state.
 package rules
 
 import (
@@ -24,7 +24,7 @@
 	NotDone      Rule = "not_done"
 )
 
-// Violation is a broken rule, with the message that shows it.
+// Violation is the violation of a rule, with the evidence.
 type Violation struct {
 	Rule    Rule    `json:"rule"`
 	AtS     float64 `json:"at_s"`
@@ -34,10 +34,10 @@
 // maxViolations bounds the violations that are kept.
 const maxViolations = 100
 
-// tolerance is what amounts may be off by after adding and subtracting.
+// tolerance is the rounding error of amounts after adding and subtracting.
 const tolerance = 1e-6
 
-// Ledger knows where each task is and what users were told.
+// Ledger records where each task is, and the responses to users.
 type Ledger struct {
 	cancelTime time.Duration
 	now        func() time.Duration
@@ -49,10 +49,10 @@
 	violations []Violation
 }
 
-// amount is what a team's tasks use.
+// amount is the usage of a team.
 type amount struct{ gpus, cpus float64 }
 
-// job is what is known of a job.
+// job is the record of a job.
 type job struct {
 	spec               *wire.Job
 	accepted           bool
@@ -63,31 +63,31 @@
 	done               map[int]bool
 }
 
-// NewLedger makes a ledger with a clock. Cancelled jobs have cancelTime to be gone.
+// NewLedger makes a ledger with a clock. After an acknowledged cancellation, all tasks have to end within cancelTime.
 func NewLedger(teams []config.Team, cancelTime time.Duration, now func() time.Duration) *Ledger {
 	l := &Ledger{cancelTime: cancelTime, now: now, teams: map[string]config.Team{}, jobs: map[string]*job{}, used: map[string]*amount{}}
-	for _, t := range teams {
-		l.teams[t.Name] = t
-		l.used[t.Name] = &amount{}
+	for _, team := range teams {
+		l.teams[team.Name] = team
+		l.used[team.Name] = &amount{}
 	}
 	return l
 }
 
-// RecordSubmission notes a job before it is handed in.
+// RecordSubmission records a job before it is submitted.
 func (l *Ledger) RecordSubmission(spec *wire.Job) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[spec.ID] = &job{spec: spec, machines: map[int]string{}, done: map[int]bool{}}
 }
 
-// RecordAccepted notes that a user was told that a job is accepted.
+// RecordAccepted records that a submission was acknowledged.
 func (l *Ledger) RecordAccepted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[id].accepted = true
 }
 
-// RecordStatus checks a state that a user was told of a job.
+// RecordStatus records and checks the status of a job in a response to its user.
 func (l *Ledger) RecordStatus(id string, state wire.JobStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// RecordNotFound checks an answer to a user that there is no such job.
+// RecordNotFound checks a response to a user that there is no such job.
 func (l *Ledger) RecordNotFound(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	l.checkLimit(j)
 }
 
-// TaskEnds notes that a task is on a machine no longer; done if it completed.
+// TaskEnds records that a task is on a machine no longer; done if it completed.
 func (l *Ledger) TaskEnds(machine, task string, done bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// CheckCancelled checks that cancelled jobs are gone in time. It is called now and then.
+// CheckCancelled checks that cancelled jobs have ended in time. It is called regularly.
 func (l *Ledger) CheckCancelled() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,11 +188,12 @@
 	return append([]Violation(nil), l.violations...)
 }
 
-// cancelOverdue tells whether nothing of a job may be on a machine any more.
+// cancelOverdue tells whether no task of a job may be on a machine any more.
 func (l *Ledger) cancelOverdue(j *job) bool {
 	return j.cancelAcknowledged && l.now() > j.cancelledAt+l.cancelTime
 }
 
+// find gives the job of a task, and the task's index; nil: there is none.
 func (l *Ledger) find(task string) (*job, int) {
 	id, index, ok := wire.ParseTaskName(task)
 	if !ok {
@@ -201,20 +202,22 @@
 	return l.jobs[id], index
 }
 
+// addUsage adds a number of tasks to the usage of their team.
 func (l *Ledger) addUsage(j *job, tasks float64) {
-	u := l.used[j.spec.Team]
-	u.gpus += tasks * j.spec.GPUs
-	u.cpus += tasks * j.spec.CPUs
+	used := l.used[j.spec.Team]
+	used.gpus += tasks * j.spec.GPUs
+	used.cpus += tasks * j.spec.CPUs
 }
 
+// checkLimit checks the usage of a job's team.
 func (l *Ledger) checkLimit(j *job) {
-	t, u := l.teams[j.spec.Team], l.used[j.spec.Team]
-	if t.MaxGPUs > 0 && u.gpus > t.MaxGPUs+tolerance || t.MaxCPUs > 0 && u.cpus > t.MaxCPUs+tolerance {
-		l.recordViolation(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", t.Name, u.gpus, t.MaxGPUs, u.cpus, t.MaxCPUs)
+	team, used := l.teams[j.spec.Team], l.used[j.spec.Team]
+	if team.MaxGPUs > 0 && used.gpus > team.MaxGPUs+tolerance || team.MaxCPUs > 0 && used.cpus > team.MaxCPUs+tolerance {
+		l.recordViolation(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", team.Name, used.gpus, team.MaxGPUs, used.cpus, team.MaxCPUs)
 	}
 }
 
-// recordViolation keeps a violation. The caller holds the lock.
+// recordViolation records a violation. The caller holds the lock.
 func (l *Ledger) recordViolation(rule Rule, format string, args ...any) {
 	if len(l.violations) < maxViolations {
 		l.violations = append(l.violations, Violation{rule, l.now().Seconds(), fmt.Sprintf(format, args...)})
--- a/internal/simrouter/router.go
+++ b/internal/simrouter/router.go
@@ -1,5 +1,5 @@
-// Package simrouter is a stand-in of the routers that share a model's traffic: it keeps to the protocol of routings and
-// leases, and sends requests to the replicas that its routing names.
+// Package simrouter simulates the routers that divide a model's traffic, for tests and fleet simulations: it keeps to the protocol
+// of routings and leases, and sends requests to the replicas that its routing names.
 package simrouter
 
 import (
@@ -29,24 +29,30 @@
 	mu             sync.Mutex
 	partitioned    bool
 	routing        *operatorpb.RouteReply // nil: it has never had one
-	leaseExpiresAt time.Time              // of its lease
+	leaseExpiresAt time.Time
 }
 
-// mostAnswer bounds what is read of an answer, and tries is how many replicas a request is sent to in turn.
+// maxResponseBytes bounds what is read of a response, and maxAttempts is how many replicas a request is sent to in turn.
 const (
 	maxResponseBytes = 64 << 10
 	maxAttempts      = 3
 	attemptTimeout   = 2 * time.Second
 )
 
-// New makes a router that asks controllers in turn, at their internal addresses.
+// The connections to replicas that are kept.
+const (
+	idleConnectionsPerReplica = 16
+	idleTimeout               = 10 * time.Second
+)
+
+// New makes a router that calls controllers in turn, at their internal addresses.
 func New(name, plan string, controllers []string, interval time.Duration) (*Router, error) {
-	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: attemptTimeout, Transport: &http.Transport{
-		MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}}}
+	transport := &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerReplica, IdleConnTimeout: idleTimeout}
+	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: attemptTimeout, Transport: transport}}
 	for _, address := range controllers {
 		client, err := adminapi.NewClient(address)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("controller %s: %w", address, err)
 		}
 		r.controllers = append(r.controllers, client)
 	}
@@ -57,8 +63,8 @@
 func (r *Router) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
-		r.refresh(ctx, r.controllers[turn%len(r.controllers)])
+	for attempt := 0; ; attempt++ {
+		r.refresh(ctx, r.controllers[attempt%len(r.controllers)])
 		select {
 		case <-ctx.Done():
 			return
@@ -67,18 +73,19 @@
 	}
 }
 
-// refresh asks a controller once. The lease counts from when the question was sent.
+// refresh requests the routing from a controller, once. The lease counts from when the request was sent.
 func (r *Router) refresh(ctx context.Context, controller *adminapi.Client) {
 	r.mu.Lock()
-	cut, q := r.partitioned, &operatorpb.RouteRequest{Plan: r.plan, Router: r.name, Generation: r.routing.GetGeneration()}
+	partitioned := r.partitioned
+	request := &operatorpb.RouteRequest{Plan: r.plan, Router: r.name, Generation: r.routing.GetGeneration()}
 	r.mu.Unlock()
-	if cut {
+	if partitioned {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.interval)
 	defer cancel()
-	sent := time.Now()
-	reply, err := controller.Route(ctx, q)
+	sentAt := time.Now()
+	reply, err := controller.Route(ctx, request)
 	if err != nil {
 		return
 	}
@@ -87,7 +94,8 @@
 	if r.partitioned || isOlder(reply.GetGeneration(), r.routing.GetGeneration()) {
 		return
 	}
-	r.routing, r.leaseExpiresAt = reply, sent.Add(time.Duration(reply.GetLeaseMs())*time.Millisecond)
+	r.routing = reply
+	r.leaseExpiresAt = sentAt.Add(time.Duration(reply.GetLeaseMs()) * time.Millisecond)
 }
 
 // isOlder tells whether a generation is older than another.
@@ -98,14 +106,14 @@
 	return a.GetRevision() < b.GetRevision()
 }
 
-// SetPartitioned cuts the router off from all controllers, or ends that.
-func (r *Router) SetPartitioned(cut bool) {
+// SetPartitioned begins or ends a partition between the router and all controllers.
+func (r *Router) SetPartitioned(partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partitioned = cut
+	r.partitioned = partitioned
 }
 
-// Weights gives the shares by which the router goes now.
+// Weights gives the present weights: those of the routing, or its fallback once the lease has expired.
 func (r *Router) Weights() []*operatorpb.Weight {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,50 +123,50 @@
 	return r.routing.GetFallback()
 }
 
-// Generation gives the generation that the router holds.
+// Generation gives the generation of the routing; nil: it never had one.
 func (r *Router) Generation() *operatorpb.Generation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.routing.GetGeneration()
 }
 
-// Close ends the connections.
+// Close closes the connections to controllers.
 func (r *Router) Close() {
 	for _, c := range r.controllers {
 		_ = c.Close()
 	}
 }
 
-// ErrNotServed says that no replica has answered a request.
+// ErrNotServed is returned if no replica responded to a request.
 var ErrNotServed = errors.New("no replica has answered")
 
-// Response is the answer to a request, and whose it is.
+// Response is the response to a request, with its replica.
 type Response struct {
 	Body     json.RawMessage
 	Replica  *operatorpb.Weight
 	Attempts int
 }
 
-// Do sends a request to a replica, and to others where one does not answer.
+// Do sends a request to a replica, and to others where one does not respond.
 func (r *Router) Do(ctx context.Context, body []byte) (Response, error) {
-	for n := 1; n <= maxAttempts; n++ {
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		replica := pickReplica(r.Weights())
 		if replica == nil {
 			break
 		}
-		if answer, err := r.send(ctx, replica, body); err == nil {
-			return Response{Body: answer, Replica: replica, Attempts: n}, nil
+		if data, err := r.send(ctx, replica, body); err == nil {
+			return Response{Body: data, Replica: replica, Attempts: attempt}, nil
 		}
 	}
 	return Response{}, ErrNotServed
 }
 
-// pickReplica draws a replica by its share.
+// pickReplica draws a replica by the shares; nil: there is none.
 func pickReplica(weights []*operatorpb.Weight) *operatorpb.Weight {
-	x := rand.Float64()
-	for _, w := range weights {
-		if x -= w.GetShare(); x < 0 {
-			return w
+	remaining := rand.Float64()
+	for _, weight := range weights {
+		if remaining -= weight.GetShare(); remaining < 0 {
+			return weight
 		}
 	}
 	if len(weights) == 0 {
@@ -167,20 +175,21 @@
 	return weights[len(weights)-1]
 }
 
+// send sends a request to a replica.
 func (r *Router) send(ctx context.Context, replica *operatorpb.Weight, body []byte) (json.RawMessage, error) {
 	url := fmt.Sprintf("http://%s/%s%s", replica.GetAddress(), replica.GetTask(), probe.CompletionsPath)
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	resp, err := r.http.Do(q)
+	response, err := r.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %d", resp.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("status %d", response.StatusCode)
 	}
-	return answer, err
+	return data, err
 }
