--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -101,7 +101,10 @@
 func minTasks(need, have, largest resource.Amount) int {
 	missing := need
 	missing.Subtract(have)
-	return max(1, tasksCovering(missing.GPUs, largest.GPUs), tasksCovering(missing.CPUs, largest.CPUs), tasksCovering(missing.MemoryGB, largest.MemoryGB))
+	return max(1,
+		tasksCovering(missing.GPUs, largest.GPUs),
+		tasksCovering(missing.CPUs, largest.CPUs),
+		tasksCovering(missing.MemoryGB, largest.MemoryGB))
 }
 
 // roundingError is what a quotient may be off by. It is subtracted so that the result stays a lower bound.
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -142,7 +142,7 @@
 
 // pack packs a task into the first machine to come that holds it, and plans one if there is none.
 func (p *capacityPlanner) pack(j *job, spot bool) bool {
-	p.cycle.evaluations -= len(p.upcoming) / 4
+	p.cycle.evaluations -= len(p.upcoming) / checksPerEvaluation
 	for _, m := range p.upcoming {
 		if p.fits(j, m) {
 			p.assign(m, j)
@@ -290,16 +290,19 @@
 	return packed
 }
 
-// worthMachine tells whether the work of arrays so far, with that of a job on a new machine, is worth one more: from half
-// of a machine's boot time on.
+// minMachineWork is the work of arrays, in boot times of a machine, from which on another machine is worth it.
+const minMachineWork = 0.5
+
+// worthMachine tells whether the work of arrays so far, with that of a job on a new machine, is worth that machine.
 func (p *capacityPlanner) worthMachine(j *job, m *plannedMachine) bool {
 	share := 1 - m.free.GPUs/max(1, m.machineType.GPUs)
-	p.pendingArrayMachines += share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
+	work := share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
+	p.pendingArrayMachines += work
 	if !m.Spot && j.spec.Spot {
 		// An on-demand machine in place of a spot one has to be worth more.
-		p.pendingArrayMachines -= share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS * (1 - m.machineType.SpotPrice/m.machineType.Price)
+		p.pendingArrayMachines -= work * (1 - m.machineType.SpotPrice/m.machineType.Price)
 	}
-	if p.pendingArrayMachines < 0.5 {
+	if p.pendingArrayMachines < minMachineWork {
 		return false
 	}
 	p.pendingArrayMachines--
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -48,6 +48,10 @@
 	// cyclesPerCheckInterval is how many cycles fit into a check interval if each is as long as a single one may be: a
 	// cycle must not keep heartbeats and users waiting.
 	cyclesPerCheckInterval = 30
+	// checksPerEvaluation is how many simple checks of a list's entries count as one evaluation.
+	checksPerEvaluation = 4
+	// evaluationsPerVictim is what each instance that could be preempted counts as in the selection of victims.
+	evaluationsPerVictim = 4
 	// minCycleEvaluations is what each cycle may make, whatever is left of the budget.
 	minCycleEvaluations = 32
 )
@@ -57,7 +61,8 @@
 func (l *leader) cycleBudget() int {
 	rate := l.core.evaluationsPerSecond()
 	timer := &l.cycles
-	timer.evaluationsLeft = min(rate*l.core.times.checkInterval.Seconds(), timer.evaluationsLeft+rate*(l.core.now.Steady-timer.lastAt).Seconds())
+	refilled := timer.evaluationsLeft + rate*(l.core.now.Steady-timer.lastAt).Seconds()
+	timer.evaluationsLeft = min(rate*l.core.times.checkInterval.Seconds(), refilled)
 	timer.evaluationsLeft = max(timer.evaluationsLeft, -rate*l.core.times.cycleInterval.Seconds()) // no debt outlasts the next regular cycle
 	mostOfOne := l.core.times.checkInterval.Seconds() / cyclesPerCheckInterval / l.core.evaluationCost.Seconds()
 	return max(minCycleEvaluations, int(min(timer.evaluationsLeft, mostOfOne)))
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -93,7 +93,12 @@
 	var candidates, lacking []*scheduling.Candidate[*job]
 	for _, j := range jobs {
 		if j.unplaced() > 0 {
-			candidates = append(candidates, &scheduling.Candidate[*job]{Job: j, Instances: j.instances(), Task: resource.OfTask(j.spec), Position: j.position()})
+			candidates = append(candidates, &scheduling.Candidate[*job]{
+				Job:       j,
+				Instances: j.instances(),
+				Task:      resource.OfTask(j.spec),
+				Position:  j.position(),
+			})
 		}
 	}
 	queue := scheduling.NewFulfillmentQueue(candidates)
--- a/internal/core/headroom.go
+++ b/internal/core/headroom.go
@@ -44,9 +44,9 @@
 	return sum
 }
 
-func headroomOn(h *schedulableMachine) float64 {
-	sum := max(0, h.free.GPUs)
-	for _, p := range h.machine.placementsInOrder {
+func headroomOn(target *schedulableMachine) float64 {
+	sum := max(0, target.free.GPUs)
+	for _, p := range target.machine.placementsInOrder {
 		if p.job.shrinkable() {
 			sum += p.job.spec.GPUs / 2
 		}
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -98,23 +98,26 @@
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
 	_, copied, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
-		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			state := h.machine.images.stateOf(j.spec.Image)
+		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+			state := target.machine.images.stateOf(j.spec.Image)
 			return state, state <= capacity.ImageFetching
 		}})
 	if copied {
 		return nil
 	}
-	h, found, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Need: resource.OfTask(j.spec), Image: j.spec.Image, Penalty: within,
-		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			m := h.machine
+	target, found, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{
+		Need:    resource.OfTask(j.spec),
+		Image:   j.spec.Image,
+		Penalty: within,
+		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+			m := target.machine
 			absent := m.images.stateOf(j.spec.Image) == capacity.ImageAbsent
 			return capacity.ImageAbsent, absent && m.images.fits(j.spec.ImageGB, m.machineType.CacheGB) && m.addr != ""
 		}})
 	if !found {
 		return nil
 	}
-	return h.machine
+	return target.machine
 }
 
 // prefetch requests an image for a machine. Until it is there the machine counts as fetching it.
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -58,7 +58,12 @@
 
 // urgency is what the turn of a job that lacks its minimum depends on.
 func (j *job) urgency() scheduling.Urgency {
-	return scheduling.Urgency{WithinGuarantee: j.withinGuarantee, Priority: priority(j), LatestStartMS: j.latestStart(), Position: j.position()}
+	return scheduling.Urgency{
+		WithinGuarantee: j.withinGuarantee,
+		Priority:        priority(j),
+		LatestStartMS:   j.latestStart(),
+		Position:        j.position(),
+	}
 }
 
 // claim is what decides whom a job may preempt, and who may preempt it.
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -46,18 +46,18 @@
 // scaled in. If operators have replicas spread, a service's replica goes where the load of its weights and the expected
 // loss of its zone and machine cost the least.
 func (cycle *schedulingCycle) findMachine(j *job) *machine {
-	a, plain := requestOf(j)
-	if plain && cycle.exhaustedRequests[a] {
+	request, plain := requestOf(j)
+	if plain && cycle.exhaustedRequests[request] {
 		return nil
 	}
 	var m *machine
-	if w, weighed := cycle.replicaCostFor(j); weighed {
-		m = cycle.cheapestReplicaMachine(j, w)
+	if costs, weighed := cycle.replicaCostFor(j); weighed {
+		m = cycle.cheapestReplicaMachine(j, costs)
 	} else {
 		m = cycle.bestFit(j)
 	}
 	if m == nil && plain {
-		cycle.exhaustedRequests[a] = true
+		cycle.exhaustedRequests[request] = true
 	}
 	return m
 }
@@ -66,7 +66,7 @@
 // left free.
 func (cycle *schedulingCycle) bestFit(j *job) *machine {
 	allowed := j.groupRules()
-	h, found, looked := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
+	target, found, evaluated := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:  resource.OfTask(j.spec),
 		Image: j.spec.Image,
 		Penalty: func(g capacity.Group) (capacity.ImageState, bool) {
@@ -75,15 +75,15 @@
 			}
 			return 0, allowed(g)
 		},
-		Suits: func(h *schedulableMachine) (capacity.ImageState, bool) {
-			return h.machine.images.stateOf(j.spec.Image), !cycle.state.avoidsMachine(j, h.machine)
+		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+			return target.machine.images.stateOf(j.spec.Image), !cycle.state.avoidsMachine(j, target.machine)
 		},
 	})
-	cycle.evaluations -= max(1, looked) // a search that finds nothing at once is not free either
+	cycle.evaluations -= max(1, evaluated) // a search that finds nothing at once is not free either
 	if !found {
 		return nil
 	}
-	return h.machine
+	return target.machine
 }
 
 // evaluationsPerIndexLevel is how many evaluations a change of a machine's free resources counts as, for each level of the
@@ -106,10 +106,10 @@
 	}
 	j.addPlacement(p)
 	m.addImage(j.spec.Image, j.spec.ImageGB)
-	h := m.schedulable
-	h.free.Subtract(resource.OfTask(j.spec))
-	h.freeAfterStops.Subtract(resource.OfTask(j.spec))
-	cycle.state.updateCapacityIndex(h)
+	target := m.schedulable
+	target.free.Subtract(resource.OfTask(j.spec))
+	target.freeAfterStops.Subtract(resource.OfTask(j.spec))
+	cycle.state.updateCapacityIndex(target)
 	cycle.evaluations -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
 	cycle.countUsage(j, 1)
 	clear(cycle.hopelessPreemptions)
@@ -123,10 +123,10 @@
 	cycle.state.withdrawAttempt(p)
 	p.job.removePlacement(p)
 	p.job.nextUnplaced = min(p.job.nextUnplaced, p.task)
-	h := p.machine.schedulable
-	h.free.Add(resource.OfTask(p.job.spec))
-	h.freeAfterStops.Add(resource.OfTask(p.job.spec))
-	cycle.state.updateCapacityIndex(h)
+	target := p.machine.schedulable
+	target.free.Add(resource.OfTask(p.job.spec))
+	target.freeAfterStops.Add(resource.OfTask(p.job.spec))
+	cycle.state.updateCapacityIndex(target)
 	cycle.capacityGrew()
 	cycle.countUsage(p.job, -1)
 	cycle.placed--
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -41,10 +41,10 @@
 	}
 	places := []ReplicaPlacement{}
 	for _, p := range j.placementsByTask() {
-		t := p.cost
+		cost := p.cost
 		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
-			Chosen: p.startSequence != startSequenceUnknown, Weighed: t.spreadWeighed, LoadS: t.imageLoadS, LossS: t.expectedLossS,
-			Warmest: t.bestCached, WarmestLoadS: t.bestCachedLoadS, AvoidedS: t.avoidedLossS})
+			Chosen: p.startSequence != startSequenceUnknown, Weighed: cost.spreadWeighed, LoadS: cost.imageLoadS, LossS: cost.expectedLossS,
+			Warmest: cost.bestCached, WarmestLoadS: cost.bestCachedLoadS, AvoidedS: cost.avoidedLossS})
 	}
 	c.respond(in.RequestID, 200, places)
 }
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -51,16 +51,16 @@
 	if cycle.preemptible == nil {
 		cycle.preemptible = cycle.findPreemptible()
 	}
-	v := cycle.preemptible
+	preemptible := cycle.preemptible
 	if idleOnly {
 		rule := preemptionRule{mayStop: cycle.mayPreemptIdle}
-		if v.countByRank[wire.PriorityIdle.Rank()] > 0 {
+		if preemptible.countByRank[wire.PriorityIdle.Rank()] > 0 {
 			rule.belowRank = wire.PriorityIdle.Rank() + 1
 		}
 		return rule
 	}
-	rule := preemptionRule{mayStop: cycle.mayPreempt, belowRank: v.highestRankBelow(j)}
-	if !j.withinGuarantee && !v.unknownTeam {
+	rule := preemptionRule{mayStop: cycle.mayPreempt, belowRank: preemptible.highestRankBelow(j)}
+	if !j.withinGuarantee && !preemptible.unknownTeam {
 		return rule
 	}
 	victims, placed := cycle.allowedPreemptions(j)
@@ -79,7 +79,7 @@
 
 // allowedPreemptions gives the jobs that a job may preempt, by priority or by guarantee, and counts their instances.
 func (cycle *schedulingCycle) allowedPreemptions(j *job) (victims []*job, placed int) {
-	cycle.evaluations -= len(cycle.preemptible.jobs) / 4
+	cycle.evaluations -= len(cycle.preemptible.jobs) / checksPerEvaluation
 	for _, v := range cycle.preemptible.jobs {
 		if cycle.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
 			victims = append(victims, v)
@@ -110,6 +110,12 @@
 
 // preemptionRequestOf gives a job's preemption request; false if more than that decides.
 func preemptionRequestOf(j *job, idleOnly bool) (preemptionRequest, bool) {
-	a, plain := requestOf(j)
-	return preemptionRequest{a, j.spec.Team, priority(j), j.withinGuarantee, idleOnly}, plain
+	request, plain := requestOf(j)
+	return preemptionRequest{
+		resourceRequest: request,
+		team:            j.spec.Team,
+		rank:            priority(j),
+		guaranteed:      j.withinGuarantee,
+		idleOnly:        idleOnly,
+	}, plain
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -38,23 +38,23 @@
 
 // preempt stops what a plan names, and reserves the resources for a task of a job.
 func (cycle *schedulingCycle) preempt(j *job, c *preemptionPlan) {
-	h := c.machine
+	target := c.machine
 	for _, p := range c.stops {
 		p.requestStop(stopModeFor(j, p), stopPreempted)
 		cycle.state.dispatch(p.machine)
 		if p.phase < phaseSent {
 			cycle.state.endPlacement(p)
-			h.free.Add(resource.OfTask(p.job.spec))
+			target.free.Add(resource.OfTask(p.job.spec))
 			cycle.capacityGrew()
 		}
-		h.freeAfterStops.Add(resource.OfTask(p.job.spec))
+		target.freeAfterStops.Add(resource.OfTask(p.job.spec))
 		cycle.state.logPreempted(p, j)
 	}
-	h.freeAfterStops.Subtract(resource.OfTask(j.spec))
+	target.freeAfterStops.Subtract(resource.OfTask(j.spec))
 	// What is free there already is reserved too, as far as the task needs it.
-	h.free = h.free.CappedBy(h.freeAfterStops)
-	h.machine.capacityChanged = true // the reservation is for this cycle only
-	cycle.state.updateCapacityIndex(h)
+	target.free = target.free.CappedBy(target.freeAfterStops)
+	target.machine.capacityChanged = true // the reservation is for this cycle only
+	cycle.state.updateCapacityIndex(target)
 }
 
 // capacityGrew notes that requests that failed in this cycle may succeed now.
@@ -66,7 +66,14 @@
 // cheapestPreemption finds the machine on which preemption for a job's next task costs the least, and of these the first by
 // name; nil if there is none.
 func (cycle *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
-	s := &preemptionSearch{cycle: cycle, job: j, rule: rule, need: resource.OfTask(j.spec), image: capacity.BitOf(j.spec.Image), allowed: j.groupRules()}
+	s := &preemptionSearch{
+		cycle:   cycle,
+		job:     j,
+		rule:    rule,
+		need:    resource.OfTask(j.spec),
+		image:   capacity.BitOf(j.spec.Image),
+		allowed: j.groupRules(),
+	}
 	if len(rule.candidates) > 0 {
 		// Few jobs can be shrunk: only the machines of their tasks come into question, and those that will have the
 		// resources without preemption.
@@ -95,11 +102,11 @@
 
 // walk evaluates all machines that may be better than the best so far, if work below a rank can be stopped.
 func (s *preemptionSearch) walk(below int) {
-	looked := s.cycle.params.fleet.index.Walk(s.allowed, func(b *capacity.Bounds) bool {
+	evaluated := s.cycle.params.fleet.index.Walk(s.allowed, func(b *capacity.Bounds) bool {
 		least, possible := b.MinCost(s.need, below, s.image)
 		return !possible || !s.better(least, b.FirstName)
 	}, s.evaluate)
-	s.cycle.evaluations -= max(1, looked)
+	s.cycle.evaluations -= max(1, evaluated)
 }
 
 // better tells whether a cost on a machine, or on one that comes after it by name, may be better than the best.
@@ -119,16 +126,16 @@
 }
 
 // evaluate works out what has to stop on a machine.
-func (s *preemptionSearch) evaluate(h *schedulableMachine) {
-	if s.cycle.state.avoidsMachine(s.job, h.machine) {
+func (s *preemptionSearch) evaluate(target *schedulableMachine) {
+	if s.cycle.state.avoidsMachine(s.job, target.machine) {
 		return
 	}
-	stops, possible := s.cycle.preemptionSet(s.job, h, s.rule.mayStop)
+	stops, possible := s.cycle.preemptionSet(s.job, target, s.rule.mayStop)
 	if !possible {
 		return
 	}
-	if cost := costOf(stops, h, s.job); s.better(cost, h.machine.name) {
-		s.best = &preemptionPlan{h, stops, cost}
+	if cost := costOf(stops, target, s.job); s.better(cost, target.machine.name) {
+		s.best = &preemptionPlan{target, stops, cost}
 	}
 }
 
@@ -143,8 +150,8 @@
 
 // costOf gives what preemption on a machine costs: instances that are stopped, then the state of the job's image there, then
 // instances of idle priority that are stopped.
-func costOf(stops []*placement, h *schedulableMachine, j *job) capacity.Cost {
-	cost := capacity.Cost{ImageState: h.machine.images.stateOf(j.spec.Image)}
+func costOf(stops []*placement, target *schedulableMachine, j *job) capacity.Cost {
+	cost := capacity.Cost{ImageState: target.machine.images.stateOf(j.spec.Image)}
 	for _, p := range stops {
 		if p.job.isIdlePriority() {
 			cost.IdleStops++
@@ -157,32 +164,36 @@
 
 // preemptionSet gives the instances to stop on a machine so that a task of j fits, the most fulfilled job's first; false
 // if all that may be stopped would not be enough.
-func (cycle *schedulingCycle) preemptionSet(j *job, h *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
+func (cycle *schedulingCycle) preemptionSet(j *job, target *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
 	need := resource.OfTask(j.spec)
-	if h.freeAfterStops.Covers(need) {
+	if target.freeAfterStops.Covers(need) {
 		return nil, true
 	}
 	// Mostly all that may be stopped there would not be enough; that is the cheaper question.
-	freeAtMost := h.freeAfterStops
-	for _, p := range h.machine.placementsInOrder {
+	freeAtMost := target.freeAfterStops
+	for _, p := range target.machine.placementsInOrder {
 		if mayStop(j, p) {
 			freeAtMost.Add(resource.OfTask(p.job.spec))
 		}
 	}
-	cycle.evaluations -= len(h.machine.placementsInOrder) / 4
+	cycle.evaluations -= len(target.machine.placementsInOrder) / checksPerEvaluation
 	if !freeAtMost.Covers(need) {
 		return nil, false
 	}
 	var candidates []*placement
 	var instances []scheduling.PreemptibleInstance[*job]
-	for _, p := range h.machine.placementsInOrder {
+	for _, p := range target.machine.placementsInOrder {
 		if mayStop(j, p) {
 			candidates = append(candidates, p)
-			instances = append(instances, scheduling.PreemptibleInstance[*job]{Job: p.job, Instances: p.job.instances(), Task: resource.OfTask(p.job.spec)})
+			instances = append(instances, scheduling.PreemptibleInstance[*job]{
+				Job:       p.job,
+				Instances: p.job.instances(),
+				Task:      resource.OfTask(p.job.spec),
+			})
 		}
 	}
-	cycle.evaluations -= 4 * len(candidates)
-	victims, possible := scheduling.SelectVictims(need, h.freeAfterStops, instances)
+	cycle.evaluations -= evaluationsPerVictim * len(candidates)
+	victims, possible := scheduling.SelectVictims(need, target.freeAfterStops, instances)
 	stops := make([]*placement, len(victims))
 	for i, victim := range victims {
 		stops[i] = candidates[victim]
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -22,7 +22,8 @@
 				m.settleTransfer(t, to, transfer.Number)
 			}
 		})
-		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.attempts, Deliver: &DeliverQuota{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
+		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.attempts,
+			Deliver: &DeliverQuota{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
 	}
 }
 
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -51,21 +51,29 @@
 
 // newQuotaManager makes the quotas of all teams. A team has nothing before its account is read.
 func newQuotaManager(l *leader) *quotaManager {
-	a := &quotaManager{leader: l, teams: map[string]*teamQuota{}}
+	m := &quotaManager{leader: l, teams: map[string]*teamQuota{}}
 	if !l.core.operator.Regions.Enabled() {
-		return a
+		return m
 	}
 	regions := l.core.regionShares()
 	for i := range l.core.settings.Params.Teams {
 		team := &l.core.settings.Params.Teams[i]
-		t := &teamQuota{effective: *team, settings: team, key: stored.QuotaAccountKey(team.Name), delivering: map[string]bool{},
-			whole: quota.Share{Limit: quota.RoundDown(team.MaxGPUs, team.MaxCPUs), Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs)}}
+		t := &teamQuota{
+			effective:  *team,
+			settings:   team,
+			key:        stored.QuotaAccountKey(team.Name),
+			delivering: map[string]bool{},
+			whole: quota.Share{
+				Limit:     quota.RoundDown(team.MaxGPUs, team.MaxCPUs),
+				Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs),
+			},
+		}
 		t.initial = quota.Initial(t.whole, regions, l.core.operator.Regions.Name)
 		t.setEffective(quota.Share{})
-		a.teams[team.Name] = t
-		a.ordered = append(a.ordered, t)
+		m.teams[team.Name] = t
+		m.ordered = append(m.ordered, t)
 	}
-	return a
+	return m
 }
 
 // regionShares gives the regions with the fraction of each limit that they begin with.
@@ -96,8 +104,10 @@
 	}
 	limitGPUs, limitCPUs := held.Limit.Float()
 	guaranteeGPUs, guaranteeCPUs := held.Guarantee.Float()
-	t.effective.MaxGPUs, t.effective.MaxCPUs = effective(team.MaxGPUs, limitGPUs), effective(team.MaxCPUs, limitCPUs)
-	t.effective.GuaranteedGPUs, t.effective.GuaranteedCPUs = effective(team.GuaranteedGPUs, guaranteeGPUs), effective(team.GuaranteedCPUs, guaranteeCPUs)
+	t.effective.MaxGPUs = effective(team.MaxGPUs, limitGPUs)
+	t.effective.MaxCPUs = effective(team.MaxCPUs, limitCPUs)
+	t.effective.GuaranteedGPUs = effective(team.GuaranteedGPUs, guaranteeGPUs)
+	t.effective.GuaranteedCPUs = effective(team.GuaranteedCPUs, guaranteeCPUs)
 }
 
 // usable gives the share of the team's limits, as they are now, that may be used here.
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -70,85 +70,97 @@
 	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.Changes() {
 		return cycle.replicaCost, true
 	}
-	w := cycle.replicaCost
-	if w.job != j {
+	costs := cycle.replicaCost
+	if costs.job != j {
 		// What does not depend on where replicas are is worked out once for consecutive tasks of a job.
 		fleet := cycle.params.fleet
-		w.recoveryTime = cycle.params.lossDetection + fleet.slowestImageFetch(j)
-		w.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
-		w.fleet, w.job = fleet, j
+		costs.recoveryTime = cycle.params.lossDetection + fleet.slowestImageFetch(j)
+		costs.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
+		costs.fleet, costs.job = fleet, j
 	}
-	w.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), w.spreadOver, w.recoveryTime)
-	cycle.replicaCost, cycle.replicaCostVersion = w, j.replicaLedger.Changes()
-	return w, true
+	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.spreadOver, costs.recoveryTime)
+	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.Changes()
+	return costs, true
 }
 
 // lossRates are the losses that operators expect.
 func lossRates(spread config.Spread) topologyspread.Rates {
-	return topologyspread.Rates{ZoneLossesPerDay: spread.ZoneLossesPerDay, MachineLossesPerDay: spread.MachineLossesPerDay, ReplicaDays: spread.ReplicaDays}
+	return topologyspread.Rates{
+		ZoneLossesPerDay:    spread.ZoneLossesPerDay,
+		MachineLossesPerDay: spread.MachineLossesPerDay,
+		ReplicaDays:         spread.ReplicaDays,
+	}
 }
 
 // cost gives what a machine of a group costs the job's next replica, by the state of its image there.
-func (w replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
-	cost := w.imageLoad(g, state) + w.ZoneS(g.Zone)
-	if w.job.spec.Spot && !g.Spot {
+func (costs replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
+	cost := costs.imageLoad(g, state) + costs.ZoneS(g.Zone)
+	if costs.job.spec.Spot && !g.Spot {
 		// On-demand machines come as far behind spot ones as in bestFit, where a recovery counts as an image state.
-		cost += onDemandPenalty * w.recoveryTime.Seconds()
+		cost += onDemandPenalty * costs.recoveryTime.Seconds()
 	}
 	return cost
 }
 
-func (w replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(state), w.fleet.coldStartSeconds(w.job, g.Type))
+func (costs replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
+	return topologyspread.LoadSeconds(int(state), costs.fleet.coldStartSeconds(costs.job, g.Type))
 }
 
 // cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
-func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, w replicaCostModel) *machine {
+func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, costs replicaCostModel) *machine {
 	allowed := j.groupRules()
-	h, _, found, looked := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
+	target, _, found, evaluated := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
 		Need:        resource.OfTask(j.spec),
 		Image:       j.spec.Image,
-		CrowdedCost: w.MachineS(),
+		CrowdedCost: costs.MachineS(),
 		Cost: func(g capacity.Group, state capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
 			}
-			return w.cost(g, state), true
+			return costs.cost(g, state), true
 		},
-		Suits: func(h *schedulableMachine) (capacity.ImageState, bool, bool) {
-			return h.machine.images.stateOf(j.spec.Image), w.Crowded(h.machine.name), !cycle.state.avoidsMachine(j, h.machine)
+		Suits: func(target *schedulableMachine) (capacity.ImageState, bool, bool) {
+			m := target.machine
+			return m.images.stateOf(j.spec.Image), costs.Crowded(m.name), !cycle.state.avoidsMachine(j, m)
 		},
 	})
-	cycle.evaluations -= max(1, looked)
+	cycle.evaluations -= max(1, evaluated)
 	if !found {
 		return nil
 	}
-	return h.machine
+	return target.machine
 }
 
 // costOn gives what a machine costs a job's next replica.
-func (w replicaCostModel) costOn(m *machine) placementCost {
-	t := placementCost{spreadWeighed: true, imageLoadS: w.imageLoad(m.group(), m.images.stateOf(w.job.spec.Image)), expectedLossS: w.ZoneS(m.zone)}
-	if w.Crowded(m.name) {
-		t.expectedLossS += w.MachineS()
+func (costs replicaCostModel) costOn(m *machine) placementCost {
+	cost := placementCost{
+		spreadWeighed: true,
+		imageLoadS:    costs.imageLoad(m.group(), m.images.stateOf(costs.job.spec.Image)),
+		expectedLossS: costs.ZoneS(m.zone),
+	}
+	if costs.Crowded(m.name) {
+		cost.expectedLossS += costs.MachineS()
 	}
-	return t
+	return cost
 }
 
 // explainCost gives the cost of the machine that was chosen for a replica and, if the image is not ready there, what the
 // best fit would have cost.
 func (cycle *schedulingCycle) explainCost(j *job, m *machine) placementCost {
-	w, weighed := cycle.replicaCostFor(j)
+	costs, weighed := cycle.replicaCostFor(j)
+	state := m.images.stateOf(j.spec.Image)
 	if !weighed {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(m.images.stateOf(j.spec.Image)), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(state), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
 	}
-	t := w.costOn(m)
-	if m.images.stateOf(j.spec.Image) == capacity.ImageReady {
-		return t
+	cost := costs.costOn(m)
+	if state == capacity.ImageReady {
+		return cost
 	}
 	if best := cycle.bestFit(j); best != nil && best != m {
-		other := w.costOn(best)
-		t.bestCached, t.bestCachedLoadS, t.avoidedLossS = best.name, other.imageLoadS, other.expectedLossS-t.expectedLossS
+		other := costs.costOn(best)
+		cost.bestCached = best.name
+		cost.bestCachedLoadS = other.imageLoadS
+		cost.avoidedLossS = other.expectedLossS - cost.expectedLossS
 	}
-	return t
+	return cost
 }
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -48,7 +48,7 @@
 // replicaToMove gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
 func (l *leader) replicaToMove(cycle *schedulingCycle, model topologyspread.Model, services []*job) *placement {
 	for _, j := range services {
-		if !cycle.schedulable(j) || j.unplaced() > 0 || j.stopping > 0 || slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone }) {
+		if !cycle.schedulable(j) || !j.allRunning() {
 			return nil
 		}
 	}
@@ -66,16 +66,24 @@
 	return nil
 }
 
+// allRunning tells whether all of a service's replicas run, and none is to be stopped.
+func (j *job) allRunning() bool {
+	if j.unplaced() > 0 || j.stopping > 0 {
+		return false
+	}
+	return !slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone })
+}
+
 // moveSavesCost tells whether a replica would cost less elsewhere, including its restart of so long and the load of its
 // weights.
 func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, restart time.Duration) bool {
 	j.removePlacement(p)
-	w, _ := cycle.replicaCostFor(j)
-	stay := w.costOn(p.machine).expectedLossS
-	to := cycle.cheapestReplicaMachine(j, w)
+	costs, _ := cycle.replicaCostFor(j)
+	stay := costs.costOn(p.machine).expectedLossS
+	to := cycle.cheapestReplicaMachine(j, costs)
 	gain := 0.0
 	if to != nil && to.zone != p.machine.zone {
-		there := w.costOn(to)
+		there := costs.costOn(to)
 		gain = stay - there.imageLoadS - there.expectedLossS
 	}
 	j.addPlacement(p)
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -41,8 +41,8 @@
 }
 
 // updateCapacityIndex has the index know of a change of a machine's free resources.
-func (l *leader) updateCapacityIndex(h *schedulableMachine) {
-	l.capacityIndex.Put(h.machine.group(), resource.OfMachine(h.machine.machineType), h.indexEntry(), h)
+func (l *leader) updateCapacityIndex(s *schedulableMachine) {
+	l.capacityIndex.Put(s.machine.group(), resource.OfMachine(s.machine.machineType), s.indexEntry(), s)
 }
 
 // group is the group of the index that a machine is in.
@@ -57,16 +57,16 @@
 }
 
 // indexEntry gives what the index has to know of a machine.
-func (h *schedulableMachine) indexEntry() capacity.MachineCapacity {
-	entry := capacity.MachineCapacity{Name: h.machine.name, Free: h.free, FreeAfterStops: h.freeAfterStops}
-	for _, p := range h.machine.placementsInOrder {
+func (s *schedulableMachine) indexEntry() capacity.MachineCapacity {
+	entry := capacity.MachineCapacity{Name: s.machine.name, Free: s.free, FreeAfterStops: s.freeAfterStops}
+	for _, p := range s.machine.placementsInOrder {
 		// Which of their jobs can be shrunk, and for whom, is decided in the search.
 		if p.stop == stopNone && p.job.isArray() {
 			entry.Preemptible[priority(p.job)].Add(resource.OfTask(p.job.spec))
 		}
 	}
-	for i := range h.machine.images {
-		switch image := &h.machine.images[i]; image.state {
+	for i := range s.machine.images {
+		switch image := &s.machine.images[i]; image.state {
 		case cachedImageReady:
 			entry.Images.Ready.Add(image.bit)
 		case cachedImageUnconfirmed:
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -100,7 +100,10 @@
 // ToAccountUnits converts a share of the whole as it is now to one of the whole that was divided, rounded up: it is for what
 // is needed.
 func (a *Account) ToAccountUnits(s, whole Share) Share {
-	return Share{Limit: s.Limit.scaled(whole.Limit, a.Whole.Limit, true), Guarantee: s.Guarantee.scaled(whole.Guarantee, a.Whole.Guarantee, true)}
+	return Share{
+		Limit:     s.Limit.scaled(whole.Limit, a.Whole.Limit, true),
+		Guarantee: s.Guarantee.scaled(whole.Guarantee, a.Whole.Guarantee, true),
+	}
 }
 
 // firstPart gives the first part of a share, which is a fraction of it, rounded down.
