--- a/internal/core/capacity_planner_test.go
+++ b/internal/core/capacity_planner_test.go
@@ -103,6 +103,7 @@
 		m.schedulable.free.GPUs = 4
 		if cachedGB > 0 {
 			m.addImage("image", cachedGB)
+			m.markImageReady("image")
 		}
 		return m
 	}
