--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -18,26 +18,34 @@
 	"strings"
 )
 
+// maxLines is how many known failures there may be.
 const maxLines = 3
 
 func main() {
-	known, err := readKnown(os.Args[1])
-	if err == nil {
-		var out io.Reader
-		cmd := exec.CommandContext(context.Background(), "go", "test", "-race", "-json", "./...", "./.ci/knownred")
-		cmd.Stderr = os.Stderr
-		if out, err = cmd.StdoutPipe(); err == nil {
-			if err = cmd.Start(); err == nil {
-				err = errors.Join(judge(known, out, os.Stdout), unexcusedExit(cmd.Wait(), len(known)))
-			}
-		}
-	}
-	if err != nil {
+	if err := run(context.Background(), os.Args[1], os.Stdout); err != nil {
 		fmt.Println("tests:", err)
 		os.Exit(1)
 	}
 }
 
+// run runs the tests and judges their results by the known failures in a file.
+func run(ctx context.Context, path string, out io.Writer) error {
+	known, err := readKnown(path)
+	if err != nil {
+		return err
+	}
+	cmd := exec.CommandContext(ctx, "go", "test", "-race", "-json", "./...", "./.ci/knownred")
+	cmd.Stderr = os.Stderr
+	events, err := cmd.StdoutPipe()
+	if err != nil {
+		return err
+	}
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	return errors.Join(judge(known, events, out), unexcusedExit(cmd.Wait(), len(known)))
+}
+
 // unexcusedExit gives a failure of the test run itself where none is excused.
 func unexcusedExit(err error, known int) error {
 	if known == 0 {
@@ -46,7 +54,10 @@
 	return nil
 }
 
-// readKnown gives the tests that may fail.
+// fieldsPerLine are the fields of a line of the file: the test, the cause and the issue.
+const fieldsPerLine = 3
+
+// readKnown reads the tests that may fail, with their lines.
 func readKnown(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -57,11 +68,12 @@
 	}
 	known := map[string]string{}
 	for _, line := range strings.Split(strings.TrimSpace(string(data)), "\n") {
-		parts := strings.SplitN(line, ";", 3)
-		if len(parts) != 3 || strings.TrimSpace(parts[0]) == "" {
+		fields := strings.SplitN(line, ";", fieldsPerLine)
+		test := strings.TrimSpace(fields[0])
+		if len(fields) != fieldsPerLine || test == "" {
 			return nil, fmt.Errorf("%s: %q is not test; cause; issue", path, line)
 		}
-		known[strings.TrimSpace(parts[0])] = line
+		known[test] = line
 	}
 	if len(known) > maxLines {
 		return nil, fmt.Errorf("%s: %d lines, at most %d", path, len(known), maxLines)
@@ -77,10 +89,10 @@
 	Output  string
 }
 
-// action is what an event tells.
+// action is the kind of an event.
 type action string
 
-// The actions that matter here.
+// The actions that are handled.
 const (
 	actionOutput      action = "output"
 	actionBuildOutput action = "build-output"
@@ -89,7 +101,7 @@
 	actionBuildFail   action = "build-fail"
 )
 
-// testResults is what the events have told so far.
+// testResults are the results in the events so far.
 type testResults struct {
 	passed   int
 	failed   map[string]bool // tests
@@ -98,37 +110,40 @@
 	output   map[string]*strings.Builder
 }
 
-// judge reads what go test -json prints and tells what failed beyond what is known.
-func judge(known map[string]string, in io.Reader, out io.Writer) error {
-	t := &testResults{failed: map[string]bool{}, byTest: map[string]bool{}, packages: map[string]bool{}, output: map[string]*strings.Builder{}}
-	scan := bufio.NewScanner(in)
-	scan.Buffer(nil, 64<<20)
-	for scan.Scan() {
+// maxEventBytes bounds an event.
+const maxEventBytes = 64 << 20
+
+// judge reads the events of go test -json, and returns an error if a test failed that is not known to.
+func judge(known map[string]string, events io.Reader, out io.Writer) error {
+	results := &testResults{failed: map[string]bool{}, byTest: map[string]bool{}, packages: map[string]bool{}, output: map[string]*strings.Builder{}}
+	scanner := bufio.NewScanner(events)
+	scanner.Buffer(nil, maxEventBytes)
+	for scanner.Scan() {
 		var e event
-		if json.Unmarshal(scan.Bytes(), &e) != nil {
-			printLine(out, scan.Text())
+		if json.Unmarshal(scanner.Bytes(), &e) != nil {
+			printLine(out, scanner.Text())
 			continue
 		}
-		t.take(e, out)
+		results.add(e, out)
 	}
-	if err := scan.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return err
 	}
-	excused, err := t.excuse(known, out)
+	excused, err := results.excuse(known, out)
 	if err != nil {
 		return err
 	}
-	red := t.printFailures(excused, out)
-	t.printOutput(out)
-	printLine(out, fmt.Sprintf("%d passed, %d failed", t.passed, red))
-	if red > 0 {
-		return fmt.Errorf("%d failed", red)
+	failed := results.printFailures(excused, out)
+	results.printOutput(out)
+	printLine(out, fmt.Sprintf("%d passed, %d failed", results.passed, failed))
+	if failed > 0 {
+		return fmt.Errorf("%d failed", failed)
 	}
 	return nil
 }
 
-// take counts an event.
-func (t *testResults) take(e event, out io.Writer) {
+// add adds an event.
+func (t *testResults) add(e event, out io.Writer) {
 	key := e.Package + " " + e.Test
 	switch e.Action {
 	case actionOutput, actionBuildOutput:
@@ -154,8 +169,8 @@
 	}
 }
 
-// excuse gives the tests that may fail: those that are known to, and the tests that they are parts of. A known one
-// that did not fail is an error.
+// excuse gives the tests that may fail: the known failures, and the tests that they are parts of. A known failure
+// that did not occur is an error.
 func (t *testResults) excuse(known map[string]string, out io.Writer) (map[string]bool, error) {
 	excused := map[string]bool{}
 	for test, line := range known {
@@ -173,23 +188,23 @@
 }
 
 // printFailures prints and counts the failures that nothing excuses.
-func (t *testResults) printFailures(excused map[string]bool, out io.Writer) (red int) {
+func (t *testResults) printFailures(excused map[string]bool, out io.Writer) (failed int) {
 	for test := range t.failed {
 		if !excused[test] {
-			red++
+			failed++
 			printLine(out, "FAIL", test)
 		}
 	}
 	for name := range t.packages {
 		if !t.byTest[name] {
-			red++ // it did not build, or ended outside a test
+			failed++ // it did not build, or ended outside a test
 			printLine(out, "FAIL", name)
 		}
 	}
-	return red
+	return failed
 }
 
-// printOutput prints what failed tests and packages have printed.
+// printOutput prints the output of failed tests and packages.
 func (t *testResults) printOutput(out io.Writer) {
 	for key, b := range t.output {
 		if text := b.String(); strings.Contains(text, "FAIL") || strings.Contains(text, "panic:") || strings.HasSuffix(key, " ") {
@@ -198,5 +213,5 @@
 	}
 }
 
-// printLine prints a line. Whoever can't print it has nobody to tell; the exit status stands.
+// printLine prints a line. Errors of printing are ignored: the exit status tells the verdict.
 func printLine(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,4 +1,4 @@
-// Command fleetsim plays a large fleet on one machine: real controllers, hollow workers.
+// Command fleetsim simulates a large fleet on one machine: real controllers, simulated workers.
 package main
 
 import (
@@ -24,20 +24,24 @@
 	exitPromise    = 4
 )
 
-// controllerPackage is the product's program, built where no binary is named.
+// controllerPackage is the controllers' program, built where no binary is named.
 const controllerPackage = "./cmd/bitternwing"
 
+// cli are the flags. Kong makes them and their help from the tags.
 type cli struct {
-	Scenario  string  `arg:"" optional:"" default:"deploy/scale/smoke.json" help:"What to play (JSON)."`
+	Scenario  string  `arg:"" optional:"" default:"deploy/scale/smoke.json" help:"The scenario (JSON)."`
 	Binary    string  `placeholder:"FILE" help:"The controllers' program; built from these sources if absent."`
 	Out       string  `default:"target/fleetsim" placeholder:"DIR" help:"Where settings, logs and results go."`
 	Port      int     `default:"0" help:"First port of the controllers; 0: any free ones."`
 	Processes int     `default:"40" help:"The most processes to run."`
-	Scale     float64 `default:"1" help:"Play this share of the scenario's workers, teams and starts."`
+	Scale     float64 `default:"1" help:"Simulate this share of the scenario's workers, teams and starts."`
 	Schema    bool    `help:"Print the schema of scenarios and end."`
 }
 
-// Run plays the scenario and prints what it came to.
+// outMode is the mode of the directory for the output.
+const outMode = 0o755
+
+// Run simulates the scenario, and writes and prints the result.
 func (c *cli) Run() error {
 	if c.Schema {
 		_, err := os.Stdout.Write(fleetsim.ScenarioSchema())
@@ -50,10 +54,10 @@
 	if c.Scale != 1 {
 		scenario = scenario.Scale(c.Scale)
 	}
-	if err := os.MkdirAll(c.Out, 0o755); err != nil {
+	if err := os.MkdirAll(c.Out, outMode); err != nil {
 		return err
 	}
-	binary, err := c.controller(context.Background())
+	binary, err := c.controllerBinary(context.Background())
 	if err != nil {
 		return err
 	}
@@ -62,27 +66,34 @@
 	if scenario.Sweep != nil {
 		return c.sweep(ctx, scenario, binary)
 	}
+	return c.simulate(ctx, scenario, binary)
+}
+
+// simulate simulates a scenario once.
+func (c *cli) simulate(ctx context.Context, scenario *fleetsim.Scenario, binary string) error {
 	progress := newProgress(os.Stderr, scenario)
-	result, err := fleetsim.Run(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port,
-		MaxProcesses: c.Processes, Progress: progress.show})
+	options := c.options(binary)
+	options.Progress = progress.show
+	result, err := fleetsim.Run(ctx, scenario, options)
 	progress.end()
 	if result == nil {
 		return err
 	}
-	if failed := c.write(os.Stdout, result); failed != nil {
-		return errors.Join(err, failed)
-	}
-	return err
+	return errors.Join(err, c.write(os.Stdout, result))
+}
+
+func (c *cli) options(binary string) fleetsim.Options {
+	return fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MaxProcesses: c.Processes}
 }
 
-// sweep plays a scenario once for each variant and seed.
+// sweep simulates a scenario once for each variant and seed.
 func (c *cli) sweep(ctx context.Context, scenario *fleetsim.Scenario, binary string) error {
-	runs, err := fleetsim.RunSweep(ctx, scenario, fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MaxProcesses: c.Processes})
+	runs, err := fleetsim.RunSweep(ctx, scenario, c.options(binary))
 	return errors.Join(err, fleetsim.WriteSweep(c.Out, runs), fleetsim.PrintSweep(os.Stdout, runs))
 }
 
-// controller gives the controllers' program, built if none is named.
-func (c *cli) controller(ctx context.Context) (string, error) {
+// controllerBinary gives the path of the controllers' program, which is built if none is named.
+func (c *cli) controllerBinary(ctx context.Context) (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
 	}
@@ -95,7 +106,7 @@
 	return binary, nil
 }
 
-// write keeps the result and prints a summary.
+// write writes the result to files and prints a summary.
 func (c *cli) write(w io.Writer, result *fleetsim.Result) error {
 	data, page := filepath.Join(c.Out, "result.json"), filepath.Join(c.Out, "result.html")
 	if err := result.Write(data); err != nil {
@@ -112,14 +123,15 @@
 }
 
 func main() {
-	var c cli
-	ctx := kong.Parse(&c, kong.Name("fleetsim"), kong.Description("Plays a large fleet on one machine: real controllers, hollow workers."))
+	var command cli
+	ctx := kong.Parse(&command, kong.Name("fleetsim"), kong.Description("Simulates a large fleet on one machine: real controllers, simulated workers."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "fleetsim:", err)
 		os.Exit(exitStatus(err))
 	}
 }
 
+// exitStatus gives the exit status for an error.
 func exitStatus(err error) int {
 	if errors.Is(err, fleetsim.ErrRuleBroken) {
 		return exitRuleBroken
--- a/cmd/fleetsim/progress.go
+++ b/cmd/fleetsim/progress.go
@@ -7,10 +7,10 @@
 	"bitternwing/internal/fleetsim"
 )
 
-// progressIntervalS is how often progress is written where nobody watches.
+// progressIntervalS is how often a line is written where the output is no terminal.
 const progressIntervalS = 10
 
-// progress shows how far a run is: on a terminal one line that changes, elsewhere a line now and then.
+// progress shows the progress of a simulation: on a terminal one line that changes, elsewhere a line now and then.
 type progress struct {
 	out      *os.File
 	scenario *fleetsim.Scenario
@@ -18,16 +18,16 @@
 	seconds  int
 }
 
-func newProgress(out *os.File, s *fleetsim.Scenario) *progress {
+func newProgress(out *os.File, scenario *fleetsim.Scenario) *progress {
 	info, err := out.Stat()
-	return &progress{out: out, scenario: s, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
+	return &progress{out: out, scenario: scenario, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-// show shows a second of the run. What can't be written is not shown.
-func (p *progress) show(s fleetsim.Second) {
+// show shows a second. Errors of writing are ignored: the result does not depend on them.
+func (p *progress) show(second fleetsim.Second) {
 	p.seconds++
 	line := fmt.Sprintf("%4.0f of %.0f s  leader %-14s %5d workers  asked %5d/s  started %5d/s  on machines %6d  broken rules %d",
-		s.AtS, p.scenario.DurationS, s.Leader, s.Reporting, s.Requested, s.Started, s.OnMachine, s.Violations)
+		second.AtS, p.scenario.DurationS, second.Leader, second.Reporting, second.Requested, second.Started, second.OnMachine, second.Violations)
 	switch {
 	case p.terminal:
 		_, _ = fmt.Fprint(p.out, "\r\x1b[K", line)
@@ -36,7 +36,7 @@
 	}
 }
 
-// end leaves the last line standing.
+// end ends the line on a terminal.
 func (p *progress) end() {
 	if p.terminal && p.seconds > 0 {
 		_, _ = fmt.Fprintln(p.out)
