--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -79,6 +79,8 @@
 	}
 }
 
+func (l *leader) avoidsMachine(j *job, m *machine) bool { return l.failures.avoids(j, m) }
+
 func (l *leader) persist(j *job, task int) { l.markDirty(l.chunkOf(j, task)) }
 
 func (l *leader) dispatch(m *machine) { l.pendingDispatch = append(l.pendingDispatch, m) }
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -5,6 +5,9 @@
 	"bitternwing/internal/wire"
 )
 
+// maxDirectCommands bounds the sockets that direct commands take.
+func (c *Core) maxDirectCommands() int { return max(4, c.settings.Params.Limits.MaxConnections/12) }
+
 // sendDirectCommands sends committed starts, and stops, to their machines directly, instead of waiting for the next
 // heartbeat. Package fencing tells what bounds how late they can take effect.
 func (l *leader) sendDirectCommands() {
--- a/internal/core/failure_accounting.go
+++ b/internal/core/failure_accounting.go
@@ -22,14 +22,21 @@
 	minFailuresOfFaulty = 2
 )
 
+// failureAccounting tells faulty machines from jobs that fail everywhere. The counts are kept on the jobs and machines.
+type failureAccounting struct {
+	core     *Core
+	jobs     map[string]*job
+	machines map[string]*machine
+}
+
 // recordSuccess clears a machine and a job of suspicion: a task was done, or has been running for a while.
-func (l *leader) recordSuccess(p *placement, done bool) {
-	if !done && l.core.now.Steady-p.runningSince < minSuccessChecks*l.core.times.checkInterval {
+func (f *failureAccounting) recordSuccess(p *placement, done bool) {
+	if !done && f.core.now.Steady-p.runningSince < minSuccessChecks*f.core.times.checkInterval {
 		return
 	}
 	j := p.job
 	if p.placedAt > p.machine.lastFailure {
-		// A task that was there before tells nothing: a faulty machine may fail only what it starts.
+		// A task that was placed before is no evidence: a faulty machine may fail only what it starts.
 		clear(p.machine.failures)
 	}
 	failedOn := j.failedOn
@@ -39,55 +46,55 @@
 	}
 	j.ranSuccessfully = true
 	for _, name := range slices.Sorted(maps.Keys(failedOn)) {
-		if m := l.machines[name]; m != nil && m != p.machine {
+		if m := f.machines[name]; m != nil && m != p.machine {
 			m.failures[j.id] = max(1, m.failures[j.id])
-			l.assessMachine(m)
+			f.assessMachine(m)
 		}
 	}
 }
 
 // recordFailure counts the failure of a task.
-func (l *leader) recordFailure(p *placement) {
+func (f *failureAccounting) recordFailure(p *placement) {
 	j, m := p.job, p.machine
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
 	}
 	j.failedOn[m.name] = true
 	m.failures[j.id]++
-	m.lastFailure = l.core.now.Steady
+	m.lastFailure = f.core.now.Steady
 	if !j.ranSuccessfully && len(j.failedOn) >= minFailuresOfFaulty {
-		l.suspectJob(j)
+		f.suspectJob(j)
 		return
 	}
-	l.assessMachine(m)
+	f.assessMachine(m)
 }
 
 // suspectJob has a job that failed on several machines back off, and reverts what its failures say of them.
-func (l *leader) suspectJob(j *job) {
-	backoff := l.core.times.checkInterval << min(len(j.failedOn)-1, maxBackoffDoublings)
-	j.retryAt = max(j.retryAt, l.core.now.Steady+min(backoff, maxBackoffLeases*l.core.times.lease))
+func (f *failureAccounting) suspectJob(j *job) {
+	backoff := f.core.times.checkInterval << min(len(j.failedOn)-1, maxBackoffDoublings)
+	j.retryAt = max(j.retryAt, f.core.now.Steady+min(backoff, maxBackoffLeases*f.core.times.lease))
 	for name := range j.failedOn {
-		if m := l.machines[name]; m != nil && !m.quarantined {
+		if m := f.machines[name]; m != nil && !m.quarantined {
 			delete(m.failures, j.id)
 		}
 	}
 }
 
 // assessMachine quarantines a machine if the jobs that failed on it show that it is faulty.
-func (l *leader) assessMachine(m *machine) {
+func (f *failureAccounting) assessMachine(m *machine) {
 	repeated := false
 	for id, n := range m.failures {
-		j := l.jobs[id]
+		j := f.jobs[id]
 		repeated = repeated || n >= minFailuresOfFaulty && j != nil && j.ranSuccessfully
 	}
 	if !m.quarantined && (len(m.failures) >= minFailuresOfFaulty || repeated) {
 		m.quarantined = true
-		l.core.log(Info, "worker quarantined", "worker", m.name, "jobs", len(m.failures))
+		f.core.log(Info, "worker quarantined", "worker", m.name, "jobs", len(m.failures))
 	}
 }
 
-// avoidsMachine tells whether a job should rather not be tried on a machine again. Where it failed on much of the fleet
-// the machines are not to blame.
-func (l *leader) avoidsMachine(j *job, m *machine) bool {
-	return j.failedOn[m.name] && 2*len(j.failedOn) <= len(l.machinesByName)
+// avoids tells whether a job should rather not be tried on a machine again. Where it failed on much of the fleet the
+// machines are not to blame.
+func (f *failureAccounting) avoids(j *job, m *machine) bool {
+	return j.failedOn[m.name] && 2*len(j.failedOn) <= len(f.machines)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -13,12 +13,13 @@
 // store (leaderRecovery), then from the heartbeats of the workers.
 type leader struct {
 	core *Core
+	leaderAuthority
+	termCalls
 
 	// The term, and the version of its key, on which every write is conditional.
-	term                 uint64
-	termVersion          uint64
-	startedAt            time.Duration
-	lastWithoutAuthority time.Duration // when this leader last had no authority to act
+	term        uint64
+	termVersion uint64
+	startedAt   time.Duration
 
 	recovery        *leaderRecovery
 	recovered       bool          // the state of earlier terms is restored
@@ -36,19 +37,18 @@
 	capacityIndex    *capacity.Index[*schedulableMachine]
 	replicaLedger    *topologyspread.Ledger
 
-	observedChanges       uint64 // what heartbeats have changed
-	reconciliations       uint64 // heartbeats that were reconciled
-	statusQueriesInFlight int
-	pendingDispatch       []*machine // with starts that were just committed, or stops
-	commandsInFlight      int        // direct commands without an answer yet
+	observedChanges  uint64     // what heartbeats have changed
+	reconciliations  uint64     // heartbeats that were reconciled
+	pendingDispatch  []*machine // with starts that were just committed, or stops
+	commandsInFlight int        // direct commands without an answer yet
 
-	zoneIsolatedAt   map[string]time.Duration // when a zone was last seen isolated with its controllers
-	unreachableZones []string                 // zones much of which this node can't reach, whoever renews the leases there
-	silentZones      map[string]bool          // zones much of which is silent; true: none of their controllers answers either
+	silentZones map[string]bool // zones much of which is silent, kept by liveness; true: none of their controllers answers either
 
 	nextHeldResponse time.Duration // when held responses are sent next
 	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
 
+	liveness    *livenessMonitor
+	failures    failureAccounting
 	writer      writer
 	provisioner provisioner
 	cycles      cycleTimer
@@ -65,7 +65,11 @@
 	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady, nextHeldResponse: farFuture,
 		jobs: map[string]*job{}, machines: map[string]*machine{}, releasedMachines: map[string]time.Duration{},
 		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(),
-		silentZones: map[string]bool{}, zoneIsolatedAt: map[string]time.Duration{}}
+		silentZones: map[string]bool{}}
+	l.leaderAuthority = leaderAuthority{core: c}
+	l.termCalls = termCalls{core: c, owner: l}
+	l.liveness = newLivenessMonitor(l)
+	l.failures = failureAccounting{core: c, jobs: l.jobs, machines: l.machines}
 	l.recovery = newLeaderRecovery(l)
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
@@ -78,24 +82,6 @@
 	return l
 }
 
-// registerCall registers the handler of a call's result. It is called only if this term still lasts.
-func (l *leader) registerCall(handle resultHandler) uint64 {
-	return l.core.registerCall(func(r Result) {
-		if l.core.leader == l {
-			handle(r)
-		}
-	})
-}
-
-// registerStoreCall is registerCall for a call of the key-value store.
-func (l *leader) registerStoreCall(handle resultHandler) uint64 {
-	return l.core.registerStoreCall(func(r Result) {
-		if l.core.leader == l {
-			handle(r)
-		}
-	})
-}
-
 // run does what is due. Every part sets when it wants to be woken.
 func (l *leader) run() {
 	if !l.recovered {
@@ -125,7 +111,7 @@
 	now := l.core.now.Steady
 	if now >= l.nextFleetCheck {
 		l.nextFleetCheck = l.core.coalesce(now + 1)
-		l.checkMachines()
+		l.liveness.check(l.machinesByName)
 		l.enforceCancellations()
 		l.provisioner.releaseNeverUp()
 		l.core.warnOfUndersizedSettings(len(l.machinesByName))
--- a/internal/core/leader_authority.go
+++ b/internal/core/leader_authority.go
@@ -16,19 +16,22 @@
 //     of workers, stops tasks and releases machines.
 //   - Without authority it only waits for its lease to be renewed or lost (election.Election).
 
+// leaderAuthority answers what a leader may do now. The leader's components share it.
+type leaderAuthority struct{ core *Core }
+
 // mayCommit reports whether this leader may decide, and commit it.
-func (l *leader) mayCommit() bool {
-	return !l.core.storeHealth.down && l.core.election.LeaseValid()
+func (a leaderAuthority) mayCommit() bool {
+	return !a.core.storeHealth.down && a.core.election.LeaseValid()
 }
 
 // hasAuthority reports whether this leader may act on what is committed.
-func (l *leader) hasAuthority() bool {
-	return l.core.election.LeaseValid() || l.core.storeOutageConfirmed()
+func (a leaderAuthority) hasAuthority() bool {
+	return a.core.election.LeaseValid() || a.core.storeOutageConfirmed()
 }
 
 // hasAuthorityAt is hasAuthority for an observer: the core is not woken when the lease expires.
-func (l *leader) hasAuthorityAt(now time.Duration) bool {
-	return l.core.election.LeaseValidAt(now) || l.core.storeOutageConfirmed()
+func (a leaderAuthority) hasAuthorityAt(now time.Duration) bool {
+	return a.core.election.LeaseValidAt(now) || a.core.storeOutageConfirmed()
 }
 
 // storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none knows a
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -56,7 +56,7 @@
 		Revision: c.readRevision(), RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
 	if c.leader != nil {
 		s.Leading = true
-		s.UnreachableZones = c.leader.unreachableZones
+		s.UnreachableZones = c.leader.liveness.unreachableZones
 		s.UnresolvedCancellations, s.MoreUnresolved = c.leader.unresolvedJobs()
 		s.Term = max(s.Term, c.leader.term)
 	}
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if p.runningSince != 0 && (!p.job.ranSuccessfully || len(m.failures) > 0) {
-		l.recordSuccess(p, false)
+		l.failures.recordSuccess(p, false)
 	}
 }
 
@@ -153,9 +153,9 @@
 		if j.isArray() {
 			l.setDone(j, p.task)
 		}
-		l.recordSuccess(p, true)
+		l.failures.recordSuccess(p, true)
 	case wire.CauseError:
-		l.recordFailure(p)
+		l.failures.recordFailure(p)
 	case wire.CauseNoCapacity:
 		p.machine.noCapacityUntil = now + retryPause
 	case wire.CauseBusy, wire.CauseUnknownTask:
