--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -83,6 +83,7 @@
 
 // show writes a file into the directory that -show names.
 func show(t *testing.T, name, text string) {
+	t.Helper()
 	if err := os.WriteFile(filepath.Join(*showIn, name), []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -19,6 +19,7 @@
 
 // newFleetOf has so many machines up in three zones, one of which has no nodes, with settings that carry them.
 func newFleetOf(t *testing.T, nodes, machines int) *scaleCluster {
+	t.Helper()
 	y := newLargeScaleCluster(t, nodes, 0)
 	y.op.IdleBoots = 100
 	y.adjust = func(p *config.Params) {
--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 	"strings"
 	"testing"
@@ -70,23 +71,7 @@
 		j.on[task] = map[string]onMachine{}
 	}
 	j.on[task][machine] = onMachine{zone}
-	used, here, elsewhere := 0.0, 0, 0
-	for t, ms := range j.on {
-		jid, _, _ := wire.ParseTaskName(t)
-		if o := j.jobs[jid]; o != nil && o.spec.Team == x.spec.Team {
-			used += float64(len(ms)) * o.spec.GPUs
-		}
-		if jid != id {
-			continue
-		}
-		for _, m := range ms {
-			if m.zone == zone {
-				here++
-			} else {
-				elsewhere++
-			}
-		}
-	}
+	used := j.gpusOf(x.spec.Team)
 	if most := j.limits[x.spec.Team]; most > 0 && used > most+1e-9 {
 		j.breaks(now, "quota", "%s uses %g of %g with %s", x.spec.Team, used, most, task)
 	}
@@ -95,12 +80,7 @@
 			j.breaks(now, "too_early", "%s starts on %s before %s is done", task, machine, need)
 		}
 	}
-	s := x.spec
-	allowed := s.MachineTypes == nil
-	for _, t := range s.MachineTypes {
-		allowed = allowed || t == kind
-	}
-	if !allowed || spot && !s.Spot || s.Zone != "" && s.Zone != zone || s.SingleZone && elsewhere > 0 || s.SpreadZones && here > (s.Tasks+1)/2 {
+	if !j.allowedPlace(x.spec, id, kind, zone, spot) {
 		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", task, machine, kind, zone, spot)
 	}
 	if x.toldAt != 0 {
@@ -112,6 +92,47 @@
 	}
 }
 
+// gpusOf gives the GPUs that the tasks of a team use.
+func (j *ruleChecker) gpusOf(team string) float64 {
+	used := 0.0
+	for task, machines := range j.on {
+		id, _, _ := wire.ParseTaskName(task)
+		if other := j.jobs[id]; other != nil && other.spec.Team == team {
+			used += float64(len(machines)) * other.spec.GPUs
+		}
+	}
+	return used
+}
+
+// allowedPlace tells whether a job's task that starts may be on such a machine, given where the job's tasks are.
+func (j *ruleChecker) allowedPlace(s *wire.Job, id, kind, zone string, spot bool) bool {
+	here, elsewhere := j.tasksByZone(id, zone)
+	switch {
+	case s.MachineTypes != nil && !slices.Contains(s.MachineTypes, kind), spot && !s.Spot, s.Zone != "" && s.Zone != zone:
+		return false
+	case s.SingleZone && elsewhere > 0, s.SpreadZones && here > (s.Tasks+1)/2:
+		return false
+	}
+	return true
+}
+
+// tasksByZone counts the tasks of a job in a zone and in all others.
+func (j *ruleChecker) tasksByZone(id, zone string) (here, elsewhere int) {
+	for task, machines := range j.on {
+		if other, _, _ := wire.ParseTaskName(task); other != id {
+			continue
+		}
+		for _, m := range machines {
+			if m.zone == zone {
+				here++
+			} else {
+				elsewhere++
+			}
+		}
+	}
+	return here, elsewhere
+}
+
 // ends takes note of a task that is on a machine no more; done if it completed there.
 func (j *ruleChecker) ends(task, machine string, done bool) {
 	delete(j.on[task], machine)
@@ -180,6 +201,7 @@
 			x.toldAt = now
 		}
 		x.final = state
+	case wire.JobPending, wire.JobRunning:
 	}
 }
 
@@ -227,9 +249,9 @@
 // Jobs of TestRuleChecker.
 const checkedID, otherID = "run-000001", "run-000002"
 
-// checkedSpec is the job that TestRuleChecker submits.
-func checkedSpec(t testing.TB) *wire.Job {
-	return (&sim{t: t}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
+// checkedSpec is the job that TestRuleChecker submits. Its words are constant, so nothing fails in reading them.
+func checkedSpec() *wire.Job {
+	return (&sim{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
 }
 
 // seconds gives a time in seconds.
@@ -252,7 +274,7 @@
 		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
 	},
 	"wrong_place zone": func(j *ruleChecker) {
-		j.submits(checkedSpec(nil)).spec.Zone = "z2"
+		j.submits(checkedSpec()).spec.Zone = "z2"
 		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
 	},
 	"wrong_place one_zone": func(j *ruleChecker) {
@@ -283,13 +305,13 @@
 		j.starts(seconds(3), checkedID+"/0", "m1", "g8", "z1", false)
 	},
 	"too_early": func(j *ruleChecker) {
-		needing := checkedSpec(nil)
+		needing := checkedSpec()
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		j.submits(needing)
 		j.starts(seconds(1), otherID+"/0", "m1", "g8", "z1", false)
 	},
 	"orphaned": func(j *ruleChecker) {
-		needing := checkedSpec(nil)
+		needing := checkedSpec()
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		j.submits(needing)
 		j.jobs[checkedID].asked = true
@@ -321,7 +343,7 @@
 func TestRuleChecker(t *testing.T) {
 	for rule, day := range ruleBreakingDays {
 		j := newRuleChecker(map[string]float64{"red": 8}, simCancel)
-		j.submits(checkedSpec(t))
+		j.submits(checkedSpec())
 		if day(j); len(j.broken) != 1 || !strings.Contains(j.broken[0], strings.Fields(rule)[0]) {
 			t.Errorf("%s: the checker says %v", rule, j.broken)
 		}
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -20,6 +20,7 @@
 // newTargetCluster has one node with a core of its own that leads so many machines, all up, with a state service
 // that is not the limit. What its steps take is what they really take.
 func newTargetCluster(b *testing.B, machines int) *scaleCluster {
+	b.Helper()
 	y := newLargeScaleCluster(b, 1, 0)
 	y.adjust = func(p *config.Params) {
 		p.Store = config.Store{RPS: 100_000, WriteRPS: 100_000, ValueKB: 64, TxnOps: 128}
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -112,8 +112,9 @@
 }
 
 // newLargeScaleCluster has the settings of a fleet of about 1,000 machines.
-func newLargeScaleCluster(t testing.TB, nodes, machines int) *scaleCluster {
-	y := newScaleCluster(t, nodes, machines)
+func newLargeScaleCluster(tb testing.TB, nodes, machines int) *scaleCluster {
+	tb.Helper()
+	y := newScaleCluster(tb, nodes, machines)
 	y.large = true
 	for i := range y.nodes {
 		y.start(i)
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -11,13 +11,14 @@
 )
 
 // playDay plays a script.
-func playDay(t testing.TB, script string) (*sim, []string) {
+func playDay(tb testing.TB, script string) (*sim, []string) {
+	tb.Helper()
 	var s *sim
 	zones := map[string]string{}
 	seed := uint64(1)
 	begin := func() {
 		if s == nil {
-			s = newSim(t, seed, zones)
+			s = newSim(tb, seed, zones)
 		}
 	}
 	for _, line := range strings.Split(script, "\n") {
@@ -50,13 +51,13 @@
 			begin()
 			rooms, err := strconv.Atoi(f[1])
 			if err != nil {
-				t.Fatalf("not a number: %s", f[1])
+				tb.Fatalf("not a number: %s", f[1])
 			}
 			s.perZone = rooms
 			continue
 		case "calm", "end":
 			begin()
-			at := parseSeconds(t, f[1])
+			at := parseSeconds(tb, f[1])
 			if f[0] == "calm" {
 				s.calm = at
 			} else {
@@ -65,7 +66,7 @@
 			continue
 		}
 		begin()
-		s.plan(parseSeconds(t, f[0]), f[1:])
+		s.plan(parseSeconds(tb, f[0]), f[1:])
 	}
 	s.run()
 	return s, s.verdict()
@@ -83,10 +84,11 @@
 	}
 }
 
-func parseSeconds(t testing.TB, text string) time.Duration {
+func parseSeconds(tb testing.TB, text string) time.Duration {
+	tb.Helper()
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		t.Fatalf("not a number: %s", text)
+		tb.Fatalf("not a number: %s", text)
 	}
 	return time.Duration(x * float64(time.Second))
 }
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -85,8 +85,9 @@
 	simBoot   = 8.0
 )
 
-func newSim(t testing.TB, seed uint64, zones map[string]string) *sim {
-	s := &sim{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: emulator.NewStore(),
+func newSim(tb testing.TB, seed uint64, zones map[string]string) *sim {
+	tb.Helper()
+	s := &sim{t: tb, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: emulator.NewStore(),
 		digest: newOutputDigest(),
 		byName: map[string]*simWorker{}, rented: map[string][]string{}, results: map[string]bool{}, perZone: 4}
 	limits := map[string]float64{"red": 8, "blue": 16, "green": 48, "guest": 32}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -98,6 +98,7 @@
 }
 
 func play(t *testing.T, text string) string {
+	t.Helper()
 	w := &traceHarness{t: t, now: time.Second, store: emulator.NewStore(), nodes: map[string]*node{}, answers: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if strings.HasPrefix(line, "|") {
@@ -197,27 +198,7 @@
 		w.cut = strings.TrimPrefix(arg(1), "join")
 		return
 	case f[0] == "cloud":
-		switch arg(1) {
-		case "down":
-			w.cloudDown = true
-		case "up":
-			w.cloudDown, w.cloudNone = false, false
-		case "none":
-			w.cloudNone = true
-		case "fails":
-			w.machines[arg(2)].State = wire.MachineFailed
-		case "hides":
-			w.hidden = arg(2)
-		case "shows":
-			w.hidden = ""
-		case "drops":
-			delete(w.machines, arg(2))
-		case "has":
-			w.machines[arg(2)] = &wire.Machine{Name: f[2], Type: "g8", Zone: "z1", State: wire.MachineRunning}
-			if len(f) > 3 {
-				w.machines[f[2]].Zone = f[3]
-			}
-		}
+		w.setCloud(arg, f)
 		return
 	case f[0] == "keys":
 		for _, k := range w.store.Keys(arg(1)) {
@@ -261,14 +242,40 @@
 	w.settle()
 }
 
+// setCloud changes what the cloud has or answers.
+func (w *traceHarness) setCloud(arg func(int) string, f []string) {
+	switch arg(1) {
+	case "down":
+		w.cloudDown = true
+	case "up":
+		w.cloudDown, w.cloudNone = false, false
+	case "none":
+		w.cloudNone = true
+	case "fails":
+		w.machines[arg(2)].State = wire.MachineFailed
+	case "hides":
+		w.hidden = arg(2)
+	case "shows":
+		w.hidden = ""
+	case "drops":
+		delete(w.machines, arg(2))
+	case "has":
+		w.machines[arg(2)] = &wire.Machine{Name: f[2], Type: "g8", Zone: "z1", State: wire.MachineRunning}
+		if len(f) > 3 {
+			w.machines[f[2]].Zone = f[3]
+		}
+	}
+}
+
 // nextLimits reads the limits to come.
-func nextLimits(t testing.TB, f []string) *config.NextLimits {
+func nextLimits(tb testing.TB, f []string) *config.NextLimits {
+	tb.Helper()
 	next := &config.NextLimits{}
 	for _, kv := range f {
 		k, v, _ := strings.Cut(kv, "=")
 		num, err := strconv.ParseFloat(v, 64)
 		if err != nil {
-			t.Fatalf("not a number: %s", kv)
+			tb.Fatalf("not a number: %s", kv)
 		}
 		switch k {
 		case "value_kb":
@@ -279,7 +286,7 @@
 			ops := int(num)
 			next.TxnOps = &ops
 		default:
-			t.Fatalf("unknown: %s", kv)
+			tb.Fatalf("unknown: %s", kv)
 		}
 	}
 	return next
