--- a/internal/emulator/store_server_test.go
+++ b/internal/emulator/store_server_test.go
@@ -13,9 +13,9 @@
 // testTimeout bounds how long a test waits for what has to happen.
 const testTimeout = 20 * time.Second
 
-// TestWatchSeesLeaseEnd has a lease end while nothing else happens: an open watch is told that its key is gone, and does
+// TestWatchSeesLeaseExpiry has a lease expire while nothing else happens: an open watch returns that its key is deleted, and does
 // not wait for its own time.
-func TestWatchSeesLeaseEnd(t *testing.T) {
+func TestWatchSeesLeaseExpiry(t *testing.T) {
 	s := NewStoreServer()
 	defer s.Close()
 	addr, err := s.AddClient("test")
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -100,7 +100,7 @@
 	return binary
 }
 
-// TestSmallRun plays a small fleet through the end of its leader, and keeps what it came to.
+// TestSmallRun simulates a small fleet through a failover, and writes the result.
 func TestSmallRun(t *testing.T) {
 	s := smoke(t).Scale(0.1)
 	s.DurationS, s.WarmUpS, s.Faults[0].AtS = 20, 2, 10
--- a/internal/fleetsim/load/generator_test.go
+++ b/internal/fleetsim/load/generator_test.go
@@ -18,7 +18,7 @@
 	return g.AtStart(time.Second), g.Until(101 * time.Second)
 }
 
-// TestGenerator makes the same jobs for the same seed, in order, at the rate that is asked for, and in the form of the
+// TestGenerator makes the same jobs for the same seed, in order, at the requested rate, and in the form of the
 // protocol.
 func TestGenerator(t *testing.T) {
 	start, rest := testArrivals(7)
--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -49,7 +49,7 @@
 	Every  int64         `json:"every"`   // one of so many requests
 }
 
-// Partition cuts the first router off from all controllers.
+// Partition is a partition between the first router and all controllers.
 type Partition struct {
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
--- a/internal/fleetsim/rolling/rolling_test.go
+++ b/internal/fleetsim/rolling/rolling_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestBroken tells what a rollout did not keep.
-func TestBroken(t *testing.T) {
+// TestBrokenPromise tells what a rollout did not keep.
+func TestBrokenPromise(t *testing.T) {
 	for want, r := range map[string]Result{
 		"":              {Model: model(Steps), Phase: "completed"},
 		"0.57":          {Model: model(Steps), Phase: "completed", SamplesBelowPromise: 5, MinServed: 0.57},
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -11,7 +11,7 @@
 	"bitternwing/internal/simworker"
 )
 
-// rollouts are the models of a run whose new version is rolled out, with their model servers; nil: there are none.
+// rollouts are the models whose new version is rolled out, with their model servers; nil: there are none.
 type rollouts struct {
 	servers *simmodelserver.Server
 	models  []*rolling.Rollout
@@ -27,24 +27,24 @@
 		return err
 	}
 	sim.rollouts = &rollouts{servers: simmodelserver.New(listener, sim.fleet)}
-	world := &rolling.Environment{Binary: sim.options.Binary, Dir: sim.options.Dir, Teams: teams, Fleet: sim.fleet, Now: sim.now,
-		Cancel: sim.users.Cancel, Submit: func(ctx context.Context, a load.Arrival) {
-			sim.recorder.submit(a)
-			sim.users.Start(ctx, a)
+	environment := &rolling.Environment{Binary: sim.options.Binary, Dir: sim.options.Dir, Teams: teams, Fleet: sim.fleet, Now: sim.now,
+		Cancel: sim.users.Cancel, Submit: func(ctx context.Context, arrival load.Arrival) {
+			sim.recorder.submit(arrival)
+			sim.users.Start(ctx, arrival)
 		}}
-	for _, x := range sim.controllers.list {
-		world.Controllers = append(world.Controllers, x.internalAddress)
+	for _, process := range sim.controllers.list {
+		environment.Controllers = append(environment.Controllers, process.internalAddress)
 	}
 	for i, model := range sim.scenario.Rollouts {
-		play, err := rolling.New(model, i, world)
+		simulated, err := rolling.New(model, i, environment)
 		if err != nil {
 			return err
 		}
-		sim.rollouts.models = append(sim.rollouts.models, play)
+		sim.rollouts.models = append(sim.rollouts.models, simulated)
 	}
 	sim.rollouts.servers.SetWrong(func(task string, request int64) bool {
-		for _, play := range sim.rollouts.models {
-			if play.IsWrong(task, request) {
+		for _, model := range sim.rollouts.models {
+			if model.IsWrong(task, request) {
 				return true
 			}
 		}
@@ -53,34 +53,34 @@
 	return nil
 }
 
-// modelPort is where the model servers are; 0: there are none.
-func (x *rollouts) modelPort() int {
-	if x == nil {
+// modelPort is the port of the model servers; 0: there are none.
+func (r *rollouts) modelPort() int {
+	if r == nil {
 		return 0
 	}
-	return x.servers.Port()
+	return r.servers.Port()
 }
 
-// start plays all rollouts until the context ends.
-func (x *rollouts) start(ctx context.Context) *sync.WaitGroup {
+// start simulates all rollouts in the background, until the context ends.
+func (r *rollouts) start(ctx context.Context) *sync.WaitGroup {
 	var running sync.WaitGroup
-	if x == nil {
+	if r == nil {
 		return &running
 	}
-	for _, play := range x.models {
+	for _, model := range r.models {
 		running.Add(1)
-		go func() { defer running.Done(); play.Run(ctx) }()
+		go func() { defer running.Done(); model.Run(ctx) }()
 	}
 	return &running
 }
 
-// results gives what the rollouts came to, and the first thing that one of them did not keep.
-func (x *rollouts) results() (all []rolling.Result, broken string) {
-	if x == nil {
+// results gives the results of the rollouts, and the first broken promise; "": there is none.
+func (r *rollouts) results() (all []rolling.Result, broken string) {
+	if r == nil {
 		return nil, ""
 	}
-	for _, play := range x.models {
-		result := play.Result()
+	for _, model := range r.models {
+		result := model.Result()
 		if broken == "" {
 			broken = result.BrokenPromise()
 		}
@@ -89,13 +89,14 @@
 	return all, broken
 }
 
-func (x *rollouts) close() {
-	if x != nil {
-		x.servers.Close()
+// close ends the model servers.
+func (r *rollouts) close() {
+	if r != nil {
+		r.servers.Close()
 	}
 }
 
-// operatorWith gives the operators' settings of the scenario with the port of the model servers, where there are any.
+// operatorWith gives the operators' settings of the scenario, with the port of the model servers if there are any.
 func (s *Scenario) operatorWith(modelPort int) (json.RawMessage, error) {
 	if modelPort == 0 {
 		return s.Operator, nil
@@ -104,11 +105,11 @@
 	if err := json.Unmarshal(s.Operator, &settings); err != nil {
 		return nil, err
 	}
-	own, ok := settings["rollouts"].(map[string]any)
+	rolloutSettings, ok := settings["rollouts"].(map[string]any)
 	if !ok {
-		own = map[string]any{}
+		rolloutSettings = map[string]any{}
 	}
-	own["model_port"] = modelPort
-	settings["rollouts"] = own
+	rolloutSettings["model_port"] = modelPort
+	settings["rollouts"] = rolloutSettings
 	return json.Marshal(settings)
 }
--- a/internal/fleetsim/rules/ledger.go
+++ b/internal/fleetsim/rules/ledger.go
@@ -57,7 +57,7 @@
 	spec               *wire.Job
 	accepted           bool
 	cancelAcknowledged bool
-	cancelledAt        time.Duration // when its user was told
+	cancelledAt        time.Duration // when the cancellation was acknowledged
 	reported           bool          // that it ran on after that
 	machines           map[int]string
 	done               map[int]bool
--- a/internal/fleetsim/rules/ledger_test.go
+++ b/internal/fleetsim/rules/ledger_test.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/wire"
 )
 
-// TestRules breaks each rule once, and sees it told once; what comes close to it is no violation.
+// TestRules violates each rule once, which is recorded once; what comes close to it is no violation.
 func TestRules(t *testing.T) {
 	type setup struct {
 		ledger *Ledger
@@ -58,7 +58,7 @@
 		s := setup{l, &now}
 		test.close(s)
 		if v := l.Violations(); len(v) > 0 {
-			t.Errorf("%s: told too early: %v", test.rule, v)
+			t.Errorf("%s: recorded too early: %v", test.rule, v)
 		}
 		test.bad(s)
 		if v := l.Violations(); len(v) != 1 || v[0].Rule != test.rule {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -14,7 +14,7 @@
 
 // An unknown outcome is never taken for a refusal or a success.
 func TestOutcomes(t *testing.T) {
-	var next atomic.Value // what the service answers
+	var next atomic.Value // the response of the service
 	type reply struct {
 		status int
 		body   string
@@ -23,7 +23,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a := next.Load().(reply)
 		if a.status == 0 {
-			<-end // no answer
+			<-end // no response
 			return
 		}
 		w.WriteHeader(a.status)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -102,7 +102,7 @@
 
 // However many scrapers come and get stuck, no more connections are open than are allowed, and a scraper is served once
 // the others have had their time.
-func TestMostConnections(t *testing.T) {
+func TestMaxConnections(t *testing.T) {
 	addr, l := serve(t, Options{MaxConnections: 2, RequestTimeout: 200 * time.Millisecond})
 	for range 40 {
 		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", addr)
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -11,7 +11,7 @@
 const maxQueuedResults = 64
 
 // queuedInput is an input that waits for the core. A request is of no use to anybody after its
-// deadline: it is not handed in then, so that after a pause of the process the newest requests come first.
+// deadline: it is not handed to the core then, so that after a pause of the process the newest requests come first.
 type queuedInput struct {
 	input      core.Input
 	receivedAt time.Time
@@ -106,7 +106,7 @@
 	select {
 	case response := <-responses:
 		// After a pause of the process both may be there, and the timer may come last. What was true then
-		// may be told no more.
+		// may not be returned any more.
 		if ctx.Err() != nil || queued.expired() {
 			return core.Response{}, false
 		}
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -32,7 +32,7 @@
 	return l.b.String()
 }
 
-// scrape gives what an address serves at a path, and the status; 0: no answer.
+// scrape gives the status and the body of a response; status 0: there was none.
 func scrape(t *testing.T, addr, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+path, http.NoBody)
@@ -120,7 +120,7 @@
 		}
 		defer func() { _ = c.Close() }()
 		request := "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
-		_, _ = io.WriteString(c, request[:i%(len(request)+1)]) // none, a part, or all of it; the answer is not read
+		_, _ = io.WriteString(c, request[:i%(len(request)+1)]) // none, a part, or all of it; the response is not read
 	}
 	s.runJob("a", "run-000002")
 	s.eventually("a scraper is served again", func() bool { status, _ := scrape(t, addr, "/metrics"); return status == http.StatusOK })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	core   *core.Core
 
 	inputs  chan queuedInput // requests
-	results chan core.Result // of calls; they are handed in before requests
+	results chan core.Result // of calls; the core gets them before requests
 	healthy atomic.Bool
 
 	requestsMu       sync.Mutex
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,15 +23,15 @@
 	"bitternwing/internal/wire"
 )
 
-// The end-to-end tests run real nodes on loopback against the stand-ins, with all
+// The end-to-end tests run real nodes on loopback against the emulated services, with all
 // intervals shortened. They wait for things to happen, up to a generous bound, and
 // assert no timing.
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 type site struct {
 	t      *testing.T
-	state  *emulator.StoreServer
+	store  *emulator.StoreServer
 	cloud  *emulator.Cloud
 	fleet  *simworker.Fleet
 	addrs  map[string]string
@@ -89,7 +89,7 @@
 
 // siteOptions is what a site may have beyond the usual.
 type siteOptions struct {
-	next     *config.NextLimits                    // limits of the state service to come, in the nodes' settings
+	next     *config.NextLimits                    // limits of the key-value store to come, in the nodes' settings
 	rollouts bool                                  // are switched on
 	operator func(node string, o *config.Operator) // changes a node's operators' settings; nil: none
 	log      io.Writer                             // what the nodes log; nil: it is lost
@@ -106,7 +106,7 @@
 	if options.log == nil {
 		options.log = io.Discard
 	}
-	s := &site{t: t, siteOptions: options, state: emulator.NewStoreServer(), addrs: map[string]string{}, peers: map[string]string{},
+	s := &site{t: t, siteOptions: options, store: emulator.NewStoreServer(), addrs: map[string]string{}, peers: map[string]string{},
 		cancel: map[string]context.CancelFunc{}, done: map[string]chan struct{}{}, jobs: map[string]*wire.Job{}, starts: map[string]int{}}
 	types := []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300, FetchGBPerS: 4,
 		Price: 16, SpotPrice: 5, BootS: 5, Zones: []string{"z1"}}}
@@ -142,13 +142,13 @@
 		}
 		s.cloud.Close()
 		s.fleet.Close()
-		s.state.Close()
+		s.store.Close()
 	})
 	return s
 }
 
 func (s *site) run(name string) {
-	storeAddr, err := s.state.AddClient(name)
+	storeAddr, err := s.store.AddClient(name)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -156,27 +156,27 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	set := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
+	settings := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
 		Services: config.Services{Cloud: cloudAddr, Store: storeAddr}, Operator: config.DefaultOperator()}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != name {
-			set.Peers = append(set.Peers, config.Peer{Node: p, Addr: s.peers[p]})
+			settings.Peers = append(settings.Peers, config.Peer{Node: p, Addr: s.peers[p]})
 		}
 	}
-	set.Params = config.Params{Nodes: 3, Zones: []string{"z1"},
+	settings.Params = config.Params{Nodes: 3, Zones: []string{"z1"},
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 8, MaxGPUs: 16}},
 		Workers: config.Workers{HeartbeatIntervalS: 0.2, LeaseS: 2, CancelS: 10},
 		Store:   config.Store{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: s.next},
 		Cloud:   config.Cloud{RPS: 20, ListLagS: 0.2},
 		Limits:  config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
 	if s.model != nil {
-		set.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: s.model.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
+		settings.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: s.model.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
 			CheckTimeoutS: 1, MaxPlans: 4, MaxRouters: 4}
 	}
 	if s.operator != nil {
-		s.operator(name, set.Operator)
+		s.operator(name, settings.Operator)
 	}
-	n, err := node.New(set, slog.New(slog.NewTextHandler(s.log, nil)))
+	n, err := node.New(settings, slog.New(slog.NewTextHandler(s.log, nil)))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 // keys gives the keys below a prefix in the key-value store.
 func (s *site) keys(prefix string) []string {
 	s.t.Helper()
-	addr, err := s.state.AddClient("test")
+	addr, err := s.store.AddClient("test")
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 	delete(s.cancel, name)
 }
 
-// call makes a request and decodes the answer; status 0: no answer.
+// call makes a request and decodes the response; status 0: there was none.
 func (s *site) call(method, node, path, body string) (int, wire.JobState) {
 	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addrs[node]+path, strings.NewReader(body))
 	if err != nil {
@@ -233,13 +233,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	var st wire.JobState
 	data, _ := io.ReadAll(resp.Body)
-	_ = json.NewDecoder(bytes.NewReader(data)).Decode(&st) // an answer without a body has no state
+	_ = json.NewDecoder(bytes.NewReader(data)).Decode(&st) // a response without a body has no state
 	return resp.StatusCode, st
 }
 
 func (s *site) eventually(what string, f func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
 			return
 		}
@@ -340,20 +340,20 @@
 	s.onceEach()
 }
 
-// TestOutage takes the state service away: users get 503 at once, what runs keeps
+// TestOutage has an outage of the key-value store: users get 503 at once, what runs keeps
 // its leases, and afterwards all goes on.
 func TestOutage(t *testing.T) {
 	s := newSite(t)
 	s.submit("a", "run-000001", wire.KindService, 1, 4)
 	s.eventually("it runs", func() bool { return s.fleet.Running("run-000001") == 1 })
-	s.state.SetDown(true)
+	s.store.SetDown(true)
 	s.eventually("503", func() bool {
 		code, _ := s.call("GET", "b", "/v2/runs/run-000001", "")
 		return code == 503
 	})
-	// Longer than the workers' lease: without answers the replica would be killed.
+	// Longer than the workers' lease: without responses the replica would be killed.
 	time.Sleep(5 * time.Second)
-	s.state.SetDown(false)
+	s.store.SetDown(false)
 	s.submit("c", "run-000002", wire.KindArray, 2, 1)
 	s.state3("run-000002", wire.JobDone)
 	s.mu.Lock()
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -30,7 +30,7 @@
 	// A call whose time was over before it went out.
 	n.startCall(ctx, call{operation{metrics.Store, "get"}, 7, -time.Second}, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
 	if r := <-n.results; r.CallID != 7 || r.Outcome != outcome.Dropped {
-		t.Errorf("the core is told %v", r)
+		t.Errorf("the result is %v", r)
 	}
 
 	// Two requests that are answered at once; the first one's user has gone.
@@ -48,10 +48,10 @@
 	default:
 	}
 
-	// An answer that comes together with the end of its time.
+	// A response that comes together with its deadline.
 	gone, end := context.WithDeadline(ctx, time.Now().Add(-time.Second))
 	defer end()
 	if _, ok := n.Handle(gone, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "x"} }); ok {
-		t.Error("an answer was told after its time")
+		t.Error("a response was returned after its deadline")
 	}
 }
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -25,9 +25,9 @@
 	valueKB, changes := 2.0, 4
 	s := newSiteWith(t, siteOptions{next: &config.NextLimits{ValueKB: &valueKB, TxnOps: &changes}})
 	s.eventually("the layout changes", func() bool { return len(s.keys("w/layout")) == 1 })
-	s.state.SetLimits(int(1024*valueKB), changes)
+	s.store.SetLimits(int(1024*valueKB), changes)
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	submit := func(node, id string, tasks int, needs string) {
 		t.Helper()
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -18,7 +18,7 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutPlan has two old and two new jobs of a replica each. Answers are compared with the right one and with the old
+// rolloutPlan has two old and two new jobs of a replica each. Responses are compared with the right one and with the old
 // version's.
 const rolloutPlan = `{"name":"reader","team":"red","old":{"jobs":["run-000001","run-000002"],"replica_capacity":1},
  "new":{"jobs":["run-000011","run-000012"],"replica_capacity":1},"promised_capacity":2,
@@ -39,61 +39,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if status, err := client.Apply(ctx, []byte(plan)); err != nil || status.GetPhase() != string(rollout.Pending) {
 		t.Fatal(status, err)
 	}
-	x, err := simrouter.New("north", "reader", []string{s.peers["a"], s.peers["b"], s.peers["c"]}, 200*time.Millisecond)
+	router, err := simrouter.New("north", "reader", []string{s.peers["a"], s.peers["b"], s.peers["c"]}, 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); x.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-ended; x.Close(); _ = client.Close() })
+	go func() { defer close(ended); router.Run(ctx) }()
+	t.Cleanup(func() { stop(); <-ended; router.Close(); _ = client.Close() })
 	for _, id := range []string{"run-000011", "run-000012"} {
 		s.submit("a", id, wire.KindService, 1, 4)
 	}
-	return s, client, x
+	return s, client, router
 }
 
-// status gives how the plan stands; nothing while that can't be had.
+// planState gives the status of the plan; nil while it is not available.
 func planState(client *adminapi.Client) *operatorpb.PlanStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	status, _ := client.Show(ctx, "reader") // what can't be had now is asked for again
+	status, _ := client.Show(ctx, "reader") // the caller tries again
 	return status
 }
 
-// ask sends a request by the router and tells whether the answer is right.
-func askModel(x *simrouter.Router, prompt string) (bool, error) {
+// requestCompletion sends a request through the router and tells whether the response is right.
+func requestCompletion(router *simrouter.Router, prompt string) (bool, error) {
 	body, err := json.Marshal(simmodelserver.Request{Model: "reader", Prompt: prompt})
 	if err != nil {
 		return false, err
 	}
-	served, err := x.Do(context.Background(), body)
+	response, err := router.Do(context.Background(), body)
 	if err != nil {
 		return false, err
 	}
-	var answer simmodelserver.Completion
-	err = json.Unmarshal(served.Body, &answer)
-	return err == nil && len(answer.Choices) == 1 && answer.Choices[0].Text == simmodelserver.ExpectedText(prompt), err
+	var completion simmodelserver.Completion
+	err = json.Unmarshal(response.Body, &completion)
+	return err == nil && len(completion.Choices) == 1 && completion.Choices[0].Text == simmodelserver.ExpectedText(prompt), err
 }
 
-// TestRolloutOverALeadersEnd brings a new version in, with the leader killed on the way. Each request gets its answer.
-func TestRolloutOverALeadersEnd(t *testing.T) {
-	s, client, x := rolloutSite(t, rolloutPlan)
+// TestRolloutOverFailover brings a new version into service, with a failover on the way. Each request gets its response.
+func TestRolloutOverFailover(t *testing.T) {
+	s, client, router := rolloutSite(t, rolloutPlan)
 	s.eventually("the first step bakes", func() bool { return planState(client).GetPhase() == string(rollout.Baking) })
 	if leader := s.leader(); leader != "b" {
 		s.kill(leader)
 	}
-	asked := 0
+	number := 0
 	s.eventually("it completes", func() bool {
-		right, err := askModel(x, fmt.Sprint("request ", asked))
-		asked++
+		right, err := requestCompletion(router, fmt.Sprint("request ", number))
+		number++
 		if !right || err != nil {
-			t.Fatalf("request %d: %v, %v", asked, right, err)
+			t.Fatalf("request %d: %v, %v", number, right, err)
 		}
 		return planState(client).GetPhase() == string(rollout.Completed)
 	})
@@ -101,17 +101,17 @@
 	if n := s.fleet.Running("run-000011") + s.fleet.Running("run-000012"); n != 2 {
 		t.Errorf("%d new replicas run", n)
 	}
-	for _, w := range x.Weights() {
+	for _, w := range router.Weights() {
 		if w.GetVersion() != string(rollout.NewVersion) {
 			t.Errorf("the router sends traffic to %s", w.GetTask())
 		}
 	}
 }
 
-// TestWrongVersionGoesBack has a new version answer wrongly to each third request, once it serves. The steps bake
-// for long enough that checks meet such an answer.
-func TestWrongVersionGoesBack(t *testing.T) {
-	s, client, x := rolloutSite(t, strings.ReplaceAll(rolloutPlan, `"bake_s":0.5`, `"bake_s":10`))
+// TestWrongVersionIsRolledBack has a new version respond wrongly to each third request, once it serves. The steps bake
+// for long enough that checks meet such a response.
+func TestWrongVersionIsRolledBack(t *testing.T) {
+	s, client, router := rolloutSite(t, strings.ReplaceAll(rolloutPlan, `"bake_s":0.5`, `"bake_s":10`))
 	s.eventually("the first step bakes", func() bool { return planState(client).GetPhase() == string(rollout.Baking) })
 	// Counted for the new version alone: among all requests each third one may always be for the same replica.
 	var requests atomic.Int64
@@ -121,7 +121,7 @@
 		t.Errorf("rolled back for %s", status.GetReason())
 	}
 	for i := range 20 {
-		if right, err := askModel(x, fmt.Sprint("request ", i)); !right || err != nil {
+		if right, err := requestCompletion(router, fmt.Sprint("request ", i)); !right || err != nil {
 			t.Errorf("after it request %d: %v, %v", i, right, err)
 		}
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestOperatorsErrors tells the kinds of errors apart.
-func TestOperatorsErrors(t *testing.T) {
+// TestAdminErrors gets each type of error of the admin API.
+func TestAdminErrors(t *testing.T) {
 	s := newSiteWith(t, siteOptions{rollouts: true})
 	s.leader()
 	client, err := adminapi.NewClient(s.peers["c"])
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var invalid *adminapi.InvalidError
 	var refused *adminapi.RefusedError
@@ -161,8 +161,8 @@
 	if _, err := client.Apply(ctx, []byte(rolloutPlan)); !errors.As(err, &refused) {
 		t.Errorf("a plan of unknown jobs: %v", err)
 	}
-	s.state.SetDown(true)
-	s.eventually("nobody can answer", func() bool {
+	s.store.SetDown(true)
+	s.eventually("no controller is available", func() bool {
 		short, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := client.Apply(short, []byte(rolloutPlan))
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -20,8 +20,8 @@
 
 func (e everywhere) Serves(_, task string) bool { return e[task] }
 
-// TestAsk tells the verdicts apart.
-func TestAsk(t *testing.T) {
+// TestProbe gets each verdict.
+func TestProbe(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		name   string
 		probe  rollout.Probe
 		checks []rollout.Check
-		wrong  string // the task that answers wrongly
+		wrong  string // the task that responds wrongly
 		want   rollout.ProbeResult
 	}{
 		{"healthy", rollout.Probe{Replica: old}, nil, "", rollout.ProbeResult{Verdict: rollout.Passed}},
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestSlowServer has a model server that never answers: it is not reached, and the probe ends with its time.
+// TestSlowServer has a model server that never responds: it is not reached, and the probe ends with its context.
 func TestSlowServer(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
--- a/internal/responsecheck/check_test.go
+++ b/internal/responsecheck/check_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestPasses judges answers; what fails, hangs or gives no verdict never passes.
+// TestPasses judges responses; a check that fails, hangs or gives no verdict never passes.
 func TestPasses(t *testing.T) {
 	for _, x := range []struct {
 		name, script, answer string
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestUsersLeaveRoomForWorkers has users keep as many connections as they can. Those beyond
-// their share are closed with the answer, and workers still find room.
+// their share are closed with the response, and workers still find free connections.
 func TestUsersLeaveRoomForWorkers(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simworker/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestCommands plays the protocol's commands: an image is fetched once, a start of a held attempt has no
+// TestCommands executes the protocol's commands: an image is fetched once, a start of a held attempt has no
 // effect, what can't run is refused with its cause, and a forgotten attempt may start again.
 func TestCommands(t *testing.T) {
 	m, _ := newTestMachine()
