--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -5,44 +5,91 @@
 	"bitternwing/internal/wire"
 )
 
-// maxDirectCommands bounds the sockets that direct commands take.
-func (c *Core) maxDirectCommands() int { return max(4, c.settings.Params.Limits.MaxConnections/12) }
-
-// sendDirectCommands sends committed starts, and stops, to their machines directly, instead of waiting for the next
+// commandDispatcher sends committed starts, and stops, to their machines directly, instead of waiting for the next
 // heartbeat. Package fencing tells what bounds how late they can take effect.
-func (l *leader) sendDirectCommands() {
-	for _, m := range l.pendingDispatch {
-		l.sendHeldResponse(m)
+type commandDispatcher struct {
+	core       *Core
+	authority  leaderAuthority
+	calls      termCalls
+	logger     commandLogger
+	machines   map[string]*machine
+	held       *heldResponses
+	acceptance taskAcceptance
+	placements placementEnder
+	reconciler contactReconciler
+
+	pending  []*machine // with starts that were just committed, or stops
+	inFlight int        // direct commands without a result yet
+}
+
+// taskAcceptance tells whether a machine may be given tasks.
+type taskAcceptance interface{ acceptsTasks(m *machine) bool }
+
+// contactReconciler reconciles with the heartbeats that come as results of direct commands, and requires a machine to
+// show that responses reach it.
+type contactReconciler interface {
+	indirectReconciler
+	requireFencingToken(m *machine, token uint64)
+}
+
+// newCommandDispatcher makes the dispatcher of a leader.
+func newCommandDispatcher(l *leader) *commandDispatcher {
+	return &commandDispatcher{
+		core:       l.core,
+		authority:  l.leaderAuthority,
+		calls:      l.termCalls,
+		logger:     commandLogger{core: l.core, term: l.term},
+		machines:   l.machines,
+		held:       l.heldResponses,
+		acceptance: l,
+		placements: l,
+		reconciler: l,
 	}
-	if !l.core.operator.DirectStarts || !l.hasAuthority() {
-		l.pendingDispatch = l.pendingDispatch[:0]
+}
+
+// add has the commands for a machine sent with the next run.
+func (d *commandDispatcher) add(m *machine) { d.pending = append(d.pending, m) }
+
+// run sends the pending commands: with the machines' held responses, and else directly.
+func (d *commandDispatcher) run() {
+	for _, m := range d.pending {
+		d.held.send(m)
+	}
+	if !d.core.operator.DirectStarts || !d.authority.hasAuthority() {
+		d.pending = d.pending[:0]
 		return
 	}
-	for i, m := range l.pendingDispatch {
-		if l.commandsInFlight >= l.core.maxDirectCommands() {
+	for i, m := range d.pending {
+		if d.inFlight >= d.maxInFlight() {
 			// Hundreds of machines at once, many of them silent, would use up the sockets. The rest follows with the
 			// results, or goes with responses to heartbeats.
-			l.pendingDispatch = append(l.pendingDispatch[:0], l.pendingDispatch[i:]...)
+			d.pending = append(d.pending[:0], d.pending[i:]...)
 			return
 		}
-		if !l.acceptsDirectCommands(m) {
+		if !d.accepts(m) {
 			continue
 		}
-		if command := l.newDirectCommand(m); len(command.commands) > 0 {
-			l.sendDirectCommand(command)
+		if command := d.newCommand(m); len(command.commands) > 0 {
+			d.send(command)
 		}
 	}
-	l.pendingDispatch = l.pendingDispatch[:0]
+	d.pending = d.pending[:0]
+}
+
+// maxInFlight bounds the sockets that direct commands take.
+func (d *commandDispatcher) maxInFlight() int {
+	return max(4, d.core.settings.Params.Limits.MaxConnections/12)
 }
 
-// acceptsDirectCommands tells whether a machine may be sent direct commands now.
-func (l *leader) acceptsDirectCommands(m *machine) bool {
-	return !m.commandInFlight && l.acceptsTasks(m) && m.addr != "" && l.machines[m.name] == m && m.fence.MayStartDirectly()
+// accepts tells whether a machine may be sent direct commands now.
+func (d *commandDispatcher) accepts(m *machine) bool {
+	return !m.commandInFlight && d.acceptance.acceptsTasks(m) && m.addr != "" && d.machines[m.name] == m &&
+		m.fence.MayStartDirectly()
 }
 
 // directCommand is the commands that a machine is sent directly.
 type directCommand struct {
-	leader       *leader
+	dispatcher   *commandDispatcher
 	machine      *machine
 	fencingToken uint64
 	incarnation  uint64
@@ -50,11 +97,11 @@
 	starts       []*placement // those that the commands start
 }
 
-// newDirectCommand gathers what a machine is to start and to stop.
-func (l *leader) newDirectCommand(m *machine) *directCommand {
-	command := &directCommand{leader: l, machine: m, fencingToken: m.fence.Token(), incarnation: m.incarnation}
-	// Through an outage stops still go out, of jobs that other nodes know to be cancelled.
-	mayStart := l.mayCommit()
+// newCommand gathers what a machine is to start and to stop.
+func (d *commandDispatcher) newCommand(m *machine) *directCommand {
+	command := &directCommand{dispatcher: d, machine: m, fencingToken: m.fence.Token(), incarnation: m.incarnation}
+	// During an outage stops are still sent, of jobs that other nodes know to be cancelled.
+	mayStart := d.authority.mayCommit()
 	for _, p := range m.placementsSnapshot() {
 		if len(command.commands) >= maxCommands {
 			break
@@ -73,73 +120,80 @@
 }
 
 // addStop adds the stop of a placement. It names its attempt; late or repeated it does no harm.
-func (d *directCommand) addStop(p *placement) {
+func (c *directCommand) addStop(p *placement) {
 	p.stopSent = true
-	d.leader.logCommand(wire.OpStop, p, viaDirectCommand)
-	d.commands = append(d.commands, p.stopCommand())
+	c.dispatcher.logger.log(wire.OpStop, p, viaDirectCommand)
+	c.commands = append(c.commands, p.stopCommand())
 }
 
 // addStart adds the start of a placement.
-func (d *directCommand) addStart(p *placement) {
-	d.leader.logCommand(wire.OpStart, p, viaDirectCommand)
-	d.starts = append(d.starts, p)
-	d.commands = append(d.commands, p.startCommand())
-	p.phase, p.directStartToken, p.directStartInFlight = phaseSent, d.fencingToken, true
-	if d.machine.directStarts == nil {
-		d.machine.directStarts = map[attemptName]uint64{}
+func (c *directCommand) addStart(p *placement) {
+	c.dispatcher.logger.log(wire.OpStart, p, viaDirectCommand)
+	c.starts = append(c.starts, p)
+	c.commands = append(c.commands, p.startCommand())
+	p.phase, p.directStartToken, p.directStartInFlight = phaseSent, c.fencingToken, true
+	if c.machine.directStarts == nil {
+		c.machine.directStarts = map[attemptName]uint64{}
 	}
-	d.machine.directStarts[attemptName{p.name(), p.attempt}] = d.fencingToken
+	c.machine.directStarts[attemptName{p.name(), p.attempt}] = c.fencingToken
 }
 
-func (l *leader) sendDirectCommand(command *directCommand) {
+// send sends a direct command.
+func (d *commandDispatcher) send(command *directCommand) {
 	m := command.machine
 	m.commandInFlight = true
-	l.commandsInFlight++
-	id := l.registerCall(command.applyResult)
-	l.core.emit(SendCommands{CallID: id, Addr: m.addr, FencingToken: command.fencingToken, Incarnation: command.incarnation, Commands: command.commands})
+	d.inFlight++
+	id := d.calls.registerCall(command.applyResult)
+	d.core.emit(SendCommands{
+		CallID:       id,
+		Addr:         m.addr,
+		FencingToken: command.fencingToken,
+		Incarnation:  command.incarnation,
+		Commands:     command.commands,
+	})
 }
 
-// applyResult takes in what became of a direct command.
-func (d *directCommand) applyResult(result Result) {
-	l, m := d.leader, d.machine
+// applyResult handles the result of a direct command.
+func (c *directCommand) applyResult(result Result) {
+	d, m := c.dispatcher, c.machine
 	m.commandInFlight = false
-	l.commandsInFlight--
-	stops := len(d.commands) > len(d.starts)
+	d.inFlight--
+	stops := len(c.commands) > len(c.starts)
 	if stops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
-		// What was stopped shows at once: users may wait to be told that nothing starts.
-		l.reconcileIndirect(&result.Heartbeat, originQuery)
+		// What was stopped shows at once: users may wait for the confirmation that nothing starts.
+		d.reconciler.reconcileIndirect(&result.Heartbeat, originQuery)
 	}
 	if result.Outcome == outcome.OK {
-		l.pendingDispatch = append(l.pendingDispatch, m) // for what was decided meanwhile
+		d.add(m) // for what was decided meanwhile
 	}
-	for _, p := range d.starts {
+	for _, p := range c.starts {
 		p.directStartInFlight = false
-		d.applyStartResult(p, result)
+		c.applyStartResult(p, result)
 	}
 }
 
-// applyStartResult takes in what became of the direct start of a placement.
-func (d *directCommand) applyStartResult(p *placement, result Result) {
+// applyStartResult handles the result of the direct start of a placement.
+func (c *directCommand) applyStartResult(p *placement, result Result) {
 	switch result.Outcome {
 	case outcome.OK:
 		p.directStartSequence = result.Heartbeat.Sequence
 	case outcome.Unknown:
 		// It may be carried out at any later time, or commands don't reach the machine.
-		d.leader.requireFencingToken(d.machine, d.fencingToken+1)
+		c.dispatcher.reconciler.requireFencingToken(c.machine, c.fencingToken+1)
 	case outcome.Conflict, outcome.Unavailable, outcome.Dropped, outcome.Invalid:
-		d.leader.revertStart(p)
+		c.dispatcher.revertStart(p)
 	case outcome.NotFound, outcome.TooOld, outcome.TooLarge: // no outcomes of a command
 	}
 }
 
 // revertStart reverts a direct start that was certainly not carried out: it goes with the response to the next
 // heartbeat.
-func (l *leader) revertStart(p *placement) {
+func (d *commandDispatcher) revertStart(p *placement) {
 	if p.phase != phaseSent {
 		return
 	}
 	p.phase, p.directStartToken = phaseCommitted, 0
 	if p.stop != stopNone {
-		l.endPlacement(p) // to be stopped meanwhile: it never starts
+		d.placements.endPlacement(p) // to be stopped meanwhile: it never starts
 	}
 }
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -2,14 +2,30 @@
 
 import "bitternwing/internal/wire"
 
+// commandBuilder adds the commands for a machine to the responses to its heartbeats.
+type commandBuilder struct {
+	core    *Core
+	logger  commandLogger
+	jobs    map[string]*job
+	records recordState
+}
+
+// recordState tells whether all that is known of a task is in the key-value store.
+type recordState interface{ recordPersisted(j *job, task int) bool }
+
+// newCommandBuilder makes the command builder of a leader.
+func newCommandBuilder(l *leader) *commandBuilder {
+	return &commandBuilder{core: l.core, logger: commandLogger{core: l.core, term: l.term}, jobs: l.jobs, records: l}
+}
+
 // addCommands adds the commands for a machine to the response to its heartbeat.
-func (l *leader) addCommands(m *machine, heartbeat *wire.Heartbeat, response *leaseResponse) {
-	l.addForgets(m, response)
+func (b *commandBuilder) addCommands(m *machine, heartbeat *wire.Heartbeat, response *leaseResponse) {
+	b.addForgets(m, response)
 	for i := range m.orphanedTasks {
 		// No record explains it, and it has no right to run.
 		response.add(stopImmediately(&m.orphanedTasks[i]))
 	}
-	mayStart := l.core.election.LeaseValid()
+	mayStart := b.core.election.LeaseValid()
 	for _, p := range m.placementsInOrder {
 		if response.full() {
 			break
@@ -19,20 +35,20 @@
 		}
 		switch {
 		case p.stop != stopNone && p.phase >= phaseSent:
-			l.addStop(p, response)
+			b.addStop(p, response)
 		case mayStart && p.startable():
 			p.phase, p.startSequence = phaseSent, heartbeat.Sequence
-			l.logCommand(wire.OpStart, p, viaHeartbeatResponse)
+			b.logger.log(wire.OpStart, p, viaHeartbeatResponse)
 			response.add(p.startCommand())
 		}
 	}
 }
 
 // addForgets has the worker forget exited tasks, as far as it may.
-func (l *leader) addForgets(m *machine, response *leaseResponse) {
+func (b *commandBuilder) addForgets(m *machine, response *leaseResponse) {
 	for i := range m.exitedTasks {
 		task := &m.exitedTasks[i]
-		if response.full() || !l.mayForgetExit(task) {
+		if response.full() || !b.mayForgetExit(task) {
 			continue
 		}
 		attempt := attemptName{task.Task, task.Attempt}
@@ -45,11 +61,11 @@
 }
 
 // addStop has the worker stop a task, unless it is writing the checkpoint after which it stops.
-func (l *leader) addStop(p *placement, response *leaseResponse) {
+func (b *commandBuilder) addStop(p *placement, response *leaseResponse) {
 	if p.stop == stopAfterCheckpoint && p.state == wire.TaskCheckpointing {
 		return
 	}
-	l.logCommand(wire.OpStop, p, viaHeartbeatResponse)
+	b.logger.log(wire.OpStop, p, viaHeartbeatResponse)
 	response.add(p.stopCommand())
 }
 
@@ -61,17 +77,23 @@
 	viaDirectCommand     commandPath = "direct" // to the worker's address
 )
 
-// logCommand logs a command for a machine, and the authority by which it is given.
-func (l *leader) logCommand(op wire.CommandOp, p *placement, path commandPath) {
-	if l.core.omitDebug {
+// commandLogger logs the commands of a leader.
+type commandLogger struct {
+	core *Core
+	term uint64
+}
+
+// log logs a command for a machine, and the authority by which it is given.
+func (g commandLogger) log(op wire.CommandOp, p *placement, path commandPath) {
+	if g.core.omitDebug {
 		return
 	}
 	authority := "lease"
-	if !l.core.election.LeaseValidAt(l.core.now.Steady) {
+	if !g.core.election.LeaseValidAt(g.core.now.Steady) {
 		authority = "all nodes refused"
 	}
-	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name, "fencing_token", p.machine.fence.Token(),
-		"term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeHealth.down)
+	g.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name,
+		"fencing_token", p.machine.fence.Token(), "term", g.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !g.core.storeHealth.down)
 }
 
 // startable tells whether a task is committed and is to start.
@@ -93,24 +115,24 @@
 	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &gracePeriodS}
 }
 
-// mayForgetExit tells whether an exit may be forgotten: only once all that it tells is in the key-value store, for after
-// that a repeated start would run again.
-func (l *leader) mayForgetExit(exited *wire.TaskStatus) bool {
+// mayForgetExit tells whether an exit may be forgotten: only once all that follows from it is in the key-value store, for
+// after that a repeated start would run again.
+func (b *commandBuilder) mayForgetExit(exited *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(exited.Task)
 	if !ok {
 		return true
 	}
-	j := l.jobs[id]
+	j := b.jobs[id]
 	if j == nil || task >= j.spec.Tasks {
-		cached := l.core.cache.Job(id)
+		cached := b.core.cache.Job(id)
 		return cached == nil || task >= cached.Spec.Tasks
 	}
 	if j.ending {
-		// Its end holds what this exit tells, and is yet to be written: no record is written of it any more, so a
-		// clean one proves nothing.
+		// Its end covers this exit, and is yet to be written: no record is written of it any more, so a clean one proves
+		// nothing.
 		return false
 	}
-	if chunk := j.chunks[task/l.tasksPerRecord()]; chunk != nil && !chunk.persisted() {
+	if !b.records.recordPersisted(j, task) {
 		return false
 	}
 	p := j.placements[task]
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -28,7 +28,7 @@
 		// A late copy. It proves nothing, and its response reaches nobody.
 		return StaleHeartbeatBasis
 	}
-	l.supersedeHeldResponse(m)
+	l.heldResponses.supersede(m)
 	l.observeRegistration(m, heartbeat)
 	l.checkContact(m, heartbeat)
 	m.applyHeartbeat(heartbeat)
@@ -36,7 +36,7 @@
 	l.provisioner.cancelRelease(m)
 	l.observeReclaimNotice(m, heartbeat)
 	l.reconcileTasks(m, heartbeat, originWorker)
-	l.addCommands(m, heartbeat, response)
+	l.commands.addCommands(m, heartbeat, response)
 	return LeaderBasis
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -61,7 +61,7 @@
 	response := c.newLeaseResponse(heartbeat)
 	basis := l.reconcileHeartbeat(heartbeat, response)
 	token := l.responseToken(heartbeat)
-	if !l.holdResponse(in.RequestID, heartbeat, token, response) {
+	if !l.heldResponses.hold(in.RequestID, heartbeat, token, response) {
 		c.renewLease(in.RequestID, basis, token, response)
 	}
 	c.nothingChanged = l.recovered && l.observedChanges == changesBefore && len(response.commands) == 0
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -37,38 +37,41 @@
 	capacityIndex    *capacity.Index[*schedulableMachine]
 	replicaLedger    *topologyspread.Ledger
 
-	observedChanges  uint64     // what heartbeats have changed
-	reconciliations  uint64     // heartbeats that were reconciled
-	pendingDispatch  []*machine // with starts that were just committed, or stops
-	commandsInFlight int        // direct commands without an answer yet
+	observedChanges uint64 // what heartbeats have changed
+	reconciliations uint64 // heartbeats that were reconciled
 
 	silentZones map[string]bool // zones much of which is silent, kept by liveness; true: none of their controllers answers either
 
-	nextHeldResponse time.Duration // when held responses are sent next
-	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
-
-	liveness    *livenessMonitor
-	failures    failureAccounting
-	writer      writer
-	provisioner provisioner
-	cycles      cycleTimer
-	rebalancing rebalancing
-	prefetches  imagePrefetcher
-	rollouts    *rolloutManager
-	quotas      *quotaManager
-	images      imageHints
-	unreachable unreachableHints
+	nextFleetCheck time.Duration // when the machines and the cancelled jobs are checked next
+
+	liveness      *livenessMonitor
+	failures      failureAccounting
+	commands      *commandBuilder
+	heldResponses *heldResponses
+	dispatcher    *commandDispatcher
+	writer        writer
+	provisioner   provisioner
+	cycles        cycleTimer
+	rebalancing   rebalancing
+	prefetches    imagePrefetcher
+	rollouts      *rolloutManager
+	quotas        *quotaManager
+	images        imageHints
+	unreachable   unreachableHints
 }
 
 // newLeader makes the leader of a term that was just won, which has yet to recover the state of earlier terms.
 func newLeader(c *Core, term, version uint64) *leader {
-	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady, nextHeldResponse: farFuture,
+	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady,
 		jobs: map[string]*job{}, machines: map[string]*machine{}, releasedMachines: map[string]time.Duration{},
 		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(),
 		silentZones: map[string]bool{}}
 	l.leaderAuthority = leaderAuthority{core: c}
 	l.termCalls = termCalls{core: c, owner: l}
 	l.liveness = newLivenessMonitor(l)
+	l.commands = newCommandBuilder(l)
+	l.heldResponses = newHeldResponses(l)
+	l.dispatcher = newCommandDispatcher(l)
 	l.failures = failureAccounting{core: c, jobs: l.jobs, machines: l.machines}
 	l.recovery = newLeaderRecovery(l)
 	l.rollouts = newRolloutManager(l)
@@ -82,6 +85,9 @@
 	return l
 }
 
+// hasRecovered tells whether the state of earlier terms is restored.
+func (l *leader) hasRecovered() bool { return l.recovered }
+
 // run does what is due. Every part sets when it wants to be woken.
 func (l *leader) run() {
 	if !l.recovered {
@@ -99,8 +105,8 @@
 	l.rollouts.run()
 	l.runPrefetches()
 	l.writer.run()
-	l.sendDirectCommands()
-	l.sendDueHeldResponses()
+	l.dispatcher.run()
+	l.heldResponses.sendDue(l.machinesByName)
 	l.provisioner.run()
 	l.images.run()
 	l.unreachable.run()
@@ -121,7 +127,7 @@
 
 // turnAwayWaiting responds to all requests that wait for this leader, whose term ends.
 func (l *leader) turnAwayWaiting() {
-	l.redirectHeldResponses()
+	l.heldResponses.redirectAll(l.machinesByName)
 	l.rollouts.refuseWaiting()
 	l.quotas.refuseWaiting()
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -40,7 +40,7 @@
 	queryAnsweredAt   time.Duration // when it last answered that
 	unansweredQueries int           // queries in a row without an answer, since it was last heard
 
-	// The response to its last heartbeat, see holdResponse.
+	// The response to its last heartbeat, see heldResponses.
 	heldResponse *heldResponse // nil: none is held
 	lastHoldTime time.Duration // for how long the response was to be held
 
@@ -58,7 +58,7 @@
 	releaseReason releaseReason
 	releaseSent   bool // a request for it may have been carried out
 
-	// Direct commands, see sendDirectCommands.
+	// Direct commands, see commandDispatcher.
 	commandInFlight bool
 	fence           fencing.Fence
 	directStarts    map[attemptName]uint64 // attempts started directly, and with which fencing token
@@ -135,7 +135,7 @@
 	if l.machines[m.name] != m {
 		return
 	}
-	l.sendHeldResponse(m)
+	l.heldResponses.send(m)
 	delete(l.machines, m.name)
 	l.removeSchedulable(m)
 	if i := slices.Index(l.machinesByName, m); i >= 0 {
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -98,7 +98,7 @@
 	for _, p := range b.placements {
 		if p.phase == phaseUncommitted {
 			p.phase = phaseCommitted
-			w.leader.pendingDispatch = append(w.leader.pendingDispatch, p.machine)
+			w.leader.dispatcher.add(p.machine)
 		}
 	}
 }
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -57,6 +57,12 @@
 	l.markDirty(ch)
 }
 
+// recordPersisted tells whether all that is known of a task is in the key-value store.
+func (l *leader) recordPersisted(j *job, task int) bool {
+	ch := j.chunks[task/l.tasksPerRecord()]
+	return ch == nil || ch.persisted()
+}
+
 // recordKeys gives the keys of all records of a job, with their versions.
 func (l *leader) recordKeys(j *job) []wire.Condition {
 	var keys []wire.Condition
