--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -56,39 +56,45 @@
 	return x
 }
 
+// taskPlace is the machine on which a task starts.
+type taskPlace struct {
+	machine, kind, zone string
+	spot                bool
+}
+
 // starts takes note of a task that is on a machine from now on.
-func (j *ruleChecker) starts(now time.Duration, task, machine, kind, zone string, spot bool) {
+func (j *ruleChecker) starts(now time.Duration, task string, place taskPlace) {
 	id, _, _ := wire.ParseTaskName(task)
 	x := j.jobs[id]
 	if x == nil {
-		j.breaks(now, "invented", "%s starts on %s, which nobody submitted", task, machine)
+		j.breaks(now, "invented", "%s starts on %s, which nobody submitted", task, place.machine)
 		return
 	}
 	for other := range j.on[task] {
-		j.breaks(now, "ran_twice", "%s starts on %s while it is on %s", task, machine, other)
+		j.breaks(now, "ran_twice", "%s starts on %s while it is on %s", task, place.machine, other)
 	}
 	if j.on[task] == nil {
 		j.on[task] = map[string]onMachine{}
 	}
-	j.on[task][machine] = onMachine{zone}
+	j.on[task][place.machine] = onMachine{place.zone}
 	used := j.gpusOf(x.spec.Team)
 	if most := j.limits[x.spec.Team]; most > 0 && used > most+1e-9 {
 		j.breaks(now, "quota", "%s uses %g of %g with %s", x.spec.Team, used, most, task)
 	}
 	for _, need := range x.spec.Dependencies {
 		if y := j.jobs[need]; y == nil || len(y.done) < y.spec.Tasks {
-			j.breaks(now, "too_early", "%s starts on %s before %s is done", task, machine, need)
+			j.breaks(now, "too_early", "%s starts on %s before %s is done", task, place.machine, need)
 		}
 	}
-	if !j.allowedPlace(x.spec, id, kind, zone, spot) {
-		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", task, machine, kind, zone, spot)
+	if !j.allowedPlace(x.spec, id, place) {
+		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", task, place.machine, place.kind, place.zone, place.spot)
 	}
 	if x.toldAt != 0 {
 		rule := "ran_cancelled"
 		if now <= x.toldAt+j.cancel {
 			rule = "started_cancelled"
 		}
-		j.breaks(now, rule, "%s starts on %s, its user was told at %.3f", task, machine, x.toldAt.Seconds())
+		j.breaks(now, rule, "%s starts on %s, its user was told at %.3f", task, place.machine, x.toldAt.Seconds())
 	}
 }
 
@@ -105,10 +111,10 @@
 }
 
 // allowedPlace tells whether a job's task that starts may be on such a machine, given where the job's tasks are.
-func (j *ruleChecker) allowedPlace(s *wire.Job, id, kind, zone string, spot bool) bool {
-	here, elsewhere := j.tasksByZone(id, zone)
+func (j *ruleChecker) allowedPlace(s *wire.Job, id string, place taskPlace) bool {
+	here, elsewhere := j.tasksByZone(id, place.zone)
 	switch {
-	case s.MachineTypes != nil && !slices.Contains(s.MachineTypes, kind), spot && !s.Spot, s.Zone != "" && s.Zone != zone:
+	case s.MachineTypes != nil && !slices.Contains(s.MachineTypes, place.kind), place.spot && !s.Spot, s.Zone != "" && s.Zone != place.zone:
 		return false
 	case s.SingleZone && elsewhere > 0, s.SpreadZones && here > (s.Tasks+1)/2:
 		return false
@@ -260,55 +266,55 @@
 // ruleBreakingDays break one rule each, which the first word of their name tells.
 var ruleBreakingDays = map[string]func(j *ruleChecker){
 	"ran_twice": func(j *ruleChecker) {
-		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
-		j.starts(seconds(2), checkedID+"/0", "m2", "g8", "z1", false)
+		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
+		j.starts(seconds(2), checkedID+"/0", taskPlace{"m2", "g8", "z1", false})
 	},
 	"quota": func(j *ruleChecker) {
 		for i := range 3 {
-			j.starts(seconds(1), wire.TaskName(checkedID, i), "m1", "g8", "z1", false)
+			j.starts(seconds(1), wire.TaskName(checkedID, i), taskPlace{"m1", "g8", "z1", false})
 		}
 	},
-	"wrong_place spot": func(j *ruleChecker) { j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", true) },
+	"wrong_place spot": func(j *ruleChecker) { j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", true}) },
 	"wrong_place type": func(j *ruleChecker) {
 		j.jobs[checkedID].spec.MachineTypes = []string{"h4"}
-		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
 	},
 	"wrong_place zone": func(j *ruleChecker) {
 		j.submits(checkedSpec()).spec.Zone = "z2"
-		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
 	},
 	"wrong_place one_zone": func(j *ruleChecker) {
 		j.jobs[checkedID].spec.SingleZone = true
-		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
-		j.starts(seconds(1), checkedID+"/1", "m2", "g8", "z2", false)
+		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
+		j.starts(seconds(1), checkedID+"/1", taskPlace{"m2", "g8", "z2", false})
 	},
 	"wrong_place spread": func(j *ruleChecker) {
 		j.jobs[checkedID].spec.SpreadZones, j.jobs[checkedID].spec.GPUs = true, 1
 		for i := range 3 {
-			j.starts(seconds(1), wire.TaskName(checkedID, i), "m1", "g8", "z1", false)
+			j.starts(seconds(1), wire.TaskName(checkedID, i), taskPlace{"m1", "g8", "z1", false})
 		}
 	},
 	"ran_cancelled stays": func(j *ruleChecker) {
 		j.jobs[checkedID].asked = true
-		j.starts(seconds(1), checkedID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
 		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
 		j.passes(seconds(2) + simCancel + 1)
 	},
 	"ran_cancelled starts": func(j *ruleChecker) {
 		j.jobs[checkedID].asked = true
 		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
-		j.starts(seconds(2)+simCancel+1, checkedID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(2)+simCancel+1, checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
 	},
 	"started_cancelled": func(j *ruleChecker) {
 		j.jobs[checkedID].asked = true
 		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
-		j.starts(seconds(3), checkedID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(3), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
 	},
 	"too_early": func(j *ruleChecker) {
 		needing := checkedSpec()
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		j.submits(needing)
-		j.starts(seconds(1), otherID+"/0", "m1", "g8", "z1", false)
+		j.starts(seconds(1), otherID+"/0", taskPlace{"m1", "g8", "z1", false})
 	},
 	"orphaned": func(j *ruleChecker) {
 		needing := checkedSpec()
@@ -329,7 +335,7 @@
 		j.told(seconds(3), seconds(2), "submit", checkedID, 422, "")
 	},
 	"invented answer": func(j *ruleChecker) { j.told(seconds(1), seconds(1), "poll", otherID, 200, wire.JobPending) },
-	"invented start":  func(j *ruleChecker) { j.starts(seconds(1), otherID+"/0", "m1", "g8", "z1", false) },
+	"invented start":  func(j *ruleChecker) { j.starts(seconds(1), otherID+"/0", taskPlace{"m1", "g8", "z1", false}) },
 	"not_done":        func(j *ruleChecker) { j.told(seconds(1), seconds(1), "poll", checkedID, 200, wire.JobDone) },
 	"went_back": func(j *ruleChecker) {
 		j.jobs[checkedID].asked = true
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -307,7 +307,7 @@
 		w.images[j.spec.Image] = true
 		t.State, t.on = wire.TaskRunning, true
 		s.say("%s starts %s#%d", w.name, t.Task, t.Attempt)
-		s.ruleChecker.starts(s.now, t.Task, w.name, "g8", w.zone, w.spot)
+		s.ruleChecker.starts(s.now, t.Task, taskPlace{w.name, "g8", w.zone, w.spot})
 		s.soon(w)
 		run := time.Duration(j.runS * (0.8 + 0.4*s.rnd.Float64()) * float64(time.Second))
 		switch {
