--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -127,7 +127,7 @@
 	y.apart = "z3"
 	y.pass(9 * time.Second)
 	told := map[string]int64{}
-	for _, key := range y.store.Keys("w/s") {
+	for _, key := range storedKeys(y.store, "w/s") {
 		item, _ := y.store.Get(key)
 		if err := json.Unmarshal(item.Value, &told); err != nil {
 			t.Fatal(key, err)
@@ -146,7 +146,7 @@
 	}
 	y.apart = ""
 	y.pass(10 * time.Second)
-	if keys := y.store.Keys("w/s"); len(keys) > 0 {
+	if keys := storedKeys(y.store, "w/s"); len(keys) > 0 {
 		t.Errorf("%v are left when nothing is silent", keys)
 	}
 }
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -82,7 +82,7 @@
 // baking counts the plans that bake.
 func (w *rolloutWorld) baking() int {
 	n := 0
-	for _, key := range w.store.Keys("w/p/") {
+	for _, key := range storedKeys(w.store, "w/p/") {
 		item, got := w.store.Get(key)
 		if r, err := rollout.Decode(item.Value); got == outcome.OK && err == nil && r.Phase == rollout.Baking {
 			n++
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -459,7 +459,7 @@
 	w.op.Rollouts.Enabled = false
 	w.restart()
 	w.advance(10 * time.Second)
-	if a := w.apply(); a.Status != 422 || len(w.store.Keys("w/p/")) > 0 {
+	if a := w.apply(); a.Status != 422 || len(storedKeys(w.store, "w/p/")) > 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -55,8 +55,8 @@
 	y.counted = scaleCounts{}
 	y.apart = "z2"
 	y.pass(60 * time.Second)
-	if n := y.counted.released; n > 0 || len(y.store.Keys("w/k/")) < 6 {
-		t.Errorf("%d machines of the zone were released, reports are in %v", n, y.store.Keys("w/k/"))
+	if n := y.counted.released; n > 0 || len(storedKeys(y.store, "w/k/")) < 6 {
+		t.Errorf("%d machines of the zone were released, reports are in %v", n, storedKeys(y.store, "w/k/"))
 	}
 	t.Logf("%+v", y.counted)
 }
@@ -154,7 +154,7 @@
 		y.step(y.nodes[0], core.CancelJob{RequestID: y.req << 16, ID: y.live[i]})
 	}
 	y.pass(40 * time.Second)
-	if n := len(y.store.Keys("f/")); n != 60 {
+	if n := len(storedKeys(y.store, "f/")); n != 60 {
 		t.Fatalf("%d jobs ended, of 60", n)
 	}
 	for _, n := range y.nodes {
--- /dev/null
+++ b/internal/core/store_keys_test.go
@@ -0,0 +1,20 @@
+package core_test
+
+import (
+	"bitternwing/internal/emulator"
+	"bitternwing/internal/wire"
+)
+
+// storedKeys gives the keys with a prefix, in order.
+func storedKeys(store *emulator.Store, prefix string) []string {
+	var keys []string
+	for after := ""; ; after = keys[len(keys)-1] {
+		page := store.List(prefix, after, wire.MaxItems)
+		for _, item := range page.Items {
+			keys = append(keys, item.Key)
+		}
+		if !page.More {
+			return keys
+		}
+	}
+}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -201,7 +201,7 @@
 		w.setCloud(arg, f)
 		return
 	case f[0] == "keys":
-		for _, k := range w.store.Keys(arg(1)) {
+		for _, k := range storedKeys(w.store, arg(1)) {
 			it, _ := w.store.Get(k)
 			fmt.Fprintf(&w.out, "| %s = %.200s\n", k, it.Value)
 		}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -112,16 +112,6 @@
 	})
 }
 
-// Keys gives all keys below a prefix, in order.
-func (s *Store) Keys(prefix string) []string {
-	var keys []string
-	s.visitPrefix(prefix, "", func(item wire.Item) bool {
-		keys = append(keys, item.Key)
-		return true
-	})
-	return keys
-}
-
 // List reads a page.
 func (s *Store) List(prefix, after string, limit int) wire.Page {
 	page := wire.Page{Items: []wire.Item{}, Revision: s.revision}
