--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -43,7 +43,7 @@
 		held:       l.heldResponses,
 		acceptance: l,
 		placements: l,
-		reconciler: l,
+		reconciler: l.reconciler,
 	}
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -53,24 +53,24 @@
 	return fencing.TermOf(heartbeat.FencingToken) <= l.term && l.hasAuthority()
 }
 
-// handleHeartbeat reconciles what the leader knows with a heartbeat and renews the worker's lease, now or when the
+// handleHeartbeat reconciles the state with a heartbeat and renews the worker's lease, now or when the
 // response is due that is held.
 func (l *leader) handleHeartbeat(in WorkerHeartbeat) {
 	c, heartbeat := l.core, in.Heartbeat
-	changesBefore := l.observedChanges
+	changesBefore := l.reconciler.changes.count
 	response := c.newLeaseResponse(heartbeat)
-	basis := l.reconcileHeartbeat(heartbeat, response)
-	token := l.responseToken(heartbeat)
+	basis := l.reconciler.reconcileHeartbeat(heartbeat, response)
+	token := l.reconciler.responseToken(heartbeat)
 	if !l.heldResponses.hold(in.RequestID, heartbeat, token, response) {
 		c.renewLease(in.RequestID, basis, token, response)
 	}
-	c.nothingChanged = l.recovered && l.observedChanges == changesBefore && len(response.commands) == 0
+	c.nothingChanged = l.recovered && l.reconciler.changes.count == changesBefore && len(response.commands) == 0
 }
 
 // responseToken gives the fencing token of the response to a heartbeat.
-func (l *leader) responseToken(heartbeat *wire.Heartbeat) uint64 {
-	token := max(fencing.FirstToken(l.term), heartbeat.FencingToken)
-	m := l.machines[heartbeat.Machine]
+func (r *reconciler) responseToken(heartbeat *wire.Heartbeat) uint64 {
+	token := max(fencing.FirstToken(r.term), heartbeat.FencingToken)
+	m := r.machines[heartbeat.Machine]
 	if m == nil {
 		return token
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -37,9 +37,6 @@
 	capacityIndex    *capacity.Index[*schedulableMachine]
 	replicaLedger    *topologyspread.Ledger
 
-	observedChanges uint64 // what heartbeats have changed
-	reconciliations uint64 // heartbeats that were reconciled
-
 	silentZones map[string]bool // zones much of which is silent, kept by liveness; true: none of their controllers answers either
 
 	nextFleetCheck time.Duration // when the machines and the cancelled jobs are checked next
@@ -48,6 +45,7 @@
 	failures      failureAccounting
 	commands      *commandBuilder
 	heldResponses *heldResponses
+	reconciler    *reconciler
 	dispatcher    *commandDispatcher
 	writer        writer
 	provisioner   provisioner
@@ -68,11 +66,12 @@
 		silentZones: map[string]bool{}}
 	l.leaderAuthority = leaderAuthority{core: c}
 	l.termCalls = termCalls{core: c, owner: l}
-	l.liveness = newLivenessMonitor(l)
 	l.commands = newCommandBuilder(l)
 	l.heldResponses = newHeldResponses(l)
-	l.dispatcher = newCommandDispatcher(l)
 	l.failures = failureAccounting{core: c, jobs: l.jobs, machines: l.machines}
+	l.reconciler = newReconciler(l)
+	l.liveness = newLivenessMonitor(l)
+	l.dispatcher = newCommandDispatcher(l)
 	l.recovery = newLeaderRecovery(l)
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -10,7 +10,7 @@
 
 // markDirty has a chunk's record written.
 func (l *leader) markDirty(ch *recordChunk) {
-	l.observedChanges++
+	l.reconciler.changes.observe()
 	if !ch.dirty {
 		ch.dirty = true
 		l.writer.dirty = append(l.writer.dirty, ch)
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -40,7 +40,7 @@
 		authority:      l.leaderAuthority,
 		calls:          l.termCalls,
 		placements:     l,
-		heartbeats:     l,
+		heartbeats:     l.reconciler,
 		provisioner:    &l.provisioner,
 		termStart:      l.startedAt,
 		zoneIsolatedAt: map[string]time.Duration{},
