--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"slices"
 	"sort"
-	"strings"
-	"testing"
 	"time"
 
 	"bitternwing/internal/wire"
@@ -56,87 +54,95 @@
 	return x
 }
 
-// taskPlace is the machine on which a task starts.
-type taskPlace struct {
-	machine, kind, zone string
-	spot                bool
+// taskStart is the start of a task on a machine.
+type taskStart struct {
+	task, machine, machineType, zone string
+	spot                             bool
 }
 
 // starts takes note of a task that is on a machine from now on.
-func (j *ruleChecker) starts(now time.Duration, task string, place taskPlace) {
-	id, _, _ := wire.ParseTaskName(task)
-	x := j.jobs[id]
-	if x == nil {
-		j.breaks(now, "invented", "%s starts on %s, which nobody submitted", task, place.machine)
+func (j *ruleChecker) starts(now time.Duration, start taskStart) {
+	id, _, _ := wire.ParseTaskName(start.task)
+	job := j.jobs[id]
+	if job == nil {
+		j.breaks(now, "invented", "%s starts on %s, which nobody submitted", start.task, start.machine)
 		return
 	}
-	for other := range j.on[task] {
-		j.breaks(now, "ran_twice", "%s starts on %s while it is on %s", task, place.machine, other)
-	}
-	if j.on[task] == nil {
-		j.on[task] = map[string]onMachine{}
+	for other := range j.on[start.task] {
+		j.breaks(now, "ran_twice", "%s starts on %s while it is on %s", start.task, start.machine, other)
 	}
-	j.on[task][place.machine] = onMachine{place.zone}
-	used := j.gpusOf(x.spec.Team)
-	if most := j.limits[x.spec.Team]; most > 0 && used > most+1e-9 {
-		j.breaks(now, "quota", "%s uses %g of %g with %s", x.spec.Team, used, most, task)
-	}
-	for _, need := range x.spec.Dependencies {
-		if y := j.jobs[need]; y == nil || len(y.done) < y.spec.Tasks {
-			j.breaks(now, "too_early", "%s starts on %s before %s is done", task, place.machine, need)
-		}
-	}
-	if !j.allowedPlace(x.spec, id, place) {
-		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", task, place.machine, place.kind, place.zone, place.spot)
-	}
-	if x.toldAt != 0 {
-		rule := "ran_cancelled"
-		if now <= x.toldAt+j.cancel {
-			rule = "started_cancelled"
-		}
-		j.breaks(now, rule, "%s starts on %s, its user was told at %.3f", task, place.machine, x.toldAt.Seconds())
+	if j.on[start.task] == nil {
+		j.on[start.task] = map[string]onMachine{}
 	}
+	j.on[start.task][start.machine] = onMachine{start.zone}
+	j.checkQuota(now, job, start)
+	j.checkDependencies(now, job, start)
+	j.checkPlace(now, job, start)
+	j.checkNotCancelled(now, job, start)
 }
 
-// gpusOf gives the GPUs that the tasks of a team use.
-func (j *ruleChecker) gpusOf(team string) float64 {
-	used := 0.0
+// checkQuota checks that a team uses no more than its limit with a task that has started.
+func (j *ruleChecker) checkQuota(now time.Duration, job *checkedJob, start taskStart) {
+	team, used := job.spec.Team, 0.0
 	for task, machines := range j.on {
 		id, _, _ := wire.ParseTaskName(task)
 		if other := j.jobs[id]; other != nil && other.spec.Team == team {
 			used += float64(len(machines)) * other.spec.GPUs
 		}
 	}
-	return used
+	if limit := j.limits[team]; limit > 0 && used > limit+1e-9 {
+		j.breaks(now, "quota", "%s uses %g of %g with %s", team, used, limit, start.task)
+	}
 }
 
-// allowedPlace tells whether a job's task that starts may be on such a machine, given where the job's tasks are.
-func (j *ruleChecker) allowedPlace(s *wire.Job, id string, place taskPlace) bool {
-	here, elsewhere := j.tasksByZone(id, place.zone)
-	switch {
-	case s.MachineTypes != nil && !slices.Contains(s.MachineTypes, place.kind), place.spot && !s.Spot, s.Zone != "" && s.Zone != place.zone:
-		return false
-	case s.SingleZone && elsewhere > 0, s.SpreadZones && here > (s.Tasks+1)/2:
-		return false
+// checkDependencies checks that all jobs that a started task's job needs are done.
+func (j *ruleChecker) checkDependencies(now time.Duration, job *checkedJob, start taskStart) {
+	for _, id := range job.spec.Dependencies {
+		if dependency := j.jobs[id]; dependency == nil || len(dependency.done) < dependency.spec.Tasks {
+			j.breaks(now, "too_early", "%s starts on %s before %s is done", start.task, start.machine, id)
+		}
 	}
-	return true
 }
 
-// tasksByZone counts the tasks of a job in a zone and in all others.
-func (j *ruleChecker) tasksByZone(id, zone string) (here, elsewhere int) {
+// checkPlace checks that a task may be on the machine that it has started on.
+func (j *ruleChecker) checkPlace(now time.Duration, job *checkedJob, start taskStart) {
+	spec := job.spec
+	inZone, elsewhere := j.tasksByZone(spec.ID, start.zone)
+	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, start.machineType)
+	wrongZone := spec.Zone != "" && spec.Zone != start.zone
+	crowded := spec.SpreadZones && inZone > (spec.Tasks+1)/2
+	if wrongType || wrongZone || crowded || start.spot && !spec.Spot || spec.SingleZone && elsewhere > 0 {
+		j.breaks(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", start.task, start.machine, start.machineType, start.zone, start.spot)
+	}
+}
+
+// tasksByZone counts the tasks of a job that are on machines, in a zone and in all others.
+func (j *ruleChecker) tasksByZone(id, zone string) (inZone, elsewhere int) {
 	for task, machines := range j.on {
-		if other, _, _ := wire.ParseTaskName(task); other != id {
+		if owner, _, _ := wire.ParseTaskName(task); owner != id {
 			continue
 		}
-		for _, m := range machines {
-			if m.zone == zone {
-				here++
+		for _, machine := range machines {
+			if machine.zone == zone {
+				inZone++
 			} else {
 				elsewhere++
 			}
 		}
 	}
-	return here, elsewhere
+	return inZone, elsewhere
+}
+
+// checkNotCancelled checks that no user was told of the cancellation of a started task's job.
+func (j *ruleChecker) checkNotCancelled(now time.Duration, job *checkedJob, start taskStart) {
+	if job.toldAt == 0 {
+		return
+	}
+	rule := "ran_cancelled"
+	if now <= job.toldAt+j.cancel {
+		rule = "started_cancelled"
+	}
+	j.breaks(now, rule, "%s starts on %s, its user was told at %.3f", start.task, start.machine, job.toldAt.Seconds())
 }
 
 // ends takes note of a task that is on a machine no more; done if it completed there.
@@ -162,52 +168,92 @@
 	}
 }
 
-// told takes note of an answer about a job: to a submission, a poll or a cancel that was sent
-// at asked. Questions that cross on their way may be answered in any order.
-func (j *ruleChecker) told(now, asked time.Duration, verb, id string, status int, state wire.JobStatus) {
-	x := j.jobs[id]
-	known := status == 200 || status == 201
-	if x == nil || !x.submitted {
-		if known {
-			j.breaks(now, "invented", "%s of %s, which nobody submitted, gets %d", verb, id, status)
+// userRequest is what a user may ask about a job.
+type userRequest string
+
+const (
+	requestSubmit userRequest = "submit"
+	requestPoll   userRequest = "poll"
+	requestCancel userRequest = "cancel"
+)
+
+// userAnswer is the answer to a user's request about a job.
+type userAnswer struct {
+	sentAt  time.Duration // when the request was sent
+	request userRequest
+	job     string
+	status  int
+	state   wire.JobStatus
+}
+
+// accepts tells whether an answer says that the job is known.
+func (a userAnswer) accepts() bool { return a.status == 200 || a.status == 201 }
+
+// denies tells whether an answer says that the job is not known, or will not be.
+func (a userAnswer) denies() bool {
+	return a.status == 404 || a.request == requestSubmit && (a.status == 400 || a.status == 422)
+}
+
+// told takes note of an answer to a user. Requests that cross on their way may be answered in any order.
+func (j *ruleChecker) told(now time.Duration, answer userAnswer) {
+	job := j.jobs[answer.job]
+	if job == nil || !job.submitted {
+		if answer.accepts() {
+			j.breaks(now, "invented", "%s of %s, which nobody submitted, gets %d", answer.request, answer.job, answer.status)
 		}
 		return
 	}
-	if !known {
-		if x.accepted != 0 && asked > x.accepted && (status == 404 || verb == "submit" && (status == 400 || status == 422)) {
-			j.breaks(now, "forgotten", "%s of %s gets %d", verb, id, status)
+	if !answer.accepts() {
+		if job.accepted != 0 && answer.sentAt > job.accepted && answer.denies() {
+			j.breaks(now, "forgotten", "%s of %s gets %d", answer.request, answer.job, answer.status)
 		}
 		return
 	}
-	if x.accepted == 0 {
-		x.accepted = now
+	if job.accepted == 0 {
+		job.accepted = now
 	}
+	j.checkState(now, job, answer)
+	j.checkOrphaned(now, job, answer)
+	j.noteState(now, job, answer)
+}
+
+// checkState checks that a job does not leave a final state, and is cancelled only if a user asked for that.
+func (j *ruleChecker) checkState(now time.Duration, job *checkedJob, answer userAnswer) {
 	switch {
-	case x.final != "" && state != x.final && asked > x.finalAt:
-		j.breaks(now, "went_back", "%s of %s says %s after %s", verb, id, state, x.final)
-	case state == wire.JobCancelled && !j.calledOff(x):
-		j.breaks(now, "went_back", "%s of %s says %s, which nobody asked for", verb, id, state)
+	case job.final != "" && answer.state != job.final && answer.sentAt > job.finalAt:
+		j.breaks(now, "went_back", "%s of %s says %s after %s", answer.request, answer.job, answer.state, job.final)
+	case answer.state == wire.JobCancelled && !j.calledOff(job):
+		j.breaks(now, "went_back", "%s of %s says %s, which nobody asked for", answer.request, answer.job, answer.state)
 	}
-	if state != wire.JobCancelled {
-		if told := j.neededToldAt(x); told != 0 && asked > told+j.cancel {
-			j.breaks(now, "orphaned", "%s of %s says %s, a job that it needs was called cancelled at %.3f", verb, id, state, told.Seconds())
-		}
+}
+
+// checkOrphaned checks that a job is cancelled soon after one that it needs.
+func (j *ruleChecker) checkOrphaned(now time.Duration, job *checkedJob, answer userAnswer) {
+	if answer.state == wire.JobCancelled {
+		return
+	}
+	if told := j.neededToldAt(job); told != 0 && answer.sentAt > told+j.cancel {
+		j.breaks(now, "orphaned", "%s of %s says %s, a job that it needs was called cancelled at %.3f", answer.request, answer.job, answer.state, told.Seconds())
 	}
-	if x.final == "" {
-		x.finalAt = now
+}
+
+// noteState takes note of the state that a user was told. A job is called done only after all of its tasks.
+func (j *ruleChecker) noteState(now time.Duration, job *checkedJob, answer userAnswer) {
+	if job.final == "" {
+		job.finalAt = now
 	}
-	switch state {
+	switch answer.state {
+	case wire.JobPending, wire.JobRunning:
 	case wire.JobDone:
-		x.final = state
-		if len(x.done) < x.spec.Tasks {
-			j.breaks(now, "not_done", "%s of %s says done with %d of %d tasks", verb, id, len(x.done), x.spec.Tasks)
+		job.final = answer.state
+		if len(job.done) < job.spec.Tasks {
+			j.breaks(now, "not_done", "%s of %s says done with %d of %d tasks", answer.request, answer.job, len(job.done), job.spec.Tasks)
 		}
 	case wire.JobCancelled:
-		if x.toldAt == 0 {
-			x.toldAt = now
+		if job.toldAt == 0 {
+			job.toldAt = now
 		}
-		x.final = state
-	case wire.JobPending, wire.JobRunning:
+		job.final = answer.state
 	}
 }
 
@@ -251,107 +297,3 @@
 	sort.Strings(ks)
 	return ks
 }
-
-// Jobs of TestRuleChecker.
-const checkedID, otherID = "run-000001", "run-000002"
-
-// checkedSpec is the job that TestRuleChecker submits. Its words are constant, so nothing fails in reading them.
-func checkedSpec() *wire.Job {
-	return (&sim{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
-}
-
-// seconds gives a time in seconds.
-func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-
-// ruleBreakingDays break one rule each, which the first word of their name tells.
-var ruleBreakingDays = map[string]func(j *ruleChecker){
-	"ran_twice": func(j *ruleChecker) {
-		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-		j.starts(seconds(2), checkedID+"/0", taskPlace{"m2", "g8", "z1", false})
-	},
-	"quota": func(j *ruleChecker) {
-		for i := range 3 {
-			j.starts(seconds(1), wire.TaskName(checkedID, i), taskPlace{"m1", "g8", "z1", false})
-		}
-	},
-	"wrong_place spot": func(j *ruleChecker) { j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", true}) },
-	"wrong_place type": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.MachineTypes = []string{"h4"}
-		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-	},
-	"wrong_place zone": func(j *ruleChecker) {
-		j.submits(checkedSpec()).spec.Zone = "z2"
-		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-	},
-	"wrong_place one_zone": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.SingleZone = true
-		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-		j.starts(seconds(1), checkedID+"/1", taskPlace{"m2", "g8", "z2", false})
-	},
-	"wrong_place spread": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.SpreadZones, j.jobs[checkedID].spec.GPUs = true, 1
-		for i := range 3 {
-			j.starts(seconds(1), wire.TaskName(checkedID, i), taskPlace{"m1", "g8", "z1", false})
-		}
-	},
-	"ran_cancelled stays": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.starts(seconds(1), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
-		j.passes(seconds(2) + simCancel + 1)
-	},
-	"ran_cancelled starts": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
-		j.starts(seconds(2)+simCancel+1, checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-	},
-	"started_cancelled": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), seconds(2), "cancel", checkedID, 200, wire.JobCancelled)
-		j.starts(seconds(3), checkedID+"/0", taskPlace{"m1", "g8", "z1", false})
-	},
-	"too_early": func(j *ruleChecker) {
-		needing := checkedSpec()
-		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		j.submits(needing)
-		j.starts(seconds(1), otherID+"/0", taskPlace{"m1", "g8", "z1", false})
-	},
-	"orphaned": func(j *ruleChecker) {
-		needing := checkedSpec()
-		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		j.submits(needing)
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), seconds(1), "cancel", checkedID, 200, wire.JobCancelled)
-		j.told(seconds(5), seconds(4), "poll", otherID, 200, wire.JobPending)
-		late := seconds(2) + simCancel + 1
-		j.told(late, late, "poll", otherID, 200, wire.JobPending)
-	},
-	"forgotten poll": func(j *ruleChecker) {
-		j.told(seconds(1), seconds(1), "submit", checkedID, 201, wire.JobPending)
-		j.told(seconds(3), seconds(2), "poll", checkedID, 404, "")
-	},
-	"forgotten submit": func(j *ruleChecker) {
-		j.told(seconds(1), seconds(1), "submit", checkedID, 201, wire.JobPending)
-		j.told(seconds(3), seconds(2), "submit", checkedID, 422, "")
-	},
-	"invented answer": func(j *ruleChecker) { j.told(seconds(1), seconds(1), "poll", otherID, 200, wire.JobPending) },
-	"invented start":  func(j *ruleChecker) { j.starts(seconds(1), otherID+"/0", taskPlace{"m1", "g8", "z1", false}) },
-	"not_done":        func(j *ruleChecker) { j.told(seconds(1), seconds(1), "poll", checkedID, 200, wire.JobDone) },
-	"went_back": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), seconds(1), "cancel", checkedID, 200, wire.JobCancelled)
-		j.told(seconds(4), seconds(3), "poll", checkedID, 200, wire.JobRunning)
-	},
-	"went_back unasked": func(j *ruleChecker) { j.told(seconds(2), seconds(1), "poll", checkedID, 200, wire.JobCancelled) },
-}
-
-// TestRuleChecker shows that each check can fail.
-func TestRuleChecker(t *testing.T) {
-	for rule, day := range ruleBreakingDays {
-		j := newRuleChecker(map[string]float64{"red": 8}, simCancel)
-		j.submits(checkedSpec())
-		if day(j); len(j.broken) != 1 || !strings.Contains(j.broken[0], strings.Fields(rule)[0]) {
-			t.Errorf("%s: the checker says %v", rule, j.broken)
-		}
-	}
-}
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -65,78 +65,102 @@
 	s.killTasks(w)
 }
 
+// cloudPatience is after how long a node gives a call to the cloud up.
+const cloudPatience = 4 * simPatience
+
+// cloud carries out a node's call to the cloud.
 func (s *sim) cloud(n *simNode, e core.Effect) {
-	reach := func() bool { return s.zoneCut != n.zone }
-	there := func(id uint64, do func() core.Result) {
-		if s.now >= s.cloudOut && s.rnd.IntN(100) == 0 {
-			// Carried out late, without an answer.
-			s.after(s.between(2*time.Second, 8*time.Second), func() { do() })
-			life := n.life
-			s.after(4*simPatience, func() {
-				if n.life == life {
-					s.step(n, core.Result{CallID: id, Outcome: outcome.Unknown})
-				}
-			})
-			return
-		}
-		s.call(n, id, 4*simPatience, reach, false, func() (core.Result, bool) {
-			if s.now < s.cloudOut {
-				return core.Result{Outcome: outcome.Unavailable}, true
-			}
-			return do(), true
-		})
-	}
 	switch e := e.(type) {
 	case core.CloudCatalog:
-		there(e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Catalog: simCatalog} })
+		s.cloudCall(n, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Catalog: simCatalog} })
 	case core.CloudScaleOut:
-		there(e.CallID, func() core.Result {
-			q := e.Request
-			names, was := s.rented[q.RequestID]
-			if !was {
-				left := s.perZone
-				for _, w := range s.workers {
-					if !w.gone && w.zone == q.Zone {
-						left--
-					}
-				}
-				for i := 0; i < min(q.Count, left); i++ {
-					boot := time.Duration(simBoot * (0.6 + 0.9*s.rnd.Float64()) * float64(time.Second))
-					if s.bootFactor > 0 {
-						boot = time.Duration(float64(boot) * s.bootFactor)
-					}
-					if s.rnd.IntN(25) == 0 || s.rnd.Float64() < s.bootFail {
-						boot = -1 // it never comes up
-					}
-					names = append(names, s.addMachine(q.Zone, q.Spot, boot).name)
-				}
-				if len(names) == 0 {
-					return core.Result{Outcome: outcome.Unavailable}
-				}
-				s.rented[q.RequestID] = names
-				s.say("%s rents %d in %s", n.name, len(names), q.Zone)
-			}
-			return core.Result{Outcome: outcome.OK, MachineNames: append([]string(nil), names...)}
-		})
+		s.cloudCall(n, e.CallID, func() core.Result { return s.scaleOut(n, e.Request) })
 	case core.CloudScaleIn:
-		there(e.CallID, func() core.Result {
-			for _, name := range e.Names {
-				if w := s.byName[name]; w != nil && !w.gone {
-					s.say("%s releases %s", n.name, name)
-				}
-				s.remove(s.byName[name])
-			}
-			return core.Result{Outcome: outcome.OK}
-		})
+		s.cloudCall(n, e.CallID, func() core.Result { return s.scaleIn(n, e.Names) })
 	case core.CloudList:
-		there(e.CallID, func() core.Result {
-			seen := s.now - time.Duration(s.set.Cloud.ListLagS*(0.5+1.5*s.rnd.Float64())*float64(time.Second))
-			i := sort.Search(len(s.lists), func(i int) bool { return s.lists[i].at > seen })
-			r := core.Result{Outcome: outcome.OK}
-			if i > 0 {
-				r.Machines.Machines = append(r.Machines.Machines, s.lists[i-1].list...)
+		s.cloudCall(n, e.CallID, s.listMachines)
+	}
+}
+
+// cloudCall makes a call to the cloud. One in a hundred is carried out late, without an answer.
+func (s *sim) cloudCall(n *simNode, id uint64, do func() core.Result) {
+	if s.now >= s.cloudOut && s.rnd.IntN(100) == 0 {
+		s.after(s.between(2*time.Second, 8*time.Second), func() { do() })
+		life := n.life
+		s.after(cloudPatience, func() {
+			if n.life == life {
+				s.step(n, core.Result{CallID: id, Outcome: outcome.Unknown})
 			}
-			return r
 		})
+		return
+	}
+	reach := func() bool { return s.zoneCut != n.zone }
+	s.call(n, id, cloudPatience, reach, false, func() (core.Result, bool) {
+		if s.now < s.cloudOut {
+			return core.Result{Outcome: outcome.Unavailable}, true
+		}
+		return do(), true
+	})
+}
+
+// scaleOut rents machines, as many as the zone has left. A repeated request gets the machines of the first one.
+func (s *sim) scaleOut(n *simNode, request wire.ScaleOutRequest) core.Result {
+	names, repeated := s.rented[request.RequestID]
+	if !repeated {
+		for range min(request.Count, s.freeMachines(request.Zone)) {
+			names = append(names, s.addMachine(request.Zone, request.Spot, s.bootTime()).name)
+		}
+		if len(names) == 0 {
+			return core.Result{Outcome: outcome.Unavailable}
+		}
+		s.rented[request.RequestID] = names
+		s.say("%s rents %d in %s", n.name, len(names), request.Zone)
+	}
+	return core.Result{Outcome: outcome.OK, MachineNames: append([]string(nil), names...)}
+}
+
+// freeMachines gives how many more machines the cloud has in a zone.
+func (s *sim) freeMachines(zone string) int {
+	free := s.perZone
+	for _, worker := range s.workers {
+		if !worker.gone && worker.zone == zone {
+			free--
+		}
+	}
+	return free
+}
+
+// bootTime gives how long a new machine takes to come up; negative if it never does.
+func (s *sim) bootTime() time.Duration {
+	boot := time.Duration(simBoot * (0.6 + 0.9*s.rnd.Float64()) * float64(time.Second))
+	if s.bootFactor > 0 {
+		boot = time.Duration(float64(boot) * s.bootFactor)
+	}
+	if s.rnd.IntN(25) == 0 || s.rnd.Float64() < s.bootFail {
+		return -1
+	}
+	return boot
+}
+
+// scaleIn gives machines back.
+func (s *sim) scaleIn(n *simNode, names []string) core.Result {
+	for _, name := range names {
+		worker := s.byName[name]
+		if worker != nil && !worker.gone {
+			s.say("%s releases %s", n.name, name)
+		}
+		s.remove(worker)
+	}
+	return core.Result{Outcome: outcome.OK}
+}
+
+// listMachines gives the list of machines as it was some time ago: the cloud's lists lag.
+func (s *sim) listMachines() core.Result {
+	seen := s.now - time.Duration(s.set.Cloud.ListLagS*(0.5+1.5*s.rnd.Float64())*float64(time.Second))
+	newer := sort.Search(len(s.lists), func(i int) bool { return s.lists[i].at > seen })
+	result := core.Result{Outcome: outcome.OK}
+	if newer > 0 {
+		result.Machines.Machines = append(result.Machines.Machines, s.lists[newer-1].list...)
 	}
+	return result
 }
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -80,7 +80,7 @@
 	s.ruleChecker.submits(j.spec)
 	spec, sent := *j.spec, s.now
 	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, sent, "submit", j.spec.ID, status, state)
+		s.ruleChecker.told(s.now, userAnswer{sent, requestSubmit, j.spec.ID, status, state})
 		switch status {
 		case 200, 201:
 			if !j.accepted {
@@ -111,7 +111,7 @@
 func (s *sim) poll(j *simJob) {
 	sent := s.now
 	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, sent, "poll", j.spec.ID, status, state)
+		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, j.spec.ID, status, state})
 		if status == 200 {
 			if state != j.told && (state == wire.JobDone || state == wire.JobCancelled) {
 				s.say("poll of %s: %s", j.spec.ID, state)
@@ -133,7 +133,7 @@
 	s.ruleChecker.submits(j.spec).asked = true
 	sent := s.now
 	s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, sent, "cancel", j.spec.ID, status, state)
+		s.ruleChecker.told(s.now, userAnswer{sent, requestCancel, j.spec.ID, status, state})
 		if status == 200 {
 			s.say("cancel of %s: %s", j.spec.ID, state)
 			j.told = state
@@ -145,6 +145,74 @@
 	})
 }
 
+// cancelRunning has the user of a job that runs, and of which no cancellation was asked yet, cancel it.
+func (s *sim) cancelRunning() {
+	var running []*simJob
+	for _, j := range s.jobs {
+		if known := s.ruleChecker.jobs[j.spec.ID]; j.accepted && !known.asked && j.cancelAt == 0 && s.runs(j) {
+			running = append(running, j)
+		}
+	}
+	if len(running) > 0 {
+		s.cancelJob(running[s.rnd.IntN(len(running))])
+	}
+}
+
+// runs tells whether a task of a job is on a machine.
+func (s *sim) runs(j *simJob) bool {
+	for task := range j.spec.Tasks {
+		if len(s.ruleChecker.on[wire.TaskName(j.spec.ID, task)]) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// pollOnce asks about some job, and counts the answers.
+func (s *sim) pollOnce() {
+	j, sent := s.jobs[s.rnd.IntN(len(s.jobs))], s.now
+	if !j.accepted {
+		return
+	}
+	if s.polled == nil {
+		s.polled = map[int]int{}
+	}
+	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, j.spec.ID, status, state})
+		s.polled[status]++
+	})
+}
+
+// odd sends what must be refused, and repeats of what is known.
+func (s *sim) odd() {
+	sent := s.now
+	big := &simJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
+	s.ruleChecker.submits(big.spec)
+	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: big.spec} }, func(status int, _ wire.JobStatus) {
+		if status == 200 || status == 201 || status == 400 || status == 404 {
+			s.ruleChecker.breaks(s.now, "odd", "a job that fits no machine gets %d", status)
+		}
+	})
+	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, "run-999002", status, state})
+	})
+	for _, j := range s.jobs {
+		if !j.accepted {
+			continue
+		}
+		spec := *j.spec
+		s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
+			s.ruleChecker.told(s.now, userAnswer{sent, requestSubmit, j.spec.ID, status, state})
+		})
+		if j.told == wire.JobDone {
+			s.ruleChecker.jobs[j.spec.ID].asked = true
+			s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
+				s.ruleChecker.told(s.now, userAnswer{sent, requestCancel, j.spec.ID, status, state})
+			})
+		}
+	}
+}
+
 // verdict judges what must hold in the end: nothing waits, and nothing is forgotten.
 func (s *sim) verdict() []string {
 	j := s.ruleChecker
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bitternwing/internal/core"
+	"bitternwing/internal/outcome"
 	"bitternwing/internal/wire"
 )
 
@@ -70,6 +71,21 @@
 	})
 }
 
+// sendCommands sends a worker direct commands. It carries them out if they are for its incarnation, and their fencing
+// token is not older than the newest one that it has seen.
+func (s *sim) sendCommands(n *simNode, e core.SendCommands) {
+	s.note("%s: orders %s token %s%s", n.name, e.Addr, showToken(e.FencingToken), showCommands(e.Commands))
+	s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
+		if e.FencingToken < w.token || e.Incarnation != w.session {
+			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.report(w)}
+		}
+		w.token = e.FencingToken
+		s.execute(w, e.Commands)
+		s.soon(w)
+		return core.Result{Outcome: outcome.OK, Heartbeat: *s.report(w)}
+	})
+}
+
 func (s *sim) killTasks(w *simWorker) {
 	for _, k := range sortedKeys(w.tasks) {
 		s.leave(w, w.tasks[k], false)
@@ -307,7 +323,7 @@
 		w.images[j.spec.Image] = true
 		t.State, t.on = wire.TaskRunning, true
 		s.say("%s starts %s#%d", w.name, t.Task, t.Attempt)
-		s.ruleChecker.starts(s.now, t.Task, taskPlace{w.name, "g8", w.zone, w.spot})
+		s.ruleChecker.starts(s.now, taskStart{t.Task, w.name, "g8", w.zone, w.spot})
 		s.soon(w)
 		run := time.Duration(j.runS * (0.8 + 0.4*s.rnd.Float64()) * float64(time.Second))
 		switch {
--- /dev/null
+++ b/internal/core/trace_format_test.go
@@ -0,0 +1,45 @@
+package core_test
+
+import (
+	"fmt"
+	"strings"
+
+	"bitternwing/internal/wire"
+)
+
+// keysOf shows the changes of a transaction, without the counts for display.
+func keysOf(t wire.Txn) string {
+	var ks []string
+	for _, op := range t.Then {
+		switch {
+		case len(op.Value) > 400:
+			ks = append(ks, op.Put+" (long)")
+		case strings.HasPrefix(op.Put, "w/n/"), strings.HasPrefix(op.Put, "w/i/"), op.Put == "w/catalog":
+		case op.Delete != "":
+			ks = append(ks, "-"+op.Delete)
+		case strings.HasPrefix(op.Put, "r/") || strings.HasPrefix(op.Put, "f/"):
+			ks = append(ks, op.Put+"="+string(op.Value))
+		default:
+			ks = append(ks, op.Put)
+		}
+	}
+	return strings.Join(ks, " ")
+}
+
+func showToken(token uint64) string {
+	if token%1_000_000 == 0 {
+		return fmt.Sprint(token / 1_000_000)
+	}
+	return fmt.Sprintf("%d.%d", token/1_000_000, token%1_000_000)
+}
+
+func showCommands(cmds []wire.Command) string {
+	var b strings.Builder
+	for _, c := range cmds {
+		fmt.Fprintf(&b, ", %s %s#%d", c.Op, c.Task, c.Attempt)
+		if c.GracePeriodS != nil {
+			fmt.Fprintf(&b, " grace %v", *c.GracePeriodS)
+		}
+	}
+	return b.String()
+}
