--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -89,8 +89,8 @@
 }
 
 // Route requests a routing, once: a router goes on with the one that it has.
-func (c *Client) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
-	return c.rollouts.Route(ctx, q)
+func (c *Client) Route(ctx context.Context, request *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
+	return c.rollouts.Route(ctx, request)
 }
 
 // retry makes a request until there is a final reply or the context ends, and at least once.
--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -19,17 +19,17 @@
 }
 
 // Show implements the service.
-func (p *placements) Show(ctx context.Context, q *operatorpb.PlacementRequest) (*operatorpb.PlacementReply, error) {
-	if !wire.ValidJobID(q.GetJob()) {
+func (p *placements) Show(ctx context.Context, request *operatorpb.PlacementRequest) (*operatorpb.PlacementReply, error) {
+	if !wire.ValidJobID(request.GetJob()) {
 		return nil, status.Error(codes.InvalidArgument, "job: is no job id")
 	}
-	return handle(ctx, p.server, request[*operatorpb.PlacementReply]{
-		relayed: q.GetRelayed(),
+	return handle(ctx, p.server, relayable[*operatorpb.PlacementReply]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.GetPlacements{RequestID: requestID, Job: q.GetJob()}
+			return core.GetPlacements{RequestID: requestID, Job: request.GetJob()}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
-			relayed := &operatorpb.PlacementRequest{Job: q.GetJob(), Relayed: true}
+			relayed := &operatorpb.PlacementRequest{Job: request.GetJob(), Relayed: true}
 			return operatorpb.NewPlacementsClient(leader).Show(ctx, relayed, largeReplies)
 		},
 		convert: placementReply,
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -18,31 +18,31 @@
 }
 
 // Ask implements the service.
-func (r *regions) Ask(ctx context.Context, q *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
-	return handle(ctx, r.server, request[*operatorpb.AllowanceReply]{
-		relayed: q.GetRelayed(),
+func (r *regions) Ask(ctx context.Context, request *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
+	return handle(ctx, r.server, relayable[*operatorpb.AllowanceReply]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.RequestQuota{RequestID: requestID, From: q.GetFrom(), Team: q.GetTeam(), Whole: shareOf(q.GetWhole()), Share: shareOf(q.GetShare())}
+			return core.RequestQuota{RequestID: requestID, From: request.GetFrom(), Team: request.GetTeam(), Whole: shareOf(request.GetWhole()), Share: shareOf(request.GetShare())}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
-			q.Relayed = true
-			return operatorpb.NewRegionsClient(leader).Ask(ctx, q)
+			request.Relayed = true
+			return operatorpb.NewRegionsClient(leader).Ask(ctx, request)
 		},
 		convert: allowanceReply,
 	})
 }
 
 // Deliver implements the service.
-func (r *regions) Deliver(ctx context.Context, q *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
-	return handle(ctx, r.server, request[*operatorpb.AllowanceReply]{
-		relayed: q.GetRelayed(),
+func (r *regions) Deliver(ctx context.Context, request *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
+	return handle(ctx, r.server, relayable[*operatorpb.AllowanceReply]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			transfer := quota.Transfer{From: q.GetFrom(), To: q.GetTo(), Number: q.GetNumber(), Share: shareOf(q.GetShare())}
-			return core.DeliverQuota{RequestID: requestID, Team: q.GetTeam(), Whole: shareOf(q.GetWhole()), Transfer: transfer}
+			transfer := quota.Transfer{From: request.GetFrom(), To: request.GetTo(), Number: request.GetNumber(), Share: shareOf(request.GetShare())}
+			return core.DeliverQuota{RequestID: requestID, Team: request.GetTeam(), Whole: shareOf(request.GetWhole()), Transfer: transfer}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
-			q.Relayed = true
-			return operatorpb.NewRegionsClient(leader).Deliver(ctx, q)
+			request.Relayed = true
+			return operatorpb.NewRegionsClient(leader).Deliver(ctx, request)
 		},
 		convert: allowanceReply,
 	})
@@ -83,16 +83,16 @@
 }
 
 // shareOf decodes a share; amounts below 0 count as none.
-func shareOf(s *operatorpb.AllowanceShare) quota.Share {
-	amount := func(a *operatorpb.AllowanceAmount) quota.Amount {
-		return quota.Amount{GPUs: max(0, a.GetGpus()), CPUs: max(0, a.GetCpus())}
+func shareOf(share *operatorpb.AllowanceShare) quota.Share {
+	amount := func(amount *operatorpb.AllowanceAmount) quota.Amount {
+		return quota.Amount{GPUs: max(0, amount.GetGpus()), CPUs: max(0, amount.GetCpus())}
 	}
-	return quota.Share{Limit: amount(s.GetLimit()), Guarantee: amount(s.GetGuarantee())}
+	return quota.Share{Limit: amount(share.GetLimit()), Guarantee: amount(share.GetGuarantee())}
 }
 
-func shareProto(s quota.Share) *operatorpb.AllowanceShare {
-	amount := func(a quota.Amount) *operatorpb.AllowanceAmount {
-		return &operatorpb.AllowanceAmount{Gpus: a.GPUs, Cpus: a.CPUs}
+func shareProto(share quota.Share) *operatorpb.AllowanceShare {
+	amount := func(amount quota.Amount) *operatorpb.AllowanceAmount {
+		return &operatorpb.AllowanceAmount{Gpus: amount.GPUs, Cpus: amount.CPUs}
 	}
-	return &operatorpb.AllowanceShare{Limit: amount(s.Limit), Guarantee: amount(s.Guarantee)}
+	return &operatorpb.AllowanceShare{Limit: amount(share.Limit), Guarantee: amount(share.Guarantee)}
 }
--- a/internal/adminapi/rollout_messages.go
+++ b/internal/adminapi/rollout_messages.go
@@ -66,8 +66,8 @@
 	}, nil
 }
 
-func generationProto(g rollout.Generation) *operatorpb.Generation {
-	return &operatorpb.Generation{Term: g.Term, Revision: g.Revision}
+func generationProto(generation rollout.Generation) *operatorpb.Generation {
+	return &operatorpb.Generation{Term: generation.Term, Revision: generation.Revision}
 }
 
 func weightsProto(weights []rollout.Weight) []*operatorpb.Weight {
--- a/internal/adminapi/rollouts.go
+++ b/internal/adminapi/rollouts.go
@@ -33,18 +33,18 @@
 }
 
 // Apply implements the service.
-func (s *Server) Apply(ctx context.Context, q *operatorpb.ApplyRequest) (*operatorpb.PlanStatus, error) {
-	plan, err := parsePlan(q.GetPlan())
+func (s *Server) Apply(ctx context.Context, request *operatorpb.ApplyRequest) (*operatorpb.PlanStatus, error) {
+	plan, err := parsePlan(request.GetPlan())
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return handle(ctx, s, request[*operatorpb.PlanStatus]{
-		relayed: q.GetRelayed(),
+	return handle(ctx, s, relayable[*operatorpb.PlanStatus]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
 			return core.ApplyPlan{RequestID: requestID, Plan: plan}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			relayed := &operatorpb.ApplyRequest{Plan: q.GetPlan(), Relayed: true}
+			relayed := &operatorpb.ApplyRequest{Plan: request.GetPlan(), Relayed: true}
 			return operatorpb.NewRolloutsClient(leader).Apply(ctx, relayed, largeReplies)
 		},
 		convert: planStatus,
@@ -59,18 +59,18 @@
 }
 
 // Change implements the service.
-func (s *Server) Change(ctx context.Context, q *operatorpb.ChangeRequest) (*operatorpb.PlanStatus, error) {
-	change, ok := changes[q.GetChange()]
+func (s *Server) Change(ctx context.Context, request *operatorpb.ChangeRequest) (*operatorpb.PlanStatus, error) {
+	change, ok := changes[request.GetChange()]
 	if !ok {
 		return nil, status.Error(codes.InvalidArgument, "change: is not known")
 	}
-	return handle(ctx, s, request[*operatorpb.PlanStatus]{
-		relayed: q.GetRelayed(),
+	return handle(ctx, s, relayable[*operatorpb.PlanStatus]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.ChangePlan{RequestID: requestID, Name: q.GetName(), Change: change}
+			return core.ChangePlan{RequestID: requestID, Name: request.GetName(), Change: change}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			relayed := &operatorpb.ChangeRequest{Name: q.GetName(), Change: q.GetChange(), Relayed: true}
+			relayed := &operatorpb.ChangeRequest{Name: request.GetName(), Change: request.GetChange(), Relayed: true}
 			return operatorpb.NewRolloutsClient(leader).Change(ctx, relayed, largeReplies)
 		},
 		convert: planStatus,
@@ -78,14 +78,14 @@
 }
 
 // Show implements the service.
-func (s *Server) Show(ctx context.Context, q *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
-	return handle(ctx, s, request[*operatorpb.PlanStatus]{
-		relayed: q.GetRelayed(),
+func (s *Server) Show(ctx context.Context, request *operatorpb.ShowRequest) (*operatorpb.PlanStatus, error) {
+	return handle(ctx, s, relayable[*operatorpb.PlanStatus]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.GetPlan{RequestID: requestID, Name: q.GetName()}
+			return core.GetPlan{RequestID: requestID, Name: request.GetName()}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlanStatus, error) {
-			relayed := &operatorpb.ShowRequest{Name: q.GetName(), Relayed: true}
+			relayed := &operatorpb.ShowRequest{Name: request.GetName(), Relayed: true}
 			return operatorpb.NewRolloutsClient(leader).Show(ctx, relayed, largeReplies)
 		},
 		convert: planStatus,
@@ -96,21 +96,21 @@
 const maxRouterNameBytes = 100
 
 // Route implements the service.
-func (s *Server) Route(ctx context.Context, q *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
-	if q.GetRouter() == "" {
+func (s *Server) Route(ctx context.Context, request *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
+	if request.GetRouter() == "" {
 		return nil, status.Error(codes.InvalidArgument, "router: is missing")
 	}
-	if len(q.GetRouter()) > maxRouterNameBytes {
+	if len(request.GetRouter()) > maxRouterNameBytes {
 		return nil, status.Errorf(codes.InvalidArgument, "router: has more than %d bytes", maxRouterNameBytes)
 	}
-	generation := rollout.Generation{Term: q.GetGeneration().GetTerm(), Revision: q.GetGeneration().GetRevision()}
-	return handle(ctx, s, request[*operatorpb.RouteReply]{
-		relayed: q.GetRelayed(),
+	generation := rollout.Generation{Term: request.GetGeneration().GetTerm(), Revision: request.GetGeneration().GetRevision()}
+	return handle(ctx, s, relayable[*operatorpb.RouteReply]{
+		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.GetRouting{RequestID: requestID, Name: q.GetPlan(), Router: q.GetRouter(), Generation: generation}
+			return core.GetRouting{RequestID: requestID, Name: request.GetPlan(), Router: request.GetRouter(), Generation: generation}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.RouteReply, error) {
-			relayed := &operatorpb.RouteRequest{Plan: q.GetPlan(), Router: q.GetRouter(), Generation: q.GetGeneration(), Relayed: true}
+			relayed := &operatorpb.RouteRequest{Plan: request.GetPlan(), Router: request.GetRouter(), Generation: request.GetGeneration(), Relayed: true}
 			return operatorpb.NewRolloutsClient(leader).Route(ctx, relayed, largeReplies)
 		},
 		convert: routeReply,
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -51,8 +51,8 @@
 	operatorpb.RegisterRegionsServer(registrar, &regions{server: server})
 }
 
-// request is a request as all services handle it.
-type request[Reply any] struct {
+// relayable is a request as all services handle it.
+type relayable[Reply any] struct {
 	relayed bool // by another controller: it is not relayed again
 	input   func(requestID uint64) core.Input
 	// relay sends the request to the leader.
@@ -62,26 +62,26 @@
 }
 
 // handle has the core handle a request, or the leader where the core names it.
-func handle[Reply any](ctx context.Context, s *Server, r request[Reply]) (Reply, error) {
+func handle[Reply any](ctx context.Context, server *Server, request relayable[Reply]) (Reply, error) {
 	var none Reply
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, ok := s.core.Handle(ctx, r.input)
+	response, ok := server.core.Handle(ctx, request.input)
 	if !ok {
 		return none, status.Error(codes.Unavailable, "no answer in time")
 	}
 	if response.Status == http.StatusOK {
-		return r.convert(response)
+		return request.convert(response)
 	}
 	redirect, isRedirect := response.Body.(wire.Redirect)
 	if !isRedirect {
 		return none, statusError(response)
 	}
-	leader := s.peer(redirect.Leader)
-	if leader == nil || r.relayed {
+	leader := server.peer(redirect.Leader)
+	if leader == nil || request.relayed {
 		return none, status.Error(codes.Unavailable, "no controller leads")
 	}
-	return r.relay(ctx, leader)
+	return request.relay(ctx, leader)
 }
 
 // statusError gives the error for a response that is no success.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -94,8 +94,8 @@
 }
 
 // Within gives the tighter of the present limits and those to come, each by itself.
-func (n *NextLimits) Within(s Store) StoreLimits {
-	l := StoreLimits{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
+func (n *NextLimits) Within(store Store) StoreLimits {
+	l := StoreLimits{RPS: store.RPS, WriteRPS: store.WriteRPS, ValueKB: store.ValueKB, TxnOps: store.TxnOps}
 	if n == nil {
 		return l
 	}
@@ -127,8 +127,8 @@
 }
 
 // Seconds turns a number of seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // FailureCheckInterval is how often nodes look at what may fail, and how long a call may take: a tenth
 // of the workers' lease.
-func FailureCheckInterval(w Workers) time.Duration { return Seconds(w.LeaseS / 10) }
+func FailureCheckInterval(workers Workers) time.Duration { return Seconds(workers.LeaseS / 10) }
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -151,26 +151,26 @@
 }
 
 // add adds a machine that does not run yet.
-func (c *Cloud) add(t wire.MachineType, zone string, spot bool) *instance {
+func (c *Cloud) add(machineType wire.MachineType, zone string, spot bool) *instance {
 	c.created++
-	r := &instance{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.created), Type: t, Zone: zone, Spot: spot}, rentedAt: time.Now()}
+	r := &instance{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.created), Type: machineType, Zone: zone, Spot: spot}, rentedAt: time.Now()}
 	c.machines[r.spec.Name] = r
 	return r
 }
 
-func (c *Cloud) bringUp(r *instance) { r.machine = c.launch(r.spec) }
+func (c *Cloud) bringUp(machine *instance) { machine.machine = c.launch(machine.spec) }
 
 // boot starts a machine after its boot time.
-func (c *Cloud) boot(r *instance) {
+func (c *Cloud) boot(machine *instance) {
 	if !c.bootsTakeTime {
-		c.bringUp(r)
+		c.bringUp(machine)
 		return
 	}
-	r.bootTimer = time.AfterFunc(config.Seconds(r.spec.Type.BootS), func() {
+	machine.bootTimer = time.AfterFunc(config.Seconds(machine.spec.Type.BootS), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.closed && c.machines[r.spec.Name] == r {
-			c.bringUp(r)
+		if !c.closed && c.machines[machine.spec.Name] == machine {
+			c.bringUp(machine)
 		}
 	})
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -183,8 +183,8 @@
 	}
 }
 
-func (s *Store) appendChange(e wire.Event) {
-	s.log = append(s.log, change{s.revision, e})
+func (s *Store) appendChange(event wire.Event) {
+	s.log = append(s.log, change{s.revision, event})
 	if len(s.log) >= 2*keptChanges {
 		s.log = append([]change(nil), s.keptLog()...)
 	}
@@ -239,7 +239,7 @@
 		return wire.WatchResponse{}, outcome.TooOld
 	}
 	response := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
-	from := sort.Search(len(kept), func(i int) bool { return kept[i].revision > after })
+	from := sort.Search(len(kept), func(index int) bool { return kept[index].revision > after })
 	for _, c := range kept[from:] {
 		if strings.HasPrefix(c.event.Put+c.event.Delete, prefix) {
 			response.Events = append(response.Events, c.event)
--- a/internal/fleetsim/controller_settings.go
+++ b/internal/fleetsim/controller_settings.go
@@ -15,10 +15,10 @@
 )
 
 // allocate gives controllers names, zones and addresses, and connects them by relays.
-func (c *controllers) allocate(s *Scenario, basePort int, traffic *measure.Traffic) error {
+func (c *controllers) allocate(scenario *Scenario, basePort int, traffic *measure.Traffic) error {
 	free := addresses{basePort}
-	for i := range s.Controllers.Count {
-		process := &controller{name: fmt.Sprintf("controller-%02d", i), zone: s.Zones[i%len(s.Zones)]}
+	for i := range scenario.Controllers.Count {
+		process := &controller{name: fmt.Sprintf("controller-%02d", i), zone: scenario.Zones[i%len(scenario.Zones)]}
 		var err error
 		if process.publicAddress, err = free.next(); err != nil {
 			return err
@@ -66,9 +66,9 @@
 }
 
 // writeSettings writes the settings files of all controllers.
-func (c *controllers) writeSettings(s *Scenario, params config.Params, modelPort int) error {
-	if len(s.Operator) > 0 {
-		if err := c.writeOperatorSettings(s, modelPort); err != nil {
+func (c *controllers) writeSettings(scenario *Scenario, params config.Params, modelPort int) error {
+	if len(scenario.Operator) > 0 {
+		if err := c.writeOperatorSettings(scenario, modelPort); err != nil {
 			return fmt.Errorf("operators' settings: %w", err)
 		}
 	}
@@ -83,8 +83,8 @@
 // settingsMode is the mode of settings files.
 const settingsMode = 0o600
 
-func (c *controllers) writeOperatorSettings(s *Scenario, modelPort int) error {
-	operator, err := s.operatorWith(modelPort)
+func (c *controllers) writeOperatorSettings(scenario *Scenario, modelPort int) error {
+	operator, err := scenario.operatorWith(modelPort)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetsim/every_second.go
+++ b/internal/fleetsim/every_second.go
@@ -17,14 +17,14 @@
 		return err
 	}
 	sim.ledger.CheckCancelled()
-	at := sim.now().Seconds()
-	sim.controllers.sample(at)
-	if err := sim.self.Sample(at); err != nil {
+	atS := sim.now().Seconds()
+	sim.controllers.sample(atS)
+	if err := sim.self.Sample(atS); err != nil {
 		return err
 	}
-	sim.workers.sample(at)
+	sim.workers.sample(atS)
 	sim.recorder.placements.sample()
-	sim.recordSecond(at)
+	sim.recordSecond(atS)
 	used := sim.controllers.residentMB() + sim.self.LastMemoryMB()
 	if used > sim.memoryMB {
 		return fmt.Errorf("memory: %.0f MB are used, half of this machine's is %.0f MB", used, sim.memoryMB)
@@ -33,11 +33,11 @@
 }
 
 // recordSecond keeps the counts of the last second.
-func (sim *simulation) recordSecond(at float64) {
+func (sim *simulation) recordSecond(atS float64) {
 	now := sim.recorder.totals()
 	leader, reporting := sim.leader()
 	second := Second{
-		AtS:        at,
+		AtS:        atS,
 		Requested:  sim.generator.Tasks() - sim.requestedTasks,
 		Started:    now.started - sim.lastTotals.started,
 		Completed:  now.completed - sim.lastTotals.completed,
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -45,30 +45,30 @@
 }
 
 // fault gives the actions that begin and end a fault; no end: it ends by itself.
-func (sim *simulation) fault(f Fault, number uint64) (begin, end func() error) {
-	switch f.Kind {
+func (sim *simulation) fault(fault Fault, number uint64) (begin, end func() error) {
+	switch fault.Kind {
 	case KillLeader:
 		return sim.killLeader, nil
 	case KillControllers:
 		return sim.killControllers, nil
 	case KillWorkers:
-		return func() error { return killWorkers(sim.pickWorkers(f, number)) }, nil
+		return func() error { return killWorkers(sim.pickWorkers(fault, number)) }, nil
 	case KillWorstZone:
 		return sim.killWorstZone, nil
 	case RackUnreachable:
 		var rack []*simworker.Worker
 		begin = func() error {
-			rack = sim.pickWorkers(f, number)
+			rack = sim.pickWorkers(fault, number)
 			return setUnreachable(rack, true)
 		}
 		return begin, func() error { return setUnreachable(rack, false) }
 	case ZonePartitioned:
-		return func() error { return sim.setZonePartitioned(f.Zone, true) },
-			func() error { return sim.setZonePartitioned(f.Zone, false) }
+		return func() error { return sim.setZonePartitioned(fault.Zone, true) },
+			func() error { return sim.setZonePartitioned(fault.Zone, false) }
 	case StoreDown:
 		return func() error { return sim.setStoreDown(true) }, func() error { return sim.setStoreDown(false) }
 	}
-	return func() error { return fmt.Errorf("a fault of the unknown kind %q", f.Kind) }, nil
+	return func() error { return fmt.Errorf("a fault of the unknown kind %q", fault.Kind) }, nil
 }
 
 // restartTime is when a controller that is killed now is restarted.
@@ -98,21 +98,21 @@
 }
 
 // pickWorkers draws the workers of a fault, of its zone if it names one. A rack is a run of neighbours.
-func (sim *simulation) pickWorkers(f Fault, number uint64) []*simworker.Worker {
+func (sim *simulation) pickWorkers(fault Fault, number uint64) []*simworker.Worker {
 	var all []*simworker.Worker
 	for _, w := range sim.fleet.Workers() {
-		if f.Zone == "" || w.Zone() == f.Zone {
+		if fault.Zone == "" || w.Zone() == fault.Zone {
 			all = append(all, w)
 		}
 	}
 	slices.SortFunc(all, func(a, b *simworker.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
 	random := rand.New(rand.NewPCG(sim.scenario.Seed, number))
-	if f.Kind == RackUnreachable {
-		first := random.IntN(max(1, len(all)-f.Count+1))
-		return all[first:min(len(all), first+f.Count)]
+	if fault.Kind == RackUnreachable {
+		first := random.IntN(max(1, len(all)-fault.Count+1))
+		return all[first:min(len(all), first+fault.Count)]
 	}
 	random.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
-	return all[:min(len(all), f.Count)]
+	return all[:min(len(all), fault.Count)]
 }
 
 // killWorstZone ends all machines of the zone whose loss takes the most replicas of a model.
--- a/internal/fleetsim/load/generator.go
+++ b/internal/fleetsim/load/generator.go
@@ -93,11 +93,11 @@
 }
 
 // AtStart gives the jobs that are submitted at the start.
-func (g *Generator) AtStart(at time.Duration) []Arrival {
+func (g *Generator) AtStart(submitAt time.Duration) []Arrival {
 	var all []Arrival
 	for i := range g.classes {
 		for range g.classes[i].AtStart {
-			all = append(all, Arrival{at, &g.classes[i], g.job(&g.classes[i])})
+			all = append(all, Arrival{submitAt, &g.classes[i], g.job(&g.classes[i])})
 		}
 	}
 	return all
--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -24,13 +24,13 @@
 }
 
 // Add adds a time; what is beyond the range counts as its end.
-func (h *Histogram) Add(d time.Duration) { h.AddValue(d.Milliseconds()) }
+func (h *Histogram) Add(duration time.Duration) { h.AddValue(duration.Milliseconds()) }
 
 // AddValue adds a value of another unit.
-func (h *Histogram) AddValue(v int64) {
+func (h *Histogram) AddValue(value int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.values.RecordValue(min(max(v, 0), maxMilliseconds)) // within its range
+	_ = h.values.RecordValue(min(max(value, 0), maxMilliseconds)) // within its range
 }
 
 // Summary summarizes a histogram.
--- a/internal/fleetsim/measure/traffic.go
+++ b/internal/fleetsim/measure/traffic.go
@@ -42,7 +42,7 @@
 	t.add(controller, kind, Count{0, int64(received), int64(sent)})
 }
 
-func (t *Traffic) add(controller string, kind simworker.MessageKind, c Count) {
+func (t *Traffic) add(controller string, kind simworker.MessageKind, added Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kinds := t.counts[controller]
@@ -51,9 +51,9 @@
 		t.counts[controller] = kinds
 	}
 	sum := kinds[kind]
-	sum.Messages += c.Messages
-	sum.Received += c.Received
-	sum.Sent += c.Sent
+	sum.Messages += added.Messages
+	sum.Received += added.Received
+	sum.Sent += added.Sent
 	kinds[kind] = sum
 }
 
--- a/internal/fleetsim/page.go
+++ b/internal/fleetsim/page.go
@@ -79,11 +79,11 @@
 	}
 	return append(r.rolloutDiagrams(), []diagram{
 		{"Starts", "tasks a second", []curve{
-			perSecond("asked", func(s Second) float64 { return float64(s.Requested) }),
-			perSecond("started", func(s Second) float64 { return float64(s.Started) }),
-			perSecond("completed", func(s Second) float64 { return float64(s.Completed) })}},
-		{"On machines", "tasks", []curve{perSecond("tasks", func(s Second) float64 { return float64(s.OnMachine) })}},
-		{"Workers that follow the leader", "workers", []curve{perSecond("workers", func(s Second) float64 { return float64(s.Reporting) })}},
+			perSecond("asked", func(second Second) float64 { return float64(second.Requested) }),
+			perSecond("started", func(second Second) float64 { return float64(second.Started) }),
+			perSecond("completed", func(second Second) float64 { return float64(second.Completed) })}},
+		{"On machines", "tasks", []curve{perSecond("tasks", func(second Second) float64 { return float64(second.OnMachine) })}},
+		{"Workers that follow the leader", "workers", []curve{perSecond("workers", func(second Second) float64 { return float64(second.Reporting) })}},
 		{"Processor time", "cores", cores},
 		{"Resident memory", "MB", memory},
 	}...)
@@ -103,12 +103,12 @@
 		}
 		all = append(all,
 			diagram{model.Model.Name + " (" + string(model.Model.Mode) + "): capacity", "requests", []curve{
-				over("promised", func(p rolling.Point) float64 { return p.Promised }),
-				over("proved", func(p rolling.Point) float64 { return p.Proved }),
-				over("served", func(p rolling.Point) float64 { return p.Served })}},
+				over("promised", func(point rolling.Point) float64 { return point.Promised }),
+				over("proved", func(point rolling.Point) float64 { return point.Proved }),
+				over("served", func(point rolling.Point) float64 { return point.Served })}},
 			diagram{model.Model.Name + ": share of traffic", "share", []curve{
-				over("new version", func(p rolling.Point) float64 { return p.NewShare }),
-				over("old version", func(p rolling.Point) float64 { return 1 - p.NewShare })}})
+				over("new version", func(point rolling.Point) float64 { return point.NewShare }),
+				over("old version", func(point rolling.Point) float64 { return 1 - point.NewShare })}})
 	}
 	return all
 }
--- a/internal/fleetsim/print.go
+++ b/internal/fleetsim/print.go
@@ -10,13 +10,13 @@
 )
 
 // printRollout prints the result of a rollout.
-func printRollout(line func(name, format string, args ...any), r *rolling.Result) {
-	name := "rollout " + r.Model.Name
-	line(name, "%s: %s %s; least served %.2f of the promise at %.1f s, %d samples below it, %.0f extra replica seconds", r.Model.Mode,
-		r.Phase, r.Reason, r.MinServed, r.MinServedAtS, r.SamplesBelowPromise, r.ExtraReplicaS)
-	if r.Model.Mode != rolling.Replace {
+func printRollout(line func(name, format string, args ...any), result *rolling.Result) {
+	name := "rollout " + result.Model.Name
+	line(name, "%s: %s %s; least served %.2f of the promise at %.1f s, %d samples below it, %.0f extra replica seconds", result.Model.Mode,
+		result.Phase, result.Reason, result.MinServed, result.MinServedAtS, result.SamplesBelowPromise, result.ExtraReplicaS)
+	if result.Model.Mode != rolling.Replace {
 		line(name, "%d requests, %d wrong (%d after detection, over %.1f s), %d lost, %d doubled, %d retried; longest without a status %.1f s",
-			r.Requests, r.Wrong, r.WrongAfter, r.WrongForS, r.Lost, r.Doubled, r.Retried, r.MaxWithoutStatusS)
+			result.Requests, result.Wrong, result.WrongAfter, result.WrongForS, result.Lost, result.Doubled, result.Retried, result.MaxWithoutStatusS)
 	}
 }
 
@@ -29,9 +29,9 @@
 	line := func(name, format string, args ...any) {
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) // Flush tells of errors
 	}
-	times := func(name string, s measure.Summary) {
-		if s.Count > 0 {
-			line(name, "p50 %d ms, p99 %d ms, most %d ms (%d)", s.P50, s.P99, s.Max, s.Count)
+	times := func(name string, summary measure.Summary) {
+		if summary.Count > 0 {
+			line(name, "p50 %d ms, p99 %d ms, most %d ms (%d)", summary.P50, summary.P99, summary.Max, summary.Count)
 		}
 	}
 	line("scenario", "%s: %d workers, %d controllers, %.0f s, ended: %s", r.Scenario.Name, r.Workers.Count, r.Scenario.Controllers.Count, r.DurationS, r.Ended)
--- a/internal/fleetsim/relay.go
+++ b/internal/fleetsim/relay.go
@@ -49,9 +49,9 @@
 }
 
 // connect forwards a connection until one of its sides ends it.
-func (r *relay) connect(in net.Conn) {
-	defer r.drop(in)
-	if !r.track(in) || !r.waitUntilOpen() {
+func (r *relay) connect(incoming net.Conn) {
+	defer r.drop(incoming)
+	if !r.track(incoming) || !r.waitUntilOpen() {
 		return
 	}
 	out, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.targetAddress)
@@ -63,15 +63,15 @@
 		return
 	}
 	go func() {
-		r.copy(out, in, func(n int) {
-			r.traffic.Bytes(r.source, measure.KindPeer, 0, n)
-			r.traffic.Bytes(r.target, measure.KindPeer, n, 0)
+		r.copy(out, incoming, func(bytes int) {
+			r.traffic.Bytes(r.source, measure.KindPeer, 0, bytes)
+			r.traffic.Bytes(r.target, measure.KindPeer, bytes, 0)
 		})
 		r.drop(out)
 	}()
-	r.copy(in, out, func(n int) {
-		r.traffic.Bytes(r.source, measure.KindPeer, n, 0)
-		r.traffic.Bytes(r.target, measure.KindPeer, 0, n)
+	r.copy(incoming, out, func(bytes int) {
+		r.traffic.Bytes(r.source, measure.KindPeer, bytes, 0)
+		r.traffic.Bytes(r.target, measure.KindPeer, 0, bytes)
 	})
 }
 
--- a/internal/fleetsim/rolling/rollout.go
+++ b/internal/fleetsim/rolling/rollout.go
@@ -27,8 +27,8 @@
 	Teams       []string
 	Fleet       *simworker.Fleet
 	Now         func() time.Duration
-	Submit      func(ctx context.Context, a load.Arrival) // submits a job as a user does, and polls it
-	Cancel      func(ctx context.Context, id string)      // cancels it as a user does
+	Submit      func(ctx context.Context, arrival load.Arrival) // submits a job as a user does, and polls it
+	Cancel      func(ctx context.Context, id string)            // cancels it as a user does
 }
 
 // The intervals of routers and samples, and the time for a command.
@@ -83,9 +83,9 @@
 func (r *Rollout) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	background := func(f func(context.Context)) {
+	background := func(work func(context.Context)) {
 		running.Add(1)
-		go func() { defer running.Done(); f(ctx) }()
+		go func() { defer running.Done(); work(ctx) }()
 	}
 	for _, id := range r.old {
 		r.environment.Submit(ctx, r.model.arrival(id, r.team, rollout.OldVersion))
--- a/internal/fleetsim/rules/ledger.go
+++ b/internal/fleetsim/rules/ledger.go
@@ -189,8 +189,8 @@
 }
 
 // cancelOverdue tells whether no task of a job may be on a machine any more.
-func (l *Ledger) cancelOverdue(j *job) bool {
-	return j.cancelAcknowledged && l.now() > j.cancelledAt+l.cancelTime
+func (l *Ledger) cancelOverdue(record *job) bool {
+	return record.cancelAcknowledged && l.now() > record.cancelledAt+l.cancelTime
 }
 
 // find gives the job of a task, and the task's index; nil: there is none.
@@ -203,15 +203,15 @@
 }
 
 // addUsage adds a number of tasks to the usage of their team.
-func (l *Ledger) addUsage(j *job, tasks float64) {
-	used := l.used[j.spec.Team]
-	used.gpus += tasks * j.spec.GPUs
-	used.cpus += tasks * j.spec.CPUs
+func (l *Ledger) addUsage(record *job, tasks float64) {
+	used := l.used[record.spec.Team]
+	used.gpus += tasks * record.spec.GPUs
+	used.cpus += tasks * record.spec.CPUs
 }
 
 // checkLimit checks the usage of a job's team.
-func (l *Ledger) checkLimit(j *job) {
-	team, used := l.teams[j.spec.Team], l.used[j.spec.Team]
+func (l *Ledger) checkLimit(record *job) {
+	team, used := l.teams[record.spec.Team], l.used[record.spec.Team]
 	if team.MaxGPUs > 0 && used.gpus > team.MaxGPUs+tolerance || team.MaxCPUs > 0 && used.cpus > team.MaxCPUs+tolerance {
 		l.recordViolation(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", team.Name, used.gpus, team.MaxGPUs, used.cpus, team.MaxCPUs)
 	}
--- a/internal/fleetsim/sweep.go
+++ b/internal/fleetsim/sweep.go
@@ -30,12 +30,12 @@
 }
 
 // RunSweep simulates the variants of a scenario one after the other. It goes on after a broken rule, which it returns as its error.
-func RunSweep(ctx context.Context, s *Scenario, options Options) ([]SweepRun, error) {
+func RunSweep(ctx context.Context, scenario *Scenario, options Options) ([]SweepRun, error) {
 	var runs []SweepRun
 	var broken error
-	for _, variant := range s.Sweep.Variants {
-		for _, seed := range s.Sweep.Seeds {
-			result, err := runVariant(ctx, s, options, variant, seed)
+	for _, variant := range scenario.Sweep.Variants {
+		for _, seed := range scenario.Sweep.Seeds {
+			result, err := runVariant(ctx, scenario, options, variant, seed)
 			if result == nil {
 				return runs, err
 			}
@@ -55,8 +55,8 @@
 const resultsMode = 0o755
 
 // runVariant simulates a variant, with a directory of its own.
-func runVariant(ctx context.Context, s *Scenario, options Options, variant Variant, seed uint64) (*Result, error) {
-	scenario, err := s.with(variant, seed)
+func runVariant(ctx context.Context, scenario *Scenario, options Options, variant Variant, seed uint64) (*Result, error) {
+	scenario, err := scenario.with(variant, seed)
 	if err != nil {
 		return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 	}
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -100,8 +100,8 @@
 	counters []basisCounter
 }
 
-func newStatusCollector(status func() core.Status) *statusCollector {
-	c := &statusCollector{status: status}
+func newStatusCollector(readStatus func() core.Status) *statusCollector {
+	c := &statusCollector{status: readStatus}
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil)
 	}
@@ -111,45 +111,47 @@
 	byBasis := func(name, help string, values func(core.Status) [core.LeaseBasisCount]uint64) {
 		c.counters = append(c.counters, basisCounter{desc(name, help, "basis"), values})
 	}
-	gauge("leading", "1 while this node leads.", func(s core.Status) float64 { return oneIf(s.Leading) })
-	gauge("load_ratio", "How short of processor time this node is: 0 it keeps up, 1 it is overloaded.", func(s core.Status) float64 { return s.Load })
-	gauge("held_answers", "Answers to reports that are held back now.", func(s core.Status) float64 { return float64(s.HeldResponses) })
-	gauge("machines", "Machines that this node looks after; 0 while it does not lead.", func(s core.Status) float64 { return float64(s.Machines) })
-	gauge("term", "Newest term that this node knows.", func(s core.Status) float64 { return float64(s.Term) })
-	gauge("leader_entitled", "1 while this node leads and may act for the controllers.", func(s core.Status) float64 { return oneIf(s.HasAuthority) })
+	gauge("leading", "1 while this node leads.", func(status core.Status) float64 { return oneIf(status.Leading) })
+	gauge("load_ratio", "How short of processor time this node is: 0 it keeps up, 1 it is overloaded.", func(status core.Status) float64 { return status.Load })
+	gauge("held_answers", "Answers to reports that are held back now.", func(status core.Status) float64 { return float64(status.HeldResponses) })
+	gauge("machines", "Machines that this node looks after; 0 while it does not lead.", func(status core.Status) float64 { return float64(status.Machines) })
+	gauge("term", "Newest term that this node knows.", func(status core.Status) float64 { return float64(status.Term) })
+	gauge("leader_entitled", "1 while this node leads and may act for the controllers.", func(status core.Status) float64 { return oneIf(status.HasAuthority) })
 	gauge("leader_unread_seconds", "How long this node has led without the records; 0 once it has read them.",
-		func(s core.Status) float64 { return s.Recovering.Seconds() })
+		func(status core.Status) float64 { return status.Recovering.Seconds() })
 	gauge("read_revision", "Revision of the state service up to which this node has read the changes of jobs.",
-		func(s core.Status) float64 { return float64(s.Revision) })
-	gauge("state_served", "1 while the state service serves this node.", func(s core.Status) float64 { return oneIf(!s.StoreDown) })
+		func(status core.Status) float64 { return float64(status.Revision) })
+	gauge("state_served", "1 while the state service serves this node.", func(status core.Status) float64 { return oneIf(!status.StoreDown) })
 	c.metrics = append(c.metrics, statusMetric{desc("terms_led_total", "Terms that this process has led."), prometheus.CounterValue,
-		func(s core.Status) float64 { return float64(s.TermsLed) }})
+		func(status core.Status) float64 { return float64(status.TermsLed) }})
 	byBasis("lease_renewals_total", "Answers to reports that renewed a worker's lease, by why this node may answer.",
-		func(s core.Status) [core.LeaseBasisCount]uint64 { return s.LeaseRenewals })
+		func(status core.Status) [core.LeaseBasisCount]uint64 { return status.LeaseRenewals })
 	byBasis("cancelled_stops_total", "Stops of tasks of cancelled jobs in such answers, by the same.",
-		func(s core.Status) [core.LeaseBasisCount]uint64 { return s.CancelledStops })
+		func(status core.Status) [core.LeaseBasisCount]uint64 { return status.CancelledStops })
 	return c
 }
 
 // Describe implements prometheus.Collector.
-func (c *statusCollector) Describe(to chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, to) }
+func (c *statusCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	prometheus.DescribeByCollect(c, descriptions)
+}
 
 // Collect implements prometheus.Collector.
-func (c *statusCollector) Collect(to chan<- prometheus.Metric) {
+func (c *statusCollector) Collect(metrics chan<- prometheus.Metric) {
 	s := c.status()
 	for _, m := range c.metrics {
-		to <- prometheus.MustNewConstMetric(m.desc, m.kind, m.value(s))
+		metrics <- prometheus.MustNewConstMetric(m.desc, m.kind, m.value(s))
 	}
 	for _, counter := range c.counters {
 		for basis, value := range counter.values(s) {
-			to <- prometheus.MustNewConstMetric(counter.desc, prometheus.CounterValue, float64(value), core.LeaseBasis(basis).String())
+			metrics <- prometheus.MustNewConstMetric(counter.desc, prometheus.CounterValue, float64(value), core.LeaseBasis(basis).String())
 		}
 	}
 }
 
 // oneIf gives 1 for true, and 0 for false.
-func oneIf(b bool) float64 {
-	if b {
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -46,10 +46,10 @@
 }
 
 // NewServer makes a server.
-func NewServer(r *Recorder, options Options, log *slog.Logger) *Server {
+func NewServer(recorder *Recorder, options Options, log *slog.Logger) *Server {
 	s := &Server{options: options}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", limitScrapes(promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{MaxRequestsInFlight: options.MaxConnections})))
+	mux.Handle("GET /metrics", limitScrapes(promhttp.HandlerFor(recorder.registry, promhttp.HandlerOpts{MaxRequestsInFlight: options.MaxConnections})))
 	if options.Profiles {
 		s.handleProfiles(mux)
 	}
@@ -81,8 +81,8 @@
 }
 
 // setDeadline gives a request so much time from now on.
-func setDeadline(w http.ResponseWriter, d time.Duration) error {
-	deadline := time.Now().Add(d)
+func setDeadline(w http.ResponseWriter, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	control := http.NewResponseController(w)
 	return errors.Join(control.SetReadDeadline(deadline), control.SetWriteDeadline(deadline))
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -70,8 +70,8 @@
 }
 
 // inputKind names an input of the core in the metrics.
-func inputKind(in core.Input) string {
-	switch in.(type) {
+func inputKind(input core.Input) string {
+	switch input.(type) {
 	case core.Tick:
 		return "tick"
 	case core.SubmitJob:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -237,10 +237,10 @@
 	return resp.StatusCode, st
 }
 
-func (s *site) eventually(what string, f func() bool) {
+func (s *site) eventually(what string, condition func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f() {
+		if condition() {
 			return
 		}
 	}
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -112,23 +112,23 @@
 }
 
 // LaunchMachine starts a worker for a machine of a cloud.
-func (f *Fleet) LaunchMachine(m emulator.MachineSpec) emulator.Machine {
-	return f.Launch(MachineInfo{Name: m.Name, Zone: m.Zone, Spot: m.Spot, Type: m.Type})
+func (f *Fleet) LaunchMachine(spec emulator.MachineSpec) emulator.Machine {
+	return f.Launch(MachineInfo{Name: spec.Name, Zone: spec.Zone, Spot: spec.Spot, Type: spec.Type})
 }
 
 // workerAt gives the worker at an address; nil if there is none.
-func (f *Fleet) workerAt(ip string) *Worker {
+func (f *Fleet) workerAt(host string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byIP[ip]
+	return f.byIP[host]
 }
 
 // remove takes a worker off the list whose machine was returned.
-func (f *Fleet) remove(w *Worker) {
+func (f *Fleet) remove(worker *Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.workers, w.machine.info.Name)
-	delete(f.byIP, w.address.String())
+	delete(f.workers, worker.machine.info.Name)
+	delete(f.byIP, worker.address.String())
 }
 
 // Workers gives the present workers, in no order.
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -281,10 +281,10 @@
 }
 
 // Prefetch begins to fetch an image, if it is not there, and gives the time at which it will be.
-func (m *Machine) Prefetch(now time.Duration, image string, gb float64) time.Duration {
+func (m *Machine) Prefetch(now time.Duration, image string, sizeGB float64) time.Duration {
 	readyAt, known := m.imageReadyAt[image]
 	if !known {
-		duration := config.Seconds(gb / m.info.Type.FetchGBPerS)
+		duration := config.Seconds(sizeGB / m.info.Type.FetchGBPerS)
 		m.fetches++
 		m.fetchTime += duration
 		readyAt = now + duration
