--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -66,22 +66,15 @@
 
 func (l *leader) jobsToRun() []*job { return l.queue }
 
-func (l *leader) assignAttempt(j *job, task int) uint64 {
-	chunk := l.chunkOf(j, task)
-	chunk.highestAttempt++
-	return chunk.highestAttempt
-}
+func (l *leader) nextTask(j *job, from int) int { return l.records.nextTask(j, from) }
 
-// withdrawAttempt frees the number of an attempt that was never written.
-func (l *leader) withdrawAttempt(p *placement) {
-	if chunk := l.chunkOf(p.job, p.task); chunk.highestAttempt == p.attempt && !chunk.inFlight && !chunk.dirty {
-		chunk.highestAttempt--
-	}
-}
+func (l *leader) assignAttempt(j *job, task int) uint64 { return l.records.nextAttempt(j, task) }
+
+func (l *leader) withdrawAttempt(p *placement) { l.records.withdrawAttempt(p) }
 
 func (l *leader) avoidsMachine(j *job, m *machine) bool { return l.failures.avoids(j, m) }
 
-func (l *leader) persist(j *job, task int) { l.markDirty(l.chunkOf(j, task)) }
+func (l *leader) persist(j *job, task int) { l.records.markDirty(l.records.chunkOf(j, task)) }
 
 func (l *leader) dispatch(m *machine) { l.dispatcher.add(m) }
 
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -11,11 +11,11 @@
 }
 
 // recordState tells whether all that is known of a task is in the key-value store.
-type recordState interface{ recordPersisted(j *job, task int) bool }
+type recordState interface{ isPersisted(j *job, task int) bool }
 
 // newCommandBuilder makes the command builder of a leader.
 func newCommandBuilder(l *leader) *commandBuilder {
-	return &commandBuilder{core: l.core, logger: commandLogger{core: l.core, term: l.term}, jobs: l.jobs, records: l}
+	return &commandBuilder{core: l.core, logger: commandLogger{core: l.core, term: l.term}, jobs: l.jobs, records: &l.records}
 }
 
 // addCommands adds the commands for a machine to the response to its heartbeat.
@@ -132,7 +132,7 @@
 		// nothing.
 		return false
 	}
-	if !b.records.recordPersisted(j, task) {
+	if !b.records.isPersisted(j, task) {
 		return false
 	}
 	p := j.placements[task]
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -22,7 +22,7 @@
 	records          doneRecords
 	actions          reconcilerActions
 
-	changes         changeCounter
+	changes         *changeCounter
 	reconciliations uint64 // heartbeats that were reconciled
 }
 
@@ -59,8 +59,9 @@
 		commands:         l.commands,
 		provisioner:      &l.provisioner,
 		failures:         &l.failures,
-		records:          l,
+		records:          &l.records,
 		actions:          l,
+		changes:          &l.changes,
 	}
 }
 
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -47,21 +47,6 @@
 	retryAt         time.Duration // no start before this
 }
 
-// nextTask gives the lowest task from a number on that is neither done nor
-// placed; -1 if there is none.
-func (l *leader) nextTask(j *job, from int) int {
-	for t := max(from, j.nextUnplaced); t < j.spec.Tasks; t++ {
-		open := j.placements[t] == nil && !l.isDone(j, t)
-		if open && !l.recordFull(j, t) {
-			return t
-		}
-		if t == j.nextUnplaced && !open {
-			j.nextUnplaced++
-		}
-	}
-	return -1
-}
-
 // unplaced counts the tasks that still need a place.
 func (j *job) unplaced() int { return j.spec.Tasks - j.done - len(j.placements) }
 
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -39,8 +39,8 @@
 // addEnd adds a job's end: its final state is put, its other keys go. Records that don't fit any more are deleted as
 // orphans. It returns false if the version of a record is not known yet.
 func (w *writer) addEnd(b *writeBatch, j *job) bool {
-	for _, ch := range j.chunks {
-		if ch.inFlight || ch.rereadInFlight {
+	for _, chunk := range j.chunks {
+		if chunk.inFlight || chunk.rereadInFlight {
 			return false
 		}
 	}
@@ -54,7 +54,7 @@
 	}
 	b.addCondition(stored.JobKey(j.id), j.version)
 	b.txn.Then = append(b.txn.Then, wire.Op{Put: stored.FinalStateKey(j.id), Value: value}, wire.Op{Delete: stored.JobKey(j.id)})
-	records := w.leader.recordKeys(j)
+	records := w.records.keys(j)
 	for _, r := range records {
 		if b.hasRoom(1) && len(b.txn.If)+2 < w.leader.core.limits.maxConditions() {
 			b.delete(r.Key, r.Version)
@@ -65,7 +65,7 @@
 	return true
 }
 
-// applyEndResult takes what became of the write of a job's end.
+// applyEndResult handles the result of the write of a job's end.
 func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failed map[string]bool) {
 	switch {
 	case r.Outcome == outcome.OK:
@@ -77,8 +77,8 @@
 		w.rereadJob(j)
 	default:
 		for _, index := range slices.Sorted(maps.Keys(j.chunks)) {
-			if ch := j.chunks[index]; failed[w.leader.recordKey(ch)] {
-				w.reread(ch)
+			if chunk := j.chunks[index]; failed[w.records.key(chunk)] {
+				w.reread(chunk)
 			}
 		}
 		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failed[key] })
@@ -90,7 +90,7 @@
 func (w *writer) completeEnd(j *job, b *writeBatch) {
 	l, c := w.leader, w.leader.core
 	c.cacheFinalState(j.id, j.finalState)
-	left := slices.DeleteFunc(l.recordKeys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
+	left := slices.DeleteFunc(w.records.keys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
 	w.deleteOrphans(left)
 	l.dropJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
@@ -109,7 +109,7 @@
 	if r.Outcome == outcome.NotFound {
 		// Its end, whose outcome was unknown, was applied.
 		if j.ending && l.jobs[j.id] == j {
-			w.deleteOrphans(l.recordKeys(j))
+			w.deleteOrphans(w.records.keys(j))
 			l.dropJob(j)
 		}
 		return
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"bitternwing/internal/capacity"
-	"bitternwing/internal/record"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
 )
@@ -22,8 +21,7 @@
 	startedAt   time.Duration
 
 	recovery        *leaderRecovery
-	recovered       bool          // the state of earlier terms is restored
-	recordLayout    record.Layout // of the run records
+	recovered       bool // the state of earlier terms is restored
 	layoutMigration layoutMigration
 	termUpgrade     termFormatUpgrade
 
@@ -47,6 +45,8 @@
 	heldResponses *heldResponses
 	reconciler    *reconciler
 	dispatcher    *commandDispatcher
+	changes       changeCounter // shared by the reconciler and the run records
+	records       runRecords
 	writer        writer
 	provisioner   provisioner
 	cycles        cycleTimer
@@ -66,6 +66,7 @@
 		silentZones: map[string]bool{}}
 	l.leaderAuthority = leaderAuthority{core: c}
 	l.termCalls = termCalls{core: c, owner: l}
+	l.records = runRecords{limits: c.limits, changes: &l.changes}
 	l.commands = newCommandBuilder(l)
 	l.heldResponses = newHeldResponses(l)
 	l.failures = failureAccounting{core: c, jobs: l.jobs, machines: l.machines}
@@ -76,6 +77,7 @@
 	l.rollouts = newRolloutManager(l)
 	l.quotas = newQuotaManager(l)
 	l.termUpgrade.leader = l
+	l.layoutMigration.leader = l
 	l.writer.init(l)
 	l.provisioner.init(l)
 	l.cycles.nextAt = c.now.Steady
@@ -99,7 +101,7 @@
 	l.quotas.run()
 	l.checkFleet()
 	l.runSchedulingCycle()
-	l.migrateLayout()
+	l.layoutMigration.run()
 	l.termUpgrade.run()
 	l.rollouts.run()
 	l.runPrefetches()
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -85,7 +85,7 @@
 // restore builds the leader's jobs and placements from what was read.
 func (r *leaderRecovery) restore() {
 	l, c := r.leader, r.leader.core
-	l.recordLayout = c.layout()
+	l.records.layout = c.layout()
 	l.unreachable.written = c.cache.UnreachableHintValues()
 	ids := c.cache.JobIDs()
 	for _, id := range ids {
@@ -127,7 +127,7 @@
 			l.writer.deleteOrphan(name, item.Version)
 			continue
 		}
-		decoded, err := record.Decode(item.Value, l.recordLayout.TasksOf(key))
+		decoded, err := record.Decode(item.Value, l.records.layout.TasksOf(key))
 		if err != nil {
 			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
 			continue
@@ -148,14 +148,14 @@
 		l.enqueue(j) // held by a rollout plan that is rolled back, after it was placed
 	}
 	for _, entry := range entries {
-		if l.recordLayout.ByTask > 0 && !entry.Key.ByTask {
+		if l.records.layout.ByTask > 0 && !entry.Key.ByTask {
 			j.supersede(stored.RunRecordKey(entry.Key), entry.Version)
 		}
 	}
-	parts := l.recordLayout.Assemble(entries)
+	parts := l.records.layout.Assemble(entries)
 	for _, index := range slices.Sorted(maps.Keys(parts)) {
 		part := parts[index]
-		chunk := l.chunkOf(j, index*l.tasksPerRecord())
+		chunk := l.records.chunkOf(j, index*l.records.tasksPerRecord())
 		chunk.version, chunk.highestAttempt, chunk.done = part.Version, part.HighestAttempt, part.Done
 		j.done += part.Done.Count()
 		for _, task := range slices.Sorted(maps.Keys(part.Placed)) {
--- a/internal/core/machine_placements.go
+++ b/internal/core/machine_placements.go
@@ -48,7 +48,7 @@
 		p.machine.idleSince = l.core.now.Steady
 	}
 	j.nextUnplaced = min(j.nextUnplaced, p.task)
-	l.markDirty(l.chunkOf(j, p.task))
+	l.records.markDirty(l.records.chunkOf(j, p.task))
 	l.requestCycle()
 	l.finishIfDone(j)
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -140,7 +140,7 @@
 	c.now = Time{Steady: time.Hour, WallMS: 3_600_000}
 	l := newLeader(c, 1, 1)
 	l.recovered = true
-	l.recordLayout = c.layout()
+	l.records.layout = c.layout()
 	c.leader = l
 	f := &randomFleet{T: t, l: l, types: []*wire.MachineType{
 		{Name: "g4", GPUs: 4, CPUs: 16, MemoryGB: 64, CacheGB: 8, FetchGBPerS: 0.2}, {Name: "g2", GPUs: 2, CPUs: 16, MemoryGB: 16, CacheGB: 8, FetchGBPerS: 0.5}, {Name: "c8", CPUs: 8, MemoryGB: 32, CacheGB: 8}}}
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -8,88 +8,78 @@
 	"bitternwing/internal/wire"
 )
 
-// markDirty has a chunk's record written.
-func (l *leader) markDirty(ch *recordChunk) {
-	l.reconciler.changes.observe()
-	if !ch.dirty {
-		ch.dirty = true
-		l.writer.dirty = append(l.writer.dirty, ch)
-	}
-}
-
-// persisted reports whether all that is known about a chunk is in the key-value store.
-func (ch *recordChunk) persisted() bool { return !ch.dirty && !ch.inFlight }
+// persisted reports whether the key-value store has the present state of a chunk.
+func (chunk *recordChunk) persisted() bool { return !chunk.dirty && !chunk.inFlight }
 
 // addRecords adds records of tasks, those of the most urgent jobs first.
 func (w *writer) addRecords(b *writeBatch) {
-	slices.SortStableFunc(w.dirty, func(a, b *recordChunk) int { return priority(b.job) - priority(a.job) })
+	slices.SortStableFunc(w.records.dirty, func(a, b *recordChunk) int { return priority(b.job) - priority(a.job) })
 	idleChanges := int(w.budget.Tokens() - w.urgentReserve())
 	var later []*recordChunk
-	for _, ch := range w.dirty {
-		if ch.job.ending || w.leader.jobs[ch.job.id] != ch.job {
-			ch.dirty = false
+	for _, chunk := range w.records.dirty {
+		if chunk.job.ending || w.leader.jobs[chunk.job.id] != chunk.job {
+			chunk.dirty = false
 			continue
 		}
-		if !w.mayAddRecord(b, ch, idleChanges) || !w.addRecord(b, ch) {
-			later = append(later, ch)
+		if !w.mayAddRecord(b, chunk, idleChanges) || !w.addRecord(b, chunk) {
+			later = append(later, chunk)
 		}
 	}
-	w.dirty = later
+	w.records.dirty = later
 }
 
 // mayAddRecord reports whether a record may be written with a batch, which takes so many changes of idle-priority jobs.
-func (w *writer) mayAddRecord(b *writeBatch, ch *recordChunk, idleChanges int) bool {
+func (w *writer) mayAddRecord(b *writeBatch, chunk *recordChunk, idleChanges int) bool {
 	switch {
-	case ch.inFlight || ch.rereadInFlight:
+	case chunk.inFlight || chunk.rereadInFlight:
 		return false // its version is not known
 	case !b.hasRoom(1) || b.size > wire.MaxBody/2:
 		return false
 	case len(b.txn.If)+2 > w.leader.core.limits.maxConditions():
 		return false
 	}
-	return !ch.job.isIdlePriority() || len(b.txn.Then) < idleChanges
+	return !chunk.job.isIdlePriority() || len(b.txn.Then) < idleChanges
 }
 
 // addRecord adds a record; false if it is too large to be written now.
-func (w *writer) addRecord(b *writeBatch, ch *recordChunk) bool {
-	l := w.leader
-	value, placed := l.encodeRecord(ch)
-	if len(value) > l.maxRecordBytes() {
-		l.revertUnwritten(ch)
-		value, placed = l.encodeRecord(ch)
-		if len(value) > l.maxRecordBytes() {
+func (w *writer) addRecord(b *writeBatch, chunk *recordChunk) bool {
+	value, placed := w.records.encode(chunk)
+	if len(value) > w.records.maxBytes() {
+		w.revertUnwritten(chunk)
+		value, placed = w.records.encode(chunk)
+		if len(value) > w.records.maxBytes() {
 			return false
 		}
 	}
-	key := l.recordKey(ch)
-	b.addCondition(key, ch.version)
+	key := w.records.key(chunk)
+	b.addCondition(key, chunk.version)
 	for _, p := range placed {
 		if p.phase == phaseUncommitted {
 			// A new placement stands only while the job is not cancelled.
-			b.addCondition(stored.JobKey(ch.job.id), ch.job.version)
+			b.addCondition(stored.JobKey(chunk.job.id), chunk.job.version)
 			b.placements = append(b.placements, p)
 		}
 	}
 	b.put(key, value)
-	b.chunks = append(b.chunks, ch)
-	ch.dirty, ch.inFlight = false, true
+	b.chunks = append(b.chunks, chunk)
+	chunk.dirty, chunk.inFlight = false, true
 	return true
 }
 
-// applyRecordResult takes what became of the write of a record.
-func (w *writer) applyRecordResult(ch *recordChunk, r Result, failed map[string]bool) {
-	ch.inFlight = false
+// applyRecordResult handles the result of the write of a record.
+func (w *writer) applyRecordResult(chunk *recordChunk, r Result, failed map[string]bool) {
+	chunk.inFlight = false
 	switch {
 	case r.Outcome == outcome.OK:
-		ch.version = r.Txn.Revision
-	case failed[w.leader.recordKey(ch)]:
-		w.leader.markDirty(ch)
-		w.reread(ch)
+		chunk.version = r.Txn.Revision
+	case failed[w.records.key(chunk)]:
+		w.records.markDirty(chunk)
+		w.reread(chunk)
 	default:
-		w.leader.markDirty(ch)
+		w.records.markDirty(chunk)
 	}
-	if failed[stored.JobKey(ch.job.id)] {
-		w.rereadJob(ch.job)
+	if failed[stored.JobKey(chunk.job.id)] {
+		w.rereadJob(chunk.job)
 	}
 }
 
@@ -105,21 +95,21 @@
 
 // reread finds the version of a record whose last write had an unknown outcome. Only the version counts: the leader is the
 // only writer of its term.
-func (w *writer) reread(ch *recordChunk) {
-	if ch.rereadInFlight {
+func (w *writer) reread(chunk *recordChunk) {
+	if chunk.rereadInFlight {
 		return
 	}
-	ch.rereadInFlight = true
+	chunk.rereadInFlight = true
 	id := w.leader.registerStoreCall(func(r Result) {
-		ch.rereadInFlight = false
+		chunk.rereadInFlight = false
 		if r.Outcome == outcome.OK {
-			ch.version = r.Item.Version
+			chunk.version = r.Item.Version
 		}
 		if r.Outcome == outcome.NotFound {
-			ch.version = 0
+			chunk.version = 0
 		}
 	})
-	w.leader.core.emit(StoreGet{CallID: id, Key: w.leader.recordKey(ch)})
+	w.leader.core.emit(StoreGet{CallID: id, Key: w.records.key(chunk)})
 }
 
 // deleteOrphan has a record deleted whose job has ended.
@@ -149,3 +139,13 @@
 		}
 	}
 }
+
+// revertUnwritten ends the placements that were not written, in a record of the first layout that is too large by now. The
+// rest of it gets smaller as its tasks end, and is written then.
+func (w *writer) revertUnwritten(chunk *recordChunk) {
+	for _, p := range w.records.placedIn(chunk) {
+		if p.phase == phaseUncommitted {
+			w.leader.endPlacement(p)
+		}
+	}
+}
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -39,7 +39,7 @@
 	if !u.pending() || u.inFlight || !u.mayWrite() {
 		return
 	}
-	value, err := l.storedTerm().Encode(u.target, l.recordLayout)
+	value, err := l.storedTerm().Encode(u.target, l.records.layout)
 	if err != nil {
 		return
 	}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -15,9 +15,9 @@
 // version of each key that it changes. One that is applied late changes nothing.
 type writer struct {
 	leader    *leader
-	dirty     []*recordChunk // whose records have to be written
-	endings   []*job         // whose final states have to be written
-	cancels   []*job         // to be cancelled with a job that they depend on
+	records   *runRecords
+	endings   []*job // whose final states have to be written
+	cancels   []*job // to be cancelled with a job that they depend on
 	orphans   []wire.Condition
 	inFlight  int
 	notBefore time.Duration // no transaction before this, after one above the store's rate
@@ -39,7 +39,7 @@
 const throttleLeases = 6
 
 func (w *writer) init(l *leader) {
-	w.leader = l
+	w.leader, w.records = l, &l.records
 	w.counts = newShardWriter(l, stored.TaskCountKey)
 	w.budget = ratelimit.NewBucket(w.rate(), l.core.now.Steady)
 }
@@ -98,7 +98,7 @@
 			break
 		}
 	}
-	if len(w.dirty) > 0 && w.budget.Tokens() < w.urgentReserve()+1 {
+	if len(w.records.dirty) > 0 && w.budget.Tokens() < w.urgentReserve()+1 {
 		w.wakeAt(w.urgentReserve() + 1)
 	}
 	w.writeCounts()
@@ -131,7 +131,7 @@
 	return true
 }
 
-// applyResult takes a transaction's outcome. Unless it is known to have been applied, all of it is written again from
+// applyResult handles a transaction's outcome. Unless it is known to have been applied, all of it is written again from
 // what is known then; if one of unknown outcome was applied after all, the versions no longer match and are read.
 func (w *writer) applyResult(b *writeBatch, r Result) {
 	failed := r.conflictingKeys()
@@ -139,8 +139,8 @@
 		w.leader.core.election.StepDown(election.TermSuperseded)
 		return
 	}
-	for _, ch := range b.chunks {
-		w.applyRecordResult(ch, r, failed)
+	for _, chunk := range b.chunks {
+		w.applyRecordResult(chunk, r, failed)
 	}
 	if r.Outcome == outcome.OK {
 		w.commitPlacements(b)
@@ -158,7 +158,7 @@
 	}
 }
 
-// applyFailure takes what follows for the writer from a transaction that is not known to have been applied.
+// applyFailure handles the outcome of a transaction that is not known to have been applied.
 func (w *writer) applyFailure(b *writeBatch, r Result, failed map[string]bool) {
 	c := w.leader.core
 	if r.Outcome == outcome.Dropped {
