--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -53,7 +53,12 @@
 }
 
 func newRolloutManager(l *leader) *rolloutManager {
-	return &rolloutManager{leader: l, nextCheck: l.core.now.Steady, runs: map[string]*activeRollout{}, uncommitted: map[string]*rollout.Record{}}
+	return &rolloutManager{
+		leader:      l,
+		nextCheck:   l.core.now.Steady,
+		runs:        map[string]*activeRollout{},
+		uncommitted: map[string]*rollout.Record{},
+	}
 }
 
 // probeInterval and probeTimeout are the operators' settings for the probes of replicas.
@@ -377,7 +382,8 @@
 		}
 		then(r)
 	})
-	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Put: stored.PlanKey(run.name), Value: value})})
+	key := stored.PlanKey(run.name)
+	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Put: key, Value: value})})
 }
 
 // commitTransition commits a plan's next phase, or an operator's change, and logs it.
@@ -438,7 +444,8 @@
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, nil)
 	})
-	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(stored.PlanKey(run.name), current.Version, wire.Op{Delete: stored.PlanKey(run.name)})})
+	key := stored.PlanKey(run.name)
+	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Delete: key})})
 }
 
 // applyPlan takes in a plan's record as it was read, written or watched.
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -7,6 +7,7 @@
 
 	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
+	"bitternwing/internal/resource"
 	"bitternwing/internal/rollout"
 	"bitternwing/internal/scheduling"
 	"bitternwing/internal/stored"
@@ -126,41 +127,59 @@
 
 // checkPlan checks a plan against the teams and the jobs. Its errors disclose nothing about jobs of other teams.
 func (l *leader) checkPlan(plan *rollout.Plan) error {
-	c := l.core
-	team := c.team(plan.Team)
+	team := l.core.team(plan.Team)
 	if team == nil {
 		return &rollout.FieldError{Field: "/team", Problem: "there is no such team"}
 	}
-	replicas := 0
-	var cpus, gpus float64
+	usage := scheduling.TeamUsage{}
+	replicas, err := l.checkOldJobs(plan, usage)
+	if err != nil {
+		return err
+	}
+	if err := l.checkNewJobs(plan, usage); err != nil {
+		return err
+	}
+	if available := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > available {
+		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", available)}
+	}
+	used := usage.Of(plan.Team)
+	if scheduling.ExceedsLimit(used.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(used.GPUs, team.MaxGPUs) {
+		return &rollout.FieldError{Field: "/new/jobs",
+			Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit", used.CPUs, used.GPUs)}
+	}
+	return nil
+}
+
+const problemJobUnavailable = "is no service of this team that a plan may have"
+
+// checkOldJobs checks that a plan's old jobs are services that run, adds what they use and counts their replicas.
+func (l *leader) checkOldJobs(plan *rollout.Plan, usage scheduling.TeamUsage) (replicas int, err error) {
 	for i, id := range plan.Old.Jobs {
-		e := c.cache.Job(id)
+		e := l.core.cache.Job(id)
 		if e == nil || !l.jobAvailableForPlan(plan, id) || e.CancelledMS != 0 {
-			return &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: "is no service of this team that a plan may have"}
+			return 0, &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: problemJobUnavailable}
 		}
 		replicas += e.Spec.Tasks
-		cpus, gpus = cpus+float64(e.Spec.Tasks)*e.Spec.CPUs, gpus+float64(e.Spec.Tasks)*e.Spec.GPUs
+		usage.Add(plan.Team, resource.OfTask(e.Spec), e.Spec.Tasks)
 	}
+	return replicas, nil
+}
+
+// checkNewJobs checks that nothing of a plan's new jobs was started, and adds what those that are submitted will use.
+func (l *leader) checkNewJobs(plan *rollout.Plan, usage scheduling.TeamUsage) error {
 	for i, id := range plan.New.Jobs {
 		field := fmt.Sprintf("/new/jobs/%d", i)
-		e, j := c.cache.Job(id), l.jobs[id]
-		_, ended := c.cache.FinalState(id)
+		e, j := l.core.cache.Job(id), l.jobs[id]
+		_, ended := l.core.cache.FinalState(id)
 		switch {
 		case !l.jobAvailableForPlan(plan, id) || ended || e.Cancelled():
-			return &rollout.FieldError{Field: field, Problem: "is no service of this team that a plan may have"}
+			return &rollout.FieldError{Field: field, Problem: problemJobUnavailable}
 		case j != nil && (len(j.placements) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
 		case e != nil:
-			cpus, gpus = cpus+float64(e.Spec.Tasks)*e.Spec.CPUs, gpus+float64(e.Spec.Tasks)*e.Spec.GPUs
+			usage.Add(plan.Team, resource.OfTask(e.Spec), e.Spec.Tasks)
 		}
 	}
-	if whole := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > whole {
-		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", whole)}
-	}
-	if scheduling.ExceedsLimit(cpus, team.MaxCPUs) || scheduling.ExceedsLimit(gpus, team.MaxGPUs) {
-		return &rollout.FieldError{Field: "/new/jobs", Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit",
-			cpus, gpus)}
-	}
 	return nil
 }
 
