--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -39,9 +39,9 @@
 //	calm AT, end AT          troubles are over; the day is
 
 var (
-	firstSeed = flag.Uint64("first", 1, "first seed of TestSearch")
-	seeds     = flag.Uint64("seeds", 150, "number of seeds of TestSearch")
-	showIn    = flag.String("show", "", "where TestSearch writes what failed")
+	firstSeed     = flag.Uint64("first", 1, "first seed of TestSearch")
+	seeds         = flag.Uint64("seeds", 150, "number of seeds of TestSearch")
+	showDirectory = flag.String("show", "", "where TestSearch writes what failed")
 )
 
 func TestFaultCombinations(t *testing.T) {
@@ -65,12 +65,12 @@
 			for _, b := range broken {
 				t.Errorf("a rule is broken: %s", b)
 			}
-			got := strings.Join(script, "\n") + "\n" + s.out.String()
-			if *showIn != "" {
-				show(t, filepath.Base(file)+".all", s.all.String())
+			got := strings.Join(script, "\n") + "\n" + s.shown.String()
+			if *showDirectory != "" {
+				writeShown(t, filepath.Base(file)+".all", s.journal.String())
 			}
 			switch {
-			case *update:
+			case *updateTraces:
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
@@ -81,10 +81,10 @@
 	}
 }
 
-// show writes a file into the directory that -show names.
-func show(t *testing.T, name, text string) {
+// writeShown writes a file into the directory that -show names.
+func writeShown(t *testing.T, name, text string) {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(*showIn, name), []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(*showDirectory, name), []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/core/load_shedding_test.go
+++ b/internal/core/load_shedding_test.go
@@ -17,7 +17,7 @@
 		{"the others are gone", true, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := newSim(t, 41, map[string]string{"a": "z1", "b": "z1", "c": "z1"})
+			s := newSimulation(t, 41, map[string]string{"a": "z1", "b": "z1", "c": "z1"})
 			for range 8 {
 				s.addMachine("z1", false, 0)
 			}
@@ -25,20 +25,20 @@
 			s.run()
 			leader := s.leader()
 			if x.othersGone {
-				for _, n := range s.nodes {
-					if n != leader {
-						s.kill(n)
+				for _, node := range s.nodes {
+					if node != leader {
+						s.killNode(node)
 					}
 				}
 			}
 			shed, othersShed := false, false
 			s.every(100*time.Millisecond, func() {
 				shed = shed || !leader.core.Healthy()
-				for _, n := range s.nodes {
-					othersShed = othersShed || n != leader && n.core != nil && !n.core.Healthy()
+				for _, node := range s.nodes {
+					othersShed = othersShed || node != leader && node.core != nil && !node.core.Healthy()
 				}
 			})
-			leader.stepTime, leader.short = 160*time.Millisecond, 25*time.Second
+			leader.stepTime, leader.slowUntil = 160*time.Millisecond, 25*time.Second
 			s.end = 25 * time.Second
 			s.run()
 			if shed != x.sheds || othersShed {
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -40,9 +40,9 @@
 func newOutputDigest() *outputDigest { return &outputDigest{sum: sha256.New()} }
 
 // add takes in an effect of a node.
-func (d *outputDigest) add(t reporter, now time.Duration, node string, e core.Effect) {
+func (d *outputDigest) add(t reporter, now time.Duration, node string, effect core.Effect) {
 	t.Helper()
-	if content, ok := wireContent(t, e); ok {
+	if content, ok := wireContent(t, effect); ok {
 		encoded, err := json.Marshal(content)
 		if err != nil {
 			t.Fatalf("an effect can't be digested: %v", err)
@@ -54,9 +54,9 @@
 func (d *outputDigest) String() string { return hex.EncodeToString(d.sum.Sum(nil)[:16]) }
 
 // wireContent gives what of an effect is sent or stored, by position; false for what only this process sees.
-func wireContent(t reporter, e core.Effect) ([]any, bool) {
+func wireContent(t reporter, effect core.Effect) ([]any, bool) {
 	t.Helper()
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.Log:
 		return nil, false
 	case core.Response:
@@ -86,7 +86,7 @@
 	case core.CallRegion:
 		return []any{"region", e.Region, e.Attempt, e.Request != nil, e.Deliver != nil}, true
 	}
-	return storeContent(t, e), true
+	return storeContent(t, effect), true
 }
 
 // bodyContent gives the body of an answer: as it is for the protocol's messages, and without the names of fields for what
@@ -107,9 +107,9 @@
 var fieldNames = regexp.MustCompile(`"[A-Z][A-Za-z]*":`)
 
 // storeContent gives what is sent to the state service.
-func storeContent(t reporter, e core.Effect) []any {
+func storeContent(t reporter, effect core.Effect) []any {
 	t.Helper()
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.StoreGet:
 		return []any{"state get", e.Key}
 	case core.StoreList:
@@ -125,7 +125,7 @@
 	case core.StoreWatch:
 		return []any{"state watch", e.Prefix, e.After, e.Wait}
 	}
-	t.Fatalf("an effect %T is not digested", e)
+	t.Fatalf("an effect %T is not digested", effect)
 	return nil
 }
 
@@ -139,17 +139,17 @@
 // digestOfRegions plays a day of three regions with random troubles, as TestAnyRegionTroubles does.
 func digestOfRegions(t *testing.T, seed uint64) string {
 	t.Helper()
-	rnd := rand.New(rand.NewPCG(seed, 6))
-	w := newRegionWorld(t, 3)
-	for range 2 + rnd.IntN(9) {
-		w.advance(time.Duration(1+rnd.IntN(40)) * 100 * time.Millisecond)
-		w.anyTrouble(rnd)
+	random := rand.New(rand.NewPCG(seed, 6))
+	world := newRegionWorld(t, 3)
+	for range 2 + random.IntN(9) {
+		world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
+		world.anyTrouble(random)
 	}
-	w.heal()
-	w.advance(5 * time.Second)
+	world.heal()
+	world.advance(5 * time.Second)
 	var digests []string
-	for _, r := range w.regions {
-		digests = append(digests, r.digest.String())
+	for _, region := range world.regions {
+		digests = append(digests, region.digest.String())
 	}
 	return strings.Join(digests, ",")
 }
@@ -157,28 +157,28 @@
 // digestOfRollout plays a rollout in which something goes wrong.
 func digestOfRollout(t *testing.T, seed uint64) string {
 	t.Helper()
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	w := newRolloutWorld(t)
-	w.start()
-	for range 1 + rnd.IntN(6) {
-		w.advance(time.Duration(1+rnd.IntN(60)) * 100 * time.Millisecond)
-		switch rnd.IntN(5) {
+	random := rand.New(rand.NewPCG(seed, 7))
+	world := newRolloutWorld(t)
+	world.start()
+	for range 1 + random.IntN(6) {
+		world.advance(time.Duration(1+random.IntN(60)) * 100 * time.Millisecond)
+		switch random.IntN(5) {
 		case 0:
-			w.crashAny()
+			world.restartLeaderIfAny()
 		case 1:
-			w.loseAnswers = 2
+			world.lostResponses = 2
 		case 2:
-			w.delay = 2
+			world.delayedTransactions = 2
 		case 3:
-			w.stateDown = !w.stateDown
+			world.storeDown = !world.storeDown
 		default:
-			w.routers[0].cut = !w.routers[0].cut
+			world.routers[0].isolated = !world.routers[0].isolated
 		}
 	}
-	w.heal()
-	w.settleLate(w.store)
-	w.advance(20 * time.Second)
-	return w.digest.String()
+	world.heal()
+	world.commitHeld(world.store)
+	world.advance(20 * time.Second)
+	return world.digest.String()
 }
 
 // digestKinds are the kinds of seeded days.
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -23,27 +23,27 @@
 // timeWithTeams gives a leader's time; with no teams the limits of 12 are not divided.
 func timeWithTeams(b *testing.B, teams int) float64 {
 	b.Helper()
-	y := newScaleCluster(b, 1, 0)
-	y.large, y.op.IdleBoots = true, 100
+	cluster := newScaleCluster(b, 1, 0)
+	cluster.large, cluster.operator.IdleBoots = true, 100
 	if teams > 0 {
-		y.op.Regions = config.Regions{Name: regionName(0)}
+		cluster.operator.Regions = config.Regions{Name: regionName(0)}
 		for i := range 4 {
-			y.op.Regions.All = append(y.op.Regions.All, config.Region{Name: regionName(i), Share: 0.25})
+			cluster.operator.Regions.All = append(cluster.operator.Regions.All, config.Region{Name: regionName(i), Share: 0.25})
 		}
 	}
-	y.adjust = func(p *config.Params) {
+	cluster.adjustParams = func(p *config.Params) {
 		p.Teams = nil
 		for i := range max(12, teams) {
 			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprint("t", i), GuaranteedGPUs: 1000, MaxGPUs: 3000})
 		}
 	}
-	y.restart()
-	y.have(400)
-	y.pass(10 * time.Second)
-	y.submitServices(400, 1)
-	y.pass(60 * time.Second)
-	y.measured, y.spent = true, 0
+	cluster.restart()
+	cluster.addMachines(400)
+	cluster.runFor(10 * time.Second)
+	cluster.submitServices(400, 1)
+	cluster.runFor(60 * time.Second)
+	cluster.measured, cluster.stepTime = true, 0
 	const seconds = 20
-	y.pass(seconds * time.Second)
-	return float64(y.spent.Microseconds()) / seconds
+	cluster.runFor(seconds * time.Second)
+	return float64(cluster.stepTime.Microseconds()) / seconds
 }
--- a/internal/core/random_script_test.go
+++ b/internal/core/random_script_test.go
@@ -221,12 +221,12 @@
 
 // randomUpgrade has the nodes come back with the new version, one after the other; on some days one of
 // them late.
-func randomUpgrade(b *strings.Builder, r *rand.Rand) {
-	at := 5 + 40*r.Float64()
+func randomUpgrade(b *strings.Builder, random *rand.Rand) {
+	at := 5 + 40*random.Float64()
 	for _, node := range []string{"a", "b", "c"} {
-		fmt.Fprintf(b, "%.1f upgrade %s %.1f\n", at, node, 0.2+4*r.Float64())
-		at += 1 + 10*r.Float64()
-		if r.IntN(4) == 0 {
+		fmt.Fprintf(b, "%.1f upgrade %s %.1f\n", at, node, 0.2+4*random.Float64())
+		at += 1 + 10*random.Float64()
+		if random.IntN(4) == 0 {
 			at += 30
 		}
 	}
@@ -235,42 +235,42 @@
 // randomShortages has nodes run short of processor time on every third day, around the moments of the other troubles.
 // They draw from chance of their own, so that the rest of a day stays as it was.
 func randomShortages(b *strings.Builder, seed uint64, moments []float64) {
-	r := rand.New(rand.NewPCG(seed, 4))
-	if r.IntN(3) > 0 {
+	random := rand.New(rand.NewPCG(seed, 4))
+	if random.IntN(3) > 0 {
 		return
 	}
 	for _, moment := range moments {
-		node := []string{"leader", "other", "a", "b", "c", "all"}[r.IntN(6)]
-		begin := max(0.5, moment-10*r.Float64())
-		fmt.Fprintf(b, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*r.Float64(), 5+30*r.Float64())
+		node := []string{"leader", "other", "a", "b", "c", "all"}[random.IntN(6)]
+		begin := max(0.5, moment-10*random.Float64())
+		fmt.Fprintf(b, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
 	}
 }
 
 // successionTime is about how long it takes until the next leader knows all jobs: the old one's lease ends, others notice
 // it, one wins and reads.
-const successionTime = simLease / 2
+const successionTime = workerLease / 2
 
 // randomSuccessions has the leader lose its term on every second day, in one of the ways in which that happens, while users
 // cancel jobs that run and other troubles begin: all of it at any time until the next leader should know all jobs. The
 // troubles last for less than a lease, less than a cancelled job may stay, or longer. They draw from chance of their own, so
 // that the rest of a day stays as it was.
 func randomSuccessions(b *strings.Builder, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, 5))
-	if r.IntN(2) > 0 {
+	random := rand.New(rand.NewPCG(seed, 5))
+	if random.IntN(2) > 0 {
 		return
 	}
-	pick := func(xs ...string) string { return xs[r.IntN(len(xs))] }
-	begin := 12 + 75*r.Float64()
-	during := func() float64 { return begin + successionTime.Seconds()*r.Float64() }
+	pick := func(xs ...string) string { return xs[random.IntN(len(xs))] }
+	begin := 12 + 75*random.Float64()
+	during := func() float64 { return begin + successionTime.Seconds()*random.Float64() }
 	span := func() float64 {
-		longest := []time.Duration{simLease, simCancel, simCancel * 3 / 2}[r.IntN(3)]
-		return longest.Seconds() * (0.5 + 0.5*r.Float64())
+		longest := []time.Duration{workerLease, cancellationLimit, cancellationLimit * 3 / 2}[random.IntN(3)]
+		return longest.Seconds() * (0.5 + 0.5*random.Float64())
 	}
 	fmt.Fprintf(b, "%.2f %s\n", begin, pick("refuse leader 14", "cut leader state 14", "cut leader state,peers 14", "kill leader 3", "freeze leader 6"))
-	for range 1 + r.IntN(6) {
+	for range 1 + random.IntN(6) {
 		fmt.Fprintf(b, "%.2f cancel_now\n", during())
 	}
-	for range 1 + r.IntN(2) {
+	for range 1 + random.IntN(2) {
 		trouble := pick("outage", "outage", "refuse other", "cut other state,peers", "slow 2", "late_writes 0.5", "partition", "zone_cut z1")
 		fmt.Fprintf(b, "%.2f %s %.1f\n", during(), trouble, span())
 	}
@@ -279,12 +279,12 @@
 // randomPipelines makes up chains of jobs, each of which needs the one before it; of some a job is
 // cancelled. They draw from chance of their own, so that the rest of a day stays as it was.
 func randomPipelines(b *strings.Builder, seed uint64, moments []float64) {
-	r := rand.New(rand.NewPCG(seed, 3))
+	random := rand.New(rand.NewPCG(seed, 3))
 	priorities := []string{"idle", "idle", "standard", "high"}
-	for chain := 0; chain < 1+r.IntN(3); chain++ {
-		begin := max(0.5, moments[r.IntN(len(moments))]-20*r.Float64())
+	for chain := 0; chain < 1+random.IntN(3); chain++ {
+		begin := max(0.5, moments[random.IntN(len(moments))]-20*random.Float64())
 		last := ""
-		cancelled := r.IntN(2 * len(priorities))
+		cancelled := random.IntN(2 * len(priorities))
 		for stage, priority := range priorities {
 			id := fmt.Sprintf("run-8%02d%03d", chain, stage)
 			needs := ""
@@ -292,9 +292,9 @@
 				needs = " needs=" + last
 			}
 			fmt.Fprintf(b, "%.1f submit %s tasks=%d gpus=0 team=green spot run=%.1f priority=%s%s\n",
-				begin+0.3*float64(stage), id, 1+r.IntN(30), 1+10*r.Float64(), priority, needs)
+				begin+0.3*float64(stage), id, 1+random.IntN(30), 1+10*random.Float64(), priority, needs)
 			if stage == cancelled {
-				fmt.Fprintf(b, "%.1f cancel %s\n", begin+2+30*r.Float64(), id)
+				fmt.Fprintf(b, "%.1f cancel %s\n", begin+2+30*random.Float64(), id)
 			}
 			last = id
 		}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -16,14 +16,14 @@
 // limits of two teams. At each step it checks that no team uses more than its limit in all regions together, and that
 // what the regions hold of it and what is on its way add up to the whole.
 type regionWorld struct {
-	t       reporter
+	test    reporter
 	regions []*worldRegion
-	// cut tells whether messages from one region to another are lost.
-	cut      map[[2]int]bool
-	repeat   bool // messages come twice, the second time late
-	messages []regionMessage
-	jobs     int
-	machines int // in each region
+	// cutLinks tells whether messages from one region to another are lost.
+	cutLinks       map[[2]int]bool
+	repeatMessages bool // messages come twice, the second time late
+	messages       []regionMessage
+	submittedJobs  int
+	machines       int // in each region
 
 	overshoot float64 // the most GPUs that a team used beyond its limit
 	transfers int     // messages of transfers
@@ -32,12 +32,12 @@
 // worldRegion is one of the regions.
 type worldRegion struct {
 	*scaleCluster
-	stateTroubles
-	number  int
-	limit   float64                        // of each team, by its settings
-	pending map[uint64]func(core.Response) // answers that other regions wait for
-	waiting []string                       // jobs that are not known to be accepted: users hand them in again
-	askedAt time.Duration                  // when they did
+	storeFaults
+	number         int
+	limit          float64                        // of each team, by its settings
+	pending        map[uint64]func(core.Response) // answers that other regions wait for
+	unacceptedJobs []string                       // jobs that are not known to be accepted: users hand them in again
+	submittedAt    time.Duration                  // when they did
 }
 
 // regionMessage is a message on its way to a region.
@@ -45,7 +45,7 @@
 	due      time.Duration
 	to       int
 	node     int
-	input    func(req uint64) core.Input
+	input    func(request uint64) core.Input
 	answered func(got outcome.Outcome)
 }
 
@@ -65,201 +65,201 @@
 
 // newRegionWorldOf has so many machines in each region.
 func newRegionWorldOf(t reporter, regions, machines int) *regionWorld {
-	w := &regionWorld{t: t, cut: map[[2]int]bool{}, machines: machines}
+	world := &regionWorld{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
-		w.regions = append(w.regions, w.newRegion(i, regions))
+		world.regions = append(world.regions, world.newRegion(i, regions))
 	}
-	w.advance(15 * time.Second)
-	return w
+	world.advance(15 * time.Second)
+	return world
 }
 
-func (w *regionWorld) newRegion(number, regions int) *worldRegion {
-	r := &worldRegion{scaleCluster: newScaleCluster(w.t, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Response){}}
-	r.digest = newOutputDigest()
-	r.op.IdleBoots = 100
-	r.op.Regions = config.Regions{Name: regionName(number)}
+func (world *regionWorld) newRegion(number, regions int) *worldRegion {
+	region := &worldRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Response){}}
+	region.digest = newOutputDigest()
+	region.operator.IdleBoots = 100
+	region.operator.Regions = config.Regions{Name: regionName(number)}
 	for i := range regions {
-		r.op.Regions.All = append(r.op.Regions.All, config.Region{Name: regionName(i), Share: 1 / float64(regions)})
+		region.operator.Regions.All = append(region.operator.Regions.All, config.Region{Name: regionName(i), Share: 1 / float64(regions)})
 	}
-	r.adjust = func(p *config.Params) {
-		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: r.limit}}
+	region.adjustParams = func(p *config.Params) {
+		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}}
 	}
-	r.intercept = func(n *scaleNode, e core.Effect) (core.Result, bool) {
-		if e, ok := e.(core.CallRegion); ok {
-			w.send(r, n, e)
+	region.intercept = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
+		if e, ok := effect.(core.CallRegion); ok {
+			world.send(region, node, e)
 			return core.Result{}, false
 		}
-		return r.interceptState(n.name, r.store, e)
+		return region.interceptStoreCall(node.name, region.store, effect)
 	}
-	r.onAnswer = func(a core.Response) bool {
-		answered := r.pending[a.RequestID]
-		delete(r.pending, a.RequestID)
+	region.onAnswer = func(response core.Response) bool {
+		answered := region.pending[response.RequestID]
+		delete(region.pending, response.RequestID)
 		if answered != nil {
-			answered(a)
+			answered(response)
 		}
 		return answered != nil
 	}
-	r.restart()
-	r.have(w.machines, "z1", "z2")
-	return r
+	region.restart()
+	region.addMachines(world.machines, "z1", "z2")
+	return region
 }
 
 // send puts a message on its way, and a copy where messages are repeated.
-func (w *regionWorld) send(from *worldRegion, n *scaleNode, e core.CallRegion) {
-	to := slices.IndexFunc(w.regions, func(r *worldRegion) bool { return regionName(r.number) == e.Region })
+func (world *regionWorld) send(from *worldRegion, node *scaleNode, e core.CallRegion) {
+	to := slices.IndexFunc(world.regions, func(region *worldRegion) bool { return regionName(region.number) == e.Region })
 	if to < 0 {
 		return // it is being set up
 	}
 	if e.Deliver != nil {
-		w.transfers++
+		world.transfers++
 	}
-	process, sent, over := n.core, from.now, false
-	message := regionMessage{due: from.now + regionLatency, to: to, node: e.Attempt % 3, input: func(req uint64) core.Input {
+	process, sent, over := node.core, from.now, false
+	message := regionMessage{due: from.now + regionLatency, to: to, node: e.Attempt % 3, input: func(request uint64) core.Input {
 		if e.Request != nil {
 			ask := *e.Request
-			ask.RequestID = req
+			ask.RequestID = request
 			return ask
 		}
 		deliver := *e.Deliver
-		deliver.RequestID = req
+		deliver.RequestID = request
 		return deliver
 	}, answered: func(got outcome.Outcome) {
 		// The answer goes back to the process that asked, if it is still there.
-		if n.core == process && !over {
+		if node.core == process && !over {
 			over = true
-			if w.cut[[2]int{to, from.number}] {
+			if world.cutLinks[[2]int{to, from.number}] {
 				got = outcome.Unknown
 			}
-			n.results = append(n.results, core.Result{CallID: e.CallID, Outcome: got, SentAt: sent})
+			node.results = append(node.results, core.Result{CallID: e.CallID, Outcome: got, SentAt: sent})
 		}
 	}}
-	if w.cut[[2]int{from.number, to}] {
-		w.messages = append(w.messages, regionMessage{due: from.now + 3*time.Second, to: -1, answered: message.answered})
+	if world.cutLinks[[2]int{from.number, to}] {
+		world.messages = append(world.messages, regionMessage{due: from.now + 3*time.Second, to: -1, answered: message.answered})
 		return
 	}
-	w.messages = append(w.messages, message)
-	if w.repeat {
+	world.messages = append(world.messages, message)
+	if world.repeatMessages {
 		late := message
 		late.due += 5 * time.Second
-		w.messages = append(w.messages, late)
+		world.messages = append(world.messages, late)
 	}
 }
 
-// carry brings the messages that are due to their regions.
-func (w *regionWorld) carry() {
-	now := w.regions[0].now
-	due := slices.DeleteFunc(slices.Clone(w.messages), func(m regionMessage) bool { return m.due > now })
-	w.messages = slices.DeleteFunc(w.messages, func(m regionMessage) bool { return m.due <= now })
+// deliverMessages brings the messages that are due to their regions.
+func (world *regionWorld) deliverMessages() {
+	now := world.regions[0].now
+	due := slices.DeleteFunc(slices.Clone(world.messages), func(m regionMessage) bool { return m.due > now })
+	world.messages = slices.DeleteFunc(world.messages, func(m regionMessage) bool { return m.due <= now })
 	for _, m := range due {
 		if m.to < 0 {
 			m.answered(outcome.Unknown) // its time is over
 			continue
 		}
-		r := w.regions[m.to]
-		r.hear(r.nodes[m.node], m, false)
+		region := world.regions[m.to]
+		region.hear(region.nodes[m.node], m, false)
 	}
 }
 
 // hear hands a message to a node, which names the leader if it is not the one.
-func (r *worldRegion) hear(n *scaleNode, m regionMessage, relayed bool) {
-	if n.name == r.frozen {
+func (region *worldRegion) hear(node *scaleNode, m regionMessage, relayed bool) {
+	if node.name == region.frozen {
 		m.answered(outcome.Unknown)
 		return
 	}
-	r.req++
-	req := r.req << 16
-	r.pending[req] = func(a core.Response) {
-		to, redirected := a.Body.(wire.Redirect)
-		leader := slices.IndexFunc(r.nodes, func(x *scaleNode) bool { return redirected && x.name == to.Leader })
+	region.lastRequest++
+	request := region.lastRequest << 16
+	region.pending[request] = func(response core.Response) {
+		to, redirected := response.Body.(wire.Redirect)
+		leader := slices.IndexFunc(region.nodes, func(x *scaleNode) bool { return redirected && x.name == to.Leader })
 		switch {
-		case a.Status == 200:
+		case response.Status == 200:
 			m.answered(outcome.OK)
 		case leader >= 0 && !relayed:
-			r.hear(r.nodes[leader], m, true)
+			region.hear(region.nodes[leader], m, true)
 		default:
 			m.answered(outcome.Unknown)
 		}
 	}
-	r.step(n, m.input(req))
+	region.step(node, m.input(request))
 }
 
 // advance lets time pass in all regions, and checks at each step.
-func (w *regionWorld) advance(d time.Duration) {
-	w.t.Helper()
-	for end := w.regions[0].now + d; w.regions[0].now < end; {
-		for _, r := range w.regions {
-			r.pass(scaleStep)
+func (world *regionWorld) advance(d time.Duration) {
+	world.test.Helper()
+	for end := world.regions[0].now + d; world.regions[0].now < end; {
+		for _, region := range world.regions {
+			region.runFor(scaleStep)
 		}
-		w.carry()
-		w.check()
-		for _, r := range w.regions {
-			r.resubmit()
+		world.deliverMessages()
+		world.check()
+		for _, region := range world.regions {
+			region.resubmit()
 		}
 	}
 }
 
 // submit has users hand in services of one task in a region.
-func (w *regionWorld) submit(region int, team string, tasks int, gpus float64) []string {
+func (world *regionWorld) submit(region int, team string, tasks int, gpus float64) []string {
 	var ids []string
-	r := w.regions[region]
+	r := world.regions[region]
 	for range tasks {
-		w.jobs++
-		id := fmt.Sprintf("run-%06d", w.jobs)
-		r.hand(r.nodes[w.jobs%3], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: team, Tasks: 1, CPUs: 4, GPUs: gpus, MemoryGB: 20,
+		world.submittedJobs++
+		id := fmt.Sprintf("run-%06d", world.submittedJobs)
+		r.submitAt(r.nodes[world.submittedJobs%3], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: team, Tasks: 1, CPUs: 4, GPUs: gpus, MemoryGB: 20,
 			Priority: "prod", Image: "img-1", ImageGB: 4})
 		ids = append(ids, id)
 	}
-	r.waiting = append(r.waiting, ids...)
+	r.unacceptedJobs = append(r.unacceptedJobs, ids...)
 	return ids
 }
 
 // submitFor hands in services and waits until all are accepted.
-func (w *regionWorld) submitFor(region int, team string, tasks int, gpus float64) []string {
-	w.t.Helper()
-	ids := w.submit(region, team, tasks, gpus)
-	w.until("all are accepted", func() bool { return len(w.regions[region].waiting) == 0 })
+func (world *regionWorld) submitFor(region int, team string, tasks int, gpus float64) []string {
+	world.test.Helper()
+	ids := world.submit(region, team, tasks, gpus)
+	world.waitUntil("all are accepted", func() bool { return len(world.regions[region].unacceptedJobs) == 0 })
 	return ids
 }
 
 // resubmit has users hand in once a second what is not accepted.
-func (r *worldRegion) resubmit() {
-	if r.now < r.askedAt+time.Second {
+func (region *worldRegion) resubmit() {
+	if region.now < region.submittedAt+time.Second {
 		return
 	}
-	r.askedAt = r.now
-	r.waiting = slices.DeleteFunc(r.waiting, r.accepted)
-	for _, id := range r.waiting {
-		r.hand(r.nodes[int(r.now/time.Second)%3], r.specs[id])
+	region.submittedAt = region.now
+	region.unacceptedJobs = slices.DeleteFunc(region.unacceptedJobs, region.accepted)
+	for _, id := range region.unacceptedJobs {
+		region.submitAt(region.nodes[int(region.now/time.Second)%3], region.specs[id])
 	}
 }
 
 // accepted tells whether a job is there, or was.
-func (r *worldRegion) accepted(id string) bool {
-	_, active := r.store.Get("w/a/" + id)
-	_, ended := r.store.Get("f/" + id)
+func (region *worldRegion) accepted(id string) bool {
+	_, active := region.store.Get("w/a/" + id)
+	_, ended := region.store.Get("f/" + id)
 	return active == outcome.OK || ended == outcome.OK
 }
 
 // cancel has users cancel jobs, again until that is written.
-func (w *regionWorld) cancel(region int, ids []string) {
-	r := w.regions[region]
+func (world *regionWorld) cancel(region int, ids []string) {
+	r := world.regions[region]
 	for _, id := range ids {
 		for range 50 {
 			if _, got := r.store.Get("f/" + id); got == outcome.OK {
 				break
 			}
-			r.req++
-			r.step(r.nodes[w.jobs%3], core.CancelJob{RequestID: r.req << 16, ID: id})
-			w.advance(100 * time.Millisecond)
+			r.lastRequest++
+			r.step(r.nodes[world.submittedJobs%3], core.CancelJob{RequestID: r.lastRequest << 16, ID: id})
+			world.advance(100 * time.Millisecond)
 		}
 	}
 }
 
 // used adds up what a team's tasks have on the machines of a region.
-func (r *worldRegion) used(team string) float64 {
+func (region *worldRegion) used(team string) float64 {
 	sum := 0.0
-	for task, holder := range r.holders {
-		job := r.specs[task[:len("run-000000")]]
+	for task, holder := range region.workerByTask {
+		job := region.specs[task[:len("run-000000")]]
 		if job.Team == team && !holder.dead && holder.machine.Holds(task) {
 			sum += job.GPUs
 		}
@@ -268,67 +268,67 @@
 }
 
 // usedBy adds up what a team's tasks have in all regions.
-func (w *regionWorld) usedBy(team string) float64 {
+func (world *regionWorld) usedBy(team string) float64 {
 	sum := 0.0
-	for _, r := range w.regions {
-		sum += r.used(team)
+	for _, region := range world.regions {
+		sum += region.used(team)
 	}
 	return sum
 }
 
 // account gives a team's account as a region's state service holds it; nil: there is none yet.
-func (r *worldRegion) account(team string) *quota.Account {
-	item, got := r.store.Get("w/q/" + team)
+func (region *worldRegion) account(team string) *quota.Account {
+	item, got := region.store.Get("w/q/" + team)
 	if got != outcome.OK {
 		return nil
 	}
 	a, err := quota.Decode(item.Value)
 	if err != nil {
-		r.t.Fatal(err)
+		region.test.Fatal(err)
 	}
 	return a
 }
 
 // limit gives the limit that is in force: a change is once all regions have it, and until then the higher one counts.
-func (w *regionWorld) limit() float64 {
+func (world *regionWorld) limit() float64 {
 	limit := 0.0
-	for _, r := range w.regions {
-		limit = max(limit, r.limit)
+	for _, region := range world.regions {
+		limit = max(limit, region.limit)
 	}
 	return limit
 }
 
 // setLimit gives a region's controllers another limit of each team in their settings, and starts them anew.
-func (w *regionWorld) setLimit(region int, limit float64) {
-	w.regions[region].limit = limit
-	for i, n := range w.regions[region].nodes {
-		w.regions[region].start(i)
-		w.regions[region].step(n, core.Tick{})
+func (world *regionWorld) setLimit(region int, limit float64) {
+	world.regions[region].limit = limit
+	for i, node := range world.regions[region].nodes {
+		world.regions[region].startNode(i)
+		world.regions[region].step(node, core.Tick{})
 	}
-	w.advance(8 * time.Second)
+	world.advance(8 * time.Second)
 }
 
 // check checks the limits, and that nothing of them is lost or made.
-func (w *regionWorld) check() {
-	w.t.Helper()
+func (world *regionWorld) check() {
+	world.test.Helper()
 	for _, team := range []string{"t1", "t2"} {
-		w.overshoot = max(w.overshoot, w.usedBy(team)-w.limit())
-		if w.overshoot > 0 {
-			w.t.Fatalf("%v: %s uses %g GPUs", w.regions[0].now, team, w.usedBy(team))
+		world.overshoot = max(world.overshoot, world.usedBy(team)-world.limit())
+		if world.overshoot > 0 {
+			world.test.Fatalf("%v: %s uses %g GPUs", world.regions[0].now, team, world.usedBy(team))
 		}
-		w.checkSum(team)
+		world.checkSum(team)
 	}
 }
 
 // checkSum checks that the accounts of a team, with what is on its way between them, add up to the whole.
-func (w *regionWorld) checkSum(team string) {
+func (world *regionWorld) checkSum(team string) {
 	accounts := map[string]*quota.Account{}
-	for _, r := range w.regions {
-		a := r.account(team)
+	for _, region := range world.regions {
+		a := region.account(team)
 		if a == nil {
 			return
 		}
-		accounts[regionName(r.number)] = a
+		accounts[regionName(region.number)] = a
 	}
 	var sum quota.Share
 	for _, a := range accounts {
@@ -340,48 +340,48 @@
 		}
 	}
 	if whole := accounts[regionName(0)].Whole; sum != whole {
-		w.t.Fatalf("%v: the regions have %+v of %s, not %+v", w.regions[0].now, sum, team, whole)
+		world.test.Fatalf("%v: the regions have %+v of %s, not %+v", world.regions[0].now, sum, team, whole)
 	}
 }
 
-// until lets time pass until something holds.
-func (w *regionWorld) until(what string, holds func() bool) time.Duration {
-	w.t.Helper()
-	begin := w.regions[0].now
+// waitUntil lets time pass until something holds.
+func (world *regionWorld) waitUntil(what string, holds func() bool) time.Duration {
+	world.test.Helper()
+	begin := world.regions[0].now
 	for range 1200 {
 		if holds() {
-			return w.regions[0].now - begin
+			return world.regions[0].now - begin
 		}
-		w.advance(100 * time.Millisecond)
+		world.advance(100 * time.Millisecond)
 	}
-	w.t.Fatalf("never: %s", what)
+	world.test.Fatalf("never: %s", what)
 	return 0
 }
 
 // usesAll lets time pass until a team uses all of its limit, and some more, since a late message may yet bring too much.
-func (w *regionWorld) usesAll(team string) {
-	w.t.Helper()
-	w.until("all of the limit is used", func() bool { return w.usedBy(team) == w.limit() })
-	w.advance(6 * time.Second)
-	if used := w.usedBy(team); used != w.limit() {
-		w.t.Fatalf("%s uses %g GPUs a while later", team, used)
+func (world *regionWorld) usesAll(team string) {
+	world.test.Helper()
+	world.waitUntil("all of the limit is used", func() bool { return world.usedBy(team) == world.limit() })
+	world.advance(6 * time.Second)
+	if used := world.usedBy(team); used != world.limit() {
+		world.test.Fatalf("%s uses %g GPUs a while later", team, used)
 	}
 }
 
 // cutOff loses, or no longer loses, the messages between a region and all others.
-func (w *regionWorld) cutOff(region int, cut bool) {
-	for i := range w.regions {
-		w.cut[[2]int{region, i}], w.cut[[2]int{i, region}] = cut, cut
+func (world *regionWorld) cutOff(region int, cut bool) {
+	for i := range world.regions {
+		world.cutLinks[[2]int{region, i}], world.cutLinks[[2]int{i, region}] = cut, cut
 	}
 }
 
 // heal ends all troubles.
-func (w *regionWorld) heal() {
-	clear(w.cut)
-	w.repeat = false
-	for _, r := range w.regions {
-		r.endStateTroubles()
-		r.settleLate(r.store)
-		r.frozen = ""
+func (world *regionWorld) heal() {
+	clear(world.cutLinks)
+	world.repeatMessages = false
+	for _, region := range world.regions {
+		region.endStoreFaults()
+		region.commitHeld(region.store)
+		region.frozen = ""
 	}
 }
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -11,16 +11,16 @@
 // checkRenewal checks the response to a heartbeat: if it renews the worker's lease, it stops each task of the heartbeat
 // whose job the node knows to be cancelled, up to the bound of commands. Whether any other node leads, is served, or has
 // told a user does not matter.
-func (s *sim) checkRenewal(n *simNode, r core.Response) {
-	heartbeat := n.reports[r.RequestID]
-	delete(n.reports, r.RequestID)
+func (s *simulation) checkRenewal(node *simulatedNode, r core.Response) {
+	heartbeat := node.heartbeats[r.RequestID]
+	delete(node.heartbeats, r.RequestID)
 	response, renews := r.Body.(wire.HeartbeatResponse)
 	if heartbeat == nil || !renews {
 		return
 	}
-	for _, task := range leftRunning(heartbeat, response, n.core.KnowsCancelled) {
-		s.ruleChecker.breaks(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
-			n.name, heartbeat.Machine, task, n.core.Status(n.steady(s.now)).Recovering > 0)
+	for _, task := range leftRunning(heartbeat, response, node.core.KnowsCancelled) {
+		s.ruleChecker.report(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
+			node.name, heartbeat.Machine, task, node.core.Status(node.steadyTime(s.now)).Recovering > 0)
 	}
 }
 
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -24,41 +24,41 @@
 
 // newSpreadWorld has so many machines in each zone; the first two zones have nodes.
 func newSpreadWorld(t reporter, spread config.Spread, perZone map[string]int) *spreadWorld {
-	y := newScaleCluster(t, 3, 0)
-	w := &spreadWorld{scaleCluster: y, running: map[string]string{}}
-	y.op.IdleBoots = 100
-	y.op.Spread = spread
-	y.adjust = func(p *config.Params) {
+	cluster := newScaleCluster(t, 3, 0)
+	world := &spreadWorld{scaleCluster: cluster, running: map[string]string{}}
+	cluster.operator.IdleBoots = 100
+	cluster.operator.Spread = spread
+	cluster.adjustParams = func(p *config.Params) {
 		p.Store.RPS, p.Store.WriteRPS = 1000, 1000
 		for i := range p.Teams {
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	y.onRuns = func(machine, task string) { w.running[task] = y.byName[machine].zone; w.starts++ }
-	y.onEnds = func(task string) { delete(w.running, task) }
-	y.restart()
+	cluster.onRuns = func(machine, task string) { world.running[task] = cluster.workerByName[machine].zone; world.starts++ }
+	cluster.onEnds = func(task string) { delete(world.running, task) }
+	cluster.restart()
 	for _, zone := range []string{"z1", "z2", "z3"} {
 		if perZone[zone] > 0 {
-			y.have(perZone[zone], zone)
+			cluster.addMachines(perZone[zone], zone)
 		}
 	}
-	y.pass(10 * time.Second)
-	return w
+	cluster.runFor(10 * time.Second)
+	return world
 }
 
 var threeZones = map[string]int{"z1": 6, "z2": 6, "z3": 6}
 
 // service submits a service of a model and lets its replicas come up.
-func (w *spreadWorld) service(id string, tasks int, image string, imageGB float64) {
-	w.hand(w.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
+func (world *spreadWorld) service(id string, tasks int, image string, imageGB float64) {
+	world.submitAt(world.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: image, ImageGB: imageGB})
-	w.pass(25 * time.Second)
+	world.runFor(25 * time.Second)
 }
 
 // zones counts the running replicas of a job, or of all jobs for "", by zone.
-func (w *spreadWorld) zones(job string) map[string]int {
+func (world *spreadWorld) zones(job string) map[string]int {
 	zones := map[string]int{}
-	for task, zone := range w.running {
+	for task, zone := range world.running {
 		if id, _, _ := wire.ParseTaskName(task); job == "" || id == job {
 			zones[zone]++
 		}
@@ -67,16 +67,16 @@
 }
 
 // expect checks how many replicas are in each zone.
-func (w *spreadWorld) expect(what string, z1, z2, z3 int) {
-	w.t.Helper()
-	if got := w.zones(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
-		w.t.Errorf("%s: %v, not %d, %d, %d", what, got, z1, z2, z3)
+func (world *spreadWorld) expect(what string, z1, z2, z3 int) {
+	world.test.Helper()
+	if got := world.zones(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
+		world.test.Errorf("%s: %v, not %d, %d, %d", what, got, z1, z2, z3)
 	}
 }
 
 // loseZone ends all machines of a zone.
-func (w *spreadWorld) loseZone(zone string) {
-	for _, x := range w.workers {
+func (world *spreadWorld) loseZone(zone string) {
+	for _, x := range world.workers {
 		if x.zone == zone && !x.dead {
 			x.dead = true
 			x.machine.KillAll()
@@ -87,16 +87,16 @@
 // TestBurstIsSpread has nine replicas of a model whose image is nowhere placed in one cycle, as those of a rollout's new version, and then
 // more of the same model in another job.
 func TestBurstIsSpread(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 9, "img-a", 8)
-	w.expect("a wave", 3, 3, 3)
-	w.service("run-000002", 3, "img-a", 8)
-	w.expect("more of the model", 4, 4, 4)
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 9, "img-a", 8)
+	world.expect("a wave", 3, 3, 3)
+	world.service("run-000002", 3, "img-a", 8)
+	world.expect("more of the model", 4, 4, 4)
 	off := losses
 	off.Enabled = false
-	w = newSpreadWorld(t, off, threeZones)
-	w.service("run-000001", 9, "img-a", 8)
-	if zones := w.zones(""); len(zones) > 2 {
+	world = newSpreadWorld(t, off, threeZones)
+	world.service("run-000001", 9, "img-a", 8)
+	if zones := world.zones(""); len(zones) > 2 {
 		t.Errorf("without weighing they are in %v: there is nothing to tell apart", zones)
 	}
 }
@@ -110,10 +110,10 @@
 	}{{0.001, 1}, {1, 3}} {
 		spread := losses
 		spread.ZoneLossesPerDay, spread.MachineLossesPerDay = x.zoneLosses, 0
-		w := newSpreadWorld(t, spread, threeZones)
-		w.service("run-000001", 1, "img-a", 40)
-		w.service("run-000002", 5, "img-a", 40)
-		if zones := w.zones(""); len(zones) != x.zones {
+		world := newSpreadWorld(t, spread, threeZones)
+		world.service("run-000001", 1, "img-a", 40)
+		world.service("run-000002", 5, "img-a", 40)
+		if zones := world.zones(""); len(zones) != x.zones {
 			t.Errorf("%g losses of a zone a day: %v, not %d zones", x.zoneLosses, zones, x.zones)
 		}
 	}
@@ -121,21 +121,21 @@
 
 // TestZonesWithoutCapacity has zones of unequal size, one without machines, and images larger than a machine's cache.
 func TestZonesWithoutCapacity(t *testing.T) {
-	w := newSpreadWorld(t, losses, map[string]int{"z1": 6, "z2": 6})
-	w.service("run-000001", 8, "img-a", 8)
-	w.expect("one zone without machines", 4, 4, 0)
-	w = newSpreadWorld(t, losses, map[string]int{"z1": 6, "z2": 1, "z3": 6})
-	w.hand(w.nodes[0], &wire.Job{ID: "run-000009", Kind: wire.KindService, Class: "c", Team: "t2", Tasks: 1, CPUs: 4, GPUs: 7, MemoryGB: 20,
+	world := newSpreadWorld(t, losses, map[string]int{"z1": 6, "z2": 6})
+	world.service("run-000001", 8, "img-a", 8)
+	world.expect("one zone without machines", 4, 4, 0)
+	world = newSpreadWorld(t, losses, map[string]int{"z1": 6, "z2": 1, "z3": 6})
+	world.submitAt(world.nodes[0], &wire.Job{ID: "run-000009", Kind: wire.KindService, Class: "c", Team: "t2", Tasks: 1, CPUs: 4, GPUs: 7, MemoryGB: 20,
 		Priority: "prod", Zone: "z2", Image: "img-z", ImageGB: 1})
-	w.pass(10 * time.Second)
-	w.service("run-000001", 9, "img-a", 8)
-	if zones := w.zones("run-000001"); zones["z2"] != 1 || zones["z1"] != 4 || zones["z3"] != 4 {
+	world.runFor(10 * time.Second)
+	world.service("run-000001", 9, "img-a", 8)
+	if zones := world.zones("run-000001"); zones["z2"] != 1 || zones["z1"] != 4 || zones["z3"] != 4 {
 		t.Errorf("a zone with room for one: %v", zones)
 	}
-	w = newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 6, "img-a", 310)
-	w.pass(80 * time.Second)
-	w.expect("an image larger than the cache", 2, 2, 2)
+	world = newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 6, "img-a", 310)
+	world.runFor(80 * time.Second)
+	world.expect("an image larger than the cache", 2, 2, 2)
 }
 
 // TestOneZoneOnly has a single zone: nothing can be avoided, and each task goes where it goes without weighing.
@@ -143,12 +143,12 @@
 	holders := func(enabled bool) string {
 		spread := losses
 		spread.Enabled, spread.MachineLossesPerDay = enabled, 0
-		w := newSpreadWorld(t, spread, map[string]int{"z1": 12})
+		world := newSpreadWorld(t, spread, map[string]int{"z1": 12})
 		for i := range 8 {
-			w.service(fmt.Sprintf("run-%06d", i), 1+i%4, fmt.Sprintf("img-%d", i%3), 8)
+			world.service(fmt.Sprintf("run-%06d", i), 1+i%4, fmt.Sprintf("img-%d", i%3), 8)
 		}
 		places := map[string]string{}
-		for task, worker := range w.holders {
+		for task, worker := range world.workerByTask {
 			places[task] = worker.name
 		}
 		return fmt.Sprint(places)
@@ -163,24 +163,24 @@
 func TestZoneLostWithAllReadyCopies(t *testing.T) {
 	off := losses
 	off.Enabled = false
-	w := newSpreadWorld(t, off, threeZones)
-	w.service("run-000001", 6, "img-a", 8)
+	world := newSpreadWorld(t, off, threeZones)
+	world.service("run-000001", 6, "img-a", 8)
 	zone := ""
-	for z, n := range w.zones("") {
+	for z, n := range world.zones("") {
 		if n == 6 {
 			zone = z
 		}
 	}
 	if zone == "" {
-		t.Fatalf("the replicas are not in one zone: %v", w.zones(""))
-	}
-	w.op.Spread = losses
-	w.op.Spread.MovesPerHour = 0 // as it is when weighing is switched on
-	w.restart()
-	w.pass(10 * time.Second)
-	w.loseZone(zone)
-	w.pass(90 * time.Second)
-	if zones := w.zones(""); len(zones) != 2 || zones[zone] != 0 {
+		t.Fatalf("the replicas are not in one zone: %v", world.zones(""))
+	}
+	world.operator.Spread = losses
+	world.operator.Spread.MovesPerHour = 0 // as it is when weighing is switched on
+	world.restart()
+	world.runFor(10 * time.Second)
+	world.loseZone(zone)
+	world.runFor(90 * time.Second)
+	if zones := world.zones(""); len(zones) != 2 || zones[zone] != 0 {
 		t.Errorf("after the loss of %s: %v", zone, zones)
 	}
 }
@@ -188,26 +188,26 @@
 // TestZonesCutAndHealed loses and returns a zone ten times, with the leader's end in the midst of two repairs. Replicas move as often as the
 // balance needs, and stay then.
 func TestZonesCutAndHealed(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 6, "img-a", 8)
-	w.expect("at first", 2, 2, 2)
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 6, "img-a", 8)
+	world.expect("at first", 2, 2, 2)
 	for i := range 10 {
-		w.loseZone("z3")
-		w.pass(60 * time.Second)
-		w.expect(fmt.Sprint("lost for the time ", i), 3, 3, 0)
-		w.have(6, "z3")
-		w.starts = 0
+		world.loseZone("z3")
+		world.runFor(60 * time.Second)
+		world.expect(fmt.Sprint("lost for the time ", i), 3, 3, 0)
+		world.addMachines(6, "z3")
+		world.starts = 0
 		least := 6
 		for range 60 {
-			w.pass(time.Second)
-			least = min(least, len(w.running))
-			if i%5 == 2 && w.starts == 1 {
-				w.crash()
-				w.starts++ // once
+			world.runFor(time.Second)
+			least = min(least, len(world.running))
+			if i%5 == 2 && world.starts == 1 {
+				world.restartLeader()
+				world.starts++ // once
 			}
 		}
-		w.expect(fmt.Sprint("back for the time ", i), 2, 2, 2)
-		if moved := w.starts; moved > 3 || least < 5 {
+		world.expect(fmt.Sprint("back for the time ", i), 2, 2, 2)
+		if moved := world.starts; moved > 3 || least < 5 {
 			t.Errorf("back for the time %d: %d starts, at least %d of 6 ran", i, moved, least)
 		}
 	}
@@ -216,15 +216,15 @@
 // TestLastCopyDies has the weights on one machine only, which dies, hangs, or is to be taken: the replica comes back, and
 // its image does not count as ready there any more.
 func TestLastCopyDies(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 1, "img-a", 8)
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 1, "img-a", 8)
 	for range 3 {
-		holder := w.holders["run-000001/0"]
+		holder := world.workerByTask["run-000001/0"]
 		holder.dead = true
 		holder.machine.KillAll()
-		w.pass(60 * time.Second)
-		if next := w.holders["run-000001/0"]; len(w.running) != 1 || next == holder {
-			t.Fatalf("it does not come back: %v", w.running)
+		world.runFor(60 * time.Second)
+		if next := world.workerByTask["run-000001/0"]; len(world.running) != 1 || next == holder {
+			t.Fatalf("it does not come back: %v", world.running)
 		}
 	}
 }
@@ -233,31 +233,31 @@
 func TestRebalancingKeepsConstraints(t *testing.T) {
 	none := losses
 	none.MovesPerHour = 0
-	w := newSpreadWorld(t, none, map[string]int{"z1": 6, "z2": 6, "z3": 6})
-	w.loseZone("z3")
-	w.pass(60 * time.Second)
-	w.service("run-000001", 6, "img-a", 8)
-	w.have(6, "z3")
-	w.pass(60 * time.Second)
-	w.expect("without a budget", 3, 3, 0)
+	world := newSpreadWorld(t, none, map[string]int{"z1": 6, "z2": 6, "z3": 6})
+	world.loseZone("z3")
+	world.runFor(60 * time.Second)
+	world.service("run-000001", 6, "img-a", 8)
+	world.addMachines(6, "z3")
+	world.runFor(60 * time.Second)
+	world.expect("without a budget", 3, 3, 0)
 
-	w = newSpreadWorld(t, losses, threeZones)
-	w.hand(w.nodes[0], &wire.Job{ID: "run-000001", Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 20,
+	world = newSpreadWorld(t, losses, threeZones)
+	world.submitAt(world.nodes[0], &wire.Job{ID: "run-000001", Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: "img-a", ImageGB: 8, Zone: "z1"})
-	w.pass(60 * time.Second)
-	w.expect("bound to a zone", 4, 0, 0)
+	world.runFor(60 * time.Second)
+	world.expect("bound to a zone", 4, 0, 0)
 }
 
 // TestNewLeaderKnowsReplicas has a leader end. The next one counts the replicas that run before it places more.
 func TestNewLeaderKnowsReplicas(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 3, "img-a", 8)
-	w.crash()
-	w.pass(8 * time.Second)
-	w.service("run-000002", 3, "img-a", 8)
-	w.expect("over a leader's end", 2, 2, 2)
-	for _, n := range w.nodes {
-		if err := n.core.CheckCapacityIndex(); err != nil {
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 3, "img-a", 8)
+	world.restartLeader()
+	world.runFor(8 * time.Second)
+	world.service("run-000002", 3, "img-a", 8)
+	world.expect("over a leader's end", 2, 2, 2)
+	for _, node := range world.nodes {
+		if err := node.core.CheckCapacityIndex(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -265,15 +265,15 @@
 
 // TestExplained requests the placements of a job: for a replica that was not placed on the best fit they have what that would have cost.
 func TestExplained(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 1, "img-a", 8)
-	w.service("run-000002", 1, "img-b", 8)
-	w.service("run-000003", 3, "img-a", 8)
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 1, "img-a", 8)
+	world.service("run-000002", 1, "img-b", 8)
+	world.service("run-000003", 3, "img-a", 8)
 	ask := func(id string) core.Response {
 		var got core.Response
-		w.onAnswer = func(a core.Response) bool { got = a; return true }
-		w.step(w.leaderNode(), core.GetPlacements{RequestID: 1 << 40, Job: id})
-		w.onAnswer = nil
+		world.onAnswer = func(response core.Response) bool { got = response; return true }
+		world.step(world.leaderNode(), core.GetPlacements{RequestID: 1 << 40, Job: id})
+		world.onAnswer = nil
 		return got
 	}
 	places, ok := ask("run-000003").Body.([]core.ReplicaPlacement)
@@ -292,11 +292,11 @@
 	if explained == 0 {
 		t.Errorf("no replica paid for the balance: %+v", places)
 	}
-	if a := ask("run-000099"); a.Status != 404 {
-		t.Errorf("an unknown job: %+v", a)
+	if response := ask("run-000099"); response.Status != 404 {
+		t.Errorf("an unknown job: %+v", response)
 	}
-	w.crash()
-	w.pass(8 * time.Second)
+	world.restartLeader()
+	world.runFor(8 * time.Second)
 	if places, ok := ask("run-000003").Body.([]core.ReplicaPlacement); !ok || len(places) != 3 || places[0].Chosen {
 		t.Errorf("after a leader's end: %+v", places)
 	}
@@ -305,32 +305,32 @@
 // TestWrongHints has the hints of where weights lie name a machine that has evicted them, and one that is no more. To a new leader
 // that is unknown: better than cold, and worse than a machine that has shown them.
 func TestWrongHints(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/i/0", Value: []byte(`{"m0004":["img-a"],"m9999":["img-a"]}`)}}})
-	w.crash()
-	w.pass(12 * time.Second)
-	w.service("run-000001", 3, "img-a", 8)
-	w.expect("with wrong hints", 1, 1, 1)
-	if holders := w.byName["m0004"].machine.Running("run-000001"); holders != 1 {
+	world := newSpreadWorld(t, losses, threeZones)
+	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/i/0", Value: []byte(`{"m0004":["img-a"],"m9999":["img-a"]}`)}}})
+	world.restartLeader()
+	world.runFor(12 * time.Second)
+	world.service("run-000001", 3, "img-a", 8)
+	world.expect("with wrong hints", 1, 1, 1)
+	if holders := world.workerByName["m0004"].machine.Running("run-000001"); holders != 1 {
 		t.Errorf("%d replicas are on the machine that is thought to be warm", holders)
 	}
 
-	w = newSpreadWorld(t, losses, map[string]int{"z1": 2})
-	w.op.Spread.MachineLossesPerDay = 0
+	world = newSpreadWorld(t, losses, map[string]int{"z1": 2})
+	world.operator.Spread.MachineLossesPerDay = 0
 	for i, gpus := range []float64{6, 4} { // the second one does not fit beside the first, on the machine that is left tighter
-		w.hand(w.nodes[0], &wire.Job{ID: fmt.Sprintf("run-00000%d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 1, CPUs: 4, GPUs: gpus,
+		world.submitAt(world.nodes[0], &wire.Job{ID: fmt.Sprintf("run-00000%d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 1, CPUs: 4, GPUs: gpus,
 			MemoryGB: 20, Priority: "prod", Image: []string{"img-f", "img-a"}[i], ImageGB: 8})
-		w.pass(10 * time.Second)
+		world.runFor(10 * time.Second)
 	}
-	shown := w.holders["run-000001/0"]
-	if shown == w.holders["run-000000/0"] {
+	shown := world.workerByTask["run-000001/0"]
+	if shown == world.workerByTask["run-000000/0"] {
 		t.Fatal("both are on one machine")
 	}
-	w.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/i/0", Value: []byte(`{"m0001":["img-a"],"m0002":["img-a"]}`)}}})
-	w.crash()
-	w.pass(12 * time.Second)
-	w.service("run-000002", 1, "img-a", 8)
-	if w.holders["run-000002/0"] != shown {
+	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/i/0", Value: []byte(`{"m0001":["img-a"],"m0002":["img-a"]}`)}}})
+	world.restartLeader()
+	world.runFor(12 * time.Second)
+	world.service("run-000002", 1, "img-a", 8)
+	if world.workerByTask["run-000002/0"] != shown {
 		t.Error("a machine that is only thought to be warm is taken before one that has shown it")
 	}
 }
@@ -338,18 +338,18 @@
 // TestHangingHolder has the machine with the only copy hang for less than its lease, and come back. Its replica is not started
 // elsewhere, and is moved nowhere.
 func TestHangingHolder(t *testing.T) {
-	w := newSpreadWorld(t, losses, threeZones)
-	w.service("run-000001", 1, "img-a", 8)
-	holder := w.holders["run-000001/0"]
-	w.starts = 0
+	world := newSpreadWorld(t, losses, threeZones)
+	world.service("run-000001", 1, "img-a", 8)
+	holder := world.workerByTask["run-000001/0"]
+	world.starts = 0
 	for range 5 {
 		holder.dead = true
-		w.pass(3 * time.Second)
+		world.runFor(3 * time.Second)
 		holder.dead = false
-		w.pass(5 * time.Second)
+		world.runFor(5 * time.Second)
 	}
-	if w.holders["run-000001/0"] != holder || w.starts != 0 || len(w.running) != 1 {
-		t.Errorf("%d starts, running %v", w.starts, w.running)
+	if world.workerByTask["run-000001/0"] != holder || world.starts != 0 || len(world.running) != 1 {
+		t.Errorf("%d starts, running %v", world.starts, world.running)
 	}
 }
 
@@ -359,48 +359,48 @@
 	ahead := losses
 	ahead.ZoneLossesPerDay, ahead.MachineLossesPerDay, ahead.MovesPerHour = 0, 0, 0 // replicas stay with their weights
 	ahead.PrefetchGBPerHour = 100
-	w := newSpreadWorld(t, ahead, threeZones)
-	w.service("run-000001", 3, "img-a", 40)
-	w.service("run-000002", 1, "img-b", 40) // beyond the budget
-	if w.prefetched != 2 {
-		t.Errorf("%d copies were asked for, not one for each other zone of the first model", w.prefetched)
+	world := newSpreadWorld(t, ahead, threeZones)
+	world.service("run-000001", 3, "img-a", 40)
+	world.service("run-000002", 1, "img-b", 40) // beyond the budget
+	if world.prefetched != 2 {
+		t.Errorf("%d copies were asked for, not one for each other zone of the first model", world.prefetched)
 	}
-	zone := w.running["run-000001/0"]
+	zone := world.running["run-000001/0"]
 	waited := time.Duration(0)
 	started := map[string]time.Duration{}
-	w.onStart = func(task string) { started[task] = w.now }
-	follow := w.onRuns
-	w.onRuns = func(machine, task string) {
+	world.onStart = func(task string) { started[task] = world.now }
+	follow := world.onRuns
+	world.onRuns = func(machine, task string) {
 		follow(machine, task)
 		if strings.HasPrefix(task, "run-000001/") {
-			waited = max(waited, w.now-started[task])
+			waited = max(waited, world.now-started[task])
 		}
 	}
-	w.loseZone(zone)
-	w.pass(60 * time.Second)
-	if n := w.zones("run-000001"); n[zone] != 0 || len(w.running) != 4 || waited > time.Second {
+	world.loseZone(zone)
+	world.runFor(60 * time.Second)
+	if n := world.zones("run-000001"); n[zone] != 0 || len(world.running) != 4 || waited > time.Second {
 		t.Errorf("after the loss of %s: %v, a replica waited %v for its weights", zone, n, waited)
 	}
 
-	w = newSpreadWorld(t, ahead, threeZones)
-	w.prefetchOutcome = outcome.NotFound
-	w.service("run-000001", 3, "img-a", 8)
-	w.pass(20 * time.Second)
-	if w.prefetched > 2 {
-		t.Errorf("%d requests to workers that don't know them", w.prefetched)
+	world = newSpreadWorld(t, ahead, threeZones)
+	world.prefetchOutcome = outcome.NotFound
+	world.service("run-000001", 3, "img-a", 8)
+	world.runFor(20 * time.Second)
+	if world.prefetched > 2 {
+		t.Errorf("%d requests to workers that don't know them", world.prefetched)
 	}
-	if len(w.running) != 3 {
-		t.Errorf("%v run", w.running)
+	if len(world.running) != 3 {
+		t.Errorf("%v run", world.running)
 	}
 }
 
 // TestManyModelsOnAFullFleet has no free capacity for balance: all replicas run all the same.
 func TestManyModelsOnAFullFleet(t *testing.T) {
-	w := newSpreadWorld(t, losses, map[string]int{"z1": 2, "z2": 2, "z3": 2})
+	world := newSpreadWorld(t, losses, map[string]int{"z1": 2, "z2": 2, "z3": 2})
 	for i := range 24 {
-		w.hand(w.nodes[0], &wire.Job{ID: fmt.Sprintf("run-%06d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 2, CPUs: 1, GPUs: 1,
+		world.submitAt(world.nodes[0], &wire.Job{ID: fmt.Sprintf("run-%06d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 2, CPUs: 1, GPUs: 1,
 			MemoryGB: 1, Priority: "prod", Image: fmt.Sprint("img-", i), ImageGB: 8})
 	}
-	w.pass(90 * time.Second)
-	w.expect("a full fleet", 16, 16, 16)
+	world.runFor(90 * time.Second)
+	world.expect("a full fleet", 16, 16, 16)
 }
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -26,64 +26,64 @@
 // leaderTime gives the leader's processor time with so many plans.
 func leaderTime(b *testing.B, plans int) float64 {
 	b.Helper()
-	w := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
-	w.op.Rollouts.Enabled, w.op.Rollouts.CheckIntervalS, w.op.IdleBoots = true, 1, 100
-	w.intercept = w.interceptCall
-	w.adjust = func(p *config.Params) {
+	world := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
+	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleBoots = true, 1, 100
+	world.intercept = world.interceptCall
+	world.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 10_000, WriteRPS: 10_000, ValueKB: 64, TxnOps: 128}
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 10_000}
 		p.Teams = []config.Team{{Name: "t1"}}
 	}
-	w.restart()
-	w.have(400)
-	w.pass(10 * time.Second)
+	world.restart()
+	world.addMachines(400)
+	world.runFor(10 * time.Second)
 	for i := range plans {
-		w.beginPlan(i)
+		world.beginPlan(i)
 	}
-	w.pass(30 * time.Second)
-	w.measured, w.spent = true, 0
+	world.runFor(30 * time.Second)
+	world.measured, world.stepTime = true, 0
 	const seconds = 20
 	for range seconds {
-		w.routeAll(plans)
-		w.pass(time.Second)
+		world.routeAll(plans)
+		world.runFor(time.Second)
 	}
-	if baking := w.baking(); baking != plans {
+	if baking := world.baking(); baking != plans {
 		b.Fatalf("%d plans of %d bake", baking, plans)
 	}
-	return float64(w.spent.Microseconds()) / seconds
+	return float64(world.stepTime.Microseconds()) / seconds
 }
 
 // beginPlan has a plan with jobs of its own applied.
-func (w *rolloutWorld) beginPlan(i int) {
+func (world *rolloutWorld) beginPlan(i int) {
 	id := func(k int) string { return fmt.Sprintf("run-%07d", 100*(i+1)+k) }
 	plan := &rollout.Plan{Name: fmt.Sprint("plan-", i), Team: "t1", PromisedCapacity: 30,
 		Old: rollout.Fleet{Jobs: []string{id(1), id(2)}, ReplicaCapacity: 10}, New: rollout.Fleet{Jobs: []string{id(3), id(4)}, ReplicaCapacity: 10},
 		Steps:  []rollout.Step{{Jobs: []string{id(3)}, Share: 0.5, BakeS: 1e5}, {Jobs: []string{id(4)}, Share: 1}},
 		Limits: rollout.Limits{WaitS: 1000, UnreachableS: 1000, RouterGoneS: 20, KeepS: 30}}
 	for _, job := range plan.Old.Jobs {
-		w.submitReplica(job)
+		world.submitReplica(job)
 	}
-	w.pass(200 * time.Millisecond)
-	w.order(func(req uint64) core.Input { return core.ApplyPlan{RequestID: req, Plan: plan} })
+	world.runFor(200 * time.Millisecond)
+	world.order(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: plan} })
 	for _, job := range plan.New.Jobs {
-		w.submitReplica(job)
+		world.submitReplica(job)
 	}
-	w.pass(200 * time.Millisecond)
+	world.runFor(200 * time.Millisecond)
 }
 
 // routeAll has a router of each plan ask.
-func (w *rolloutWorld) routeAll(plans int) {
+func (world *rolloutWorld) routeAll(plans int) {
 	for i := range plans {
-		w.req++
-		w.step(w.nodes[0], core.GetRouting{RequestID: w.req << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
+		world.lastRequest++
+		world.step(world.nodes[0], core.GetRouting{RequestID: world.lastRequest << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
 	}
 }
 
 // baking counts the plans that bake.
-func (w *rolloutWorld) baking() int {
+func (world *rolloutWorld) baking() int {
 	n := 0
-	for _, key := range storedKeys(w.store, "w/p/") {
-		item, got := w.store.Get(key)
+	for _, key := range storedKeys(world.store, "w/p/") {
+		item, got := world.store.Get(key)
 		if r, err := rollout.Decode(item.Value); got == outcome.OK && err == nil && r.Phase == rollout.Baking {
 			n++
 		}
--- a/internal/core/rule_breaks_test.go
+++ b/internal/core/rule_breaks_test.go
@@ -13,107 +13,111 @@
 
 // checkedSpec is the job that TestRuleChecker submits. Its words are constant, so nothing fails in reading them.
 func checkedSpec() *wire.Job {
-	return (&sim{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
+	return (&simulation{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
 }
 
 // seconds gives a time in seconds.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
 // ruleBreakingDays break one rule each, which the first word of their name tells.
-var ruleBreakingDays = map[string]func(j *ruleChecker){
-	"ran_twice": func(j *ruleChecker) {
-		j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
-		j.starts(seconds(2), taskStart{checkedID + "/0", "m2", "g8", "z1", false})
+var ruleBreakingDays = map[string]func(checker *ruleChecker){
+	"ran_twice": func(checker *ruleChecker) {
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+		checker.recordStart(seconds(2), taskStart{checkedID + "/0", "m2", "g8", "z1", false})
 	},
-	"quota": func(j *ruleChecker) {
+	"quota": func(checker *ruleChecker) {
 		for i := range 3 {
-			j.starts(seconds(1), taskStart{wire.TaskName(checkedID, i), "m1", "g8", "z1", false})
+			checker.recordStart(seconds(1), taskStart{wire.TaskName(checkedID, i), "m1", "g8", "z1", false})
 		}
 	},
-	"wrong_place spot": func(j *ruleChecker) { j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", true}) },
-	"wrong_place type": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.MachineTypes = []string{"h4"}
-		j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+	"wrong_place spot": func(checker *ruleChecker) {
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", true})
 	},
-	"wrong_place zone": func(j *ruleChecker) {
-		j.submits(checkedSpec()).spec.Zone = "z2"
-		j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+	"wrong_place type": func(checker *ruleChecker) {
+		checker.jobs[checkedID].spec.MachineTypes = []string{"h4"}
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
-	"wrong_place one_zone": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.SingleZone = true
-		j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
-		j.starts(seconds(1), taskStart{checkedID + "/1", "m2", "g8", "z2", false})
+	"wrong_place zone": func(checker *ruleChecker) {
+		checker.recordSubmission(checkedSpec()).spec.Zone = "z2"
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
-	"wrong_place spread": func(j *ruleChecker) {
-		j.jobs[checkedID].spec.SpreadZones, j.jobs[checkedID].spec.GPUs = true, 1
+	"wrong_place one_zone": func(checker *ruleChecker) {
+		checker.jobs[checkedID].spec.SingleZone = true
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+		checker.recordStart(seconds(1), taskStart{checkedID + "/1", "m2", "g8", "z2", false})
+	},
+	"wrong_place spread": func(checker *ruleChecker) {
+		checker.jobs[checkedID].spec.SpreadZones, checker.jobs[checkedID].spec.GPUs = true, 1
 		for i := range 3 {
-			j.starts(seconds(1), taskStart{wire.TaskName(checkedID, i), "m1", "g8", "z1", false})
+			checker.recordStart(seconds(1), taskStart{wire.TaskName(checkedID, i), "m1", "g8", "z1", false})
 		}
 	},
-	"ran_cancelled stays": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.starts(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
-		j.told(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
-		j.passes(seconds(2) + simCancel + 1)
+	"ran_cancelled stays": func(checker *ruleChecker) {
+		checker.jobs[checkedID].cancelRequested = true
+		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.checkCancelledJobs(seconds(2) + cancellationLimit + 1)
 	},
-	"ran_cancelled starts": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
-		j.starts(seconds(2)+simCancel+1, taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+	"ran_cancelled starts": func(checker *ruleChecker) {
+		checker.jobs[checkedID].cancelRequested = true
+		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordStart(seconds(2)+cancellationLimit+1, taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
-	"started_cancelled": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
-		j.starts(seconds(3), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
+	"started_cancelled": func(checker *ruleChecker) {
+		checker.jobs[checkedID].cancelRequested = true
+		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordStart(seconds(3), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
-	"too_early": func(j *ruleChecker) {
+	"too_early": func(checker *ruleChecker) {
 		needing := checkedSpec()
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		j.submits(needing)
-		j.starts(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false})
+		checker.recordSubmission(needing)
+		checker.recordStart(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false})
 	},
-	"orphaned": func(j *ruleChecker) {
+	"orphaned": func(checker *ruleChecker) {
 		needing := checkedSpec()
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		j.submits(needing)
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
-		j.told(seconds(5), userAnswer{seconds(4), requestPoll, otherID, 200, wire.JobPending})
-		late := seconds(2) + simCancel + 1
-		j.told(late, userAnswer{late, requestPoll, otherID, 200, wire.JobPending})
+		checker.recordSubmission(needing)
+		checker.jobs[checkedID].cancelRequested = true
+		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordAnswer(seconds(5), userAnswer{seconds(4), requestPoll, otherID, 200, wire.JobPending})
+		late := seconds(2) + cancellationLimit + 1
+		checker.recordAnswer(late, userAnswer{late, requestPoll, otherID, 200, wire.JobPending})
+	},
+	"forgotten poll": func(checker *ruleChecker) {
+		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
+		checker.recordAnswer(seconds(3), userAnswer{seconds(2), requestPoll, checkedID, 404, ""})
 	},
-	"forgotten poll": func(j *ruleChecker) {
-		j.told(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
-		j.told(seconds(3), userAnswer{seconds(2), requestPoll, checkedID, 404, ""})
+	"forgotten submit": func(checker *ruleChecker) {
+		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
+		checker.recordAnswer(seconds(3), userAnswer{seconds(2), requestSubmit, checkedID, 422, ""})
 	},
-	"forgotten submit": func(j *ruleChecker) {
-		j.told(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
-		j.told(seconds(3), userAnswer{seconds(2), requestSubmit, checkedID, 422, ""})
+	"invented answer": func(checker *ruleChecker) {
+		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestPoll, otherID, 200, wire.JobPending})
 	},
-	"invented answer": func(j *ruleChecker) {
-		j.told(seconds(1), userAnswer{seconds(1), requestPoll, otherID, 200, wire.JobPending})
+	"invented start": func(checker *ruleChecker) {
+		checker.recordStart(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false})
 	},
-	"invented start": func(j *ruleChecker) { j.starts(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false}) },
-	"not_done": func(j *ruleChecker) {
-		j.told(seconds(1), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobDone})
+	"not_done": func(checker *ruleChecker) {
+		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobDone})
 	},
-	"went_back": func(j *ruleChecker) {
-		j.jobs[checkedID].asked = true
-		j.told(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
-		j.told(seconds(4), userAnswer{seconds(3), requestPoll, checkedID, 200, wire.JobRunning})
+	"went_back": func(checker *ruleChecker) {
+		checker.jobs[checkedID].cancelRequested = true
+		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordAnswer(seconds(4), userAnswer{seconds(3), requestPoll, checkedID, 200, wire.JobRunning})
 	},
-	"went_back unasked": func(j *ruleChecker) {
-		j.told(seconds(2), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobCancelled})
+	"went_back unasked": func(checker *ruleChecker) {
+		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobCancelled})
 	},
 }
 
 // TestRuleChecker shows that each check can fail.
 func TestRuleChecker(t *testing.T) {
 	for rule, day := range ruleBreakingDays {
-		j := newRuleChecker(map[string]float64{"red": 8}, simCancel)
-		j.submits(checkedSpec())
-		if day(j); len(j.broken) != 1 || !strings.Contains(j.broken[0], strings.Fields(rule)[0]) {
-			t.Errorf("%s: the checker says %v", rule, j.broken)
+		checker := newRuleChecker(map[string]float64{"red": 8}, cancellationLimit)
+		checker.recordSubmission(checkedSpec())
+		if day(checker); len(checker.broken) != 1 || !strings.Contains(checker.broken[0], strings.Fields(rule)[0]) {
+			t.Errorf("%s: the checker says %v", rule, checker.broken)
 		}
 	}
 }
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -21,8 +21,8 @@
 // that is not the limit. What its steps take is what they really take.
 func newTargetCluster(b *testing.B, machines int) *scaleCluster {
 	b.Helper()
-	y := newLargeScaleCluster(b, 1, 0)
-	y.adjust = func(p *config.Params) {
+	cluster := newLargeScaleCluster(b, 1, 0)
+	cluster.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 100_000, WriteRPS: 100_000, ValueKB: 64, TxnOps: 128}
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 4000, MaxConnections: 3 * targetMachines}
 		share := float64(machines) / targetMachines
@@ -32,19 +32,19 @@
 			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprintf("t%d", i), GuaranteedGPUs: []float64{1000, 9000}[i%2] * share})
 		}
 	}
-	y.start(0)
-	y.op.IdleBoots = 100
-	y.pass(3 * time.Second)
-	y.have(machines)
-	y.pass(10 * time.Second)
-	y.measured = true
-	return y
+	cluster.startNode(0)
+	cluster.operator.IdleBoots = 100
+	cluster.runFor(3 * time.Second)
+	cluster.addMachines(machines)
+	cluster.runFor(10 * time.Second)
+	cluster.measured = true
+	return cluster
 }
 
 // submitArrays hands in arrays of tasks that together fill a machine of the fleet to 95%.
-func (y *scaleCluster) submitArrays(n int) {
+func (cluster *scaleCluster) submitArrays(n int) {
 	for range n {
-		y.submit(wire.Job{Kind: wire.KindArray, Tasks: tasksOfArray, GPUs: 0.8})
+		cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: tasksOfArray, GPUs: 0.8})
 	}
 }
 
@@ -54,12 +54,12 @@
 }
 
 // fill has a quarter more tasks come than there is room for.
-func (y *scaleCluster) fill(machines int) {
+func (cluster *scaleCluster) fill(machines int) {
 	for asked := 0; asked < targetTasks*machines/targetMachines*5/4; asked += perSecond(machines) * tasksOfArray {
-		y.submitArrays(perSecond(machines))
-		y.pass(time.Second)
+		cluster.submitArrays(perSecond(machines))
+		cluster.runFor(time.Second)
 	}
-	y.pass(5 * time.Second)
+	cluster.runFor(5 * time.Second)
 }
 
 // BenchmarkFill fills an empty fleet to 95%, as quickly as the budget of rounds allows, and gives the starts a second,
@@ -68,22 +68,22 @@
 	for _, machines := range []int{targetMachines / 16, targetMachines / 8, targetMachines / 4, targetMachines / 2, targetMachines} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for range b.N {
-				y := newTargetCluster(b, machines)
+				cluster := newTargetCluster(b, machines)
 				tasks := targetTasks * machines / targetMachines
 				seconds, least := 0, targetTasks
-				for y.started < tasks*95/100 && seconds < 300 {
-					before := y.started
-					y.submitArrays(perSecond(machines))
-					y.pass(time.Second)
-					if seconds++; seconds > 1 && y.started < tasks*95/100 {
-						least = min(least, y.started-before)
+				for cluster.startedTasks < tasks*95/100 && seconds < 300 {
+					before := cluster.startedTasks
+					cluster.submitArrays(perSecond(machines))
+					cluster.runFor(time.Second)
+					if seconds++; seconds > 1 && cluster.startedTasks < tasks*95/100 {
+						least = min(least, cluster.startedTasks-before)
 					}
 				}
-				b.ReportMetric(float64(y.started)/float64(seconds), "starts/s")
+				b.ReportMetric(float64(cluster.startedTasks)/float64(seconds), "starts/s")
 				b.ReportMetric(float64(least), "least/s")
-				b.ReportMetric(float64(y.spent.Microseconds())/float64(y.started), "µs/start")
-				b.ReportMetric(float64(y.longest.Milliseconds()), "ms-longest")
-				b.ReportMetric(float64(y.started), "started")
+				b.ReportMetric(float64(cluster.stepTime.Microseconds())/float64(cluster.startedTasks), "µs/start")
+				b.ReportMetric(float64(cluster.longestStep.Milliseconds()), "ms-longest")
+				b.ReportMetric(float64(cluster.startedTasks), "started")
 			}
 		})
 	}
@@ -95,22 +95,22 @@
 	for _, machines := range []int{targetMachines / 8, targetMachines / 2, targetMachines} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for range b.N {
-				y := newTargetCluster(b, machines)
-				y.fill(machines)
-				y.spent, y.longest = 0, 0
-				before := y.started
+				cluster := newTargetCluster(b, machines)
+				cluster.fill(machines)
+				cluster.stepTime, cluster.longestStep = 0, 0
+				before := cluster.startedTasks
 				const seconds = 20
 				for range seconds {
-					y.submitArrays(40 * machines / targetMachines)
+					cluster.submitArrays(40 * machines / targetMachines)
 					for range 8 * machines / targetMachines {
-						y.submit(wire.Job{Kind: wire.KindService, Tasks: 2, GPUs: 4})
+						cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 2, GPUs: 4})
 					}
-					y.pass(time.Second)
+					cluster.runFor(time.Second)
 				}
-				b.ReportMetric(float64(y.longest.Milliseconds()), "ms-longest")
-				b.ReportMetric(y.spent.Seconds()/seconds, "cores")
-				b.ReportMetric(float64(y.started-before)/seconds, "starts/s")
-				b.ReportMetric(float64(len(y.holders)), "tasks")
+				b.ReportMetric(float64(cluster.longestStep.Milliseconds()), "ms-longest")
+				b.ReportMetric(cluster.stepTime.Seconds()/seconds, "cores")
+				b.ReportMetric(float64(cluster.startedTasks-before)/seconds, "starts/s")
+				b.ReportMetric(float64(len(cluster.workerByTask)), "tasks")
 			}
 		})
 	}
@@ -123,17 +123,17 @@
 	for _, weighed := range []bool{false, true} {
 		b.Run(fmt.Sprintf("weighed-%v", weighed), func(b *testing.B) {
 			for range b.N {
-				y := newTargetCluster(b, targetMachines)
-				y.op.Spread.Enabled = weighed
-				for seconds := 0; y.started < targetTasks/2 && seconds < 300; seconds++ {
+				cluster := newTargetCluster(b, targetMachines)
+				cluster.operator.Spread.Enabled = weighed
+				for seconds := 0; cluster.startedTasks < targetTasks/2 && seconds < 300; seconds++ {
 					for range targetStarts / replicas / 2 {
-						y.submit(wire.Job{Kind: wire.KindService, Tasks: replicas, GPUs: 0.8})
+						cluster.submit(wire.Job{Kind: wire.KindService, Tasks: replicas, GPUs: 0.8})
 					}
-					y.pass(time.Second)
+					cluster.runFor(time.Second)
 				}
-				b.ReportMetric(float64(y.spent.Microseconds())/float64(y.started), "µs/start")
-				b.ReportMetric(float64(y.longest.Milliseconds()), "ms-longest")
-				b.ReportMetric(float64(y.started), "started")
+				b.ReportMetric(float64(cluster.stepTime.Microseconds())/float64(cluster.startedTasks), "µs/start")
+				b.ReportMetric(float64(cluster.longestStep.Milliseconds()), "ms-longest")
+				b.ReportMetric(float64(cluster.startedTasks), "started")
 			}
 		})
 	}
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -10,209 +10,209 @@
 )
 
 // carryOut does an effect of a node; true if it has a result.
-func (y *scaleCluster) carryOut(n *scaleNode, e core.Effect) (core.Result, bool) {
-	if y.intercept != nil {
-		if r, ok := y.intercept(n, e); ok {
-			return r, true
+func (cluster *scaleCluster) carryOut(node *scaleNode, effect core.Effect) (core.Result, bool) {
+	if cluster.intercept != nil {
+		if result, ok := cluster.intercept(node, effect); ok {
+			return result, true
 		}
 	}
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.Response:
-		if y.onAnswer == nil || !y.onAnswer(e) {
-			y.answer(e)
+		if cluster.onAnswer == nil || !cluster.onAnswer(e) {
+			cluster.deliverResponse(e)
 		}
 	case core.StoreWatch:
-		n.watches = append(n.watches, scaleWatch{e, y.now})
+		node.watches = append(node.watches, scaleWatch{e, cluster.now})
 	case core.StoreGet, core.StoreList, core.StoreTxn, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
-		return y.askState(e), true
+		return cluster.callStore(e), true
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
-		return y.askCloud(e), true
+		return cluster.callCloud(e), true
 	case core.SendCommands, core.QueryWorker, core.PrefetchImage:
-		n.asked++
-		y.counted.atOnce = max(y.counted.atOnce, n.asked)
-		return y.askWorker(n, e), true
+		node.workerCalls++
+		cluster.counts.mostConcurrentCalls = max(cluster.counts.mostConcurrentCalls, node.workerCalls)
+		return cluster.callWorker(node, e), true
 	case core.Log:
 		if len(e.Fields) > 1 && e.Fields[0] == "field" {
-			y.logged[e.Fields[1].(string)]++
+			cluster.logged[e.Fields[1].(string)]++
 		}
 	case core.QueryPeer:
-		return y.askPeer(e)
+		return cluster.queryPeer(e)
 	}
 	return core.Result{}, false
 }
 
-// askPeer asks another node for its status. One that stands still does not answer.
-func (y *scaleCluster) askPeer(e core.QueryPeer) (core.Result, bool) {
-	for _, p := range y.nodes {
-		if p.name == e.Node && p.name != y.frozen {
-			if len(e.Cancellations) > 0 {
+// queryPeer asks another node for its status. One that stands still does not answer.
+func (cluster *scaleCluster) queryPeer(effect core.QueryPeer) (core.Result, bool) {
+	for _, peer := range cluster.nodes {
+		if peer.name == effect.Node && peer.name != cluster.frozen {
+			if len(effect.Cancellations) > 0 {
 				// The answer says that they are known from now on.
-				y.req++
-				y.step(p, core.ReplicateCancellations{RequestID: y.req << 16, Cancellations: e.Cancellations})
+				cluster.lastRequest++
+				cluster.step(peer, core.ReplicateCancellations{RequestID: cluster.lastRequest << 16, Cancellations: effect.Cancellations})
 			}
-			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Peer: p.core.PeerStatus()}, true
+			return core.Result{CallID: effect.CallID, Outcome: outcome.OK, Peer: peer.core.PeerStatus()}, true
 		}
 	}
-	return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}, true
+	return core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}, true
 }
 
-// answer hands an answer to the worker or the user that waits for it.
-func (y *scaleCluster) answer(e core.Response) {
+// deliverResponse hands an answer to the worker or the user that waits for it.
+func (cluster *scaleCluster) deliverResponse(e core.Response) {
 	switch b := e.Body.(type) {
 	case wire.HeartbeatResponse:
-		if w := y.workers[e.RequestID&0xffff]; !w.dead && w.answered(e.RequestID) {
-			w.machine.ApplyHeartbeatResponse(y.now, 1, b)
+		if worker := cluster.workers[e.RequestID&0xffff]; !worker.dead && worker.takeResponse(e.RequestID) {
+			worker.machine.ApplyHeartbeatResponse(cluster.now, 1, b)
 		}
 	case wire.Redirect:
-		w := y.workers[e.RequestID&0xffff]
-		w.answered(e.RequestID)
-		w.node = (w.node + 1) % len(y.nodes)
-		for i, x := range y.nodes {
+		worker := cluster.workers[e.RequestID&0xffff]
+		worker.takeResponse(e.RequestID)
+		worker.nodeIndex = (worker.nodeIndex + 1) % len(cluster.nodes)
+		for i, x := range cluster.nodes {
 			if x.name == b.Leader {
-				w.node = i
+				worker.nodeIndex = i
 			}
 		}
 	case nil: // of cancellations that a node has taken in
 	default:
-		y.polled = e.Body
-		if y.told != nil {
-			y.told[e.RequestID] = e.Status
+		cluster.lastAnswer = e.Body
+		if cluster.answerStatuses != nil {
+			cluster.answerStatuses[e.RequestID] = e.Status
 		}
 	}
 }
 
-// askState makes a call to the state service.
-func (y *scaleCluster) askState(e core.Effect) core.Result {
-	switch e := e.(type) {
+// callStore makes a call to the state service.
+func (cluster *scaleCluster) callStore(effect core.Effect) core.Result {
+	switch e := effect.(type) {
 	case core.StoreTxn:
-		y.countTxn(e)
-		r := core.Result{CallID: e.CallID}
-		r.Txn, r.Outcome = y.store.Txn(e.Txn)
-		return r
+		cluster.countTxn(e)
+		result := core.Result{CallID: e.CallID}
+		result.Txn, result.Outcome = cluster.store.Txn(e.Txn)
+		return result
 	case core.StoreGet:
-		y.counted.gets++
-		it, o := y.store.Get(e.Key)
-		return core.Result{CallID: e.CallID, Outcome: o, Item: it}
+		cluster.counts.gets++
+		item, got := cluster.store.Get(e.Key)
+		return core.Result{CallID: e.CallID, Outcome: got, Item: item}
 	case core.StoreList:
-		y.counted.lists++
-		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: y.store.List(e.Prefix, e.After, 500)}
+		cluster.counts.lists++
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: cluster.store.List(e.Prefix, e.After, 500)}
 	case core.StoreGrantLease:
-		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: y.store.GrantLease(e.TTL)}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: cluster.store.GrantLease(e.TTL)}
 	case core.StoreRenewLease:
-		return core.Result{CallID: e.CallID, Outcome: y.store.RenewLease(e.Lease)}
+		return core.Result{CallID: e.CallID, Outcome: cluster.store.RenewLease(e.Lease)}
 	case core.StoreRevokeLease:
-		return core.Result{CallID: e.CallID, Outcome: y.store.RevokeLease(e.Lease)}
+		return core.Result{CallID: e.CallID, Outcome: cluster.store.RevokeLease(e.Lease)}
 	}
 	return core.Result{}
 }
 
-func (y *scaleCluster) countTxn(e core.StoreTxn) {
-	c := &y.counted
-	c.txns++
-	c.writes += len(e.Txn.Then)
-	c.largest = max(c.largest, len(e.Txn.Then))
-	for _, op := range e.Txn.Then {
+func (cluster *scaleCluster) countTxn(effect core.StoreTxn) {
+	c := &cluster.counts
+	c.transactions++
+	c.writes += len(effect.Txn.Then)
+	c.largestTransaction = max(c.largestTransaction, len(effect.Txn.Then))
+	for _, op := range effect.Txn.Then {
 		c.bytes += len(op.Value)
 	}
-	body, err := json.Marshal(e.Txn)
-	if err != nil || len(body) > wire.MaxBody || len(e.Txn.If) > 4*y.set.Params.Store.TxnOps {
-		y.t.Errorf("a transaction of %d bytes, %d conditions: %v", len(body), len(e.Txn.If), err)
+	body, err := json.Marshal(effect.Txn)
+	if err != nil || len(body) > wire.MaxBody || len(effect.Txn.If) > 4*cluster.lastSettings.Params.Store.TxnOps {
+		cluster.test.Errorf("a transaction of %d bytes, %d conditions: %v", len(body), len(effect.Txn.If), err)
 	}
-	c.body = max(c.body, len(body))
+	c.largestBody = max(c.largestBody, len(body))
 }
 
-// askCloud makes a call to the cloud.
-func (y *scaleCluster) askCloud(e core.Effect) core.Result {
-	if !y.cloudTakes() {
-		y.tooMany++
-		return core.Result{CallID: idOf(e), Outcome: outcome.Dropped}
+// callCloud makes a call to the cloud.
+func (cluster *scaleCluster) callCloud(effect core.Effect) core.Result {
+	if !cluster.withinCloudRate() {
+		cluster.droppedCloudCalls++
+		return core.Result{CallID: callID(effect), Outcome: outcome.Dropped}
 	}
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.CloudCatalog:
-		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: catalog}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: testCatalog}
 	case core.CloudScaleOut:
-		return y.rent(e)
+		return cluster.scaleOut(e)
 	case core.CloudScaleIn:
 		for _, name := range e.Names {
-			y.release(y.byName[name])
+			cluster.release(cluster.workerByName[name])
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	case core.CloudList:
-		y.counted.pages++
-		return y.list(e)
+		cluster.counts.pages++
+		return cluster.listMachines(e)
 	}
 	return core.Result{}
 }
 
-// cloudTakes tells whether a request is within the cloud's rate, with bursts of a second's worth.
-func (y *scaleCluster) cloudTakes() bool {
-	if y.cloudRate == 0 {
+// withinCloudRate tells whether a request is within the cloud's rate, with bursts of a second's worth.
+func (cluster *scaleCluster) withinCloudRate() bool {
+	if cluster.cloudRate == 0 {
 		return true
 	}
-	y.cloudTokens = min(y.cloudRate, y.cloudTokens+y.cloudRate*(y.now-y.cloudAt).Seconds())
-	y.cloudAt = y.now
-	if y.cloudTokens < 1 {
+	cluster.cloudTokens = min(cluster.cloudRate, cluster.cloudTokens+cluster.cloudRate*(cluster.now-cluster.cloudTokensAt).Seconds())
+	cluster.cloudTokensAt = cluster.now
+	if cluster.cloudTokens < 1 {
 		return false
 	}
-	y.cloudTokens--
+	cluster.cloudTokens--
 	return true
 }
 
-// idOf gives the id of a call.
-func idOf(e core.Effect) uint64 { return reflect.ValueOf(e).FieldByName("CallID").Uint() }
+// callID gives the id of a call.
+func callID(effect core.Effect) uint64 { return reflect.ValueOf(effect).FieldByName("CallID").Uint() }
 
-func (y *scaleCluster) release(w *scaleWorker) {
-	if w == nil || w.dead {
+func (cluster *scaleCluster) release(worker *scaleWorker) {
+	if worker == nil || worker.dead {
 		return
 	}
-	w.dead = true
-	y.rented--
-	if w.machine.TaskCount() > 0 {
-		y.counted.released++
+	worker.dead = true
+	cluster.rented--
+	if worker.machine.TaskCount() > 0 {
+		cluster.counts.releasedWithWork++
 	}
 }
 
-func (y *scaleCluster) list(e core.CloudList) core.Result {
-	r := core.Result{CallID: e.CallID, Outcome: outcome.OK}
-	for _, w := range y.workers {
-		if w.dead || w.name <= e.After {
+func (cluster *scaleCluster) listMachines(effect core.CloudList) core.Result {
+	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
+	for _, worker := range cluster.workers {
+		if worker.dead || worker.name <= effect.After {
 			continue
 		}
-		if len(r.Machines.Machines) == wire.MaxList {
-			r.Machines.More = true
+		if len(result.Machines.Machines) == wire.MaxList {
+			result.Machines.More = true
 			break
 		}
-		about := w.machine.Info()
-		r.Machines.Machines = append(r.Machines.Machines, wire.Machine{Name: w.name, Addr: w.addr, Type: about.Type.Name,
-			Zone: w.zone, Spot: about.Spot, State: wire.MachineRunning})
+		about := worker.machine.Info()
+		result.Machines.Machines = append(result.Machines.Machines, wire.Machine{Name: worker.name, Addr: worker.addr, Type: about.Type.Name,
+			Zone: worker.zone, Spot: about.Spot, State: wire.MachineRunning})
 	}
-	return r
+	return result
 }
 
-// askWorker sends a worker commands or a question.
-func (y *scaleCluster) askWorker(n *scaleNode, e core.Effect) core.Result {
-	switch e := e.(type) {
+// callWorker sends a worker commands or a question.
+func (cluster *scaleCluster) callWorker(node *scaleNode, effect core.Effect) core.Result {
+	switch e := effect.(type) {
 	case core.SendCommands:
-		y.counted.orders++
-		if w := y.direct(n, e.Addr); w != nil {
-			r := core.Result{CallID: e.CallID, Outcome: outcome.Conflict}
-			if w.machine.ApplyDirectCommands(y.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
-				r.Outcome = outcome.OK
+		cluster.counts.commands++
+		if worker := cluster.reachableWorker(node, e.Addr); worker != nil {
+			result := core.Result{CallID: e.CallID, Outcome: outcome.Conflict}
+			if worker.machine.ApplyDirectCommands(cluster.now, wire.DirectCommands{FencingToken: e.FencingToken, Incarnation: e.Incarnation, Commands: e.Commands}) {
+				result.Outcome = outcome.OK
 			}
-			r.Heartbeat = *w.machine.Heartbeat(y.now)
-			return r
+			result.Heartbeat = *worker.machine.Heartbeat(cluster.now)
+			return result
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	case core.PrefetchImage:
-		y.prefetched++
-		if w := y.direct(n, e.Addr); w != nil {
-			ready := w.machine.Prefetch(y.now, e.Image, e.GB) - y.now
-			return core.Result{CallID: e.CallID, Outcome: y.prefetchOutcome, ReadyS: ready.Seconds()}
+		cluster.prefetched++
+		if worker := cluster.reachableWorker(node, e.Addr); worker != nil {
+			ready := worker.machine.Prefetch(cluster.now, e.Image, e.GB) - cluster.now
+			return core.Result{CallID: e.CallID, Outcome: cluster.prefetchOutcome, ReadyS: ready.Seconds()}
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	case core.QueryWorker:
-		if w := y.direct(n, e.Addr); w != nil {
-			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: *w.machine.Heartbeat(y.now)}
+		if worker := cluster.reachableWorker(node, e.Addr); worker != nil {
+			return core.Result{CallID: e.CallID, Outcome: outcome.OK, Heartbeat: *worker.machine.Heartbeat(cluster.now)}
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 	}
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -25,27 +25,27 @@
 // that report, fetch, run and obey. Time goes in steps; what is asked for in one is
 // answered in the next. It counts what the nodes ask for.
 type scaleCluster struct {
-	t              reporter
-	now            time.Duration
-	rnd            *rand.Rand
-	store          *emulator.Store
-	set            *config.Settings
-	op             *config.Operator
-	memory         float64              // MB a node may use
-	evaluationCost time.Duration        // what an evaluation takes a node; 0: nobody measures it
-	large          bool                 // settings of a fleet of about 1,000 machines, not of 200
-	adjust         func(*config.Params) // changes the settings; nil: they stay
-	measured       bool                 // steps take what they really take, and are counted in spent and longest
-	spent, longest time.Duration
-	specs          map[string]*wire.Job
-	holders        map[string]*scaleWorker // of tasks, from their start to their end
-	started        int
-	apart          string         // workers of this zone can't reach nodes of the first one, nor they them
-	polled         any            // the last answer to a user
-	told           map[uint64]int // statuses of answers to users by request; nil: they are not kept
-	logged         map[string]int // settings that are too small, by field
-	cloudRate      float64        // requests a second that the cloud takes; 0: all
-	cloudTokens    float64
+	test                  reporter
+	now                   time.Duration
+	random                *rand.Rand
+	store                 *emulator.Store
+	lastSettings          *config.Settings
+	operator              *config.Operator
+	memoryMB              float64              // MB a node may use
+	evaluationCost        time.Duration        // what an evaluation takes a node; 0: nobody measures it
+	large                 bool                 // settings of a fleet of about 1,000 machines, not of 200
+	adjustParams          func(*config.Params) // changes the settings; nil: they stay
+	measured              bool                 // steps take what they really take, and are counted in spent and longest
+	stepTime, longestStep time.Duration
+	specs                 map[string]*wire.Job
+	workerByTask          map[string]*scaleWorker // of tasks, from their start to their end
+	startedTasks          int
+	isolatedZone          string         // workers of this zone can't reach nodes of the first one, nor they them
+	lastAnswer            any            // the last answer to a user
+	answerStatuses        map[uint64]int // statuses of answers to users by request; nil: they are not kept
+	logged                map[string]int // settings that are too small, by field
+	cloudRate             float64        // requests a second that the cloud takes; 0: all
+	cloudTokens           float64
 	// intercept may give the result of a call in place of the world, and onAnswer take an answer.
 	intercept func(*scaleNode, core.Effect) (core.Result, bool)
 	onAnswer  func(core.Response) bool
@@ -54,39 +54,39 @@
 	prefetched      int
 	prefetchOutcome outcome.Outcome
 	// onStart, onRuns and onEnds are told of tasks' starts and ends.
-	onStart        func(task string)
-	onRuns         func(machine, task string)
-	onEnds         func(task string)
-	cloudAt        time.Duration
-	tooMany        int // requests above that
-	nodes          []*scaleNode
-	workers        []*scaleWorker
-	byAddr, byName map[string]*scaleWorker
-	rented         int
-	most           int // machines that the cloud has
-	jobs           int
-	live           []string // services that are accepted, oldest first
-	req            uint64
+	onStart                    func(task string)
+	onRuns                     func(machine, task string)
+	onEnds                     func(task string)
+	cloudTokensAt              time.Duration
+	droppedCloudCalls          int // requests above that
+	nodes                      []*scaleNode
+	workers                    []*scaleWorker
+	workerByAddr, workerByName map[string]*scaleWorker
+	rented                     int
+	machineLimit               int // machines that the cloud has
+	submittedJobs              int
+	liveServices               []string // services that are accepted, oldest first
+	lastRequest                uint64
 
-	counted scaleCounts
-	digest  *outputDigest // nil: none is made
+	counts scaleCounts
+	digest *outputDigest // nil: none is made
 }
 
 type scaleCounts struct {
-	txns, writes, bytes, gets, lists, pages, orders, checkins int
-	largest, body                                             int // changes and bytes in a transaction, at most
-	atOnce                                                    int // calls to workers, at most
-	released                                                  int // machines with work on them
+	transactions, writes, bytes, gets, lists, pages, commands, heartbeats int
+	largestTransaction, largestBody                                       int // changes and bytes in a transaction, at most
+	mostConcurrentCalls                                                   int // calls to workers, at most
+	releasedWithWork                                                      int // machines with work on them
 }
 
 type scaleNode struct {
-	name    string
-	zone    string
-	core    *core.Core
-	results []core.Result
-	watches []scaleWatch
-	asked   int           // workers, without an answer yet
-	took    time.Duration // the last step
+	name         string
+	zone         string
+	core         *core.Core
+	results      []core.Result
+	watches      []scaleWatch
+	workerCalls  int           // workers, without an answer yet
+	lastStepTime time.Duration // the last step
 }
 
 type scaleWatch struct {
@@ -97,46 +97,46 @@
 const scaleStep = 10 * time.Millisecond
 
 func newScaleCluster(t reporter, nodes, machines int) *scaleCluster {
-	y := &scaleCluster{t: t, now: time.Second, rnd: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
-		byAddr: map[string]*scaleWorker{}, byName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, holders: map[string]*scaleWorker{}, most: machines, op: config.DefaultOperator(), memory: 98}
+	cluster := &scaleCluster{test: t, now: time.Second, random: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
+		workerByAddr: map[string]*scaleWorker{}, workerByName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, workerByTask: map[string]*scaleWorker{}, machineLimit: machines, operator: config.DefaultOperator(), memoryMB: 98}
 	for i := 0; i < nodes; i++ {
-		y.nodes = append(y.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
+		cluster.nodes = append(cluster.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
 	}
-	for i := range y.nodes {
-		y.start(i)
+	for i := range cluster.nodes {
+		cluster.startNode(i)
 	}
-	for _, n := range y.nodes {
-		y.step(n, core.Tick{})
+	for _, node := range cluster.nodes {
+		cluster.step(node, core.Tick{})
 	}
-	return y
+	return cluster
 }
 
 // newLargeScaleCluster has the settings of a fleet of about 1,000 machines.
 func newLargeScaleCluster(tb testing.TB, nodes, machines int) *scaleCluster {
 	tb.Helper()
-	y := newScaleCluster(tb, nodes, machines)
-	y.large = true
-	for i := range y.nodes {
-		y.start(i)
+	cluster := newScaleCluster(tb, nodes, machines)
+	cluster.large = true
+	for i := range cluster.nodes {
+		cluster.startNode(i)
 	}
-	y.pass(3 * time.Second)
-	return y
+	cluster.runFor(3 * time.Second)
+	return cluster
 }
 
-func (y *scaleCluster) settings(i int) *config.Settings {
-	s := &config.Settings{Node: y.nodes[i].name, Zone: []string{"z1", "z2"}[i%2], Operator: y.op}
-	for k, n := range y.nodes {
+func (cluster *scaleCluster) settings(i int) *config.Settings {
+	s := &config.Settings{Node: cluster.nodes[i].name, Zone: []string{"z1", "z2"}[i%2], Operator: cluster.operator}
+	for k, node := range cluster.nodes {
 		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Node: n.name, Zone: []string{"z1", "z2"}[k%2], Addr: "127.0.0.1:1"})
+			s.Peers = append(s.Peers, config.Peer{Node: node.name, Zone: []string{"z1", "z2"}[k%2], Addr: "127.0.0.1:1"})
 		}
 	}
-	s.Params = config.Params{Nodes: len(y.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
+	s.Params = config.Params{Nodes: len(cluster.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 5},
-		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: y.memory, MaxConnections: 600}}
+		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: cluster.memoryMB, MaxConnections: 600}}
 	share := 1.0
-	if y.large {
+	if cluster.large {
 		share = 5
 		s.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelS: 35}
 		s.Params.Store.RPS, s.Params.Store.WriteRPS, s.Params.Cloud.RPS = 600, 220, 4
@@ -145,153 +145,153 @@
 	for k := 0; k < 12; k++ {
 		s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", k), GuaranteedGPUs: 100 * share, MaxGPUs: 300 * share})
 	}
-	if y.adjust != nil {
-		y.adjust(&s.Params)
+	if cluster.adjustParams != nil {
+		cluster.adjustParams(&s.Params)
 	}
 	return s
 }
 
-// start makes a node's process anew.
-func (y *scaleCluster) start(i int) {
-	y.set = y.settings(i)
-	n := y.nodes[i]
-	n.results, n.watches = nil, nil
-	n.core = core.New(y.set, fmt.Sprint(n.name, y.now))
+// startNode makes a node's process anew.
+func (cluster *scaleCluster) startNode(i int) {
+	cluster.lastSettings = cluster.settings(i)
+	node := cluster.nodes[i]
+	node.results, node.watches = nil, nil
+	node.core = core.New(cluster.lastSettings, fmt.Sprint(node.name, cluster.now))
 }
 
-func (y *scaleCluster) step(n *scaleNode, in core.Input) {
-	took := time.Duration(n.core.LastEvaluations()) * y.evaluationCost
-	if y.measured {
-		took = n.took
+func (cluster *scaleCluster) step(node *scaleNode, input core.Input) {
+	took := time.Duration(node.core.LastEvaluations()) * cluster.evaluationCost
+	if cluster.measured {
+		took = node.lastStepTime
 	}
 	began := time.Now()
-	effects := n.core.Step(core.Time{Steady: y.now, WallMS: int64(y.now / time.Millisecond), Took: took}, in)
-	n.took = time.Since(began)
-	y.spent += n.took
-	y.longest = max(y.longest, n.took)
-	for _, e := range append([]core.Effect(nil), effects...) {
-		if y.digest != nil {
-			y.digest.add(y.t, y.now, n.name, e)
+	effects := node.core.Step(core.Time{Steady: cluster.now, WallMS: int64(cluster.now / time.Millisecond), Took: took}, input)
+	node.lastStepTime = time.Since(began)
+	cluster.stepTime += node.lastStepTime
+	cluster.longestStep = max(cluster.longestStep, node.lastStepTime)
+	for _, effect := range append([]core.Effect(nil), effects...) {
+		if cluster.digest != nil {
+			cluster.digest.add(cluster.test, cluster.now, node.name, effect)
 		}
-		if r, ok := y.carryOut(n, e); ok {
-			r.SentAt = y.now
-			n.results = append(n.results, r)
+		if result, ok := cluster.carryOut(node, effect); ok {
+			result.SentAt = cluster.now
+			node.results = append(node.results, result)
 		}
 	}
 }
 
-// pass lets time pass.
-func (y *scaleCluster) pass(d time.Duration) {
-	for end := y.now + d; y.now < end; {
-		y.now += scaleStep
-		y.store.AdvanceTo(y.now)
-		for _, n := range y.nodes {
-			if n.name == y.frozen {
+// runFor lets time pass.
+func (cluster *scaleCluster) runFor(d time.Duration) {
+	for end := cluster.now + d; cluster.now < end; {
+		cluster.now += scaleStep
+		cluster.store.AdvanceTo(cluster.now)
+		for _, node := range cluster.nodes {
+			if node.name == cluster.frozen {
 				continue
 			}
-			results := n.results
-			n.results, n.asked = nil, 0
-			for _, r := range results {
-				y.step(n, r)
+			results := node.results
+			node.results, node.workerCalls = nil, 0
+			for _, result := range results {
+				cluster.step(node, result)
 			}
-			watches := n.watches
-			n.watches = nil
+			watches := node.watches
+			node.watches = nil
 			for _, w := range watches {
-				ch, o := y.store.Changes(w.Prefix, w.After)
-				if len(ch.Events) == 0 && y.now-w.opened < w.Wait {
-					n.watches = append(n.watches, w)
+				ch, got := cluster.store.Changes(w.Prefix, w.After)
+				if len(ch.Events) == 0 && cluster.now-w.opened < w.Wait {
+					node.watches = append(node.watches, w)
 					continue
 				}
-				y.step(n, core.Result{CallID: w.CallID, Outcome: o, Changes: ch, SentAt: w.opened})
+				cluster.step(node, core.Result{CallID: w.CallID, Outcome: got, Changes: ch, SentAt: w.opened})
 			}
-			if n.core.Wake() <= y.now {
-				y.step(n, core.Tick{})
+			if node.core.Wake() <= cluster.now {
+				cluster.step(node, core.Tick{})
 			}
 		}
-		for _, w := range y.workers {
-			if !w.dead && w.up <= y.now {
-				w.live(y)
+		for _, worker := range cluster.workers {
+			if !worker.dead && worker.upAt <= cluster.now {
+				worker.advance(cluster)
 			}
 		}
 	}
 }
 
 // submit hands in a job. The first letter of its number tells what it is.
-func (y *scaleCluster) submit(j wire.Job) {
-	y.jobs++
-	y.req++
-	j.Class, j.CPUs, j.MemoryGB, j.Priority = "c", 4*j.GPUs, 20*j.GPUs, map[bool]wire.Priority{true: "standard", false: "prod"}[j.Kind == wire.KindArray]
-	j.ID = fmt.Sprintf("run-%s%05d", map[bool]string{true: "a", false: "0"}[j.Kind == wire.KindArray], y.jobs)
-	j.Team = fmt.Sprintf("t%d", y.jobs%12)
-	j.Image, j.ImageGB = fmt.Sprintf("img-%d", y.rnd.Intn(30)), 35
-	if j.Kind == wire.KindService {
-		y.live = append(y.live, j.ID)
+func (cluster *scaleCluster) submit(job wire.Job) {
+	cluster.submittedJobs++
+	cluster.lastRequest++
+	job.Class, job.CPUs, job.MemoryGB, job.Priority = "c", 4*job.GPUs, 20*job.GPUs, map[bool]wire.Priority{true: "standard", false: "prod"}[job.Kind == wire.KindArray]
+	job.ID = fmt.Sprintf("run-%s%05d", map[bool]string{true: "a", false: "0"}[job.Kind == wire.KindArray], cluster.submittedJobs)
+	job.Team = fmt.Sprintf("t%d", cluster.submittedJobs%12)
+	job.Image, job.ImageGB = fmt.Sprintf("img-%d", cluster.random.Intn(30)), 35
+	if job.Kind == wire.KindService {
+		cluster.liveServices = append(cluster.liveServices, job.ID)
 	} else {
-		j.EstimatedRunS, j.Spot, j.CheckpointIntervalS, j.CheckpointTimeS = 60, true, 15, 3
+		job.EstimatedRunS, job.Spot, job.CheckpointIntervalS, job.CheckpointTimeS = 60, true, 15, 3
 	}
-	y.hand(y.nodes[y.jobs%len(y.nodes)], &j)
+	cluster.submitAt(cluster.nodes[cluster.submittedJobs%len(cluster.nodes)], &job)
 }
 
-// hand has a user upload a job and submit it at a node.
-func (y *scaleCluster) hand(n *scaleNode, j *wire.Job) {
-	y.req++
-	y.specs[j.ID] = j
-	y.step(n, core.SubmitJob{RequestID: y.req << 16, Job: j})
+// submitAt has a user upload a job and submit it at a node.
+func (cluster *scaleCluster) submitAt(node *scaleNode, job *wire.Job) {
+	cluster.lastRequest++
+	cluster.specs[job.ID] = job
+	cluster.step(node, core.SubmitJob{RequestID: cluster.lastRequest << 16, Job: job})
 }
 
-// have brings machines up that were there before, in some zones in turn, or in the first one.
-func (y *scaleCluster) have(n int, zones ...string) {
+// addMachines brings machines up that were there before, in some zones in turn, or in the first one.
+func (cluster *scaleCluster) addMachines(n int, zones ...string) {
 	if len(zones) == 0 {
 		zones = []string{"z1"}
 	}
-	y.most += n
+	cluster.machineLimit += n
 	for i := range n {
-		y.rent(core.CloudScaleOut{Request: wire.ScaleOutRequest{Count: 1, Zone: zones[i%len(zones)]}})
+		cluster.scaleOut(core.CloudScaleOut{Request: wire.ScaleOutRequest{Count: 1, Zone: zones[i%len(zones)]}})
 	}
-	for _, w := range y.workers {
-		w.up = 0
+	for _, worker := range cluster.workers {
+		worker.upAt = 0
 	}
 }
 
-// crash ends the process of the node that leads, and starts it anew.
-func (y *scaleCluster) crash() {
-	for i, n := range y.nodes {
-		if n.core.PeerStatus().Leading {
-			y.start(i)
-			y.step(n, core.Tick{})
+// restartLeader ends the process of the node that leads, and starts it anew.
+func (cluster *scaleCluster) restartLeader() {
+	for i, node := range cluster.nodes {
+		if node.core.PeerStatus().Leading {
+			cluster.startNode(i)
+			cluster.step(node, core.Tick{})
 			return
 		}
 	}
-	y.t.Fatal("no node leads")
+	cluster.test.Fatal("no node leads")
 }
 
-// crashAny does the same, if a node leads.
-func (y *scaleCluster) crashAny() {
-	if y.leaderNode() != nil {
-		y.crash()
+// restartLeaderIfAny does the same, if a node leads.
+func (cluster *scaleCluster) restartLeaderIfAny() {
+	if cluster.leaderNode() != nil {
+		cluster.restartLeader()
 	}
 }
 
-// day plays a fleet that fills up and stays full.
-func (y *scaleCluster) day(services, arrays int, seconds int) {
+// playLoad plays a fleet that fills up and stays full.
+func (cluster *scaleCluster) playLoad(services, arrays int, seconds int) {
 	for i := 0; i < services; i++ {
-		y.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[i%5], GPUs: []float64{4, 2, 1, 1, 1}[i%5]})
+		cluster.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[i%5], GPUs: []float64{4, 2, 1, 1, 1}[i%5]})
 	}
 	for i := 0; i < arrays; i++ {
-		y.submit(wire.Job{Kind: wire.KindArray, Tasks: 30 + y.rnd.Intn(120), GPUs: 1})
+		cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 30 + cluster.random.Intn(120), GPUs: 1})
 	}
 	for s := 0; s < seconds; s++ {
-		y.pass(time.Second)
+		cluster.runFor(time.Second)
 		if s%3 == 0 {
-			y.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[s/3%5], GPUs: []float64{4, 2, 1, 1, 1}[s/3%5]})
-			if len(y.live) > services {
-				y.req++
-				y.step(y.nodes[s%len(y.nodes)], core.CancelJob{RequestID: y.req << 16, ID: y.live[0]})
-				y.live = y.live[1:]
+			cluster.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[s/3%5], GPUs: []float64{4, 2, 1, 1, 1}[s/3%5]})
+			if len(cluster.liveServices) > services {
+				cluster.lastRequest++
+				cluster.step(cluster.nodes[s%len(cluster.nodes)], core.CancelJob{RequestID: cluster.lastRequest << 16, ID: cluster.liveServices[0]})
+				cluster.liveServices = cluster.liveServices[1:]
 			}
 		}
 		if s%10 == 0 {
-			y.submit(wire.Job{Kind: wire.KindArray, Tasks: 30 + y.rnd.Intn(120), GPUs: 1})
+			cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 30 + cluster.random.Intn(120), GPUs: 1})
 		}
 	}
 }
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -14,11 +14,11 @@
 	tb         testing.TB
 	zones      map[string]string // of nodes
 	seed       uint64
-	simulation *sim // nil until the first line that needs it
+	simulation *simulation // nil until the first line that needs it
 }
 
 // playDay plays a script. It returns the simulation as it is in the end, and the rules that were broken.
-func playDay(tb testing.TB, script string) (*sim, []string) {
+func playDay(tb testing.TB, script string) (*simulation, []string) {
 	tb.Helper()
 	player := &scriptPlayer{tb: tb, zones: map[string]string{}, seed: 1}
 	for _, line := range strings.Split(script, "\n") {
@@ -29,7 +29,7 @@
 		player.read(words)
 	}
 	player.simulation.run()
-	return player.simulation, player.simulation.verdict()
+	return player.simulation, player.simulation.brokenRules()
 }
 
 // read takes a line of a script. Zones and seed are in effect only before all other lines.
@@ -46,7 +46,7 @@
 		return
 	}
 	if p.simulation == nil {
-		p.simulation = newSim(p.tb, p.seed, p.zones)
+		p.simulation = newSimulation(p.tb, p.seed, p.zones)
 	}
 	p.configure(words)
 }
@@ -66,9 +66,9 @@
 		if err != nil {
 			p.tb.Fatalf("not a number: %s", words[1])
 		}
-		p.simulation.perZone = machines
+		p.simulation.machinesPerZone = machines
 	case "calm":
-		p.simulation.calm = parseSeconds(p.tb, words[1])
+		p.simulation.faultsEnd = parseSeconds(p.tb, words[1])
 	case "end":
 		p.simulation.end = parseSeconds(p.tb, words[1])
 	default:
@@ -77,14 +77,14 @@
 }
 
 // prepare begins the day with nodes of the old version, or with limits to come in the settings.
-func (s *sim) prepare(words []string) {
+func (s *simulation) prepare(words []string) {
 	if words[0] == "next" {
-		s.set.Store.Next = nextLimits(s.t, words[1:])
+		s.params.Store.Next = nextLimits(s.tb, words[1:])
 	}
-	for _, n := range s.nodes {
-		n.old = n.old || words[0] == "old"
-		s.kill(n)
-		s.start(n)
+	for _, node := range s.nodes {
+		node.oldVersion = node.oldVersion || words[0] == "old"
+		s.killNode(node)
+		s.startNode(node)
 	}
 }
 
@@ -98,13 +98,13 @@
 }
 
 // plan takes a line of a script that says what happens at a time.
-func (s *sim) plan(at time.Duration, words []string) {
+func (s *simulation) plan(at time.Duration, words []string) {
 	switch words[0] {
 	case "submit":
 		job := s.newJob(words[1:])
-		job.at = at
+		job.submitAt = at
 		s.jobs = append(s.jobs, job)
-		s.at(at, func() { s.submit(job) })
+		s.at(at, func() { s.submitJob(job) })
 	case "cancel":
 		job := s.plannedJob(words[1])
 		s.at(at, func() { s.cancelJob(job) })
@@ -118,21 +118,21 @@
 }
 
 // plannedJob gives the job that an earlier line of the script submits.
-func (s *sim) plannedJob(id string) *simJob {
+func (s *simulation) plannedJob(id string) *simulatedJob {
 	for _, job := range s.jobs {
 		if job.spec.ID == id {
 			return job
 		}
 	}
-	s.t.Fatalf("no job %s", id)
+	s.tb.Fatalf("no job %s", id)
 	return nil
 }
 
 // cancelOnceComplete cancels a job, and submits it again, as soon as its last task has completed.
-func (s *sim) cancelOnceComplete(job *simJob) {
+func (s *simulation) cancelOnceComplete(job *simulatedJob) {
 	completed := 0
 	for i := range job.spec.Tasks {
-		if s.results[wire.TaskName(job.spec.ID, i)] {
+		if s.completedTasks[wire.TaskName(job.spec.ID, i)] {
 			completed++
 		}
 	}
@@ -141,29 +141,29 @@
 		return
 	}
 	s.cancelJob(job)
-	s.submit(job)
+	s.submitJob(job)
 }
 
 // newJob takes a job as in the other traces, and what the world has to know of it.
-func (s *sim) newJob(f []string) *simJob {
-	j := &simJob{runS: 20}
-	plain, team := []string{f[0]}, "green"
-	for _, kv := range f[1:] {
+func (s *simulation) newJob(words []string) *simulatedJob {
+	job := &simulatedJob{runSeconds: 20}
+	plain, team := []string{words[0]}, "green"
+	for _, kv := range words[1:] {
 		k, v, _ := strings.Cut(kv, "=")
 		switch k {
 		case "run":
-			j.runS = parseSeconds(s.t, v).Seconds()
+			job.runSeconds = parseSeconds(s.tb, v).Seconds()
 		case "faulty":
-			j.faulty = true
+			job.faulty = true
 		case "team":
 			team = v
 		default:
 			plain = append(plain, kv)
 		}
 	}
-	j.spec = (&traceHarness{t: s.t}).job(append(plain, "team="+team))
-	if j.spec.Kind == wire.KindArray {
-		j.spec.EstimatedRunS = j.runS
+	job.spec = (&traceHarness{tb: s.tb}).job(append(plain, "team="+team))
+	if job.spec.Kind == wire.KindArray {
+		job.spec.EstimatedRunS = job.runSeconds
 	}
-	return j
+	return job
 }
--- a/internal/core/search_test.go
+++ b/internal/core/search_test.go
@@ -17,9 +17,9 @@
 				return
 			}
 			t.Errorf("%s\n%s", strings.Join(broken, "\n"), script)
-			if *showIn != "" {
-				show(t, fmt.Sprintf("%d.trace", seed), script)
-				show(t, fmt.Sprintf("%d.all", seed), s.all.String())
+			if *showDirectory != "" {
+				writeShown(t, fmt.Sprintf("%d.trace", seed), script)
+				writeShown(t, fmt.Sprintf("%d.all", seed), s.journal.String())
 			}
 		})
 	}
@@ -29,7 +29,7 @@
 func TestSearchRepeats(t *testing.T) {
 	a, _ := playDay(t, randomDay(5))
 	b, _ := playDay(t, randomDay(5))
-	if a.all.String() != b.all.String() {
-		t.Error(firstDifference(a.all.String(), b.all.String()))
+	if a.journal.String() != b.journal.String() {
+		t.Error(firstDifference(a.journal.String(), b.journal.String()))
 	}
 }
--- a/internal/core/sim_links_test.go
+++ b/internal/core/sim_links_test.go
@@ -7,53 +7,55 @@
 	"bitternwing/internal/outcome"
 )
 
-// simPatience is after how long a node gives a call up, but for those to the cloud.
-const simPatience = time.Second
+// callTimeout is the timeout of a node's calls, but for those to the cloud.
+const callTimeout = time.Second
 
-func (s *sim) meet(zone, other string) bool {
-	return zone == other || !s.partition && s.zoneCut != zone && s.zoneCut != other
+// zonesConnected tells whether messages from one zone reach another.
+func (s *simulation) zonesConnected(zone, other string) bool {
+	return zone == other || !s.partitioned && s.isolatedZone != zone && s.isolatedZone != other
 }
 
-func (s *sim) stateReach(n *simNode) bool { return s.now >= n.noState && s.zoneCut != n.zone }
+func (s *simulation) reachesStore(node *simulatedNode) bool {
+	return s.now >= node.storeCutUntil && s.isolatedZone != node.zone
+}
 
-func (s *sim) peerReach(n, m *simNode) bool {
-	return s.now >= n.noPeers && s.now >= m.noPeers && s.meet(n.zone, m.zone)
+func (s *simulation) reachesPeer(node, peer *simulatedNode) bool {
+	return s.now >= node.peersCutUntil && s.now >= peer.peersCutUntil && s.zonesConnected(node.zone, peer.zone)
 }
 
-func (s *sim) workerReach(n *simNode, w *simWorker) bool {
-	return s.now >= n.noWorkers && s.meet(n.zone, w.zone)
+func (s *simulation) reachesWorker(node *simulatedNode, worker *simulatedWorker) bool {
+	return s.now >= node.workersCutUntil && s.zonesConnected(node.zone, worker.zone)
 }
 
-// deliver brings a message over a link. While the link is down it is lost, or held back and
-// delivered once it is up again.
-func (s *sim) deliver(reach func() bool, hold bool, do func()) {
+// deliver sends a message over a link. While the link is down the message is lost, or queued until the link is up.
+func (s *simulation) deliver(reach func() bool, queueWhileDown bool, action func()) {
 	if reach() {
-		s.after(s.latency(), do)
+		s.after(s.latency(), action)
 		return
 	}
-	if hold {
-		s.after(200*time.Millisecond, func() { s.deliver(reach, hold, do) })
+	if queueWhileDown {
+		s.after(200*time.Millisecond, func() { s.deliver(reach, queueWhileDown, action) })
 	}
 }
 
-// call makes a call of a node: the request goes over a link, is carried out there, and the
-// answer comes back. Whatever has not come after the node's patience is unknown.
-func (s *sim) call(n *simNode, id uint64, patience time.Duration, reach func() bool, hold bool, there func() (core.Result, bool)) {
-	life, sent := n.life, n.steady(s.now)
+// call makes a remote call of a node. A call without a response before the timeout has an unknown outcome, and a response
+// that arrives later is dropped.
+func (s *simulation) call(node *simulatedNode, id uint64, timeout time.Duration, reach func() bool, queueWhileDown bool, handle func() (core.Result, bool)) {
+	incarnation, sent := node.incarnation, node.steadyTime(s.now)
 	over := false
-	give := func(r core.Result) {
-		if over || n.life != life {
+	give := func(result core.Result) {
+		if over || node.incarnation != incarnation {
 			return
 		}
 		over = true
-		r.CallID, r.SentAt = id, sent
-		s.step(n, r)
+		result.CallID, result.SentAt = id, sent
+		s.deliverInput(node, result)
 	}
-	s.after(patience, func() { give(core.Result{Outcome: outcome.Unknown}) })
-	s.deliver(reach, hold, func() {
-		r, ok := there()
+	s.after(timeout, func() { give(core.Result{Outcome: outcome.Unknown}) })
+	s.deliver(reach, queueWhileDown, func() {
+		result, ok := handle()
 		if ok {
-			s.deliver(reach, false, func() { give(r) })
+			s.deliver(reach, false, func() { give(result) })
 		}
 	})
 }
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -11,182 +11,194 @@
 	"bitternwing/internal/wire"
 )
 
-type simNode struct {
-	name, zone string
-	core       *core.Core // nil while it is down
-	life       int        // counts processes
-	started    time.Duration
-	tick       time.Duration // when it is woken next
-	frozen     time.Duration // until then
-	// Until short it is short of processor time: each step takes it so long.
-	short    time.Duration
-	stepTime time.Duration
-	busy     time.Duration // with its last step, until then
-	results  []simInput    // of calls, that wait for it; taken before the others, as a node does
-	inputs   []simInput    // all others that wait
-	// What it is cut off from, and until when.
-	refused, noState, noPeers, noWorkers, noUsers time.Duration
-	req                                           uint64
-	waiting                                       map[uint64]func(core.Response)
-	reports                                       map[uint64]*wire.Heartbeat // that are yet to be answered
-	led                                           bool
-	old                                           bool // of the version before the second layout
-}
-
-func (s *sim) start(n *simNode) {
-	set := &config.Settings{Node: n.name, Zone: n.zone, Operator: config.DefaultOperator(), Params: s.set}
-	set.Operator.SpareShare = 0
-	if n.old {
-		set.Params.Store.Next = nil
+// simulatedNode is a node of a simulation, from one process to the next.
+type simulatedNode struct {
+	name, zone  string
+	core        *core.Core // nil while its process is down
+	incarnation int        // of its process
+	startedAt   time.Duration
+	nextTick    time.Duration
+	frozenUntil time.Duration
+	slowUntil   time.Duration // until then each step takes stepTime
+	stepTime    time.Duration
+	busyUntil   time.Duration // with the last step
+	results     []queuedInput // of calls; a node takes them before all other inputs
+	inputs      []queuedInput
+
+	storeRefusedUntil time.Duration
+	storeCutUntil     time.Duration
+	peersCutUntil     time.Duration
+	workersCutUntil   time.Duration
+	usersCutUntil     time.Duration
+
+	lastRequest uint64
+	waiting     map[uint64]func(core.Response) // what takes the response, by request
+	heartbeats  map[uint64]*wire.Heartbeat     // not answered yet, by request
+	wasLeading  bool
+	oldVersion  bool // of the version before the second layout of records
+}
+
+// startNode starts a node's process.
+func (s *simulation) startNode(node *simulatedNode) {
+	settings := &config.Settings{Node: node.name, Zone: node.zone, Operator: config.DefaultOperator(), Params: s.params}
+	settings.Operator.SpareShare = 0
+	if node.oldVersion {
+		settings.Params.Store.Next = nil
 	}
 	for _, p := range []string{"a", "b", "c"} {
-		if p != n.name {
-			set.Peers = append(set.Peers, config.Peer{Node: p, Zone: s.zones[p], Addr: "127.0.0.1:1"})
+		if p != node.name {
+			settings.Peers = append(settings.Peers, config.Peer{Node: p, Zone: s.zones[p], Addr: "127.0.0.1:1"})
 		}
 	}
-	n.life++
-	n.started, n.tick, n.led, n.busy = s.now, 0, false, 0
-	n.results, n.inputs = nil, nil
-	n.waiting = map[uint64]func(core.Response){}
-	n.reports = map[uint64]*wire.Heartbeat{}
-	n.core = core.New(set, fmt.Sprint(n.name, n.life))
-	s.step(n, core.Tick{})
+	node.incarnation++
+	node.startedAt, node.nextTick, node.wasLeading, node.busyUntil = s.now, 0, false, 0
+	node.results, node.inputs = nil, nil
+	node.waiting = map[uint64]func(core.Response){}
+	node.heartbeats = map[uint64]*wire.Heartbeat{}
+	node.core = core.New(settings, fmt.Sprint(node.name, node.incarnation))
+	s.deliverInput(node, core.Tick{})
 }
 
-func (s *sim) kill(n *simNode) {
-	if n.core != nil {
-		n.core = nil
-		n.life++
+// killNode ends a node's process.
+func (s *simulation) killNode(node *simulatedNode) {
+	if node.core != nil {
+		node.core = nil
+		node.incarnation++
 	}
 }
 
-func (n *simNode) steady(now time.Duration) time.Duration { return now - n.started + time.Second }
+// steadyTime gives the monotonic clock of a node's process.
+func (node *simulatedNode) steadyTime(now time.Duration) time.Duration {
+	return now - node.startedAt + time.Second
+}
 
-// simInput is an input that waits for a node. Whoever sent it has given it up after until; 0: nobody has.
-type simInput struct {
-	in    core.Input
-	at    time.Duration // when it came
-	until time.Duration
+// queuedInput is an input that waits for a node.
+type queuedInput struct {
+	input     core.Input
+	arrivedAt time.Duration
+	expiresAt time.Duration // when its sender gives it up; 0: never
 }
 
-// step hands a node an input; a frozen one, or one that is busy, gets it when it goes on.
-func (s *sim) step(n *simNode, in core.Input) { s.stepUntil(n, in, 0) }
+// deliverInput hands a node an input. It is queued while the node is frozen or busy.
+func (s *simulation) deliverInput(node *simulatedNode, input core.Input) {
+	s.deliverInputUntil(node, input, 0)
+}
 
-// stepUntil hands a node an input that is given up after a time.
-func (s *sim) stepUntil(n *simNode, in core.Input, until time.Duration) {
-	if n.core == nil {
+// deliverInputUntil hands a node an input that its sender gives up at a time; 0: never.
+func (s *simulation) deliverInputUntil(node *simulatedNode, input core.Input, until time.Duration) {
+	if node.core == nil {
 		return
 	}
-	if s.now >= max(n.frozen, n.busy) && len(n.results)+len(n.inputs) == 0 {
-		s.take(n, in, 0)
+	if s.now >= max(node.frozenUntil, node.busyUntil) && len(node.results)+len(node.inputs) == 0 {
+		s.stepNode(node, input, 0)
 		return
 	}
-	if len(n.results)+len(n.inputs) == 0 {
-		s.goOn(n)
+	if len(node.results)+len(node.inputs) == 0 {
+		s.resumeNode(node)
 	}
-	if _, ok := in.(core.Result); ok {
-		n.results = append(n.results, simInput{in, s.now, until})
+	if _, ok := input.(core.Result); ok {
+		node.results = append(node.results, queuedInput{input, s.now, until})
 	} else {
-		n.inputs = append(n.inputs, simInput{in, s.now, until})
+		node.inputs = append(node.inputs, queuedInput{input, s.now, until})
 	}
 }
 
-// goOn has a node take the inputs that wait once it is neither frozen nor busy: results first.
-func (s *sim) goOn(n *simNode) {
-	life := n.life
-	s.at(max(n.frozen, n.busy), func() {
-		if n.life != life {
+// resumeNode has a node take the queued inputs as soon as it is neither frozen nor busy.
+func (s *simulation) resumeNode(node *simulatedNode) {
+	incarnation := node.incarnation
+	s.at(max(node.frozenUntil, node.busyUntil), func() {
+		if node.incarnation != incarnation {
 			return
 		}
-		if s.now >= max(n.frozen, n.busy) {
-			in, waited := n.nextWaiting(s.now)
-			s.take(n, in, waited)
+		if s.now >= max(node.frozenUntil, node.busyUntil) {
+			input, waited := node.nextWaiting(s.now)
+			s.stepNode(node, input, waited)
 		}
-		if len(n.results)+len(n.inputs) > 0 {
-			s.goOn(n)
+		if len(node.results)+len(node.inputs) > 0 {
+			s.resumeNode(node)
 		}
 	})
 }
 
-// nextWaiting takes an input from those that wait; one that was given up only wakes the node.
-func (n *simNode) nextWaiting(now time.Duration) (core.Input, time.Duration) {
-	queue := &n.results
-	if len(n.results) == 0 {
-		queue = &n.inputs
+// nextWaiting removes the next input from the queues. One that its sender has given up only wakes the node.
+func (node *simulatedNode) nextWaiting(now time.Duration) (core.Input, time.Duration) {
+	queue := &node.results
+	if len(node.results) == 0 {
+		queue = &node.inputs
 	}
 	next := (*queue)[0]
 	*queue = (*queue)[1:]
-	if next.until != 0 && now >= next.until {
-		return core.Tick{}, now - next.at
+	if next.expiresAt != 0 && now >= next.expiresAt {
+		return core.Tick{}, now - next.arrivedAt
 	}
-	return next.in, now - next.at
+	return next.input, now - next.arrivedAt
 }
 
-// take has a node take an input now.
-func (s *sim) take(n *simNode, in core.Input, waited time.Duration) {
-	effects := n.core.Step(core.Time{Steady: n.steady(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), Waited: waited}, in)
-	if s.now < n.short {
-		n.busy = s.now + n.stepTime
+// stepNode has a node take an input now, and carries out the effects.
+func (s *simulation) stepNode(node *simulatedNode, input core.Input, waited time.Duration) {
+	effects := node.core.Step(core.Time{Steady: node.steadyTime(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), Waited: waited}, input)
+	if s.now < node.slowUntil {
+		node.busyUntil = s.now + node.stepTime
 	}
-	for _, e := range effects {
-		s.carryOut(n, e)
+	for _, effect := range effects {
+		s.carryOut(node, effect)
 	}
-	wake := max(n.core.Wake()-time.Second+n.started, s.now+time.Millisecond)
-	if n.tick <= s.now || wake < n.tick {
-		n.tick = wake
-		life := n.life
+	wake := max(node.core.Wake()-time.Second+node.startedAt, s.now+time.Millisecond)
+	if node.nextTick <= s.now || wake < node.nextTick {
+		node.nextTick = wake
+		incarnation := node.incarnation
 		s.at(wake, func() {
-			if n.life == life && n.tick == wake {
-				s.step(n, core.Tick{})
+			if node.incarnation == incarnation && node.nextTick == wake {
+				s.deliverInput(node, core.Tick{})
 			}
 		})
 	}
-	if leads := n.core.PeerStatus().Leading; leads != n.led {
-		n.led = leads
+	if leads := node.core.PeerStatus().Leading; leads != node.wasLeading {
+		node.wasLeading = leads
 		if leads {
-			s.say("%s leads term %d", n.name, n.core.PeerStatus().Term)
+			s.show("%s leads term %d", node.name, node.core.PeerStatus().Term)
 		} else {
-			s.say("%s leads no more", n.name)
+			s.show("%s leads no more", node.name)
 		}
 	}
 }
 
 // carryOut carries out an effect of a node.
-func (s *sim) carryOut(n *simNode, e core.Effect) {
-	s.digest.add(s.t, s.now, n.name, e)
-	switch e := e.(type) {
+func (s *simulation) carryOut(node *simulatedNode, effect core.Effect) {
+	s.digest.add(s.tb, s.now, node.name, effect)
+	switch e := effect.(type) {
 	case core.Response:
-		s.checkRenewal(n, e)
-		if receive := n.waiting[e.RequestID]; receive != nil {
-			delete(n.waiting, e.RequestID)
+		s.checkRenewal(node, e)
+		if receive := node.waiting[e.RequestID]; receive != nil {
+			delete(node.waiting, e.RequestID)
 			receive(e)
 		}
 	case core.Log:
-		s.keepLog(n, e)
+		s.recordLog(node, e)
 	case core.StoreTxn:
-		s.txn(n, e)
+		s.transact(node, e)
 	case core.StoreWatch:
-		s.openWatch(n, e)
+		s.openWatch(node, e)
 	case core.StoreGet, core.StoreList, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
-		s.storeCall(n, e)
+		s.carryOutStoreCall(node, e)
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
-		s.cloud(n, e)
+		s.carryOutCloudCall(node, e)
 	case core.SendCommands:
-		s.sendCommands(n, e)
+		s.sendCommands(node, e)
 	case core.QueryWorker:
-		s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
-			return core.Result{Outcome: outcome.OK, Heartbeat: *s.report(w)}
+		s.callWorker(node, e.CallID, e.Addr, func(worker *simulatedWorker) core.Result {
+			return core.Result{Outcome: outcome.OK, Heartbeat: *s.newHeartbeat(worker)}
 		})
 	case core.QueryPeer:
-		s.queryPeer(n, e)
+		s.queryPeer(node, e)
 	}
 }
 
-// keepLog keeps a line of a node's log, and shows when a machine is quarantined.
-func (s *sim) keepLog(n *simNode, e core.Log) {
-	s.note("%s: %s%s", n.name, e.Message, showFields(e.Fields))
-	if e.Message == "worker quarantined" {
-		s.say("%s: a machine is faulty", n.name)
+// recordLog records a line of a node's log. The kept traces show when a worker is quarantined.
+func (s *simulation) recordLog(node *simulatedNode, effect core.Log) {
+	s.record("%s: %s%s", node.name, effect.Message, showFields(effect.Fields))
+	if effect.Message == "worker quarantined" {
+		s.show("%s: a machine is faulty", node.name)
 	}
 }
 
@@ -200,42 +212,42 @@
 }
 
 // queryPeer has a node ask another one for its status, and hand it cancellations.
-func (s *sim) queryPeer(n *simNode, e core.QueryPeer) {
-	peer := s.node(e.Node)
-	reach := func() bool { return s.peerReach(n, peer) && s.now >= max(peer.frozen, peer.busy) }
-	s.call(n, e.CallID, simPatience, reach, true, func() (core.Result, bool) {
+func (s *simulation) queryPeer(node *simulatedNode, effect core.QueryPeer) {
+	peer := s.nodeNamed(effect.Node)
+	reach := func() bool { return s.reachesPeer(node, peer) && s.now >= max(peer.frozenUntil, peer.busyUntil) }
+	s.call(node, effect.CallID, callTimeout, reach, true, func() (core.Result, bool) {
 		if peer.core == nil {
 			return core.Result{Outcome: outcome.Unknown}, true
 		}
-		if len(e.Cancellations) > 0 {
-			peer.req++
-			s.step(peer, core.ReplicateCancellations{RequestID: peer.req, Cancellations: e.Cancellations})
+		if len(effect.Cancellations) > 0 {
+			peer.lastRequest++
+			s.deliverInput(peer, core.ReplicateCancellations{RequestID: peer.lastRequest, Cancellations: effect.Cancellations})
 		}
 		status := peer.core.PeerStatus()
-		if peer.old {
+		if peer.oldVersion {
 			status.RecordLayouts = 0
 		}
 		return core.Result{Outcome: outcome.OK, Peer: status}, true
 	})
 }
 
-func (s *sim) node(name string) *simNode {
-	for _, n := range s.nodes {
-		if n.name == name {
-			return n
+func (s *simulation) nodeNamed(name string) *simulatedNode {
+	for _, node := range s.nodes {
+		if node.name == name {
+			return node
 		}
 	}
-	s.t.Fatalf("no node %q", name)
+	s.tb.Fatalf("no node %q", name)
 	return nil
 }
 
 // leader is the node that leads, by the newest term; the first one if none does.
-func (s *sim) leader() *simNode {
+func (s *simulation) leader() *simulatedNode {
 	best, term := s.nodes[0], uint64(0)
-	for _, n := range s.nodes {
-		if n.core != nil {
-			if st := n.core.PeerStatus(); st.Leading && st.Term > term {
-				best, term = n, st.Term
+	for _, node := range s.nodes {
+		if node.core != nil {
+			if st := node.core.PeerStatus(); st.Leading && st.Term > term {
+				best, term = node, st.Term
 			}
 		}
 	}
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -7,154 +7,157 @@
 	"bitternwing/internal/outcome"
 )
 
-type simWatch struct {
-	n     *simNode
-	life  int
-	e     core.StoreWatch
-	until time.Duration
+// storeWatch is a watch of a node that the key-value store has not answered yet.
+type storeWatch struct {
+	node        *simulatedNode
+	incarnation int
+	request     core.StoreWatch
+	until       time.Duration
 }
 
-// storeCall carries out a node's call to the key-value store, but for transactions and watches.
-func (s *sim) storeCall(n *simNode, e core.Effect) {
-	switch e := e.(type) {
+// carryOutStoreCall carries out a node's call to the key-value store, but for transactions and watches.
+func (s *simulation) carryOutStoreCall(node *simulatedNode, effect core.Effect) {
+	switch e := effect.(type) {
 	case core.StoreGet:
-		s.stateCall(n, e.CallID, func() core.Result {
+		s.callStore(node, e.CallID, func() core.Result {
 			item, result := s.store.Get(e.Key)
 			return core.Result{Outcome: result, Item: item}
 		})
 	case core.StoreList:
-		s.stateCall(n, e.CallID, func() core.Result {
+		s.callStore(node, e.CallID, func() core.Result {
 			return core.Result{Outcome: outcome.OK, Page: s.store.List(e.Prefix, e.After, 50)}
 		})
 	case core.StoreGrantLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Lease: s.store.GrantLease(e.TTL)} })
+		s.callStore(node, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Lease: s.store.GrantLease(e.TTL)} })
 	case core.StoreRenewLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RenewLease(e.Lease)} })
+		s.callStore(node, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RenewLease(e.Lease)} })
 	case core.StoreRevokeLease:
-		s.stateCall(n, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RevokeLease(e.Lease)} })
+		s.callStore(node, e.CallID, func() core.Result { return core.Result{Outcome: s.store.RevokeLease(e.Lease)} })
 	}
 }
 
-func (s *sim) stateCall(n *simNode, id uint64, there func() core.Result) {
-	patience := simPatience
-	if s.now < n.refused || s.now < s.outage {
-		s.call(n, id, patience, func() bool { return s.stateReach(n) }, false,
+// callStore makes a call to the key-value store. One response in 400 is lost.
+func (s *simulation) callStore(node *simulatedNode, id uint64, handle func() core.Result) {
+	timeout := callTimeout
+	if s.now < node.storeRefusedUntil || s.now < s.storeOutageUntil {
+		s.call(node, id, timeout, func() bool { return s.reachesStore(node) }, false,
 			func() (core.Result, bool) { return core.Result{Outcome: outcome.Unavailable}, true })
 		return
 	}
 	slow := time.Duration(0)
-	if s.now < s.slowUntil {
-		slow = s.between(s.slow/4, s.slow)
+	if s.now < s.storeDelayUntil {
+		slow = s.between(s.storeDelay/4, s.storeDelay)
 	}
 	do := func() (core.Result, bool) {
-		if s.now < n.refused || s.now < s.outage {
+		if s.now < node.storeRefusedUntil || s.now < s.storeOutageUntil {
 			return core.Result{Outcome: outcome.Unavailable}, true
 		}
-		return there(), s.rnd.IntN(400) != 0
+		return handle(), s.random.IntN(400) != 0
 	}
 	if slow == 0 {
-		s.call(n, id, patience, func() bool { return s.stateReach(n) }, true, do)
+		s.call(node, id, timeout, func() bool { return s.reachesStore(node) }, true, do)
 		return
 	}
-	life, sent, over := n.life, n.steady(s.now), false
-	give := func(r core.Result) {
-		if !over && n.life == life {
+	incarnation, sent, over := node.incarnation, node.steadyTime(s.now), false
+	give := func(result core.Result) {
+		if !over && node.incarnation == incarnation {
 			over = true
-			r.CallID, r.SentAt = id, sent
-			s.step(n, r)
+			result.CallID, result.SentAt = id, sent
+			s.deliverInput(node, result)
 		}
 	}
-	s.after(patience, func() { give(core.Result{Outcome: outcome.Unknown}) })
+	s.after(timeout, func() { give(core.Result{Outcome: outcome.Unknown}) })
 	s.after(slow, func() {
-		r, ok := do()
-		if ok && s.stateReach(n) {
-			s.after(slow, func() { give(r) })
+		result, ok := do()
+		if ok && s.reachesStore(node) {
+			s.after(slow, func() { give(result) })
 		}
 	})
 }
 
-func (s *sim) txn(n *simNode, e core.StoreTxn) {
-	if len(e.Txn.Then) > s.set.Store.TxnOps || len(e.Txn.If) > 4*s.set.Store.TxnOps {
-		s.t.Errorf("a transaction of %d changes, %d conditions", len(e.Txn.Then), len(e.Txn.If))
+// transact commits a transaction. A share of transactions is committed late, after the node has given them up.
+func (s *simulation) transact(node *simulatedNode, effect core.StoreTxn) {
+	if len(effect.Txn.Then) > s.params.Store.TxnOps || len(effect.Txn.If) > 4*s.params.Store.TxnOps {
+		s.tb.Errorf("a transaction of %d changes, %d conditions", len(effect.Txn.Then), len(effect.Txn.If))
 	}
-	if s.lateWrites > 0 && s.rnd.Float64() < s.lateWrites && s.now >= n.refused && s.now >= s.outage {
+	if s.lateTransactionShare > 0 && s.random.Float64() < s.lateTransactionShare && s.now >= node.storeRefusedUntil && s.now >= s.storeOutageUntil {
 		var apply func()
 		apply = func() {
-			if s.now < s.outage {
+			if s.now < s.storeOutageUntil {
 				s.after(time.Second, apply)
 				return
 			}
-			_, o := s.store.Txn(e.Txn)
-			s.note("late transaction of %s: %s: %s", n.name, keysOf(e.Txn), o)
+			_, got := s.store.Txn(effect.Txn)
+			s.record("late transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), got)
 		}
 		s.after(s.between(2*time.Second, 12*time.Second), apply)
-		life := n.life
-		s.after(simPatience, func() {
-			if n.life == life {
-				s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown, SentAt: n.steady(s.now - simPatience)})
+		incarnation := node.incarnation
+		s.after(callTimeout, func() {
+			if node.incarnation == incarnation {
+				s.deliverInput(node, core.Result{CallID: effect.CallID, Outcome: outcome.Unknown, SentAt: node.steadyTime(s.now - callTimeout)})
 			}
 		})
 		return
 	}
-	s.stateCall(n, e.CallID, func() core.Result {
-		a, o := s.store.Txn(e.Txn)
-		if k := keysOf(e.Txn); k != "" {
-			s.note("%s: writes %s: %s", n.name, k, o)
+	s.callStore(node, effect.CallID, func() core.Result {
+		a, got := s.store.Txn(effect.Txn)
+		if k := showChangedKeys(effect.Txn); k != "" {
+			s.record("%s: writes %s: %s", node.name, k, got)
 		}
-		return core.Result{Outcome: o, Txn: a}
+		return core.Result{Outcome: got, Txn: a}
 	})
 }
 
-// openWatch has a node wait for changes. After a time without an answer, what has become of the watch is unknown.
-func (s *sim) openWatch(n *simNode, e core.StoreWatch) {
-	life := n.life
-	s.deliver(func() bool { return s.stateReach(n) }, true, func() {
-		if n.life == life {
-			s.watches = append(s.watches, &simWatch{n, life, e, s.now + e.Wait})
+// openWatch opens a watch. Without an answer before the timeout its outcome is unknown.
+func (s *simulation) openWatch(node *simulatedNode, effect core.StoreWatch) {
+	incarnation := node.incarnation
+	s.deliver(func() bool { return s.reachesStore(node) }, true, func() {
+		if node.incarnation == incarnation {
+			s.watches = append(s.watches, &storeWatch{node, incarnation, effect, s.now + effect.Wait})
 		}
 	})
-	s.after(e.Wait+2*simPatience, func() {
-		for i, w := range s.watches {
-			if w.n == n && w.life == life && w.e.CallID == e.CallID {
+	s.after(effect.Wait+2*callTimeout, func() {
+		for i, watch := range s.watches {
+			if watch.node == node && watch.incarnation == incarnation && watch.request.CallID == effect.CallID {
 				s.watches = append(s.watches[:i:i], s.watches[i+1:]...)
-				s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown})
+				s.deliverInput(node, core.Result{CallID: effect.CallID, Outcome: outcome.Unknown})
 				return
 			}
 		}
-		if n.life == life {
-			s.step(n, core.Result{CallID: e.CallID, Outcome: outcome.Unknown}) // ignored if it was answered
+		if node.incarnation == incarnation {
+			s.deliverInput(node, core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}) // ignored if it was answered
 		}
 	})
 }
 
-// answerWatches answers the watches that wait for a change that has come, or have waited long enough.
-func (s *sim) answerWatches() {
-	if s.now < s.outage {
+// answerWatches answers the watches that have a change, or have waited for as long as they asked to.
+func (s *simulation) answerWatches() {
+	if s.now < s.storeOutageUntil {
 		return
 	}
 	keep := s.watches[:0]
 	var ready []func()
-	for _, w := range s.watches {
-		if w.n.life != w.life {
+	for _, watch := range s.watches {
+		if watch.node.incarnation != watch.incarnation {
 			continue
 		}
-		if s.now < w.n.refused || !s.stateReach(w.n) {
-			keep = append(keep, w)
+		if s.now < watch.node.storeRefusedUntil || !s.reachesStore(watch.node) {
+			keep = append(keep, watch)
 			continue
 		}
-		ch, o := s.store.Changes(w.e.Prefix, w.e.After)
-		if len(ch.Events) == 0 && s.now < w.until {
-			keep = append(keep, w)
+		ch, got := s.store.Changes(watch.request.Prefix, watch.request.After)
+		if len(ch.Events) == 0 && s.now < watch.until {
+			keep = append(keep, watch)
 			continue
 		}
 		slow := time.Duration(0)
-		if s.now < s.slowUntil {
-			slow = s.between(0, s.slow)
+		if s.now < s.storeDelayUntil {
+			slow = s.between(0, s.storeDelay)
 		}
 		ready = append(ready, func() {
 			s.after(slow+s.latency(), func() {
-				if w.n.life == w.life {
-					s.step(w.n, core.Result{CallID: w.e.CallID, Outcome: o, Changes: ch})
+				if watch.node.incarnation == watch.incarnation {
+					s.deliverInput(watch.node, core.Result{CallID: watch.request.CallID, Outcome: got, Changes: ch})
 				}
 			})
 		})
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -7,29 +7,29 @@
 	"bitternwing/internal/wire"
 )
 
-type simJob struct {
-	spec     *wire.Job
-	at       time.Duration
-	cancelAt time.Duration // 0: never
-	runS     float64
-	faulty   bool // it fails wherever it runs
-	accepted bool
-	refused  int
-	told     wire.JobStatus
-	lastOK   time.Duration // when a question about it was last answered
+// simulatedJob is a job and what its user knows of it.
+type simulatedJob struct {
+	spec          *wire.Job
+	submitAt      time.Duration
+	cancelAt      time.Duration // 0: never
+	runSeconds    float64
+	faulty        bool // it fails wherever it runs
+	accepted      bool
+	refusedStatus int // 0: not refused
+	toldState     wire.JobStatus
+	answeredAt    time.Duration // when a request about it was last answered
 }
 
-// simUserPatience is after how long a node gives a user's request up.
-const simUserPatience = 1800 * time.Millisecond
+// userTimeout is after how long a node drops a user's request that waits for it.
+const userTimeout = 1800 * time.Millisecond
 
-// Users.
-
-// ask has a user ask some healthy node; the answer is status 0 if none came.
-func (s *sim) ask(in func(req uint64) core.Input, then func(status int, state wire.JobStatus)) {
-	s.askAt(nil, in, then)
+// askAnyNode sends a user's request to some healthy node; status 0 if there was no response.
+func (s *simulation) askAnyNode(in func(request uint64) core.Input, then func(status int, state wire.JobStatus)) {
+	s.askNode(nil, in, then)
 }
 
-func (s *sim) askAt(n *simNode, in func(req uint64) core.Input, then func(status int, state wire.JobStatus)) {
+// askNode sends a user's request to a node; nil: to some healthy one.
+func (s *simulation) askNode(node *simulatedNode, in func(request uint64) core.Input, then func(status int, state wire.JobStatus)) {
 	over := false
 	give := func(status int, state wire.JobStatus) {
 		if !over {
@@ -37,10 +37,10 @@
 			then(status, state)
 		}
 	}
-	if n == nil {
-		var up []*simNode
+	if node == nil {
+		var up []*simulatedNode
 		for _, x := range s.nodes {
-			if x.core != nil && s.zoneCut != x.zone && s.now >= x.noUsers && x.core.Healthy() {
+			if x.core != nil && s.isolatedZone != x.zone && s.now >= x.usersCutUntil && x.core.Healthy() {
 				up = append(up, x)
 			}
 		}
@@ -48,59 +48,60 @@
 			s.after(100*time.Millisecond, func() { give(0, "") })
 			return
 		}
-		n = up[s.rnd.IntN(len(up))]
+		node = up[s.random.IntN(len(up))]
 	}
 	sent := s.now
-	s.after(simUserPatience, func() { give(503, "") })
+	s.after(userTimeout, func() { give(503, "") })
 	s.after(s.latency(), func() {
-		if n.core == nil {
+		if node.core == nil {
 			give(0, "")
 			return
 		}
-		n.req++
-		n.waiting[n.req] = func(a core.Response) {
+		node.lastRequest++
+		node.waiting[node.lastRequest] = func(response core.Response) {
 			// What a standstill has made late is not told any more: see node.Ask.
 			s.after(s.latency(), func() {
 				st := wire.JobStatus("")
-				if js, ok := a.Body.(wire.JobState); ok {
+				if js, ok := response.Body.(wire.JobState); ok {
 					st = js.State
 				}
-				give(a.Status, st)
+				give(response.Status, st)
 			})
 		}
-		s.stepUntil(n, in(n.req), sent+simUserPatience)
+		s.deliverInputUntil(node, in(node.lastRequest), sent+userTimeout)
 	})
 }
 
-func (s *sim) submit(j *simJob) {
-	if !s.needsAccepted(j) {
-		s.after(100*time.Millisecond, func() { s.submit(j) })
+// submitJob has a user submit a job until there is a final response.
+func (s *simulation) submitJob(job *simulatedJob) {
+	if !s.dependenciesAccepted(job) {
+		s.after(100*time.Millisecond, func() { s.submitJob(job) })
 		return
 	}
-	s.ruleChecker.submits(j.spec)
-	spec, sent := *j.spec, s.now
-	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, userAnswer{sent, requestSubmit, j.spec.ID, status, state})
+	s.ruleChecker.recordSubmission(job.spec)
+	spec, sent := *job.spec, s.now
+	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestSubmit, job.spec.ID, status, state})
 		switch status {
 		case 200, 201:
-			if !j.accepted {
-				j.accepted, j.lastOK = true, s.now
-				s.after(s.between(time.Second, 5*time.Second), func() { s.poll(j) })
+			if !job.accepted {
+				job.accepted, job.answeredAt = true, s.now
+				s.after(s.between(time.Second, 5*time.Second), func() { s.pollJob(job) })
 			}
-			j.told = state
+			job.toldState = state
 		case 400, 422:
-			j.refused = status
+			job.refusedStatus = status
 		default:
-			s.after(time.Second, func() { s.submit(j) })
+			s.after(time.Second, func() { s.submitJob(job) })
 		}
 	})
 }
 
-// needsAccepted tells whether all jobs that a job needs are accepted: its user waits for that.
-func (s *sim) needsAccepted(j *simJob) bool {
-	for _, need := range j.spec.Dependencies {
-		for _, k := range s.jobs {
-			if k.spec.ID == need && !k.accepted {
+// dependenciesAccepted tells whether all jobs that a job needs are accepted: its user waits for that.
+func (s *simulation) dependenciesAccepted(job *simulatedJob) bool {
+	for _, need := range job.spec.Dependencies {
+		for _, dependency := range s.jobs {
+			if dependency.spec.ID == need && !dependency.accepted {
 				return false
 			}
 		}
@@ -108,134 +109,136 @@
 	return true
 }
 
-func (s *sim) poll(j *simJob) {
+// pollJob has a user poll a job at intervals.
+func (s *simulation) pollJob(job *simulatedJob) {
 	sent := s.now
-	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, j.spec.ID, status, state})
+	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, job.spec.ID, status, state})
 		if status == 200 {
-			if state != j.told && (state == wire.JobDone || state == wire.JobCancelled) {
-				s.say("poll of %s: %s", j.spec.ID, state)
+			if state != job.toldState && (state == wire.JobDone || state == wire.JobCancelled) {
+				s.show("poll of %s: %s", job.spec.ID, state)
 			}
-			j.told, j.lastOK = state, s.now
+			job.toldState, job.answeredAt = state, s.now
 		}
-		if s.now > s.calm+75*time.Second && s.now-j.lastOK > 75*time.Second && j.accepted {
-			s.ruleChecker.breaks(s.now, "forgotten", "no answer about %s since %.1f", j.spec.ID, j.lastOK.Seconds())
+		if s.now > s.faultsEnd+75*time.Second && s.now-job.answeredAt > 75*time.Second && job.accepted {
+			s.ruleChecker.report(s.now, "forgotten", "no answer about %s since %.1f", job.spec.ID, job.answeredAt.Seconds())
 		}
-		s.after(s.between(3*time.Second, 6*time.Second), func() { s.poll(j) })
+		s.after(s.between(3*time.Second, 6*time.Second), func() { s.pollJob(job) })
 	})
 }
 
-func (s *sim) cancelJob(j *simJob) {
-	if !j.accepted {
-		s.after(500*time.Millisecond, func() { s.cancelJob(j) })
+// cancelJob has a user cancel a job, once it is accepted, until there is a final response.
+func (s *simulation) cancelJob(job *simulatedJob) {
+	if !job.accepted {
+		s.after(500*time.Millisecond, func() { s.cancelJob(job) })
 		return
 	}
-	s.ruleChecker.submits(j.spec).asked = true
+	s.ruleChecker.recordSubmission(job.spec).cancelRequested = true
 	sent := s.now
-	s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, userAnswer{sent, requestCancel, j.spec.ID, status, state})
+	s.askAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestCancel, job.spec.ID, status, state})
 		if status == 200 {
-			s.say("cancel of %s: %s", j.spec.ID, state)
-			j.told = state
+			s.show("cancel of %s: %s", job.spec.ID, state)
+			job.toldState = state
 			return
 		}
 		if status != 404 && status != 400 {
-			s.after(s.between(time.Second, 1500*time.Millisecond), func() { s.cancelJob(j) })
+			s.after(s.between(time.Second, 1500*time.Millisecond), func() { s.cancelJob(job) })
 		}
 	})
 }
 
-// cancelRunning has the user of a job that runs, and of which no cancellation was asked yet, cancel it.
-func (s *sim) cancelRunning() {
-	var running []*simJob
-	for _, j := range s.jobs {
-		if known := s.ruleChecker.jobs[j.spec.ID]; j.accepted && !known.asked && j.cancelAt == 0 && s.runs(j) {
-			running = append(running, j)
+// cancelRunningJob has the user of a job that runs, and of which no cancellation was asked yet, cancel it.
+func (s *simulation) cancelRunningJob() {
+	var running []*simulatedJob
+	for _, job := range s.jobs {
+		if known := s.ruleChecker.jobs[job.spec.ID]; job.accepted && !known.cancelRequested && job.cancelAt == 0 && s.isRunning(job) {
+			running = append(running, job)
 		}
 	}
 	if len(running) > 0 {
-		s.cancelJob(running[s.rnd.IntN(len(running))])
+		s.cancelJob(running[s.random.IntN(len(running))])
 	}
 }
 
-// runs tells whether a task of a job is on a machine.
-func (s *sim) runs(j *simJob) bool {
-	for task := range j.spec.Tasks {
-		if len(s.ruleChecker.on[wire.TaskName(j.spec.ID, task)]) > 0 {
+// isRunning tells whether a task of a job is on a machine.
+func (s *simulation) isRunning(job *simulatedJob) bool {
+	for task := range job.spec.Tasks {
+		if len(s.ruleChecker.machinesByTask[wire.TaskName(job.spec.ID, task)]) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// pollOnce asks about some job, and counts the answers.
-func (s *sim) pollOnce() {
-	j, sent := s.jobs[s.rnd.IntN(len(s.jobs))], s.now
-	if !j.accepted {
+// pollOnce polls some job, and counts the responses by status.
+func (s *simulation) pollOnce() {
+	job, sent := s.jobs[s.random.IntN(len(s.jobs))], s.now
+	if !job.accepted {
 		return
 	}
-	if s.polled == nil {
-		s.polled = map[int]int{}
+	if s.pollStatuses == nil {
+		s.pollStatuses = map[int]int{}
 	}
-	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, j.spec.ID, status, state})
-		s.polled[status]++
+	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, job.spec.ID, status, state})
+		s.pollStatuses[status]++
 	})
 }
 
-// odd sends what must be refused, and repeats of what is known.
-func (s *sim) odd() {
+// sendOddRequests sends requests that must be refused, and idempotent repeats.
+func (s *simulation) sendOddRequests() {
 	sent := s.now
-	big := &simJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
-	s.ruleChecker.submits(big.spec)
-	s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: big.spec} }, func(status int, _ wire.JobStatus) {
+	big := &simulatedJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
+	s.ruleChecker.recordSubmission(big.spec)
+	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: big.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
-			s.ruleChecker.breaks(s.now, "odd", "a job that fits no machine gets %d", status)
+			s.ruleChecker.report(s.now, "odd", "a job that fits no machine gets %d", status)
 		}
 	})
-	s.ask(func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.told(s.now, userAnswer{sent, requestPoll, "run-999002", status, state})
+	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, "run-999002", status, state})
 	})
-	for _, j := range s.jobs {
-		if !j.accepted {
+	for _, job := range s.jobs {
+		if !job.accepted {
 			continue
 		}
-		spec := *j.spec
-		s.ask(func(req uint64) core.Input { return core.SubmitJob{RequestID: req, Job: &spec} }, func(status int, state wire.JobStatus) {
-			s.ruleChecker.told(s.now, userAnswer{sent, requestSubmit, j.spec.ID, status, state})
+		spec := *job.spec
+		s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
+			s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestSubmit, job.spec.ID, status, state})
 		})
-		if j.told == wire.JobDone {
-			s.ruleChecker.jobs[j.spec.ID].asked = true
-			s.ask(func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: j.spec.ID} }, func(status int, state wire.JobStatus) {
-				s.ruleChecker.told(s.now, userAnswer{sent, requestCancel, j.spec.ID, status, state})
+		if job.toldState == wire.JobDone {
+			s.ruleChecker.jobs[job.spec.ID].cancelRequested = true
+			s.askAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+				s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestCancel, job.spec.ID, status, state})
 			})
 		}
 	}
 }
 
-// verdict judges what must hold in the end: nothing waits, and nothing is forgotten.
-func (s *sim) verdict() []string {
-	j := s.ruleChecker
-	for _, x := range s.jobs {
-		y := j.jobs[x.spec.ID]
+// brokenRules gives the rules that were broken, with those of the end: no job is stuck, and none is forgotten.
+func (s *simulation) brokenRules() []string {
+	checker := s.ruleChecker
+	for _, job := range s.jobs {
+		dependency := checker.jobs[job.spec.ID]
 		switch {
-		case y == nil || x.refused != 0:
-		case !x.accepted:
-			j.breaks(s.now, "stuck", "%s is not accepted", x.spec.ID)
-		case j.calledOff(y) && y.final == "":
-			j.breaks(s.now, "stuck", "%s is not cancelled", x.spec.ID)
-		case j.calledOff(y) || y.asked || x.faulty:
-		case x.spec.Kind == wire.KindArray && y.final != wire.JobDone:
-			j.breaks(s.now, "stuck", "%s is not done: %d of %d tasks", x.spec.ID, len(y.done), x.spec.Tasks)
-		case x.spec.Kind != wire.KindArray:
+		case dependency == nil || job.refusedStatus != 0:
+		case !job.accepted:
+			checker.report(s.now, "stuck", "%s is not accepted", job.spec.ID)
+		case checker.cancellationRequested(dependency) && dependency.finalState == "":
+			checker.report(s.now, "stuck", "%s is not cancelled", job.spec.ID)
+		case checker.cancellationRequested(dependency) || dependency.cancelRequested || job.faulty:
+		case job.spec.Kind == wire.KindArray && dependency.finalState != wire.JobDone:
+			checker.report(s.now, "stuck", "%s is not done: %d of %d tasks", job.spec.ID, len(dependency.doneTasks), job.spec.Tasks)
+		case job.spec.Kind != wire.KindArray:
 			n := 0
-			for t := 0; t < x.spec.Tasks; t++ {
-				n += len(j.on[wire.TaskName(x.spec.ID, t)])
+			for t := 0; t < job.spec.Tasks; t++ {
+				n += len(checker.machinesByTask[wire.TaskName(job.spec.ID, t)])
 			}
-			if n != x.spec.Tasks {
-				j.breaks(s.now, "stuck", "%s has %d of %d replicas", x.spec.ID, n, x.spec.Tasks)
+			if n != job.spec.Tasks {
+				checker.report(s.now, "stuck", "%s has %d of %d replicas", job.spec.ID, n, job.spec.Tasks)
 			}
 		}
 	}
-	return j.broken
+	return checker.broken
 }
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -10,215 +10,227 @@
 	"bitternwing/internal/wire"
 )
 
-type simWorker struct {
-	name, zone   string
-	spot         bool
-	rentedAt     time.Duration
-	up           bool // the worker runs
-	gone         bool // released, taken, or it stopped
-	stopped      time.Duration
-	session, tly uint64
-	token        uint64
-	answered     time.Duration // when the last answered report was sent
-	hung         time.Duration // until then
-	deaf, mute   time.Duration
-	held         []func() // what came while it hung
-	tasks        map[string]*simTask
-	node         int
-	busy         bool // a report is on its way
-	next         time.Duration
-	lastSent     time.Duration
-	notice       bool
-	images       map[string]bool
-	sick         bool
-	gen          int
+// simulatedWorker is a machine and the worker on it.
+type simulatedWorker struct {
+	name, zone     string
+	spot           bool
+	rentedAt       time.Duration
+	up             bool // the worker runs
+	gone           bool // released, reclaimed or stopped
+	stoppedAt      time.Duration
+	incarnation    uint64
+	sequence       uint64 // of the last heartbeat
+	fencingToken   uint64 // the newest one that it has seen
+	leaseRenewedAt time.Duration
+	tasks          map[string]*simulatedTask // by attemptKey
+	images         map[string]bool
+
+	hungUntil     time.Duration
+	heldMessages  []func()      // that arrived while it hung
+	deafUntil     time.Duration // it receives nothing until then
+	muteUntil     time.Duration // its heartbeats reach nobody until then
+	reclaimNotice bool
+	faulty        bool // all tasks on it fail
+
+	nodeIndex         int // of the node that gets its heartbeats
+	heartbeatInFlight bool
+	nextHeartbeat     time.Duration
+	lastHeartbeat     time.Duration
+	generation        int // of heartbeats: responses to older ones are dropped
 }
 
-type simTask struct {
+// simulatedTask is an attempt of a task on a worker.
+type simulatedTask struct {
 	wire.TaskStatus
-	on  bool
-	gen int
+	onMachine  bool // the rule checker knows it to be there
+	generation int  // of its state: timers of older ones do nothing
 }
 
-// Workers.
-
-func (s *sim) direct(n *simNode, id uint64, addr string, there func(*simWorker) core.Result) {
-	w := s.byName[strings.TrimSuffix(addr, ":1")]
-	reach := func() bool { return w != nil && s.workerReach(n, w) && s.now >= w.deaf }
-	s.call(n, id, simPatience, reach, true, func() (core.Result, bool) {
-		if w.gone || !w.up {
+// callWorker makes a direct call of a node to a worker. A share of these calls is carried out late, or twice.
+func (s *simulation) callWorker(node *simulatedNode, id uint64, addr string, there func(*simulatedWorker) core.Result) {
+	worker := s.workerByName[strings.TrimSuffix(addr, ":1")]
+	reach := func() bool { return worker != nil && s.reachesWorker(node, worker) && s.now >= worker.deafUntil }
+	s.call(node, id, callTimeout, reach, true, func() (core.Result, bool) {
+		if worker.gone || !worker.up {
 			return core.Result{}, false
 		}
-		if s.now < w.hung {
-			w.held = append(w.held, func() { there(w) })
+		if s.now < worker.hungUntil {
+			worker.heldMessages = append(worker.heldMessages, func() { there(worker) })
 			return core.Result{}, false
 		}
-		s.expire(w)
-		if s.lateOrders > 0 && s.rnd.Float64() < s.lateOrders {
+		s.expireLease(worker)
+		if s.lateCommandShare > 0 && s.random.Float64() < s.lateCommandShare {
 			// Held up on the way for seconds, or carried out and repeated later.
 			s.after(s.between(time.Second, 12*time.Second), func() {
-				if w.up && s.now >= w.hung {
-					s.expire(w)
-					s.note("late orders at %s", w.name)
-					there(w)
+				if worker.up && s.now >= worker.hungUntil {
+					s.expireLease(worker)
+					s.record("late orders at %s", worker.name)
+					there(worker)
 				}
 			})
-			if s.rnd.IntN(2) == 0 {
+			if s.random.IntN(2) == 0 {
 				return core.Result{}, false
 			}
 		}
-		return there(w), true
+		return there(worker), true
 	})
 }
 
 // sendCommands sends a worker direct commands. It carries them out if they are for its incarnation, and their fencing
 // token is not older than the newest one that it has seen.
-func (s *sim) sendCommands(n *simNode, e core.SendCommands) {
-	s.note("%s: orders %s token %s%s", n.name, e.Addr, showToken(e.FencingToken), showCommands(e.Commands))
-	s.direct(n, e.CallID, e.Addr, func(w *simWorker) core.Result {
-		if e.FencingToken < w.token || e.Incarnation != w.session {
-			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.report(w)}
+func (s *simulation) sendCommands(node *simulatedNode, effect core.SendCommands) {
+	s.record("%s: orders %s token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
+	s.callWorker(node, effect.CallID, effect.Addr, func(worker *simulatedWorker) core.Result {
+		if effect.FencingToken < worker.fencingToken || effect.Incarnation != worker.incarnation {
+			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.newHeartbeat(worker)}
 		}
-		w.token = e.FencingToken
-		s.execute(w, e.Commands)
-		s.soon(w)
-		return core.Result{Outcome: outcome.OK, Heartbeat: *s.report(w)}
+		worker.fencingToken = effect.FencingToken
+		s.execute(worker, effect.Commands)
+		s.sendHeartbeatSoon(worker)
+		return core.Result{Outcome: outcome.OK, Heartbeat: *s.newHeartbeat(worker)}
 	})
 }
 
-func (s *sim) killTasks(w *simWorker) {
-	for _, k := range sortedKeys(w.tasks) {
-		s.leave(w, w.tasks[k], false)
+// killTasks ends all tasks of a worker, and forgets them.
+func (s *simulation) killTasks(worker *simulatedWorker) {
+	for _, k := range sortedKeys(worker.tasks) {
+		s.leaveMachine(worker, worker.tasks[k], false)
 	}
-	clear(w.tasks)
+	clear(worker.tasks)
 }
 
-func (s *sim) leave(w *simWorker, t *simTask, done bool) {
-	t.gen++
-	if t.on {
-		t.on = false
-		s.ruleChecker.ends(t.Task, w.name, done)
+// leaveMachine tells the rule checker that a task is on its machine no more.
+func (s *simulation) leaveMachine(worker *simulatedWorker, task *simulatedTask, done bool) {
+	task.generation++
+	if task.onMachine {
+		task.onMachine = false
+		s.ruleChecker.recordEnd(task.Task, worker.name, done)
 	}
 }
 
-// expire ends a session whose lease is over.
-func (s *sim) expire(w *simWorker) {
-	if s.now-w.answered <= simLease {
+// expireLease ends the incarnation of a worker whose lease has expired.
+func (s *simulation) expireLease(worker *simulatedWorker) {
+	if s.now-worker.leaseRenewedAt <= workerLease {
 		return
 	}
-	if len(w.tasks) > 0 {
-		s.say("%s loses its lease with %d tasks", w.name, len(w.tasks))
+	if len(worker.tasks) > 0 {
+		s.show("%s loses its lease with %d tasks", worker.name, len(worker.tasks))
 	}
-	s.killTasks(w)
-	w.session++
-	w.answered = s.now
-	s.soon(w)
+	s.killTasks(worker)
+	worker.incarnation++
+	worker.leaseRenewedAt = s.now
+	s.sendHeartbeatSoon(worker)
 }
 
-// work is a worker's own clock.
-func (s *sim) work(w *simWorker) {
-	if w.gone {
+// runWorker runs a worker's loop: it checks its lease and sends heartbeats when they are due.
+func (s *simulation) runWorker(worker *simulatedWorker) {
+	if worker.gone {
 		return
 	}
-	s.after(50*time.Millisecond, func() { s.work(w) })
-	if s.now < w.hung {
+	s.after(50*time.Millisecond, func() { s.runWorker(worker) })
+	if s.now < worker.hungUntil {
 		return
 	}
-	s.expire(w)
-	for _, f := range w.held {
+	s.expireLease(worker)
+	for _, f := range worker.heldMessages {
 		f()
 	}
-	w.held = nil
-	if !w.busy && s.now >= w.next {
-		s.checkin(w)
+	worker.heldMessages = nil
+	if !worker.heartbeatInFlight && s.now >= worker.nextHeartbeat {
+		s.sendHeartbeat(worker)
 	}
 }
 
-// soon has a worker report as early as it may.
-func (s *sim) soon(w *simWorker) { w.next = min(w.next, w.lastSent+500*time.Millisecond) }
+// sendHeartbeatSoon has a worker send its next heartbeat as early as the protocol allows.
+func (s *simulation) sendHeartbeatSoon(worker *simulatedWorker) {
+	worker.nextHeartbeat = min(worker.nextHeartbeat, worker.lastHeartbeat+500*time.Millisecond)
+}
 
-func (s *sim) report(w *simWorker) *wire.Heartbeat {
-	w.tly++
-	r := &wire.Heartbeat{Machine: w.name, Addr: w.name + ":1", Type: "g8", Zone: w.zone, Spot: w.spot, Incarnation: w.session, Sequence: w.tly, FencingToken: w.token}
-	if w.notice {
+// newHeartbeat gives a worker's next heartbeat.
+func (s *simulation) newHeartbeat(worker *simulatedWorker) *wire.Heartbeat {
+	worker.sequence++
+	heartbeat := &wire.Heartbeat{Machine: worker.name, Addr: worker.name + ":1", Type: "g8", Zone: worker.zone, Spot: worker.spot, Incarnation: worker.incarnation, Sequence: worker.sequence, FencingToken: worker.fencingToken}
+	if worker.reclaimNotice {
 		left := 5.0
-		r.ReclaimNoticeS = &left
+		heartbeat.ReclaimNoticeS = &left
 	}
-	for _, k := range sortedKeys(w.tasks) {
-		r.Tasks = append(r.Tasks, w.tasks[k].TaskStatus)
+	for _, k := range sortedKeys(worker.tasks) {
+		heartbeat.Tasks = append(heartbeat.Tasks, worker.tasks[k].TaskStatus)
 	}
-	return r
+	return heartbeat
 }
 
-// simWorkerPatience is after how long a node gives a worker's report up.
-const simWorkerPatience = 3 * time.Second
+// workerTimeout is after how long a node drops a heartbeat that waits for it.
+const workerTimeout = 3 * time.Second
 
-func (s *sim) checkin(w *simWorker) {
-	n := s.nodes[w.node]
-	r := s.report(w)
-	w.busy, w.lastSent = true, s.now
-	w.next = s.now + s.between(simReport*3/4, simReport*5/4)
-	w.gen++
-	gen, sent := w.gen, s.now
+// sendHeartbeat sends a heartbeat to the worker's node. On a failure the next one goes to the next node.
+func (s *simulation) sendHeartbeat(worker *simulatedWorker) {
+	node := s.nodes[worker.nodeIndex]
+	heartbeat := s.newHeartbeat(worker)
+	worker.heartbeatInFlight, worker.lastHeartbeat = true, s.now
+	worker.nextHeartbeat = s.now + s.between(heartbeatInterval*3/4, heartbeatInterval*5/4)
+	worker.generation++
+	generation, sent := worker.generation, s.now
 	elsewhere := func(d time.Duration) {
-		w.busy = false
-		w.node = (w.node + 1) % len(s.nodes)
-		w.next = s.now + d
+		worker.heartbeatInFlight = false
+		worker.nodeIndex = (worker.nodeIndex + 1) % len(s.nodes)
+		worker.nextHeartbeat = s.now + d
 	}
 	s.after(4*time.Second, func() {
-		if w.busy && w.gen == gen {
+		if worker.heartbeatInFlight && worker.generation == generation {
 			elsewhere(time.Second)
 		}
 	})
-	reach := func() bool { return s.workerReach(n, w) && s.now >= w.mute }
-	if s.lateReports > 0 && s.rnd.Float64() < s.lateReports {
+	reach := func() bool { return s.reachesWorker(node, worker) && s.now >= worker.muteUntil }
+	if s.lateHeartbeatShare > 0 && s.random.Float64() < s.lateHeartbeatShare {
 		s.after(s.between(2*time.Second, 15*time.Second), func() {
-			if n := s.nodes[s.rnd.IntN(len(s.nodes))]; n.core != nil {
-				s.handReport(n, r, nil)
+			if node := s.nodes[s.random.IntN(len(s.nodes))]; node.core != nil {
+				s.deliverHeartbeat(node, heartbeat, nil)
 			}
 		})
 	}
 	s.deliver(reach, true, func() {
-		if n.core == nil {
-			if w.gen == gen && w.busy {
+		if node.core == nil {
+			if worker.generation == generation && worker.heartbeatInFlight {
 				elsewhere(time.Second) // refused
 			}
 			return
 		}
-		s.handReport(n, r, func(a core.Response) {
-			s.deliver(func() bool { return s.workerReach(n, w) && s.now >= w.deaf }, false, func() {
-				s.answerTo(w, n, a, gen, sent, r.Incarnation, elsewhere)
+		s.deliverHeartbeat(node, heartbeat, func(response core.Response) {
+			s.deliver(func() bool { return s.reachesWorker(node, worker) && s.now >= worker.deafUntil }, false, func() {
+				s.receiveHeartbeatResponse(worker, node, response, generation, sent, heartbeat.Incarnation, elsewhere)
 			})
 		})
 	})
 }
 
-// handReport hands a copy of a report to a node that is there; then, if there is one, gets the answer.
-func (s *sim) handReport(n *simNode, r *wire.Heartbeat, then func(core.Response)) {
-	n.req++
+// deliverHeartbeat hands a copy of a heartbeat to a node that runs. The response goes to then, unless that is nil.
+func (s *simulation) deliverHeartbeat(node *simulatedNode, heartbeat *wire.Heartbeat, then func(core.Response)) {
+	node.lastRequest++
 	if then != nil {
-		n.waiting[n.req] = then
+		node.waiting[node.lastRequest] = then
 	}
-	copied := *r
-	copied.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
-	n.reports[n.req] = &copied
-	s.stepUntil(n, core.WorkerHeartbeat{RequestID: n.req, Heartbeat: &copied}, s.now+simWorkerPatience)
+	copied := *heartbeat
+	copied.Tasks = append([]wire.TaskStatus(nil), heartbeat.Tasks...)
+	node.heartbeats[node.lastRequest] = &copied
+	s.deliverInputUntil(node, core.WorkerHeartbeat{RequestID: node.lastRequest, Heartbeat: &copied}, s.now+workerTimeout)
 }
 
-func (s *sim) answerTo(w *simWorker, n *simNode, a core.Response, gen int, sent time.Duration, session uint64, elsewhere func(time.Duration)) {
-	if w.gone || w.gen != gen || !w.busy {
+// receiveHeartbeatResponse renews the worker's lease and carries out commands, or follows a redirect to the leader.
+func (s *simulation) receiveHeartbeatResponse(worker *simulatedWorker, node *simulatedNode, response core.Response, generation int, sent time.Duration, incarnation uint64, elsewhere func(time.Duration)) {
+	if worker.gone || worker.generation != generation || !worker.heartbeatInFlight {
 		return
 	}
-	if s.now < w.hung {
+	if s.now < worker.hungUntil {
 		return // dropped after four seconds, or read late: the page says they are never executed late
 	}
-	s.expire(w)
-	if a.Status != 200 {
+	s.expireLease(worker)
+	if response.Status != 200 {
 		d := time.Second
-		if to, ok := a.Body.(wire.Redirect); ok && a.Status == 421 && to.Leader != "" && to.Leader != n.name {
-			for i, m := range s.nodes {
-				if m.name == to.Leader {
-					w.busy, w.node, w.next = false, i, s.now+s.between(0, 500*time.Millisecond)
+		if to, ok := response.Body.(wire.Redirect); ok && response.Status == 421 && to.Leader != "" && to.Leader != node.name {
+			for i, peer := range s.nodes {
+				if peer.name == to.Leader {
+					worker.heartbeatInFlight, worker.nodeIndex, worker.nextHeartbeat = false, i, s.now+s.between(0, 500*time.Millisecond)
 					return
 				}
 			}
@@ -226,80 +238,82 @@
 		elsewhere(d)
 		return
 	}
-	w.busy = false
-	ra, ok := a.Body.(wire.HeartbeatResponse)
-	if !ok || session != w.session || ra.FencingToken < w.token {
+	worker.heartbeatInFlight = false
+	body, ok := response.Body.(wire.HeartbeatResponse)
+	if !ok || incarnation != worker.incarnation || body.FencingToken < worker.fencingToken {
 		return
 	}
-	if ra.FencingToken > w.token {
-		s.soon(w)
+	if body.FencingToken > worker.fencingToken {
+		s.sendHeartbeatSoon(worker)
 	}
-	w.token, w.answered = ra.FencingToken, max(w.answered, sent)
-	if len(ra.Commands) > 0 {
-		s.note("%s: answers %s token %s%s", n.name, w.name, showToken(ra.FencingToken), showCommands(ra.Commands))
+	worker.fencingToken, worker.leaseRenewedAt = body.FencingToken, max(worker.leaseRenewedAt, sent)
+	if len(body.Commands) > 0 {
+		s.record("%s: answers %s token %s%s", node.name, worker.name, showToken(body.FencingToken), showCommands(body.Commands))
 	}
-	s.execute(w, ra.Commands)
+	s.execute(worker, body.Commands)
 }
 
 // attemptKey names an attempt of a task.
 func attemptKey(task string, attempt uint64) string { return fmt.Sprint(task, "#", attempt) }
 
-func (s *sim) execute(w *simWorker, cmds []wire.Command) {
-	for _, c := range cmds {
-		key := attemptKey(c.Task, c.Attempt)
-		t := w.tasks[key]
-		switch c.Op {
+// execute carries out commands as the worker protocol says.
+func (s *simulation) execute(worker *simulatedWorker, commands []wire.Command) {
+	for _, command := range commands {
+		key := attemptKey(command.Task, command.Attempt)
+		task := worker.tasks[key]
+		switch command.Op {
 		case wire.OpStart:
-			if t == nil {
-				s.begin(w, key, c)
+			if task == nil {
+				s.startTask(worker, key, command)
 			}
 		case wire.OpStop:
-			if t == nil || t.State == wire.TaskExited {
+			if task == nil || task.State == wire.TaskExited {
 				break
 			}
-			if j := s.jobOf(t.Task); t.State == wire.TaskRunning && j != nil && j.spec.CheckpointIntervalS > 0 && c.GracePeriodS != nil && *c.GracePeriodS >= j.spec.CheckpointTimeS {
-				t.State = wire.TaskCheckpointing
-				t.gen++
-				gen := t.gen
-				s.after(time.Duration(j.spec.CheckpointTimeS*float64(time.Second)), func() {
-					if t.gen == gen {
-						s.exit(w, t, wire.CauseStopped)
+			if job := s.jobOf(task.Task); task.State == wire.TaskRunning && job != nil && job.spec.CheckpointIntervalS > 0 && command.GracePeriodS != nil && *command.GracePeriodS >= job.spec.CheckpointTimeS {
+				task.State = wire.TaskCheckpointing
+				task.generation++
+				generation := task.generation
+				s.after(time.Duration(job.spec.CheckpointTimeS*float64(time.Second)), func() {
+					if task.generation == generation {
+						s.exitTask(worker, task, wire.CauseStopped)
 					}
 				})
 				break
 			}
-			s.exit(w, t, wire.CauseStopped)
+			s.exitTask(worker, task, wire.CauseStopped)
 		case wire.OpForget:
-			if t != nil && t.State == wire.TaskExited {
-				delete(w.tasks, key)
+			if task != nil && task.State == wire.TaskExited {
+				delete(worker.tasks, key)
 			}
 		}
 	}
-	s.soon(w)
+	s.sendHeartbeatSoon(worker)
 }
 
-func (s *sim) jobOf(task string) *simJob {
+func (s *simulation) jobOf(task string) *simulatedJob {
 	id, _, _ := wire.ParseTaskName(task)
-	for _, j := range s.jobs {
-		if j.spec.ID == id {
-			return j
+	for _, job := range s.jobs {
+		if job.spec.ID == id {
+			return job
 		}
 	}
 	return nil
 }
 
-func (s *sim) begin(w *simWorker, key string, c wire.Command) {
-	t := &simTask{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
-	w.tasks[key] = t
-	j := s.jobOf(c.Task)
+// startTask fetches the image and runs a task, or refuses it.
+func (s *simulation) startTask(worker *simulatedWorker, key string, command wire.Command) {
+	task := &simulatedTask{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
+	worker.tasks[key] = task
+	job := s.jobOf(command.Task)
 	used := 0.0
-	for _, k := range sortedKeys(w.tasks) {
-		o := w.tasks[k]
-		if o == t || o.State == wire.TaskExited {
+	for _, k := range sortedKeys(worker.tasks) {
+		o := worker.tasks[k]
+		if o == task || o.State == wire.TaskExited {
 			continue
 		}
-		if o.Task == c.Task {
-			s.exit(w, t, wire.CauseBusy)
+		if o.Task == command.Task {
+			s.exitTask(worker, task, wire.CauseBusy)
 			return
 		}
 		if x := s.jobOf(o.Task); x != nil {
@@ -307,64 +321,65 @@
 		}
 	}
 	switch {
-	case j == nil:
-		s.exit(w, t, wire.CauseUnknownTask)
+	case job == nil:
+		s.exitTask(worker, task, wire.CauseUnknownTask)
 		return
-	case used+j.spec.GPUs > 8:
-		s.exit(w, t, wire.CauseNoCapacity)
+	case used+job.spec.GPUs > 8:
+		s.exitTask(worker, task, wire.CauseNoCapacity)
 		return
 	}
 	fetch := 100 * time.Millisecond
-	if !w.images[j.spec.Image] {
+	if !worker.images[job.spec.Image] {
 		fetch = s.between(2*time.Second, 4*time.Second)
 	}
-	gen := t.gen
-	s.resume(w, t, gen, fetch, func() {
-		w.images[j.spec.Image] = true
-		t.State, t.on = wire.TaskRunning, true
-		s.say("%s starts %s#%d", w.name, t.Task, t.Attempt)
-		s.ruleChecker.starts(s.now, taskStart{t.Task, w.name, "g8", w.zone, w.spot})
-		s.soon(w)
-		run := time.Duration(j.runS * (0.8 + 0.4*s.rnd.Float64()) * float64(time.Second))
+	generation := task.generation
+	s.runLater(worker, task, generation, fetch, func() {
+		worker.images[job.spec.Image] = true
+		task.State, task.onMachine = wire.TaskRunning, true
+		s.show("%s starts %s#%d", worker.name, task.Task, task.Attempt)
+		s.ruleChecker.recordStart(s.now, taskStart{task.Task, worker.name, "g8", worker.zone, worker.spot})
+		s.sendHeartbeatSoon(worker)
+		run := time.Duration(job.runSeconds * (0.8 + 0.4*s.random.Float64()) * float64(time.Second))
 		switch {
-		case s.results[t.Task]:
-			s.exit(w, t, wire.CauseDone)
-		case j.faulty || w.sick:
-			s.resume(w, t, t.gen, 300*time.Millisecond, func() { s.exit(w, t, wire.CauseError) })
-		case j.spec.Kind == wire.KindArray:
-			s.resume(w, t, t.gen, run, func() { s.exit(w, t, wire.CauseDone) })
+		case s.completedTasks[task.Task]:
+			s.exitTask(worker, task, wire.CauseDone)
+		case job.faulty || worker.faulty:
+			s.runLater(worker, task, task.generation, 300*time.Millisecond, func() { s.exitTask(worker, task, wire.CauseError) })
+		case job.spec.Kind == wire.KindArray:
+			s.runLater(worker, task, task.generation, run, func() { s.exitTask(worker, task, wire.CauseDone) })
 		}
 	})
 }
 
-// resume does something on a machine after a time in which it does not hang.
-func (s *sim) resume(w *simWorker, t *simTask, gen int, d time.Duration, do func()) {
+// runLater does something on a machine after a delay, and not while the machine hangs.
+func (s *simulation) runLater(worker *simulatedWorker, task *simulatedTask, generation int, d time.Duration, action func()) {
 	s.after(d, func() {
-		if t.gen != gen || w.gone {
+		if task.generation != generation || worker.gone {
 			return
 		}
-		if s.now < w.hung {
-			s.resume(w, t, gen, w.hung-s.now+time.Millisecond, do)
+		if s.now < worker.hungUntil {
+			s.runLater(worker, task, generation, worker.hungUntil-s.now+time.Millisecond, action)
 			return
 		}
-		s.expire(w)
-		if t.gen == gen {
-			do()
+		s.expireLease(worker)
+		if task.generation == generation {
+			action()
 		}
 	})
 }
 
-func (s *sim) exit(w *simWorker, t *simTask, why wire.ExitCause) {
-	if t.State == wire.TaskExited {
+// exitTask ends a task; the worker keeps its status until it is told to forget it.
+func (s *simulation) exitTask(worker *simulatedWorker, task *simulatedTask, cause wire.ExitCause) {
+	if task.State == wire.TaskExited {
 		return
 	}
-	t.State, t.Cause = wire.TaskExited, why
-	if why == wire.CauseDone {
-		s.results[t.Task] = true
+	task.State, task.Cause = wire.TaskExited, cause
+	if cause == wire.CauseDone {
+		s.completedTasks[task.Task] = true
 	}
-	if why == wire.CauseStopped && t.on {
-		s.say("%s stops %s#%d", w.name, t.Task, t.Attempt)
+	if cause == wire.CauseStopped && task.onMachine {
+		s.show("%s stops %s#%d", worker.name, task.Task, task.Attempt)
 	}
-	s.leave(w, t, why == wire.CauseDone)
-	s.soon(w)
+	s.leaveMachine(worker, task, cause == wire.CauseDone)
+	s.sendHeartbeatSoon(worker)
 }
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -11,156 +11,158 @@
 )
 
 // carryOut carries out an effect of a node; true if it has a result.
-func (w *traceHarness) carryOut(n *node, e core.Effect) (core.Result, bool) {
-	switch e := e.(type) {
+func (harness *traceHarness) carryOut(node *traceNode, effect core.Effect) (core.Result, bool) {
+	switch e := effect.(type) {
 	case core.Response:
-		w.answer(n, e)
+		harness.showResponse(node, e)
 	case core.Log:
 		if e.Level > core.Debug {
-			w.say(n, "log %s%s", e.Message, showFields(e.Fields))
+			harness.show(node, "log %s%s", e.Message, showFields(e.Fields))
 		}
 	case core.StoreWatch:
-		n.watches = append(n.watches, e)
-		n.opened = w.now
+		node.watches = append(node.watches, e)
+		node.watchesOpenedAt = harness.now
 	case core.StoreTxn:
-		return w.txn(n, e), true
+		return harness.transact(node, e), true
 	case core.StoreGet, core.StoreList:
-		return w.readStore(n, e), true
+		return harness.readStore(node, e), true
 	case core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
-		return w.callLease(n, e), true
+		return harness.callLease(node, e), true
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
-		return w.callCloud(n, e), true
+		return harness.callCloud(node, e), true
 	case core.SendCommands:
-		return w.sendCommands(n, e), true
+		return harness.sendCommands(node, e), true
 	case core.QueryWorker:
-		return w.queryWorker(n, e), true
+		return harness.queryWorker(node, e), true
 	case core.QueryPeer:
-		return w.queryPeer(n, e), true
+		return harness.queryPeer(node, e), true
 	}
 	return core.Result{}, false
 }
 
-func (w *traceHarness) refused(n *node) bool { return w.outage || n.mode == "refuse" }
+func (harness *traceHarness) refused(node *traceNode) bool {
+	return harness.outage || node.storeMode == "refuse"
+}
 
 // received gives what a node gets of the result of a request other than a transaction: it may be refused, dropped, or lost.
-func (w *traceHarness) received(n *node, result core.Result) core.Result {
+func (harness *traceHarness) received(node *traceNode, result core.Result) core.Result {
 	switch {
-	case w.refused(n):
+	case harness.refused(node):
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unavailable}
-	case n.mode == "hold" || n.mode == "lose":
+	case node.storeMode == "hold" || node.storeMode == "lose":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unknown}
-	case n.mode == "limit":
+	case node.storeMode == "limit":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Dropped}
 	}
 	return result
 }
 
-// txn carries out a transaction, unless the node's mode prevents that.
-func (w *traceHarness) txn(n *node, e core.StoreTxn) core.Result {
-	w.withinLimits(e.Txn)
-	result := core.Result{CallID: e.CallID}
+// transact carries out a transaction, unless the node's mode prevents that.
+func (harness *traceHarness) transact(node *traceNode, effect core.StoreTxn) core.Result {
+	harness.checkTransactionLimits(effect.Txn)
+	result := core.Result{CallID: effect.CallID}
 	switch {
-	case w.refused(n):
+	case harness.refused(node):
 		result.Outcome = outcome.Unavailable
-	case n.mode == "limit":
+	case node.storeMode == "limit":
 		result.Outcome = outcome.Dropped
-	case n.mode == "hold" || n.mode == "slow":
-		n.held = append(n.held, e)
+	case node.storeMode == "hold" || node.storeMode == "slow":
+		node.heldTransactions = append(node.heldTransactions, effect)
 		result.Outcome = outcome.Unknown
 	default:
-		result.Txn, result.Outcome = w.store.Txn(e.Txn)
-		if n.mode == "lose" {
-			result = core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
+		result.Txn, result.Outcome = harness.store.Txn(effect.Txn)
+		if node.storeMode == "lose" {
+			result = core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
 		}
 	}
-	if keys := keysOf(e.Txn); keys != "" {
-		w.say(n, "writes %s: %s", keys, result.Outcome)
+	if keys := showChangedKeys(effect.Txn); keys != "" {
+		harness.show(node, "writes %s: %s", keys, result.Outcome)
 	}
 	return result
 }
 
 // readStore reads one key, or a page of keys.
-func (w *traceHarness) readStore(n *node, e core.Effect) core.Result {
-	switch e := e.(type) {
+func (harness *traceHarness) readStore(node *traceNode, effect core.Effect) core.Result {
+	switch e := effect.(type) {
 	case core.StoreGet:
-		item, result := w.store.Get(e.Key)
-		return w.received(n, core.Result{CallID: e.CallID, Outcome: result, Item: item})
+		item, result := harness.store.Get(e.Key)
+		return harness.received(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
 	case core.StoreList:
-		if n.mode == "nolist" {
+		if node.storeMode == "nolist" {
 			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 		}
-		return w.received(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: w.store.List(e.Prefix, e.After, 500)})
+		return harness.received(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
 	}
 	return core.Result{}
 }
 
 // callLease grants, renews or revokes a lease. A request that does not reach the key-value store changes nothing there.
-func (w *traceHarness) callLease(n *node, e core.Effect) core.Result {
-	unreached := w.refused(n) || n.mode == "limit"
-	if _, grant := e.(core.StoreGrantLease); !grant {
-		unreached = unreached || n.mode == "hold"
+func (harness *traceHarness) callLease(node *traceNode, effect core.Effect) core.Result {
+	unreached := harness.refused(node) || node.storeMode == "limit"
+	if _, grant := effect.(core.StoreGrantLease); !grant {
+		unreached = unreached || node.storeMode == "hold"
 	}
 	if unreached {
-		return w.received(n, core.Result{CallID: idOf(e)})
+		return harness.received(node, core.Result{CallID: callID(effect)})
 	}
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.StoreGrantLease:
-		return w.received(n, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: w.store.GrantLease(e.TTL)})
+		return harness.received(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: harness.store.GrantLease(e.TTL)})
 	case core.StoreRenewLease:
-		return w.received(n, core.Result{CallID: e.CallID, Outcome: w.store.RenewLease(e.Lease)})
+		return harness.received(node, core.Result{CallID: e.CallID, Outcome: harness.store.RenewLease(e.Lease)})
 	case core.StoreRevokeLease:
-		return w.received(n, core.Result{CallID: e.CallID, Outcome: w.store.RevokeLease(e.Lease)})
+		return harness.received(node, core.Result{CallID: e.CallID, Outcome: harness.store.RevokeLease(e.Lease)})
 	}
 	return core.Result{}
 }
 
 // callCloud carries out a call to the cloud.
-func (w *traceHarness) callCloud(n *node, e core.Effect) core.Result {
-	if w.cloudDown {
-		return core.Result{CallID: idOf(e), Outcome: outcome.Unavailable}
+func (harness *traceHarness) callCloud(node *traceNode, effect core.Effect) core.Result {
+	if harness.cloudDown {
+		return core.Result{CallID: callID(effect), Outcome: outcome.Unavailable}
 	}
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case core.CloudCatalog:
-		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: catalog}
+		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Catalog: testCatalog}
 	case core.CloudScaleOut:
-		return w.scaleOut(n, e)
+		return harness.scaleOut(node, e)
 	case core.CloudScaleIn:
 		for _, name := range e.Names {
-			delete(w.machines, name)
+			delete(harness.machines, name)
 		}
-		w.say(n, "releases %v", e.Names)
+		harness.show(node, "releases %v", e.Names)
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	case core.CloudList:
-		return w.listMachines(e)
+		return harness.listMachines(e)
 	}
 	return core.Result{}
 }
 
-func (w *traceHarness) scaleOut(n *node, e core.CloudScaleOut) core.Result {
-	if w.cloudNone {
-		return core.Result{CallID: e.CallID, Outcome: outcome.Unavailable}
+func (harness *traceHarness) scaleOut(node *traceNode, effect core.CloudScaleOut) core.Result {
+	if harness.cloudExhausted {
+		return core.Result{CallID: effect.CallID, Outcome: outcome.Unavailable}
 	}
-	request := e.Request
-	result := core.Result{CallID: e.CallID, Outcome: outcome.OK}
+	request := effect.Request
+	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
 	for range request.Count {
-		w.rented++
-		name := fmt.Sprintf("m%d", w.rented)
-		w.machines[name] = &wire.Machine{Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineRunning}
+		harness.rented++
+		name := fmt.Sprintf("m%d", harness.rented)
+		harness.machines[name] = &wire.Machine{Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineRunning}
 		result.MachineNames = append(result.MachineNames, name)
 	}
-	w.say(n, "rents %s %s spot=%v as %s: %v", request.Type, request.Zone, request.Spot, request.RequestID, result.MachineNames)
+	harness.show(node, "rents %s %s spot=%v as %s: %v", request.Type, request.Zone, request.Spot, request.RequestID, result.MachineNames)
 	return result
 }
 
-func (w *traceHarness) listMachines(e core.CloudList) core.Result {
+func (harness *traceHarness) listMachines(effect core.CloudList) core.Result {
 	var machines []wire.Machine
-	for _, machine := range w.machines {
-		if machine.Name != w.hidden {
+	for _, machine := range harness.machines {
+		if machine.Name != harness.hiddenMachine {
 			machines = append(machines, *machine)
 		}
 	}
 	sort.Slice(machines, func(a, b int) bool { return machines[a].Name < machines[b].Name })
-	result := core.Result{CallID: e.CallID, Outcome: outcome.OK}
+	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
 	result.Machines.Machines = machines
 	return result
 }
@@ -173,78 +175,78 @@
 	"conflict": outcome.Conflict,
 }
 
-func (w *traceHarness) sendCommands(n *node, e core.SendCommands) core.Result {
-	result := core.Result{CallID: e.CallID, Outcome: commandOutcomes[w.orders]}
-	w.say(n, "orders %s token %s%s: %s", e.Addr, showToken(e.FencingToken), showCommands(e.Commands), result.Outcome)
+func (harness *traceHarness) sendCommands(node *traceNode, effect core.SendCommands) core.Result {
+	result := core.Result{CallID: effect.CallID, Outcome: commandOutcomes[harness.commandFault]}
+	harness.show(node, "orders %s token %s%s: %s", effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands), result.Outcome)
 	return result
 }
 
-func (w *traceHarness) queryWorker(n *node, e core.QueryWorker) core.Result {
-	result := core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
-	if n.mode == "limit" {
+func (harness *traceHarness) queryWorker(node *traceNode, effect core.QueryWorker) core.Result {
+	result := core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
+	if node.storeMode == "limit" {
 		result.Outcome = outcome.Dropped
-	} else if heartbeat := w.answers[e.Addr]; heartbeat != nil {
+	} else if heartbeat := harness.workerHeartbeats[effect.Addr]; heartbeat != nil {
 		result.Outcome, result.Heartbeat = outcome.OK, *heartbeat
 	}
-	w.say(n, "inspects %s: %s", e.Addr, result.Outcome)
+	harness.show(node, "inspects %s: %s", effect.Addr, result.Outcome)
 	return result
 }
 
 // queryPeer asks another node for its status, and hands it cancellations.
-func (w *traceHarness) queryPeer(n *node, e core.QueryPeer) core.Result {
-	peer := w.nodes[e.Node]
-	if peer == nil || w.separated(n.name, e.Node) {
-		return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
-	}
-	if len(e.Cancellations) > 0 {
-		w.req++
-		for _, cancellation := range e.Cancellations {
-			w.say(peer, "hears that %s is cancelled", cancellation.Job)
+func (harness *traceHarness) queryPeer(node *traceNode, effect core.QueryPeer) core.Result {
+	peer := harness.nodes[effect.Node]
+	if peer == nil || harness.separated(node.name, effect.Node) {
+		return core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
+	}
+	if len(effect.Cancellations) > 0 {
+		harness.lastRequest++
+		for _, cancellation := range effect.Cancellations {
+			harness.show(peer, "hears that %s is cancelled", cancellation.Job)
 		}
-		w.step(peer, core.ReplicateCancellations{RequestID: w.req, Cancellations: e.Cancellations})
+		harness.step(peer, core.ReplicateCancellations{RequestID: harness.lastRequest, Cancellations: effect.Cancellations})
 	}
 	status := peer.core.PeerStatus()
-	if peer.old {
+	if peer.oldVersion {
 		status.RecordLayouts = 0
 	}
-	return core.Result{CallID: e.CallID, Outcome: outcome.OK, Peer: status}
+	return core.Result{CallID: effect.CallID, Outcome: outcome.OK, Peer: status}
 }
 
 // separated tells whether two nodes can't reach each other.
-func (w *traceHarness) separated(a, b string) bool {
-	return w.cut == "cut" || w.cut == a || w.cut == b || w.cut == "zones" && w.zones[a] != w.zones[b]
+func (harness *traceHarness) separated(a, b string) bool {
+	return harness.peerCut == "cut" || harness.peerCut == a || harness.peerCut == b || harness.peerCut == "zones" && harness.zones[a] != harness.zones[b]
 }
 
-// withinLimits checks a transaction against the protocol's limits.
-func (w *traceHarness) withinLimits(t wire.Txn) {
-	p := w.settings("a").Params.Store
+// checkTransactionLimits checks a transaction against the protocol's limits.
+func (harness *traceHarness) checkTransactionLimits(t wire.Txn) {
+	p := harness.settings("a").Params.Store
 	body, err := json.Marshal(t)
 	if err != nil || len(body) > wire.MaxBody || len(t.Then) > p.TxnOps || len(t.If) > 4*p.TxnOps {
-		w.t.Errorf("a transaction of %d changes, %d conditions, %d bytes: %v", len(t.Then), len(t.If), len(body), err)
+		harness.tb.Errorf("a transaction of %d changes, %d conditions, %d bytes: %v", len(t.Then), len(t.If), len(body), err)
 	}
 	for _, op := range t.Then {
 		if float64(len(op.Value)) > 1024*p.ValueKB {
-			w.t.Errorf("a value of %d bytes for %s", len(op.Value), op.Put)
+			harness.tb.Errorf("a value of %d bytes for %s", len(op.Value), op.Put)
 		}
 	}
 }
 
-// answer shows a response.
-func (w *traceHarness) answer(n *node, a core.Response) {
-	if ra, ok := a.Body.(wire.HeartbeatResponse); ok {
-		w.say(n, "%d token %s%s", a.Status, showToken(ra.FencingToken), showCommands(ra.Commands))
+// showResponse shows a response.
+func (harness *traceHarness) showResponse(node *traceNode, response core.Response) {
+	if ra, ok := response.Body.(wire.HeartbeatResponse); ok {
+		harness.show(node, "%d token %s%s", response.Status, showToken(ra.FencingToken), showCommands(ra.Commands))
 		return
 	}
-	if a.Body == nil {
+	if response.Body == nil {
 		return // a node that it heard
 	}
-	body, err := json.Marshal(a.Body)
+	body, err := json.Marshal(response.Body)
 	if err != nil {
-		w.t.Fatal(err)
+		harness.tb.Fatal(err)
 	}
 	retry := ""
-	if a.RetryAfterS > 0 {
-		retry = fmt.Sprintf(" retry after %d s", a.RetryAfterS)
+	if response.RetryAfterS > 0 {
+		retry = fmt.Sprintf(" retry after %d s", response.RetryAfterS)
 	}
-	w.say(n, "%d %s%s", a.Status, body, retry)
+	harness.show(node, "%d %s%s", response.Status, body, retry)
 }
--- a/internal/core/trace_format_test.go
+++ b/internal/core/trace_format_test.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/wire"
 )
 
-// keysOf shows the changes of a transaction, without the counts for display.
-func keysOf(t wire.Txn) string {
+// showChangedKeys shows the changes of a transaction, without the counts for display.
+func showChangedKeys(t wire.Txn) string {
 	var ks []string
 	for _, op := range t.Then {
 		switch {
@@ -33,12 +33,12 @@
 	return fmt.Sprintf("%d.%d", token/1_000_000, token%1_000_000)
 }
 
-func showCommands(cmds []wire.Command) string {
+func showCommands(commands []wire.Command) string {
 	var b strings.Builder
-	for _, c := range cmds {
-		fmt.Fprintf(&b, ", %s %s#%d", c.Op, c.Task, c.Attempt)
-		if c.GracePeriodS != nil {
-			fmt.Fprintf(&b, " grace %v", *c.GracePeriodS)
+	for _, command := range commands {
+		fmt.Fprintf(&b, ", %s %s#%d", command.Op, command.Task, command.Attempt)
+		if command.GracePeriodS != nil {
+			fmt.Fprintf(&b, " grace %v", *command.GracePeriodS)
 		}
 	}
 	return b.String()
