--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -13,42 +13,42 @@
 
 // traceHarness is what surrounds the nodes in a trace: a state service, a cloud, links.
 type traceHarness struct {
-	t       testing.TB
-	out     strings.Builder
-	now     time.Duration
-	store   *emulator.Store
-	outage  bool
-	nodes   map[string]*node
-	names   []string
-	req     uint64
-	cut     string                     // "cut": no node reaches another, "zones": none in another zone
-	budget  float64                    // the operators' round_budget, for nodes that start after
-	spare   float64                    // the same for spare_share
-	paced   bool                       // the same for pace_reports
-	zones   map[string]string          // of nodes; "": z1
-	hidden  string                     // a machine that lists lack
-	answers map[string]*wire.Heartbeat // of workers that are asked directly, by address
-	orders  string                     // what becomes of direct orders; "": carried out
-	next    *config.NextLimits         // in the settings of nodes that start after
+	tb               testing.TB
+	out              strings.Builder
+	now              time.Duration
+	store            *emulator.Store
+	outage           bool
+	nodes            map[string]*traceNode
+	nodeNames        []string
+	lastRequest      uint64
+	peerCut          string                     // "cut": no node reaches another, "zones": none in another zone
+	cycleBudget      float64                    // the operators' round_budget, for nodes that start after
+	spareShare       float64                    // the same for spare_share
+	paceHeartbeats   bool                       // the same for pace_reports
+	zones            map[string]string          // of nodes; "": z1
+	hiddenMachine    string                     // a machine that lists lack
+	workerHeartbeats map[string]*wire.Heartbeat // of workers that are asked directly, by address
+	commandFault     string                     // what becomes of direct orders; "": carried out
+	nextLimits       *config.NextLimits         // in the settings of nodes that start after
 
-	cloudDown, cloudNone bool
-	machines             map[string]*wire.Machine
-	rented               int
+	cloudDown, cloudExhausted bool
+	machines                  map[string]*wire.Machine
+	rented                    int
 }
 
-type node struct {
-	name    string
-	old     bool // of the version before the second layout
-	core    *core.Core
-	mode    string // of its requests to the state service
-	held    []core.StoreTxn
-	watches []core.StoreWatch
-	opened  time.Duration
+type traceNode struct {
+	name             string
+	oldVersion       bool // of the version before the second layout
+	core             *core.Core
+	storeMode        string // of its requests to the state service
+	heldTransactions []core.StoreTxn
+	watches          []core.StoreWatch
+	watchesOpenedAt  time.Duration
 }
 
-func (w *traceHarness) settings(name string) *config.Settings {
+func (harness *traceHarness) settings(name string) *config.Settings {
 	zone := func(node string) string {
-		if z := w.zones[node]; z != "" {
+		if z := harness.zones[node]; z != "" {
 			return z
 		}
 		return "z1"
@@ -66,75 +66,75 @@
 		Store:      config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:     config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
-	s.Params.Store.Next = w.next
-	s.Operator.SpareShare = w.spare
-	s.Operator.PaceHeartbeats = w.paced
-	if w.budget > 0 {
-		s.Operator.CycleBudget = w.budget
+	s.Params.Store.Next = harness.nextLimits
+	s.Operator.SpareShare = harness.spareShare
+	s.Operator.PaceHeartbeats = harness.paceHeartbeats
+	if harness.cycleBudget > 0 {
+		s.Operator.CycleBudget = harness.cycleBudget
 	}
 	return s
 }
 
-var catalog = wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300,
+var testCatalog = wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300,
 	FetchGBPerS: 4, Price: 16, SpotPrice: 5, BootS: 40, Zones: []string{"z1", "z2"}}}}
 
-// pass lets time pass: nodes are woken when they want to be.
-func (w *traceHarness) pass(d time.Duration) {
-	end := w.now + d
-	for w.now < end {
+// advance lets time pass: nodes are woken when they want to be.
+func (harness *traceHarness) advance(d time.Duration) {
+	end := harness.now + d
+	for harness.now < end {
 		next := end
-		for _, name := range w.names {
-			next = min(next, max(w.now+time.Millisecond, w.nodes[name].core.Wake()))
+		for _, name := range harness.nodeNames {
+			next = min(next, max(harness.now+time.Millisecond, harness.nodes[name].core.Wake()))
 		}
-		w.now = next
-		if !w.outage {
-			w.store.AdvanceTo(w.now)
+		harness.now = next
+		if !harness.outage {
+			harness.store.AdvanceTo(harness.now)
 		}
-		for _, name := range append([]string(nil), w.names...) {
-			if n := w.nodes[name]; n.core.Wake() <= w.now {
-				w.step(n, core.Tick{})
+		for _, name := range append([]string(nil), harness.nodeNames...) {
+			if node := harness.nodes[name]; node.core.Wake() <= harness.now {
+				harness.step(node, core.Tick{})
 			}
 		}
-		w.settle()
+		harness.answerWatches()
 	}
 }
 
-// settle answers watches until nothing new comes.
-func (w *traceHarness) settle() {
+// answerWatches answers watches until nothing new comes.
+func (harness *traceHarness) answerWatches() {
 	for again := true; again; {
 		again = false
-		for _, name := range append([]string(nil), w.names...) {
-			n := w.nodes[name]
-			ws := n.watches
-			n.watches = nil
-			for _, e := range ws {
-				if w.outage || n.mode != "serve" && n.mode != "slow" && n.mode != "nolist" {
-					n.watches = append(n.watches, e)
+		for _, name := range append([]string(nil), harness.nodeNames...) {
+			node := harness.nodes[name]
+			ws := node.watches
+			node.watches = nil
+			for _, effect := range ws {
+				if harness.outage || node.storeMode != "serve" && node.storeMode != "slow" && node.storeMode != "nolist" {
+					node.watches = append(node.watches, effect)
 					continue
 				}
-				ch, o := w.store.Changes(e.Prefix, e.After)
-				if len(ch.Events) == 0 && w.now-n.opened < e.Wait {
-					n.watches = append(n.watches, e)
+				ch, got := harness.store.Changes(effect.Prefix, effect.After)
+				if len(ch.Events) == 0 && harness.now-node.watchesOpenedAt < effect.Wait {
+					node.watches = append(node.watches, effect)
 					continue
 				}
 				again = true
-				w.step(n, core.Result{CallID: e.CallID, Outcome: o, Changes: ch, SentAt: n.opened})
+				harness.step(node, core.Result{CallID: effect.CallID, Outcome: got, Changes: ch, SentAt: node.watchesOpenedAt})
 			}
 		}
 	}
 }
 
 // step hands a node an input and carries out what it returns.
-func (w *traceHarness) step(n *node, in core.Input) {
-	effects := append([]core.Effect(nil), n.core.Step(core.Time{Steady: w.now, WallMS: int64(w.now / time.Millisecond)}, in)...)
+func (harness *traceHarness) step(node *traceNode, input core.Input) {
+	effects := append([]core.Effect(nil), node.core.Step(core.Time{Steady: harness.now, WallMS: int64(harness.now / time.Millisecond)}, input)...)
 	var results []core.Result
-	for _, e := range effects {
-		if r, ok := w.carryOut(n, e); ok {
-			r.SentAt = w.now
-			results = append(results, r)
+	for _, effect := range effects {
+		if result, ok := harness.carryOut(node, effect); ok {
+			result.SentAt = harness.now
+			results = append(results, result)
 		}
 	}
-	for _, r := range results {
-		w.step(n, r)
+	for _, result := range results {
+		harness.step(node, result)
 	}
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -54,7 +54,7 @@
 //	healthy a
 //	answers a m1 addr=m1:1 session=...  what worker m1 answers when it is asked directly
 
-var update = flag.Bool("update", false, "write the traces anew")
+var updateTraces = flag.Bool("update", false, "write the traces anew")
 
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
@@ -67,8 +67,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := play(t, string(data))
-			if *update {
+			got := playTrace(t, string(data))
+			if *updateTraces {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
@@ -91,21 +91,21 @@
 	return got
 }
 
-func play(t *testing.T, text string) string {
+func playTrace(t *testing.T, text string) string {
 	t.Helper()
-	w := &traceHarness{t: t, now: time.Second, store: emulator.NewStore(), nodes: map[string]*node{}, answers: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
+	harness := &traceHarness{tb: t, now: time.Second, store: emulator.NewStore(), nodes: map[string]*traceNode{}, workerHeartbeats: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if strings.HasPrefix(line, "|") {
 			continue
 		}
-		w.out.WriteString(line + "\n")
-		if f := strings.Fields(line); len(f) > 0 && !strings.HasPrefix(line, "#") {
-			w.do(f)
+		harness.out.WriteString(line + "\n")
+		if words := strings.Fields(line); len(words) > 0 && !strings.HasPrefix(line, "#") {
+			harness.carryOutLine(words)
 		}
 	}
-	return w.out.String()
+	return harness.out.String()
 }
 
-func (w *traceHarness) say(n *node, format string, args ...any) {
-	fmt.Fprintf(&w.out, "| %s: %s\n", n.name, fmt.Sprintf(format, args...))
+func (harness *traceHarness) show(node *traceNode, format string, args ...any) {
+	fmt.Fprintf(&harness.out, "| %s: %s\n", node.name, fmt.Sprintf(format, args...))
 }
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -17,183 +17,197 @@
 
 // traceWords carry out the lines of a trace that are about what surrounds the nodes, or a node's start and end, by
 // their first word.
-var traceWords = map[string]func(w *traceHarness, words []string){
-	"node":   (*traceHarness).startNode,
-	"kill":   (*traceHarness).killNode,
-	"next":   func(w *traceHarness, words []string) { w.next = nextLimits(w.t, words[1:]) },
-	"limits": func(w *traceHarness, _ []string) { w.store.SetLimits(int(1024**w.next.ValueKB), *w.next.TxnOps) },
+var traceWords = map[string]func(harness *traceHarness, words []string){
+	"node": (*traceHarness).startNode,
+	"kill": (*traceHarness).killNode,
+	"next": func(harness *traceHarness, words []string) { harness.nextLimits = nextLimits(harness.tb, words[1:]) },
+	"limits": func(harness *traceHarness, _ []string) {
+		harness.store.SetLimits(int(1024**harness.nextLimits.ValueKB), *harness.nextLimits.TxnOps)
+	},
 	"store":  (*traceHarness).storeValue,
 	"keys":   (*traceHarness).showKeys,
 	"outage": (*traceHarness).setOutage,
 	"zones":  (*traceHarness).setZones,
-	"budget": func(w *traceHarness, words []string) { w.budget, _ = strconv.ParseFloat(w.argument(words, 1), 64) },
-	"spare":  func(w *traceHarness, words []string) { w.spare, _ = strconv.ParseFloat(w.argument(words, 1), 64) },
-	"paced":  func(w *traceHarness, _ []string) { w.paced = true },
-	"orders": func(w *traceHarness, words []string) { w.orders = strings.TrimPrefix(w.argument(words, 1), "ok") },
-	"peers":  func(w *traceHarness, words []string) { w.cut = strings.TrimPrefix(w.argument(words, 1), "join") },
-	"cloud":  (*traceHarness).changeCloud,
+	"budget": func(harness *traceHarness, words []string) {
+		harness.cycleBudget, _ = strconv.ParseFloat(harness.argument(words, 1), 64)
+	},
+	"spare": func(harness *traceHarness, words []string) {
+		harness.spareShare, _ = strconv.ParseFloat(harness.argument(words, 1), 64)
+	},
+	"paced": func(harness *traceHarness, _ []string) { harness.paceHeartbeats = true },
+	"orders": func(harness *traceHarness, words []string) {
+		harness.commandFault = strings.TrimPrefix(harness.argument(words, 1), "ok")
+	},
+	"peers": func(harness *traceHarness, words []string) {
+		harness.peerCut = strings.TrimPrefix(harness.argument(words, 1), "join")
+	},
+	"cloud": (*traceHarness).changeCloud,
 }
 
 // nodeWords carry out the lines of a trace that are about a node that runs, by their first word.
-var nodeWords = map[string]func(w *traceHarness, n *node, words []string){
-	"submit": func(w *traceHarness, n *node, words []string) {
-		w.step(n, core.SubmitJob{RequestID: w.req, Job: w.job(words[2:])})
+var nodeWords = map[string]func(harness *traceHarness, node *traceNode, words []string){
+	"submit": func(harness *traceHarness, node *traceNode, words []string) {
+		harness.step(node, core.SubmitJob{RequestID: harness.lastRequest, Job: harness.job(words[2:])})
+	},
+	"poll": func(harness *traceHarness, node *traceNode, words []string) {
+		harness.step(node, core.GetJob{RequestID: harness.lastRequest, ID: harness.argument(words, 2)})
+	},
+	"cancel": func(harness *traceHarness, node *traceNode, words []string) {
+		harness.step(node, core.CancelJob{RequestID: harness.lastRequest, ID: harness.argument(words, 2)})
 	},
-	"poll": func(w *traceHarness, n *node, words []string) {
-		w.step(n, core.GetJob{RequestID: w.req, ID: w.argument(words, 2)})
+	"report": func(harness *traceHarness, node *traceNode, words []string) {
+		harness.step(node, core.WorkerHeartbeat{RequestID: harness.lastRequest, Heartbeat: harness.heartbeat(words[2:])})
 	},
-	"cancel": func(w *traceHarness, n *node, words []string) {
-		w.step(n, core.CancelJob{RequestID: w.req, ID: w.argument(words, 2)})
+	"answers": func(harness *traceHarness, _ *traceNode, words []string) {
+		heartbeat := harness.heartbeat(words[2:])
+		harness.workerHeartbeats[heartbeat.Addr] = heartbeat
 	},
-	"report": func(w *traceHarness, n *node, words []string) {
-		w.step(n, core.WorkerHeartbeat{RequestID: w.req, Heartbeat: w.report(words[2:])})
+	"healthy": func(harness *traceHarness, node *traceNode, _ []string) {
+		harness.show(node, "healthy %v", node.core.Healthy())
 	},
-	"answers": func(w *traceHarness, _ *node, words []string) {
-		heartbeat := w.report(words[2:])
-		w.answers[heartbeat.Addr] = heartbeat
+	"state": func(harness *traceHarness, node *traceNode, words []string) {
+		node.storeMode = harness.argument(words, 2)
 	},
-	"healthy": func(w *traceHarness, n *node, _ []string) { w.say(n, "healthy %v", n.core.Healthy()) },
-	"state":   func(w *traceHarness, n *node, words []string) { n.mode = w.argument(words, 2) },
 }
 
-// do carries out a line of a trace.
-func (w *traceHarness) do(words []string) {
+// carryOutLine carries out a line of a trace.
+func (harness *traceHarness) carryOutLine(words []string) {
 	if duration, ok := strings.CutPrefix(words[0], "+"); ok {
 		d, err := time.ParseDuration(duration)
 		if err != nil {
-			w.t.Fatal(err)
+			harness.tb.Fatal(err)
 		}
-		w.pass(d)
+		harness.advance(d)
 		return
 	}
 	if handle := traceWords[words[0]]; handle != nil {
-		handle(w, words)
+		handle(harness, words)
 		return
 	}
-	n := w.nodes[w.argument(words, 1)]
-	if n == nil {
-		w.t.Fatalf("no such node: %v", words)
+	node := harness.nodes[harness.argument(words, 1)]
+	if node == nil {
+		harness.tb.Fatalf("no such node: %v", words)
 	}
-	w.req++
+	harness.lastRequest++
 	handle := nodeWords[words[0]]
 	if handle == nil {
-		w.t.Fatalf("unknown: %v", words)
+		harness.tb.Fatalf("unknown: %v", words)
 	}
-	if words[0] == "state" && w.argument(words, 2) == "late" {
-		w.commitHeld(n)
+	if words[0] == "state" && harness.argument(words, 2) == "late" {
+		harness.commitHeld(node)
 		return
 	}
-	handle(w, n, words)
-	w.settle()
+	handle(harness, node, words)
+	harness.answerWatches()
 }
 
 // argument gives a word of a line that must have it.
-func (w *traceHarness) argument(words []string, i int) string {
+func (harness *traceHarness) argument(words []string, i int) string {
 	if i >= len(words) {
-		w.t.Fatalf("too few words: %v", words)
+		harness.tb.Fatalf("too few words: %v", words)
 	}
 	return words[i]
 }
 
 // startNode starts a node's process anew.
-func (w *traceHarness) startNode(words []string) {
-	n := &node{name: w.argument(words, 1), mode: "serve", old: len(words) > 2}
-	settings := w.settings(n.name)
-	if n.old {
+func (harness *traceHarness) startNode(words []string) {
+	node := &traceNode{name: harness.argument(words, 1), storeMode: "serve", oldVersion: len(words) > 2}
+	settings := harness.settings(node.name)
+	if node.oldVersion {
 		settings.Params.Store.Next = nil
 	}
-	n.core = core.New(settings, fmt.Sprint(n.name, w.now))
-	w.nodes[n.name] = n
-	w.names = w.names[:0]
-	for name := range w.nodes {
-		w.names = append(w.names, name)
+	node.core = core.New(settings, fmt.Sprint(node.name, harness.now))
+	harness.nodes[node.name] = node
+	harness.nodeNames = harness.nodeNames[:0]
+	for name := range harness.nodes {
+		harness.nodeNames = append(harness.nodeNames, name)
 	}
-	sort.Strings(w.names)
-	w.step(n, core.Tick{})
-	w.settle()
+	sort.Strings(harness.nodeNames)
+	harness.step(node, core.Tick{})
+	harness.answerWatches()
 }
 
-func (w *traceHarness) killNode(words []string) {
-	killed := w.argument(words, 1)
-	delete(w.nodes, killed)
-	for i, name := range w.names {
+func (harness *traceHarness) killNode(words []string) {
+	killed := harness.argument(words, 1)
+	delete(harness.nodes, killed)
+	for i, name := range harness.nodeNames {
 		if name == killed {
-			w.names = append(w.names[:i:i], w.names[i+1:]...)
+			harness.nodeNames = append(harness.nodeNames[:i:i], harness.nodeNames[i+1:]...)
 			break
 		}
 	}
 }
 
 // storeValue writes a value past the nodes, as an earlier version may have left it.
-func (w *traceHarness) storeValue(words []string) {
+func (harness *traceHarness) storeValue(words []string) {
 	value := json.RawMessage(strings.Join(words[2:], " "))
-	if _, result := w.store.Txn(wire.Txn{Then: []wire.Op{{Put: w.argument(words, 1), Value: value}}}); result != outcome.OK {
-		w.t.Fatalf("not stored: %v", words)
+	if _, result := harness.store.Txn(wire.Txn{Then: []wire.Op{{Put: harness.argument(words, 1), Value: value}}}); result != outcome.OK {
+		harness.tb.Fatalf("not stored: %v", words)
 	}
 }
 
-func (w *traceHarness) showKeys(words []string) {
-	for _, key := range storedKeys(w.store, w.argument(words, 1)) {
-		item, _ := w.store.Get(key)
-		fmt.Fprintf(&w.out, "| %s = %.200s\n", key, item.Value)
+func (harness *traceHarness) showKeys(words []string) {
+	for _, key := range storedKeys(harness.store, harness.argument(words, 1)) {
+		item, _ := harness.store.Get(key)
+		fmt.Fprintf(&harness.out, "| %s = %.200s\n", key, item.Value)
 	}
 }
 
 // setOutage begins or ends an outage of the key-value store. Leases start anew after it.
-func (w *traceHarness) setOutage(words []string) {
-	w.outage = len(words) == 1
-	if !w.outage {
-		w.store.RefreshLeases(w.now)
+func (harness *traceHarness) setOutage(words []string) {
+	harness.outage = len(words) == 1
+	if !harness.outage {
+		harness.store.RefreshLeases(harness.now)
 	}
 }
 
-func (w *traceHarness) setZones(words []string) {
-	w.zones = map[string]string{}
+func (harness *traceHarness) setZones(words []string) {
+	harness.zones = map[string]string{}
 	for _, word := range words[1:] {
 		node, zone, _ := strings.Cut(word, "=")
-		w.zones[node] = zone
+		harness.zones[node] = zone
 	}
 }
 
-func (w *traceHarness) changeCloud(words []string) {
-	switch w.argument(words, 1) {
+func (harness *traceHarness) changeCloud(words []string) {
+	switch harness.argument(words, 1) {
 	case "down":
-		w.cloudDown = true
+		harness.cloudDown = true
 	case "up":
-		w.cloudDown, w.cloudNone = false, false
+		harness.cloudDown, harness.cloudExhausted = false, false
 	case "none":
-		w.cloudNone = true
+		harness.cloudExhausted = true
 	case "fails":
-		w.machines[w.argument(words, 2)].State = wire.MachineFailed
+		harness.machines[harness.argument(words, 2)].State = wire.MachineFailed
 	case "hides":
-		w.hidden = w.argument(words, 2)
+		harness.hiddenMachine = harness.argument(words, 2)
 	case "shows":
-		w.hidden = ""
+		harness.hiddenMachine = ""
 	case "drops":
-		delete(w.machines, w.argument(words, 2))
+		delete(harness.machines, harness.argument(words, 2))
 	case "has":
-		machine := &wire.Machine{Name: w.argument(words, 2), Type: "g8", Zone: "z1", State: wire.MachineRunning}
+		machine := &wire.Machine{Name: harness.argument(words, 2), Type: "g8", Zone: "z1", State: wire.MachineRunning}
 		if len(words) > 3 {
 			machine.Zone = words[3]
 		}
-		w.machines[machine.Name] = machine
+		harness.machines[machine.Name] = machine
 	}
 }
 
 // commitHeld carries out the transactions that were held up on their way.
-func (w *traceHarness) commitHeld(n *node) {
-	for _, e := range n.held {
-		result, o := w.store.Txn(e.Txn)
-		w.say(n, "late transaction %s: %s %v", keysOf(e.Txn), o, result.Failed)
+func (harness *traceHarness) commitHeld(node *traceNode) {
+	for _, effect := range node.heldTransactions {
+		result, got := harness.store.Txn(effect.Txn)
+		harness.show(node, "late transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
 	}
-	n.held = nil
+	node.heldTransactions = nil
 }
 
 // nextLimits reads the limits to come.
-func nextLimits(tb testing.TB, f []string) *config.NextLimits {
+func nextLimits(tb testing.TB, words []string) *config.NextLimits {
 	tb.Helper()
 	next := &config.NextLimits{}
-	for _, kv := range f {
+	for _, kv := range words {
 		k, v, _ := strings.Cut(kv, "=")
 		num, err := strconv.ParseFloat(v, 64)
 		if err != nil {
