--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -24,7 +24,7 @@
 	persist(j *job, task int)
 	// avoidsMachine tells whether a job should rather not be tried on a machine again.
 	avoidsMachine(j *job, m *machine) bool
-	// updateCapacityIndex has the index know of a machine's free resources.
+	// updateCapacityIndex updates a machine in the index after a change of its free resources.
 	updateCapacityIndex(h *schedulableMachine)
 	// endPlacement ends a placement of which nothing was sent.
 	endPlacement(p *placement)
@@ -72,6 +72,11 @@
 
 func (l *leader) withdrawAttempt(p *placement) { l.records.withdrawAttempt(p) }
 
+// refreshCapacityIndex brings the capacity index up to date for a cycle.
+func (l *leader) refreshCapacityIndex() { l.schedulable.refresh(l.machinesByName) }
+
+func (l *leader) updateCapacityIndex(changed *schedulableMachine) { l.schedulable.update(changed) }
+
 func (l *leader) avoidsMachine(j *job, m *machine) bool { return l.failures.avoids(j, m) }
 
 func (l *leader) persist(j *job, task int) { l.records.markDirty(l.records.chunkOf(j, task)) }
@@ -89,7 +94,7 @@
 }
 
 func (l *leader) fleet() fleetView {
-	return fleetView{catalog: l.core.catalog.types, index: l.capacityIndex}
+	return fleetView{catalog: l.core.catalog.types, index: l.schedulable.index}
 }
 
 // machineType gives a type by name; nil if there is none.
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -48,15 +48,15 @@
 		if m.capacityChanged || len(m.orphanedTasks) > 0 {
 			continue // the next cycle refreshes it
 		}
-		free, freeAfterStops := l.freeCapacity(m)
+		free, freeAfterStops := l.schedulable.freeCapacity(m)
 		want := (&schedulableMachine{machine: m, free: free, freeAfterStops: freeAfterStops}).indexEntry()
-		group, got, ok := l.capacityIndex.Get(m.name)
+		group, got, ok := l.schedulable.index.Get(m.name)
 		if !ok || got != want || group != m.group() {
 			return fmt.Errorf("%s: %+v %+v in the index, %+v built anew", m.name, group, got, want)
 		}
 	}
-	if l.capacityIndex.Len() != schedulable {
-		return fmt.Errorf("%d machines in the index, of %d", l.capacityIndex.Len(), schedulable)
+	if l.schedulable.index.Len() != schedulable {
+		return fmt.Errorf("%d machines in the index, of %d", l.schedulable.index.Len(), schedulable)
 	}
 	if err := l.checkReplicas(); err != nil {
 		return err
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -6,17 +6,18 @@
 	"bitternwing/internal/stored"
 )
 
-// imageHints writes which images the leader believes to be on which machines, as hints for the next leader: workers don't
-// report their images.
+// imageHints writes which images are presumed to be on which machines, as hints for the next leader: the heartbeats of
+// workers don't name their images.
 type imageHints struct {
-	leader    *leader
+	core      *Core
+	writer    *writer
 	shards    shardWriter
 	nextWrite time.Duration
 }
 
 // run writes the hints that have changed, every half of the workers' lease.
-func (h *imageHints) run() {
-	l, c := h.leader, h.leader.core
+func (h *imageHints) run(machines []*machine) {
+	c := h.core
 	if h.shards.inFlight || c.storeHealth.down {
 		return
 	}
@@ -25,12 +26,12 @@
 		c.wakeBy(due)
 		return
 	}
-	if !l.writer.mayWriteHints() {
+	if !h.writer.mayWriteHints() {
 		return
 	}
 	h.nextWrite = c.now.Steady
 	packer := stored.NewImageHintPacker(c.maxValueBytes())
-	for _, m := range l.machinesByName {
+	for _, m := range machines {
 		if names := m.images.names(); len(names) > 0 {
 			packer.Add(m.name, names)
 		}
@@ -44,14 +45,14 @@
 	}
 }
 
-// applyImageHints has a machine that is first seen in this term have the images that the leader before believed to be on
+// apply has a machine that is first seen in this term have the images that the leader before presumed to be on
 // it.
-func (l *leader) applyImageHints(m *machine) {
-	for _, name := range l.core.cache.Images(m.name) {
-		image := newCachedImage(name, l.imageGB(name))
+func (h *imageHints) apply(m *machine, jobs []*job) {
+	for _, name := range h.core.cache.Images(m.name) {
+		image := newCachedImage(name, imageGB(name, jobs))
 		image.state = cachedImageReady
-		if l.core.operator.Spread.Enabled {
-			// The cost of a placement is worked out from what is known; without that the hint is believed.
+		if h.core.operator.Spread.Enabled {
+			// The cost of a placement counts the uncertainty; where costs are not counted the hint is trusted.
 			image.state = cachedImageUnconfirmed
 		}
 		m.images = append(m.images, image)
@@ -60,8 +61,8 @@
 }
 
 // imageGB returns the size of an image, from a job that uses it; 0 if none does.
-func (l *leader) imageGB(name string) float64 {
-	for _, j := range l.queue {
+func imageGB(name string, jobs []*job) float64 {
+	for _, j := range jobs {
 		if j.spec.Image == name {
 			return j.spec.ImageGB
 		}
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -97,7 +97,7 @@
 func (l *leader) prefetchTarget(j *job, zone string) *machine {
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
-	_, copied, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
+	_, copied, _ := l.schedulable.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
 		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			state := target.machine.images.stateOf(j.spec.Image)
 			return state, state <= capacity.ImageFetching
@@ -105,7 +105,7 @@
 	if copied {
 		return nil
 	}
-	target, found, _ := l.capacityIndex.BestFit(capacity.FitRequest[*schedulableMachine]{
+	target, found, _ := l.schedulable.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Penalty: within,
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"bitternwing/internal/capacity"
 	"bitternwing/internal/stored"
 	"bitternwing/internal/topologyspread"
 )
@@ -32,7 +31,7 @@
 	machines         map[string]*machine
 	machinesByName   []*machine               // by name
 	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
-	capacityIndex    *capacity.Index[*schedulableMachine]
+	schedulable      schedulableMachines
 	replicaLedger    *topologyspread.Ledger
 
 	silentZones map[string]bool // zones much of which is silent, kept by liveness; true: none of their controllers answers either
@@ -62,10 +61,11 @@
 func newLeader(c *Core, term, version uint64) *leader {
 	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady,
 		jobs: map[string]*job{}, machines: map[string]*machine{}, releasedMachines: map[string]time.Duration{},
-		capacityIndex: capacity.NewIndex[*schedulableMachine](), replicaLedger: topologyspread.NewLedger(),
-		silentZones: map[string]bool{}}
+		replicaLedger: topologyspread.NewLedger(),
+		silentZones:   map[string]bool{}}
 	l.leaderAuthority = leaderAuthority{core: c}
 	l.termCalls = termCalls{core: c, owner: l}
+	l.schedulable = newSchedulableMachines(l)
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
 	l.commands = newCommandBuilder(l)
 	l.heldResponses = newHeldResponses(l)
@@ -82,7 +82,7 @@
 	l.provisioner.init(l)
 	l.cycles.nextAt = c.now.Steady
 	l.unreachable = unreachableHints{leader: l, nextWrite: c.now.Steady + c.times.checkInterval}
-	l.images = imageHints{leader: l, nextWrite: c.now.Steady, shards: newShardWriter(l, stored.ImageHintKey)}
+	l.images = imageHints{core: c, writer: &l.writer, nextWrite: c.now.Steady, shards: newShardWriter(l, stored.ImageHintKey)}
 	return l
 }
 
@@ -109,7 +109,7 @@
 	l.dispatcher.run()
 	l.heldResponses.sendDue(l.machinesByName)
 	l.provisioner.run()
-	l.images.run()
+	l.images.run(l.machinesByName)
 	l.unreachable.run()
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -84,7 +84,7 @@
 	m := &machine{name: name, fence: fencing.NewFence(l.term), firstSeen: now, requestedAt: now, lastHeartbeat: l.lastHeardByPredecessor(name),
 		idleSince: now, placements: map[string]*placement{}, failures: map[string]int{}}
 	l.machines[name] = m
-	l.applyImageHints(m)
+	l.images.apply(m, l.queue)
 	i, _ := slices.BinarySearchFunc(l.machinesByName, name, compareMachineName)
 	l.machinesByName = slices.Insert(l.machinesByName, i, m)
 	return m
@@ -137,7 +137,7 @@
 	}
 	l.heldResponses.send(m)
 	delete(l.machines, m.name)
-	l.removeSchedulable(m)
+	l.schedulable.remove(m)
 	if i := slices.Index(l.machinesByName, m); i >= 0 {
 		l.machinesByName = slices.Delete(l.machinesByName, i, i+1)
 	}
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -14,35 +14,53 @@
 	freeAfterStops resource.Amount // free once all stopping tasks are gone
 }
 
-// refreshCapacityIndex brings the capacity index up to date for a cycle: with the machines that have become schedulable or
+// schedulableMachines are the machines that may be given tasks, in the index in which the scheduler searches.
+type schedulableMachines struct {
+	index      *capacity.Index[*schedulableMachine]
+	catalog    *machineCatalog
+	jobs       map[string]*job
+	acceptance taskAcceptance
+}
+
+// newSchedulableMachines makes the schedulable machines of a leader.
+func newSchedulableMachines(l *leader) schedulableMachines {
+	return schedulableMachines{
+		index:      capacity.NewIndex[*schedulableMachine](),
+		catalog:    &l.core.catalog,
+		jobs:       l.jobs,
+		acceptance: l,
+	}
+}
+
+// refresh brings the capacity index up to date for a cycle: with the machines that have become schedulable or
 // unschedulable, and those whose free resources have changed.
-func (l *leader) refreshCapacityIndex() {
-	for _, m := range l.machinesByName {
+func (s *schedulableMachines) refresh(machines []*machine) {
+	for _, m := range machines {
 		if m.machineType == nil {
-			m.setType(l.core.catalog.machineType(m.typeName))
+			m.setType(s.catalog.machineType(m.typeName))
 		}
-		switch usable := l.acceptsTasks(m); {
+		switch usable := s.acceptance.acceptsTasks(m); {
 		case !usable && m.schedulable != nil:
-			l.removeSchedulable(m)
+			s.remove(m)
 		case usable && (m.schedulable == nil || m.capacityChanged || len(m.orphanedTasks) > 0):
-			l.refreshSchedulable(m)
+			s.refreshMachine(m)
 		}
 	}
 }
 
-// refreshSchedulable works out a machine's free resources.
-func (l *leader) refreshSchedulable(m *machine) {
+// refreshMachine works out a machine's free resources.
+func (s *schedulableMachines) refreshMachine(m *machine) {
 	if m.schedulable == nil {
 		m.schedulable = &schedulableMachine{machine: m}
 	}
-	m.schedulable.free, m.schedulable.freeAfterStops = l.freeCapacity(m)
+	m.schedulable.free, m.schedulable.freeAfterStops = s.freeCapacity(m)
 	m.capacityChanged = false
-	l.updateCapacityIndex(m.schedulable)
+	s.update(m.schedulable)
 }
 
-// updateCapacityIndex has the index know of a change of a machine's free resources.
-func (l *leader) updateCapacityIndex(s *schedulableMachine) {
-	l.capacityIndex.Put(s.machine.group(), resource.OfMachine(s.machine.machineType), s.indexEntry(), s)
+// update updates a machine in the index after a change of its free resources.
+func (s *schedulableMachines) update(changed *schedulableMachine) {
+	s.index.Put(changed.machine.group(), resource.OfMachine(changed.machine.machineType), changed.indexEntry(), changed)
 }
 
 // group is the group of the index that a machine is in.
@@ -50,13 +68,13 @@
 	return capacity.Group{Type: m.typeName, Zone: m.zone, Spot: m.spot}
 }
 
-// removeSchedulable removes a machine from those that may be given tasks.
-func (l *leader) removeSchedulable(m *machine) {
+// remove removes a machine from those that may be given tasks.
+func (s *schedulableMachines) remove(m *machine) {
 	m.schedulable = nil
-	l.capacityIndex.Remove(m.name)
+	s.index.Remove(m.name)
 }
 
-// indexEntry gives what the index has to know of a machine.
+// indexEntry gives the entry of a machine in the index.
 func (s *schedulableMachine) indexEntry() capacity.MachineCapacity {
 	entry := capacity.MachineCapacity{Name: s.machine.name, Free: s.free, FreeAfterStops: s.freeAfterStops}
 	for _, p := range s.machine.placementsInOrder {
@@ -79,14 +97,14 @@
 }
 
 // freeCapacity gives what is free of a machine now, and once all that stops is gone.
-func (l *leader) freeCapacity(m *machine) (free, freeAfterStops resource.Amount) {
+func (s *schedulableMachines) freeCapacity(m *machine) (free, freeAfterStops resource.Amount) {
 	free = resource.OfMachine(m.machineType)
 	for _, p := range m.placementsInOrder {
 		free.Subtract(resource.OfTask(p.job.spec))
 	}
 	for _, t := range m.orphanedTasks {
-		if id, _, ok := wire.ParseTaskName(t.Task); ok && l.jobs[id] != nil {
-			free.Subtract(resource.OfTask(l.jobs[id].spec))
+		if id, _, ok := wire.ParseTaskName(t.Task); ok && s.jobs[id] != nil {
+			free.Subtract(resource.OfTask(s.jobs[id].spec))
 		} else {
 			free = resource.Amount{}
 		}
