--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -54,7 +54,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Client{connection: connection, rollouts: operatorpb.NewRolloutsClient(connection), placements: operatorpb.NewPlacementsClient(connection)}, nil
+	return &Client{
+		connection: connection,
+		rollouts:   operatorpb.NewRolloutsClient(connection),
+		placements: operatorpb.NewPlacementsClient(connection),
+	}, nil
 }
 
 // Close ends the connection.
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -22,7 +22,13 @@
 	return handle(ctx, r.server, relayable[*operatorpb.AllowanceReply]{
 		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			return core.RequestQuota{RequestID: requestID, From: request.GetFrom(), Team: request.GetTeam(), Whole: shareOf(request.GetWhole()), Share: shareOf(request.GetShare())}
+			return core.RequestQuota{
+				RequestID: requestID,
+				From:      request.GetFrom(),
+				Team:      request.GetTeam(),
+				Whole:     shareOf(request.GetWhole()),
+				Share:     shareOf(request.GetShare()),
+			}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 			request.Relayed = true
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -2,11 +2,8 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
-	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 
@@ -58,7 +55,7 @@
 // instance is a machine of the cloud. It has no worker until it runs.
 type instance struct {
 	spec      MachineSpec
-	rentedAt  time.Time
+	createdAt time.Time
 	machine   Machine
 	bootTimer *time.Timer
 }
@@ -120,24 +117,24 @@
 	c.mu.Lock()
 	c.closed = true
 	var ended []Machine
-	for _, r := range c.machines {
-		if m := r.end(); m != nil {
-			ended = append(ended, m)
+	for _, machine := range c.machines {
+		if running := machine.end(); running != nil {
+			ended = append(ended, running)
 		}
 	}
 	c.mu.Unlock()
-	for _, m := range ended {
-		m.Stop()
+	for _, machine := range ended {
+		machine.Stop()
 	}
 	c.close()
 }
 
 // end stops a boot and gives the machine, if it runs.
-func (r *instance) end() Machine {
-	if r.bootTimer != nil {
-		r.bootTimer.Stop()
+func (i *instance) end() Machine {
+	if i.bootTimer != nil {
+		i.bootTimer.Stop()
 	}
-	return r.machine
+	return i.machine
 }
 
 // typeOf gives a machine type; nil if there is none of the name.
@@ -153,11 +150,13 @@
 // add adds a machine that does not run yet.
 func (c *Cloud) add(machineType wire.MachineType, zone string, spot bool) *instance {
 	c.created++
-	r := &instance{spec: MachineSpec{Name: fmt.Sprintf("host-%06d", c.created), Type: machineType, Zone: zone, Spot: spot}, rentedAt: time.Now()}
-	c.machines[r.spec.Name] = r
-	return r
+	name := fmt.Sprintf("host-%06d", c.created)
+	created := &instance{spec: MachineSpec{Name: name, Type: machineType, Zone: zone, Spot: spot}, createdAt: time.Now()}
+	c.machines[name] = created
+	return created
 }
 
+// bringUp starts the worker of a machine.
 func (c *Cloud) bringUp(machine *instance) { machine.machine = c.launch(machine.spec) }
 
 // boot starts a machine after its boot time.
@@ -175,122 +174,68 @@
 	})
 }
 
-func (c *Cloud) serve(client string, w http.ResponseWriter, r *http.Request) {
-	if c.isPartitioned(client) {
-		<-r.Context().Done() // nothing comes back
-		return
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limiter != nil && !c.limiter.Allow() {
-		respond(w, http.StatusTooManyRequests, nil)
-		return
-	}
-	switch r.Method + " " + r.URL.Path {
-	case "GET /catalog":
-		respond(w, http.StatusOK, wire.Catalog{Types: c.types})
-	case "GET /rentals":
-		query := r.URL.Query()
-		limit, _ := strconv.Atoi(query.Get("limit"))
-		respond(w, http.StatusOK, c.list(query.Get("after"), limit))
-	case "POST /rentals":
-		var request wire.ScaleOutRequest
-		if json.NewDecoder(r.Body).Decode(&request) != nil || !c.valid(request) {
-			respond(w, http.StatusBadRequest, nil)
-			return
-		}
-		c.scaleOut(w, request)
-	case "POST /rentals/release":
-		var names wire.MachineNames
-		if json.NewDecoder(r.Body).Decode(&names) != nil || len(names.Machines) > wire.MaxScaleIn {
-			respond(w, http.StatusBadRequest, nil)
-			return
-		}
-		c.scaleIn(names.Machines)
-		respond(w, http.StatusOK, struct{}{})
-	default:
-		respond(w, http.StatusBadRequest, nil)
-	}
-}
-
-// valid tells whether a scale-out can be tried.
-func (c *Cloud) valid(request wire.ScaleOutRequest) bool {
-	return c.typeOf(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
-}
-
 // list gives a page of the machines, in order of their names.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
 	if limit <= 0 || limit > wire.MaxList {
 		limit = wire.MaxList
 	}
 	var rest []*instance
-	for name, r := range c.machines {
+	for name, machine := range c.machines {
 		if name > after {
-			rest = append(rest, r)
+			rest = append(rest, machine)
 		}
 	}
 	slices.SortFunc(rest, func(a, b *instance) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
 	page := wire.MachineList{Machines: []wire.Machine{}, More: len(rest) > limit}
-	for _, r := range rest[:min(limit, len(rest))] {
-		page.Machines = append(page.Machines, r.listed())
+	for _, machine := range rest[:min(limit, len(rest))] {
+		page.Machines = append(page.Machines, machine.listed())
 	}
 	return page
 }
 
-func (r *instance) listed() wire.Machine {
-	m := wire.Machine{Name: r.spec.Name, Type: r.spec.Type.Name, Zone: r.spec.Zone, Spot: r.spec.Spot,
-		State: wire.MachineBooting, AgeS: time.Since(r.rentedAt).Seconds()}
-	if r.machine != nil {
-		m.Addr, m.State = r.machine.Addr(), r.machine.State()
+// listed gives the machine as the cloud lists it.
+func (i *instance) listed() wire.Machine {
+	listed := wire.Machine{
+		Name:  i.spec.Name,
+		Type:  i.spec.Type.Name,
+		Zone:  i.spec.Zone,
+		Spot:  i.spec.Spot,
+		State: wire.MachineBooting,
+		AgeS:  time.Since(i.createdAt).Seconds(),
+	}
+	if i.machine != nil {
+		listed.Addr, listed.State = i.machine.Addr(), i.machine.State()
 	}
-	return m
+	return listed
 }
 
+// failed tells whether the machine has failed: it no longer takes capacity.
+func (i *instance) failed() bool { return i.machine != nil && i.machine.State() == wire.MachineFailed }
+
 // free is how many more machines of a type can be created.
 func (c *Cloud) free(machineType string) int {
 	free, bounded := c.capacity[machineType]
 	if !bounded {
 		return wire.MaxScaleOut
 	}
-	for _, r := range c.machines {
-		if r.spec.Type.Name == machineType && (r.machine == nil || r.machine.State() != wire.MachineFailed) {
+	for _, instance := range c.machines {
+		if instance.spec.Type.Name == machineType && !instance.failed() {
 			free--
 		}
 	}
 	return free
 }
 
-// scaleOut creates machines, once for each request id.
-func (c *Cloud) scaleOut(w http.ResponseWriter, request wire.ScaleOutRequest) {
-	if names, ok := c.responses[request.RequestID]; ok {
-		respond(w, http.StatusOK, names)
-		return
-	}
-	count := min(request.Count, c.free(request.Type))
-	if count <= 0 {
-		respond(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
-		return
-	}
-	var names wire.MachineNames
-	for range count {
-		machine := c.add(*c.typeOf(request.Type), request.Zone, request.Spot)
-		c.boot(machine)
-		names.Machines = append(names.Machines, machine.spec.Name)
-	}
-	c.responses[request.RequestID] = names
-	respond(w, http.StatusOK, names)
-}
-
 // scaleIn ends machines; names of others are ignored.
 func (c *Cloud) scaleIn(names []string) {
 	for _, name := range names {
-		r := c.machines[name]
-		if r == nil {
+		machine := c.machines[name]
+		if machine == nil {
 			continue
 		}
 		delete(c.machines, name)
-		if m := r.end(); m != nil {
-			m.Stop()
+		if running := machine.end(); running != nil {
+			running.Stop()
 		}
 	}
 }
--- /dev/null
+++ b/internal/emulator/cloud_server.go
@@ -0,0 +1,82 @@
+package emulator
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"bitternwing/internal/wire"
+)
+
+// The requests that the cloud serves.
+const (
+	catalogRequest  = "GET /catalog"
+	listRequest     = "GET /rentals"
+	scaleOutRequest = "POST /rentals"
+	scaleInRequest  = "POST /rentals/release"
+)
+
+// serve handles a request of a client.
+func (c *Cloud) serve(client string, w http.ResponseWriter, r *http.Request) {
+	if c.isPartitioned(client) {
+		<-r.Context().Done() // nothing comes back
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.limiter != nil && !c.limiter.Allow() {
+		respond(w, http.StatusTooManyRequests, nil)
+		return
+	}
+	switch r.Method + " " + r.URL.Path {
+	case catalogRequest:
+		respond(w, http.StatusOK, wire.Catalog{Types: c.types})
+	case listRequest:
+		query := r.URL.Query()
+		limit, _ := strconv.Atoi(query.Get("limit"))
+		respond(w, http.StatusOK, c.list(query.Get("after"), limit))
+	case scaleOutRequest:
+		var request wire.ScaleOutRequest
+		if json.NewDecoder(r.Body).Decode(&request) != nil || !c.valid(request) {
+			respond(w, http.StatusBadRequest, nil)
+			return
+		}
+		c.scaleOut(w, request)
+	case scaleInRequest:
+		var names wire.MachineNames
+		if json.NewDecoder(r.Body).Decode(&names) != nil || len(names.Machines) > wire.MaxScaleIn {
+			respond(w, http.StatusBadRequest, nil)
+			return
+		}
+		c.scaleIn(names.Machines)
+		respond(w, http.StatusOK, struct{}{})
+	default:
+		respond(w, http.StatusBadRequest, nil)
+	}
+}
+
+// valid tells whether a scale-out can be tried.
+func (c *Cloud) valid(request wire.ScaleOutRequest) bool {
+	return c.typeOf(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
+}
+
+// scaleOut creates machines, once for each request id.
+func (c *Cloud) scaleOut(w http.ResponseWriter, request wire.ScaleOutRequest) {
+	if names, ok := c.responses[request.RequestID]; ok {
+		respond(w, http.StatusOK, names)
+		return
+	}
+	count := min(request.Count, c.free(request.Type))
+	if count <= 0 {
+		respond(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
+		return
+	}
+	var names wire.MachineNames
+	for range count {
+		machine := c.add(*c.typeOf(request.Type), request.Zone, request.Spot)
+		c.boot(machine)
+		names.Machines = append(names.Machines, machine.spec.Name)
+	}
+	c.responses[request.RequestID] = names
+	respond(w, http.StatusOK, names)
+}
--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -46,5 +46,11 @@
 func (h *Histogram) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Summary{Count: h.values.TotalCount(), Mean: h.values.Mean(), P50: h.values.ValueAtQuantile(50), P99: h.values.ValueAtQuantile(99), Max: h.values.Max()}
+	return Summary{
+		Count: h.values.TotalCount(),
+		Mean:  h.values.Mean(),
+		P50:   h.values.ValueAtQuantile(50),
+		P99:   h.values.ValueAtQuantile(99),
+		Max:   h.values.Max(),
+	}
 }
--- a/internal/fleetsim/page.go
+++ b/internal/fleetsim/page.go
@@ -26,6 +26,8 @@
 	points plotter.XYs
 }
 
+const bytesPerMiB = 1 << 20
+
 // page is the data of the page of a result.
 type page struct {
 	*Result
@@ -34,7 +36,8 @@
 
 // WritePage writes the result as one self-contained HTML page.
 func (r *Result) WritePage(path string) error {
-	t, err := template.New("page").Funcs(template.FuncMap{"mib": func(bytes int64) string { return fmt.Sprintf("%.1f", float64(bytes)/(1<<20)) }}).Parse(pageText)
+	mebibytes := func(bytes int64) string { return fmt.Sprintf("%.1f", float64(bytes)/bytesPerMiB) }
+	t, err := template.New("page").Funcs(template.FuncMap{"mib": mebibytes}).Parse(pageText)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetsim/pages_test.go
+++ b/internal/fleetsim/pages_test.go
@@ -17,10 +17,24 @@
 	dir := t.TempDir()
 	traffic := map[simworker.MessageKind]measure.Count{simworker.KindHeartbeat: {Messages: 31}}
 	page := filepath.Join(dir, "result.html")
-	result := &Result{Scenario: smoke(t), Requested: 417, Failovers: []Failover{{AtS: 3, NextStartS: 1, Controller: "controller-07"}},
-		Violations: []rules.Violation{{Rule: rules.Quota, Message: "over its limit"}}, BrokenRollout: "a rollout of the reader",
-		Rollouts:  []rolling.Result{{Model: rolling.Model{Name: "reader"}, MinServed: 0.91, SamplesBelowPromise: 13, ExtraReplicaS: 229, MaxWithoutStatusS: 7.5, Events: []rolling.Event{{What: "plan applied"}}}},
-		Processes: []ProcessResult{{Name: "controller-03", Traffic: traffic}}, Direct: traffic}
+	rollout := rolling.Result{
+		Model:               rolling.Model{Name: "reader"},
+		MinServed:           0.91,
+		SamplesBelowPromise: 13,
+		ExtraReplicaS:       229,
+		MaxWithoutStatusS:   7.5,
+		Events:              []rolling.Event{{What: "plan applied"}},
+	}
+	result := &Result{
+		Scenario:      smoke(t),
+		Requested:     417,
+		Failovers:     []Failover{{AtS: 3, NextStartS: 1, Controller: "controller-07"}},
+		Violations:    []rules.Violation{{Rule: rules.Quota, Message: "over its limit"}},
+		BrokenRollout: "a rollout of the reader",
+		Rollouts:      []rolling.Result{rollout},
+		Processes:     []ProcessResult{{Name: "controller-03", Traffic: traffic}},
+		Direct:        traffic,
+	}
 	if err := result.WritePage(page); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"slices"
 	"sync"
 
 	"bitternwing/internal/fleetsim/load"
@@ -27,14 +28,7 @@
 		return err
 	}
 	sim.rollouts = &rollouts{servers: simmodelserver.New(listener, sim.fleet)}
-	environment := &rolling.Environment{Binary: sim.options.Binary, Dir: sim.options.Dir, Teams: teams, Fleet: sim.fleet, Now: sim.now,
-		Cancel: sim.users.Cancel, Submit: func(ctx context.Context, arrival load.Arrival) {
-			sim.recorder.submit(arrival)
-			sim.users.Start(ctx, arrival)
-		}}
-	for _, process := range sim.controllers.list {
-		environment.Controllers = append(environment.Controllers, process.internalAddress)
-	}
+	environment := sim.rolloutEnvironment(teams)
 	for i, model := range sim.scenario.Rollouts {
 		simulated, err := rolling.New(model, i, environment)
 		if err != nil {
@@ -42,17 +36,34 @@
 		}
 		sim.rollouts.models = append(sim.rollouts.models, simulated)
 	}
-	sim.rollouts.servers.SetWrong(func(task string, request int64) bool {
-		for _, model := range sim.rollouts.models {
-			if model.IsWrong(task, request) {
-				return true
-			}
-		}
-		return false
-	})
+	sim.rollouts.servers.SetWrong(sim.rollouts.isWrong)
 	return nil
 }
 
+func (sim *simulation) rolloutEnvironment(teams []string) *rolling.Environment {
+	environment := &rolling.Environment{
+		Binary: sim.options.Binary,
+		Dir:    sim.options.Dir,
+		Teams:  teams,
+		Fleet:  sim.fleet,
+		Now:    sim.now,
+		Submit: func(ctx context.Context, arrival load.Arrival) {
+			sim.recorder.submit(arrival)
+			sim.users.Start(ctx, arrival)
+		},
+		Cancel: sim.users.Cancel,
+	}
+	for _, process := range sim.controllers.list {
+		environment.Controllers = append(environment.Controllers, process.internalAddress)
+	}
+	return environment
+}
+
+// isWrong tells whether a task responds wrongly to a request now.
+func (r *rollouts) isWrong(task string, request int64) bool {
+	return slices.ContainsFunc(r.models, func(model *rolling.Rollout) bool { return model.IsWrong(task, request) })
+}
+
 // modelPort is the port of the model servers; 0: there are none.
 func (r *rollouts) modelPort() int {
 	if r == nil {
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -62,9 +62,9 @@
 	mu               sync.Mutex
 	launched         int
 	workers          map[string]*Worker // by name
-	byIP             map[string]*Worker
-	everLaunched     []*Worker         // ever launched
-	zoneByMachine    map[string]string // of all of them, by name
+	byAddress        map[string]*Worker
+	everLaunched     []*Worker
+	zoneByMachine    map[string]string // of all that were ever launched
 	partitionedZones map[string]bool
 }
 
@@ -80,11 +80,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("workers' address: %w", err)
 	}
-	f := &Fleet{config: config, startedAt: time.Now(), listener: listener, port: port,
-		workers: map[string]*Worker{}, byIP: map[string]*Worker{}, zoneByMachine: map[string]string{}, partitionedZones: map[string]bool{}}
+	f := &Fleet{
+		config:           config,
+		startedAt:        time.Now(),
+		listener:         listener,
+		port:             port,
+		workers:          map[string]*Worker{},
+		byAddress:        map[string]*Worker{},
+		zoneByMachine:    map[string]string{},
+		partitionedZones: map[string]bool{},
+	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.server = &http.Server{Handler: http.HandlerFunc(serve), ReadHeaderTimeout: responseTimeout,
-		ConnContext: withWorker}
+	f.server = &http.Server{Handler: http.HandlerFunc(serve), ReadHeaderTimeout: responseTimeout, ConnContext: withWorker}
 	go func() { _ = f.server.Serve(&workerListener{listener, f}) }() // ends with Close
 	return f, nil
 }
@@ -101,7 +108,7 @@
 	f.workers[info.Name] = w
 	f.everLaunched = append(f.everLaunched, w)
 	f.zoneByMachine[info.Name] = info.Zone
-	f.byIP[w.address.String()] = w
+	f.byAddress[w.address.String()] = w
 	f.mu.Unlock()
 	f.running.Add(1)
 	go func() {
@@ -120,7 +127,7 @@
 func (f *Fleet) workerAt(host string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byIP[host]
+	return f.byAddress[host]
 }
 
 // remove takes a worker off the list whose machine was returned.
@@ -128,7 +135,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.workers, worker.machine.info.Name)
-	delete(f.byIP, worker.address.String())
+	delete(f.byAddress, worker.address.String())
 }
 
 // Workers gives the present workers, in no order.
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -8,7 +8,6 @@
 	"strings"
 	"time"
 
-	"bitternwing/internal/config"
 	"bitternwing/internal/resource"
 	"bitternwing/internal/wire"
 )
@@ -195,70 +194,6 @@
 	return r
 }
 
-// ApplyHeartbeatResponse executes the response to a heartbeat of an incarnation. False: it was dropped, and renews no lease.
-func (m *Machine) ApplyHeartbeatResponse(now time.Duration, incarnation uint64, response wire.HeartbeatResponse) bool {
-	if response.FencingToken < m.fencingToken || incarnation != m.incarnation {
-		return false
-	}
-	m.fencingToken = response.FencingToken
-	m.execute(now, response.Commands)
-	return true
-}
-
-// ApplyDirectCommands executes direct commands. False: none were executed.
-func (m *Machine) ApplyDirectCommands(now time.Duration, direct wire.DirectCommands) bool {
-	if direct.FencingToken < m.fencingToken || direct.Incarnation != m.incarnation {
-		return false
-	}
-	m.fencingToken = direct.FencingToken
-	m.execute(now, direct.Commands)
-	return true
-}
-
-// execute executes commands in order.
-func (m *Machine) execute(now time.Duration, commands []wire.Command) {
-	m.Advance(now)
-	for _, c := range commands {
-		name := attempt{c.Task, c.Attempt}
-		t := m.tasks[name]
-		switch {
-		case c.Op == wire.OpStart && t == nil:
-			m.start(now, name)
-		case c.Op == wire.OpStop && t != nil:
-			m.stop(now, t, c.GracePeriodS)
-		case c.Op == wire.OpForget && t != nil && t.State == wire.TaskExited:
-			delete(m.tasks, name)
-		}
-	}
-}
-
-// start starts an attempt, or has it exit with the cause of its refusal.
-func (m *Machine) start(now time.Duration, name attempt) {
-	m.observer.StartReceived(Start{m.info.Name, name.task, name.number, m.fencingToken})
-	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, transitionAt: Never}
-	id, index, ok := wire.ParseTaskName(name.task)
-	job := m.jobs.Job(id)
-	known := ok && job != nil && index < job.Tasks
-	var refusal wire.ExitCause
-	switch {
-	case !known:
-		refusal = wire.CauseUnknownTask
-	case m.Holds(name.task):
-		refusal = wire.CauseBusy
-	case !m.free().Covers(resource.OfTask(job)):
-		refusal = wire.CauseNoCapacity
-	}
-	m.tasks[name] = t
-	m.changed = true
-	if refusal != "" {
-		m.exit(t, refusal)
-		return
-	}
-	t.job = job
-	t.transitionAt = m.fetch(now, job)
-	m.nextEventAt = min(m.nextEventAt, t.transitionAt)
-}
-
 // TaskCount counts the tasks in its heartbeats.
 func (m *Machine) TaskCount() int { return len(m.tasks) }
 
@@ -275,43 +210,6 @@
 	return false
 }
 
-// fetch gives the time at which a job's image is there.
-func (m *Machine) fetch(now time.Duration, job *wire.Job) time.Duration {
-	return m.Prefetch(now, job.Image, job.ImageGB)
-}
-
-// Prefetch begins to fetch an image, if it is not there, and gives the time at which it will be.
-func (m *Machine) Prefetch(now time.Duration, image string, sizeGB float64) time.Duration {
-	readyAt, known := m.imageReadyAt[image]
-	if !known {
-		duration := config.Seconds(sizeGB / m.info.Type.FetchGBPerS)
-		m.fetches++
-		m.fetchTime += duration
-		readyAt = now + duration
-		m.imageReadyAt[image] = readyAt
-	}
-	return max(now, readyAt)
-}
-
-// stop ends a task, after a checkpoint if it can make one and the grace period allows it.
-func (m *Machine) stop(now time.Duration, t *task, graceS *float64) {
-	grace := 0.0
-	if graceS != nil {
-		grace = *graceS
-	}
-	switch {
-	case t.State == wire.TaskExited:
-	case t.State == wire.TaskCheckpointing && grace > 0:
-	case t.State == wire.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointTimeS:
-		t.State = wire.TaskCheckpointing
-		t.transitionAt = now + config.Seconds(t.job.CheckpointTimeS)
-		m.nextEventAt = min(m.nextEventAt, t.transitionAt)
-		m.changed = true
-	default:
-		m.exit(t, wire.CauseStopped)
-	}
-}
-
 // free is the free capacity of the machine.
 func (m *Machine) free() resource.Amount {
 	free := resource.OfMachine(&m.info.Type)
