--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -92,7 +92,7 @@
 	})
 }
 
-// Route requests a routing, once: a router goes on with the one that it has.
+// Route requests a routing, once: a router that gets none keeps the one that it has.
 func (c *Client) Route(ctx context.Context, request *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
 	return c.rollouts.Route(ctx, request)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -129,6 +129,6 @@
 // Seconds turns a number of seconds into a duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// FailureCheckInterval is how often nodes look at what may fail, and how long a call may take: a tenth
+// FailureCheckInterval is how often nodes check for failures, and how long a call may take: a tenth
 // of the workers' lease.
 func FailureCheckInterval(workers Workers) time.Duration { return Seconds(workers.LeaseS / 10) }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -16,7 +16,7 @@
 	value float64
 }
 
-// positiveFields gives those of the limits to come that are there.
+// positiveFields gives the limits to come that are set.
 func (n *NextLimits) positiveFields() []positiveField {
 	if n == nil {
 		return nil
@@ -73,7 +73,7 @@
 // servicesTable is the table of the addresses of other services, of which two may be the same.
 const servicesTable = "outside."
 
-// checkAddresses checks that all addresses are there and that no two nodes share one.
+// checkAddresses checks that no address is missing and that no two nodes share one.
 func (s *Settings) checkAddresses() error {
 	addresses := []struct{ field, value string }{
 		{"bind", s.Listen}, {"internal_addr", s.PeerListen},
--- a/internal/emulator/store_server.go
+++ b/internal/emulator/store_server.go
@@ -126,7 +126,7 @@
 }
 
 // admit waits until a client is not partitioned, and takes the lock at the present time. Otherwise it gives the
-// status of the refusal; 0 if the client has gone away.
+// status of the refusal; 0 if the client has disconnected.
 func (s *StoreServer) admit(client string, r *http.Request) (status int) {
 	if !s.reachable(client, r) {
 		return 0
@@ -145,7 +145,7 @@
 	return status
 }
 
-// reachable waits while a client is partitioned; false if it or this server has gone away meanwhile.
+// reachable waits while a client is partitioned; false if it has disconnected or this server is closed meanwhile.
 func (s *StoreServer) reachable(client string, r *http.Request) bool {
 	for {
 		s.mu.Lock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// wait waits for a change, or a timeout; false if the client or this server has gone away.
+// wait waits for a change, or a timeout; false if the client has disconnected or this server is closed.
 func (s *StoreServer) wait(r *http.Request, changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/fleetsim/measure/process.go
+++ b/internal/fleetsim/measure/process.go
@@ -37,7 +37,7 @@
 	return p
 }
 
-// Restart goes on with another process of the same name.
+// Restart continues with another process of the same name.
 func (p *Process) Restart(pid int, atS float64) {
 	p.pid = pid
 	p.lastCounters = counters{atS: atS}
--- a/internal/fleetsim/placement_tracker.go
+++ b/internal/fleetsim/placement_tracker.go
@@ -25,7 +25,7 @@
 	ReplicasAtEnd   int     `json:"replicas_at_the_end"`
 }
 
-// coldStartThreshold is how long a start takes that counts as cold: a warm one takes until the next look at the clock.
+// coldStartThreshold is how long a start takes that counts as cold: a warm one takes until the next tick of the worker.
 const coldStartThreshold = 100 * time.Millisecond
 
 // placementTracker observes the placements of services' replicas.
--- a/internal/fleetsim/rolling/sampling.go
+++ b/internal/fleetsim/rolling/sampling.go
@@ -50,7 +50,7 @@
 	return capacity, running
 }
 
-// reached gives the capacity that a router reaches. One that has yet to receive a routing counts as reaching the old version.
+// reached gives the capacity that a router reaches. One without a routing counts as reaching the old version.
 func (r *Rollout) reached(router *simrouter.Router) float64 {
 	weights := router.Weights()
 	if len(weights) == 0 && router.Generation() == nil {
--- a/internal/fleetsim/rolling/traffic.go
+++ b/internal/fleetsim/rolling/traffic.go
@@ -33,7 +33,7 @@
 		}
 		router := r.routers[number%len(r.routers)]
 		if router.Generation() == nil {
-			continue // it has yet to receive a routing
+			continue // it has no routing yet
 		}
 		pending <- struct{}{}
 		go func() {
--- a/internal/fleetsim/sweep.go
+++ b/internal/fleetsim/sweep.go
@@ -29,7 +29,7 @@
 	Spread     SpreadResult `json:"spread"`
 }
 
-// RunSweep simulates the variants of a scenario one after the other. It goes on after a broken rule, which it returns as its error.
+// RunSweep simulates the variants of a scenario one after the other. It continues after a broken rule, which it returns as its error.
 func RunSweep(ctx context.Context, scenario *Scenario, options Options) ([]SweepRun, error) {
 	var runs []SweepRun
 	var broken error
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -18,7 +18,7 @@
 	deadline   time.Time // zero: none
 }
 
-// expired tells whether nobody waits for the response any more.
+// expired tells whether the deadline has passed: no client waits for the response any more.
 func (q queuedInput) expired() bool { return !q.deadline.IsZero() && !time.Now().Before(q.deadline) }
 
 // runCore steps the core until the context ends. It is the one place where the core is stepped.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// serveMetrics serves the metrics until the context ends. An address that can't be had is logged, and the node goes on
-// without: a fleet must not stop for its metrics.
+// serveMetrics serves the metrics until the context ends. If the address is not available, that is logged, and the
+// node runs without: a fleet must not stop for its metrics.
 func (n *Node) serveMetrics(ctx context.Context) {
 	if n.metrics == nil {
 		return
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -52,7 +52,7 @@
 }
 
 // NewServer makes a server that hands received cancellations on, and responds with the status. receiveCancellations is false
-// where they could not be taken in.
+// if they were not accepted.
 func NewServer(node string, receiveCancellations func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
 	s := &Server{node: node, receiveCancellations: receiveCancellations, status: status, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
--- a/internal/server/handlers.go
+++ b/internal/server/handlers.go
@@ -101,5 +101,5 @@
 		header.Set("Retry-After", strconv.Itoa(retryAfterS))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // nobody is left to tell when the client has gone away
+	_, _ = w.Write(data) // the client may have closed the connection
 }
--- a/internal/simmodelserver/server.go
+++ b/internal/simmodelserver/server.go
@@ -123,7 +123,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(data) // nobody is left to tell when the client has gone away
+	_, _ = w.Write(data) // the client may have closed the connection
 }
 
 // isWrong tells whether a task responds wrongly to a request.
--- a/internal/simworker/direct_commands.go
+++ b/internal/simworker/direct_commands.go
@@ -46,7 +46,7 @@
 	w.wakeUp()
 }
 
-// respond sends a response and counts the exchange. A caller that has gone away needs no response.
+// respond sends a response and counts the exchange. The caller may have closed the connection.
 func (w *Worker) respond(rw http.ResponseWriter, kind MessageKind, status int, data []byte, receivedBytes int) {
 	w.fleet.config.Traffic.Count(AnyController, kind, len(data), receivedBytes)
 	rw.Header().Set("Content-Type", "application/json")
@@ -54,7 +54,7 @@
 	_, _ = rw.Write(data)
 }
 
-// prefetch begins to fetch an image ahead of need.
+// prefetch begins to fetch an image before a task needs it.
 func (w *Worker) prefetch(rw http.ResponseWriter, body []byte) {
 	var request wire.PrefetchRequest
 	if json.Unmarshal(body, &request) != nil || request.Image == "" || request.GB < 0 {
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -28,7 +28,7 @@
 type Observer interface {
 	// StartReceived is called for a start command of an attempt that the worker does not hold.
 	StartReceived(Start)
-	// TaskRuns is called when a task's image is there: it is on its machine from now on.
+	// TaskRuns is called when a task's image is cached: the task is on its machine from now on.
 	TaskRuns(machine, task string)
 	// TaskEnds is called when a task that was on its machine no longer is; done if it completed.
 	TaskEnds(machine, task string, done bool)
@@ -80,7 +80,7 @@
 	transitionAt time.Duration
 }
 
-// onMachine tells whether the task's image is there and it has not ended.
+// onMachine tells whether the task's image is cached and it has not ended.
 func (t *task) onMachine() bool {
 	return t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing
 }
@@ -153,7 +153,7 @@
 	return n
 }
 
-// RunsTask tells whether a task runs here: its image is there, and it has not ended.
+// RunsTask tells whether a task runs here: its image is cached, and it has not ended.
 func (m *Machine) RunsTask(name string) bool {
 	for _, t := range m.tasks {
 		if t.Task == name && t.State == wire.TaskRunning {
--- a/internal/simworker/machine_commands.go
+++ b/internal/simworker/machine_commands.go
@@ -72,7 +72,7 @@
 	m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 }
 
-// fetch gives the time at which a job's image is there.
+// fetch gives the time at which a job's image is cached.
 func (m *Machine) fetch(now time.Duration, job *wire.Job) time.Duration {
 	return m.Prefetch(now, job.Image, job.ImageGB)
 }
--- a/internal/simworker/worker.go
+++ b/internal/simworker/worker.go
@@ -35,13 +35,13 @@
 
 	mu              sync.Mutex
 	machine         *Machine
-	isolated        bool // it reaches nobody, and nobody reaches it
+	isolated        bool // nothing that it sends or is sent arrives
 	dead            bool
 	diedAt          time.Duration
-	leaseRenewedAt  time.Duration // when the heartbeat was sent that was answered last
+	leaseRenewedAt  time.Duration // when the last heartbeat with a response was sent
 	nextHeartbeatAt time.Duration
 	lastSentAt      time.Duration
-	inFlight        bool   // a heartbeat is on its way
+	inFlight        bool   // a heartbeat has no response yet
 	controllerIndex int    // of the controller that it sends heartbeats to
 	lastController  string // the controller whose response it accepted last
 }
@@ -120,7 +120,7 @@
 	return max(time.Millisecond, next-now)
 }
 
-// wakeUp has the worker look at what is due.
+// wakeUp has the worker do what is due.
 func (w *Worker) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
@@ -144,7 +144,7 @@
 	return !w.dead && !w.isolated && w.machine.RunsTask(task)
 }
 
-// SetUnreachable begins or ends that the worker reaches nobody and nobody reaches it.
+// SetUnreachable has all that the worker sends or is sent be lost, or ends that.
 func (w *Worker) SetUnreachable(unreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/wire/prefetch.go
+++ b/internal/wire/prefetch.go
@@ -1,6 +1,6 @@
 package wire
 
-// PrefetchPath is where workers that support it take requests to fetch an image ahead of need. It is no part of the
+// PrefetchPath is the path on which workers that support it take prefetches of images. It is no part of the
 // workers' protocol: simulated workers alone have it.
 const PrefetchPath = "/prefetch"
 
@@ -10,7 +10,7 @@
 	GB    float64 `json:"gb"`
 }
 
-// PrefetchResponse says when the image is there.
+// PrefetchResponse says after how many seconds the image is cached.
 type PrefetchResponse struct {
 	ReadyS float64 `json:"ready_s"`
 }
