--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -9,6 +9,7 @@
 	"bitternwing/internal/outcome"
 	"bitternwing/internal/ratelimit"
 	"bitternwing/internal/resource"
+	"bitternwing/internal/topologyspread"
 )
 
 // PrefetchImage requests a worker to fetch an image that no task there waits for. It is an extension of the workers'
@@ -25,28 +26,55 @@
 
 // imagePrefetcher keeps a copy of each model's weights in each zone where its replicas could run, within a budget.
 type imagePrefetcher struct {
+	core      *Core
+	authority leaderAuthority
+	calls     termCalls
+	machines  map[string]*machine
+	index     *capacity.Index[*schedulableMachine]
+	ledger    *topologyspread.Ledger
+	replicas  replicaFleet
+
 	budget      ratelimit.Bucket // in GB
 	inFlight    int
 	nextCheck   time.Duration
-	unsupported bool // a worker does not support the request: none is taken to
+	unsupported bool // a worker does not support the request: presumably none does
 	arrivals    []imageArrival
 }
 
+// replicaFleet is the services and zones among which images are spread.
+type replicaFleet interface {
+	servicesByModel() map[topologyspread.Model][]*job
+	fleet() fleetView
+}
+
+// newImagePrefetcher makes the prefetcher of a leader.
+func newImagePrefetcher(l *leader) imagePrefetcher {
+	return imagePrefetcher{
+		core:      l.core,
+		authority: l.leaderAuthority,
+		calls:     l.termCalls,
+		machines:  l.machines,
+		index:     l.schedulable.index,
+		ledger:    l.replicaLedger,
+		replicas:  l,
+	}
+}
+
 // imageArrival is an image that will be on a machine.
 type imageArrival struct {
 	machine, image string
 	at             time.Duration
 }
 
-// runPrefetches notes which images have arrived, and requests those that are missing.
-func (l *leader) runPrefetches() {
-	c, p := l.core, &l.prefetches
+// run notes which images have arrived, and requests those that are missing.
+func (p *imagePrefetcher) run() {
+	c := p.core
 	perHour := c.operator.Spread.PrefetchGBPerHour
 	if !c.operator.Spread.Enabled || perHour <= 0 || p.unsupported {
 		return
 	}
-	l.applyArrivals()
-	if c.now.Steady < p.nextCheck || !l.mayCommit() {
+	p.applyArrivals()
+	if c.now.Steady < p.nextCheck || !p.authority.mayCommit() {
 		c.wakeBy(p.nextCheck)
 		return
 	}
@@ -55,49 +83,48 @@
 		p.budget = ratelimit.NewBucket(perHour, c.now.Steady) // an hour's worth to begin with
 	}
 	p.budget.Refill(c.now.Steady, perHour/secondsPerHour, perHour)
-	services := l.servicesByModel()
-	for _, model := range l.replicaLedger.All() {
+	services := p.replicas.servicesByModel()
+	for _, model := range p.ledger.All() {
 		if i := slices.IndexFunc(services[model], func(j *job) bool { return !j.cancelled }); i >= 0 {
-			l.prefetchModel(services[model][i])
+			p.prefetchModel(services[model][i])
 		}
 	}
 }
 
 // applyArrivals marks the images that have arrived by now.
-func (l *leader) applyArrivals() {
-	keep := l.prefetches.arrivals[:0]
-	for _, a := range l.prefetches.arrivals {
-		if l.core.now.Steady < a.at {
+func (p *imagePrefetcher) applyArrivals() {
+	keep := p.arrivals[:0]
+	for _, a := range p.arrivals {
+		if p.core.now.Steady < a.at {
 			keep = append(keep, a)
 			continue
 		}
-		if m := l.machines[a.machine]; m != nil {
+		if m := p.machines[a.machine]; m != nil {
 			m.markImageReady(a.image)
 		}
 	}
-	l.prefetches.arrivals = keep
+	p.arrivals = keep
 }
 
 // prefetchModel requests a copy of a model's weights in each zone that has none.
-func (l *leader) prefetchModel(j *job) {
-	p := &l.prefetches
-	for _, zone := range l.fleet().zonesFor(j) {
-		if j.spec.ImageGB > p.budget.Tokens() || p.inFlight >= l.core.maxReplicaProbes() {
+func (p *imagePrefetcher) prefetchModel(j *job) {
+	for _, zone := range p.replicas.fleet().zonesFor(j) {
+		if j.spec.ImageGB > p.budget.Tokens() || p.inFlight >= p.core.maxReplicaProbes() {
 			return
 		}
-		if m := l.prefetchTarget(j, zone); m != nil {
+		if m := p.prefetchTarget(j, zone); m != nil {
 			p.budget.Spend(j.spec.ImageGB)
-			l.prefetch(j, m)
+			p.prefetch(j, m)
 		}
 	}
 }
 
 // prefetchTarget gives the machine of a zone for a copy of a job's image: one with the resources for a replica, that fetches
 // nothing, and whose cache holds the image beside all others there; nil if there is none, or if the zone has a copy.
-func (l *leader) prefetchTarget(j *job, zone string) *machine {
+func (p *imagePrefetcher) prefetchTarget(j *job, zone string) *machine {
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
-	_, copied, _ := l.schedulable.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
+	_, copied, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
 		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			state := target.machine.images.stateOf(j.spec.Image)
 			return state, state <= capacity.ImageFetching
@@ -105,7 +132,7 @@
 	if copied {
 		return nil
 	}
-	target, found, _ := l.schedulable.index.BestFit(capacity.FitRequest[*schedulableMachine]{
+	target, found, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
 		Penalty: within,
@@ -121,18 +148,18 @@
 }
 
 // prefetch requests an image for a machine. Until it is there the machine counts as fetching it.
-func (l *leader) prefetch(j *job, m *machine) {
-	p, image := &l.prefetches, j.spec.Image
+func (p *imagePrefetcher) prefetch(j *job, m *machine) {
+	image := j.spec.Image
 	m.addImage(image, j.spec.ImageGB)
 	p.inFlight++
-	id := l.registerCall(func(r Result) {
+	id := p.calls.registerCall(func(r Result) {
 		p.inFlight--
 		switch r.Outcome {
 		case outcome.OK:
-			p.arrivals = append(p.arrivals, imageArrival{m.name, image, l.core.now.Steady + config.Seconds(r.ReadyS)})
+			p.arrivals = append(p.arrivals, imageArrival{m.name, image, p.core.now.Steady + config.Seconds(r.ReadyS)})
 		case outcome.NotFound:
 			if !p.unsupported {
-				l.core.log(Error, "image prefetch not supported by workers", "worker", m.name)
+				p.core.log(Error, "image prefetch not supported by workers", "worker", m.name)
 			}
 			p.unsupported = true
 			m.removeImage(image)
@@ -140,5 +167,5 @@
 			m.removeImage(image)
 		}
 	})
-	l.core.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
+	p.core.emit(PrefetchImage{CallID: id, Addr: m.addr, Image: image, GB: j.spec.ImageGB})
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -12,7 +12,7 @@
 	"bitternwing/internal/wire"
 )
 
-// job is a job as the leader keeps it.
+// job is the leader's state of a job.
 type job struct {
 	id                     string
 	spec                   *wire.Job
@@ -41,7 +41,7 @@
 	done             int
 	nextUnplaced     int // no task below this is both undone and unplaced
 
-	// Failure accounting, see faults.go.
+	// Failure accounting, see failureAccounting.
 	ranSuccessfully bool // a task of it ran well somewhere
 	failedOn        map[string]bool
 	retryAt         time.Duration // no start before this
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,8 +7,11 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// leader is the state of a controller that leads a term. It is all rebuilt when a term begins: first from the key-value
-// store (leaderRecovery), then from the heartbeats of the workers.
+// leader is a controller that leads a term. It wires the components that do the work of a leader and runs them in order.
+// What several of them share is a field of the leader; what only one uses is a field of that component.
+//
+// All of it is rebuilt when a term begins: first from the key-value store (leaderRecovery), then from the heartbeats of the
+// workers.
 type leader struct {
 	core *Core
 	leaderAuthority
@@ -18,72 +21,99 @@
 	term        uint64
 	termVersion uint64
 	startedAt   time.Duration
+	recovered   bool // the state of earlier terms is restored
 
-	recovery        *leaderRecovery
-	recovered       bool // the state of earlier terms is restored
-	layoutMigration layoutMigration
-	termUpgrade     termFormatUpgrade
-
+	// The jobs.
 	jobs             map[string]*job
 	queue            []*job // by acceptance
-	dependenciesSeen uint64 // evaluations of the dependency graph that are taken in
+	dependenciesSeen uint64 // evaluations of the dependency graph that were followed
+	records          runRecords
 
+	// The machines.
 	machines         map[string]*machine
 	machinesByName   []*machine               // by name
 	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
-	schedulable      schedulableMachines
-	replicaLedger    *topologyspread.Ledger
-
-	silentZones map[string]bool // zones much of which is silent, kept by liveness; true: none of their controllers answers either
-
+	// silentZones are the zones much of which is silent; true: none of their controllers answers either. The liveness
+	// monitor updates it.
+	silentZones    map[string]bool
+	schedulable    schedulableMachines
+	replicaLedger  *topologyspread.Ledger
 	nextFleetCheck time.Duration // when the machines and the cancelled jobs are checked next
 
+	// changes counts for the reconciler what changes at a heartbeat.
+	changes changeCounter
+
+	// Heartbeats and commands.
 	liveness      *livenessMonitor
 	failures      failureAccounting
+	reconciler    *reconciler
 	commands      *commandBuilder
 	heldResponses *heldResponses
-	reconciler    *reconciler
 	dispatcher    *commandDispatcher
-	changes       changeCounter // shared by the reconciler and the run records
-	records       runRecords
-	writer        writer
-	provisioner   provisioner
-	cycles        cycleTimer
-	rebalancing   rebalancing
-	prefetches    imagePrefetcher
-	rollouts      *rolloutManager
-	quotas        *quotaManager
-	images        imageHints
-	unreachable   unreachableHints
+
+	// Scheduling and provisioning.
+	cycles      cycleTimer
+	rebalancing rebalancing
+	provisioner provisioner
+	prefetches  imagePrefetcher
+	rollouts    *rolloutManager
+	quotas      *quotaManager
+
+	// The key-value store.
+	recovery        *leaderRecovery
+	writer          writer
+	layoutMigration layoutMigration
+	termUpgrade     termFormatUpgrade
+	images          imageHints
+	unreachable     unreachableHints
 }
 
 // newLeader makes the leader of a term that was just won, which has yet to recover the state of earlier terms.
 func newLeader(c *Core, term, version uint64) *leader {
-	l := &leader{core: c, term: term, termVersion: version, startedAt: c.now.Steady,
-		jobs: map[string]*job{}, machines: map[string]*machine{}, releasedMachines: map[string]time.Duration{},
-		replicaLedger: topologyspread.NewLedger(),
-		silentZones:   map[string]bool{}}
-	l.leaderAuthority = leaderAuthority{core: c}
+	l := &leader{
+		core:             c,
+		leaderAuthority:  leaderAuthority{core: c},
+		term:             term,
+		termVersion:      version,
+		startedAt:        c.now.Steady,
+		jobs:             map[string]*job{},
+		machines:         map[string]*machine{},
+		releasedMachines: map[string]time.Duration{},
+		silentZones:      map[string]bool{},
+		replicaLedger:    topologyspread.NewLedger(),
+	}
 	l.termCalls = termCalls{core: c, owner: l}
-	l.schedulable = newSchedulableMachines(l)
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
+	l.schedulable = newSchedulableMachines(l)
+	l.wireHeartbeats()
+	l.rollouts = newRolloutManager(l)
+	l.quotas = newQuotaManager(l)
+	l.wireStore()
+	l.provisioner.init(l)
+	l.prefetches = newImagePrefetcher(l)
+	l.cycles.nextAt = c.now.Steady
+	return l
+}
+
+// wireHeartbeats makes what handles heartbeats and sends commands, each before those that use it.
+func (l *leader) wireHeartbeats() {
+	l.failures = failureAccounting{core: l.core, jobs: l.jobs, machines: l.machines}
 	l.commands = newCommandBuilder(l)
 	l.heldResponses = newHeldResponses(l)
-	l.failures = failureAccounting{core: c, jobs: l.jobs, machines: l.machines}
 	l.reconciler = newReconciler(l)
 	l.liveness = newLivenessMonitor(l)
 	l.dispatcher = newCommandDispatcher(l)
+}
+
+// wireStore makes what reads and writes the key-value store.
+func (l *leader) wireStore() {
+	now := l.core.now.Steady
 	l.recovery = newLeaderRecovery(l)
-	l.rollouts = newRolloutManager(l)
-	l.quotas = newQuotaManager(l)
-	l.termUpgrade.leader = l
-	l.layoutMigration.leader = l
 	l.writer.init(l)
-	l.provisioner.init(l)
-	l.cycles.nextAt = c.now.Steady
-	l.unreachable = unreachableHints{leader: l, nextWrite: c.now.Steady + c.times.checkInterval}
-	l.images = imageHints{core: c, writer: &l.writer, nextWrite: c.now.Steady, shards: newShardWriter(l, stored.ImageHintKey)}
-	return l
+	l.layoutMigration.leader = l
+	l.termUpgrade.leader = l
+	l.unreachable = unreachableHints{leader: l, nextWrite: now + l.core.times.checkInterval}
+	l.images = imageHints{core: l.core, writer: &l.writer, nextWrite: now, shards: newShardWriter(l, stored.ImageHintKey)}
 }
 
 // hasRecovered tells whether the state of earlier terms is restored.
@@ -104,7 +134,7 @@
 	l.layoutMigration.run()
 	l.termUpgrade.run()
 	l.rollouts.run()
-	l.runPrefetches()
+	l.prefetches.run()
 	l.writer.run()
 	l.dispatcher.run()
 	l.heldResponses.sendDue(l.machinesByName)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -9,14 +9,14 @@
 	"bitternwing/internal/wire"
 )
 
-// machine is a worker's machine as the leader knows it.
+// machine is the leader's state of a worker's machine.
 type machine struct {
 	name, typeName, zone, addr string
 	spot                       bool
 	machineType                *wire.MachineType
 
-	// What the cloud and earlier leaders tell of it.
-	firstSeen     time.Duration // when this leader first knew of it
+	// From the cloud's list and the state of earlier leaders.
+	firstSeen     time.Duration // when this leader first heard of it
 	requestedAt   time.Duration // when it was requested, as far as known
 	requestedHere bool          // by this leader
 	inCloudList   bool          // seen in the cloud's list
@@ -24,20 +24,20 @@
 	missedLists   int  // complete lists in a row that lack it
 	everReported  bool // it has sent a heartbeat at some time, in this term or an earlier one
 
-	// What its heartbeats tell.
+	// From its heartbeats.
 	reported      bool // it has sent one in this term
 	incarnation   uint64
 	sequence      uint64
 	lastHeartbeat time.Duration
-	lastRelayed   time.Duration // when one last came otherwise: relayed by another node, or asked for
+	lastRelayed   time.Duration // when one last came otherwise: relayed by another node, or as the answer to a status query
 	reclaiming    bool
 	exitedTasks   []wire.TaskStatus // exited tasks in the last one
 	orphanedTasks []wire.TaskStatus // tasks in the last one that no record explains
 
-	// Status queries of a machine that is silent, see queryStatus.
+	// Status queries of a machine that is silent, see livenessMonitor.
 	queryInFlight     bool
-	queriedAt         time.Duration // when it was last asked directly
-	queryAnsweredAt   time.Duration // when it last answered that
+	queriedAt         time.Duration // when its status was last queried
+	queryAnsweredAt   time.Duration // when it last answered a query
 	unansweredQueries int           // queries in a row without an answer, since it was last heard
 
 	// The response to its last heartbeat, see heldResponses.
@@ -81,8 +81,16 @@
 		return m
 	}
 	now := l.core.now.Steady
-	m := &machine{name: name, fence: fencing.NewFence(l.term), firstSeen: now, requestedAt: now, lastHeartbeat: l.lastHeardByPredecessor(name),
-		idleSince: now, placements: map[string]*placement{}, failures: map[string]int{}}
+	m := &machine{
+		name:          name,
+		fence:         fencing.NewFence(l.term),
+		firstSeen:     now,
+		requestedAt:   now,
+		lastHeartbeat: l.unreachable.lastHeard(name),
+		idleSince:     now,
+		placements:    map[string]*placement{},
+		failures:      map[string]int{},
+	}
 	l.machines[name] = m
 	l.images.apply(m, l.queue)
 	i, _ := slices.BinarySearchFunc(l.machinesByName, name, compareMachineName)
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -98,16 +98,15 @@
 	return ops, after
 }
 
-// lastHeardByPredecessor returns when a machine that is new to this leader was last heard, as far as the leader before it
-// wrote that.
-func (l *leader) lastHeardByPredecessor(name string) time.Duration {
-	now := l.core.now
-	lastHeardMS, known := l.core.cache.LastHeardMS(name)
+// lastHeard returns when a machine that is new to this leader was last heard, as far as the leader before it wrote that.
+func (s *unreachableHints) lastHeard(name string) time.Duration {
+	c := s.leader.core
+	lastHeardMS, known := c.cache.LastHeardMS(name)
 	if !known {
-		return now.Steady
+		return c.now.Steady
 	}
-	silence := time.Duration(now.WallMS-lastHeardMS)*time.Millisecond - 2*l.core.clockError()
-	return now.Steady - max(0, silence)
+	silence := time.Duration(c.now.WallMS-lastHeardMS)*time.Millisecond - 2*c.clockError()
+	return c.now.Steady - max(0, silence)
 }
 
 // clockError is how much the time of day of a node may be off.
