--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -127,7 +127,7 @@
 	return heartbeat.Sequence > sequence
 }
 
-// applyHeartbeat updates what the leader keeps of the machine itself.
+// applyHeartbeat updates the machine's own state: its identity, incarnation and sequence number.
 func (m *machine) applyHeartbeat(heartbeat *wire.Heartbeat) {
 	m.setIdentity(heartbeat.Type, heartbeat.Zone, heartbeat.Addr, heartbeat.Spot)
 	m.enterIncarnation(heartbeat.Incarnation)
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -47,7 +47,7 @@
 	c.respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{})
 }
 
-// mayRespond tells whether this leader may respond to a heartbeat. A worker that knows a newer term would drop the
+// mayRespond tells whether this leader may respond to a heartbeat. A worker that has seen a newer term would drop the
 // response; a leader whose own lease has expired has no authority.
 func (l *leader) mayRespond(heartbeat *wire.Heartbeat) bool {
 	return fencing.TermOf(heartbeat.FencingToken) <= l.term && l.hasAuthority()
--- a/internal/core/leader_authority.go
+++ b/internal/core/leader_authority.go
@@ -34,7 +34,7 @@
 	return a.core.election.LeaseValidAt(now) || a.core.storeOutageConfirmed()
 }
 
-// storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none knows a
+// storeOutageConfirmed reports whether every peer says that the key-value store does not serve it either and none has seen a
 // newer term: nobody can then win one.
 func (c *Core) storeOutageConfirmed() bool {
 	return c.members.StoreOutageConfirmed(c.now.Steady, c.cache.Term().Number)
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -20,8 +20,8 @@
 // versions are not rolled back (docs/operating.md).
 //
 // The layout is written once, conditional on the term, and never changed again. The term is written with it, in a form
-// that fences off version 1: none of its nodes can read it, so none wins another election. Whoever stood for the next term
-// without knowing of the layout, or has an older write on its way, fails by the version of the term's key.
+// that fences off version 1: none of its nodes can read it, so none wins another election. A candidate for the next term
+// that has not seen the layout, or one with an older write on its way, fails by the version of the term's key.
 //
 // Until then records are written in the first layout, and may turn out too large: see revertUnwritten and isFull.
 
--- a/internal/core/unresolved_cancellations.go
+++ b/internal/core/unresolved_cancellations.go
@@ -9,7 +9,7 @@
 	unresolvedOverheadBytes = 2
 )
 
-// hasResolved tells whether this leader knows that nothing of a cancelled job can start any more or runs unseen.
+// hasResolved tells whether nothing of a cancelled job can start any more, or run without being seen.
 func (l *leader) hasResolved(id string) bool {
 	j := l.jobs[id]
 	return l.recovered && (j == nil || !l.unresolved(j))
