--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -8,7 +8,6 @@
 	"bitternwing/internal/config"
 	"bitternwing/internal/core"
 	"bitternwing/internal/outcome"
-	"bitternwing/internal/quota"
 	"bitternwing/internal/wire"
 )
 
@@ -40,15 +39,6 @@
 	submittedAt    time.Duration                  // when they did
 }
 
-// regionMessage is a message on its way to a region.
-type regionMessage struct {
-	due      time.Duration
-	to       int
-	node     int
-	input    func(request uint64) core.Input
-	answered func(got outcome.Outcome)
-}
-
 const (
 	regionGuarantee = 24 // GPUs of each team
 	regionLimit     = 48
@@ -104,85 +94,6 @@
 	return region
 }
 
-// send puts a message on its way, and a copy where messages are repeated.
-func (world *regionWorld) send(from *worldRegion, node *scaleNode, e core.CallRegion) {
-	to := slices.IndexFunc(world.regions, func(region *worldRegion) bool { return regionName(region.number) == e.Region })
-	if to < 0 {
-		return // it is being set up
-	}
-	if e.Deliver != nil {
-		world.transfers++
-	}
-	process, sent, over := node.core, from.now, false
-	message := regionMessage{due: from.now + regionLatency, to: to, node: e.Attempt % 3, input: func(request uint64) core.Input {
-		if e.Request != nil {
-			ask := *e.Request
-			ask.RequestID = request
-			return ask
-		}
-		deliver := *e.Deliver
-		deliver.RequestID = request
-		return deliver
-	}, answered: func(got outcome.Outcome) {
-		// The answer goes back to the process that asked, if it is still there.
-		if node.core == process && !over {
-			over = true
-			if world.cutLinks[[2]int{to, from.number}] {
-				got = outcome.Unknown
-			}
-			node.results = append(node.results, core.Result{CallID: e.CallID, Outcome: got, SentAt: sent})
-		}
-	}}
-	if world.cutLinks[[2]int{from.number, to}] {
-		world.messages = append(world.messages, regionMessage{due: from.now + 3*time.Second, to: -1, answered: message.answered})
-		return
-	}
-	world.messages = append(world.messages, message)
-	if world.repeatMessages {
-		late := message
-		late.due += 5 * time.Second
-		world.messages = append(world.messages, late)
-	}
-}
-
-// deliverMessages brings the messages that are due to their regions.
-func (world *regionWorld) deliverMessages() {
-	now := world.regions[0].now
-	due := slices.DeleteFunc(slices.Clone(world.messages), func(m regionMessage) bool { return m.due > now })
-	world.messages = slices.DeleteFunc(world.messages, func(m regionMessage) bool { return m.due <= now })
-	for _, m := range due {
-		if m.to < 0 {
-			m.answered(outcome.Unknown) // its time is over
-			continue
-		}
-		region := world.regions[m.to]
-		region.hear(region.nodes[m.node], m, false)
-	}
-}
-
-// hear hands a message to a node, which names the leader if it is not the one.
-func (region *worldRegion) hear(node *scaleNode, m regionMessage, relayed bool) {
-	if node.name == region.frozen {
-		m.answered(outcome.Unknown)
-		return
-	}
-	region.lastRequest++
-	request := region.lastRequest << 16
-	region.pending[request] = func(response core.Response) {
-		to, redirected := response.Body.(wire.Redirect)
-		leader := slices.IndexFunc(region.nodes, func(x *scaleNode) bool { return redirected && x.name == to.Leader })
-		switch {
-		case response.Status == 200:
-			m.answered(outcome.OK)
-		case leader >= 0 && !relayed:
-			region.hear(region.nodes[leader], m, true)
-		default:
-			m.answered(outcome.Unknown)
-		}
-	}
-	region.step(node, m.input(request))
-}
-
 // advance lets time pass in all regions, and checks at each step.
 func (world *regionWorld) advance(d time.Duration) {
 	world.test.Helper()
@@ -255,49 +166,6 @@
 	}
 }
 
-// used adds up what a team's tasks have on the machines of a region.
-func (region *worldRegion) used(team string) float64 {
-	sum := 0.0
-	for task, holder := range region.workerByTask {
-		job := region.specs[task[:len("run-000000")]]
-		if job.Team == team && !holder.dead && holder.machine.Holds(task) {
-			sum += job.GPUs
-		}
-	}
-	return sum
-}
-
-// usedBy adds up what a team's tasks have in all regions.
-func (world *regionWorld) usedBy(team string) float64 {
-	sum := 0.0
-	for _, region := range world.regions {
-		sum += region.used(team)
-	}
-	return sum
-}
-
-// account gives a team's account as a region's state service holds it; nil: there is none yet.
-func (region *worldRegion) account(team string) *quota.Account {
-	item, got := region.store.Get("w/q/" + team)
-	if got != outcome.OK {
-		return nil
-	}
-	a, err := quota.Decode(item.Value)
-	if err != nil {
-		region.test.Fatal(err)
-	}
-	return a
-}
-
-// limit gives the limit that is in force: a change is once all regions have it, and until then the higher one counts.
-func (world *regionWorld) limit() float64 {
-	limit := 0.0
-	for _, region := range world.regions {
-		limit = max(limit, region.limit)
-	}
-	return limit
-}
-
 // setLimit gives a region's controllers another limit of each team in their settings, and starts them anew.
 func (world *regionWorld) setLimit(region int, limit float64) {
 	world.regions[region].limit = limit
@@ -308,42 +176,6 @@
 	world.advance(8 * time.Second)
 }
 
-// check checks the limits, and that nothing of them is lost or made.
-func (world *regionWorld) check() {
-	world.test.Helper()
-	for _, team := range []string{"t1", "t2"} {
-		world.overshoot = max(world.overshoot, world.usedBy(team)-world.limit())
-		if world.overshoot > 0 {
-			world.test.Fatalf("%v: %s uses %g GPUs", world.regions[0].now, team, world.usedBy(team))
-		}
-		world.checkSum(team)
-	}
-}
-
-// checkSum checks that the accounts of a team, with what is on its way between them, add up to the whole.
-func (world *regionWorld) checkSum(team string) {
-	accounts := map[string]*quota.Account{}
-	for _, region := range world.regions {
-		a := region.account(team)
-		if a == nil {
-			return
-		}
-		accounts[regionName(region.number)] = a
-	}
-	var sum quota.Share
-	for _, a := range accounts {
-		sum = sum.Plus(a.Held)
-		for _, t := range a.Outgoing {
-			if accounts[t.To].Received[t.From] < t.Number {
-				sum = sum.Plus(t.Share)
-			}
-		}
-	}
-	if whole := accounts[regionName(0)].Whole; sum != whole {
-		world.test.Fatalf("%v: the regions have %+v of %s, not %+v", world.regions[0].now, sum, team, whole)
-	}
-}
-
 // waitUntil lets time pass until something holds.
 func (world *regionWorld) waitUntil(what string, holds func() bool) time.Duration {
 	world.test.Helper()
@@ -358,16 +190,6 @@
 	return 0
 }
 
-// usesAll lets time pass until a team uses all of its limit, and some more, since a late message may yet bring too much.
-func (world *regionWorld) usesAll(team string) {
-	world.test.Helper()
-	world.waitUntil("all of the limit is used", func() bool { return world.usedBy(team) == world.limit() })
-	world.advance(6 * time.Second)
-	if used := world.usedBy(team); used != world.limit() {
-		world.test.Fatalf("%s uses %g GPUs a while later", team, used)
-	}
-}
-
 // cutOff loses, or no longer loses, the messages between a region and all others.
 func (world *regionWorld) cutOff(region int, cut bool) {
 	for i := range world.regions {
