--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -33,12 +33,9 @@
 	machines         map[string]*machine
 	machinesByName   []*machine               // by name
 	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
-	// silentZones are the zones much of which is silent; true: none of their controllers answers either. The liveness
-	// monitor updates it.
-	silentZones    map[string]bool
-	schedulable    schedulableMachines
-	replicaLedger  *topologyspread.Ledger
-	nextFleetCheck time.Duration // when the machines and the cancelled jobs are checked next
+	schedulable      schedulableMachines
+	replicaLedger    *topologyspread.Ledger
+	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
 
 	// changes counts for the reconciler what changes at a heartbeat.
 	changes changeCounter
@@ -79,7 +76,6 @@
 		jobs:             map[string]*job{},
 		machines:         map[string]*machine{},
 		releasedMachines: map[string]time.Duration{},
-		silentZones:      map[string]bool{},
 		replicaLedger:    topologyspread.NewLedger(),
 	}
 	l.termCalls = termCalls{core: c, owner: l}
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -1,6 +1,10 @@
 package core
 
-import "bitternwing/internal/wire"
+import (
+	"net/http"
+
+	"bitternwing/internal/wire"
+)
 
 // GetPlacements requests the placements of a job's replicas, with what each of them cost. Only the leader answers.
 type GetPlacements struct {
@@ -36,7 +40,7 @@
 	}
 	j := l.jobs[in.Job]
 	if j == nil {
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: "no such job, or it is over"})
+		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: "no such job, or it is over"})
 		return
 	}
 	places := []ReplicaPlacement{}
@@ -46,5 +50,5 @@
 			Chosen: p.startSequence != startSequenceUnknown, Weighed: cost.spreadWeighed, LoadS: cost.imageLoadS, LossS: cost.expectedLossS,
 			Warmest: cost.bestCached, WarmestLoadS: cost.bestCachedLoadS, AvoidedS: cost.avoidedLossS})
 	}
-	c.respond(in.RequestID, 200, places)
+	c.respond(in.RequestID, http.StatusOK, places)
 }
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -221,8 +221,7 @@
 // unavailable tells whether machines of a group are not to be requested now: its zone is cut off, or the cloud had too few
 // of them lately.
 func (p *provisioner) unavailable(group capacity.Group) bool {
-	_, cutOff := p.leader.silentZones[group.Zone]
-	return cutOff || p.leader.core.now.Steady < p.exhausted[group]
+	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhausted[group]
 }
 
 // apply has a capacity plan carried out: a request for each group that is missing, and the release of what is idle.
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"net/http"
 	"time"
 
 	"bitternwing/internal/outcome"
@@ -71,10 +72,10 @@
 // redirectWaiting tells the regions whose messages wait to retry later.
 func (t *teamQuota) redirectWaiting(c *Core) {
 	for _, in := range t.requests {
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	}
 	for _, in := range t.deliveries {
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	}
 	t.requests, t.deliveries = nil, nil
 }
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"net/http"
+
 	"bitternwing/internal/quota"
 	"bitternwing/internal/wire"
 )
@@ -59,7 +61,7 @@
 	case !c.operator.Regions.Other(from):
 		c.respondRefused(req, reasonNoSuchRegion)
 	case t == nil:
-		c.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchTeam})
+		c.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.whole != whole:
 		if !t.regionDisagrees {
 			t.regionDisagrees = true // it is logged once a term
@@ -67,7 +69,7 @@
 		}
 		c.respondRefused(req, reasonLimitsDiffer)
 	case t.account == nil || !l.mayCommit() || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(req, 503, reasonUnavailable)
+		c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		return t
 	}
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"bitternwing/internal/election"
 	"bitternwing/internal/outcome"
@@ -45,9 +46,9 @@
 	next, receipt := t.account.Receive(in.Transfer)
 	switch receipt {
 	case quota.OutOfOrder:
-		c.respondRetryLater(in.RequestID, 503, reasonTransferMissing)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonTransferMissing)
 	case quota.Duplicate:
-		c.respond(in.RequestID, 200, nil)
+		c.respond(in.RequestID, http.StatusOK, nil)
 	case quota.Accepted:
 		m.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 	}
@@ -59,7 +60,7 @@
 	t.requests = t.requests[1:]
 	next := t.account.Grant(c.operator.Regions.Name, in.From, in.Share, t.retained(demand))
 	if next == nil {
-		c.respond(in.RequestID, 200, nil)
+		c.respond(in.RequestID, http.StatusOK, nil)
 		return
 	}
 	c.log(Debug, "quota transferred", "team", t.settings.Name, "region", in.From, "gpus", next.Outgoing[len(next.Outgoing)-1].Share.Limit.GPUs)
@@ -69,10 +70,10 @@
 // respondCommitted answers a region by the result of a commit.
 func (c *Core) respondCommitted(req uint64, r Result) {
 	if r.Outcome == outcome.OK {
-		c.respond(req, 200, nil)
+		c.respond(req, http.StatusOK, nil)
 		return
 	}
-	c.respondRetryLater(req, 503, reasonUnavailable)
+	c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 }
 
 // commit writes an account by compare-and-swap, fenced by the term. Until the result is known the minimum of the old and the
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"maps"
 	"net"
+	"net/http"
 	"slices"
 	"strconv"
 	"time"
@@ -128,7 +129,7 @@
 func (m *rolloutManager) end(run *activeRollout) {
 	delete(m.runs, run.name)
 	for _, req := range run.waiting() {
-		m.leader.core.respond(req, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
+		m.leader.core.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
@@ -148,7 +149,7 @@
 func (m *rolloutManager) refuseWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
 		for _, req := range m.runs[name].waiting() {
-			m.leader.core.respondRetryLater(req, 503, reasonUnavailable)
+			m.leader.core.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	}
 }
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"reflect"
 
 	"bitternwing/internal/election"
@@ -78,11 +79,11 @@
 		if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
 			to = c.cache.Leader().Node
 		}
-		c.respond(req, 421, wire.Redirect{Leader: to})
+		c.respond(req, http.StatusMisdirectedRequest, wire.Redirect{Leader: to})
 		return nil
 	}
 	if !l.recovered || !l.hasAuthority() {
-		c.respondRetryLater(req, 503, reasonUnavailable)
+		c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 		return nil
 	}
 	return l
@@ -90,7 +91,7 @@
 
 // respondRefused answers that a request is invalid or not allowed.
 func (c *Core) respondRefused(req uint64, why string) {
-	c.respond(req, 422, wire.ErrorBody{Error: why})
+	c.respond(req, http.StatusUnprocessableEntity, wire.ErrorBody{Error: why})
 }
 
 // handleApplyPlan accepts a plan, if its jobs and its team allow it.
@@ -104,18 +105,18 @@
 	case !c.operator.Rollouts.Enabled:
 		c.respondRefused(in.RequestID, reasonRolloutsDisabled)
 	case current != nil && current.Record != nil && reflect.DeepEqual(&current.Record.Plan, in.Plan):
-		c.respond(in.RequestID, 200, l.planStatus(in.Plan.Name))
+		c.respond(in.RequestID, http.StatusOK, l.planStatus(in.Plan.Name))
 	case current != nil:
 		c.respondRefused(in.RequestID, "/name: another plan has this name")
 	case c.cache.PlanCount() >= c.operator.Rollouts.MaxPlans:
 		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", c.cache.PlanCount()))
 	case !l.mayCommit() || len(l.rollouts.uncommitted) > 0:
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	case !c.members.AllSupportRollouts():
-		c.respondRetryLater(in.RequestID, 503, "not every controller is known to run a version with rollouts")
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, "not every controller is known to run a version with rollouts")
 	case c.cache.TermFormat() < stored.RolloutsTermFormat:
 		l.termUpgrade.request(stored.RolloutsTermFormat)
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
 			c.respondRefused(in.RequestID, err.Error())
@@ -212,16 +213,16 @@
 			c.applyPlan(name, value, r.Txn.Revision)
 			l.planApplied(in.Plan)
 			c.log(Info, "rollout phase committed", "plan", name, "phase", string(record.Phase))
-			c.respond(in.RequestID, 200, l.planStatus(name))
+			c.respond(in.RequestID, http.StatusOK, l.planStatus(name))
 		case r.Outcome == outcome.Unknown:
-			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+			c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 			l.resolvePlanWrite(in.Plan)
 		case termSuperseded(r):
-			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+			c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 			c.election.StepDown(election.TermSuperseded)
 		default:
 			l.planApplied(in.Plan)
-			c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+			c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: l.newPlanTxn(in.Plan, value)})
@@ -272,11 +273,11 @@
 	current, run := c.cache.Plan(in.Name), l.rollouts.runs[in.Name]
 	switch {
 	case current == nil:
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
+		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil:
 		c.respondRefused(in.RequestID, current.Problem.Error())
 	case run == nil || !l.mayCommit() || len(run.changes) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
 		l.rollouts.nextCheck = c.now.Steady
@@ -292,13 +293,13 @@
 	case err != nil:
 		c.respondRefused(x.req, err.Error())
 	case next == current.Record:
-		c.respond(x.req, 200, l.planStatus(run.name))
+		c.respond(x.req, http.StatusOK, l.planStatus(run.name))
 	default:
 		l.commitTransition(run, current, next, func(r Result) {
 			if r.Outcome == outcome.OK {
-				c.respond(x.req, 200, l.planStatus(run.name))
+				c.respond(x.req, http.StatusOK, l.planStatus(run.name))
 			} else {
-				c.respondRetryLater(x.req, 503, reasonUnavailable)
+				c.respondRetryLater(x.req, http.StatusServiceUnavailable, reasonUnavailable)
 			}
 		})
 	}
@@ -311,10 +312,10 @@
 		return
 	}
 	if c.cache.Plan(in.Name) == nil {
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
+		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 		return
 	}
-	c.respond(in.RequestID, 200, l.planStatus(in.Name))
+	c.respond(in.RequestID, http.StatusOK, l.planStatus(in.Name))
 }
 
 // planStatus gives the status of a plan.
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 
 	"bitternwing/internal/config"
@@ -39,13 +40,13 @@
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case current == nil:
-		c.respond(in.RequestID, 404, wire.ErrorBody{Error: reasonNoSuchPlan})
+		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil || run == nil || run.routing.Generation.Revision == 0:
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	case run.recorded(current.Record, in.Router):
 		l.grantRouting(run, join)
 	case !l.mayCommit() || len(run.joinRequests) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(in.RequestID, 503, reasonUnavailable)
+		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		run.joinRequests = append(run.joinRequests, join)
 		l.rollouts.nextCheck = c.now.Steady
@@ -78,10 +79,10 @@
 func (l *leader) grantRouting(run *activeRollout, join routerJoin) {
 	c := l.core
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
-		c.respondRetryLater(join.req, 429, reasonTooManyRouters)
+		c.respondRetryLater(join.req, http.StatusTooManyRequests, reasonTooManyRouters)
 		return
 	}
-	c.respond(join.req, 200, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
+	c.respond(join.req, http.StatusOK, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
 // commitJoins records the names of the routers that wait, and then answers them. It removes the names of routers that are
@@ -121,7 +122,7 @@
 			return next
 		}
 		last := len(run.joinRequests) - 1
-		l.core.respondRetryLater(run.joinRequests[last].req, 429, reasonTooManyRouters)
+		l.core.respondRetryLater(run.joinRequests[last].req, http.StatusTooManyRequests, reasonTooManyRouters)
 		run.joinRequests = run.joinRequests[:last]
 	}
 	return nil
@@ -137,7 +138,7 @@
 // refuseJoins tells routers to retry: their names can't be recorded now.
 func (c *Core) refuseJoins(joins []routerJoin) {
 	for _, join := range joins {
-		c.respondRetryLater(join.req, 503, reasonUnavailable)
+		c.respondRetryLater(join.req, http.StatusServiceUnavailable, reasonUnavailable)
 	}
 }
 
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -25,7 +25,7 @@
 // run writes the hints that have changed.
 func (s *unreachableHints) run() {
 	l, c := s.leader, s.leader.core
-	if s.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.silentZones) == 0 && len(s.written) == 0 {
+	if s.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.liveness.silentZones) == 0 && len(s.written) == 0 {
 		return
 	}
 	if c.now.Steady < s.nextWrite {
@@ -58,7 +58,7 @@
 	packer := stored.NewUnreachableHintPacker(c.maxValueBytes())
 	for _, m := range l.machinesByName {
 		silence := c.now.Steady - m.lastHeardDirectlyOrRelayed()
-		if _, zoneSilent := l.silentZones[m.zone]; !zoneSilent || m.releasing || silence < c.times.lease/3 {
+		if !l.liveness.zoneSilent(m.zone) || m.releasing || silence < c.times.lease/3 {
 			continue
 		}
 		lastHeardMS := c.now.WallMS - silence.Milliseconds()
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -21,7 +21,7 @@
 	lastWithoutAuthority time.Duration            // when this leader last had no authority to act
 	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated with its controllers
 	unreachableZones     []string                 // zones much of which this node can't reach, whoever renews the leases there
-	silentZones          map[string]bool          // shared with the leader, which only reads it
+	silentZones          map[string]bool          // zones much of which is silent; true: none of their controllers answers either
 	queriesInFlight      int                      // status queries without a result yet
 }
 
@@ -44,10 +44,16 @@
 		provisioner:    &l.provisioner,
 		termStart:      l.startedAt,
 		zoneIsolatedAt: map[string]time.Duration{},
-		silentZones:    l.silentZones,
+		silentZones:    map[string]bool{},
 	}
 }
 
+// zoneSilent reports whether much of a zone is silent.
+func (v *livenessMonitor) zoneSilent(zone string) bool {
+	_, silent := v.silentZones[zone]
+	return silent
+}
+
 // check looks for machines that are silent too long and stops what runs on those that will be taken.
 func (v *livenessMonitor) check(machines []*machine) {
 	v.checkZones(machines)
