--- /dev/null
+++ b/internal/contract/values_test.go
@@ -0,0 +1,160 @@
+package contract
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// TestValues compares the values and texts that others read, the flags of the programs and the keys of the deploy file
+// with the kept lists.
+func TestValues(t *testing.T) {
+	sources := parseSources(t)
+	for name, list := range map[string][]string{
+		"values.txt": outerValues(sources),
+		"texts.txt":  responseTexts(t),
+		"flags.txt":  programFlags(sources),
+		"deploy.txt": deployKeys(t),
+	} {
+		if len(list) == 0 {
+			t.Fatalf("%s: nothing was found", name)
+		}
+		compare(t, name, strings.Join(list, "\n")+"\n")
+	}
+}
+
+// logFunction matches the names of functions that write log lines, whose texts are not part of the contract.
+var logFunction = regexp.MustCompile(`^(?i:log)|^(Debug|Info|Warn|Error)$`)
+
+// outerValues lists the string literals without white space outside of log calls: values of messages and stored records,
+// keys, paths, file names and label values.
+func outerValues(sources []*ast.File) []string {
+	found := map[string]bool{}
+	for _, file := range sources {
+		for _, text := range literals(file) {
+			if !strings.ContainsAny(text, " \n\t") && text != "" {
+				found[strconv.Quote(text)] = true
+			}
+		}
+	}
+	return sorted(found)
+}
+
+// responseSources are the files whose texts reach users, operators or stored records.
+var responseSources = []string{
+	"internal/wire/*.go", "internal/server/*.go", "internal/rollout/*.go", "internal/probe/*.go", "internal/responsecheck/*.go",
+	"internal/stored/*.go", "internal/apiclient/*.go", "internal/adminapi/*.go", "cmd/bitternwing/*.go",
+	"internal/core/*_requests.go", "internal/core/submission*.go", "internal/core/rollout_routers.go",
+}
+
+// responseTexts lists the string literals with white space outside of log calls in the files whose texts are read outside.
+func responseTexts(t *testing.T) []string {
+	t.Helper()
+	found := map[string]bool{}
+	for _, pattern := range responseSources {
+		paths, err := filepath.Glob(filepath.Join(repository, pattern))
+		if err != nil || len(paths) == 0 {
+			t.Fatalf("%s: %d files, %v", pattern, len(paths), err)
+		}
+		for _, path := range paths {
+			if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
+				continue
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, text := range literals(file) {
+				if strings.ContainsAny(text, " \n\t") {
+					found[strconv.Quote(text)] = true
+				}
+			}
+		}
+	}
+	return sorted(found)
+}
+
+// literals returns the string literals of a file, except those in imports, struct tags and calls of log functions.
+func literals(file *ast.File) []string {
+	var found []string
+	skipped := map[ast.Node]bool{}
+	for _, spec := range file.Imports {
+		skipped[spec.Path] = true
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch n := node.(type) {
+		case *ast.Field:
+			if n.Tag != nil {
+				skipped[n.Tag] = true
+			}
+		case *ast.CallExpr:
+			if logFunction.MatchString(calledName(n)) {
+				for _, argument := range n.Args {
+					skipped[argument] = true
+				}
+			}
+		case *ast.BasicLit:
+			if text, err := strconv.Unquote(n.Value); n.Kind == token.STRING && !skipped[n] && err == nil {
+				found = append(found, text)
+			}
+		}
+		return true
+	})
+	return found
+}
+
+// calledName returns the name of the function or method that is called; empty if it has none.
+func calledName(call *ast.CallExpr) string {
+	switch function := call.Fun.(type) {
+	case *ast.Ident:
+		return function.Name
+	case *ast.SelectorExpr:
+		return function.Sel.Name
+	}
+	return ""
+}
+
+// flagTag matches the tags of fields that are flags, arguments or commands of the programs; their names follow the fields'.
+var flagTag = regexp.MustCompile(`\b(cmd|arg|help|required|placeholder):"`)
+
+// programFlags lists the fields that are flags, arguments and commands of the programs.
+func programFlags(sources []*ast.File) []string {
+	found := map[string]bool{}
+	for _, file := range sources {
+		ast.Inspect(file, func(node ast.Node) bool {
+			field, ok := node.(*ast.Field)
+			if !ok || field.Tag == nil || !flagTag.MatchString(field.Tag.Value) {
+				return true
+			}
+			text, _ := strconv.Unquote(field.Tag.Value)
+			for _, name := range field.Names {
+				found[strings.TrimSpace(name.Name+" "+helpText.ReplaceAllString(text, ""))] = true
+			}
+			return true
+		})
+	}
+	return sorted(found)
+}
+
+// deployKey matches a key of the deploy file.
+var deployKey = regexp.MustCompile(`(?m)^(\w+) *=`)
+
+// deployKeys lists the keys of the deploy file.
+func deployKeys(t *testing.T) []string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(repository, "deploy", "service.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	found := map[string]bool{}
+	for _, match := range deployKey.FindAllStringSubmatch(string(text), -1) {
+		found[match[1]] = true
+	}
+	return sorted(found)
+}
