--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -45,7 +45,7 @@
 	return h.core.cache.QuotaAccountCount() > 0 && !h.core.operator.Regions.Enabled()
 }
 
-func (h electionHost) HasTimeToSpare() bool {
+func (h electionHost) HasSpareCPU() bool {
 	return h.core.timerLoad.Level(h.core.now.Steady) <= shedBelow
 }
 
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	m.lastHoldTime = pause
-	m.heldResponse = &heldResponse{requestID: requestID, heartbeat: heartbeat, due: c.pacer.Release(now, pause)}
+	m.heldResponse = &heldResponse{requestID: requestID, heartbeat: heartbeat, due: c.pacer.ReleaseAt(now, pause)}
 	h.nextDue = min(h.nextDue, m.heldResponse.due)
 	c.wakeBy(h.nextDue)
 	return true
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -127,7 +127,7 @@
 			l.writer.deleteOrphan(name, item.Version)
 			continue
 		}
-		decoded, err := record.Decode(item.Value, l.records.layout.TasksOf(key))
+		decoded, err := record.Decode(item.Value, l.records.layout.TasksIn(key))
 		if err != nil {
 			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
 			continue
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -45,7 +45,7 @@
 func (c *Core) updateShedding() {
 	level := c.timerLoad.Level(c.now.Steady)
 	switch {
-	case c.leader == nil || !c.operator.PaceHeartbeats || !c.members.AnyPeerServed(c.now.Steady):
+	case c.leader == nil || !c.operator.PaceHeartbeats || !c.members.AnyPeerReachesStore(c.now.Steady):
 		c.shedding = false
 	case level > shedAbove:
 		c.shedding = true
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -41,7 +41,7 @@
 	if layout, known := c.cache.RecordLayout(); known {
 		return layout
 	}
-	return record.Layout{ByIndex: record.ByIndexFor(c.limits.present.ValueKB)}
+	return record.Layout{ByIndex: record.IndexLayoutTasks(c.limits.present.ValueKB)}
 }
 
 // mayRun reports whether the records have to change their layout, and all controllers can read the next one.
@@ -67,7 +67,7 @@
 		c.wakeBy(m.retryAt)
 		return
 	}
-	next := record.Layout{ByIndex: l.records.layout.ByIndex, ByTask: record.ByTaskFor(c.limits.maxValueBytes())}
+	next := record.Layout{ByIndex: l.records.layout.ByIndex, ByTask: record.TaskLayoutTasks(c.limits.maxValueBytes())}
 	layout, layoutErr := next.Encode()
 	term, termErr := c.encodeTerm(l.storedTerm(), next)
 	if layoutErr != nil || termErr != nil {
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -92,6 +92,6 @@
 
 // planOwns tells whether a job belongs to the plan of a rollout.
 func (l *leader) planOwns(id string) bool {
-	owned := l.core.cache.PlanHolding(id) != nil
+	owned := l.core.cache.PlanForJob(id) != nil
 	return owned
 }
--- a/internal/core/rollout_holds.go
+++ b/internal/core/rollout_holds.go
@@ -17,7 +17,7 @@
 // planHolds tells whether a job may not be started because of a plan.
 func (l *leader) planHolds(id string, spec *wire.Job) bool {
 	records := make([]*rollout.Record, 0, 2)
-	if current := l.core.cache.PlanHolding(id); current != nil {
+	if current := l.core.cache.PlanForJob(id); current != nil {
 		records = append(records, current.Record)
 	}
 	for _, uncommitted := range l.rollouts.uncommitted {
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -187,7 +187,7 @@
 // jobAvailableForPlan tells whether a job may be in a plan: it is in no other plan, and if it was accepted it is a service of
 // the team.
 func (l *leader) jobAvailableForPlan(plan *rollout.Plan, id string) bool {
-	if l.core.cache.PlanHolding(id) != nil {
+	if l.core.cache.PlanForJob(id) != nil {
 		return false
 	}
 	e := l.core.cache.Job(id)
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -34,7 +34,7 @@
 }
 
 // tasksPerRecord is how many tasks a run record holds.
-func (r *runRecords) tasksPerRecord() int { return r.layout.Tasks() }
+func (r *runRecords) tasksPerRecord() int { return r.layout.TasksPerRecord() }
 
 // key is the key of a chunk's record.
 func (r *runRecords) key(chunk *recordChunk) string {
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -12,7 +12,7 @@
 // response of this term, after which no earlier start can still take effect, and each response of this term before it
 // was either taken or dropped. That does not hold for a heartbeat that the worker was queried for.
 func (r *reconciler) reconcileTasks(m *machine, heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
-	if m.fence.Shown(heartbeat.FencingToken) {
+	if m.fence.Confirm(heartbeat.FencingToken) {
 		r.actions.requestCycle()
 	}
 	if len(m.orphanedTasks) > 0 {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -162,7 +162,7 @@
 func (w *writer) applyFailure(b *writeBatch, r Result, failed map[string]bool) {
 	c := w.leader.core
 	if r.Outcome == outcome.Dropped {
-		w.budget.Return(float64(len(b.txn.Then)))
+		w.budget.Refund(float64(len(b.txn.Then)))
 		w.notBefore = c.now.Steady + c.times.retryPause
 		c.limits.throttle(c.now.Steady, throttleLeases*c.times.lease)
 	}
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -6,7 +6,8 @@
 	"bitternwing/internal/outcome"
 )
 
-// campaign begins a candidacy for the next term: first a lease, then the leader key and the term in one compare-and-swap.
+// campaign starts a candidacy for the next term. It requests a lease, and then claims the leader key and the term key
+// in one compare-and-swap.
 func (e *Election) campaign() {
 	e.campaignInFlight = true
 	ttl := e.timing.LeaseTTL
@@ -16,13 +17,13 @@
 	e.store.GrantLease(ttl, &candidateGrant{e, ttl})
 }
 
-// campaignFailed ends a campaign that was not won; the next one begins after a pause.
+// campaignFailed ends a lost campaign. The next campaign starts after RetryPause.
 func (e *Election) campaignFailed() {
 	e.campaignInFlight = false
 	e.nextCampaign = e.host.Now() + e.timing.RetryPause
 }
 
-// lastLeaderAlive reports whether the process that led last still runs: it lost its lease all the same.
+// lastLeaderAlive reports whether the process that led the last term is still running although its lease expired.
 func (e *Election) lastLeaderAlive() bool {
 	last := e.host.View().Term
 	if last.Node == e.members.Self().Name {
@@ -32,13 +33,13 @@
 	return p != nil && e.members.RecentlyHeard(p, e.host.Now()) && p.Status().Term >= last.Number
 }
 
-// candidateGrant is the request for a candidate's lease.
+// candidateGrant is the pending request for a candidate's lease.
 type candidateGrant struct {
 	election *Election
 	ttl      time.Duration
 }
 
-// Complete claims the next term with the lease.
+// Complete claims the next term with the granted lease.
 func (c *candidateGrant) Complete(grant Reply) {
 	e := c.election
 	if grant.Outcome != outcome.OK {
@@ -57,15 +58,15 @@
 	}
 }
 
-// termClaim is the compare-and-swap that wins a term.
+// termClaim is the pending compare-and-swap that wins a term.
 type termClaim struct {
 	election *Election
 	claim    Claim
 	lease    leaderLease
 }
 
-// Complete begins the term if the claim was applied. If that is indeterminate and it was or will be applied, the watch shows
-// this node as the leader, and the lease is revoked from there (endPredecessor).
+// Complete starts the term if the claim was applied. An indeterminate claim may have been applied or may still be. In
+// that case the watch later shows this controller as the leader, and revokePredecessorLease revokes the lease.
 func (c *termClaim) Complete(reply Reply) {
 	e := c.election
 	if reply.Outcome != outcome.OK {
@@ -77,13 +78,15 @@
 	e.becomeLeader(c.claim.Term, reply.Revision, c.lease)
 }
 
-// predecessorRevocation ends the lease of an earlier process of this node. No campaign begins meanwhile.
+// predecessorRevocation is the pending revocation of the lease of an earlier process of this controller. No campaign
+// starts until it completes.
 type predecessorRevocation struct{ election *Election }
 
-// Complete lets campaigns begin again.
+// Complete allows campaigns again.
 func (c *predecessorRevocation) Complete(Reply) { c.election.campaignInFlight = false }
 
-// unusedLeaseRevocation ends a lease that this node does not need. Without it the lease would expire by itself.
+// unusedLeaseRevocation is the pending revocation of a lease that this controller does not need. Without the revocation
+// the lease would expire on its own.
 type unusedLeaseRevocation struct{}
 
 // Complete ignores the reply.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -2,14 +2,15 @@
 //
 // A leader holds a lease (Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
 // consistency", 1989): the leader key in the key-value store exists for as long as the lease is renewed. The term
-// (Ongaro and Ousterhout, Raft, 2014; also called epoch) counts the wins and is kept in a key without a lease. A
-// candidate wins by one compare-and-swap that creates the leader key and increments the term key.
+// (Ongaro and Ousterhout, Raft, 2014; also called epoch) counts the elections won and is stored in a key without a
+// lease. A candidate wins by one compare-and-swap that creates the leader key and increments the term key.
 //
-// Safety rests on the term alone: every write of a leader is conditional on the version of its term key, and the fencing
-// tokens that workers compare are derived from the term. The lease only keeps two controllers from taking turns.
+// Safety rests on the term alone. Every write of a leader is conditional on the version of the term key, and the
+// fencing tokens that workers compare are derived from the term. The lease only prevents two controllers from deposing
+// each other in turn.
 //
-// The package decides; it has no effects of its own. It reaches the key-value store by the calls of Store, and the
-// controller by those of Host. It must not know what a leader does with its term, nor how the keys are encoded.
+// The package has no side effects of its own. It calls the key-value store through Store and the controller through
+// Host. It must not depend on what a leader does with its term, nor on how the keys are encoded.
 package election
 
 import (
@@ -18,19 +19,20 @@
 	"bitternwing/internal/membership"
 )
 
-// Timing are the durations of an election.
+// Timing holds the durations that an election depends on.
 type Timing struct {
-	// LeaseTTL is the life of a leader's lease, unless terms have lately followed each other quickly.
+	// LeaseTTL is the time to live of a leader's lease. It is extended when recent terms have followed each other
+	// quickly.
 	LeaseTTL time.Duration
-	// WorkerLease is the life of a worker's lease, within which a failover must be over.
+	// WorkerLease is the duration of a worker's lease. A failover must complete within it.
 	WorkerLease time.Duration
-	// CheckInterval is the time in which a failure is to be noticed.
+	// CheckInterval is the time within which a failure should be detected.
 	CheckInterval time.Duration
-	// RetryPause is the pause after a failed call.
+	// RetryPause is the pause after a failed request or a lost campaign.
 	RetryPause time.Duration
 }
 
-// Election is a controller's part in the election of a leader.
+// Election is one controller's participation in leader election.
 type Election struct {
 	host    Host
 	store   Store
@@ -40,29 +42,30 @@
 	history termHistory
 
 	campaignInFlight bool
-	nextCampaign     time.Duration // no candidacy before
-	vacantSince      time.Duration // since when no leader is known; 0: one is
-	blockLogged      bool          // that this node must not lead was logged
-	lastTermLed      uint64        // by this process; 0: none
-	termsLed         uint64        // by this process, in all
+	nextCampaign     time.Duration // earliest time of the next campaign
+	vacantSince      time.Duration // when the leadership was first seen vacant; 0 while there is a leader
+	blockLogged      bool          // the reason for a blocked candidacy has been logged
+	lastTermLed      uint64        // last term led by this process; 0 if none
+	termsLed         uint64        // number of terms led by this process
 	leading          bool
-	term             uint64 // while leading
+	term             uint64 // valid while leading
 	termStartedAt    time.Duration
 	lease            leaderLease
 }
 
-// New makes the part of a controller that does not lead.
+// New returns an Election for a controller that does not lead.
 func New(host Host, store Store, members *membership.Members, timing Timing) *Election {
 	return &Election{host: host, store: store, members: members, ring: newFailoverRing(members), timing: timing}
 }
 
-// TermsLed is how many terms this process has led.
+// TermsLed returns the number of terms that this process has led.
 func (e *Election) TermsLed() uint64 { return e.termsLed }
 
-// LeaseValidAt reports whether the lease of the last term that this node led is certainly held at a time.
+// LeaseValidAt reports whether the lease of the last term that this process led is certainly held at the given time.
 func (e *Election) LeaseValidAt(now time.Duration) bool { return e.lease.validAt(now) }
 
-// LeaseValid reports whether this leader's lease is certainly held now, and asks to be woken when it expires.
+// LeaseValid reports whether the lease is certainly held now. If so, it also requests a wake-up for when the lease
+// expires.
 func (e *Election) LeaseValid() bool {
 	if !e.lease.validAt(e.host.Now()) {
 		return false
@@ -71,7 +74,7 @@
 	return true
 }
 
-// Run does what is due: it renews a leader's lease, or campaigns for the next term.
+// Run performs whatever is due: a leader renews its lease, any other controller campaigns for the next term.
 func (e *Election) Run() {
 	view := e.host.View()
 	e.history.observe(e.host.Now(), view.Term.Number)
@@ -81,15 +84,15 @@
 	case e.campaignInFlight || !view.Ready:
 	case !view.Vacant:
 		e.vacantSince = 0
-		e.endPredecessor(view)
+		e.revokePredecessorLease(view)
 	default:
 		e.campaignIfDue()
 	}
 }
 
-// endPredecessor revokes the lease of an earlier process of this very node: that process is dead. The same goes for a win of
-// this process that it learns of only by the key, since the reply to its claim was lost.
-func (e *Election) endPredecessor(view View) {
+// revokePredecessorLease revokes the lease if the leader key names this controller. The holder is then an earlier
+// process of this controller, which has ended, or this process itself, if the reply to its claim was lost.
+func (e *Election) revokePredecessorLease(view View) {
 	now := e.host.Now()
 	if view.Leader.Node != e.members.Self().Name || now < e.nextCampaign {
 		return
@@ -99,7 +102,7 @@
 	e.store.RevokeLease(view.Leader.Lease, &predecessorRevocation{e})
 }
 
-// campaignIfDue campaigns for the next term once the leadership has been vacant for long enough.
+// campaignIfDue starts a campaign once the leadership has been vacant for the campaign delay.
 func (e *Election) campaignIfDue() {
 	now := e.host.Now()
 	if e.vacantSince == 0 {
@@ -122,7 +125,7 @@
 	e.campaign()
 }
 
-// becomeLeader begins a term that was won.
+// becomeLeader starts a term that this controller has won.
 func (e *Election) becomeLeader(term, version uint64, lease leaderLease) {
 	now := e.host.Now()
 	e.leading, e.term, e.termStartedAt = true, term, now
@@ -134,7 +137,7 @@
 	e.host.Elected(Term{Number: term, Version: version, LeaseDeadline: lease.deadline})
 }
 
-// StepDown ends the term of a leader; without effect on a node that does not lead.
+// StepDown ends the current term. It has no effect on a controller that does not lead.
 func (e *Election) StepDown(reason StepDownReason) {
 	if !e.leading {
 		return
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -12,7 +12,7 @@
 
 var testTiming = Timing{LeaseTTL: 4 * time.Second, WorkerLease: 10 * time.Second, CheckInterval: 2 * time.Second, RetryPause: 500 * time.Millisecond}
 
-// request is a call to the store that waits for its reply.
+// request is a request to the store that waits for its reply.
 type request struct {
 	kind  string
 	ttl   time.Duration
@@ -21,331 +21,332 @@
 	call  Call
 }
 
-// world is the host and the store of an election under test.
-type world struct {
+// fake is the fake host and store of the election under test.
+type fake struct {
 	*testing.T
-	now       time.Duration
-	view      View
-	storeDown bool
-	blocked   string
-	busy      bool
-	unheard   bool // workers reach peers only
-	claimErr  error
-	requests  []request
-	terms     []Term
-	stepDowns []StepDownReason
-	errorLog  []string
-	members   *membership.Members
-	election  *Election
+	now                   time.Duration
+	view                  View
+	storeDown             bool
+	blocked               string
+	busy                  bool
+	workersReachOnlyPeers bool // workers reach only peers
+	claimErr              error
+	requests              []request
+	terms                 []Term
+	stepDowns             []StepDownReason
+	errorLog              []string
+	members               *membership.Members
+	election              *Election
 }
 
-// newWorld makes the election of controller a in zone 1, with peers in the given zones: b, c and so on.
-func newWorld(t *testing.T, peerZones string) *world {
+// newFake returns the fake for controller a in zone 1. Each digit of peerZones is the zone of one peer: b, c and
+// so on.
+func newFake(t *testing.T, peerZones string) *fake {
 	t.Helper()
-	w := &world{T: t, now: time.Minute, view: View{Ready: true, Vacant: true, Term: TermView{Number: 7, Node: "b", Version: 70}}}
+	f := &fake{T: t, now: time.Minute, view: View{Ready: true, Vacant: true, Term: TermView{Number: 7, Node: "b", Version: 70}}}
 	var peers []membership.Node
 	for i, zone := range peerZones {
 		peers = append(peers, membership.Node{Name: string(rune('b' + i)), Zone: string(zone)})
 	}
-	w.members = membership.New(membership.Node{Name: "a", Zone: "1"}, peers,
+	f.members = membership.New(membership.Node{Name: "a", Zone: "1"}, peers,
 		membership.Timing{CheckInterval: testTiming.CheckInterval, WorkerLease: testTiming.WorkerLease})
-	w.election = New(w, w, w.members, testTiming)
-	return w
+	f.election = New(f, f, f.members, testTiming)
+	return f
 }
 
-func (w *world) Now() time.Duration          { return w.now }
-func (w *world) WakeBy(time.Duration)        {}
-func (w *world) View() View                  { return w.view }
-func (w *world) StoreDown() bool             { return w.storeDown }
-func (w *world) CandidacyBlocked() string    { return w.blocked }
-func (w *world) HasTimeToSpare() bool        { return !w.busy }
-func (w *world) WorkersReachOnlyPeers() bool { return w.unheard }
-func (w *world) Elected(term Term)           { w.terms = append(w.terms, term) }
-func (w *world) SteppedDown(reason StepDownReason) {
-	w.stepDowns = append(w.stepDowns, reason)
+func (f *fake) Now() time.Duration          { return f.now }
+func (f *fake) WakeBy(time.Duration)        {}
+func (f *fake) View() View                  { return f.view }
+func (f *fake) StoreDown() bool             { return f.storeDown }
+func (f *fake) CandidacyBlocked() string    { return f.blocked }
+func (f *fake) HasSpareCPU() bool           { return !f.busy }
+func (f *fake) WorkersReachOnlyPeers() bool { return f.workersReachOnlyPeers }
+func (f *fake) Elected(term Term)           { f.terms = append(f.terms, term) }
+func (f *fake) SteppedDown(reason StepDownReason) {
+	f.stepDowns = append(f.stepDowns, reason)
 }
-func (w *world) LogDebug(string, ...any) {}
-func (w *world) LogInfo(string, ...any)  {}
-func (w *world) LogError(message string, _ ...any) {
-	w.errorLog = append(w.errorLog, message)
+func (f *fake) LogDebug(string, ...any) {}
+func (f *fake) LogInfo(string, ...any)  {}
+func (f *fake) LogError(message string, _ ...any) {
+	f.errorLog = append(f.errorLog, message)
 }
 
-func (w *world) GrantLease(ttl time.Duration, call Call) {
-	w.requests = append(w.requests, request{kind: "grant", ttl: ttl, call: call})
+func (f *fake) GrantLease(ttl time.Duration, call Call) {
+	f.requests = append(f.requests, request{kind: "grant", ttl: ttl, call: call})
 }
-func (w *world) RenewLease(lease uint64, call Call) {
-	w.requests = append(w.requests, request{kind: "renew", lease: lease, call: call})
+func (f *fake) RenewLease(lease uint64, call Call) {
+	f.requests = append(f.requests, request{kind: "renew", lease: lease, call: call})
 }
-func (w *world) RevokeLease(lease uint64, call Call) {
-	w.requests = append(w.requests, request{kind: "revoke", lease: lease, call: call})
+func (f *fake) RevokeLease(lease uint64, call Call) {
+	f.requests = append(f.requests, request{kind: "revoke", lease: lease, call: call})
 }
-func (w *world) ClaimTerm(claim Claim, call Call) error {
-	if w.claimErr == nil {
-		w.requests = append(w.requests, request{kind: "claim", claim: claim, call: call})
+func (f *fake) ClaimTerm(claim Claim, call Call) error {
+	if f.claimErr == nil {
+		f.requests = append(f.requests, request{kind: "claim", claim: claim, call: call})
 	}
-	return w.claimErr
+	return f.claimErr
 }
 
-// next takes the oldest request, which has to be of a kind.
-func (w *world) next(kind string) request {
-	w.Helper()
-	if len(w.requests) == 0 || w.requests[0].kind != kind {
-		w.Fatalf("requests are %+v, want %s next", w.requests, kind)
+// pop removes the oldest request, which must be of the given kind, and returns it.
+func (f *fake) pop(kind string) request {
+	f.Helper()
+	if len(f.requests) == 0 || f.requests[0].kind != kind {
+		f.Fatalf("requests are %+v, want %s next", f.requests, kind)
 	}
-	r := w.requests[0]
-	w.requests = w.requests[1:]
+	r := f.requests[0]
+	f.requests = f.requests[1:]
 	return r
 }
 
-func (w *world) wantNoRequest() {
-	w.Helper()
-	if len(w.requests) > 0 {
-		w.Fatalf("requests are %+v, want none", w.requests)
+func (f *fake) wantNoRequest() {
+	f.Helper()
+	if len(f.requests) > 0 {
+		f.Fatalf("requests are %+v, want none", f.requests)
 	}
 }
 
-// win has the node win the next term with lease 5, all without any delay.
-func (w *world) win() {
-	w.Helper()
-	w.election.Run()
-	w.next("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: w.now})
-	w.next("claim").call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: w.now})
-	w.view.Term, w.view.Vacant = TermView{Number: w.view.Term.Number + 1, Node: "a", Version: 71}, false
+// winElection lets controller a win the next term with lease 5. No time passes meanwhile.
+func (f *fake) winElection() {
+	f.Helper()
+	f.election.Run()
+	f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
+	f.pop("claim").call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
+	f.view.Term, f.view.Vacant = TermView{Number: f.view.Term.Number + 1, Node: "a", Version: 71}, false
 }
 
-func (w *world) answerPeers(status membership.Status) {
-	for _, p := range w.members.Peers() {
-		p.QueryStarted(w.now)
-		p.QueryAnswered(w.now, status)
+func (f *fake) answerPeers(status membership.Status) {
+	for _, p := range f.members.Peers() {
+		p.QueryStarted(f.now)
+		p.QueryAnswered(f.now, status)
 	}
 }
 
 func TestCampaignWinsTheNextTerm(t *testing.T) {
-	w := newWorld(t, "")
-	w.election.Run()
-	w.election.Run() // one campaign at a time
-	grant := w.next("grant")
-	w.wantNoRequest()
-	sentAt := w.now
-	w.now += time.Second
+	f := newFake(t, "")
+	f.election.Run()
+	f.election.Run() // a second campaign does not start meanwhile
+	grant := f.pop("grant")
+	f.wantNoRequest()
+	sentAt := f.now
+	f.now += time.Second
 	grant.call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: sentAt})
-	claim := w.next("claim")
+	claim := f.pop("claim")
 	if want := (Claim{Term: 8, Lease: 5, TermVersion: 70}); claim.claim != want {
 		t.Errorf("claim is %+v, want %+v", claim.claim, want)
 	}
-	claim.call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: w.now})
-	deadline := sentAt + testTiming.LeaseTTL - 4*time.Millisecond // a thousandth of it, for the drift of the clocks
-	if want := (Term{Number: 8, Version: 71, LeaseDeadline: deadline}); len(w.terms) != 1 || w.terms[0] != want {
-		t.Errorf("terms are %+v, want %+v", w.terms, want)
+	claim.call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
+	deadline := sentAt + testTiming.LeaseTTL - 4*time.Millisecond // MaxClockDrift of 4 s
+	if want := (Term{Number: 8, Version: 71, LeaseDeadline: deadline}); len(f.terms) != 1 || f.terms[0] != want {
+		t.Errorf("terms are %+v, want %+v", f.terms, want)
 	}
-	if !w.election.LeaseValid() || w.election.LeaseValidAt(deadline) || w.election.TermsLed() != 1 {
-		t.Error("the lease is valid until its deadline, in the first term that was led")
+	if !f.election.LeaseValid() || f.election.LeaseValidAt(deadline) || f.election.TermsLed() != 1 {
+		t.Error("the lease is not valid until its deadline, or the number of terms led is not 1")
 	}
 }
 
-func TestCampaignThatIsNotWonRevokesItsLease(t *testing.T) {
-	for _, o := range []outcome.Outcome{outcome.Conflict, outcome.Unknown, outcome.Unavailable} {
-		w := newWorld(t, "")
-		w.election.Run()
-		w.next("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: w.now})
-		w.next("claim").call.Complete(Reply{Outcome: o})
-		if lease := w.next("revoke").lease; lease != 5 {
-			t.Errorf("%v: lease %d is revoked, want 5", o, lease)
+func TestLostCampaignRevokesLease(t *testing.T) {
+	for _, result := range []outcome.Outcome{outcome.Conflict, outcome.Unknown, outcome.Unavailable} {
+		f := newFake(t, "")
+		f.election.Run()
+		f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
+		f.pop("claim").call.Complete(Reply{Outcome: result})
+		if lease := f.pop("revoke").lease; lease != 5 {
+			t.Errorf("%v: lease %d is revoked, want 5", result, lease)
 		}
-		w.election.Run()
-		w.wantNoRequest()
-		w.now += testTiming.RetryPause
-		w.election.Run()
-		w.next("grant")
-		if len(w.terms) > 0 {
-			t.Errorf("%v: terms are %v, want none", o, w.terms)
+		f.election.Run()
+		f.wantNoRequest()
+		f.now += testTiming.RetryPause
+		f.election.Run()
+		f.pop("grant")
+		if len(f.terms) > 0 {
+			t.Errorf("%v: terms are %v, want none", result, f.terms)
 		}
 	}
 }
 
-func TestCandidateMakesWayForALeaderSeenMeanwhile(t *testing.T) {
-	w := newWorld(t, "")
-	w.election.Run()
-	w.view.Vacant = false
-	w.next("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5})
-	w.next("revoke")
-	w.wantNoRequest()
+func TestCandidateYieldsToNewLeader(t *testing.T) {
+	f := newFake(t, "")
+	f.election.Run()
+	f.view.Vacant = false
+	f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5})
+	f.pop("revoke")
+	f.wantNoRequest()
 }
 
 func TestCampaignPausesAfterFailure(t *testing.T) {
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name  string
 		grant outcome.Outcome
 		claim error
 	}{
 		{"no lease is granted", outcome.Unavailable, nil},
-		{"the claim can't be encoded", outcome.OK, errors.New("not encoded")},
+		{"the claim can't be encoded", outcome.OK, errors.New("encoding failed")},
 	} {
-		w := newWorld(t, "")
-		w.claimErr = x.claim
-		w.election.Run()
-		w.next("grant").call.Complete(Reply{Outcome: x.grant, Lease: 5})
-		w.wantNoRequest()
-		w.election.Run()
-		w.wantNoRequest()
-		w.now += testTiming.RetryPause
-		w.election.Run()
-		w.next("grant")
+		f := newFake(t, "")
+		f.claimErr = tt.claim
+		f.election.Run()
+		f.pop("grant").call.Complete(Reply{Outcome: tt.grant, Lease: 5})
+		f.wantNoRequest()
+		f.election.Run()
+		f.wantNoRequest()
+		f.now += testTiming.RetryPause
+		f.election.Run()
+		f.pop("grant")
 	}
 }
 
 func TestNoCampaign(t *testing.T) {
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name   string
-		change func(*world)
+		change func(*fake)
 	}{
-		{"the cache is not filled", func(w *world) { w.view.Ready = false }},
-		{"another node leads", func(w *world) { w.view.Vacant, w.view.Leader = false, LeaderView{Node: "b", Lease: 4} }},
-		{"the store is down", func(w *world) { w.storeDown = true }},
-		{"the node must not lead", func(w *world) { w.blocked = "of a reason" }},
+		{"the cache is not ready", func(f *fake) { f.view.Ready = false }},
+		{"another node leads", func(f *fake) { f.view.Vacant, f.view.Leader = false, LeaderView{Node: "b", Lease: 4} }},
+		{"the store is down", func(f *fake) { f.storeDown = true }},
+		{"the candidacy is blocked", func(f *fake) { f.blocked = "unsupported format" }},
 	} {
-		w := newWorld(t, "")
-		x.change(w)
+		f := newFake(t, "")
+		tt.change(f)
 		for range 3 {
-			w.now += testTiming.WorkerLease
-			w.election.Run()
+			f.now += testTiming.WorkerLease
+			f.election.Run()
 		}
-		if len(w.requests) > 0 {
-			t.Errorf("%s: requests are %+v", x.name, w.requests)
+		if len(f.requests) > 0 {
+			t.Errorf("%s: requests are %+v, want none", tt.name, f.requests)
 		}
-		if w.blocked != "" && !slices.Equal(w.errorLog, []string{"candidacy blocked: of a reason"}) {
-			t.Errorf("%s: the log is %q", x.name, w.errorLog)
+		if f.blocked != "" && !slices.Equal(f.errorLog, []string{"candidacy blocked: unsupported format"}) {
+			t.Errorf("%s: unexpected error log %q", tt.name, f.errorLog)
 		}
 	}
 }
 
 func TestLeaseOfEarlierProcessIsRevoked(t *testing.T) {
-	w := newWorld(t, "")
-	w.view.Vacant, w.view.Leader = false, LeaderView{Node: "a", Lease: 4}
-	w.election.Run()
-	w.election.Run()
-	revoke := w.next("revoke")
+	f := newFake(t, "")
+	f.view.Vacant, f.view.Leader = false, LeaderView{Node: "a", Lease: 4}
+	f.election.Run()
+	f.election.Run()
+	revoke := f.pop("revoke")
 	if revoke.lease != 4 {
 		t.Errorf("lease %d is revoked, want 4", revoke.lease)
 	}
-	w.wantNoRequest()
+	f.wantNoRequest()
 	revoke.call.Complete(Reply{Outcome: outcome.OK})
-	w.view.Vacant = true
-	w.now += testTiming.RetryPause
-	w.election.Run()
-	w.next("grant")
+	f.view.Vacant = true
+	f.now += testTiming.RetryPause
+	f.election.Run()
+	f.pop("grant")
 }
 
 func TestLeaderRenewsItsLease(t *testing.T) {
-	w := newWorld(t, "")
-	w.win()
-	w.election.Run()
-	w.election.Run()
-	renew := w.next("renew")
-	w.wantNoRequest()
+	f := newFake(t, "")
+	f.winElection()
+	f.election.Run()
+	f.election.Run()
+	renew := f.pop("renew")
+	f.wantNoRequest()
 	renew.call.Complete(Reply{Outcome: outcome.Unavailable})
-	w.election.Run()
-	w.wantNoRequest()
-	w.now += testTiming.LeaseTTL / failedRenewalsPerTTL
-	w.election.Run()
-	sentAt := w.now
-	w.next("renew").call.Complete(Reply{Outcome: outcome.OK, SentAt: sentAt})
-	if !w.election.LeaseValidAt(sentAt+testTiming.LeaseTTL*99/100) || w.election.LeaseValidAt(sentAt+testTiming.LeaseTTL) {
-		t.Error("the deadline counts from when the renewal was sent")
+	f.election.Run()
+	f.wantNoRequest()
+	f.now += testTiming.LeaseTTL / renewalRetriesPerTTL
+	f.election.Run()
+	sentAt := f.now
+	f.pop("renew").call.Complete(Reply{Outcome: outcome.OK, SentAt: sentAt})
+	if !f.election.LeaseValidAt(sentAt+testTiming.LeaseTTL*99/100) || f.election.LeaseValidAt(sentAt+testTiming.LeaseTTL) {
+		t.Error("the deadline is not one TTL after the renewal was sent")
 	}
-	w.now += testTiming.LeaseTTL/renewalsPerTTL - 1
-	w.election.Run()
-	w.wantNoRequest()
-	w.now++
-	w.election.Run()
-	w.next("renew")
+	f.now += testTiming.LeaseTTL/renewalsPerTTL - 1
+	f.election.Run()
+	f.wantNoRequest()
+	f.now++
+	f.election.Run()
+	f.pop("renew")
 }
 
 func TestLeaderPastItsDeadlineWaitsForTheStore(t *testing.T) {
-	w := newWorld(t, "")
-	w.win()
-	w.unheard = true // would step down while its lease is valid
-	w.now += testTiming.LeaseTTL
-	w.election.Run()
-	renew := w.next("renew")
-	if w.election.LeaseValid() || len(w.stepDowns) > 0 {
-		t.Errorf("the lease is past its deadline; step-downs are %v, want none", w.stepDowns)
+	f := newFake(t, "")
+	f.winElection()
+	f.workersReachOnlyPeers = true // with a valid lease the leader would step down
+	f.now += testTiming.LeaseTTL
+	f.election.Run()
+	renew := f.pop("renew")
+	if f.election.LeaseValid() || len(f.stepDowns) > 0 {
+		t.Errorf("lease valid past its deadline, or step-downs %v, want none", f.stepDowns)
 	}
-	renew.call.Complete(Reply{Outcome: outcome.OK, SentAt: w.now})
-	if !w.election.LeaseValid() {
-		t.Error("the renewal shows that the lease is still held")
+	renew.call.Complete(Reply{Outcome: outcome.OK, SentAt: f.now})
+	if !f.election.LeaseValid() {
+		t.Error("the lease is not valid after the renewal")
 	}
 }
 
-func TestReasonsOfStepDown(t *testing.T) {
-	for _, x := range []struct {
+func TestStepDownReasons(t *testing.T) {
+	for _, tt := range []struct {
 		want    StepDownReason
 		revokes bool
-		happens func(*world)
+		trigger func(*fake)
 	}{
-		{NewerTermObserved, false, func(w *world) { w.view.Term.Number++ }},
-		{LeaseExpired, false, func(w *world) { w.election.Run(); w.next("renew").call.Complete(Reply{Outcome: outcome.NotFound}) }},
-		{WorkersReachOnlyPeers, true, func(w *world) { w.unheard = true }},
-		{TermSuperseded, false, func(w *world) { w.election.StepDown(TermSuperseded) }},
+		{NewerTermObserved, false, func(f *fake) { f.view.Term.Number++ }},
+		{LeaseExpired, false, func(f *fake) { f.election.Run(); f.pop("renew").call.Complete(Reply{Outcome: outcome.NotFound}) }},
+		{WorkersReachOnlyPeers, true, func(f *fake) { f.workersReachOnlyPeers = true }},
+		{TermSuperseded, false, func(f *fake) { f.election.StepDown(TermSuperseded) }},
 	} {
-		w := newWorld(t, "")
-		w.win()
-		x.happens(w)
-		w.election.Run()
-		if !slices.Equal(w.stepDowns, []StepDownReason{x.want}) {
-			t.Errorf("step-downs are %q, want %q", w.stepDowns, x.want)
+		f := newFake(t, "")
+		f.winElection()
+		tt.trigger(f)
+		f.election.Run()
+		if !slices.Equal(f.stepDowns, []StepDownReason{tt.want}) {
+			t.Errorf("step-downs are %q, want %q", f.stepDowns, tt.want)
 		}
-		if x.revokes {
-			w.next("revoke")
+		if tt.revokes {
+			f.pop("revoke")
 		}
-		w.wantNoRequest()
-		w.election.StepDown(TermSuperseded)
-		if len(w.stepDowns) != 1 {
-			t.Errorf("%s: a node that does not lead steps down again", x.want)
+		f.wantNoRequest()
+		f.election.StepDown(TermSuperseded)
+		if len(f.stepDowns) != 1 {
+			t.Errorf("%s: a controller that does not lead stepped down again", tt.want)
 		}
 	}
 }
 
 func TestReplyToRenewalOfEarlierTermIsIgnored(t *testing.T) {
-	w := newWorld(t, "")
-	w.win()
-	w.election.Run()
-	renew := w.next("renew")
-	w.election.StepDown(TermSuperseded)
+	f := newFake(t, "")
+	f.winElection()
+	f.election.Run()
+	renew := f.pop("renew")
+	f.election.StepDown(TermSuperseded)
 	renew.call.Complete(Reply{Outcome: outcome.NotFound})
-	if len(w.stepDowns) != 1 {
-		t.Errorf("step-downs are %v, want one", w.stepDowns)
+	if len(f.stepDowns) != 1 {
+		t.Errorf("step-downs are %v, want exactly one", f.stepDowns)
 	}
 }
 
-func TestCandidateWaitsForABetterOne(t *testing.T) {
+func TestCampaignDelay(t *testing.T) {
 	check := testTiming.CheckInterval
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name          string
 		peerZones     string
 		successorDown bool
 		want          time.Duration
 	}{
-		{"a zone each", "23", false, 0},
+		{"one zone each", "23", false, 0},
 		{"the successor shares the zone", "12", false, check / 2},
-		{"two of one zone follow", "22", false, check / 4},
-		{"four of one zone follow", "2222", false, check / 2},
-		{"the successor is down, another candidate's is not", "23", true, check / 2},
+		{"two controllers of one zone follow", "22", false, check / 4},
+		{"four controllers of one zone follow", "2222", false, check / 2},
+		{"the successor is down, but not that of another candidate", "23", true, check / 2},
 	} {
-		w := newWorld(t, x.peerZones)
-		w.answerPeers(membership.Status{})
-		if x.successorDown {
-			w.now += time.Millisecond
-			w.members.Peer("b").QueryFailed()
+		f := newFake(t, tt.peerZones)
+		f.answerPeers(membership.Status{})
+		if tt.successorDown {
+			f.now += time.Millisecond
+			f.members.Peer("b").QueryFailed()
 		}
-		if got := w.election.campaignDelay(); got != x.want {
-			t.Errorf("%s: delay %v, want %v", x.name, got, x.want)
+		if got := f.election.campaignDelay(); got != tt.want {
+			t.Errorf("%s: delay %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-func TestLeaderHandsOverToABetterCandidate(t *testing.T) {
-	for _, x := range []struct {
+func TestLeaderHandsOverToBetterCandidate(t *testing.T) {
+	for _, tt := range []struct {
 		name      string
 		peerZones string
 		termAge   time.Duration
@@ -355,46 +356,46 @@
 	}{
 		{"its successor shares its zone", "12", 3 * testTiming.WorkerLease, false, membership.Status{}, true},
 		{"its successor is in another zone", "21", 3 * testTiming.WorkerLease, false, membership.Status{}, false},
-		{"its term is young", "12", testTiming.WorkerLease, false, membership.Status{}, false},
+		{"its term is recent", "12", testTiming.WorkerLease, false, membership.Status{}, false},
 		{"it is short of processor time", "12", 3 * testTiming.WorkerLease, true, membership.Status{}, false},
-		{"the store serves no peer", "12", 3 * testTiming.WorkerLease, false, membership.Status{StoreDown: true}, false},
+		{"no peer reaches the store", "12", 3 * testTiming.WorkerLease, false, membership.Status{StoreDown: true}, false},
 	} {
-		w := newWorld(t, x.peerZones)
-		w.now += testTiming.CheckInterval
-		w.election.Run()
-		w.now += testTiming.CheckInterval
-		w.win()
-		w.answerPeers(x.status)
-		w.now += x.termAge
-		w.answerPeers(x.status)
-		w.busy = x.busy
-		if got := w.election.betterCandidateExists(); got != x.want {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+		f := newFake(t, tt.peerZones)
+		f.now += testTiming.CheckInterval
+		f.election.Run()
+		f.now += testTiming.CheckInterval
+		f.winElection()
+		f.answerPeers(tt.status)
+		f.now += tt.termAge
+		f.answerPeers(tt.status)
+		f.busy = tt.busy
+		if got := f.election.betterCandidateExists(); got != tt.want {
+			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-func TestQuickTermsOfALivingLeaderGetLongerLeases(t *testing.T) {
-	for _, x := range []struct {
+func TestFrequentTermsExtendLeaseTTL(t *testing.T) {
+	for _, tt := range []struct {
 		name  string
 		alive bool
 		want  time.Duration
 	}{
-		{"the last leader still runs", true, 5 * time.Second},
+		{"the last leader is still running", true, 5 * time.Second},
 		{"the last leader is gone", false, testTiming.LeaseTTL},
 	} {
-		w := newWorld(t, "2")
-		w.view.Vacant = false
-		w.election.Run()
-		w.view.Term = TermView{Number: 8, Node: "b", Version: 80}
-		w.election.Run()
-		w.view.Vacant = true
-		if x.alive {
-			w.answerPeers(membership.Status{Term: 8})
+		f := newFake(t, "2")
+		f.view.Vacant = false
+		f.election.Run()
+		f.view.Term = TermView{Number: 8, Node: "b", Version: 80}
+		f.election.Run()
+		f.view.Vacant = true
+		if tt.alive {
+			f.answerPeers(membership.Status{Term: 8})
 		}
-		w.election.Run()
-		if got := w.next("grant").ttl; got != x.want {
-			t.Errorf("%s: the lease lives %v, want %v", x.name, got, x.want)
+		f.election.Run()
+		if got := f.pop("grant").ttl; got != tt.want {
+			t.Errorf("%s: lease TTL %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
--- a/internal/election/failover_ring.go
+++ b/internal/election/failover_ring.go
@@ -2,23 +2,23 @@
 
 import "bitternwing/internal/membership"
 
-// failoverRing is the order in which workers try the controllers when they lose the leader, seen by failure domain. A leader
-// is a good one if its workers find the next one quickly when its zone is cut off: each controller that does not answer
-// costs them almost half of their lease.
+// failoverRing is the order in which workers try the controllers when they lose the leader, with the zone of each
+// controller. Workers find the next leader quickly if few controllers that follow the leader are lost together with its
+// zone: each controller that does not answer costs a worker almost half of its lease.
 type failoverRing struct {
-	nodes        []membership.Node
-	severalZones bool
+	nodes     []membership.Node
+	multiZone bool
 }
 
 func newFailoverRing(members *membership.Members) failoverRing {
 	r := failoverRing{nodes: members.FailoverOrder()}
 	for _, node := range r.nodes {
-		r.severalZones = r.severalZones || node.Zone != r.nodes[0].Zone
+		r.multiZone = r.multiZone || node.Zone != r.nodes[0].Zone
 	}
 	return r
 }
 
-// position gives the place of a controller in the ring.
+// position returns the index of a controller in the ring.
 func (r *failoverRing) position(name string) int {
 	for i, node := range r.nodes {
 		if node.Name == name {
@@ -28,29 +28,30 @@
 	return 0
 }
 
-// successor gives the controller that workers try after one.
+// successor returns the controller that workers try after the named one.
 func (r *failoverRing) successor(name string) membership.Node {
 	return r.nodes[(r.position(name)+1)%len(r.nodes)]
 }
 
-// failoverHops gives how many controllers in a row workers may try in vain after the leader when a zone is cut off: the run
-// of controllers of one zone that follows the leader. It is 0 if all are in one zone.
+// failoverHops returns how many controllers in a row workers may try in vain after the leader when a zone is cut off.
+// That is the number of controllers directly after the leader that share one zone. It is 0 if all controllers are in
+// one zone.
 func (r *failoverRing) failoverHops(leader string) int {
-	if !r.severalZones {
+	if !r.multiZone {
 		return 0
 	}
-	first := r.successor(leader).Zone
+	successorZone := r.successor(leader).Zone
 	hops := 1
 	for at := r.position(leader); hops < len(r.nodes)-1; hops++ {
-		if r.nodes[(at+hops+1)%len(r.nodes)].Zone != first {
+		if r.nodes[(at+hops+1)%len(r.nodes)].Zone != successorZone {
 			break
 		}
 	}
 	return hops
 }
 
-// sharesZoneWithSuccessor reports whether a controller would be a poor leader: its successor is in its own zone, so that
-// both are lost when that is cut off.
+// sharesZoneWithSuccessor reports whether the successor of a controller is in the same zone. Such a controller is a
+// poor leader, because both are lost when that zone is cut off.
 func (r *failoverRing) sharesZoneWithSuccessor(name string) bool {
-	return r.severalZones && r.nodes[r.position(name)].Zone == r.successor(name).Zone
+	return r.multiZone && r.nodes[r.position(name)].Zone == r.successor(name).Zone
 }
--- a/internal/election/failover_ring_test.go
+++ b/internal/election/failover_ring_test.go
@@ -7,32 +7,32 @@
 )
 
 func TestFailoverRing(t *testing.T) {
-	for _, x := range []struct {
-		name   string
-		zones  string // of the controllers a, b, c ...
-		leader string
-		hops   int
-		shares bool
+	for _, tt := range []struct {
+		name       string
+		zones      string // one digit for each controller: a, b, c ...
+		leader     string
+		hops       int
+		sharesZone bool
 	}{
-		{"alone", "1", "a", 0, false},
+		{"a single controller", "1", "a", 0, false},
 		{"all in one zone", "111", "a", 0, false},
-		{"a zone each", "123", "c", 1, false},
+		{"one zone each", "123", "c", 1, false},
 		{"the successor is in the leader's zone", "112", "a", 1, true},
 		{"the successor is in another zone", "112", "b", 1, false},
-		{"two of one zone follow", "112", "c", 2, false},
-		{"two zones that alternate", "1212", "b", 1, false},
-		{"all others are in one zone", "1222", "a", 3, false},
+		{"two controllers of one zone follow the leader", "112", "c", 2, false},
+		{"two alternating zones", "1212", "b", 1, false},
+		{"all other controllers share a zone", "1222", "a", 3, false},
 	} {
 		var nodes []membership.Node
-		for i, zone := range x.zones {
+		for i, zone := range tt.zones {
 			nodes = append(nodes, membership.Node{Name: string(rune('a' + i)), Zone: string(zone)})
 		}
 		ring := newFailoverRing(membership.New(nodes[0], nodes[1:], membership.Timing{}))
-		if got := ring.failoverHops(x.leader); got != x.hops {
-			t.Errorf("%s: %d hops, want %d", x.name, got, x.hops)
+		if got := ring.failoverHops(tt.leader); got != tt.hops {
+			t.Errorf("%s: %d hops, want %d", tt.name, got, tt.hops)
 		}
-		if got := ring.sharesZoneWithSuccessor(x.leader); got != x.shares {
-			t.Errorf("%s: shares the zone with its successor: %v, want %v", x.name, got, x.shares)
+		if got := ring.sharesZoneWithSuccessor(tt.leader); got != tt.sharesZone {
+			t.Errorf("%s: shares the zone with its successor: %v, want %v", tt.name, got, tt.sharesZone)
 		}
 	}
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -4,24 +4,25 @@
 
 // Host is the controller that takes part in an election.
 type Host interface {
-	// Now is the monotonic time of the present step.
+	// Now returns the monotonic time of the current step.
 	Now() time.Duration
-	// WakeBy asks for Run to be called at a time at the latest.
+	// WakeBy requests that Run be called no later than the given time.
 	WakeBy(at time.Duration)
-	// View is what the controller has last seen of the leadership in the store.
+	// View returns the leadership as the controller last read it from the store.
 	View() View
-	// StoreDown reports whether the store does not serve this controller.
+	// StoreDown reports whether the store is unavailable to this controller.
 	StoreDown() bool
-	// CandidacyBlocked gives the reason for which this controller must not lead; empty if there is none.
+	// CandidacyBlocked returns the reason why this controller must not lead, or "" if there is none.
 	CandidacyBlocked() string
-	// HasTimeToSpare reports whether there is enough processor time for a failover, which costs more than a steady term.
-	HasTimeToSpare() bool
+	// HasSpareCPU reports whether there is enough processor time for a failover, which costs more than continuing the
+	// term.
+	HasSpareCPU() bool
 	// WorkersReachOnlyPeers reports whether workers reach other controllers but not this one, which leads.
 	WorkersReachOnlyPeers() bool
 
 	// Elected is called when this controller has won a term.
 	Elected(term Term)
-	// SteppedDown is called when its term ends.
+	// SteppedDown is called when the term of this controller ends.
 	SteppedDown(reason StepDownReason)
 
 	LogDebug(message string, fields ...any)
@@ -32,14 +33,14 @@
 // Term is a term that this controller has won.
 type Term struct {
 	Number uint64
-	// Version is that of the term key; a leader's writes are conditional on it.
+	// Version is the version of the term key. The writes of a leader are conditional on it.
 	Version uint64
-	// LeaseDeadline is until when the lease is certainly held without a renewal.
+	// LeaseDeadline is the time until which the lease is certainly held without a renewal.
 	LeaseDeadline time.Duration
 }
 
-// View is the leadership as the controller's cache of the store shows it. It may be stale: what is written because of it is
-// conditional on the versions.
+// View is the leadership as shown by the controller's cache of the store. It may be stale. Writes based on it are
+// conditional on the versions read.
 type View struct {
 	// Ready is set once the cache has been filled.
 	Ready bool
@@ -49,13 +50,13 @@
 	Term   TermView
 }
 
-// LeaderView is the leader key.
+// LeaderView is the content of the leader key.
 type LeaderView struct {
 	Node  string
 	Lease uint64
 }
 
-// TermView is the term key: the newest term and the node that won it.
+// TermView is the content of the term key: the newest term and the controller that won it.
 type TermView struct {
 	Number  uint64
 	Node    string
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -6,43 +6,45 @@
 	"bitternwing/internal/outcome"
 )
 
-// MaxClockDrift is by how much the rates of two clocks may differ, this node's and the store's for instance, doubled for safety.
+// MaxClockDrift is the largest relative difference between the rates of two clocks, for instance this node's and the
+// store's, doubled as a safety margin.
 const MaxClockDrift = 0.001
 
 // A lease is renewed after a fraction of its life, and sooner again if the renewal failed.
 const (
+	// A lease is renewed after a fraction of its time to live. A failed renewal is retried after a shorter one.
 	renewalsPerTTL       = 4
-	failedRenewalsPerTTL = 12
+	renewalRetriesPerTTL = 12
 )
 
-// leaderLease is the lease by which a leader holds the leader key.
+// leaderLease is the lease to which a leader's key is attached.
 type leaderLease struct {
 	id              uint64
 	ttl             time.Duration
-	deadline        time.Duration // until then the lease is certainly held, by this node's clock
+	deadline        time.Duration // time on this node's clock until which the lease is certainly held
 	nextRenewal     time.Duration
 	renewalInFlight bool
 }
 
-// newLeaderLease gives the lease that was granted. Its life began when the store made it, which was no earlier than the
-// request was sent.
+// newLeaderLease returns the lease that was granted. Its time to live began when the store created it, which was not
+// before the request was sent.
 func newLeaderLease(grant Reply, ttl time.Duration) leaderLease {
 	l := leaderLease{id: grant.Lease, ttl: ttl}
 	l.deadline = grant.SentAt + l.safeDuration()
 	return l
 }
 
-// safeDuration is for how long the lease is certainly held after a renewal, whatever the drift of the clocks.
+// safeDuration returns how long the lease is certainly held after a renewal, given the largest clock drift.
 func (l *leaderLease) safeDuration() time.Duration {
 	return time.Duration(float64(l.ttl) * (1 - MaxClockDrift))
 }
 
-// validAt reports whether the lease is certainly held at a time.
+// validAt reports whether the lease is certainly held at the given time.
 func (l *leaderLease) validAt(now time.Duration) bool { return now < l.deadline }
 
-// maintainLease renews the lease of a leader, or steps down where another node would lead better. Past the deadline of its
-// lease a leader only waits: it neither writes nor starts anything until a renewal shows that it still holds the lease, as
-// after an outage of the store, or that it lost it.
+// maintainLease renews the lease of a leader, or steps down if another controller would be a better leader. Once the
+// lease may have expired, a leader only waits: it writes nothing and starts nothing until a renewal shows whether it
+// still holds the lease, for instance after an outage of the store.
 func (e *Election) maintainLease(view View) {
 	if view.Term.Number > e.term {
 		e.StepDown(NewerTermObserved)
@@ -65,8 +67,8 @@
 	e.store.RenewLease(e.lease.id, &leaseRenewal{e, e.lease.id})
 }
 
-// handOverReason gives the reason for which a leader had better leave the next term to another node. Only a leader whose
-// lease is valid hands over: another one can't know whether it still leads.
+// handOverReason returns the reason for handing the next term over to another controller, if there is one. A leader
+// hands over only while its lease is valid, because otherwise it can't know whether it still leads.
 func (e *Election) handOverReason() (reason StepDownReason, handOver bool) {
 	switch {
 	case !e.LeaseValid():
@@ -79,18 +81,18 @@
 	return "", false
 }
 
-// leaseRenewal is the renewal of a leader's lease.
+// leaseRenewal is the pending renewal of a leader's lease.
 type leaseRenewal struct {
 	election *Election
 	lease    uint64
 }
 
-// Complete extends the deadline, or ends the term if the store no longer knows the lease.
+// Complete extends the deadline. If the store no longer knows the lease, the term ends.
 func (c *leaseRenewal) Complete(reply Reply) {
 	e := c.election
 	l := &e.lease
 	if !e.leading || l.id != c.lease {
-		return // of an earlier term
+		return // the renewal belongs to an earlier term
 	}
 	now := e.host.Now()
 	l.renewalInFlight = false
@@ -99,7 +101,7 @@
 		return
 	}
 	if reply.Outcome != outcome.OK {
-		l.nextRenewal = now + l.ttl/failedRenewalsPerTTL
+		l.nextRenewal = now + l.ttl/renewalRetriesPerTTL
 		return
 	}
 	if !l.validAt(now) {
--- a/internal/election/preference.go
+++ b/internal/election/preference.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// The delays of a campaign, as parts of the check interval.
+// Delays before a campaign, as fractions of CheckInterval.
 const (
-	// hopDelayParts: each controller in a row that workers may try in vain delays the campaign by one of these parts.
-	hopDelayParts = 4
-	// maxDelayedHops bounds the controllers that count.
+	// hopDelayDivisor divides CheckInterval into the delay for each controller in a row that workers may try in vain.
+	hopDelayDivisor = 4
+	// maxDelayedHops limits how many of these controllers are counted.
 	maxDelayedHops = 2
-	// poorCandidateDelayParts: a candidate that would be a poor leader waits for one of these parts more.
-	poorCandidateDelayParts = 2
+	// poorCandidateDelayDivisor divides CheckInterval into the additional delay of a candidate that would be a poor
+	// leader.
+	poorCandidateDelayDivisor = 2
 )
 
-// minTermLeases is for how long a leader stays before it hands over to a better one, in workers' leases.
+// minTermLeases is the time that a leader leads before it hands over to a better candidate, in worker leases.
 const minTermLeases = 2
 
-// campaignDelay gives how long a candidate waits after the leadership fell vacant, so that a better one wins.
+// campaignDelay returns how long a candidate waits after the leadership became vacant, so that a better candidate wins.
 func (e *Election) campaignDelay() time.Duration {
 	self := e.members.Self().Name
 	extraHops := max(0, e.ring.failoverHops(self)-1)
-	delay := e.timing.CheckInterval / hopDelayParts * time.Duration(min(maxDelayedHops, extraHops))
+	delay := e.timing.CheckInterval / hopDelayDivisor * time.Duration(min(maxDelayedHops, extraHops))
 	if e.ring.sharesZoneWithSuccessor(self) || e.successorDown(self, 0) && e.anyCandidate(e.successorUp) {
-		delay += e.timing.CheckInterval / poorCandidateDelayParts
+		delay += e.timing.CheckInterval / poorCandidateDelayDivisor
 	}
 	return delay
 }
 
-// anyCandidate reports whether another controller that could lead is a suitable one.
+// anyCandidate reports whether some other controller is able to lead and satisfies the predicate.
 func (e *Election) anyCandidate(suitable func(name string) bool) bool {
 	for _, p := range e.members.Peers() {
 		if e.members.RecentlyHeard(p, e.host.Now()) && !p.Status().StoreDown && suitable(p.Name()) {
@@ -36,25 +37,26 @@
 	return false
 }
 
-// successorDown reports whether the controller that workers try after a given one has not answered for longer than a time.
-// Were the given one to lead and then to hang, its workers would wait for both in turn, which takes all of their lease.
+// successorDown reports whether the successor of the named controller has not answered for longer than the given time.
+// If the named controller led and then hung, its workers would wait for both in turn, which takes their whole lease.
 func (e *Election) successorDown(name string, silence time.Duration) bool {
 	p := e.members.Peer(e.ring.successor(name).Name)
 	return p != nil && e.members.SuspectedDown(p, e.host.Now(), silence)
 }
 
-// successorUp reports whether the controller that workers try after a given one is not known to be out of reach.
+// successorUp reports whether the successor of the named controller is not suspected to be down.
 func (e *Election) successorUp(name string) bool { return !e.successorDown(name, 0) }
 
-// suitableLeader reports whether workers of a leader would find the next one quickly: its successor is in another zone, and
-// has not been silent for as long as a worker's lease.
+// suitableLeader reports whether workers would find the next leader quickly if the named controller led. Its successor
+// must be in another zone and must have answered within the duration of a worker's lease.
 func (e *Election) suitableLeader(name string) bool {
 	return !e.ring.sharesZoneWithSuccessor(name) && !e.successorDown(name, e.timing.WorkerLease)
 }
 
-// betterCandidateExists reports whether this leader is not suitable while another node has been there for a while that is.
+// betterCandidateExists reports whether this leader is not suitable and another controller is. It waits until all
+// controllers that were recently heard have been reachable for some checks.
 func (e *Election) betterCandidateExists() bool {
-	if !e.host.HasTimeToSpare() {
+	if !e.host.HasSpareCPU() {
 		return false
 	}
 	now := e.host.Now()
@@ -62,7 +64,7 @@
 		return false
 	}
 	for _, p := range e.members.Peers() {
-		// After a partition the nodes are heard again one after the other.
+		// After a partition the controllers become reachable one after another.
 		if e.members.RecentlyHeard(p, now) && !e.members.ReachableForChecks(p, now) {
 			return false
 		}
--- a/internal/election/store.go
+++ b/internal/election/store.go
@@ -6,24 +6,24 @@
 	"bitternwing/internal/outcome"
 )
 
-// Store are the calls of the key-value store that an election needs. Each sends a request and returns; the reply is handed
-// to the call in a later step.
+// Store is the part of the key-value store's interface that an election needs. Each method sends a request and returns
+// at once. The reply is passed to the Call in a later step.
 type Store interface {
-	// GrantLease asks for a new lease.
+	// GrantLease requests a new lease.
 	GrantLease(ttl time.Duration, call Call)
-	// RenewLease keeps a lease alive for another of its lives.
+	// RenewLease extends a lease by its full time to live.
 	RenewLease(lease uint64, call Call)
-	// RevokeLease ends a lease, and with it the leader key that is held by it.
+	// RevokeLease ends a lease and deletes the leader key that is attached to it.
 	RevokeLease(lease uint64, call Call)
-	// ClaimTerm writes the leader key and the term key by compare-and-swap: on the conditions that there is no leader key
-	// and that the term key has not changed. An error means that nothing was sent.
+	// ClaimTerm writes the leader key and the term key in one compare-and-swap. Its conditions are that there is no
+	// leader key and that the term key has not changed. An error means that no request was sent.
 	ClaimTerm(claim Claim, call Call) error
 }
 
 // Claim is what a candidate writes.
 type Claim struct {
 	Term  uint64
-	Lease uint64 // of the leader key
+	Lease uint64 // lease to which the leader key is attached
 	// TermVersion is the version of the term key that the claim replaces.
 	TermVersion uint64
 }
@@ -36,10 +36,10 @@
 // Reply is the reply to a call.
 type Reply struct {
 	Outcome outcome.Outcome
-	// SentAt is when the request was sent, which is no later than the store's decision.
+	// SentAt is the time at which the request was sent. The store processed it no earlier.
 	SentAt time.Duration
 	// Lease is the lease that was granted.
 	Lease uint64
-	// Revision is that of a compare-and-swap: the version of the keys that it wrote.
+	// Revision is the version given to the keys that a compare-and-swap wrote.
 	Revision uint64
 }
--- a/internal/election/term_history.go
+++ b/internal/election/term_history.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// termHistory remembers when the last terms began. A leader that is short of processor time may lose its lease while all
-// workers come to it, and so may the next one, for as long as each failover takes longer than a lease lives. Terms that
-// follow each other quickly therefore get longer leases, where the last leader still runs (lastLeaderAlive).
+// termHistory records when the recent terms started. A leader that is short of processor time may lose its lease while
+// all workers fail over to it. If each failover takes longer than the lease lasts, the next leader fails the same way.
+// Terms that follow each other quickly therefore get longer leases, provided that the last leader is still running
+// (lastLeaderAlive).
 type termHistory struct {
 	term   uint64
-	starts []time.Duration // of the last terms, by this node's clock, oldest first
+	starts []time.Duration // starts of the recent terms on this node's clock, oldest first
 }
 
 const (
-	// recentTermLeases is for how long the start of a term counts, in workers' leases.
+	// recentTermLeases is how long the start of a term counts as recent, in worker leases.
 	recentTermLeases = 3
-	// maxRecentTerms bounds the starts that are remembered: the longest lease is reached before.
+	// maxRecentTerms limits how many starts are stored. Fewer are enough to reach the longest lease.
 	maxRecentTerms = 8
-	// maxTTLLeases is the longest life of a leader's lease, in workers' leases. Workers whose leader has ended are kept
-	// alive by the nodes that they come to, until it expires and the next leader begins.
+	// maxTTLLeases is the longest time to live of a leader's lease, in worker leases. After a leader has failed, its
+	// workers depend on the other controllers to renew their leases until the leader's lease expires and the next term
+	// starts.
 	maxTTLLeases = 0.5
 )
 
-// observe takes in the term as it is known now.
+// observe records the newest known term.
 func (h *termHistory) observe(now time.Duration, term uint64) {
 	if term <= h.term {
 		return
 	}
-	if h.term != 0 { // the first one that a process hears of may be old
+	if h.term != 0 { // the first term that a process observes may have started long ago
 		h.starts = append(h.starts, now)
 	}
 	h.term = term
@@ -34,7 +36,7 @@
 	}
 }
 
-// leaseTTL gives the life of the lease for a term that begins now: twice as long for each term that began lately.
+// leaseTTL returns the time to live of the lease of a term that starts now. It is doubled for each recent term.
 func (h *termHistory) leaseTTL(now time.Duration, timing Timing) time.Duration {
 	ttl := timing.LeaseTTL
 	longest := max(ttl, time.Duration(maxTTLLeases*float64(timing.WorkerLease)))
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,5 @@
-// Package kvstore is the client of the consensus-backed key-value store that keeps the controllers' state: reads, compare-and-swap
-// transactions, leases and watches.
+// Package kvstore is a client of the consensus-backed key-value store that holds the controllers' state. It supports
+// reads, compare-and-swap transactions, leases and watches.
 package kvstore
 
 import (
@@ -14,16 +14,17 @@
 	"bitternwing/internal/wire"
 )
 
-// Client sends requests to the key-value store.
+// Client is a client of the key-value store.
 type Client struct{ http *httpclient.Client }
 
-// maxPageBytes is the most bytes that the store puts into a page of keys.
+// maxPageBytes is the maximum size of a page of keys as returned by the store.
 const maxPageBytes = 512 << 10
 
-// New makes a client that sends at most perSecond requests a second. memory bounds what
-// is read of a response: the response to a watch has no limit of its own.
-func New(addr string, perSecond float64, conns int, memory int64) *Client {
-	return &Client{httpclient.New(addr, perSecond, conns, max(2*maxPageBytes, memory))}
+// New returns a client that sends at most perSecond requests per second over at most conns connections. A response may
+// have up to maxResponseBytes bytes, and at least two full pages. This limit is needed because the store does not limit
+// the size of a watch response.
+func New(addr string, perSecond float64, maxConns int, maxResponseBytes int64) *Client {
+	return &Client{httpclient.New(addr, perSecond, maxConns, max(2*maxPageBytes, maxResponseBytes))}
 }
 
 // Get reads a key.
@@ -36,7 +37,7 @@
 	return item, o
 }
 
-// List reads a page of the keys below a prefix, after a key.
+// List reads a page of up to limit keys with a prefix, starting after the given key.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (wire.Page, outcome.Outcome) {
 	q := url.Values{"under": {prefix}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -47,7 +48,7 @@
 	return page, o
 }
 
-// Txn runs a transaction: all its changes are applied if all its conditions hold, or none.
+// Txn runs a transaction: if all conditions hold, all changes are applied, otherwise none.
 func (c *Client) Txn(ctx context.Context, txn wire.Txn) (wire.TxnResponse, outcome.Outcome) {
 	if txn.If == nil {
 		txn.If = []wire.Condition{}
@@ -60,7 +61,7 @@
 	return response, o
 }
 
-// GrantLease creates a lease.
+// GrantLease requests a lease with the given time to live.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, outcome.Outcome) {
 	var response wire.LeaseResponse
 	o := c.http.Do(ctx, "POST", "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &response)
@@ -70,17 +71,18 @@
 	return response.Lease, o
 }
 
-// RenewLease renews a lease for its whole time to live.
+// RenewLease extends a lease by its full time to live.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) outcome.Outcome {
 	return c.http.Do(ctx, "POST", fmt.Sprintf("/grants/%d/extend", lease), struct{}{}, nil)
 }
 
-// RevokeLease ends a lease, and deletes the keys that are attached to it.
+// RevokeLease ends a lease and deletes the keys that are attached to it.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) outcome.Outcome {
 	return c.http.Do(ctx, "DELETE", fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch returns the changes of keys below a prefix after a revision; it blocks until there are some, for wait at most.
+// Watch returns the changes of keys with a prefix since a revision. If there are none it blocks until there are, for at
+// most the given wait.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, outcome.Outcome) {
 	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"block_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,13 +1,13 @@
-// Package membership holds what a controller knows of the other controllers of its region, and draws conclusions from it:
-// which of them can be reached, which leads, whether the key-value store serves any of them, and whether a zone is cut
-// off from the rest.
+// Package membership keeps what a controller knows about the other controllers of its region. From this it determines
+// which of them can be reached, which one leads, whether the key-value store is available to any of them, and whether a
+// zone is cut off from the rest.
 //
-// It is a failure detector in the sense of Chandra and Toueg (1996): each peer is queried periodically, and one that
-// does not answer is suspected, not known, to be down. What follows from a suspicion must therefore be safe if it is
-// wrong. The membership itself is static: it is part of the settings.
+// It is a failure detector in the sense of Chandra and Toueg (1996): each peer is queried periodically, and a peer that
+// does not answer is suspected, not known, to be down. Whatever follows from a suspicion must therefore be safe if the
+// suspicion is wrong. The membership itself is static and part of the settings.
 //
-// The package is pure. It is handed the time and the answers, and has no effects: it sends no query, reads no clock,
-// writes nothing, and knows neither the leader's state nor the cache of the store.
+// The package is pure. The time and the answers are passed in, and it has no side effects: it sends no queries, reads
+// no clock, writes nothing, and depends neither on the leader's state nor on the cache of the store.
 package membership
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Timing is how quickly failures are to be noticed.
+// Timing holds the durations that failure detection depends on.
 type Timing struct {
 	// CheckInterval is the time between two queries of a peer.
 	CheckInterval time.Duration
@@ -24,10 +24,10 @@
 	WorkerLease time.Duration
 }
 
-// recentChecks is for how many check intervals an answer counts as recent.
+// recentChecks is how long an answer counts as recent, in check intervals.
 const recentChecks = 3
 
-// Members are the controllers of a region as one of them sees them.
+// Members is the set of the region's controllers as seen by one of them.
 type Members struct {
 	self          Node
 	peers         []*Peer
@@ -35,7 +35,7 @@
 	timing        Timing
 }
 
-// New makes the view of a controller that has heard of no peer yet.
+// New returns the view of a controller that has not heard from any peer yet.
 func New(self Node, peers []Node, timing Timing) *Members {
 	m := &Members{self: self, timing: timing, failoverOrder: append([]Node{self}, peers...)}
 	for _, peer := range peers {
@@ -45,13 +45,13 @@
 	return m
 }
 
-// Self is the controller whose view this is.
+// Self returns the controller that has this view.
 func (m *Members) Self() Node { return m.self }
 
-// Peers are the other controllers, in the order of the settings.
+// Peers returns the other controllers, in the order of the settings.
 func (m *Members) Peers() []*Peer { return m.peers }
 
-// Peer gives the peer of a name; nil if there is none.
+// Peer returns the peer with the given name, or nil if there is none.
 func (m *Members) Peer(name string) *Peer {
 	for _, p := range m.peers {
 		if p.node.Name == name {
@@ -61,41 +61,42 @@
 	return nil
 }
 
-// FailoverOrder gives all controllers in the order in which workers try them when they lose the leader. It is a ring:
-// after the last one they try the first.
+// FailoverOrder returns all controllers in the order in which workers try them when they lose the leader. The order is
+// a ring: after the last one, workers try the first.
 func (m *Members) FailoverOrder() []Node { return m.failoverOrder }
 
-// RecentlyHeard reports whether a peer is reachable and answered within the last few checks.
+// RecentlyHeard reports whether a peer is reachable and answered within the last recentChecks checks.
 func (m *Members) RecentlyHeard(p *Peer, now time.Duration) bool {
 	return p.reachable && p.heardAt != 0 && now-p.heardAt < recentChecks*m.timing.CheckInterval
 }
 
-// ReachableForChecks reports whether a peer has answered every query of the last few checks. After a network partition
-// the peers are heard again one after the other; who has just come back says little of those still to come.
+// ReachableForChecks reports whether a peer has answered every query of the last recentChecks checks. After a network
+// partition the peers become reachable one after another, so the first ones do not show which others will follow.
 func (m *Members) ReachableForChecks(p *Peer, now time.Duration) bool {
 	return now-p.reachableSince >= recentChecks*m.timing.CheckInterval
 }
 
-// SuspectedDown reports whether a peer has not answered for longer than a time. One that relays heartbeats of workers
-// is alive although it can't be reached, as when two zones can't reach each other.
+// SuspectedDown reports whether a peer has not answered for longer than the given time. A peer that relays heartbeats
+// of workers is alive even if this controller can't reach it, for instance when two zones can't reach each other.
 func (m *Members) SuspectedDown(p *Peer, now, silence time.Duration) bool {
 	relays := p.relayedAt != 0 && now-p.relayedAt < m.timing.WorkerLease
 	return p.queryCompleted && !p.reachable && now-p.heardAt > silence && !relays
 }
 
-// ObserveRelay notes that a controller relays heartbeats of workers, whether it can be reached from here or not.
+// ObserveRelay records that a controller relays heartbeats of workers, whether or not this controller can reach it.
 func (m *Members) ObserveRelay(node string, now time.Duration) {
 	if p := m.Peer(node); p != nil {
 		p.relayedAt = now
 	}
 }
 
-// Leads reports whether a peer was recently heard to lead.
+// Leads reports whether a peer recently answered that it leads.
 func (m *Members) Leads(p *Peer, now time.Duration) bool {
 	return m.RecentlyHeard(p, now) && p.status.Leading
 }
 
-// Leader gives the name of the peer that was recently heard to lead, with the newest term; empty if there is none.
+// Leader returns the name of the peer that recently answered that it leads, or "" if there is none. If there are
+// several, the one with the newest term is returned.
 func (m *Members) Leader(now time.Duration) string {
 	name, term := "", uint64(0)
 	for _, p := range m.peers {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -12,23 +12,23 @@
 	start         = time.Minute
 )
 
-// newTestMembers gives the view of controller b in zone z1; a is in its zone, c and d are in z2. All peers answered at
-// start.
+// newTestMembers returns the view of controller b in zone z1. Controller a is in the same zone, c and d are in z2. All
+// peers answered a query at start.
 func newTestMembers() *Members {
 	m := New(Node{"b", "z1"}, []Node{{"d", "z2"}, {"a", "z1"}, {"c", "z2"}}, Timing{CheckInterval: checkInterval, WorkerLease: workerLease})
 	for _, p := range m.Peers() {
-		answer(p, Status{Term: 1, HeartbeatAge: -1})
+		answerQuery(p, Status{Term: 1, HeartbeatAge: -1})
 	}
 	return m
 }
 
-// answer has a peer answer a query at start.
-func answer(p *Peer, status Status) {
+// answerQuery lets a peer answer a query at start.
+func answerQuery(p *Peer, status Status) {
 	p.QueryStarted(start)
 	p.QueryAnswered(start, status)
 }
 
-func fail(p *Peer, now time.Duration) {
+func failQuery(p *Peer, now time.Duration) {
 	p.QueryStarted(now)
 	p.QueryFailed()
 }
@@ -47,51 +47,51 @@
 	m := newTestMembers()
 	p := m.Peer("a")
 	if !m.RecentlyHeard(p, start+2*checkInterval) {
-		t.Error("an answer of two checks ago is not recent")
+		t.Error("an answer two checks ago does not count as recent")
 	}
 	if m.RecentlyHeard(p, start+recentChecks*checkInterval) {
-		t.Error("an answer of three checks ago is recent")
+		t.Error("an answer three checks ago counts as recent")
 	}
-	fail(p, start+checkInterval)
+	failQuery(p, start+checkInterval)
 	if m.RecentlyHeard(p, start+checkInterval) {
-		t.Error("a peer that did not answer the last query counts as heard")
+		t.Error("a peer that did not answer the last query counts as recently heard")
 	}
 }
 
 func TestProgressOfPeerOnlyGrows(t *testing.T) {
 	m := newTestMembers()
 	p := m.Peer("a")
-	answer(p, Status{Revision: 7, RecordLayouts: 2, SupportsRollouts: true})
-	answer(p, Status{}) // restarted, it has yet to read the store
+	answerQuery(p, Status{Revision: 7, RecordLayouts: 2, SupportsRollouts: true})
+	answerQuery(p, Status{}) // the peer restarted and has not read the store yet
 	if p.Revision() != 7 || p.recordLayouts != 2 || !p.supportsRollouts {
-		t.Errorf("revision %d, layouts %d, rollouts %v", p.Revision(), p.recordLayouts, p.supportsRollouts)
+		t.Errorf("revision %d, layouts %d, rollouts %v; want 7, 2, true", p.Revision(), p.recordLayouts, p.supportsRollouts)
 	}
 }
 
 func TestUnresolvedCancellations(t *testing.T) {
 	p := newTestMembers().Peer("a")
-	answer(p, Status{UnresolvedCancellations: []string{"run-1"}})
+	answerQuery(p, Status{UnresolvedCancellations: []string{"run-1"}})
 	if !p.Unresolved("run-1") || p.Unresolved("run-2") {
-		t.Error("the listed job alone is unresolved")
+		t.Error("Unresolved does not hold for exactly the listed job")
 	}
-	answer(p, Status{MoreUnresolved: true})
+	answerQuery(p, Status{MoreUnresolved: true})
 	if !p.Unresolved("run-2") {
-		t.Error("with more than are listed every job may be unresolved")
+		t.Error("a job is resolved although the list is incomplete")
 	}
 }
 
 func TestLeaderIsThePeerWithTheNewestTerm(t *testing.T) {
 	m := newTestMembers()
 	if got := m.Leader(start); got != "" {
-		t.Errorf("leader is %q, none was heard of", got)
+		t.Errorf("leader is %q, want none: no peer leads", got)
 	}
-	answer(m.Peer("c"), Status{Leading: true, Term: 4})
-	answer(m.Peer("a"), Status{Leading: true, Term: 5})
+	answerQuery(m.Peer("c"), Status{Leading: true, Term: 4})
+	answerQuery(m.Peer("a"), Status{Leading: true, Term: 5})
 	if got := m.Leader(start); got != "a" {
-		t.Errorf("leader is %q, want a, of the newer term", got)
+		t.Errorf("leader is %q, want a, which has the newer term", got)
 	}
 	if got := m.Leader(start + recentChecks*checkInterval); got != "" {
-		t.Errorf("leader is %q, not heard of for long", got)
+		t.Errorf("leader is %q, want none: the answers are not recent", got)
 	}
 }
 
@@ -100,36 +100,36 @@
 	p := m.Peer("c")
 	now := start + 2*checkInterval
 	if m.SuspectedDown(p, now, 0) {
-		t.Error("a reachable peer is suspected")
+		t.Error("a reachable peer is suspected to be down")
 	}
-	fail(p, now)
+	failQuery(p, now)
 	if !m.SuspectedDown(p, now, 0) || m.SuspectedDown(p, now, 2*checkInterval) {
-		t.Error("a peer that does not answer is suspected once it is silent for longer than the time")
+		t.Error("a peer that does not answer is not suspected exactly when it has been silent for longer than the given time")
 	}
 	m.ObserveRelay("c", now)
 	if m.SuspectedDown(p, now+workerLease-1, 0) || !m.SuspectedDown(p, now+workerLease, 0) {
-		t.Error("a peer that relays heartbeats is alive for a worker's lease")
+		t.Error("a peer that relays heartbeats is not considered alive for exactly a worker's lease")
 	}
 }
 
 func TestStoreOutageNeedsAllPeers(t *testing.T) {
 	m := newTestMembers()
 	for _, p := range m.Peers() {
-		answer(p, Status{StoreDown: true, Term: 3})
+		answerQuery(p, Status{StoreDown: true, Term: 3})
 	}
-	if !m.StoreOutageConfirmed(start, 3) || !m.AllPeersLostStore(start) || m.AnyPeerServed(start) {
-		t.Error("all peers say that the store is down, of no newer term")
+	if !m.StoreOutageConfirmed(start, 3) || !m.AllPeersLostStore(start) || m.AnyPeerReachesStore(start) {
+		t.Error("no outage is confirmed although all peers report that the store is down, without a newer term")
 	}
 	if m.StoreOutageConfirmed(start, 2) || !m.AllPeersLostStore(start) {
-		t.Error("a newer term contradicts the outage, but not that all lost the store")
+		t.Error("an outage is confirmed in spite of a newer term, or AllPeersLostStore depends on the term")
 	}
-	fail(m.Peer("a"), start)
+	failQuery(m.Peer("a"), start)
 	if m.StoreOutageConfirmed(start, 3) || m.AllPeersLostStore(start) {
-		t.Error("a peer that does not answer may be served")
+		t.Error("an outage is confirmed although a peer that does not answer may reach the store")
 	}
-	answer(m.Peer("a"), Status{Term: 3})
-	if m.AllPeersLostStore(start) || !m.AnyPeerServed(start) {
-		t.Error("a peer is served")
+	answerQuery(m.Peer("a"), Status{Term: 3})
+	if m.AllPeersLostStore(start) || !m.AnyPeerReachesStore(start) {
+		t.Error("a peer that reaches the store was not detected")
 	}
 }
 
@@ -137,67 +137,67 @@
 	m := newTestMembers()
 	silence := workerLease / 3
 	if m.WorkersReachOnlyPeers(start, start-silence) {
-		t.Error("no worker reaches a peer")
+		t.Error("workers are said to reach peers although no peer received a heartbeat")
 	}
-	answer(m.Peer("d"), Status{HeartbeatAge: time.Second})
+	answerQuery(m.Peer("d"), Status{HeartbeatAge: time.Second})
 	if !m.WorkersReachOnlyPeers(start, start-silence) {
-		t.Error("a worker reached a peer a second ago, and none this node for long")
+		t.Error("not detected: a peer received a heartbeat 1 s ago, this controller none for a third of a lease")
 	}
 	if m.WorkersReachOnlyPeers(start, start-silence+1) {
-		t.Error("a worker reached this node a little while ago")
+		t.Error("detected although this controller received a heartbeat less than a third of a lease ago")
 	}
 }
 
 func TestOwnZoneIsolated(t *testing.T) {
 	isolate := func(m *Members) {
-		fail(m.Peer("c"), start)
-		fail(m.Peer("d"), start)
-		answer(m.Peer("a"), Status{StoreDown: true})
+		failQuery(m.Peer("c"), start)
+		failQuery(m.Peer("d"), start)
+		answerQuery(m.Peer("a"), Status{StoreDown: true})
 	}
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name      string
 		change    func(*Members)
 		storeDown bool
 		want      bool
 	}{
-		{"no node outside and no store", func(*Members) {}, true, true},
-		{"the store serves this node", func(*Members) {}, false, false},
-		{"a node outside answers", func(m *Members) { answer(m.Peer("d"), Status{StoreDown: true}) }, true, false},
-		{"the store serves a node inside", func(m *Members) { answer(m.Peer("a"), Status{}) }, true, false},
-		{"no node inside answers", func(m *Members) { fail(m.Peer("a"), start) }, true, false},
+		{"neither an outside controller nor the store is reachable", func(*Members) {}, true, true},
+		{"this controller reaches the store", func(*Members) {}, false, false},
+		{"an outside controller answers", func(m *Members) { answerQuery(m.Peer("d"), Status{StoreDown: true}) }, true, false},
+		{"a controller in the zone reaches the store", func(m *Members) { answerQuery(m.Peer("a"), Status{}) }, true, false},
+		{"no other controller in the zone answers", func(m *Members) { failQuery(m.Peer("a"), start) }, true, false},
 	} {
 		m := newTestMembers()
 		isolate(m)
-		x.change(m)
-		if got := m.OwnZoneIsolated(start, x.storeDown); got != x.want {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+		tt.change(m)
+		if got := m.OwnZoneIsolated(start, tt.storeDown); got != tt.want {
+			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
 	if unqueried := New(Node{"b", "z1"}, []Node{{"c", "z2"}}, Timing{}); unqueried.OwnZoneIsolated(start, true) {
-		t.Error("a node that was not queried yet counts as out of reach")
+		t.Error("a peer that was not queried yet counts as unreachable")
 	}
 }
 
 func TestZoneIsolated(t *testing.T) {
 	m := newTestMembers()
-	fail(m.Peer("c"), start)
+	failQuery(m.Peer("c"), start)
 	if m.ZoneIsolated("z2") {
-		t.Error("d in z2 answers")
+		t.Error("z2 is isolated although d answers")
 	}
-	fail(m.Peer("d"), start)
-	fail(m.Peer("a"), start)
+	failQuery(m.Peer("d"), start)
+	failQuery(m.Peer("a"), start)
 	if !m.ZoneIsolated("z2") || m.ZoneIsolated("z1") || m.ZoneIsolated("z3") {
-		t.Error("z2 alone is another zone with controllers of which none answers")
+		t.Error("z2 is not the only isolated zone")
 	}
 }
 
 func TestZoneRenewsOwnLeases(t *testing.T) {
 	m := newTestMembers()
 	if !m.ZoneRenewsOwnLeases("z1") || !m.ZoneRenewsOwnLeases("z2") || m.ZoneRenewsOwnLeases("z3") {
-		t.Error("the zones with controllers are z1 and z2")
+		t.Error("the zones that renew their own leases are not exactly z1 and z2")
 	}
 	if New(Node{"a", "z1"}, []Node{{"b", "z1"}}, Timing{}).ZoneRenewsOwnLeases("z1") {
-		t.Error("a zone with all controllers can't be cut off from others")
+		t.Error("a zone with all controllers is said to renew its own leases")
 	}
 }
 
@@ -205,11 +205,11 @@
 	m := newTestMembers()
 	for _, p := range m.Peers() {
 		if m.AllSupportRollouts() || m.AllSupportRecordLayout(2) {
-			t.Errorf("%s has not said what it supports", p.Name())
+			t.Errorf("supported by all peers although %s has not reported its version's support", p.Name())
 		}
-		answer(p, Status{RecordLayouts: 2, SupportsRollouts: true})
+		answerQuery(p, Status{RecordLayouts: 2, SupportsRollouts: true})
 	}
 	if !m.AllSupportRollouts() || !m.AllSupportRecordLayout(2) || m.AllSupportRecordLayout(3) {
-		t.Error("all have said that they support rollouts and the second layout")
+		t.Error("not supported although all peers reported rollouts and layout 2, or layout 3 supported")
 	}
 }
--- a/internal/membership/partition.go
+++ b/internal/membership/partition.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// WorkersReachOnlyPeers reports whether workers send heartbeats to peers while none has come here since a moment that
-// is a while ago: the network between the workers and this node is down, and a leader should step down for a node that
-// they reach.
+// WorkersReachOnlyPeers reports whether workers send heartbeats to peers while none has reached this controller for a
+// third of a worker's lease. The network between the workers and this controller is then down, and a leader should hand
+// over to a controller that the workers reach.
 func (m *Members) WorkersReachOnlyPeers(now, lastHeartbeat time.Duration) bool {
 	silence := m.timing.WorkerLease / 3
 	if now-lastHeartbeat < silence {
@@ -18,11 +18,12 @@
 	return false
 }
 
-// OwnZoneIsolated reports whether this node's zone seems to be cut off from everything else: no node outside it
-// answers, the key-value store doesn't either (storeDown), and it serves no node inside.
+// OwnZoneIsolated reports whether this controller's zone seems to be cut off from everything else: no controller
+// outside the zone answers, and the key-value store is available neither to this controller (storeDown) nor to any
+// other in the zone.
 //
-// With other nodes inside, one of them has to answer: else this node alone lost the network, and its workers must look
-// elsewhere.
+// If there are other controllers in the zone, at least one of them must answer. Otherwise this controller alone has
+// lost the network, and its workers must try another one.
 func (m *Members) OwnZoneIsolated(now time.Duration, storeDown bool) bool {
 	peersOutside, peersInside, heardInside := false, false, false
 	for _, p := range m.peers {
@@ -59,8 +60,8 @@
 	return hasPeers && zone != m.self.Zone
 }
 
-// ZoneRenewsOwnLeases reports whether the controllers of a zone renew the leases of its workers while it is cut off:
-// it has some, and others are elsewhere (OwnZoneIsolated).
+// ZoneRenewsOwnLeases reports whether the controllers of a zone renew the leases of its workers while the zone is cut
+// off (OwnZoneIsolated). This requires controllers both inside and outside the zone.
 func (m *Members) ZoneRenewsOwnLeases(zone string) bool {
 	inside, outside := false, false
 	for _, node := range m.failoverOrder {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// Status is what a controller says of itself to the others, as the answer to their periodic query.
+// Status is what a controller reports about itself in answer to the periodic queries of the others.
 type Status struct {
-	// StoreDown is set while the key-value store does not serve it, or has yet to be read.
+	// StoreDown is set while the key-value store is unavailable to the controller, and until it has read the store.
 	StoreDown bool
-	// Term is the newest term that it knows.
+	// Term is the newest term that the controller knows.
 	Term uint64
-	// Leading is set while it holds that term.
+	// Leading is set while the controller leads that term.
 	Leading bool
-	// HeartbeatAge is the time since a worker's heartbeat last reached it; negative: none ever did.
+	// HeartbeatAge is the time since the controller last received a worker's heartbeat; negative if it never did.
 	HeartbeatAge time.Duration
-	// UnreachableZones are the zones whose workers a leader can't reach, nor they it.
+	// UnreachableZones lists the zones whose workers can't reach the leader and can't be reached by it. Only a leader
+	// sets it.
 	UnreachableZones []string
-	// UnresolvedCancellations are cancelled jobs of which a leader can't yet exclude that a task starts or runs on.
+	// UnresolvedCancellations lists cancelled jobs for which the leader can't yet rule out that a task starts or is
+	// still running. Only a leader sets it.
 	UnresolvedCancellations []string
-	// MoreUnresolved is set if there are more of them than are listed.
+	// MoreUnresolved is set if UnresolvedCancellations is incomplete.
 	MoreUnresolved bool
-	// Revision is the revision up to which it has read the changes of jobs; 0: it has yet to read them.
+	// Revision is the revision up to which the controller has read all changes of jobs; 0 if it has not read them yet.
 	Revision uint64
-	// RecordLayouts is the newest layout of run records that its version reads; 0 in version 1, which does not say.
+	// RecordLayouts is the newest layout of run records that the controller's version can read. It is 0 for version 1,
+	// which does not report it.
 	RecordLayouts uint32
-	// SupportsRollouts is set if its version implements rollout plans.
+	// SupportsRollouts is set if the controller's version implements rollout plans.
 	SupportsRollouts bool
 }
--- a/internal/membership/store_outage.go
+++ b/internal/membership/store_outage.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// AllPeersLostStore reports whether every peer recently said that the key-value store does not serve it, whatever
-// terms they know. One that does not answer is enough for a no: the store may serve it.
+// AllPeersLostStore reports whether every peer recently answered that the key-value store is unavailable to it,
+// regardless of the terms they know. The result is false if any peer does not answer, because that peer may still reach
+// the store.
 func (m *Members) AllPeersLostStore(now time.Duration) bool {
 	for _, p := range m.peers {
 		if !m.RecentlyHeard(p, now) || !p.status.StoreDown {
@@ -13,8 +14,8 @@
 	return true
 }
 
-// StoreOutageConfirmed reports whether every peer recently said that the key-value store does not serve it and none
-// knows a term newer than the given one. Nobody can then win a newer term.
+// StoreOutageConfirmed reports whether every peer recently answered that the key-value store is unavailable to it, and
+// none knows a term newer than the given one. In that case no controller can win a newer term.
 func (m *Members) StoreOutageConfirmed(now time.Duration, term uint64) bool {
 	for _, p := range m.peers {
 		if p.status.Term > term {
@@ -24,8 +25,8 @@
 	return m.AllPeersLostStore(now)
 }
 
-// AnyPeerServed reports whether the key-value store serves a peer that was recently heard.
-func (m *Members) AnyPeerServed(now time.Duration) bool {
+// AnyPeerReachesStore reports whether the key-value store is available to a peer that was recently heard.
+func (m *Members) AnyPeerReachesStore(now time.Duration) bool {
 	for _, p := range m.peers {
 		if m.RecentlyHeard(p, now) && !p.status.StoreDown {
 			return true
--- a/internal/membership/version_support.go
+++ b/internal/membership/version_support.go
@@ -1,6 +1,7 @@
 package membership
 
-// AllSupportRecordLayout reports whether every peer has said that its version reads a layout of run records.
+// AllSupportRecordLayout reports whether every peer has reported that its version can read the given layout of run
+// records.
 func (m *Members) AllSupportRecordLayout(layout uint32) bool {
 	for _, p := range m.peers {
 		if p.recordLayouts < layout {
@@ -10,7 +11,7 @@
 	return true
 }
 
-// AllSupportRollouts reports whether every peer has said that its version implements rollout plans.
+// AllSupportRollouts reports whether every peer has reported that its version implements rollout plans.
 func (m *Members) AllSupportRollouts() bool {
 	for _, p := range m.peers {
 		if !p.supportsRollouts {
--- a/internal/pacing/load.go
+++ b/internal/pacing/load.go
@@ -1,47 +1,49 @@
-// Package pacing decides how often workers send heartbeats. A worker has one heartbeat in flight at a time, so a
-// controller that holds a response delays the next heartbeat as well. The package is pure: the time is an argument.
+// Package pacing decides how often workers send heartbeats. A worker has only one heartbeat in flight at a time, so a
+// controller that holds back a response also delays the worker's next heartbeat. The package is pure: the time is an
+// argument.
 package pacing
 
 import "time"
 
-// Load is how short of processor time a node is, between 0 (it keeps up) and 1. It is estimated from how late the node's
-// own timers fire, which is all that a process can observe of a processor share that is used up.
+// Load estimates how short of processor time a node is, from 0 (it keeps up) to 1. The estimate is based on how late
+// the node's own timers fire, which is all that a process can observe of an exhausted CPU quota.
 type Load struct {
-	// unit is the lateness that alone raises the load from 0 to 1.
-	unit time.Duration
-	// grace is how late a timer may fire on a machine with time to spare.
-	grace time.Duration
-	// decay is the time in which the load falls from 1 to 0 while nothing is late.
+	// fullLoadDelay is the total delay of timers that raises the load from 0 to 1.
+	fullLoadDelay time.Duration
+	// tolerance is how late a timer may fire on a node with sufficient processor time.
+	tolerance time.Duration
+	// decay is the time in which the load falls from 1 to 0 while timers fire on time.
 	decay time.Duration
 
 	level float64
-	at    time.Duration // when level was last updated
+	at    time.Duration // time of the last update of level
 }
 
-// longestSample bounds what a single late timer adds, as a share of the unit: after a suspension of the process one timer
-// is late by all of it, which shows nothing of the processor.
-const longestSample = 0.25
+// maxSample limits how much a single late timer raises the load. After a suspension of the process, one timer is late
+// by the whole suspension, which says nothing about the available processor time.
+const maxSample = 0.25
 
-// graceUnits is the grace, in the lateness that raises the load to 1. Clocks of some systems are as coarse as that.
-const graceUnits = 1.0 / 25
+// toleranceRatio is the tolerance as a fraction of fullLoadDelay. The clocks of some systems have a resolution as
+// coarse as this.
+const toleranceRatio = 1.0 / 25
 
-// NewLoad makes a load that rises from 0 to 1 by a lateness of unit in all, and falls back within the decay time.
-func NewLoad(unit, decay time.Duration) *Load {
-	return &Load{unit: unit, grace: share(unit, graceUnits), decay: decay}
+// NewLoad returns a load of 0. A total delay of fullLoadDelay raises it to 1, and it falls back to 0 within decay.
+func NewLoad(fullLoadDelay, decay time.Duration) *Load {
+	return &Load{fullLoadDelay: fullLoadDelay, tolerance: scale(fullLoadDelay, toleranceRatio), decay: decay}
 }
 
-// Observe takes in how late a timer fired.
-func (l *Load) Observe(now, late time.Duration) {
+// Observe records how late a timer fired.
+func (l *Load) Observe(now, delay time.Duration) {
 	level := l.Level(now)
-	// What was late at the same time as something that was counted before counts once.
-	late = min(late, now-l.at+l.grace)
-	sample := min((late-l.grace).Seconds()/l.unit.Seconds(), longestSample)
+	// Count the overlap with a delay that was already counted only once.
+	delay = min(delay, now-l.at+l.tolerance)
+	sample := min((delay-l.tolerance).Seconds()/l.fullLoadDelay.Seconds(), maxSample)
 	l.level = min(1, level+max(0, sample))
 	l.at = now
 }
 
-// Level gives the load at a time.
+// Level returns the load at the given time.
 func (l *Load) Level(now time.Duration) float64 {
-	passed := max(0, now-l.at)
-	return max(0, l.level-passed.Seconds()/l.decay.Seconds())
+	elapsed := max(0, now-l.at)
+	return max(0, l.level-elapsed.Seconds()/l.decay.Seconds())
 }
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -15,91 +15,91 @@
 
 func TestHold(t *testing.T) {
 	p := NewPacer(interval, lease, timeout)
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name   string
 		steady bool
 		load   float64
-		least  time.Duration
-		most   time.Duration
+		min    time.Duration
+		max    time.Duration
 	}{
-		{"a machine in change gets its response at once", false, 0, 0, 0},
-		{"a steady one sends a heartbeat each sixth of a lease", true, 0, lease / 6, lease / 6},
-		{"little load leaves a machine in change alone", false, 0.1, 0, 0},
-		{"full load holds every machine", false, 1, 2 * time.Second, timeout * 3 / 4},
-		{"and steady ones no less", true, 1, 2 * time.Second, timeout * 3 / 4},
+		{"response to a worker that is not steady, without load", false, 0, 0, 0},
+		{"response to a steady worker, without load", true, 0, lease / 6, lease / 6},
+		{"response to a worker that is not steady, at low load", false, 0.1, 0, 0},
+		{"response to a worker that is not steady, at full load", false, 1, 2 * time.Second, timeout * 3 / 4},
+		{"response to a steady worker, at full load", true, 1, 2 * time.Second, timeout * 3 / 4},
 	} {
-		if got := p.Hold(x.steady, x.load); got < x.least || got > x.most {
-			t.Errorf("%s: held for %v, want %v to %v", x.name, got, x.least, x.most)
+		if got := p.Hold(tt.steady, tt.load); got < tt.min || got > tt.max {
+			t.Errorf("%s: held for %v, want %v to %v", tt.name, got, tt.min, tt.max)
 		}
 	}
-	// Responses to workers whose interval is as long as that are not held at all.
+	// Responses are not held if the hold time would be shorter than the workers' own heartbeat interval.
 	if got := NewPacer(4*time.Second, lease, timeout).Hold(true, 1); got != 0 {
-		t.Errorf("heartbeats each 4 s: held for %v", got)
+		t.Errorf("heartbeat interval of 4 s: held for %v, want 0", got)
 	}
 }
 
-// TestAnswersInTime draws settings and loads. A worker always has its response before its timeout and well within its
-// lease, and held responses are released at common ticks.
-func TestAnswersInTime(t *testing.T) {
+// TestResponsesInTime checks with random settings and loads that a worker receives each response before its timeout and
+// well within its lease, and that held responses are released at common ticks.
+func TestResponsesInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heartbeatInterval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "report ms")) * time.Millisecond
+		heartbeatInterval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "heartbeat interval ms")) * time.Millisecond
 		workerLease := time.Duration(rapid.IntRange(3, 60).Draw(t, "lease s")) * time.Second
 		p := NewPacer(heartbeatInterval, workerLease, timeout)
 		now := time.Duration(rapid.IntRange(0, 1e9).Draw(t, "now us")) * time.Microsecond
 		load := rapid.Float64Range(0, 1).Draw(t, "load")
-		hold := p.Hold(rapid.Bool().Draw(t, "settled"), load)
+		hold := p.Hold(rapid.Bool().Draw(t, "steady"), load)
 		if hold == 0 {
 			return
 		}
-		at := p.Release(now, hold)
-		if wait := at - now; wait < hold || wait >= timeout || wait > workerLease/2 {
-			t.Fatalf("held for %v: released after %v", hold, wait)
+		at := p.ReleaseAt(now, hold)
+		if delay := at - now; delay < hold || delay >= timeout || delay > workerLease/2 {
+			t.Fatalf("response to be held for %v is released after %v", hold, delay)
 		}
 		if at%(heartbeatInterval/4) != 0 {
-			t.Fatalf("released at %v, which is no common tick", at)
+			t.Fatalf("released at %v, which is not a common tick", at)
 		}
-		if patience := p.HeartbeatTimeout(0, hold); patience < at-now {
-			t.Fatalf("late after %v, released after %v", patience, at-now)
+		if heartbeatTimeout := p.HeartbeatTimeout(0, hold); heartbeatTimeout < at-now {
+			t.Fatalf("heartbeat timeout of %v, but response released after %v", heartbeatTimeout, at-now)
 		}
 	})
 }
 
 func TestLoad(t *testing.T) {
 	const second = time.Second
-	for _, x := range []struct {
-		name        string
-		every, late time.Duration
-		least, most float64 // after ten seconds
+	for _, tt := range []struct {
+		name            string
+		interval, delay time.Duration
+		min, max        float64 // after ten seconds
 	}{
-		{"timers in time", 100 * time.Millisecond, 0, 0, 0},
+		{"timers on time", 100 * time.Millisecond, 0, 0, 0},
 		{"a coarse clock", 50 * time.Millisecond, 30 * time.Millisecond, 0, 0},
-		{"now and then a late one", second, 100 * time.Millisecond, 0, 0.1},
+		{"an occasional late timer", second, 100 * time.Millisecond, 0, 0.1},
 		{"short of processor time", 200 * time.Millisecond, 150 * time.Millisecond, 0.5, 1},
-		{"far too little", 500 * time.Millisecond, 400 * time.Millisecond, 0.9, 1},
+		{"very short of processor time", 500 * time.Millisecond, 400 * time.Millisecond, 0.9, 1},
 	} {
 		l := NewLoad(second, 10*second)
 		now := second
-		for ; now < 11*second; now += x.every {
-			l.Observe(now, x.late)
+		for ; now < 11*second; now += tt.interval {
+			l.Observe(now, tt.delay)
 		}
-		if got := l.Level(now); got < x.least || got > x.most {
-			t.Errorf("%s: load %.2f, want %.2f to %.2f", x.name, got, x.least, x.most)
+		if got := l.Level(now); got < tt.min || got > tt.max {
+			t.Errorf("%s: load %.2f, want %.2f to %.2f", tt.name, got, tt.min, tt.max)
 		}
 		if got := l.Level(now + 10*second); got != 0 {
-			t.Errorf("%s: load %.2f when all is well again", x.name, got)
+			t.Errorf("%s: load %.2f after 10 s with timers on time, want 0", tt.name, got)
 		}
 	}
-	standstill := NewLoad(second, 10*second)
-	if standstill.Observe(60*second, 50*second); standstill.Level(60*second) > longestSample {
-		t.Errorf("one standstill: load %.2f", standstill.Level(60*second))
+	suspended := NewLoad(second, 10*second)
+	if suspended.Observe(60*second, 50*second); suspended.Level(60*second) > maxSample {
+		t.Errorf("load %.2f after one suspension of the process, want at most maxSample", suspended.Level(60*second))
 	}
-	// Requests that have waited together tell as much as one of them.
-	queue := NewLoad(second, 10*second)
-	queue.Observe(59*second, 0)
+	// The delays of requests that waited at the same time count only once.
+	queued := NewLoad(second, 10*second)
+	queued.Observe(59*second, 0)
 	for range 50 {
-		queue.Observe(60*second, 200*time.Millisecond)
+		queued.Observe(60*second, 200*time.Millisecond)
 	}
-	if got := queue.Level(60 * second); got > 0.2 {
-		t.Errorf("fifty requests that waited together: load %.2f", got)
+	if got := queued.Level(60 * second); got > 0.2 {
+		t.Errorf("load %.2f after 50 requests that waited at the same time, want at most 0.20", got)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer is the gRPC service between controller nodes: each requests the status of the others, and replicates
-// cancellations to them. It maps messages to the types of the core and decides nothing.
+// Package peer implements the gRPC service between controllers: each queries the status of the others and replicates
+// cancellations to them. The package only converts messages to and from the types of the core.
 package peer
 
 import (
@@ -19,30 +19,32 @@
 	"bitternwing/internal/peer/peerpb"
 )
 
-// maxMessageBytes bounds a message between nodes, and maxStreams how many a connection carries at a time.
+// maxMessageBytes limits the size of a message, and maxStreams the number of concurrent streams on a connection.
 const (
 	maxMessageBytes = 64 << 10
 	maxStreams      = 16
 )
 
-// socketBuffer is the size of the buffers of a connection: messages are small, and a node has many connections.
-const socketBuffer = 4 << 10
+// socketBufferBytes is the size of the read and write buffers of a connection. They are small because messages are
+// small and a node has many connections.
+const socketBufferBytes = 4 << 10
 
-// flowWindow is the flow-control window of streams and connections. It holds a whole message. A fixed window also
-// keeps gRPC from measuring the connection, which it does with a ping for each message.
-const flowWindow = 2 * maxMessageBytes
+// flowControlWindowBytes is the flow-control window of streams and connections. It has room for a complete message. A
+// fixed window also disables gRPC's bandwidth estimation, which sends a ping for each message.
+const flowControlWindowBytes = 2 * maxMessageBytes
 
-// The back-off of a client that can't connect: it begins with a part of the call timeout.
+// Reconnection backoff of a client.
 const (
-	callTimeoutsPerFirstBackoff = 4
-	backoffMultiplier           = 1.5
-	backoffJitter               = 0.2
+	// baseDelaysPerCallTimeout determines the first delay as a fraction of the call timeout.
+	baseDelaysPerCallTimeout = 4
+	backoffMultiplier        = 1.5
+	backoffJitter            = 0.2
 )
 
-// noHeartbeat is the age of the last heartbeat on the wire if there was none.
-const noHeartbeat = -1
+// noHeartbeatAge is the age in a message that means that no heartbeat has been received.
+const noHeartbeatAge = -1
 
-// Server serves the status of a node.
+// Server serves the status of a controller.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	node                 string
@@ -51,38 +53,39 @@
 	grpc                 *grpc.Server
 }
 
-// NewServer makes a server that hands received cancellations on, and responds with the status. receiveCancellations is false
-// if they were not accepted.
+// NewServer returns a server that passes on received cancellations and responds with the status. receiveCancellations
+// returns false if it does not accept them.
 func NewServer(node string, receiveCancellations func(context.Context, []core.Cancellation) bool, status func() membership.Status) *Server {
 	s := &Server{node: node, receiveCancellations: receiveCancellations, status: status, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.ReadBufferSize(socketBuffer), grpc.WriteBufferSize(socketBuffer),
-		grpc.InitialWindowSize(flowWindow), grpc.InitialConnWindowSize(flowWindow))}
+		grpc.ReadBufferSize(socketBufferBytes), grpc.WriteBufferSize(socketBufferBytes),
+		grpc.InitialWindowSize(flowControlWindowBytes), grpc.InitialConnWindowSize(flowControlWindowBytes))}
 	peerpb.RegisterPeerServer(s.grpc, s)
 	return s
 }
 
-// Registrar is where other services of the node's internal address are registered, before Serve.
+// Registrar returns the registrar for other services on the node's internal address. They must be registered before
+// Serve.
 func (s *Server) Registrar() grpc.ServiceRegistrar { return s.grpc }
 
-// Serve serves a listener until Stop.
+// Serve accepts connections on the listener until Stop is called.
 func (s *Server) Serve(listener net.Listener) error { return s.grpc.Serve(listener) }
 
-// Stop ends the server.
+// Stop closes all connections and stops the server.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// Status implements the service.
+// Status implements peerpb.PeerServer.
 func (s *Server) Status(ctx context.Context, request *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	// A reply says that the cancellations are known from now on.
-	if cancellations := fromMessages(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
-		return nil, status.Error(codes.Unavailable, "not taken in")
+	// The reply acknowledges the cancellations, so it must not be sent unless they were accepted.
+	if cancellations := decodeCancellations(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
+		return nil, status.Error(codes.Unavailable, "cancellations not accepted")
 	}
 	return s.reply(s.status()), nil
 }
 
-// reply gives the status on the wire.
+// reply converts the status to a message.
 func (s *Server) reply(current membership.Status) *peerpb.StatusReply {
-	age := int64(noHeartbeat)
+	age := int64(noHeartbeatAge)
 	if current.HeartbeatAge >= 0 {
 		age = current.HeartbeatAge.Milliseconds()
 	}
@@ -101,7 +104,7 @@
 	}
 }
 
-func fromMessages(messages []*peerpb.Cancellation) []core.Cancellation {
+func decodeCancellations(messages []*peerpb.Cancellation) []core.Cancellation {
 	cancellations := make([]core.Cancellation, len(messages))
 	for i, message := range messages {
 		cancellations[i] = core.Cancellation{Job: message.GetJob(), Value: message.GetValue(), Version: message.GetVersion()}
@@ -109,7 +112,7 @@
 	return cancellations
 }
 
-func toMessages(cancellations []core.Cancellation) []*peerpb.Cancellation {
+func encodeCancellations(cancellations []core.Cancellation) []*peerpb.Cancellation {
 	var messages []*peerpb.Cancellation
 	for _, c := range cancellations {
 		messages = append(messages, &peerpb.Cancellation{Job: c.Job, Value: c.Value, Version: c.Version})
@@ -117,23 +120,23 @@
 	return messages
 }
 
-// Client calls one other node.
+// Client is a client of one other controller.
 type Client struct {
 	self       string
 	connection *grpc.ClientConn
 	rpc        peerpb.PeerClient
 }
 
-// NewClient makes a client of the node at an address; it connects with the first call.
+// NewClient returns a client of the controller at an address. It connects on the first call.
 func NewClient(self, addr string, callTimeout time.Duration) (*Client, error) {
 	connection, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithReadBufferSize(socketBuffer), grpc.WithWriteBufferSize(socketBuffer),
-		grpc.WithInitialWindowSize(flowWindow), grpc.WithInitialConnWindowSize(flowWindow),
+		grpc.WithReadBufferSize(socketBufferBytes), grpc.WithWriteBufferSize(socketBufferBytes),
+		grpc.WithInitialWindowSize(flowControlWindowBytes), grpc.WithInitialConnWindowSize(flowControlWindowBytes),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  callTimeout / callTimeoutsPerFirstBackoff,
+				BaseDelay:  callTimeout / baseDelaysPerCallTimeout,
 				Multiplier: backoffMultiplier,
 				Jitter:     backoffJitter,
 				MaxDelay:   callTimeout,
@@ -146,15 +149,15 @@
 	return &Client{self: self, connection: connection, rpc: peerpb.NewPeerClient(connection)}, nil
 }
 
-// Conn is the connection, for other services of the node's internal address.
+// Conn returns the connection, for clients of other services on the node's internal address.
 func (c *Client) Conn() grpc.ClientConnInterface { return c.connection }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// Status requests the node's status and replicates cancellations to it.
+// Status queries the controller's status and replicates cancellations to it.
 func (c *Client) Status(ctx context.Context, cancellations []core.Cancellation) (membership.Status, outcome.Outcome) {
-	reply, err := c.rpc.Status(ctx, &peerpb.StatusRequest{Node: c.self, Cancellations: toMessages(cancellations)})
+	reply, err := c.rpc.Status(ctx, &peerpb.StatusRequest{Node: c.self, Cancellations: encodeCancellations(cancellations)})
 	if err != nil {
 		return membership.Status{}, outcome.Unknown
 	}
@@ -162,7 +165,7 @@
 		StoreDown:               reply.GetStateDown(),
 		Term:                    reply.GetTerm(),
 		Leading:                 reply.GetLeads(),
-		HeartbeatAge:            noHeartbeat,
+		HeartbeatAge:            noHeartbeatAge,
 		UnreachableZones:        reply.GetZonesApart(),
 		Revision:                reply.GetRevision(),
 		UnresolvedCancellations: reply.GetUnsettled(),
--- a/internal/peer/peerpb/doc.go
+++ b/internal/peer/peerpb/doc.go
@@ -1,2 +1,2 @@
-// Package peerpb holds the generated messages and stubs of the gRPC service between controllers. It is made from peer.proto.
+// Package peerpb contains the messages and stubs of the gRPC service between controllers, generated from peer.proto.
 package peerpb
--- a/internal/record/bits.go
+++ b/internal/record/bits.go
@@ -8,19 +8,19 @@
 
 const wordBits = 64
 
-// Bits is a set of small numbers.
+// Bits is a set of small non-negative integers.
 type Bits []uint64
 
-// NewBits makes an empty set of numbers below a bound.
+// NewBits returns an empty set for numbers from 0 to bound-1.
 func NewBits(bound int) Bits { return make(Bits, (bound+wordBits-1)/wordBits) }
 
-// Has reports whether a number is in the set.
+// Has reports whether i is in the set.
 func (b Bits) Has(i int) bool { return i/wordBits < len(b) && b[i/wordBits]&(1<<(i%wordBits)) != 0 }
 
-// Set puts a number into the set.
+// Set adds i to the set.
 func (b Bits) Set(i int) { b[i/wordBits] |= 1 << (i % wordBits) }
 
-// Count returns how many numbers are in the set.
+// Count returns the size of the set.
 func (b Bits) Count() int {
 	n := 0
 	for _, w := range b {
@@ -29,7 +29,7 @@
 	return n
 }
 
-// String returns the ranges of a set, "0-4,7".
+// String returns the set as ranges, for example "0-4,7".
 func (b Bits) String() string {
 	var text strings.Builder
 	for i := 0; i < len(b)*wordBits; i++ {
@@ -52,8 +52,9 @@
 	return text.String()
 }
 
-// read puts the numbers of ranges into the set. What is no range, or beyond the bound, is left out.
-func (b Bits) read(ranges string) {
+// addRanges adds the numbers of ranges in the format of String. It ignores malformed ranges and numbers beyond the
+// bound.
+func (b Bits) addRanges(ranges string) {
 	if ranges == "" {
 		return
 	}
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -5,37 +5,37 @@
 	"fmt"
 )
 
-// Layout says how many tasks a record holds.
+// Layout determines how many tasks a record holds, for each of the two layouts.
 type Layout struct {
-	ByIndex int `json:"by_index"`          // of a record of the first layout
-	ByTask  int `json:"by_task,omitempty"` // of one of the second; 0 while the first is in use
+	ByIndex int `json:"by_index"`          // tasks in a record of the first layout
+	ByTask  int `json:"by_task,omitempty"` // tasks in a record of the second layout; 0 while the first is in use
 }
 
-// minTasks is how many tasks a record holds at least.
+// minTasks is the minimum number of tasks in a record.
 const minTasks = 8
 
-// indexTasksPerKB is how many tasks a record of the first layout holds for each KiB of a value.
+// indexTasksPerKB is the number of tasks in a record of the first layout for each KiB of the value size.
 const indexTasksPerKB = 8
 
-// ByIndexFor returns how many tasks a record of the first layout holds. Version 1 does the same with the
-// value size of its settings.
-func ByIndexFor(valueKB float64) int { return max(minTasks, int(indexTasksPerKB*valueKB)) }
+// IndexLayoutTasks returns the number of tasks in a record of the first layout. Version 1 calculates the same number from the
+// value size in its settings.
+func IndexLayoutTasks(valueKB float64) int { return max(minTasks, int(indexTasksPerKB*valueKB)) }
 
-// PlacementBytes is what a placement takes of a record, with a machine's name of up to forty bytes.
+// PlacementBytes is the encoded size of a placement in a record, with a machine name of up to 40 bytes.
 const PlacementBytes = 64
 
-// ByTaskFor returns how many tasks a record of the second layout holds that keeps within a value size.
-func ByTaskFor(valueBytes int) int { return max(minTasks, valueBytes/PlacementBytes) }
+// TaskLayoutTasks returns the number of tasks in a record of the second layout that fits into a value of the given size.
+func TaskLayoutTasks(valueBytes int) int { return max(minTasks, valueBytes/PlacementBytes) }
 
-// Tasks returns how many tasks a record holds that is written now.
-func (l Layout) Tasks() int {
+// TasksPerRecord returns the number of tasks in a new record.
+func (l Layout) TasksPerRecord() int {
 	if l.ByTask > 0 {
 		return l.ByTask
 	}
 	return l.ByIndex
 }
 
-// Key returns the key of the record that holds a job's tasks from index times Tasks on.
+// Key returns the key of the record with the given index, whose first task is index*TasksPerRecord().
 func (l Layout) Key(job string, index int) Key {
 	if l.ByTask > 0 {
 		return Key{Job: job, ByTask: true, Ordinal: index * l.ByTask}
@@ -43,76 +43,75 @@
 	return Key{Job: job, Ordinal: index}
 }
 
-// Entry is a record as it was read, with the version of its key.
+// Entry is a stored record with its key and the version of the key.
 type Entry struct {
 	Key     Key
 	Version uint64
 	Record  Record
 }
 
-// TasksOf returns how many tasks the record of a key holds.
-func (l Layout) TasksOf(k Key) int {
+// TasksIn returns the number of tasks in the record with the given key.
+func (l Layout) TasksIn(k Key) int {
 	if k.ByTask {
 		return l.ByTask
 	}
 	return l.ByIndex
 }
 
-// Part is what is known of the tasks of one record of the layout in use. Version is that of its key; 0 if
-// it is not written yet, and all that is known comes from records of the first layout.
+// Part is what is known about the tasks of one record of the current layout. Version is the version of the record's
+// key. It is 0 if the record has not been written yet and all information comes from records of the first layout.
 type Part struct {
 	Record
 	Version uint64
 }
 
-// Assemble returns the parts of a job, by index, from all its records.
-func (l Layout) Assemble(found []Entry) map[int]Part {
+// Assemble merges all records of a job into parts, keyed by index.
+func (l Layout) Assemble(entries []Entry) map[int]Part {
 	parts := map[int]Part{}
-	for _, s := range found {
-		if !s.Key.ByTask && l.ByTask > 0 {
-			l.split(s, parts)
+	for _, entry := range entries {
+		if !entry.Key.ByTask && l.ByTask > 0 {
+			l.split(entry, parts)
 		}
 	}
-	for _, s := range found {
+	for _, entry := range entries {
 		switch {
-		case s.Key.ByTask && l.ByTask > 0:
-			parts[s.Key.Ordinal/l.ByTask] = Part{Record: s.Record, Version: s.Version}
-		case !s.Key.ByTask && l.ByTask == 0:
-			parts[s.Key.Ordinal] = Part{Record: s.Record, Version: s.Version}
+		case entry.Key.ByTask && l.ByTask > 0:
+			parts[entry.Key.Ordinal/l.ByTask] = Part{Record: entry.Record, Version: entry.Version}
+		case !entry.Key.ByTask && l.ByTask == 0:
+			parts[entry.Key.Ordinal] = Part{Record: entry.Record, Version: entry.Version}
 		}
 	}
 	return parts
 }
 
-// split spreads a record of the first layout over parts of the second. Its highest attempt counts for all
-// of them.
-func (l Layout) split(s Entry, parts map[int]Part) {
-	first := s.Key.Ordinal * l.ByIndex
+// split distributes a record of the first layout over parts of the second. Its highest attempt applies to each of them.
+func (l Layout) split(entry Entry, parts map[int]Part) {
+	first := entry.Key.Ordinal * l.ByIndex
 	for task := first; task < first+l.ByIndex; task++ {
 		index := task / l.ByTask
 		part, known := parts[index]
 		if !known {
 			part.Record = Record{Done: NewBits(l.ByTask), Placed: map[int]Run{}}
 		}
-		part.HighestAttempt = max(part.HighestAttempt, s.Record.HighestAttempt)
-		if s.Record.Done.Has(task - first) {
+		part.HighestAttempt = max(part.HighestAttempt, entry.Record.HighestAttempt)
+		if entry.Record.Done.Has(task - first) {
 			part.Done.Set(task - index*l.ByTask)
 		}
-		if run, placed := s.Record.Placed[task]; placed {
+		if run, placed := entry.Record.Placed[task]; placed {
 			part.Placed[task] = run
 		}
 		parts[index] = part
 	}
 }
 
-// DecodeLayout reads a stored layout.
+// DecodeLayout decodes a stored layout.
 func DecodeLayout(value json.RawMessage) (Layout, error) {
 	var l Layout
 	if err := json.Unmarshal(value, &l); err != nil {
-		return Layout{}, fmt.Errorf("layout of the run records: %w", err)
+		return Layout{}, fmt.Errorf("decode run record layout: %w", err)
 	}
 	return l, nil
 }
 
-// Encode returns the stored form of a layout.
+// Encode returns the stored form of the layout.
 func (l Layout) Encode() (json.RawMessage, error) { return json.Marshal(l) }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,14 +1,14 @@
-// Package record is the stored form of what must not be forgotten about a job's tasks: which are done, which attempt
-// of a task is on which machine, and the highest attempt that was ever used.
+// Package record defines the stored form of the state of a job's tasks that must survive a failover: which tasks are
+// done, which attempt of a task is placed on which machine, and the highest attempt number ever used.
 //
-// A job has a record for each range of its tasks that something has happened to. There are two layouts. In the first
-// one, the only one that version 1 of the program knows, a record is found by its index, and how many tasks it holds
-// follows from the settings of that time. In the second one it is found by its first task. The key-value store holds
-// which layout is in use, and how many tasks a record of each holds (Layout), so that no change of settings gives a
-// record another meaning.
+// A job has one record for each range of its tasks in which something has happened. There are two layouts. In the
+// first, which is the only one that version 1 of the program supports, a record is identified by its index, and the
+// number of tasks in it depends on the settings at the time of writing. In the second, a record is identified by its
+// first task. The key-value store holds which layout is in use and how many tasks a record of each layout has (Layout),
+// so a change of the settings never changes the meaning of a stored record.
 //
-// Once the second layout is in use, records of the first are read and deleted but never written: records of the second
-// override them for the tasks that they hold.
+// Once the second layout is in use, records of the first are read and deleted but never written. Records of the second
+// layout override them for the tasks that they contain.
 package record
 
 import (
@@ -18,25 +18,25 @@
 	"strings"
 )
 
-// Run is an attempt of a task on a machine, in an incarnation of its worker.
+// Run is an attempt of a task on a machine, with the incarnation of the machine's worker.
 type Run struct {
 	Attempt     uint64
 	Machine     string
 	Incarnation uint64
 }
 
-// MarshalJSON writes a run as a list, for brevity.
+// MarshalJSON encodes a run as an array, which is shorter than an object.
 func (r Run) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{r.Attempt, r.Machine, r.Incarnation})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (r *Run) UnmarshalJSON(b []byte) error {
 	return json.Unmarshal(b, &[]any{&r.Attempt, &r.Machine, &r.Incarnation})
 }
 
-// Record is what is stored of a range of tasks. HighestAttempt is the highest one that was used for any of
-// them. Done counts from the first of them, Placed has their numbers in the job.
+// Record is the stored state of a range of tasks. HighestAttempt is the highest attempt number used for any of them.
+// Done contains task numbers relative to the start of the range, and Placed is keyed by task number within the job.
 type Record struct {
 	HighestAttempt uint64
 	Done           Bits
@@ -50,59 +50,60 @@
 	Placed         map[string]Run `json:"p,omitempty"`
 }
 
-// Encode returns the stored form of a record.
+// Encode returns the stored form of the record.
 func (r Record) Encode() (json.RawMessage, error) {
-	s := encodedRecord{HighestAttempt: r.HighestAttempt, Done: r.Done.String()}
+	encoded := encodedRecord{HighestAttempt: r.HighestAttempt, Done: r.Done.String()}
 	if len(r.Placed) > 0 {
-		s.Placed = make(map[string]Run, len(r.Placed))
+		encoded.Placed = make(map[string]Run, len(r.Placed))
 		for task, run := range r.Placed {
-			s.Placed[strconv.Itoa(task)] = run
+			encoded.Placed[strconv.Itoa(task)] = run
 		}
 	}
-	return json.Marshal(s)
+	return json.Marshal(encoded)
 }
 
-// Decode reads a record of a number of tasks.
+// Decode decodes a record with the given number of tasks.
 func Decode(value json.RawMessage, tasks int) (Record, error) {
-	var s encodedRecord
-	if err := json.Unmarshal(value, &s); err != nil {
-		return Record{}, fmt.Errorf("run record: %w", err)
+	var encoded encodedRecord
+	if err := json.Unmarshal(value, &encoded); err != nil {
+		return Record{}, fmt.Errorf("decode run record: %w", err)
 	}
-	r := Record{HighestAttempt: s.HighestAttempt, Done: NewBits(tasks), Placed: make(map[int]Run, len(s.Placed))}
-	r.Done.read(s.Done)
-	for name, run := range s.Placed {
+	r := Record{HighestAttempt: encoded.HighestAttempt, Done: NewBits(tasks), Placed: make(map[int]Run, len(encoded.Placed))}
+	r.Done.addRanges(encoded.Done)
+	for name, run := range encoded.Placed {
 		task, err := strconv.Atoi(name)
 		if err != nil || task < 0 {
-			return Record{}, fmt.Errorf("run record: %q is no task", name)
+			return Record{}, fmt.Errorf("decode run record: %q is not a task number (want a non-negative integer)", name)
 		}
 		r.Placed[task] = run
 	}
 	return r, nil
 }
 
-// Key names a record: the job, and the record's index or, in the second layout, its first task.
+// Key identifies a record by its job and an ordinal: the index of the record in the first layout, its first task in the
+// second.
 type Key struct {
 	Job     string
 	ByTask  bool
 	Ordinal int
 }
 
-// taskMark stands before the number of a record's first task. Version 1 takes no such key for an index.
-const taskMark = "t"
+// taskKeyPrefix precedes the task number in keys of the second layout, so that version 1 does not parse it as an index.
+const taskKeyPrefix = "t"
 
-// String returns the key as it is stored, below a prefix.
+// String returns the stored form of the key, without the prefix of run record keys.
 func (k Key) String() string {
-	mark := ""
+	prefix := ""
 	if k.ByTask {
-		mark = taskMark
+		prefix = taskKeyPrefix
 	}
-	return k.Job + "/" + mark + strconv.Itoa(k.Ordinal)
+	return k.Job + "/" + prefix + strconv.Itoa(k.Ordinal)
 }
 
-// ParseKey reads a key; false if it is none.
+// ParseKey parses the output of Key.String. It returns false if the key is malformed.
 func ParseKey(key string) (Key, bool) {
 	job, number, found := strings.Cut(key, "/")
-	number, byTask := strings.CutPrefix(number, taskMark)
+	number, byTask := strings.CutPrefix(number, taskKeyPrefix)
 	ordinal, err := strconv.Atoi(number)
 	if !found || err != nil || ordinal < 0 {
 		return Key{}, false
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -6,84 +6,85 @@
 	"testing"
 )
 
-// What version 1 wrote, kept as it was: with records of 128 tasks.
+// A record as version 1 wrote it, kept unchanged. Its records have 128 tasks.
 const (
-	oldKey   = "run-000412/1"
-	oldValue = `{"n":7,"d":"0-2,40","p":{"131":[5,"host-000231",1],"250":[7,"host-000007",3]}}`
+	version1Key   = "run-000412/1"
+	version1Value = `{"n":7,"d":"0-2,40","p":{"131":[5,"host-000231",1],"250":[7,"host-000007",3]}}`
 )
 
-func TestOldRecord(t *testing.T) {
-	key, ok := ParseKey(oldKey)
-	if !ok || key != (Key{Job: "run-000412", Ordinal: 1}) || key.String() != oldKey {
-		t.Fatalf("%+v", key)
+func TestVersion1Record(t *testing.T) {
+	key, ok := ParseKey(version1Key)
+	if !ok || key != (Key{Job: "run-000412", Ordinal: 1}) || key.String() != version1Key {
+		t.Fatalf("key parsed as %+v", key)
 	}
-	r, err := Decode(json.RawMessage(oldValue), 128)
+	r, err := Decode(json.RawMessage(version1Value), 128)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.HighestAttempt != 7 || r.Done.Count() != 4 || !r.Done.Has(40) || r.Placed[250] != (Run{7, "host-000007", 3}) {
 		t.Errorf("%+v", r)
 	}
-	if b, err := r.Encode(); err != nil || string(b) != oldValue {
-		t.Errorf("written again it is %s, %v", b, err)
+	if b, err := r.Encode(); err != nil || string(b) != version1Value {
+		t.Errorf("encoded as %s, %v, want the old value", b, err)
 	}
 }
 
 func TestMalformed(t *testing.T) {
 	for _, value := range []string{`{"n":-1}`, `[]`, `{"n":1,"p":{"x":[1,"m",1]}}`, `{"n":1,"p":{"0":"m"}}`} {
 		if r, err := Decode(json.RawMessage(value), 8); err == nil {
-			t.Errorf("%s gives %+v", value, r)
+			t.Errorf("%s is decoded as %+v, want an error", value, r)
 		}
 	}
 	for _, key := range []string{"run-000412", "run-000412/x", "run-000412/-1", "run-000412/t", "run-000412/t-1"} {
 		if k, ok := ParseKey(key); ok {
-			t.Errorf("%s gives %+v", key, k)
+			t.Errorf("%s is parsed as %+v, want false", key, k)
 		}
 	}
 }
 
-// A record of the first layout is spread over the parts of the second, whose own records override it.
+// TestSplit distributes a record of the first layout over parts of the second. A record of the second layout overrides
+// its part.
 func TestSplit(t *testing.T) {
 	layout := Layout{ByIndex: 128, ByTask: 16}
-	key, _ := ParseKey(oldKey)
-	old, err := Decode(json.RawMessage(oldValue), layout.TasksOf(key))
+	key, _ := ParseKey(version1Key)
+	old, err := Decode(json.RawMessage(version1Value), layout.TasksIn(key))
 	if err != nil {
 		t.Fatal(err)
 	}
 	newKey := layout.Key("run-000412", 15)
 	if newKey.String() != "run-000412/t240" {
-		t.Fatalf("the key is %s", newKey)
+		t.Fatalf("key is %s, want run-000412/t240", newKey)
 	}
-	again, ok := ParseKey(newKey.String())
-	if !ok || again != newKey || layout.TasksOf(again) != 16 {
-		t.Fatalf("%+v", again)
+	parsed, ok := ParseKey(newKey.String())
+	if !ok || parsed != newKey || layout.TasksIn(parsed) != 16 {
+		t.Fatalf("key parsed as %+v", parsed)
 	}
 	newer := Record{HighestAttempt: 9, Done: NewBits(16), Placed: map[int]Run{251: {9, "host-000008", 1}}}
 	newer.Done.Set(10) // task 250
 	parts := layout.Assemble([]Entry{{newKey, 31, newer}, {key, 12, old}})
 
 	if len(parts) != 8 {
-		t.Errorf("%d parts of 128 tasks", len(parts))
+		t.Errorf("%d parts, want 8 of 16 tasks each", len(parts))
 	}
 	first := parts[8] // tasks 128 to 143
 	if first.Version != 0 || first.HighestAttempt != 7 || first.Done.String() != "0-2" ||
 		!reflect.DeepEqual(first.Placed, map[int]Run{131: {5, "host-000231", 1}}) {
-		t.Errorf("%+v", first)
+		t.Errorf("unexpected part 8: %+v", first)
 	}
 	if third := parts[10]; third.Done.String() != "8" || len(third.Placed) != 0 || third.HighestAttempt != 7 {
-		t.Errorf("%+v", third)
+		t.Errorf("unexpected part 10: %+v", third)
 	}
 	if last := parts[15]; last.Version != 31 || !reflect.DeepEqual(last.Record, newer) {
-		t.Errorf("%+v", last)
+		t.Errorf("unexpected part 15: %+v", last)
 	}
 }
 
-// A size of the one layout need not divide that of the other.
+// TestSplitUneven checks a record size of the first layout that is not a multiple of the size of the second.
 func TestSplitUneven(t *testing.T) {
 	layout := Layout{ByIndex: 8, ByTask: 5}
-	record := func(next uint64, done string) Record {
-		r := Record{HighestAttempt: next, Done: NewBits(8), Placed: map[int]Run{}}
-		r.Done.read(done)
+	record := func(highestAttempt uint64, done string) Record {
+		r := Record{HighestAttempt: highestAttempt, Done: NewBits(8), Placed: map[int]Run{}}
+		r.Done.addRanges(done)
 		return r
 	}
 	parts := layout.Assemble([]Entry{
@@ -91,38 +92,39 @@
 		{Key{Job: "j", Ordinal: 1}, 1, record(4, "0,7")},
 	})
 	for index, want := range []struct {
-		next uint64
-		done string
+		highestAttempt uint64
+		done           string
 	}{{3, "0-4"}, {4, "0-3"}, {4, ""}, {4, "0"}} {
-		if p := parts[index]; p.HighestAttempt != want.next || p.Done.String() != want.done {
-			t.Errorf("part %d is %+v", index, p)
+		if p := parts[index]; p.HighestAttempt != want.highestAttempt || p.Done.String() != want.done {
+			t.Errorf("unexpected part %d: %+v", index, p)
 		}
 	}
 }
 
-// Without the second layout, and with settings that have changed, a record stays what it was.
+// TestFirstLayout checks that while only the first layout is in use, records are returned unchanged, whatever the
+// settings are now.
 func TestFirstLayout(t *testing.T) {
-	layout := Layout{ByIndex: ByIndexFor(16)}
-	if layout.Tasks() != 128 || layout.Key("j", 2).String() != "j/2" || ByIndexFor(0.5) != 8 {
-		t.Errorf("%+v", layout)
+	layout := Layout{ByIndex: IndexLayoutTasks(16)}
+	if layout.TasksPerRecord() != 128 || layout.Key("j", 2).String() != "j/2" || IndexLayoutTasks(0.5) != 8 {
+		t.Errorf("unexpected record size or key of layout %+v", layout)
 	}
 	r := Record{HighestAttempt: 1, Done: NewBits(128), Placed: map[int]Run{300: {1, "m", 1}}}
 	parts := layout.Assemble([]Entry{{layout.Key("j", 2), 5, r}})
 	if len(parts) != 1 || parts[2].Version != 5 || !reflect.DeepEqual(parts[2].Record, r) {
-		t.Errorf("%+v", parts)
+		t.Errorf("unexpected parts %+v", parts)
 	}
 }
 
-// A record of the second layout that is full of placements fits into the value that it was made for.
+// TestFullRecordFits checks that a record of the second layout fits into its value even if all its tasks are placed.
 func TestFullRecordFits(t *testing.T) {
 	for _, valueBytes := range []int{1024, 2048, 16384} {
-		tasks := ByTaskFor(valueBytes)
+		tasks := TaskLayoutTasks(valueBytes)
 		r := Record{HighestAttempt: 1_000_000, Done: NewBits(tasks), Placed: map[int]Run{}}
 		for i := range tasks {
 			r.Placed[99_000+i] = Run{1_000_000, "host-000000000000000231", 100}
 		}
 		if b, err := r.Encode(); err != nil || len(b) > valueBytes {
-			t.Errorf("%d tasks take %d of %d bytes, %v", tasks, len(b), valueBytes, err)
+			t.Errorf("record of %d tasks encoded to %d bytes, want at most %d; error %v", tasks, len(b), valueBytes, err)
 		}
 	}
 }
--- a/internal/stored/catalog.go
+++ b/internal/stored/catalog.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// DecodeCatalog reads the machine types that the cloud offers.
+// DecodeCatalog decodes the machine types that the cloud offers.
 func DecodeCatalog(value json.RawMessage) ([]wire.MachineType, error) {
 	return decode[[]wire.MachineType](value)
 }
--- a/internal/stored/doc.go
+++ b/internal/stored/doc.go
@@ -1,10 +1,10 @@
-// Package stored holds the forms in which the controllers keep their state in the consensus-backed key-value
-// store: the keys, the values below them, and the bounds of their sizes.
+// Package stored defines how the controllers store their state in the consensus-backed key-value store: the keys, the
+// encoding of the values, and the limits on their sizes.
 //
-// Nodes of two versions run side by side during an upgrade, and values written long ago are read for as long as
-// their keys live. So a key or a JSON tag never changes its meaning here; a new meaning takes a new key or field,
-// and where an older version must not go on, a new form of the term that it can't read (TermFormat).
+// During an upgrade, nodes of two versions run side by side, and values written long ago are read for as long as their
+// keys exist. The meaning of a key or JSON tag therefore never changes. A new meaning gets a new key or field, and if
+// older versions must be kept from leading, a new format of the term that they can't decode (TermFormat).
 //
-// Run records, rollout plans and quota accounts have forms of their own in packages record, rollout and quota;
-// only their keys are here. The package is pure: it knows values, not who reads or writes them.
+// The encodings of run records, rollout plans and quota accounts are in the packages record, rollout and quota; only
+// their keys are defined here. The package is pure: it knows the values, but not who reads or writes them.
 package stored
--- a/internal/stored/image_hints.go
+++ b/internal/stored/image_hints.go
@@ -2,25 +2,25 @@
 
 import "encoding/json"
 
-// ImageHints is a shard of the images that the leader believes to be on machines, by machine. It is a hint for the
-// next leader: one that is wrong costs a fetch and breaks nothing.
+// ImageHints is one shard of the images that the leader believes to be cached on machines, by machine. It is a hint for
+// the next leader: a wrong hint costs an image fetch and does no other harm.
 type ImageHints map[string][]string
 
-// DecodeImageHints reads a shard of the image hints.
+// DecodeImageHints decodes a shard of the image hints.
 func DecodeImageHints(value json.RawMessage) (ImageHints, error) { return decode[ImageHints](value) }
 
-// imageHintOverhead is what each name in the image hints takes beside itself.
+// imageHintOverhead is the encoded size of a name in the image hints in addition to the name itself, in bytes.
 const imageHintOverhead = 8
 
-// ImageHintPacker puts image hints into shards.
+// ImageHintPacker distributes image hints over shards.
 type ImageHintPacker struct{ packer shardPacker[[]string] }
 
-// NewImageHintPacker makes a packer of shards of at most maxBytes each. The first shard is there without an entry.
+// NewImageHintPacker returns a packer of shards of at most maxBytes each. The first shard exists even without entries.
 func NewImageHintPacker(maxBytes int) *ImageHintPacker {
 	return &ImageHintPacker{shardPacker[[]string]{maxBytes: maxBytes, shards: []map[string][]string{{}}}}
 }
 
-// Add puts in the images of a machine.
+// Add adds the images of a machine.
 func (p *ImageHintPacker) Add(machine string, images []string) {
 	size := len(machine) + imageHintOverhead
 	for _, image := range images {
--- a/internal/stored/job.go
+++ b/internal/stored/job.go
@@ -7,17 +7,17 @@
 	"bitternwing/internal/wire"
 )
 
-// Job is an active job: one that is not done, or cancelled with tasks that may be left on machines.
+// Job is an active job: one that has not ended, or a cancelled one whose tasks may still be on machines.
 type Job struct {
 	Spec        *wire.Job `json:"job"`
 	AcceptedMS  int64     `json:"at"`
 	CancelledMS int64     `json:"x,omitempty"`
 }
 
-// errNoSpec says that a stored job has no specification.
+// errNoSpec reports a stored job without a specification.
 var errNoSpec = errors.New("stored job has no specification")
 
-// DecodeJob reads a stored job.
+// DecodeJob decodes a stored job.
 func DecodeJob(value json.RawMessage) (Job, error) {
 	job, err := decode[Job](value)
 	if err == nil && job.Spec == nil {
@@ -29,17 +29,17 @@
 // Encode returns the stored form of a job.
 func (j Job) Encode() (json.RawMessage, error) { return json.Marshal(j) }
 
-// EncodeWithin returns the stored form of a job for a rewrite. A cancellation rewrites the whole of it, and the value
-// that was accepted may be larger than the store's present limit: then the fields that only tell where the job may
-// start are left out, since it never starts again.
+// EncodeWithin returns the stored form of a job for a rewrite. A cancellation rewrites the whole value, which may be
+// larger than maxBytes if the limit was higher when the job was accepted. In that case EncodeWithin omits the fields
+// that only determine where the job may start, since a cancelled job never starts again.
 func (j Job) EncodeWithin(maxBytes int) (json.RawMessage, error) {
 	value, err := j.Encode()
 	if err != nil || len(value) <= maxBytes || j.CancelledMS == 0 {
 		return value, err
 	}
-	short := *j.Spec
-	short.Class, short.Image, short.Zone, short.MachineTypes, short.Dependencies = "", "", "", nil, nil
-	j.Spec = &short
+	reduced := *j.Spec
+	reduced.Class, reduced.Image, reduced.Zone, reduced.MachineTypes, reduced.Dependencies = "", "", "", nil, nil
+	j.Spec = &reduced
 	return j.Encode()
 }
 
@@ -47,17 +47,18 @@
 type FinalState struct {
 	State wire.JobStatus `json:"s"`
 	Done  int            `json:"n"`
-	// EndedMS is the time of day of the end; 0 in final states of versions without dependencies.
+	// EndedMS is the time of day at which the job ended. It is 0 in final states written by versions without
+	// dependencies.
 	EndedMS int64 `json:"at,omitempty"`
 }
 
-// DecodeFinalState reads a stored final state.
+// DecodeFinalState decodes a stored final state.
 func DecodeFinalState(value json.RawMessage) (FinalState, error) { return decode[FinalState](value) }
 
 // Encode returns the stored form of a final state.
 func (f FinalState) Encode() (json.RawMessage, error) { return json.Marshal(f) }
 
-// decode reads a stored value; the zero value comes with an error.
+// decode decodes a stored value. It returns the zero value with any error.
 func decode[T any](value json.RawMessage) (T, error) {
 	var v, none T
 	if err := json.Unmarshal(value, &v); err != nil {
--- a/internal/stored/keys.go
+++ b/internal/stored/keys.go
@@ -8,25 +8,25 @@
 	"bitternwing/internal/record"
 )
 
-// WatchedPrefix is the prefix of the keys that each node follows with one watch. Final states and run records
-// lie elsewhere: they are read when they are needed.
+// WatchedPrefix is the prefix of the keys that each node follows with a single watch. Final states and run records have
+// other prefixes, because they are read on demand.
 const WatchedPrefix = "w/"
 
-// RunRecordPrefix is the prefix of the run records.
+// RunRecordPrefix is the prefix of the keys of run records.
 const RunRecordPrefix = "r/"
 
-// The keys of single values.
+// Keys of single values.
 const (
-	LeaderKey       = "w/lead"    // the Leader, attached to its lease
-	TermKey         = "w/term"    // the Term, incremented with each election
+	LeaderKey       = "w/lead"    // the Leader; attached to the leader's lease
+	TermKey         = "w/term"    // the Term; incremented with each election
 	CatalogKey      = "w/catalog" // the machine types that the cloud offers
-	RecordLayoutKey = "w/layout"  // the record.Layout in use; absent for the first one
+	RecordLayoutKey = "w/layout"  // the record.Layout in use; absent for the first layout
 
-	// unreachableHintKey is the first shard of the unreachable hints, the only one that older versions read.
+	// unreachableHintKey is the first shard of the unreachable hints. Older versions read only this shard.
 	unreachableHintKey = "w/s"
 )
 
-// The prefixes of the keys of many values.
+// Prefixes of keys with many values.
 const (
 	activeJobPrefix         = "w/a/"
 	taskCountPrefix         = "w/n/"
@@ -38,33 +38,34 @@
 	finalStatePrefix        = "f/"
 )
 
-// JobKey is the key of a Job. It exists until the job's FinalState is written.
+// JobKey returns the key of a Job. The key exists until the job's FinalState is written.
 func JobKey(id string) string { return activeJobPrefix + id }
 
-// FinalStateKey is the key of a job's FinalState. It is never deleted.
+// FinalStateKey returns the key of a job's FinalState. The key is never deleted.
 func FinalStateKey(id string) string { return finalStatePrefix + id }
 
-// RunRecordKey is the key of a run record.
+// RunRecordKey returns the key of a run record.
 func RunRecordKey(key record.Key) string { return RunRecordPrefix + key.String() }
 
-// ParseRunRecordKey reads the key of a run record; false if it is none.
+// ParseRunRecordKey parses the key of a run record. It returns false if the key is not one.
 func ParseRunRecordKey(key string) (record.Key, bool) {
 	return record.ParseKey(strings.TrimPrefix(key, RunRecordPrefix))
 }
 
-// PlanKey is the key of a rollout plan's record.
+// PlanKey returns the key of a rollout plan's record.
 func PlanKey(name string) string { return planPrefix + name }
 
-// QuotaAccountKey is the key of a team's quota account. Names of teams may have characters that keys may not.
+// QuotaAccountKey returns the key of a team's quota account. The name is escaped because it may contain characters that
+// are not allowed in keys.
 func QuotaAccountKey(team string) string { return quotaAccountPrefix + url.PathEscape(team) }
 
-// TaskCountKey is the key of a shard of the task counts.
+// TaskCountKey returns the key of a shard of the task counts.
 func TaskCountKey(shard int) string { return taskCountPrefix + strconv.Itoa(shard) }
 
-// ImageHintKey is the key of a shard of the image hints.
+// ImageHintKey returns the key of a shard of the image hints.
 func ImageHintKey(shard int) string { return imageHintPrefix + strconv.Itoa(shard) }
 
-// UnreachableHintKey is the key of a shard of the unreachable hints.
+// UnreachableHintKey returns the key of a shard of the unreachable hints.
 func UnreachableHintKey(shard int) string {
 	if shard == 0 {
 		return unreachableHintKey
@@ -72,17 +73,17 @@
 	return unreachableHintPrefix + strconv.Itoa(shard)
 }
 
-// RelayedHeartbeatsKey is the key of a shard of the heartbeats that a node relays.
+// RelayedHeartbeatsKey returns the key of a shard of the heartbeats that a node relays.
 func RelayedHeartbeatsKey(node string, shard int) string {
 	return relayedHeartbeatsPrefix + node + "/" + strconv.Itoa(shard)
 }
 
-// Kind is what the value of a watched key is.
+// Kind is the type of the value of a watched key.
 type Kind int
 
-// The kinds of watched keys.
+// Kinds of watched keys.
 const (
-	KindUnknown Kind = iota // of a later version
+	KindUnknown Kind = iota // written by a later version
 	KindJob
 	KindLeader
 	KindTerm
@@ -96,7 +97,7 @@
 	KindRelayedHeartbeats
 )
 
-// kindsByPrefix are the kinds of keys that have a prefix in common.
+// kindsByPrefix maps key prefixes to the kinds of their values.
 var kindsByPrefix = []struct {
 	prefix string
 	kind   Kind
@@ -110,8 +111,8 @@
 	{relayedHeartbeatsPrefix, KindRelayedHeartbeats},
 }
 
-// ParseWatchedKey returns the kind of a watched key and what follows its prefix: a job's id, a plan's name, or the
-// node and shard of relayed heartbeats. A key of a single value has nothing after it.
+// ParseWatchedKey returns the kind of a watched key and the part after its prefix: a job's id, a plan's name, or the
+// node and shard of relayed heartbeats. The part is empty for a key of a single value.
 func ParseWatchedKey(key string) (kind Kind, name string) {
 	switch key {
 	case LeaderKey:
@@ -133,7 +134,7 @@
 	return KindUnknown, ""
 }
 
-// RelayingNode returns the node that wrote relayed heartbeats, from the name that ParseWatchedKey gives.
+// RelayingNode returns the node that wrote relayed heartbeats. Its argument is the name returned by ParseWatchedKey.
 func RelayingNode(name string) string {
 	node, _, _ := strings.Cut(name, "/")
 	return node
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -12,10 +12,10 @@
 	"bitternwing/internal/wire"
 )
 
-// The values in this file are what the version before this package wrote, kept as they were. Values of that version
-// stay in the store for as long as their keys live, so they are never written anew here.
+// The values in this file were written by the version before this package existed, and are kept unchanged. Values of
+// that version remain in the store for as long as their keys exist, so they must never be regenerated.
 
-// previousJob is a job as both its values below have it.
+// previousJob returns the job that both stored jobs below contain.
 func previousJob() *wire.Job {
 	deadline := 900.0
 	return &wire.Job{ID: "run-000412", Class: "batch", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 300, CPUs: 2, GPUs: 1,
@@ -56,7 +56,7 @@
 		FencingToken: 41, Tasks: []wire.TaskStatus{{Task: "run-000412/66", Attempt: 7, State: wire.TaskRunning}}}
 }
 
-// previousValue is a value of the version before, and what it has to be read as.
+// previousValue is a value of the previous version, and what it must be decoded as.
 type previousValue struct {
 	name, key, value string
 	kind             stored.Kind
@@ -65,7 +65,7 @@
 	want             any
 }
 
-// encoded is what a value of a kind without an Encode of its own is written by.
+// encoded encodes values of types that have no Encode method.
 func encoded(v any) func() (json.RawMessage, error) {
 	return func() (json.RawMessage, error) { return json.Marshal(v) }
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// first returns the first of the values that a packer writes.
+// first returns the first value that a packer encodes.
 func first(encode func() ([]json.RawMessage, error)) func() (json.RawMessage, error) {
 	return func() (json.RawMessage, error) {
 		values, err := encode()
@@ -118,23 +118,23 @@
 	}
 }
 
-// TestPreviousWatchedValues reads a value of each watched kind, and writes the same one.
+// TestPreviousWatchedValues decodes one value of each watched kind and encodes it to the same bytes.
 func TestPreviousWatchedValues(t *testing.T) {
 	for _, v := range previousWatchedValues() {
 		if kind, _ := stored.ParseWatchedKey(v.key); kind != v.kind {
-			t.Errorf("%s: the key %s is of kind %d", v.name, v.key, kind)
+			t.Errorf("%s: key %s has kind %d", v.name, v.key, kind)
 		}
 		got, err := v.decode(json.RawMessage(v.value))
 		if err != nil || !reflect.DeepEqual(got, v.want) {
-			t.Errorf("%s is read as %+v, %v", v.name, got, err)
+			t.Errorf("%s is decoded as %+v, %v", v.name, got, err)
 		}
 		if value, err := v.encode(); err != nil || string(value) != v.value {
-			t.Errorf("%s is written as %s, %v", v.name, value, err)
+			t.Errorf("%s is encoded as %s, %v", v.name, value, err)
 		}
 	}
 }
 
-// TestPreviousTerms reads and writes a term in each format.
+// TestPreviousTerms decodes and encodes a term in each format.
 func TestPreviousTerms(t *testing.T) {
 	want := stored.Term{Number: 12, Node: "ctl-a"}
 	for _, c := range []struct {
@@ -149,37 +149,37 @@
 	} {
 		term, format, err := stored.DecodeTerm(json.RawMessage(c.value))
 		if err != nil || term != want || format != c.format {
-			t.Errorf("%s is read as %+v, %s, %v", c.value, term, format, err)
+			t.Errorf("%s is decoded as %+v, %s, %v", c.value, term, format, err)
 		}
 		if value, err := want.Encode(c.format, c.layout); err != nil || string(value) != c.value {
-			t.Errorf("%s is written as %s, %v", c.value, value, err)
+			t.Errorf("%s is encoded as %s, %v", c.value, value, err)
 		}
 	}
 	if term, _, err := stored.DecodeTerm(json.RawMessage(`{"term":{"number":12},"node":"ctl-a"}`)); err == nil {
-		t.Errorf("a term of a later version is read as %+v", term)
+		t.Errorf("a term of a later version is decoded as %+v", term)
 	}
 }
 
-// TestPreviousFinalStates reads and writes ends, with and without the time of day that versions before dependencies
-// did not write.
+// TestPreviousFinalStates decodes and encodes final states with and without the time of day, which versions without
+// dependencies did not write.
 func TestPreviousFinalStates(t *testing.T) {
 	for value, want := range map[string]stored.FinalState{
 		`{"s":"done","n":300,"at":1764720120000}`: {State: wire.JobDone, Done: 300, EndedMS: 1764720120000},
 		`{"s":"withdrawn","n":12}`:                {State: wire.JobCancelled, Done: 12},
 	} {
 		if got, err := stored.DecodeFinalState(json.RawMessage(value)); err != nil || got != want {
-			t.Errorf("%s is read as %+v, %v", value, got, err)
+			t.Errorf("%s is decoded as %+v, %v", value, got, err)
 		}
 		if got, err := want.Encode(); err != nil || string(got) != value {
-			t.Errorf("%s is written as %s, %v", value, got, err)
+			t.Errorf("%s is encoded as %s, %v", value, got, err)
 		}
 	}
 	if key := stored.FinalStateKey("run-000412"); key != "f/run-000412" {
-		t.Errorf("the key of an end is %s", key)
+		t.Errorf("key of a final state is %s, want f/run-000412", key)
 	}
 }
 
-// TestPreviousRunRecords reads and writes a record of each layout.
+// TestPreviousRunRecords decodes and encodes a record of each layout.
 func TestPreviousRunRecords(t *testing.T) {
 	layout := record.Layout{ByIndex: 128, ByTask: 32}
 	for _, c := range []struct {
@@ -195,19 +195,19 @@
 	} {
 		key, ok := stored.ParseRunRecordKey(c.key)
 		if !ok || key != c.want || stored.RunRecordKey(key) != c.key {
-			t.Errorf("%s is %+v", c.key, key)
+			t.Errorf("%s is parsed as %+v", c.key, key)
 		}
-		got, err := record.Decode(json.RawMessage(c.value), layout.TasksOf(key))
+		got, err := record.Decode(json.RawMessage(c.value), layout.TasksIn(key))
 		if err != nil || got.HighestAttempt != 7 || got.Done.String() != c.done || !reflect.DeepEqual(got.Placed, c.placed) {
-			t.Errorf("%s is read as %+v, %v", c.value, got, err)
+			t.Errorf("%s is decoded as %+v, %v", c.value, got, err)
 		}
 		if value, err := got.Encode(); err != nil || string(value) != c.value {
-			t.Errorf("%s is written as %s, %v", c.value, value, err)
+			t.Errorf("%s is encoded as %s, %v", c.value, value, err)
 		}
 	}
 }
 
-// TestPreviousTaskCounts reads counts from the shards in which they are looked for, and writes the same ones.
+// TestPreviousTaskCounts finds counts in the shards of their buckets, and encodes them to the same shards.
 func TestPreviousTaskCounts(t *testing.T) {
 	values := map[string]string{"w/n/6": `{"run-000412":[17,3]}`, "w/n/0": `{"run-000001":[2,2]}`, "w/n/8": `{"run-000007":[0,5]}`}
 	shardOf := func(key string) (stored.TaskCountShard, bool) {
@@ -220,7 +220,7 @@
 	}
 	for job, want := range map[string]stored.TaskCounts{"run-000412": {Running: 17, Done: 3}, "run-000007": {Done: 5}, "run-000099": {}} {
 		if got := stored.FindTaskCounts(job, shardOf); got != want {
-			t.Errorf("%s has %+v", job, got)
+			t.Errorf("unexpected counts of job %s: %+v", job, got)
 		}
 	}
 	packer := stored.NewTaskCountPacker(16 << 10)
@@ -232,12 +232,12 @@
 	}
 	for i, shard := range shards[:6] {
 		if string(shard) != stored.EmptyShard {
-			t.Errorf("shard %d without a job is %s", i, shard)
+			t.Errorf("shard %d has no jobs and is %s", i, shard)
 		}
 	}
 }
 
-// TestPreviousRelayedHeartbeats reads heartbeats that were relayed, plain and compressed, and writes them.
+// TestPreviousRelayedHeartbeats decodes and encodes relayed heartbeats, plain and compressed.
 func TestPreviousRelayedHeartbeats(t *testing.T) {
 	heartbeat, err := json.Marshal(previousHeartbeat())
 	if err != nil {
@@ -246,29 +246,29 @@
 	for _, value := range []string{previousHeartbeats, previousCompressedHeartbeats} {
 		got, err := stored.DecodeRelayedHeartbeats(json.RawMessage(value))
 		if err != nil || !reflect.DeepEqual(got, []*wire.Heartbeat{previousHeartbeat()}) {
-			t.Errorf("%s is read as %+v, %v", value, got, err)
+			t.Errorf("%s is decoded as %+v, %v", value, got, err)
 		}
 	}
 	plain := stored.RelayedHeartbeatPacker{MaxBytes: 16 << 10}
 	if values, tooLarge := plain.Pack([]json.RawMessage{heartbeat}); tooLarge != 0 || len(values) != 1 || string(values[0]) != previousHeartbeats {
-		t.Errorf("written as %s", values)
+		t.Errorf("encoded as %s", values)
 	}
-	// The bytes of a compressed list may differ with the compressor; what it says may not.
+	// The bytes of a compressed list may change with the compressor, but it must decode to the same heartbeats.
 	compressed := stored.RelayedHeartbeatPacker{MaxBytes: 16 << 10, Compressed: true}
 	values, tooLarge := compressed.Pack([]json.RawMessage{heartbeat})
 	if tooLarge != 0 || len(values) != 1 || values[0][0] != '"' {
-		t.Fatalf("written as %s", values)
+		t.Fatalf("encoded as %s", values)
 	}
 	if got, err := stored.DecodeRelayedHeartbeats(values[0]); err != nil || !reflect.DeepEqual(got, []*wire.Heartbeat{previousHeartbeat()}) {
-		t.Errorf("%s is read as %+v, %v", values[0], got, err)
+		t.Errorf("%s is decoded as %+v, %v", values[0], got, err)
 	}
 	kind, name := stored.ParseWatchedKey("w/k/ctl-b/3")
 	if kind != stored.KindRelayedHeartbeats || stored.RelayingNode(name) != "ctl-b" || stored.RelayedHeartbeatsKey("ctl-b", 3) != "w/k/ctl-b/3" {
-		t.Errorf("kind %d, name %s", kind, name)
+		t.Errorf("key parsed as kind %d, name %s, or the node or the key itself differs", kind, name)
 	}
 }
 
-// TestKeys shows that each key is of the kind that it was made for, and that other keys are of none.
+// TestKeys checks that each key is parsed as the kind that it was created for, and all others as unknown.
 func TestKeys(t *testing.T) {
 	for key, want := range map[string]stored.Kind{
 		"w/a/run-000412": stored.KindJob, stored.JobKey("run-000412"): stored.KindJob,
@@ -283,10 +283,10 @@
 		"r/run-000412/1": stored.KindUnknown,
 	} {
 		if got, _ := stored.ParseWatchedKey(key); got != want {
-			t.Errorf("%s is of kind %d, not %d", key, got, want)
+			t.Errorf("%s has kind %d, want %d", key, got, want)
 		}
 	}
 	if key := stored.QuotaAccountKey("red/blue"); key != "w/q/red%2Fblue" {
-		t.Errorf("the key of an account is %s", key)
+		t.Errorf("key of a quota account is %s, want w/q/red%%2Fblue", key)
 	}
 }
--- a/internal/stored/production_format_test.go
+++ b/internal/stored/production_format_test.go
@@ -10,8 +10,8 @@
 	"bitternwing/internal/wire"
 )
 
-// A frozen copy of what the version in production before dependencies reads from the key-value store. It
-// stays as it is: that version can't be mended, and nodes of both run side by side.
+// These types are a frozen copy of what the production version before dependencies reads from the key-value store. They
+// must not change: that version can't be fixed any more, and nodes of both versions run side by side.
 type (
 	productionJob struct {
 		ID        string   `json:"ref"`
@@ -59,10 +59,10 @@
 	}
 )
 
-// productionPrefixes are those below which that version reads keys of the watch, beside whole keys.
+// productionPrefixes are the prefixes of watched keys that the production version reads.
 var productionPrefixes = []string{"w/a/", "w/n/", "w/i/", "w/k/"}
 
-// productionKeys are the whole keys that it reads.
+// productionKeys are the watched keys that it reads in addition.
 var productionKeys = []string{"w/lead", "w/term", "w/catalog", "w/s"}
 
 func encoded(t *testing.T, v any) json.RawMessage {
@@ -74,22 +74,22 @@
 	return b
 }
 
-// TestProductionReads shows what that version makes of the values that are written now.
+// TestProductionReads checks how that version decodes the values that are written now.
 func TestProductionReads(t *testing.T) {
 	deadline := 60.0
 	job := &wire.Job{ID: "run-000001", Team: "red", Kind: wire.KindArray, Priority: "high", Tasks: 3, CPUs: 2, Image: "i",
 		DeadlineS: &deadline, Dependencies: []string{"run-000000"}}
 	active, err := decode[productionActive](encoded(t, Job{Spec: job, AcceptedMS: 7, CancelledMS: 9}))
 	if err != nil || active.Job.ID != job.ID || active.Job.Tasks != 3 || *active.Job.DeadlineS != 60 || active.AtMS != 7 || active.CancelledMS != 9 {
-		t.Errorf("a job: %+v %v", active, err)
+		t.Errorf("job decoded as %+v, error %v", active, err)
 	}
 	final, err := decode[productionFinal](encoded(t, FinalState{State: wire.JobDone, Done: 3, EndedMS: 12}))
 	if err != nil || final.State != string(wire.JobDone) || final.Done != 3 {
-		t.Errorf("an end: %+v %v", final, err)
+		t.Errorf("final state decoded as %+v, error %v", final, err)
 	}
 	lead, err := decode[productionLead](encoded(t, Leader{"a", "a1", 4, 5}))
 	if err != nil || lead != (productionLead{"a", "a1", 4, 5}) {
-		t.Errorf("the leader: %+v %v", lead, err)
+		t.Errorf("leader decoded as %+v, error %v", lead, err)
 	}
 	first := record.Record{HighestAttempt: 4, Done: record.NewBits(128), Placed: map[int]record.Run{1: {Attempt: 2, Machine: "m", Incarnation: 1}}}
 	first.Done.Set(0)
@@ -99,12 +99,12 @@
 	}
 	old, err := decode[productionRecord](value)
 	if err != nil || old.Next != 4 || old.Done != "0" || string(old.Placed["1"]) != `[2,"m",1]` {
-		t.Errorf("a record of the first layout: %s", value)
+		t.Errorf("record of the first layout not decoded as expected: %s", value)
 	}
 }
 
-// TestProductionIsFenced shows that a node of that version can't win a term once the second layout is in
-// use, whose records it would delete; before, it can.
+// TestProductionIsFenced checks that a node of that version can win a term, but no longer once the second layout is in
+// use, whose records it would delete.
 func TestProductionIsFenced(t *testing.T) {
 	for _, c := range []struct {
 		layout record.Layout
@@ -115,24 +115,24 @@
 			t.Fatal(err)
 		}
 		if _, err := decode[productionTerm](value); (err == nil) != c.reads {
-			t.Errorf("%s is read: %v", value, err)
+			t.Errorf("unexpected result of decoding %s: %v", value, err)
 		}
 		if term, format, err := DecodeTerm(value); err != nil || format != BaseTermFormat || term != (Term{12, "a"}) {
-			t.Errorf("%s is %+v here, %v, %v", value, term, format, err)
+			t.Errorf("%s is decoded as %+v, format %v, error %v", value, term, format, err)
 		}
 	}
 	key := record.Layout{ByIndex: 128, ByTask: 16}.Key("run-000001", 3).String()
 	if _, err := strconv.Atoi(strings.TrimPrefix(key, "run-000001/")); err == nil {
-		t.Errorf("%s would be taken for an index", key)
+		t.Errorf("%s would be parsed as a record index", key)
 	}
 	for _, prefix := range productionPrefixes {
 		if strings.HasPrefix(RecordLayoutKey, prefix) {
-			t.Errorf("%s lies below %s", RecordLayoutKey, prefix)
+			t.Errorf("%s has the prefix %s", RecordLayoutKey, prefix)
 		}
 	}
 	for _, key := range productionKeys {
 		if key == RecordLayoutKey {
-			t.Errorf("%s has another meaning there", key)
+			t.Errorf("%s has another meaning in the production version", key)
 		}
 	}
 }
--- a/internal/stored/relayed_heartbeats.go
+++ b/internal/stored/relayed_heartbeats.go
@@ -10,24 +10,25 @@
 	"bitternwing/internal/wire"
 )
 
-// Heartbeats that a node relays to the leader are stored as lists, as many as a value holds. Where values are small
-// the heartbeat of one machine may be larger than a value; it can't be divided, since a task that a heartbeat lacks
-// has ended. So once all nodes are known to read it, the list is compressed: heartbeats repeat the same words.
+// Heartbeats that a node relays to the leader are stored as lists, each with as many heartbeats as fit into a value. If
+// values are small, the heartbeat of a single machine may be larger than a value. It can't be split, because a task
+// that is missing from a heartbeat is taken to have ended. Lists are therefore compressed once all nodes are known to
+// be able to read them. Heartbeats compress well because they are repetitive.
 
-// maxRelayedBytes bounds what is read of a compressed list.
+// maxRelayedBytes limits the decompressed size of a list.
 const maxRelayedBytes = 4 * wire.MaxBody
 
-// RelayedHeartbeatPacker puts heartbeats into values.
+// RelayedHeartbeatPacker encodes heartbeats into values.
 type RelayedHeartbeatPacker struct {
-	MaxBytes   int // of a value
+	MaxBytes   int // maximum size of a value
 	Compressed bool
 }
 
-// Pack returns the values that hold a list of heartbeats, as many heartbeats in each as fit. Those that fit into no
-// value are left out and counted.
+// Pack returns values that together hold a list of heartbeats, with as many heartbeats in each value as fit. Heartbeats
+// that are too large for a value are omitted and counted.
 func (p RelayedHeartbeatPacker) Pack(heartbeats []json.RawMessage) (values []json.RawMessage, tooLarge int) {
 	for len(heartbeats) > 0 {
-		n := p.firstGuess(heartbeats)
+		n := p.estimateCount(heartbeats)
 		value, err := p.encode(heartbeats[:n])
 		for n > 1 && (err != nil || len(value) > p.MaxBytes) {
 			n = (n + 1) / 2
@@ -43,14 +44,14 @@
 	return values, tooLarge
 }
 
-// typicalCompression is how much smaller heartbeats mostly get by compression.
-const typicalCompression = 4
+// typicalCompressionRatio is the ratio by which compression typically reduces the size of heartbeats.
+const typicalCompressionRatio = 4
 
-// firstGuess returns how many heartbeats may fit into a value, at least one.
-func (p RelayedHeartbeatPacker) firstGuess(heartbeats []json.RawMessage) int {
+// estimateCount returns an estimate of how many heartbeats fit into a value; it is at least one.
+func (p RelayedHeartbeatPacker) estimateCount(heartbeats []json.RawMessage) int {
 	maxBytes := p.MaxBytes
 	if p.Compressed {
-		maxBytes = min(typicalCompression*maxBytes, maxRelayedBytes)
+		maxBytes = min(typicalCompressionRatio*maxBytes, maxRelayedBytes)
 	}
 	n, size := 0, len("[]")
 	for ; n < len(heartbeats); n++ {
@@ -66,8 +67,8 @@
 	if err != nil || !p.Compressed {
 		return list, err
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
@@ -77,13 +78,13 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return json.Marshal(base64.StdEncoding.EncodeToString(packed.Bytes()))
+	return json.Marshal(base64.StdEncoding.EncodeToString(compressed.Bytes()))
 }
 
-// DecodeRelayedHeartbeats reads a list of heartbeats, plain or compressed.
+// DecodeRelayedHeartbeats decodes a plain or compressed list of heartbeats.
 func DecodeRelayedHeartbeats(value json.RawMessage) ([]*wire.Heartbeat, error) {
-	if packed, err := decode[string](value); err == nil {
-		data, err := base64.StdEncoding.DecodeString(packed)
+	if compressed, err := decode[string](value); err == nil {
+		data, err := base64.StdEncoding.DecodeString(compressed)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/stored/relayed_heartbeats_test.go
+++ b/internal/stored/relayed_heartbeats_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRelayedHeartbeats packs the heartbeats of a zone whose machines are full of small tasks into small
-// values, and reads them back; in the form of before as well.
+// TestRelayedHeartbeats encodes and decodes the heartbeats of a zone whose machines are full of small tasks, in plain
+// values and in small compressed ones.
 func TestRelayedHeartbeats(t *testing.T) {
 	const machines, tasks = 20, 64
 	var heartbeats []json.RawMessage
@@ -23,12 +23,12 @@
 	for _, packer := range []RelayedHeartbeatPacker{{MaxBytes: 16 << 10}, {MaxBytes: 1800, Compressed: true}} {
 		values, tooLarge := packer.Pack(heartbeats)
 		if tooLarge != 0 {
-			t.Errorf("%d heartbeats fit into no value of %d bytes", tooLarge, packer.MaxBytes)
+			t.Errorf("%d heartbeats are too large for a value of %d bytes", tooLarge, packer.MaxBytes)
 		}
 		n := 0
 		for _, value := range values {
 			if len(value) > packer.MaxBytes {
-				t.Errorf("a value of %d bytes", len(value))
+				t.Errorf("value of %d bytes is larger than the limit", len(value))
 			}
 			read, err := DecodeRelayedHeartbeats(value)
 			if err != nil {
@@ -41,16 +41,16 @@
 			}
 		}
 		if n != machines {
-			t.Errorf("%d of %d heartbeats are read back", n, machines)
+			t.Errorf("decoded %d of %d heartbeats", n, machines)
 		}
 	}
 	small := RelayedHeartbeatPacker{MaxBytes: 1800}
 	if _, tooLarge := small.Pack(heartbeats); tooLarge != machines {
-		t.Errorf("%d heartbeats of %d are too large", tooLarge, machines)
+		t.Errorf("%d of %d heartbeats are too large, want all", tooLarge, machines)
 	}
 	for _, value := range []string{`"x"`, `"!"`, `{}`, `[{"host":7}]`, `"` + strings.Repeat("A", 100) + `"`} {
 		if got, err := DecodeRelayedHeartbeats(json.RawMessage(value)); got != nil || err == nil {
-			t.Errorf("%s gives %v, %v", value, got, err)
+			t.Errorf("%s is decoded as %v, error %v; want an error", value, got, err)
 		}
 	}
 }
--- a/internal/stored/shards.go
+++ b/internal/stored/shards.go
@@ -2,22 +2,23 @@
 
 import "encoding/json"
 
-// EmptyShard is the stored form of a shard that is not needed any more.
+// EmptyShard is the stored form of a shard without entries. It overwrites shards that are no longer needed.
 const EmptyShard = "{}"
 
-// shardPacker spreads the entries of a map over shards in the order in which they come, each shard within the limit
-// of a value.
+// shardPacker distributes the entries of a map over shards, in the order in which they are added. Each shard fits into
+// a value.
 type shardPacker[V any] struct {
 	maxBytes int
-	size     int // of the last shard
+	size     int // size of the last shard in bytes
 	shards   []map[string]V
 }
 
-// add puts an entry of at most so many bytes into the last shard, or into a new one.
-func (p *shardPacker[V]) add(key string, value V, bytes int) {
-	if p.size += bytes; p.size > p.maxBytes {
+// add adds an entry with an encoded size of at most the given number of bytes to the last shard, or to a new one if it
+// does not fit.
+func (p *shardPacker[V]) add(key string, value V, entryBytes int) {
+	if p.size += entryBytes; p.size > p.maxBytes {
 		p.shards = append(p.shards, map[string]V{})
-		p.size = bytes
+		p.size = entryBytes
 	}
 	p.shards[len(p.shards)-1][key] = value
 }
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -4,11 +4,12 @@
 
 // Values are kept below a part of their limit, and several must fit into the body of one transaction.
 const (
-	usableTenths     = 9
-	valuesPerMaxBody = 4
+	// Values are kept below the store's limit, and one transaction body must have room for several of them.
+	usableTenths    = 9
+	minValuesPerTxn = 4
 )
 
-// UsableValueBytes returns how much of the store's limit of a value is used.
+// UsableValueBytes returns how many bytes of the store's value size limit are used.
 func UsableValueBytes(limit int) int {
-	return min(limit, wire.MaxBody/valuesPerMaxBody) * usableTenths / 10
+	return min(limit, wire.MaxBody/minValuesPerTxn) * usableTenths / 10
 }
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -5,42 +5,42 @@
 	"hash/fnv"
 )
 
-// TaskCounts is how many tasks of a job run and are done, for display at nodes that do not lead.
+// TaskCounts is the number of running and of completed tasks of a job. Nodes that do not lead show it to users.
 type TaskCounts struct{ Running, Done int }
 
-// TaskCountShard is a shard of the task counts, by job.
+// TaskCountShard is one shard of the task counts, by job.
 type TaskCountShard map[string]encodedTaskCounts
 
 // encodedTaskCounts is the stored form of TaskCounts: running, done.
 type encodedTaskCounts [2]int
 
-// Of returns the counts of a job; false if the shard has none.
+// Of returns the counts of a job, or false if the shard has none.
 func (s TaskCountShard) Of(job string) (TaskCounts, bool) {
 	n, found := s[job]
 	return TaskCounts{Running: n[0], Done: n[1]}, found
 }
 
-// DecodeTaskCountShard reads a shard of the task counts.
+// DecodeTaskCountShard decodes a shard of the task counts.
 func DecodeTaskCountShard(value json.RawMessage) (TaskCountShard, error) {
 	return decode[TaskCountShard](value)
 }
 
-// firstTaskCountShards is over how many shards the counts are spread by a hash of the jobs' ids. A shard that has
-// outgrown a value goes on in a further one: shard 3 in shard 3+firstTaskCountShards, and so on. Versions that know
-// the first ones only show what is in these.
-const firstTaskCountShards = 8
+// taskCountBuckets is the number of buckets over which the counts are distributed by a hash of the job id. Bucket b
+// consists of the shards b, b+taskCountBuckets, b+2*taskCountBuckets and so on, as many as its counts need. Some older
+// versions only read the first shard of each bucket.
+const taskCountBuckets = 8
 
-// firstTaskCountShard returns the first shard in which the counts of a job may be.
-func firstTaskCountShard(job string) int {
+// taskCountBucket returns the bucket of a job's counts, which is also the index of its first shard.
+func taskCountBucket(job string) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(job)) // a hash takes all
-	return int(h.Sum32() % firstTaskCountShards)
+	_, _ = h.Write([]byte(job)) // a hash never returns an error
+	return int(h.Sum32() % taskCountBuckets)
 }
 
-// FindTaskCounts finds the counts of a job, given a function that gives the shard of a key, and false if there is
-// none.
+// FindTaskCounts returns the counts of a job. The function shardOf returns the shard with the given key, or false if
+// there is none.
 func FindTaskCounts(job string, shardOf func(key string) (TaskCountShard, bool)) TaskCounts {
-	for i := firstTaskCountShard(job); ; i += firstTaskCountShards {
+	for i := taskCountBucket(job); ; i += taskCountBuckets {
 		shard, used := shardOf(TaskCountKey(i))
 		if !used {
 			return TaskCounts{}
@@ -51,37 +51,37 @@
 	}
 }
 
-// maxTaskCountBytes is what the counts of a job take at most, beside its id.
+// maxTaskCountBytes is the maximum encoded size of a job's counts in addition to its id.
 const maxTaskCountBytes = len(`"":[100000,100000],`)
 
-// TaskCountPacker puts task counts into shards, each within the limit of a value.
+// TaskCountPacker distributes task counts over shards, each of which fits into a value.
 type TaskCountPacker struct {
-	maxBytes int
-	shards   []TaskCountShard
-	last     [firstTaskCountShards]int // by first shard: the one that is being filled
-	sizes    [firstTaskCountShards]int // of those
+	maxBytes       int
+	shards         []TaskCountShard
+	openShard      [taskCountBuckets]int // by bucket: index of the shard that is being filled
+	openShardBytes [taskCountBuckets]int // by bucket: size of that shard in bytes
 }
 
-// NewTaskCountPacker makes a packer of shards of at most maxBytes each.
+// NewTaskCountPacker returns a packer of shards of at most maxBytes each.
 func NewTaskCountPacker(maxBytes int) *TaskCountPacker {
 	p := &TaskCountPacker{maxBytes: maxBytes}
-	for i := range p.last {
-		p.last[i] = i
+	for i := range p.openShard {
+		p.openShard[i] = i
 	}
 	return p
 }
 
-// Add puts in the counts of a job. Counts of zero are what is shown of a job that has none.
+// Add adds the counts of a job. Zero counts are omitted, because they are the default for a job without counts.
 func (p *TaskCountPacker) Add(job string, counts TaskCounts) {
 	if counts == (TaskCounts{}) {
 		return
 	}
-	first, size := firstTaskCountShard(job), len(job)+maxTaskCountBytes
-	if p.sizes[first] += size; p.sizes[first] >= p.maxBytes {
-		p.last[first] += firstTaskCountShards
-		p.sizes[first] = size
+	bucket, size := taskCountBucket(job), len(job)+maxTaskCountBytes
+	if p.openShardBytes[bucket] += size; p.openShardBytes[bucket] >= p.maxBytes {
+		p.openShard[bucket] += taskCountBuckets
+		p.openShardBytes[bucket] = size
 	}
-	i := p.last[first]
+	i := p.openShard[bucket]
 	for len(p.shards) <= i {
 		p.shards = append(p.shards, TaskCountShard{})
 	}
--- a/internal/stored/term.go
+++ b/internal/stored/term.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/record"
 )
 
-// Leader is the node that leads. Its key is attached to the node's lease and goes with it.
+// Leader is the node that leads. Its key is attached to the node's lease and is deleted when the lease ends.
 type Leader struct {
 	Node        string `json:"node"`
 	Incarnation string `json:"inc"`
@@ -14,36 +14,37 @@
 	Term        uint64 `json:"term"`
 }
 
-// DecodeLeader reads a stored leader.
+// DecodeLeader decodes a stored leader.
 func DecodeLeader(value json.RawMessage) (Leader, error) { return decode[Leader](value) }
 
 // Encode returns the stored form of a leader.
 func (l Leader) Encode() (json.RawMessage, error) { return json.Marshal(l) }
 
-// Term is the present term and the node that was elected for it. All writes of a leader are conditional on the
-// version of its key.
+// Term is the current term and the node that won its election. All writes of a leader are conditional on the version of
+// its key.
 type Term struct {
 	Number uint64 `json:"term"`
 	Node   string `json:"node"`
 }
 
-// TermFormat is a form of the stored term. A node that can't read the term can't win an election, so a form keeps
-// versions from leading that would misread what else is stored. Each form is read by fewer versions than the one
-// before it, and later terms keep it.
+// TermFormat is an encoding of the stored term. A node that can't decode the term can't win an election, so a new
+// format prevents versions from leading that would misinterpret other stored state. Each format can be read by fewer
+// versions than the one before it, and later terms never return to an earlier format.
 type TermFormat int
 
 const (
-	// BaseTermFormat is read by all versions, or once the second layout of run records is in use by those that
-	// know that layout.
+	// BaseTermFormat can be read by all versions or, once the second layout of run records is in use, by those that
+	// support that layout.
 	BaseTermFormat TermFormat = iota
-	// RolloutsTermFormat is read by versions that know rollout plans. Others would start the jobs that plans hold.
+	// RolloutsTermFormat can be read by versions that support rollout plans. Other versions would start jobs that plans
+	// hold back.
 	RolloutsTermFormat
-	// QuotasTermFormat is read by versions that know quota accounts. Others would grant teams the limits of all
-	// regions.
+	// QuotasTermFormat can be read by versions that support quota accounts. Other versions would grant teams the limits
+	// of all regions.
 	QuotasTermFormat
 )
 
-// String names what a version has to know to read a form.
+// String names the feature that a version must support to read the format.
 func (f TermFormat) String() string {
 	switch f {
 	case BaseTermFormat:
@@ -55,10 +56,11 @@
 	return "run records"
 }
 
-// The forms of the term beside Term itself, which is the first of them. Each is unreadable as any other.
+// The encodings of the term other than Term itself, which is the first one. A value in one encoding can't be decoded as
+// any other.
 type (
-	// layoutFencedTerm is a BaseTermFormat once the second layout of run records is in use. Version 1, which would
-	// delete records of that layout as orphans, can't read it.
+	// layoutFencedTerm is the BaseTermFormat once the second layout of run records is in use. Version 1, which would
+	// delete records of that layout as orphans, can't decode it.
 	layoutFencedTerm struct {
 		Number uint64 `json:"term,string"`
 		Node   string `json:"node"`
@@ -73,7 +75,7 @@
 	}
 )
 
-// Encode returns the stored form of a term. The layout matters for BaseTermFormat only.
+// Encode returns the stored form of a term. The layout only affects BaseTermFormat.
 func (t Term) Encode(format TermFormat, layout record.Layout) (json.RawMessage, error) {
 	switch {
 	case format == QuotasTermFormat:
@@ -86,7 +88,7 @@
 	return json.Marshal(t)
 }
 
-// DecodeTerm reads a stored term in any form, and returns the format that it is in.
+// DecodeTerm decodes a stored term of any format, and also returns the format.
 func DecodeTerm(value json.RawMessage) (Term, TermFormat, error) {
 	if t, err := decode[Term](value); err == nil {
 		return t, BaseTermFormat, nil
--- a/internal/stored/unreachable_hints.go
+++ b/internal/stored/unreachable_hints.go
@@ -2,29 +2,30 @@
 
 import "encoding/json"
 
-// UnreachableHints is a shard of the times of day when machines were last heard, by machine, in milliseconds. The
-// leader writes them for the machines of zones that are out of reach, so that an election does not restart the time
-// after which they are released. It is a hint and no evidence: one that is wrong has a machine released sooner, and
-// only the cloud's word ends what runs on it.
+// UnreachableHints is one shard of the times of day at which machines were last heard from, by machine, in
+// milliseconds. The leader writes them for the machines of unreachable zones, so that an election does not restart the
+// time after which they are released. They are hints and not proof: a wrong one only causes a machine to be released
+// too soon, and a task is only considered ended once the cloud confirms that its machine is gone.
 type UnreachableHints map[string]int64
 
-// DecodeUnreachableHints reads a shard of the unreachable hints.
+// DecodeUnreachableHints decodes a shard of the unreachable hints.
 func DecodeUnreachableHints(value json.RawMessage) (UnreachableHints, error) {
 	return decode[UnreachableHints](value)
 }
 
-// unreachableHintOverhead is what a machine takes in the unreachable hints at most, beside its name.
+// unreachableHintOverhead is the maximum encoded size of an unreachable hint in addition to the machine's name, in
+// bytes.
 const unreachableHintOverhead = 20
 
-// UnreachableHintPacker puts unreachable hints into shards. One shard of 16 KiB holds some 500 machines.
+// UnreachableHintPacker distributes unreachable hints over shards. A shard of 16 KiB holds about 500 machines.
 type UnreachableHintPacker struct{ packer shardPacker[int64] }
 
-// NewUnreachableHintPacker makes a packer of shards of at most maxBytes each.
+// NewUnreachableHintPacker returns a packer of shards of at most maxBytes each.
 func NewUnreachableHintPacker(maxBytes int) *UnreachableHintPacker {
 	return &UnreachableHintPacker{shardPacker[int64]{maxBytes: maxBytes, size: maxBytes}}
 }
 
-// Add puts in when a machine was last heard.
+// Add adds the time at which a machine was last heard from.
 func (p *UnreachableHintPacker) Add(machine string, lastHeardMS int64) {
 	p.packer.add(machine, lastHeardMS, len(machine)+unreachableHintOverhead)
 }
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -1,8 +1,8 @@
-// Package watchcache is a node's view of the watched keys of the key-value store, as the list and the watch have brought
-// them so far.
+// Package watchcache keeps a copy of the watched keys of the key-value store, which a list and a watch keep up to date.
 //
-// The view may lag behind the store: what is told to users is confirmed first, and what is written is conditional on the
-// versions that were seen. The package is pure: it does not call the store, and does not know who follows its changes.
+// The cache may lag behind the store. State is therefore confirmed before it is reported to users, and writes are
+// conditional on the versions in the cache. The package is pure: it does not call the store, and it does not notify
+// anyone of changes.
 package watchcache
 
 import (
@@ -24,7 +24,7 @@
 // Cancelled reports whether there is a job and it is cancelled.
 func (j *Job) Cancelled() bool { return j != nil && j.CancelledMS != 0 }
 
-// Cache is the watched part of the key-value store as this node last saw it.
+// Cache is the watched part of the key-value store as this node last read it.
 type Cache struct {
 	ready    bool
 	revision uint64
@@ -51,7 +51,7 @@
 	version uint64
 }
 
-// New makes an empty cache that remembers so many final states.
+// New returns an empty cache that stores up to maxFinalStates final states.
 func New(maxFinalStates int) *Cache {
 	return &Cache{jobs: map[string]*Job{}, plans: newPlans(), quotaAccounts: newQuotaAccounts(),
 		taskCounts:  map[string]*lazyValue[stored.TaskCountShard]{},
@@ -59,16 +59,16 @@
 		unreachable: map[string]unreachableShard{}, finalStates: newFinalStates(maxFinalStates)}
 }
 
-// Ready reports whether the watched keys were listed once.
+// Ready reports whether a complete list of the watched keys has been loaded.
 func (c *Cache) Ready() bool { return c.ready }
 
-// Revision returns the store's revision up to which the cache has all changes.
+// Revision returns the store revision up to which the cache includes all changes.
 func (c *Cache) Revision() uint64 { return c.revision }
 
-// Advance notes that all changes up to a revision were applied.
+// Advance records that all changes up to a revision have been applied.
 func (c *Cache) Advance(revision uint64) { c.revision = max(c.revision, revision) }
 
-// Apply takes the value of a watched key, or its deletion where value is nil.
+// Apply applies a change of a watched key. A nil value is a deletion.
 func (c *Cache) Apply(key string, value json.RawMessage, version uint64) {
 	switch kind, name := stored.ParseWatchedKey(key); kind {
 	case stored.KindJob:
@@ -98,12 +98,12 @@
 	case stored.KindTaskCounts:
 		c.taskCounts[key] = newLazyValue(value, stored.DecodeTaskCountShard)
 	case stored.KindRelayedHeartbeats, stored.KindUnknown:
-		// Relayed heartbeats are evidence for the leader, and state of nobody.
+		// The leader processes relayed heartbeats as they arrive; the cache does not store them.
 	}
 }
 
-// ApplyJob takes a job's value, or its deletion where value is nil. A value that is no newer than the known one, or
-// that can't be decoded, changes nothing.
+// ApplyJob applies a change of a job. A nil value is a deletion. A value that is not newer than the cached one, or that
+// can't be decoded, is ignored.
 func (c *Cache) ApplyJob(id string, value json.RawMessage, version uint64) {
 	if known := c.jobs[id]; known != nil && known.Version >= version {
 		return
@@ -117,13 +117,13 @@
 	}
 }
 
-// Job returns an active job; nil for one that is not known.
+// Job returns an active job, or nil if it is not in the cache.
 func (c *Cache) Job(id string) *Job { return c.jobs[id] }
 
-// JobCount returns how many jobs are active.
+// JobCount returns the number of active jobs.
 func (c *Cache) JobCount() int { return len(c.jobs) }
 
-// JobIDs returns the ids of the active jobs in their order.
+// JobIDs returns the sorted ids of the active jobs.
 func (c *Cache) JobIDs() []string { return slices.Sorted(maps.Keys(c.jobs)) }
 
 func (c *Cache) applyLeader(value json.RawMessage, version uint64) {
@@ -133,19 +133,19 @@
 	}
 }
 
-// HasLeader reports whether some node leads.
+// HasLeader reports whether there is a leader.
 func (c *Cache) HasLeader() bool { return c.leaderVersion != 0 }
 
-// Leader returns the node that leads; the zero value if none does.
+// Leader returns the leader, or the zero value if there is none.
 func (c *Cache) Leader() stored.Leader { return c.leader }
 
-// LeaderCondition is the condition that the same node leads in the same term.
+// LeaderCondition returns the condition that the same node still leads in the same term.
 func (c *Cache) LeaderCondition() wire.Condition {
 	return wire.Condition{Key: stored.LeaderKey, Version: c.leaderVersion}
 }
 
-// ObserveTerm takes a term that was read or written at a version. Its format never goes back to one that older versions
-// can read.
+// ObserveTerm records a term that was read or written at a version. The format never reverts to one that older versions
+// of the program can read.
 func (c *Cache) ObserveTerm(term stored.Term, format stored.TermFormat, version uint64) {
 	if version > c.term.version {
 		c.term = versionedTerm{term: term, format: max(c.term.format, format), version: version}
@@ -155,23 +155,24 @@
 // Term returns the newest term.
 func (c *Cache) Term() stored.Term { return c.term.term }
 
-// TermVersion returns the version of the term's key.
+// TermVersion returns the version of the term key.
 func (c *Cache) TermVersion() uint64 { return c.term.version }
 
 // TermFormat returns the format in which the term is stored.
 func (c *Cache) TermFormat() stored.TermFormat { return c.term.format }
 
-// Catalog returns the machine types that the cloud offers; nil if none are stored.
+// Catalog returns the machine types that the cloud offers, or nil if none are stored.
 func (c *Cache) Catalog() []wire.MachineType { return c.catalog }
 
-// ObserveRecordLayout takes the layout of the run records that was read or written at a version.
+// ObserveRecordLayout records the layout of the run records that was read or written at a version.
 func (c *Cache) ObserveRecordLayout(layout record.Layout, version uint64) {
 	if version > c.layoutVersion {
 		c.layout, c.layoutVersion = layout, version
 	}
 }
 
-// RecordLayout returns the layout of the run records; false if it is still the first one, which is not stored.
+// RecordLayout returns the layout of the run records. The result is false while the first layout is in use, which is
+// not stored.
 func (c *Cache) RecordLayout() (record.Layout, bool) { return c.layout, c.layoutVersion != 0 }
 
 // TaskCounts returns the stored task counts of a job.
@@ -185,7 +186,7 @@
 	})
 }
 
-// Images returns the images that an earlier leader believed to be on a machine.
+// Images returns the images that the image hints of an earlier leader list for a machine.
 func (c *Cache) Images(machine string) []string {
 	var images []string
 	for _, shard := range c.images {
--- a/internal/watchcache/final_states.go
+++ b/internal/watchcache/final_states.go
@@ -2,19 +2,19 @@
 
 import "bitternwing/internal/stored"
 
-// finalStates are the final states that were seen here, up to a bound; beyond it the oldest makes way. They never
-// change, so they need no confirmation.
+// finalStates stores the final states that this node has observed. When it is full, the oldest entry is evicted. Final
+// states never change, so they need no confirmation.
 type finalStates struct {
 	maxCount int
 	byJob    map[string]stored.FinalState
-	order    []string // in which they came
+	order    []string // job ids, oldest entry first
 }
 
 func newFinalStates(maxCount int) finalStates {
 	return finalStates{maxCount: maxCount, byJob: map[string]stored.FinalState{}}
 }
 
-// AddFinalState remembers the final state of a job.
+// AddFinalState stores the final state of a job.
 func (c *Cache) AddFinalState(job string, final stored.FinalState) {
 	f := &c.finalStates
 	if _, known := f.byJob[job]; known {
@@ -28,11 +28,11 @@
 	f.order = append(f.order, job)
 }
 
-// FinalState returns the final state of a job; false if it is not remembered here.
+// FinalState returns the final state of a job, or false if it is not cached.
 func (c *Cache) FinalState(job string) (stored.FinalState, bool) {
 	final, known := c.finalStates.byJob[job]
 	return final, known
 }
 
-// FinalStateCount returns how many final states are remembered.
+// FinalStateCount returns the number of cached final states.
 func (c *Cache) FinalStateCount() int { return len(c.finalStates.byJob) }
--- a/internal/watchcache/listing.go
+++ b/internal/watchcache/listing.go
@@ -2,58 +2,58 @@
 
 import "bitternwing/internal/wire"
 
-// Listing collects the pages of a list of the watched keys, while the cache still shows what was known before.
-type Listing struct{ read *Cache }
+// Listing collects the pages of a list of the watched keys. The cache keeps its old content until Replace.
+type Listing struct{ listed *Cache }
 
-// NewListing begins a list.
-func NewListing() *Listing { return &Listing{read: New(0)} }
+// NewListing returns an empty listing.
+func NewListing() *Listing { return &Listing{listed: New(0)} }
 
-// AddPage takes the next page. The revision of the first page is where the watch begins: what changed while later pages
-// were read comes once more.
+// AddPage adds the next page. The watch starts at the revision of the first page, so changes made while the later pages
+// were read are delivered again.
 func (l *Listing) AddPage(page wire.Page) {
-	if l.read.revision == 0 {
-		l.read.revision = page.Revision
+	if l.listed.revision == 0 {
+		l.listed.revision = page.Revision
 	}
 	for _, item := range page.Items {
-		l.read.Apply(item.Key, item.Value, item.Version)
+		l.listed.Apply(item.Key, item.Value, item.Version)
 	}
 }
 
-// Replace has the cache show what was listed. Values that became known since the list began stay: the watch brings them,
-// or their deletion, once more.
+// Replace replaces the content of the cache with the listing. Values that became known after the listing started are
+// kept. The watch delivers them, or their deletion, again.
 func (c *Cache) Replace(listing *Listing) {
-	read := listing.read
-	retainNewer(read.jobs, c.jobs, read.revision)
-	c.jobs, c.leader, c.leaderVersion = read.jobs, read.leader, read.leaderVersion
-	if read.term.version > c.term.version {
-		c.term = read.term
+	listed := listing.listed
+	retainNewer(listed.jobs, c.jobs, listed.revision)
+	c.jobs, c.leader, c.leaderVersion = listed.jobs, listed.leader, listed.leaderVersion
+	if listed.term.version > c.term.version {
+		c.term = listed.term
 	}
-	c.taskCounts, c.images, c.unreachable = read.taskCounts, read.images, read.unreachable
-	c.plans.replace(read.plans, read.revision)
-	c.quotaAccounts.replace(read.quotaAccounts, read.revision)
-	if read.catalog != nil {
-		c.catalog = read.catalog
+	c.taskCounts, c.images, c.unreachable = listed.taskCounts, listed.images, listed.unreachable
+	c.plans.replace(listed.plans, listed.revision)
+	c.quotaAccounts.replace(listed.quotaAccounts, listed.revision)
+	if listed.catalog != nil {
+		c.catalog = listed.catalog
 	}
-	c.ObserveRecordLayout(read.layout, read.layoutVersion)
-	c.revision, c.ready = read.revision, true
+	c.ObserveRecordLayout(listed.layout, listed.layoutVersion)
+	c.revision, c.ready = listed.revision, true
 }
 
-// versionedValue is a value of a key as it was read at a version.
+// versionedValue is the value of a key with the version at which it was read.
 type versionedValue interface {
 	comparable
-	readVersion() uint64
+	keyVersion() uint64
 }
 
-func (j *Job) readVersion() uint64          { return j.Version }
-func (p *Plan) readVersion() uint64         { return p.Version }
-func (a *QuotaAccount) readVersion() uint64 { return a.Version }
+func (j *Job) keyVersion() uint64          { return j.Version }
+func (p *Plan) keyVersion() uint64         { return p.Version }
+func (a *QuotaAccount) keyVersion() uint64 { return a.Version }
 
-// retainNewer adds to a list that began at a revision the values that became known since.
-func retainNewer[V versionedValue](read, before map[string]V, revision uint64) {
+// retainNewer adds to a listing that started at a revision the cached values that became known after it.
+func retainNewer[V versionedValue](listed, cached map[string]V, revision uint64) {
 	var none V
-	for key, known := range before {
-		if now := read[key]; known.readVersion() > revision && (now == none || now.readVersion() < known.readVersion()) {
-			read[key] = known
+	for key, cachedValue := range cached {
+		if listedValue := listed[key]; cachedValue.keyVersion() > revision && (listedValue == none || listedValue.keyVersion() < cachedValue.keyVersion()) {
+			listed[key] = cachedValue
 		}
 	}
 }
--- a/internal/watchcache/plans.go
+++ b/internal/watchcache/plans.go
@@ -10,12 +10,12 @@
 
 // Plan is a rollout plan with the version of its key.
 type Plan struct {
-	Record  *rollout.Record // nil: nothing of it can be read
-	Problem error           // why the plan is left alone; nil: it can be read
+	Record  *rollout.Record // nil if no version of the plan could be decoded
+	Problem error           // why the value can't be decoded; nil if it can
 	Version uint64
 }
 
-// plans are the rollout plans, and which plan a job belongs to.
+// plans holds the rollout plans and an index from each job to its plan.
 type plans struct {
 	byName map[string]*Plan
 	byJob  map[string]string
@@ -23,8 +23,8 @@
 
 func newPlans() plans { return plans{byName: map[string]*Plan{}, byJob: map[string]string{}} }
 
-// ApplyPlan takes a plan's value, or its deletion where value is nil. One that can't be read any more leaves its jobs as
-// they are: the last record that could be read goes on holding them.
+// ApplyPlan applies a change of a plan. A nil value is a deletion. If the value can't be decoded, the plan keeps its
+// last readable record, which continues to hold the jobs of the plan.
 func (c *Cache) ApplyPlan(name string, value json.RawMessage, version uint64) {
 	p := &c.plans
 	known := p.byName[name]
@@ -40,11 +40,11 @@
 		}
 		p.byName[name] = &Plan{Record: record, Problem: err, Version: version}
 	}
-	p.index()
+	p.rebuildJobIndex()
 }
 
-// index works out anew which plan each job belongs to.
-func (p *plans) index() {
+// rebuildJobIndex recomputes which plan each job belongs to.
+func (p *plans) rebuildJobIndex() {
 	clear(p.byJob)
 	for _, name := range slices.Sorted(maps.Keys(p.byName)) {
 		if record := p.byName[name].Record; record != nil {
@@ -55,21 +55,21 @@
 	}
 }
 
-// replace takes plans that were listed at a revision.
-func (p *plans) replace(read plans, revision uint64) {
-	retainNewer(read.byName, p.byName, revision)
-	*p = read
-	p.index()
+// replace replaces the plans with those listed at a revision.
+func (p *plans) replace(listed plans, revision uint64) {
+	retainNewer(listed.byName, p.byName, revision)
+	*p = listed
+	p.rebuildJobIndex()
 }
 
-// Plan returns a plan; nil if there is none of that name.
+// Plan returns the plan with the given name, or nil if there is none.
 func (c *Cache) Plan(name string) *Plan { return c.plans.byName[name] }
 
-// PlanCount returns how many plans there are.
+// PlanCount returns the number of plans.
 func (c *Cache) PlanCount() int { return len(c.plans.byName) }
 
-// PlanNames returns the names of the plans in their order.
+// PlanNames returns the sorted names of the plans.
 func (c *Cache) PlanNames() []string { return slices.Sorted(maps.Keys(c.plans.byName)) }
 
-// PlanHolding returns the plan that a job belongs to; nil if it belongs to none.
-func (c *Cache) PlanHolding(job string) *Plan { return c.plans.byName[c.plans.byJob[job]] }
+// PlanForJob returns the plan that a job belongs to, or nil if there is none.
+func (c *Cache) PlanForJob(job string) *Plan { return c.plans.byName[c.plans.byJob[job]] }
--- a/internal/watchcache/quota_accounts.go
+++ b/internal/watchcache/quota_accounts.go
@@ -6,14 +6,14 @@
 	"bitternwing/internal/quota"
 )
 
-// QuotaAccount is this region's account of a team with the version of its key.
+// QuotaAccount is this region's quota account of a team with the version of its key.
 type QuotaAccount struct {
 	Account *quota.Account
-	Problem error // why it can't be read; nil: it can
+	Problem error // why the value can't be decoded; nil if it can
 	Version uint64
 }
 
-// quotaAccounts are the accounts by key. There are none without several regions.
+// quotaAccounts holds the quota accounts by key. There are none unless there are several regions.
 type quotaAccounts struct {
 	byKey   map[string]*QuotaAccount
 	changes uint64
@@ -21,8 +21,8 @@
 
 func newQuotaAccounts() quotaAccounts { return quotaAccounts{byKey: map[string]*QuotaAccount{}} }
 
-// ApplyQuotaAccount takes an account's value. Accounts are never deleted; a deletion that is seen all the same is taken
-// for a value that can't be read, since a fresh account would grant the same shares a second time.
+// ApplyQuotaAccount applies a change of an account. Accounts are never deleted. A deletion is treated as a value that
+// can't be decoded, because a new account would grant the same shares a second time.
 func (c *Cache) ApplyQuotaAccount(key string, value json.RawMessage, version uint64) {
 	a := &c.quotaAccounts
 	if known := a.byKey[key]; known != nil && known.Version >= version {
@@ -36,18 +36,18 @@
 	a.byKey[key] = &QuotaAccount{Account: account, Problem: err, Version: version}
 }
 
-// replace takes accounts that were listed at a revision.
-func (a *quotaAccounts) replace(read quotaAccounts, revision uint64) {
-	retainNewer(read.byKey, a.byKey, revision)
-	a.byKey = read.byKey
+// replace replaces the accounts with those listed at a revision.
+func (a *quotaAccounts) replace(listed quotaAccounts, revision uint64) {
+	retainNewer(listed.byKey, a.byKey, revision)
+	a.byKey = listed.byKey
 	a.changes++
 }
 
-// QuotaAccount returns the account of a key; nil if there is none.
+// QuotaAccount returns the account with the given key, or nil if there is none.
 func (c *Cache) QuotaAccount(key string) *QuotaAccount { return c.quotaAccounts.byKey[key] }
 
-// QuotaAccountCount returns how many accounts there are.
+// QuotaAccountCount returns the number of accounts.
 func (c *Cache) QuotaAccountCount() int { return len(c.quotaAccounts.byKey) }
 
-// QuotaAccountChanges counts the changes of accounts; it is the same while they are.
+// QuotaAccountChanges returns a counter that increases whenever an account may have changed.
 func (c *Cache) QuotaAccountChanges() uint64 { return c.quotaAccounts.changes }
