--- a/internal/watchcache/unreachable_hints.go
+++ b/internal/watchcache/unreachable_hints.go
@@ -6,10 +6,10 @@
 	"bitternwing/internal/stored"
 )
 
-// unreachableShard is a shard of the unreachable hints.
+// unreachableShard is one shard of the unreachable hints.
 type unreachableShard struct {
 	lastHeardMS stored.UnreachableHints
-	encoded     string // the same, as it is stored
+	encoded     string // the stored form of lastHeardMS
 }
 
 func (c *Cache) applyUnreachableHints(key string, value json.RawMessage) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// LastHeardMS returns the time of day when an earlier leader last heard a machine; false if it left none. Of two shards
-// that name the machine one was about to be rewritten, and the later time holds.
+// LastHeardMS returns the time of day at which an earlier leader last heard from a machine, or false if there is no
+// hint. A machine can be in two shards while the hints are being rewritten. The later time is then used.
 func (c *Cache) LastHeardMS(machine string) (lastHeardMS int64, known bool) {
 	for _, shard := range c.unreachable {
 		if heard, named := shard.lastHeardMS[machine]; named {
@@ -30,7 +30,7 @@
 	return lastHeardMS, known
 }
 
-// UnreachableHintValues returns the stored values of the unreachable hints, by shard.
+// UnreachableHintValues returns the stored values of the unreachable hints, ordered by shard.
 func (c *Cache) UnreachableHintValues() []string {
 	var values []string
 	for i := 0; ; i++ {
