--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -14,7 +14,7 @@
 	if e.lastLeaderAlive() {
 		ttl = e.history.leaseTTL(e.host.Now(), e.timing)
 	}
-	e.store.GrantLease(ttl, &candidateGrant{e, ttl})
+	e.store.GrantLease(ttl, &candidateLeaseGrant{e, ttl})
 }
 
 // campaignFailed ends a lost campaign. The next campaign starts after RetryPause.
@@ -33,14 +33,14 @@
 	return p != nil && e.members.RecentlyHeard(p, e.host.Now()) && p.Status().Term >= last.Number
 }
 
-// candidateGrant is the pending request for a candidate's lease.
-type candidateGrant struct {
+// candidateLeaseGrant is the pending request for a candidate's lease.
+type candidateLeaseGrant struct {
 	election *Election
 	ttl      time.Duration
 }
 
 // Complete claims the next term with the granted lease.
-func (c *candidateGrant) Complete(grant Reply) {
+func (c *candidateLeaseGrant) Complete(grant Reply) {
 	e := c.election
 	if grant.Outcome != outcome.OK {
 		e.campaignFailed()
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -12,7 +12,7 @@
 
 var testTiming = Timing{LeaseTTL: 4 * time.Second, WorkerLease: 10 * time.Second, CheckInterval: 2 * time.Second, RetryPause: 500 * time.Millisecond}
 
-// request is a request to the store that waits for its reply.
+// request is a pending request to the store.
 type request struct {
 	kind  string
 	ttl   time.Duration
@@ -21,7 +21,7 @@
 	call  Call
 }
 
-// fake is the fake host and store of the election under test.
+// fake is the host and the store of the election under test.
 type fake struct {
 	*testing.T
 	now                   time.Duration
@@ -39,8 +39,7 @@
 	election              *Election
 }
 
-// newFake returns the fake for controller a in zone 1. Each digit of peerZones is the zone of one peer: b, c and
-// so on.
+// newFake returns a fake for controller a in zone 1. Each digit of peerZones is the zone of one peer: b, c and so on.
 func newFake(t *testing.T, peerZones string) *fake {
 	t.Helper()
 	f := &fake{T: t, now: time.Minute, view: View{Ready: true, Vacant: true, Term: TermView{Number: 7, Node: "b", Version: 70}}}
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -10,9 +10,8 @@
 // store's, doubled as a safety margin.
 const MaxClockDrift = 0.001
 
-// A lease is renewed after a fraction of its life, and sooner again if the renewal failed.
+// A lease is renewed after a fraction of its time to live. A failed renewal is retried after a shorter one.
 const (
-	// A lease is renewed after a fraction of its time to live. A failed renewal is retried after a shorter one.
 	renewalsPerTTL       = 4
 	renewalRetriesPerTTL = 12
 )
--- a/internal/election/preference.go
+++ b/internal/election/preference.go
@@ -4,7 +4,8 @@
 
 // Delays before a campaign, as fractions of CheckInterval.
 const (
-	// hopDelayDivisor divides CheckInterval into the delay for each controller in a row that workers may try in vain.
+	// hopDelayDivisor divides CheckInterval into the delay for each controller in a row, after the first, that workers
+	// may try in vain.
 	hopDelayDivisor = 4
 	// maxDelayedHops limits how many of these controllers are counted.
 	maxDelayedHops = 2
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -20,7 +20,7 @@
 // maxPageBytes is the maximum size of a page of keys as returned by the store.
 const maxPageBytes = 512 << 10
 
-// New returns a client that sends at most perSecond requests per second over at most conns connections. A response may
+// New returns a client that sends at most perSecond requests per second over at most maxConns connections. A response may
 // have up to maxResponseBytes bytes, and at least two full pages. This limit is needed because the store does not limit
 // the size of a watch response.
 func New(addr string, perSecond float64, maxConns int, maxResponseBytes int64) *Client {
--- a/internal/pacing/load.go
+++ b/internal/pacing/load.go
@@ -35,7 +35,7 @@
 // Observe records how late a timer fired.
 func (l *Load) Observe(now, delay time.Duration) {
 	level := l.Level(now)
-	// Count the overlap with a delay that was already counted only once.
+	// The time since the last observation limits the delay, so that delays that overlap are not counted twice.
 	delay = min(delay, now-l.at+l.tolerance)
 	sample := min((delay-l.tolerance).Seconds()/l.fullLoadDelay.Seconds(), maxSample)
 	l.level = min(1, level+max(0, sample))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -41,7 +41,7 @@
 	backoffJitter            = 0.2
 )
 
-// noHeartbeatAge is the age in a message that means that no heartbeat has been received.
+// noHeartbeatAge is the heartbeat age that is sent if no heartbeat has been received.
 const noHeartbeatAge = -1
 
 // Server serves the status of a controller.
@@ -80,11 +80,11 @@
 	if cancellations := decodeCancellations(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
 		return nil, status.Error(codes.Unavailable, "cancellations not accepted")
 	}
-	return s.reply(s.status()), nil
+	return s.statusReply(s.status()), nil
 }
 
-// reply converts the status to a message.
-func (s *Server) reply(current membership.Status) *peerpb.StatusReply {
+// statusReply converts the status to a message.
+func (s *Server) statusReply(current membership.Status) *peerpb.StatusReply {
 	age := int64(noHeartbeatAge)
 	if current.HeartbeatAge >= 0 {
 		age = current.HeartbeatAge.Milliseconds()
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -17,14 +17,15 @@
 // indexTasksPerKB is the number of tasks in a record of the first layout for each KiB of the value size.
 const indexTasksPerKB = 8
 
-// IndexLayoutTasks returns the number of tasks in a record of the first layout. Version 1 calculates the same number from the
-// value size in its settings.
+// IndexLayoutTasks returns the number of tasks in a record of the first layout. Version 1 calculates the same number
+// from the value size in its settings.
 func IndexLayoutTasks(valueKB float64) int { return max(minTasks, int(indexTasksPerKB*valueKB)) }
 
 // PlacementBytes is the encoded size of a placement in a record, with a machine name of up to 40 bytes.
 const PlacementBytes = 64
 
-// TaskLayoutTasks returns the number of tasks in a record of the second layout that fits into a value of the given size.
+// TaskLayoutTasks returns the number of tasks in a record of the second layout that fits into a value of the given
+// size.
 func TaskLayoutTasks(valueBytes int) int { return max(minTasks, valueBytes/PlacementBytes) }
 
 // TasksPerRecord returns the number of tasks in a new record.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if r.HighestAttempt != 7 || r.Done.Count() != 4 || !r.Done.Has(40) || r.Placed[250] != (Run{7, "host-000007", 3}) {
-		t.Errorf("%+v", r)
+		t.Errorf("decoded as %+v", r)
 	}
 	if b, err := r.Encode(); err != nil || string(b) != version1Value {
 		t.Errorf("encoded as %s, %v, want the old value", b, err)
--- a/internal/stored/shards.go
+++ b/internal/stored/shards.go
@@ -8,17 +8,17 @@
 // shardPacker distributes the entries of a map over shards, in the order in which they are added. Each shard fits into
 // a value.
 type shardPacker[V any] struct {
-	maxBytes int
-	size     int // size of the last shard in bytes
-	shards   []map[string]V
+	maxBytes       int
+	openShardBytes int // size of the last shard in bytes
+	shards         []map[string]V
 }
 
 // add adds an entry with an encoded size of at most the given number of bytes to the last shard, or to a new one if it
 // does not fit.
 func (p *shardPacker[V]) add(key string, value V, entryBytes int) {
-	if p.size += entryBytes; p.size > p.maxBytes {
+	if p.openShardBytes += entryBytes; p.openShardBytes > p.maxBytes {
 		p.shards = append(p.shards, map[string]V{})
-		p.size = entryBytes
+		p.openShardBytes = entryBytes
 	}
 	p.shards[len(p.shards)-1][key] = value
 }
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -2,9 +2,8 @@
 
 import "bitternwing/internal/wire"
 
-// Values are kept below a part of their limit, and several must fit into the body of one transaction.
+// Values are kept below the store's limit, and one transaction body must have room for several of them.
 const (
-	// Values are kept below the store's limit, and one transaction body must have room for several of them.
 	usableTenths    = 9
 	minValuesPerTxn = 4
 )
--- a/internal/stored/unreachable_hints.go
+++ b/internal/stored/unreachable_hints.go
@@ -20,9 +20,10 @@
 // UnreachableHintPacker distributes unreachable hints over shards. A shard of 16 KiB holds about 500 machines.
 type UnreachableHintPacker struct{ packer shardPacker[int64] }
 
-// NewUnreachableHintPacker returns a packer of shards of at most maxBytes each.
+// NewUnreachableHintPacker returns a packer of shards of at most maxBytes each. There is no shard until the first entry
+// is added.
 func NewUnreachableHintPacker(maxBytes int) *UnreachableHintPacker {
-	return &UnreachableHintPacker{shardPacker[int64]{maxBytes: maxBytes, size: maxBytes}}
+	return &UnreachableHintPacker{shardPacker[int64]{maxBytes: maxBytes, openShardBytes: maxBytes}}
 }
 
 // Add adds the time at which a machine was last heard from.
