--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,17 +8,17 @@
 	"bitternwing/internal/wire"
 )
 
-// admission tells what becomes of a submission.
+// admission is the result of the admission check of a job.
 type admission int
 
 const (
-	admissible       admission = iota // it can run on some machine, within its team's quota
-	inadmissible                      // it can't, whatever happens
+	admissible       admission = iota // the job fits an offered machine type and its team's quota
+	inadmissible                      // the job can never run here
 	admissionUnknown                  // the machine types are not known yet
 )
 
-// admissionOf tells whether a job can ever run here.
-func (c *Core) admissionOf(spec *wire.Job) admission {
+// checkAdmission checks whether a job can ever run here.
+func (c *Core) checkAdmission(spec *wire.Job) admission {
 	team := c.team(spec.Team)
 	if team == nil || exceedsQuota(spec, team) {
 		return inadmissible
@@ -36,8 +36,8 @@
 	return admissible
 }
 
-// exceedsQuota tells whether a job can't run within its team's quota. All tasks of a service run at once, those of an
-// array one at a time if need be.
+// exceedsQuota reports whether a job can't run within its team's quota. All tasks of a service run at the same time,
+// while the tasks of an array may run one at a time.
 func exceedsQuota(spec *wire.Job, team *config.Team) bool {
 	tasks := 1.0
 	if spec.Kind == wire.KindService {
@@ -46,7 +46,7 @@
 	return scheduling.ExceedsLimit(tasks*spec.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(tasks*spec.GPUs, team.MaxGPUs)
 }
 
-// zonesFor gives the zones in which the cloud offers a machine type on which a job's tasks can run.
+// zonesFor returns the zones in which the cloud offers a machine type on which a job's tasks can run.
 func (m *machineCatalog) zonesFor(spec *wire.Job) map[string]bool {
 	zones := map[string]bool{}
 	for i := range m.types {
@@ -63,17 +63,17 @@
 	return zones
 }
 
-// fitsType tells whether a task of a job fits into an empty machine of a type.
+// fitsType reports whether a task of a job fits on an empty machine of a type.
 func fitsType(spec *wire.Job, machineType *wire.MachineType) bool {
 	return spec.CPUs <= machineType.CPUs && spec.GPUs <= machineType.GPUs && spec.MemoryGB <= machineType.MemoryGB
 }
 
-// allowsType tells whether a job allows a machine type.
+// allowsType reports whether a job allows a machine type.
 func allowsType(spec *wire.Job, name string) bool {
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
 
-// team gives the settings of a team; nil if there is no such team.
+// team returns the settings of a team, or nil if there is no such team.
 func (c *Core) team(name string) *config.Team {
 	for i := range c.settings.Params.Teams {
 		if c.settings.Params.Teams[i].Name == name {
--- a/internal/core/cancel_requests.go
+++ b/internal/core/cancel_requests.go
@@ -10,17 +10,17 @@
 	"bitternwing/internal/wire"
 )
 
-// maxCancelRetries bounds how often a cancellation is tried again because the job's key had changed.
+// maxCancelRetries bounds how often a cancellation is retried because the job's key has changed concurrently.
 const maxCancelRetries = 3
 
-// pendingCancel is a CancelJob that waits for its response.
-type pendingCancel struct {
+// pendingCancelRequest is a CancelJob request that awaits its response.
+type pendingCancelRequest struct {
 	requests *userRequests
 	request  CancelJob
 	retries  int
 }
 
-// cancel cancels a job, or responds with the state of one that has ended.
+// cancel cancels a job. If the job has ended, it responds with its final state.
 func (u *userRequests) cancel(in CancelJob) {
 	c := u.core
 	if !wire.ValidJobID(in.ID) {
@@ -34,17 +34,17 @@
 	if u.rejectIfOverloaded(in.RequestID) {
 		return
 	}
-	pending := &pendingCancel{requests: u, request: in}
+	pending := &pendingCancelRequest{requests: u, request: in}
 	pending.lookUp()
 }
 
-// lookUp finds out the job's state and then cancels it by a compare-and-swap of the job's key. The write of a
-// job's end is one as well: one of the two wins.
-func (p *pendingCancel) lookUp() {
+// lookUp looks the job up and then cancels it by a compare-and-swap of the job's key. A job's end is written by a
+// compare-and-swap of the same key, so only one of the two succeeds.
+func (p *pendingCancelRequest) lookUp() {
 	p.requests.lookUp(p.request.ID, p.applyLookup)
 }
 
-func (p *pendingCancel) applyLookup(result lookupResult) {
+func (p *pendingCancelRequest) applyLookup(result lookupResult) {
 	u, requestID := p.requests, p.request.RequestID
 	if p.retries > maxCancelRetries {
 		u.respondIndeterminate(requestID)
@@ -66,9 +66,9 @@
 	}
 }
 
-func (p *pendingCancel) applyCommit(result cancelResult) {
+func (p *pendingCancelRequest) applyCommit(result cancelResult) {
 	switch result {
-	case cancelAcknowledged:
+	case cancelConfirmed:
 		p.respondState(wire.JobCancelled)
 	case cancelConflict:
 		p.retries++
@@ -78,45 +78,45 @@
 	}
 }
 
-func (p *pendingCancel) respondState(state wire.JobStatus) {
+func (p *pendingCancelRequest) respondState(state wire.JobStatus) {
 	p.requests.respond(p.request.RequestID, http.StatusOK, wire.JobState{ID: p.request.ID, State: state})
 }
 
-// cancelResult is what became of the write of a cancellation.
+// cancelResult is the result of writing and replicating a cancellation.
 type cancelResult int
 
 const (
 	cancelIndeterminate cancelResult = iota
-	cancelAcknowledged               // written, and known to all nodes
-	cancelConflict                   // the job's key had changed before
+	cancelConfirmed                  // written, acknowledged by all nodes and resolved by the leader
+	cancelConflict                   // not written: the job's key has changed since it was read
 )
 
-// cancellationWrite is the write of a job's cancellation.
+// cancellationWrite writes a job's cancellation to the key-value store.
 type cancellationWrite struct {
 	core     *Core
 	id       string
 	job      stored.Job // with the cancellation
 	value    json.RawMessage
-	then     func(cancelResult)
-	revision uint64 // at which it was written
+	onResult func(cancelResult)
+	revision uint64 // store revision of the write
 }
 
-// commitCancellation writes a job's cancellation, on the condition that its key is as it was seen, and has all nodes
-// acknowledge it.
-func (u *userRequests) commitCancellation(id string, seen *watchcache.Job, then func(cancelResult)) {
+// commitCancellation writes a job's cancellation, provided that the job's key is unchanged, and then waits until all
+// nodes have acknowledged it.
+func (u *userRequests) commitCancellation(id string, current *watchcache.Job, onResult func(cancelResult)) {
 	c := u.core
-	job := seen.Job
+	job := current.Job
 	job.CancelledMS = max(1, c.now.WallMS)
 	value, err := job.EncodeWithin(c.limits.maxValueBytes())
 	if err != nil {
-		then(cancelIndeterminate)
+		onResult(cancelIndeterminate)
 		return
 	}
-	write := &cancellationWrite{core: c, id: id, job: job, value: value, then: then}
-	request := c.registerStoreCall(write.applyResult)
+	write := &cancellationWrite{core: c, id: id, job: job, value: value, onResult: onResult}
+	callID := c.registerStoreCall(write.applyResult)
 	key := stored.JobKey(id)
-	c.emit(StoreTxn{CallID: request, Txn: wire.Txn{
-		If:   []wire.Condition{{Key: key, Version: seen.Version}},
+	c.emit(StoreTxn{CallID: callID, Txn: wire.Txn{
+		If:   []wire.Condition{{Key: key, Version: current.Version}},
 		Then: []wire.Op{{Put: key, Value: value}},
 	}})
 }
@@ -127,25 +127,25 @@
 		return
 	}
 	if r.Outcome == outcome.Conflict {
-		w.then(cancelConflict)
+		w.onResult(cancelConflict)
 		return
 	}
-	w.then(cancelIndeterminate)
+	w.onResult(cancelIndeterminate)
 }
 
-// replicate has the other nodes acknowledge the cancellation, which was written at a revision.
+// replicate replicates the cancellation to the other nodes after it was written at a store revision.
 func (w *cancellationWrite) replicate(revision uint64) {
 	c := w.core
 	c.applyJobIfNewer(w.id, w.value, revision, fromWrite)
 	w.revision = revision
-	c.cancellations.awaitAcknowledgement(w.id, &watchcache.Job{Job: w.job, Version: revision}, w.applyAcknowledgement)
+	c.cancellations.awaitConfirmation(w.id, &watchcache.Job{Job: w.job, Version: revision}, w.applyConfirmation)
 }
 
-func (w *cancellationWrite) applyAcknowledgement(acknowledged bool) {
-	if !acknowledged {
-		w.then(cancelIndeterminate)
+func (w *cancellationWrite) applyConfirmation(confirmed bool) {
+	if !confirmed {
+		w.onResult(cancelIndeterminate)
 		return
 	}
 	w.core.logConfirmedCancellation(w.id, w.revision)
-	w.then(cancelAcknowledged)
+	w.onResult(cancelConfirmed)
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -11,33 +11,34 @@
 	"bitternwing/internal/watchcache"
 )
 
-// cancellationReplicator makes cancellations known to all nodes before users are told of them.
+// cancellationReplicator replicates cancellations to all nodes before they are confirmed to users.
 //
-// Any node may be renewing workers' leases: as the leader, in its place, or for as long as a store outage lasts. What
-// such a node does not know to be cancelled goes on running. So a node tells a user that a job is cancelled only once
-//   - each other node has acknowledged it, by the revision that it has read up to or by taking the cancellation from
-//     here, and the leader has resolved it: no task of it can start any more and none is left in a zone that renews
-//     its own leases when it is isolated, or
-//   - the job has ended, which is written only when nothing of it is left on any machine.
+// Any node may be renewing workers' leases: as the leader, on behalf of an unreachable leader, or during a store
+// outage. A task keeps running if the node that renews its worker's lease does not know that the job is cancelled. A
+// node therefore confirms a cancellation to a user only once one of these holds:
+//   - Each other node has acknowledged the cancellation, either by having read the store up to its revision or by
+//     accepting it from this node, and the leader has resolved it: no task of the job can start any more, and none is
+//     left in a zone that renews its own leases while isolated.
+//   - The job has ended. The end is written only when nothing of the job is left on any machine.
 //
-// Until then users get 503, as for all that can't be confirmed. A node that was restarted has forgotten what it knew. It
-// renews no leases before it has read the jobs, which is later than the write of whatever its earlier incarnation had
-// acknowledged; except for those of its own zone while that is isolated, where nothing is left of a job whose user was
-// told.
+// Until then users get 503, as for everything that can't be confirmed. A restarted node has lost what it knew, but it
+// renews no leases before it has read the jobs, and that read is later than the write of any cancellation that its
+// earlier incarnation acknowledged. The only exception is that it renews leases in its own zone while the zone is
+// isolated, and no task of a job with a confirmed cancellation is left there.
 type cancellationReplicator struct {
 	core    *Core
-	pending []*pendingCancellation // in the order in which they came
+	pending []*pendingCancellation // in order of arrival
 }
 
-// pendingCancellation is a cancellation that not all other nodes have acknowledged.
+// pendingCancellation is a cancellation that is not yet acknowledged by all other nodes and resolved by the leader.
 type pendingCancellation struct {
 	cancellation   Cancellation
-	since          time.Duration // when the first of those came who wait
+	waitingSince   time.Duration // when the first of the current waiters was added
 	acknowledgedBy map[*membership.Peer]bool
-	waiters        []func(acknowledged bool)
+	waiters        []func(confirmed bool)
 }
 
-// Cancellation is a cancelled job's key as it stands in the key-value store.
+// Cancellation is the key of a cancelled job as it is stored in the key-value store.
 type Cancellation struct {
 	Job     string
 	Value   json.RawMessage
@@ -47,36 +48,38 @@
 const (
 	// maxCancellationBytes bounds the cancellations in a message to another node.
 	maxCancellationBytes = 32 << 10
-	// cancellationOverheadBytes is what a cancellation takes in a message beside its value.
+	// cancellationOverheadBytes is the size of a cancellation in a message without its value.
 	cancellationOverheadBytes = 64
-	// pendingCancellationsPerRequest bounds the pending cancellations, in those of the pending requests of users.
+	// pendingCancellationsPerRequest bounds the pending cancellations, as a multiple of the limit on users' pending
+	// requests.
 	pendingCancellationsPerRequest = 4
 )
 
-// awaitAcknowledgement hands over whether users may be told of a job's cancellation: at once where that is known, else
-// with the other nodes' answers.
-func (r *cancellationReplicator) awaitAcknowledgement(id string, job *watchcache.Job, then func(acknowledged bool)) {
+// awaitConfirmation reports to a callback whether a job's cancellation may be confirmed to users. It calls back at
+// once if all nodes are known to have acknowledged the cancellation and the leader to have resolved it. Else it calls
+// back once that is known, or once it can't be confirmed in time.
+func (r *cancellationReplicator) awaitConfirmation(id string, job *watchcache.Job, onResult func(confirmed bool)) {
 	if r.acknowledgedByAll(job.Version, nil) && r.resolvedByLeaders(id) {
-		then(true)
+		onResult(true)
 		return
 	}
 	pending := r.pendingOf(id)
 	if pending == nil {
 		value, err := job.Encode()
 		if err != nil {
-			then(false)
+			onResult(false)
 			return
 		}
 		pending = r.add(Cancellation{Job: id, Value: value, Version: job.Version})
 	}
 	if len(pending.waiters) == 0 {
-		pending.since = r.core.now.Steady
+		pending.waitingSince = r.core.now.Steady
 	}
-	pending.waiters = append(pending.waiters, then)
+	pending.waiters = append(pending.waiters, onResult)
 	r.resolvePending()
 }
 
-// pendingOf gives the pending cancellation of a job; nil if there is none.
+// pendingOf returns the pending cancellation of a job, or nil if there is none.
 func (r *cancellationReplicator) pendingOf(id string) *pendingCancellation {
 	for _, pending := range r.pending {
 		if pending.cancellation.Job == id {
@@ -86,8 +89,8 @@
 	return nil
 }
 
-// add adds a pending cancellation. Where there are too many the oldest is dropped: its users get their 503, and asking
-// again begins anew.
+// add adds a pending cancellation. If there are too many, it drops the oldest one: its waiting users get 503, and a
+// repeated request adds it again.
 func (r *cancellationReplicator) add(cancellation Cancellation) *pendingCancellation {
 	if len(r.pending) >= pendingCancellationsPerRequest*r.core.operator.MaxPendingRequests {
 		r.pending[0].complete(false)
@@ -98,22 +101,22 @@
 	return pending
 }
 
-// acknowledged tells whether a node knows the cancellation.
+// acknowledged reports whether a peer is known to have the cancellation.
 func (p *pendingCancellation) acknowledged(peer *membership.Peer) bool {
 	return peer.Revision() >= p.cancellation.Version || p.acknowledgedBy[peer]
 }
 
-// complete tells who waits whether users may be told of the cancellation.
-func (p *pendingCancellation) complete(acknowledged bool) {
+// complete calls back all waiters with whether the cancellation may be confirmed to users.
+func (p *pendingCancellation) complete(confirmed bool) {
 	waiters := p.waiters
 	p.waiters = nil
-	for _, then := range waiters {
-		then(acknowledged)
+	for _, onResult := range waiters {
+		onResult(confirmed)
 	}
 }
 
-// acknowledgedByAll tells whether all other nodes know a cancellation of this version; pending is nil if it has not been
-// sent to them.
+// acknowledgedByAll reports whether all other nodes have a cancellation that was written at a version. The pending
+// cancellation is nil if it has not been sent to them.
 func (r *cancellationReplicator) acknowledgedByAll(version uint64, pending *pendingCancellation) bool {
 	for _, peer := range r.core.members.Peers() {
 		if peer.Revision() < version && (pending == nil || !pending.acknowledgedBy[peer]) {
@@ -123,53 +126,56 @@
 	return true
 }
 
-// resolvedByLeaders tells whether all who lead say that a cancelled job is resolved. Without a leader nobody can say.
+// resolvedByLeaders reports whether every node that is known to lead has resolved a cancelled job. It returns false if
+// no node is known to lead.
 func (r *cancellationReplicator) resolvedByLeaders(id string) bool {
 	c := r.core
 	if c.leader != nil && !c.leader.hasResolved(id) {
 		return false
 	}
-	led := c.leader != nil
+	hasLeader := c.leader != nil
 	for _, peer := range c.members.Peers() {
 		if !c.members.Leads(peer, c.now.Steady) {
 			continue
 		}
-		led = true
+		hasLeader = true
 		if peer.Unresolved(id) {
 			return false
 		}
 	}
-	return led
+	return hasLeader
 }
 
-// resolveTimeout is how long a user waits until a leader's stops have resolved a job. They take a message to the machine
-// and back.
+// resolveTimeout returns how long a user's request waits for the leader to resolve a job by stopping its tasks, which
+// takes a round trip to each machine.
 func (r *cancellationReplicator) resolveTimeout() time.Duration {
 	return r.core.times.checkInterval / 2
 }
 
-// awaitingLeader tells whether users wait for a leader to say that a job is resolved.
+// awaitingLeader reports whether a peer leads while users wait for cancelled jobs to be resolved.
 func (r *cancellationReplicator) awaitingLeader(peer *membership.Peer) bool {
 	hasWaiters := func(pending *pendingCancellation) bool { return len(pending.waiters) > 0 }
 	return peer.Status().Leading && slices.ContainsFunc(r.pending, hasWaiters)
 }
 
-// resolvePending answers who waits: with yes where all nodes know and no task can start, with no where one of those that
-// don't know can't be reached, or a start is not resolved in time.
+// resolvePending calls back the waiters of pending cancellations whose outcome is known. A cancellation is confirmed if
+// all nodes have acknowledged it and the leader has resolved it. It can't be confirmed if a node that has not
+// acknowledged it is unreachable, or if the leader does not resolve it in time.
 func (r *cancellationReplicator) resolvePending() {
-	keep := r.pending[:0]
+	remaining := r.pending[:0]
 	for _, pending := range r.pending {
 		if !r.resolve(pending) {
-			keep = append(keep, pending)
+			remaining = append(remaining, pending)
 		}
 	}
-	clear(r.pending[len(keep):])
-	r.pending = keep
+	clear(r.pending[len(remaining):])
+	r.pending = remaining
 }
 
-// resolve answers who waits for a pending cancellation; true once it need not be kept.
+// resolve calls back the waiters of a pending cancellation if its outcome is known. It reports whether the cancellation
+// is confirmed and need not be kept.
 func (r *cancellationReplicator) resolve(pending *pendingCancellation) bool {
-	deadline := pending.since + r.resolveTimeout()
+	deadline := pending.waitingSince + r.resolveTimeout()
 	switch {
 	case !r.acknowledgedByAll(pending.cancellation.Version, pending):
 	case r.resolvedByLeaders(pending.cancellation.Job):
@@ -190,7 +196,7 @@
 	return false
 }
 
-// unacknowledgedBy gives the pending cancellations that a node is not known to know, as many as a message holds.
+// unacknowledgedBy returns the pending cancellations that a peer has not acknowledged, as many as fit into a message.
 func (r *cancellationReplicator) unacknowledgedBy(peer *membership.Peer) []*pendingCancellation {
 	var unacknowledged []*pendingCancellation
 	size := 0
@@ -207,7 +213,7 @@
 	return unacknowledged
 }
 
-// drop drops the cancellation of a job whose end has been written: it need not be replicated any more.
+// drop removes the cancellation of a job whose end has been written, since it no longer has to be replicated.
 func (r *cancellationReplicator) drop(id string) {
 	pending := r.pendingOf(id)
 	if pending == nil {
@@ -218,15 +224,17 @@
 	pending.complete(true)
 }
 
-// handleReplicatedCancellations takes in cancellations that another node sent. They act at once, whatever this node does.
+// handleReplicatedCancellations applies cancellations that another node sent. They take effect at once, whether or not
+// this node leads.
 func (c *Core) handleReplicatedCancellations(cancellations []Cancellation) {
 	for _, cancellation := range cancellations {
 		c.applyJobIfNewer(cancellation.Job, cancellation.Value, cancellation.Version, fromPeer)
 	}
 }
 
-// applyJobIfNewer takes in a job's key as it was read, written or received, without waiting for the watch. What is no
-// newer than the watch has come to is in the cache already, or was deleted since.
+// applyJobIfNewer applies a job's key that was read, written or received to the cache without waiting for the watch. It
+// ignores a version that is no newer than the cache's revision: that version is in the cache already, or was deleted
+// since.
 func (c *Core) applyJobIfNewer(id string, value json.RawMessage, version uint64, source updateSource) {
 	if version <= c.cache.Revision() && c.cache.Ready() {
 		return
@@ -234,8 +242,8 @@
 	c.applyJob(id, value, version, source)
 }
 
-// logConfirmedCancellation logs that a user is told of a cancellation, and who led by then as far as this node knows:
-// they have said that nothing of the job can start any more.
+// logConfirmedCancellation logs that a cancellation is confirmed to a user, and which nodes lead as far as this node
+// knows. They have reported that no task of the job can start any more.
 func (c *Core) logConfirmedCancellation(job string, version uint64) {
 	if c.omitDebug {
 		return
@@ -249,5 +257,5 @@
 			leaders = append(leaders, fmt.Sprintf("%s:%d", p.Name(), p.Status().Term))
 		}
 	}
-	c.log(Debug, "cancellation acknowledged", "job", job, "version", version, "settled_by", strings.Join(leaders, ","))
+	c.log(Debug, "cancellation confirmed", "job", job, "version", version, "resolved_by", strings.Join(leaders, ","))
 }
--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -83,7 +83,7 @@
 		return
 	}
 	_, known := l.machines[e.Name]
-	m := l.machineNamed(e.Name)
+	m := l.findOrAddMachine(e.Name)
 	if !known {
 		c.log(Info, "worker found in cloud list", "worker", e.Name, "state", e.State)
 	}
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -21,7 +21,7 @@
 // requestCycle asks for a cycle soon. That is a recorded exception to the cycle interval of the design, for starts that
 // are due within seconds.
 func (l *leader) requestCycle() {
-	l.changes.observe()
+	l.changes.increment()
 	if !l.core.operator.EventDrivenCycles {
 		return
 	}
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -81,7 +81,7 @@
 
 func (l *leader) persist(j *job, task int) { l.records.markDirty(l.records.chunkOf(j, task)) }
 
-func (l *leader) dispatch(m *machine) { l.dispatcher.add(m) }
+func (l *leader) dispatch(m *machine) { l.dispatcher.enqueue(m) }
 
 func (l *leader) logPreempted(p *placement, by *job) {
 	l.core.log(Debug, "task preempted", "task", p.name(), "for", by.id)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -11,28 +11,29 @@
 	"bitternwing/internal/wire"
 )
 
-// dependencyTracker keeps the dependency graph of the jobs, on every node. It follows the watch cache: a dependency that
-// is active there is not done, one that has ended counts by its committed end. Ends that this node did not see are read,
-// and until then nothing is told of the jobs that depend on them.
+// dependencyTracker maintains the dependency graph of the jobs on every node. It follows the watch cache: a dependency
+// that is active in the cache is not done, and one that has ended counts by its committed final state. Final states
+// that are not in the cache are read from the key-value store. Until then the states of the jobs that depend on them
+// are not disclosed.
 //
-// A job that depends on a cancelled one is cancelled by a write of its own, like any other, by the leader or by the node
-// that is asked about it. So all that holds for a cancellation holds for it: it wins or loses against nothing else on the
-// job's key, and users hear of it once all nodes know.
+// A job that depends on a cancelled one is cancelled by a write of its own, either by the leader or by a node that is
+// asked about the job. The same guarantees therefore hold as for any other cancellation: the write is a
+// compare-and-swap of the job's key, and the cancellation is confirmed to users once all nodes have acknowledged it.
 type dependencyTracker struct {
-	core    *Core
-	graph   *dependency.Graph
-	reading map[string]bool // jobs whose ends are being read
-	retryAt time.Duration   // no read before this
+	core     *Core
+	graph    *dependency.Graph
+	reading  map[string]bool // jobs whose final states are being read
+	nextRead time.Duration   // earliest time of the next read
 }
 
-// maxEndReads bounds the ends that are read at once.
-const maxEndReads = 4
+// maxFinalStateReads bounds the final states that are read concurrently.
+const maxFinalStateReads = 4
 
 func newDependencyTracker(c *Core) *dependencyTracker {
 	return &dependencyTracker{core: c, graph: dependency.New(), reading: map[string]bool{}}
 }
 
-// observeJob takes in a change of an active job.
+// observeJob updates the graph after a change of an active job.
 func (d *dependencyTracker) observeJob(id string) {
 	if job := d.core.cache.Job(id); job != nil {
 		d.graph.Put(id, dependencyJob(job))
@@ -41,12 +42,12 @@
 	}
 }
 
-// observeEnd takes in the committed end of a job.
-func (d *dependencyTracker) observeEnd(id string, final stored.FinalState) {
+// observeFinalState updates the graph with the committed final state of a job.
+func (d *dependencyTracker) observeFinalState(id string, final stored.FinalState) {
 	d.graph.End(id, dependency.End{Done: final.State == wire.JobDone, AtMS: final.EndedMS})
 }
 
-// reload takes in a watch cache that was read anew.
+// reload updates the graph after the watch cache was reloaded.
 func (d *dependencyTracker) reload() {
 	for _, id := range d.graph.Active() {
 		if d.core.cache.Job(id) == nil {
@@ -76,7 +77,7 @@
 
 func milliseconds(seconds float64) int64 { return int64(math.Ceil(1000 * seconds)) }
 
-// run reads the ends that have to be known.
+// run reads the final states that the graph needs and the cache does not have.
 func (d *dependencyTracker) run() {
 	c := d.core
 	if !c.cache.Ready() {
@@ -84,35 +85,36 @@
 	}
 	for _, id := range d.graph.Unresolved() {
 		if final, ok := c.cache.FinalState(id); ok {
-			d.observeEnd(id, final)
+			d.observeFinalState(id, final)
 			continue
 		}
-		if c.now.Steady < d.retryAt {
-			c.wakeBy(d.retryAt)
+		if c.now.Steady < d.nextRead {
+			c.wakeBy(d.nextRead)
 			return
 		}
-		if !d.reading[id] && len(d.reading) < maxEndReads {
-			d.readEnd(id)
+		if !d.reading[id] && len(d.reading) < maxFinalStateReads {
+			d.readFinalState(id)
 		}
 	}
 }
 
-// readEnd reads the end of a dependency.
-func (d *dependencyTracker) readEnd(id string) {
+// readFinalState reads the final state of a dependency.
+func (d *dependencyTracker) readFinalState(id string) {
 	d.reading[id] = true
-	read := endRead{tracker: d, id: id}
-	request := d.core.registerStoreCall(read.applyResult)
-	d.core.emit(StoreGet{CallID: request, Key: stored.FinalStateKey(id)})
+	read := finalStateRead{tracker: d, id: id}
+	callID := d.core.registerStoreCall(read.applyResult)
+	d.core.emit(StoreGet{CallID: callID, Key: stored.FinalStateKey(id)})
 }
 
-// endRead is a read of the end of a dependency.
-type endRead struct {
+// finalStateRead is a read of the final state of a dependency.
+type finalStateRead struct {
 	tracker *dependencyTracker
 	id      string
 }
 
-// applyResult takes in the end. Where there is none this node's watch cache is behind: it does not know the job yet.
-func (e endRead) applyResult(r Result) {
+// applyResult caches the final state. If there is none, the watch cache is behind and does not have the job yet, and
+// the read is retried after a pause.
+func (e finalStateRead) applyResult(r Result) {
 	c := e.tracker.core
 	delete(e.tracker.reading, e.id)
 	if r.Outcome == outcome.OK {
@@ -121,5 +123,5 @@
 			return
 		}
 	}
-	e.tracker.retryAt = c.now.Steady + c.times.retryPause
+	e.tracker.nextRead = c.now.Steady + c.times.retryPause
 }
--- a/internal/core/dependent_cancellations.go
+++ b/internal/core/dependent_cancellations.go
@@ -8,20 +8,20 @@
 	"bitternwing/internal/stored"
 )
 
-// queueCancel has a job cancelled by the leader itself, such as one that depends on a cancelled job.
+// queueCancel queues a job to be cancelled by the leader itself, such as one that depends on a cancelled job.
 func (w *writer) queueCancel(j *job) {
 	if !slices.Contains(w.cancels, j) {
 		w.cancels = append(w.cancels, j)
 	}
 }
 
-// batchedCancel is a job whose cancellation is in a batch, with its value.
+// batchedCancel is the cancellation of a job in a write batch.
 type batchedCancel struct {
 	job   *job
 	value json.RawMessage
 }
 
-// addCancels adds queued cancellations to a batch, as far as there is room.
+// addCancels adds queued cancellations to a batch while there is room.
 func (w *writer) addCancels(b *writeBatch) {
 	n := 0
 	for ; n < len(w.cancels) && b.hasRoom(1); n++ {
@@ -30,7 +30,7 @@
 	w.cancels = append(w.cancels[:0], w.cancels[n:]...)
 }
 
-// addCancel adds the cancellation of a job to a batch, unless it is cancelled or gone already.
+// addCancel adds the cancellation of a job to a batch, unless the job is already cancelled or has ended.
 func (w *writer) addCancel(b *writeBatch, j *job) {
 	c := w.leader.core
 	cached := c.cache.Job(j.id)
@@ -49,14 +49,15 @@
 	b.cancels = append(b.cancels, batchedCancel{j, value})
 }
 
-// applyCancelResult takes in what became of a cancellation in a batch.
+// applyCancelResult handles the result of a batched cancellation. The job is queued again unless it is now known to be
+// cancelled.
 func (w *writer) applyCancelResult(cancel batchedCancel, r Result, failedKeys map[string]bool) {
 	j := cancel.job
 	switch {
 	case r.Outcome == outcome.OK:
 		w.leader.core.applyJobIfNewer(j.id, cancel.value, r.Txn.Revision, fromWrite)
 	case failedKeys[stored.JobKey(j.id)]:
-		w.rereadJob(j) // another node was quicker
+		w.rereadJob(j) // another node has changed the job's key first
 	}
 	if w.leader.jobs[j.id] == j && !j.cancelled {
 		w.queueCancel(j)
--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -5,59 +5,58 @@
 	"bitternwing/internal/watchcache"
 )
 
-// mayDisclose tells whether users may be told the state of an active job as its own key has it. If not, it sees to
-// the response: a job that depends on a cancelled one is cancelled with it, and where the end of a dependency is not
-// known here yet nothing can be said.
-func (u *userRequests) mayDisclose(id string, job *watchcache.Job, then func(lookupResult)) bool {
+// mayDisclose reports whether the state of an active job may be disclosed to users as its own key has it. If not, it
+// takes over the lookup: a job that depends on a cancelled one is cancelled first, and the lookup is indeterminate if
+// this node does not know yet how a dependency ended.
+func (u *userRequests) mayDisclose(id string, job *watchcache.Job, onResult func(lookupResult)) bool {
 	switch u.core.dependencies.graph.Of(id).State {
 	case dependency.Unresolved:
-		then(lookupResult{state: lookupIndeterminate})
+		onResult(lookupResult{state: lookupIndeterminate})
 		return false
 	case dependency.Cancelled:
-		u.cancelDependent(id, job, then)
+		u.cancelDependent(id, job, onResult)
 		return false
 	case dependency.Ready, dependency.Waiting:
 	}
 	return true
 }
 
-// dependentCancellation is the cancellation of a job that depends on a cancelled one, while it is written for the
-// lookups that came upon it.
+// dependentCancellation is an in-flight cancellation, requested by lookups, of a job that depends on a cancelled one.
 type dependentCancellation struct {
 	requests *userRequests
 	id       string
-	job      *watchcache.Job // as it was before
+	job      *watchcache.Job // before the cancellation
 	waiters  []func(lookupResult)
 }
 
-// cancelDependent cancels a job that depends on a cancelled one, for a lookup of it. The leader does so as well, in
-// its own time. Lookups at the same time share one write.
-func (u *userRequests) cancelDependent(id string, job *watchcache.Job, then func(lookupResult)) {
+// cancelDependent cancels a job that depends on a cancelled one, so that a lookup of the job can be answered. The
+// leader cancels such jobs as well, but in its own time. Concurrent lookups share one write.
+func (u *userRequests) cancelDependent(id string, job *watchcache.Job, onResult func(lookupResult)) {
 	if inFlight := u.dependentCancellations[id]; inFlight != nil {
-		inFlight.waiters = append(inFlight.waiters, then)
+		inFlight.waiters = append(inFlight.waiters, onResult)
 		return
 	}
-	cancellation := &dependentCancellation{requests: u, id: id, job: job, waiters: []func(lookupResult){then}}
+	cancellation := &dependentCancellation{requests: u, id: id, job: job, waiters: []func(lookupResult){onResult}}
 	u.dependentCancellations[id] = cancellation
-	u.commitCancellation(id, job, cancellation.apply)
+	u.commitCancellation(id, job, cancellation.applyResult)
 }
 
-func (d *dependentCancellation) apply(result cancelResult) {
+func (d *dependentCancellation) applyResult(result cancelResult) {
 	u := d.requests
 	delete(u.dependentCancellations, d.id)
-	for _, then := range d.waiters {
+	for _, onResult := range d.waiters {
 		switch result {
-		case cancelAcknowledged:
-			then(confirmedLookup(d.jobAfterCancellation()))
+		case cancelConfirmed:
+			onResult(confirmedLookup(d.jobAfterCancellation()))
 		case cancelConflict:
-			u.reads = append(u.reads, &lookup{id: d.id, then: then})
+			u.reads = append(u.reads, &lookup{id: d.id, onResult: onResult})
 		case cancelIndeterminate:
-			then(lookupResult{state: lookupIndeterminate})
+			onResult(lookupResult{state: lookupIndeterminate})
 		}
 	}
 }
 
-// jobAfterCancellation gives the job as it is after its cancellation was written.
+// jobAfterCancellation returns the job with its cancellation.
 func (d *dependentCancellation) jobAfterCancellation() *watchcache.Job {
 	c := d.requests.core
 	if job := c.cache.Job(d.id); job.Cancelled() {
--- a/internal/core/direct_calls.go
+++ b/internal/core/direct_calls.go
@@ -7,10 +7,11 @@
 	"bitternwing/internal/wire"
 )
 
-// Calls of workers, replicas and peers, at their own addresses.
+// Effects that call workers, replicas and peers at their own addresses.
 
-// SendCommands sends commands to a worker directly. Its Result is OK or Conflict (nothing was executed) with the worker's
-// heartbeat, Unavailable if it was certainly not sent, or Unknown: it may be executed at any later time.
+// SendCommands sends commands directly to a worker. Its Result is OK or Conflict (nothing was executed) with the
+// worker's heartbeat, Unavailable if the commands were certainly not sent, or Unknown if they may be executed at any
+// later time.
 type SendCommands struct {
 	CallID       uint64
 	Addr         string
@@ -19,7 +20,8 @@
 	Commands     []wire.Command
 }
 
-// QueryWorker asks a worker directly for its heartbeat. Its Result is OK with it, or anything else: no answer came.
+// QueryWorker asks a worker directly for a heartbeat. Its Result is OK with the heartbeat. Any other Result means that
+// there was no answer.
 type QueryWorker struct {
 	CallID uint64
 	Addr   string
@@ -33,8 +35,8 @@
 	Timeout time.Duration
 }
 
-// QueryPeer asks another node for its status and hands it cancellations, which it gets as ReplicateCancellations: an OK
-// means that it knows them.
+// QueryPeer asks another node for its status and sends it cancellations, which it receives as ReplicateCancellations.
+// An OK Result acknowledges them.
 type QueryPeer struct {
 	CallID        uint64
 	Node          string
--- a/internal/core/direct_commands_test.go
+++ b/internal/core/direct_commands_test.go
@@ -8,12 +8,12 @@
 	"bitternwing/internal/wire"
 )
 
-// acceptsAll is a taskAcceptance of all machines.
+// acceptsAll is a taskAcceptance that accepts tasks for every machine.
 type acceptsAll struct{}
 
 func (acceptsAll) acceptsTasks(*machine) bool { return true }
 
-// takeCommands gives the direct commands among a core's effects, and clears them.
+// takeCommands returns the direct commands among a core's effects, and clears the effects.
 func takeCommands(c *Core) (commands []SendCommands) {
 	for _, effect := range c.effects {
 		if command, ok := effect.(SendCommands); ok {
@@ -24,29 +24,30 @@
 	return commands
 }
 
-// TestDirectCommandsAreBounded has a task stopped on more machines than may be sent commands at once. Each result lets
-// the next command out, and each machine is sent its stop once.
+// TestDirectCommandsAreBounded stops a task on more machines than there may be direct commands in flight. The limit
+// must never be exceeded, each result must let the next command be sent, and each machine must be sent its stop exactly
+// once.
 func TestDirectCommandsAreBounded(t *testing.T) {
-	const waiting = 7
+	const excess = 7
 	l := newLeaderWithPeers()
 	c, d := l.core, l.dispatcher
 	d.acceptance = acceptsAll{}
-	machines := d.maxInFlight() + waiting
-	stopped := &job{id: "run-000001", spec: &wire.Job{ID: "run-000001", Tasks: machines}}
+	machines := d.maxInFlight() + excess
+	cancelledJob := &job{id: "run-000001", spec: &wire.Job{ID: "run-000001", Tasks: machines}}
 	for i := range machines {
-		m := l.machineNamed(fmt.Sprintf("m%03d", i))
+		m := l.findOrAddMachine(fmt.Sprintf("m%03d", i))
 		m.addr = m.name
-		p := &placement{job: stopped, task: i, attempt: 1, machine: m, phase: phaseReported}
+		p := &placement{job: cancelledJob, task: i, attempt: 1, machine: m, phase: phaseReported}
 		m.addPlacement(p)
 		p.requestStop(stopImmediate, stopCancelled)
-		d.add(m)
+		d.enqueue(m)
 	}
 	c.effects = nil
 	sent := map[string]int{}
 	d.run()
 	inFlight := takeCommands(c)
 	if len(inFlight) != d.maxInFlight() {
-		t.Fatalf("%d commands are sent at once, not %d", len(inFlight), d.maxInFlight())
+		t.Fatalf("%d commands in flight after the first run, want %d", len(inFlight), d.maxInFlight())
 	}
 	for len(inFlight) > 0 {
 		next := inFlight[0]
@@ -56,15 +57,15 @@
 		d.run()
 		inFlight = append(inFlight, takeCommands(c)...)
 		if len(inFlight) > d.maxInFlight() {
-			t.Fatalf("%d commands are in flight", len(inFlight))
+			t.Fatalf("%d commands in flight, above the limit", len(inFlight))
 		}
 	}
 	if len(sent) != machines || d.inFlight != 0 {
-		t.Errorf("%d of %d machines are sent their stops, %d commands are in flight", len(sent), machines, d.inFlight)
+		t.Errorf("%d of %d machines were sent their stops, %d commands still in flight", len(sent), machines, d.inFlight)
 	}
 	for name, times := range sent {
 		if times != 1 {
-			t.Errorf("%s is sent its stop %d times", name, times)
+			t.Errorf("%s was sent its stop %d times, want once", name, times)
 		}
 	}
 }
--- a/internal/core/failure_accounting.go
+++ b/internal/core/failure_accounting.go
@@ -5,38 +5,41 @@
 	"slices"
 )
 
-// A failed task mostly means a faulty machine, but a job submitted with a mistake fails on each machine. So neither is
-// blamed by itself: a machine is quarantined once several jobs that are not themselves suspect failed on it, or one that
-// ran successfully elsewhere did repeatedly; a job that fails on several machines is suspect and backs off longer with
-// each of them. Where a fifth of the fleet is faulty most new jobs meet several such machines: what a suspect's failures
-// say of machines counts once it runs somewhere.
+// A task usually fails because its machine is faulty, but the tasks of a job with a mistake fail on every machine. A
+// single failure is therefore blamed on neither. A machine is quarantined once several jobs that are not suspect have
+// failed on it, or once a job that ran successfully elsewhere has failed on it repeatedly. A job that fails on several
+// machines is suspect and backs off longer with each of them. If a fifth of the fleet is faulty, most new jobs meet
+// several faulty machines, so the failures of a suspect job count against the machines once the job has run
+// successfully somewhere.
 
 const (
-	// minSuccessChecks is for how many failure-check intervals a task has to run to count as a success.
-	minSuccessChecks = 3
-	// maxBackoffLeases bounds the backoff of a suspect job, in workers' leases.
+	// minSuccessIntervals is for how many check intervals a task has to run to count as successful.
+	minSuccessIntervals = 3
+	// maxBackoffLeases bounds the backoff of a suspect job, in worker leases.
 	maxBackoffLeases = 3
-	// maxBackoffDoublings bounds how often it is doubled.
+	// maxBackoffDoublings bounds how often the backoff of a suspect job is doubled.
 	maxBackoffDoublings = 6
-	// minFailuresOfFaulty is how many failures show that a machine is faulty, or a job suspect.
-	minFailuresOfFaulty = 2
+	// suspicionThreshold is the number of failures from which a machine counts as faulty, or a job as suspect.
+	suspicionThreshold = 2
 )
 
-// failureAccounting tells faulty machines from jobs that fail everywhere. The counts are kept on the jobs and machines.
+// failureAccounting distinguishes faulty machines from jobs that fail on every machine. The counts are stored in the
+// jobs and machines.
 type failureAccounting struct {
 	core     *Core
 	jobs     map[string]*job
 	machines map[string]*machine
 }
 
-// recordSuccess clears a machine and a job of suspicion: a task was done, or has been running for a while.
+// recordSuccess records that a task is done or has been running for a while, and clears its machine and job of
+// suspicion.
 func (f *failureAccounting) recordSuccess(p *placement, done bool) {
-	if !done && f.core.now.Steady-p.runningSince < minSuccessChecks*f.core.times.checkInterval {
+	if !done && f.core.now.Steady-p.runningSince < minSuccessIntervals*f.core.times.checkInterval {
 		return
 	}
 	j := p.job
 	if p.placedAt > p.machine.lastFailure {
-		// A task that was placed before is no evidence: a faulty machine may fail only what it starts.
+		// A task that was placed before the failure is no evidence: a faulty machine may fail only new tasks.
 		clear(p.machine.failures)
 	}
 	failedOn := j.failedOn
@@ -53,7 +56,7 @@
 	}
 }
 
-// recordFailure counts the failure of a task.
+// recordFailure records the failure of a task and assesses its job and machine.
 func (f *failureAccounting) recordFailure(p *placement) {
 	j, m := p.job, p.machine
 	if j.failedOn == nil {
@@ -62,14 +65,14 @@
 	j.failedOn[m.name] = true
 	m.failures[j.id]++
 	m.lastFailure = f.core.now.Steady
-	if !j.ranSuccessfully && len(j.failedOn) >= minFailuresOfFaulty {
+	if !j.ranSuccessfully && len(j.failedOn) >= suspicionThreshold {
 		f.suspectJob(j)
 		return
 	}
 	f.assessMachine(m)
 }
 
-// suspectJob has a job that failed on several machines back off, and reverts what its failures say of them.
+// suspectJob makes a job that failed on several machines back off, and no longer counts its failures against them.
 func (f *failureAccounting) suspectJob(j *job) {
 	backoff := f.core.times.checkInterval << min(len(j.failedOn)-1, maxBackoffDoublings)
 	j.retryAt = max(j.retryAt, f.core.now.Steady+min(backoff, maxBackoffLeases*f.core.times.lease))
@@ -80,21 +83,21 @@
 	}
 }
 
-// assessMachine quarantines a machine if the jobs that failed on it show that it is faulty.
+// assessMachine quarantines a machine if the failures on it show that it is faulty.
 func (f *failureAccounting) assessMachine(m *machine) {
 	repeated := false
 	for id, n := range m.failures {
 		j := f.jobs[id]
-		repeated = repeated || n >= minFailuresOfFaulty && j != nil && j.ranSuccessfully
+		repeated = repeated || n >= suspicionThreshold && j != nil && j.ranSuccessfully
 	}
-	if !m.quarantined && (len(m.failures) >= minFailuresOfFaulty || repeated) {
+	if !m.quarantined && (len(m.failures) >= suspicionThreshold || repeated) {
 		m.quarantined = true
 		f.core.log(Info, "worker quarantined", "worker", m.name, "jobs", len(m.failures))
 	}
 }
 
-// avoids tells whether a job should rather not be tried on a machine again. Where it failed on much of the fleet the
-// machines are not to blame.
+// avoids reports whether a job should not be retried on a machine on which it failed. If the job failed on more than
+// half of the fleet, the machines are unlikely to be the cause.
 func (f *failureAccounting) avoids(j *job, m *machine) bool {
 	return j.failedOn[m.name] && 2*len(j.failedOn) <= len(f.machines)
 }
--- a/internal/core/failure_accounting_test.go
+++ b/internal/core/failure_accounting_test.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// newFailureAccounting makes a failure accounting of some machines and jobs, without a leader.
+// newFailureAccounting returns the failure accounting of the given machines and jobs, without a leader.
 func newFailureAccounting(machines, jobs []string) *failureAccounting {
 	f := &failureAccounting{core: newIdleCore(), jobs: map[string]*job{}, machines: map[string]*machine{}}
 	for _, name := range machines {
@@ -18,26 +18,27 @@
 	return f
 }
 
-// fail has a task of a job fail on a machine.
+// fail records the failure of a job's task on a machine.
 func (f *failureAccounting) fail(job, machine string) {
 	f.recordFailure(&placement{job: f.jobs[job], machine: f.machines[machine]})
 }
 
-// TestSeveralJobsQuarantineMachine: a machine on which one job failed stays in use, one on which two did is quarantined.
+// TestSeveralJobsQuarantineMachine checks that a machine on which two jobs failed is quarantined, and one on which a
+// single job failed is not.
 func TestSeveralJobsQuarantineMachine(t *testing.T) {
 	f := newFailureAccounting([]string{"m1", "m2"}, []string{"a", "b"})
 	f.fail("a", "m1")
 	if f.machines["m1"].quarantined {
-		t.Error("a single job that failed quarantines the machine")
+		t.Error("the machine is quarantined after a single job failed on it")
 	}
 	f.fail("b", "m1")
 	if !f.machines["m1"].quarantined || f.machines["m2"].quarantined {
-		t.Error("two jobs that failed on a machine do not quarantine it alone")
+		t.Error("after two jobs failed on a machine, it is not the only one quarantined")
 	}
 }
 
-// TestSuspectJobBacksOff: a job that fails on several machines backs off, for longer each time, and none of them is blamed
-// for it until the job runs well somewhere.
+// TestSuspectJobBacksOff checks that a job that fails on several machines backs off for longer each time, and that its
+// failures do not count against the machines until it has run successfully somewhere.
 func TestSuspectJobBacksOff(t *testing.T) {
 	f := newFailureAccounting([]string{"m1", "m2", "m3", "m4"}, []string{"a", "b"})
 	f.fail("a", "m1")
@@ -52,29 +53,30 @@
 	}
 	for name, m := range f.machines {
 		if len(m.failures) > 0 || m.quarantined {
-			t.Errorf("%s is blamed for a suspect job: %v", name, m.failures)
+			t.Errorf("failures of a suspect job count against %s: %v", name, m.failures)
 		}
 	}
 	f.fail("b", "m1")
 	f.recordSuccess(&placement{job: suspect, machine: f.machines["m4"]}, true)
 	if !f.machines["m1"].quarantined || f.machines["m2"].quarantined {
-		t.Error("once the job ran well, its failure does not count against the machine on which another failed")
+		t.Error("after the job ran successfully, only the machine on which another job failed as well should be quarantined")
 	}
 }
 
-// TestShortRunIsNoSuccess: a task that has run only for a moment clears nothing.
+// TestShortRunIsNoSuccess checks that a task clears its machine and job of suspicion only once it has run for long
+// enough.
 func TestShortRunIsNoSuccess(t *testing.T) {
 	f := newFailureAccounting([]string{"m1"}, []string{"a"})
 	f.core.now.Steady = f.core.times.lease
 	f.fail("a", "m1")
 	placed := f.core.now.Steady + 1
 	p := &placement{job: f.jobs["a"], machine: f.machines["m1"], placedAt: placed, runningSince: placed}
-	f.core.now.Steady = placed + minSuccessChecks*f.core.times.checkInterval - 1
+	f.core.now.Steady = placed + minSuccessIntervals*f.core.times.checkInterval - 1
 	if f.recordSuccess(p, false); len(f.machines["m1"].failures) != 1 {
-		t.Error("a short run clears the machine")
+		t.Error("a short run cleared the machine")
 	}
 	f.core.now.Steady++
 	if f.recordSuccess(p, false); len(f.machines["m1"].failures) != 0 || !f.jobs["a"].ranSuccessfully {
-		t.Error("a long run does not clear the machine and the job")
+		t.Error("a long run did not clear the machine and the job")
 	}
 }
--- a/internal/core/get_requests.go
+++ b/internal/core/get_requests.go
@@ -6,8 +6,8 @@
 	"bitternwing/internal/wire"
 )
 
-// pendingGet is a GetJob that waits for its lookup.
-type pendingGet struct {
+// pendingGetRequest is a GetJob request that awaits its lookup.
+type pendingGetRequest struct {
 	requests *userRequests
 	request  GetJob
 }
@@ -26,11 +26,11 @@
 	if u.rejectIfOverloaded(in.RequestID) {
 		return
 	}
-	get := pendingGet{requests: u, request: in}
-	u.startLookup(&lookup{id: in.ID, batchable: true, then: get.respond})
+	get := pendingGetRequest{requests: u, request: in}
+	u.startLookup(&lookup{id: in.ID, batchable: true, onResult: get.respond})
 }
 
-func (g pendingGet) respond(result lookupResult) {
+func (g pendingGetRequest) respond(result lookupResult) {
 	u, requestID, id := g.requests, g.request.RequestID, g.request.ID
 	switch result.state {
 	case lookupIndeterminate:
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -2,7 +2,7 @@
 
 import "bitternwing/internal/wire"
 
-// commandBuilder adds the commands for a machine to the responses to its heartbeats.
+// commandBuilder adds commands to the responses to workers' heartbeats.
 type commandBuilder struct {
 	core    *Core
 	logger  commandLogger
@@ -10,19 +10,19 @@
 	records recordState
 }
 
-// recordState tells whether all that is known of a task is in the key-value store.
+// recordState reports whether everything known about a task is in the key-value store.
 type recordState interface{ isPersisted(j *job, task int) bool }
 
-// newCommandBuilder makes the command builder of a leader.
+// newCommandBuilder returns the command builder of a leader.
 func newCommandBuilder(l *leader) *commandBuilder {
 	return &commandBuilder{core: l.core, logger: commandLogger{core: l.core, term: l.term}, jobs: l.jobs, records: &l.records}
 }
 
 // addCommands adds the commands for a machine to the response to its heartbeat.
 func (b *commandBuilder) addCommands(m *machine, heartbeat *wire.Heartbeat, response *leaseResponse) {
-	b.addForgets(m, response)
+	b.addForgetCommands(m, response)
 	for i := range m.orphanedTasks {
-		// No record explains it, and it has no right to run.
+		// No record allows this task to run.
 		response.add(stopImmediately(&m.orphanedTasks[i]))
 	}
 	mayStart := b.core.election.LeaseValid()
@@ -44,8 +44,8 @@
 	}
 }
 
-// addForgets has the worker forget exited tasks, as far as it may.
-func (b *commandBuilder) addForgets(m *machine, response *leaseResponse) {
+// addForgetCommands adds the commands to forget exited tasks that no longer have to be reported.
+func (b *commandBuilder) addForgetCommands(m *machine, response *leaseResponse) {
 	for i := range m.exitedTasks {
 		task := &m.exitedTasks[i]
 		if response.full() || !b.mayForgetExit(task) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// addStop has the worker stop a task, unless it is writing the checkpoint after which it stops.
+// addStop adds the command to stop a task, unless the task is already writing its last checkpoint.
 func (b *commandBuilder) addStop(p *placement, response *leaseResponse) {
 	if p.stop == stopAfterCheckpoint && p.state == wire.TaskCheckpointing {
 		return
@@ -69,44 +69,45 @@
 	response.add(p.stopCommand())
 }
 
-// commandPath is how a command is sent to a machine.
+// commandPath is how a command is sent to a machine, as it appears in the log.
 type commandPath string
 
 const (
 	viaHeartbeatResponse commandPath = "answer"
-	viaDirectCommand     commandPath = "direct" // to the worker's address
+	viaDirectCommand     commandPath = "direct" // sent to the worker's address
 )
 
-// commandLogger logs the commands of a leader.
+// commandLogger logs the commands that a leader sends.
 type commandLogger struct {
 	core *Core
 	term uint64
 }
 
-// log logs a command for a machine, and the authority by which it is given.
-func (g commandLogger) log(op wire.CommandOp, p *placement, path commandPath) {
-	if g.core.omitDebug {
+// log logs a command and the leader's authority to send it.
+func (l commandLogger) log(op wire.CommandOp, p *placement, path commandPath) {
+	if l.core.omitDebug {
 		return
 	}
 	authority := "lease"
-	if !g.core.election.LeaseValidAt(g.core.now.Steady) {
-		authority = "all nodes refused"
+	if !l.core.election.LeaseValidAt(l.core.now.Steady) {
+		authority = "store outage confirmed"
 	}
-	g.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name,
-		"fencing_token", p.machine.fence.Token(), "term", g.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !g.core.storeHealth.down)
+	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name,
+		"fencing_token", p.machine.fence.Token(), "term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeHealth.down)
 }
 
-// startable tells whether a task is committed and is to start.
+// startable reports whether a placement is committed and its task is to be started.
 func (p *placement) startable() bool {
 	return p.phase == phaseCommitted && p.stop == stopNone && !p.job.cancelled
 }
 
-// startCommand starts a task.
+// startCommand returns the command to start the placement's task.
 func (p *placement) startCommand() wire.Command {
 	return wire.Command{Op: wire.OpStart, Task: p.name(), Attempt: p.attempt}
 }
 
-// stopCommand stops a task, with time for a checkpoint if it is to write one.
+// stopCommand returns the command to stop the placement's task, with a grace period if the task is to write a
+// checkpoint.
 func (p *placement) stopCommand() wire.Command {
 	gracePeriodS := 0.0
 	if p.stop == stopAfterCheckpoint {
@@ -115,8 +116,9 @@
 	return wire.Command{Op: wire.OpStop, Task: p.name(), Attempt: p.attempt, GracePeriodS: &gracePeriodS}
 }
 
-// mayForgetExit tells whether an exit may be forgotten: only once all that follows from it is in the key-value store, for
-// after that a repeated start would run again.
+// mayForgetExit reports whether the worker may forget an exited task. It may do so only once everything that follows
+// from the exit is in the key-value store, because a worker that has forgotten a task would run it again on a repeated
+// start command.
 func (b *commandBuilder) mayForgetExit(exited *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(exited.Task)
 	if !ok {
@@ -128,8 +130,8 @@
 		return cached == nil || task >= cached.Spec.Tasks
 	}
 	if j.ending {
-		// Its end covers this exit, and is yet to be written: no record is written of it any more, so a clean one proves
-		// nothing.
+		// The job's end covers this exit and is yet to be written. The records of an ending job are no longer written,
+		// so a record that is not dirty proves nothing.
 		return false
 	}
 	if !b.records.isPersisted(j, task) {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/wire"
 )
 
-// reconciler reconciles the leader's state with the heartbeats of workers: what a machine is, and which of its tasks run,
-// have exited or are missing.
+// reconciler reconciles the leader's state with the heartbeats of workers: the properties of each machine, and which of
+// its tasks are running, have exited or are missing.
 type reconciler struct {
 	core             *Core
 	term             uint64
@@ -23,31 +23,31 @@
 	actions          reconcilerActions
 
 	changes         *changeCounter
-	reconciliations uint64 // heartbeats that were reconciled
+	reconciliations uint64 // number of heartbeats reconciled so far
 }
 
-// doneRecords are the records of the tasks that are done.
+// doneRecords records which tasks are done.
 type doneRecords interface {
 	isDone(j *job, task int) bool
 	setDone(j *job, task int)
 }
 
-// reconcilerActions is what the reconciler has the leader do.
+// reconcilerActions are the leader's operations that the reconciler uses.
 type reconcilerActions interface {
 	placementEnder
 	recoveryState
-	machineNamed(name string) *machine
+	findOrAddMachine(name string) *machine
 	finishIfDone(j *job)
 	requestCycle()
 }
 
-// changeCounter counts changes of the leader's state: a heartbeat that brings none needs no further work.
+// changeCounter counts changes of the leader's state. A heartbeat that causes no change needs no further work.
 type changeCounter struct{ count uint64 }
 
-// observe counts a change.
-func (c *changeCounter) observe() { c.count++ }
+// increment counts a change.
+func (c *changeCounter) increment() { c.count++ }
 
-// newReconciler makes the reconciler of a leader.
+// newReconciler returns the reconciler of a leader.
 func newReconciler(l *leader) *reconciler {
 	return &reconciler{
 		core:             l.core,
@@ -65,32 +65,34 @@
 	}
 }
 
-// heartbeatOrigin is how a heartbeat came to this node.
+// heartbeatOrigin is why a worker sent a heartbeat.
 type heartbeatOrigin int
 
 const (
-	// originWorker: the worker sent it by itself, to this node or to one that relays it.
+	// originWorker: the worker sent it periodically, to this node or to one that relays it.
 	originWorker heartbeatOrigin = iota
-	// originQuery: the worker was queried for it. It may come while a response with a start is still on its way.
+	// originQuery: the worker returned it in reply to a query or a direct command. It may arrive while a response with
+	// a start command is still in flight.
 	originQuery
 )
 
-// reconcileHeartbeat reconciles the state with a heartbeat and adds commands to its response.
+// reconcileHeartbeat reconciles the state with a heartbeat and adds commands to its response. It returns the basis on
+// which the response may renew the worker's lease.
 func (r *reconciler) reconcileHeartbeat(heartbeat *wire.Heartbeat, response *leaseResponse) LeaseBasis {
 	if !r.actions.hasRecovered() {
-		return RecoveringLeaderBasis // the placements are not yet known
+		return RecoveringLeaderBasis // the placements are not known yet
 	}
 	if _, released := r.releasedMachines[heartbeat.Machine]; released {
 		return RemovedMachineBasis
 	}
-	m := r.actions.machineNamed(heartbeat.Machine)
+	m := r.actions.findOrAddMachine(heartbeat.Machine)
 	if m.isStale(heartbeat) {
-		// A late copy. It proves nothing, and its response reaches nobody.
+		// A delayed or duplicate heartbeat is no evidence, and its worker no longer waits for the response.
 		return StaleHeartbeatBasis
 	}
 	r.heldResponses.supersede(m)
 	r.observeRegistration(m, heartbeat)
-	r.checkContact(m, heartbeat)
+	r.updateFencingRequirement(m, heartbeat)
 	m.applyHeartbeat(heartbeat)
 	m.lastHeartbeat, m.lastHoldTime = r.core.now.Steady, 0
 	r.provisioner.cancelRelease(m)
@@ -100,8 +102,9 @@
 	return LeaderBasis
 }
 
-// reconcileIndirect reconciles the state with a heartbeat that another node has relayed, or that the worker was queried
-// for. It is evidence, and shows that the machine is alive; but its response carries no starts.
+// reconcileIndirect reconciles the state with a heartbeat that another node relayed or that the worker returned in
+// reply to a query or a direct command. Such a heartbeat shows which tasks the machine has and that it is alive. Its
+// response, if there is one, is sent by the relaying node and carries no start commands.
 func (r *reconciler) reconcileIndirect(heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
 	m := r.machines[heartbeat.Machine]
 	if !r.actions.hasRecovered() || m == nil || m.isStale(heartbeat) {
@@ -114,12 +117,12 @@
 	r.reconcileTasks(m, heartbeat, origin)
 }
 
-// isStale tells whether a heartbeat is no newer than one that was reconciled before in this term.
+// isStale reports whether a heartbeat is no newer than the last one that was reconciled in this term.
 func (m *machine) isStale(heartbeat *wire.Heartbeat) bool {
 	return m.reported && !isNewer(heartbeat, m.incarnation, m.sequence)
 }
 
-// isNewer tells whether a heartbeat was sent after the one of an incarnation with a sequence number.
+// isNewer reports whether a heartbeat was sent after the one with the given incarnation and sequence number.
 func isNewer(heartbeat *wire.Heartbeat, incarnation, sequence uint64) bool {
 	if heartbeat.Incarnation != incarnation {
 		return heartbeat.Incarnation > incarnation
@@ -127,18 +130,18 @@
 	return heartbeat.Sequence > sequence
 }
 
-// applyHeartbeat updates the machine's own state: its identity, incarnation and sequence number.
+// applyHeartbeat updates the machine's identity, incarnation and sequence number from a heartbeat.
 func (m *machine) applyHeartbeat(heartbeat *wire.Heartbeat) {
 	m.setIdentity(heartbeat.Type, heartbeat.Zone, heartbeat.Addr, heartbeat.Spot)
-	m.enterIncarnation(heartbeat.Incarnation)
+	m.setIncarnation(heartbeat.Incarnation)
 	m.reported, m.everReported, m.missedLists = true, true, 0
 	m.sequence = heartbeat.Sequence
 }
 
-// observeRegistration notes the first heartbeat of a worker in this term, or of its incarnation.
+// observeRegistration handles the first heartbeat of a worker in this term or of a new incarnation.
 func (r *reconciler) observeRegistration(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.Incarnation != m.incarnation || !m.reported {
-		r.changes.observe()
+		r.changes.increment()
 	}
 	if !m.reported {
 		r.core.log(Debug, "worker registered", "worker", m.name, "after", (r.core.now.Steady - m.requestedAt).String())
@@ -146,18 +149,18 @@
 	}
 }
 
-// checkContact requires that a machine shows a fencing token where responses may not reach it, or where its heartbeat
-// may be a late copy.
-func (r *reconciler) checkContact(m *machine, heartbeat *wire.Heartbeat) {
+// updateFencingRequirement requires a machine to show a fencing token if responses may not reach it or if its heartbeat
+// may be a delayed copy. A machine that was silent gets the full time again to show the token.
+func (r *reconciler) updateFencingRequirement(m *machine, heartbeat *wire.Heartbeat) {
 	now := r.core.now.Steady
 	switch {
 	case !m.reported && m.isUnknown() && fencing.TermOf(heartbeat.FencingToken) < r.term:
-		// Its heartbeat may be a late copy, of a machine long gone.
+		// The heartbeat may be a delayed copy from a machine that no longer exists.
 		r.requireFencingToken(m, fencing.FirstToken(r.term))
 	case m.reported && heartbeat.Incarnation > m.incarnation:
 		r.core.log(Info, "worker restarted with new incarnation", "worker", m.name, "tasks", len(m.placements))
 		if now-m.lastHeartbeat < r.core.times.lease/2 {
-			// Its lease expired although its heartbeats arrived and responses were sent.
+			// The worker's lease expired although its heartbeats arrived and responses were sent.
 			r.requireFencingToken(m, m.fence.Token()+1)
 		}
 	}
@@ -166,10 +169,10 @@
 	}
 }
 
-// isUnknown tells whether this leader has neither seen a machine in the cloud's list nor requested it.
+// isUnknown reports whether this leader has neither seen the machine in the cloud's list nor requested it.
 func (m *machine) isUnknown() bool { return !m.inCloudList && !m.requestedHere }
 
-// observeReclaimNotice notes that the cloud will reclaim a machine.
+// observeReclaimNotice records the first notice in a heartbeat that the cloud will reclaim the machine.
 func (r *reconciler) observeReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.ReclaimNoticeS == nil || m.reclaiming {
 		return
@@ -179,9 +182,9 @@
 	r.actions.requestCycle()
 }
 
-// requireFencingToken makes a machine show a fencing token before it gets work. One that does not for half a lease is
-// released (livenessMonitor).
+// requireFencingToken requires a machine to show a fencing token before it gets work. A machine that does not show it
+// for half a lease is released (livenessMonitor).
 func (r *reconciler) requireFencingToken(m *machine, token uint64) {
 	m.fence.Require(token, r.core.now.Steady)
-	r.changes.observe()
+	r.changes.increment()
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// handleHeartbeatAsFollower renews the worker's lease where a node may that does not lead, or else redirects the
+// handleHeartbeatAsFollower renews the worker's lease if a node that does not lead may do so, and else redirects the
 // worker to the leader.
 func (c *Core) handleHeartbeatAsFollower(in WorkerHeartbeat) {
 	if !c.leaseRelay.handleHeartbeat(in) {
@@ -28,18 +28,18 @@
 	}
 }
 
-// redirectTarget gives the node to which workers are redirected; empty if no other node is known to lead.
+// redirectTarget returns the node to which workers are redirected. It is empty if no other node is known to lead.
 func (c *Core) redirectTarget() string {
 	if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
 		return c.cache.Leader().Node
 	}
 	if !c.cache.Ready() {
-		return c.members.Leader(c.now.Steady) // this node was started while the key-value store is unavailable
+		return c.members.Leader(c.now.Steady) // this node was started during a store outage
 	}
 	return ""
 }
 
-// handleHeartbeatWithoutAuthority responds for a leader that may not.
+// handleHeartbeatWithoutAuthority handles a heartbeat to which this node may not respond as the leader.
 func (c *Core) handleHeartbeatWithoutAuthority(in WorkerHeartbeat) {
 	if len(in.Heartbeat.Tasks) > 0 && c.storeHealth.down && c.leaseRelay.renewDuringStoreOutage(in) {
 		return
@@ -47,14 +47,14 @@
 	c.respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{})
 }
 
-// mayRespond tells whether this leader may respond to a heartbeat. A worker that has seen a newer term would drop the
-// response; a leader whose own lease has expired has no authority.
+// mayRespond reports whether this leader may respond to a heartbeat. A worker that has seen a newer term would discard
+// the response, and a leader whose own lease has expired may have no authority.
 func (l *leader) mayRespond(heartbeat *wire.Heartbeat) bool {
 	return fencing.TermOf(heartbeat.FencingToken) <= l.term && l.hasAuthority()
 }
 
-// handleHeartbeat reconciles the state with a heartbeat and renews the worker's lease, now or when the
-// response is due that is held.
+// handleHeartbeat reconciles the state with a heartbeat and renews the worker's lease, either now or by a held
+// response.
 func (l *leader) handleHeartbeat(in WorkerHeartbeat) {
 	c, heartbeat := l.core, in.Heartbeat
 	changesBefore := l.reconciler.changes.count
@@ -67,7 +67,7 @@
 	c.nothingChanged = l.recovered && l.reconciler.changes.count == changesBefore && len(response.commands) == 0
 }
 
-// responseToken gives the fencing token of the response to a heartbeat.
+// responseToken returns the fencing token of the response to a heartbeat.
 func (r *reconciler) responseToken(heartbeat *wire.Heartbeat) uint64 {
 	token := max(fencing.FirstToken(r.term), heartbeat.FencingToken)
 	m := r.machines[heartbeat.Machine]
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -7,16 +7,17 @@
 	"bitternwing/internal/wire"
 )
 
-// heldResponse is the response to a heartbeat that is held: there are no commands, and until it is sent the worker
-// sends no other heartbeat. It is sent when it is due, or as soon as there is a command for the machine.
+// heldResponse is a response to a heartbeat that is held because it would carry no commands. The worker sends no other
+// heartbeat until it gets the response. The response is sent when it is due or as soon as there is a command for the
+// machine.
 type heldResponse struct {
 	requestID uint64
 	heartbeat *wire.Heartbeat
 	due       time.Duration
 }
 
-// heldResponses holds responses to heartbeats, which paces the workers, and sends them when they are due. Which response a
-// machine's worker waits for is kept on the machine.
+// heldResponses paces the workers' heartbeats: it holds responses and sends them when they are due. Each held response
+// is stored in its machine.
 type heldResponses struct {
 	core      *Core
 	authority leaderAuthority
@@ -24,13 +25,13 @@
 	commands  *commandBuilder
 	recovery  recoveryState
 
-	nextDue time.Duration // when held responses are sent next
+	nextDue time.Duration // when the next held response is due
 }
 
-// recoveryState tells whether the leader has recovered the state of earlier terms.
+// recoveryState reports whether the leader has recovered the state of earlier terms.
 type recoveryState interface{ hasRecovered() bool }
 
-// newHeldResponses makes the held responses of a leader.
+// newHeldResponses returns the held responses of a leader, with none held.
 func newHeldResponses(l *leader) *heldResponses {
 	return &heldResponses{
 		core:      l.core,
@@ -42,8 +43,8 @@
 	}
 }
 
-// hold holds the response to a heartbeat if it has no commands and no change is expected that the worker would
-// have to report; false if it has to be sent now.
+// hold holds the response to a heartbeat if it has no commands and no change is expected that the worker would have to
+// report. It returns false if the response has to be sent now.
 func (h *heldResponses) hold(requestID uint64, heartbeat *wire.Heartbeat, token uint64, response *leaseResponse) bool {
 	c := h.core
 	m := h.machines[heartbeat.Machine]
@@ -54,27 +55,28 @@
 		return false
 	}
 	now := c.now.Steady
-	pause := c.pacer.Hold(m.steady(), c.timerLoad.Level(now))
-	if pause == 0 {
+	holdTime := c.pacer.Hold(m.isStable(), c.timerLoad.Level(now))
+	if holdTime == 0 {
 		return false
 	}
-	m.lastHoldTime = pause
-	m.heldResponse = &heldResponse{requestID: requestID, heartbeat: heartbeat, due: c.pacer.Release(now, pause)}
+	m.lastHoldTime = holdTime
+	m.heldResponse = &heldResponse{requestID: requestID, heartbeat: heartbeat, due: c.pacer.Release(now, holdTime)}
 	h.nextDue = min(h.nextDue, m.heldResponse.due)
 	c.wakeBy(h.nextDue)
 	return true
 }
 
-// mayHold tells whether a heartbeat is the newest of a machine that is to stay in the fleet.
+// mayHold reports whether the response to a heartbeat may be held: the heartbeat is the newest one of a machine that is
+// to stay in the fleet and need not show a fencing token.
 func (h *heldResponses) mayHold(m *machine, heartbeat *wire.Heartbeat) bool {
 	newest := m.reported && m.incarnation == heartbeat.Incarnation && m.sequence == heartbeat.Sequence
-	kept := !m.reclaiming && !m.releasing && !m.quarantined
-	return newest && kept && h.recovery.hasRecovered() && !m.fence.Required()
+	remains := !m.reclaiming && !m.releasing && !m.quarantined
+	return newest && remains && h.recovery.hasRecovered() && !m.fence.Required()
 }
 
-// steady tells whether nothing is under way on a machine that its next heartbeat would show: it has no task, or tasks
-// that run and are to go on.
-func (m *machine) steady() bool {
+// isStable reports whether no change is expected in the machine's next heartbeat: it has no tasks, or only running
+// tasks that are not to be stopped.
+func (m *machine) isStable() bool {
 	if len(m.exitedTasks) > 0 || len(m.orphanedTasks) > 0 {
 		return false
 	}
@@ -86,7 +88,7 @@
 	return true
 }
 
-// send sends a machine's held response, with all commands that there are by now.
+// send sends a machine's held response, with all commands that have become pending meanwhile.
 func (h *heldResponses) send(m *machine) {
 	held := m.heldResponse
 	if held == nil {
@@ -107,7 +109,7 @@
 	h.core.renewLease(held.requestID, basis, max(m.fence.Token(), held.heartbeat.FencingToken), response)
 }
 
-// supersede ends a held response whose worker has sent a newer heartbeat, and so has given it up.
+// supersede ends a machine's held response because the worker has sent a newer heartbeat and no longer waits for it.
 func (h *heldResponses) supersede(m *machine) {
 	held := m.heldResponse
 	if held == nil {
@@ -137,7 +139,8 @@
 	h.core.wakeBy(h.nextDue)
 }
 
-// redirectAll redirects the workers with held responses to the next leader, at the end of this term.
+// redirectAll redirects all workers with held responses, at the end of this term, so that they look for the next
+// leader.
 func (h *heldResponses) redirectAll(machines []*machine) {
 	for _, m := range machines {
 		if m.heldResponse != nil {
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -43,7 +43,7 @@
 			// Its start may still be on the way, and arrive after the stop.
 			p.machine.fence.RaiseAbove(p.directStartToken)
 		}
-		l.dispatcher.add(p.machine)
+		l.dispatcher.enqueue(p.machine)
 	}
 	l.requestCycle()
 	l.finishIfDone(j)
--- a/internal/core/job_comparisons.go
+++ b/internal/core/job_comparisons.go
@@ -17,15 +17,15 @@
 // runComparisons confirms cached states, many in one comparison, one comparison at a time.
 func (u *userRequests) runComparisons() {
 	c := u.core
-	if u.compareInFlight || len(u.comparisons) == 0 {
+	if u.comparisonInFlight || len(u.comparisons) == 0 {
 		return
 	}
-	if c.now.Steady < u.nextCompare {
-		c.wakeBy(u.nextCompare)
+	if c.now.Steady < u.nextComparison {
+		c.wakeBy(u.nextComparison)
 		return
 	}
 	batch, conditions := u.nextComparisonBatch()
-	u.compareInFlight = true
+	u.comparisonInFlight = true
 	u.scheduleNextComparison()
 	id := c.registerStoreCall(batch.applyResult)
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: conditions}})
@@ -59,27 +59,27 @@
 // queued, else later, so that more of them share it.
 func (u *userRequests) scheduleNextComparison() {
 	c := u.core
-	u.lastCompare = c.now.Steady
-	u.nextCompare = c.now.Steady + c.times.minCompareGap
+	u.lastComparison = c.now.Steady
+	u.nextComparison = c.now.Steady + c.times.minCompareGap
 	if len(u.comparisons) == 0 {
 		gap := time.Duration(float64(c.times.timerCoalescing) * c.slowdown())
-		u.nextCompare = c.coalesce(c.now.Steady + max(c.times.minCompareGap, gap))
+		u.nextComparison = c.coalesce(c.now.Steady + max(c.times.minCompareGap, gap))
 	}
 }
 
 // applyResult hands over what the comparison has confirmed. A job whose cached state is out of date is read.
 func (b *comparisonBatch) applyResult(r Result) {
 	u := b.requests
-	u.compareInFlight = false
+	u.comparisonInFlight = false
 	failed := r.failedKeys()
 	for _, l := range b.lookups {
 		switch {
 		case r.Outcome == outcome.OK, r.Outcome == outcome.Conflict && len(failed) > 0 && !l.failedIn(failed):
-			l.then(confirmedLookup(l.cached))
+			l.onResult(confirmedLookup(l.cached))
 		case r.Outcome == outcome.Conflict:
 			u.reads = append(u.reads, l)
 		default:
-			l.then(lookupResult{state: lookupIndeterminate})
+			l.onResult(lookupResult{state: lookupIndeterminate})
 		}
 	}
 }
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -9,23 +9,23 @@
 	"bitternwing/internal/wire"
 )
 
-// queueEnd has a job's final state written.
+// queueEnd queues a job's final state to be written.
 func (w *writer) queueEnd(j *job) { w.endings = append(w.endings, j) }
 
-// endChanges is what the end of a job takes at least: its final state is put, its key deleted.
-const endChanges = 2
+// minEndChanges is the minimum number of changes for the end of a job: its final state is put and its key is deleted.
+const minEndChanges = 2
 
-// endChangeBytes is what each change of a job's end takes in the body, about.
+// endChangeBytes is the approximate size of each change of a job's end in the body of a transaction.
 const endChangeBytes = 256
 
-// addEndings adds the ends of jobs.
+// addEndings adds queued ends of jobs to a batch while there is room.
 func (w *writer) addEndings(b *writeBatch) {
 	var later []*job
 	for i, j := range w.endings {
 		if w.leader.jobs[j.id] != j {
 			continue
 		}
-		if !b.hasRoom(endChanges) {
+		if !b.hasRoom(minEndChanges) {
 			later = append(later, w.endings[i:]...)
 			break
 		}
@@ -36,8 +36,9 @@
 	w.endings = later
 }
 
-// addEnd adds a job's end: its final state is put, its other keys go. Records that don't fit any more are deleted as
-// orphans. It returns false if the version of a record is not known yet.
+// addEnd adds a job's end to a batch: it puts the final state and deletes the job's other keys. Records that don't fit
+// into the batch are deleted later as orphans. It returns false if the end can't be written yet, because the version of
+// a record is not known.
 func (w *writer) addEnd(b *writeBatch, j *job) bool {
 	for _, chunk := range j.chunks {
 		if chunk.inFlight || chunk.rereadInFlight {
@@ -60,33 +61,33 @@
 			b.delete(r.Key, r.Version)
 		}
 	}
-	b.size += endChangeBytes * (endChanges + len(records))
+	b.size += endChangeBytes * (minEndChanges + len(records))
 	b.endings = append(b.endings, j)
 	return true
 }
 
-// applyEndResult handles the result of the write of a job's end.
-func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failed map[string]bool) {
+// applyEndResult handles the result of writing a job's end.
+func (w *writer) applyEndResult(j *job, b *writeBatch, r Result, failedKeys map[string]bool) {
 	switch {
 	case r.Outcome == outcome.OK:
 		w.completeEnd(j, b)
-	case failed[stored.JobKey(j.id)]:
-		// A cancel came first, or this very end was applied before, its outcome
-		// unknown. It is written again only once that is known: repeating it
-		// blindly would go on for good.
+	case failedKeys[stored.JobKey(j.id)]:
+		// Either the job was cancelled first, or an earlier write of this end with an unknown outcome was applied. The
+		// key is read before the end is written again, because a retry without the current version would fail forever.
 		w.rereadJob(j)
 	default:
 		for _, index := range slices.Sorted(maps.Keys(j.chunks)) {
-			if chunk := j.chunks[index]; failed[w.records.key(chunk)] {
+			if chunk := j.chunks[index]; failedKeys[w.records.key(chunk)] {
 				w.reread(chunk)
 			}
 		}
-		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failed[key] })
+		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failedKeys[key] })
 		w.queueEnd(j)
 	}
 }
 
-// completeEnd drops a job whose end is written, and has the records deleted that did not fit into that transaction.
+// completeEnd drops a job whose end was written, and queues the deletion of records that did not fit into that
+// transaction.
 func (w *writer) completeEnd(j *job, b *writeBatch) {
 	l, c := w.leader, w.leader.core
 	c.cacheFinalState(j.id, j.finalState)
@@ -97,17 +98,17 @@
 	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
 }
 
-// rereadJob finds out what became of a job's key without waiting for the watch.
+// rereadJob reads a job's key without waiting for the watch.
 func (w *writer) rereadJob(j *job) {
 	id := w.leader.registerStoreCall(func(r Result) { w.applyReread(j, r) })
 	w.leader.core.emit(StoreGet{CallID: id, Key: stored.JobKey(j.id)})
 }
 
-// applyReread takes a job's key as it was read, and goes on with the job's end.
+// applyReread applies a job's key that was read, and queues the job's end again if it is still to be written.
 func (w *writer) applyReread(j *job, r Result) {
 	l := w.leader
 	if r.Outcome == outcome.NotFound {
-		// Its end, whose outcome was unknown, was applied.
+		// A write of the job's end whose outcome was unknown has been applied.
 		if j.ending && l.jobs[j.id] == j {
 			w.deleteOrphans(w.records.keys(j))
 			l.dropJob(j)
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -6,22 +6,22 @@
 	"bitternwing/internal/wire"
 )
 
-// lookup finds out the state of a job.
+// lookup is a lookup of a job's state.
 type lookup struct {
-	id     string
-	cached *watchcache.Job // what the watch cache has; nil: no such job
-	then   func(lookupResult)
-	// batchable tells that the caller can wait a little, so that one comparison serves many lookups.
+	id       string
+	cached   *watchcache.Job // from the watch cache; nil if it has no such job
+	onResult func(lookupResult)
+	// batchable means that the lookup may wait a little, so that one comparison confirms many lookups.
 	batchable bool
-	// existenceOnly tells that the caller asks only whether the job was accepted, and discloses nothing of it.
+	// existenceOnly means that the caller only asks whether the job was accepted and discloses nothing else about it.
 	existenceOnly bool
 }
 
-// lookupState is how a lookup ended.
+// lookupState is the outcome of a lookup.
 type lookupState int
 
 const (
-	lookupIndeterminate lookupState = iota // could not be confirmed
+	lookupIndeterminate lookupState = iota // the state could not be confirmed
 	lookupNotFound                         // no such job was accepted
 	lookupActive                           // the job has not ended
 	lookupEnded                            // the job is done or cancelled
@@ -30,11 +30,12 @@
 // lookupResult is the result of a lookup.
 type lookupResult struct {
 	state lookupState
-	job   *watchcache.Job   // of an active job
-	final stored.FinalState // of a job that has ended
+	job   *watchcache.Job   // if the job is active
+	final stored.FinalState // if the job has ended
 }
 
-// confirmedLookup is the result for a job that was confirmed to be active, or to be unknown if it is nil.
+// confirmedLookup returns the result for a job that is confirmed to be active, or for one that is confirmed not to
+// exist if job is nil.
 func confirmedLookup(job *watchcache.Job) lookupResult {
 	if job == nil {
 		return lookupResult{state: lookupNotFound}
@@ -42,15 +43,15 @@
 	return lookupResult{state: lookupActive, job: job}
 }
 
-// endedLookup is the result for a job that has ended.
+// endedLookup returns the result for a job that has ended.
 func endedLookup(final stored.FinalState) lookupResult {
 	return lookupResult{state: lookupEnded, final: final}
 }
 
-// found tells whether the lookup has confirmed that the job was accepted.
+// found reports whether the lookup has confirmed that the job was accepted.
 func (r lookupResult) found() bool { return r.state == lookupActive || r.state == lookupEnded }
 
-// jobStateOf is what users are told of a job that was found.
+// jobStateOf returns the state of a job that was found, as users see it.
 func (c *Core) jobStateOf(id string, result lookupResult) wire.JobState {
 	if result.state == lookupEnded {
 		return finalJobState(id, result.final)
@@ -58,54 +59,55 @@
 	return c.activeJobState(id, result.job)
 }
 
-// lookUp looks a job up for a caller that does not wait for others.
-func (u *userRequests) lookUp(id string, then func(lookupResult)) {
-	u.startLookup(&lookup{id: id, then: then})
+// lookUp looks a job up without waiting for other lookups to share its comparison.
+func (u *userRequests) lookUp(id string, onResult func(lookupResult)) {
+	u.startLookup(&lookup{id: id, onResult: onResult})
 }
 
-// startLookup carries out a lookup. A cached cancellation needs no confirmation once all nodes know it.
+// startLookup starts a lookup. A job that is cancelled in the cache needs no comparison, but all nodes must have
+// acknowledged the cancellation.
 func (u *userRequests) startLookup(l *lookup) {
 	if !u.core.cache.Ready() {
-		l.then(lookupResult{state: lookupIndeterminate})
+		l.onResult(lookupResult{state: lookupIndeterminate})
 		return
 	}
 	cached := u.core.cache.Job(l.id)
 	if cached.Cancelled() {
-		u.resolveCancelled(l.id, cached, l.then)
+		u.resolveCancelled(l.id, cached, l.onResult)
 		return
 	}
-	if cached != nil && len(cached.Spec.Dependencies) > 0 && !u.mayDisclose(l.id, cached, l.then) {
+	if cached != nil && len(cached.Spec.Dependencies) > 0 && !u.mayDisclose(l.id, cached, l.onResult) {
 		return
 	}
 	l.cached = cached
 	u.comparisons = append(u.comparisons, l)
 	if !l.batchable || u.core.storeHealth.down {
-		u.nextCompare = min(u.nextCompare, u.lastCompare+u.core.times.minCompareGap)
+		u.nextComparison = min(u.nextComparison, u.lastComparison+u.core.times.minCompareGap)
 	}
 }
 
-// resolveCancelled hands over a cancelled job once users may be told of it.
-func (u *userRequests) resolveCancelled(id string, job *watchcache.Job, then func(lookupResult)) {
-	disclosure := cancelledDisclosure{core: u.core, id: id, job: job, then: then}
-	u.core.cancellations.awaitAcknowledgement(id, job, disclosure.resolve)
+// resolveCancelled completes the lookup of a cancelled job once its cancellation may be confirmed to users.
+func (u *userRequests) resolveCancelled(id string, job *watchcache.Job, onResult func(lookupResult)) {
+	disclosure := cancelledDisclosure{core: u.core, id: id, job: job, onResult: onResult}
+	u.core.cancellations.awaitConfirmation(id, job, disclosure.resolve)
 }
 
-// cancelledDisclosure is a lookup of a cancelled job that waits until all nodes know the cancellation.
+// cancelledDisclosure is a lookup of a cancelled job that waits until the cancellation may be confirmed to users.
 type cancelledDisclosure struct {
-	core *Core
-	id   string
-	job  *watchcache.Job
-	then func(lookupResult)
+	core     *Core
+	id       string
+	job      *watchcache.Job
+	onResult func(lookupResult)
 }
 
-func (d cancelledDisclosure) resolve(acknowledged bool) {
+func (d cancelledDisclosure) resolve(confirmed bool) {
 	final, ended := d.core.cache.FinalState(d.id)
 	switch {
 	case ended:
-		d.then(endedLookup(final))
-	case acknowledged:
-		d.then(confirmedLookup(d.job))
+		d.onResult(endedLookup(final))
+	case confirmed:
+		d.onResult(confirmedLookup(d.job))
 	default:
-		d.then(lookupResult{state: lookupIndeterminate})
+		d.onResult(lookupResult{state: lookupIndeterminate})
 	}
 }
--- a/internal/core/job_reads.go
+++ b/internal/core/job_reads.go
@@ -7,17 +7,17 @@
 	"bitternwing/internal/wire"
 )
 
-// maxJobReads bounds the jobs that are read for users at once.
+// maxJobReads bounds the jobs that are read concurrently for users.
 const maxJobReads = 4
 
-// jobRead reads a job's keys for a lookup. A job moves from its active key to its final key and never back, so
-// the final key is read second.
+// jobRead reads a job's keys for a lookup. A job moves from its active key to its final key and never back, so the
+// final key is read after the active one.
 type jobRead struct {
 	requests *userRequests
 	lookup   *lookup
 }
 
-// runReads starts queued reads, a few at a time.
+// runReads starts queued reads, as many as may run concurrently.
 func (u *userRequests) runReads() {
 	for u.readsInFlight < maxJobReads && len(u.reads) > 0 {
 		read := jobRead{requests: u, lookup: u.reads[0]}
@@ -45,7 +45,7 @@
 	r.finish(lookupResult{state: lookupIndeterminate})
 }
 
-// discloseActiveJob ends the lookup with an active job as it was read, as far as users may be told of it.
+// discloseActiveJob finishes the lookup with an active job that was read, if users may be told its state.
 func (r jobRead) discloseActiveJob(item wire.Item) {
 	u, id := r.requests, r.lookup.id
 	value, err := stored.DecodeJob(item.Value)
@@ -92,8 +92,8 @@
 	r.finish(endedLookup(final))
 }
 
-// finish hands the result over and makes way for the next read.
+// finish completes the lookup, so that the next queued read may start.
 func (r jobRead) finish(result lookupResult) {
 	r.requests.readsInFlight--
-	r.lookup.then(result)
+	r.lookup.onResult(result)
 }
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -169,7 +169,7 @@
 // adoptPlacement adopts a placement of an earlier term. It may be running, or its start still be on the way, until the
 // heartbeat of its machine shows.
 func (r *leaderRecovery) adoptPlacement(j *job, task int, run record.Run) {
-	m := r.leader.machineNamed(run.Machine)
+	m := r.leader.findOrAddMachine(run.Machine)
 	m.everReported = true
 	p := &placement{job: j, task: task, attempt: run.Attempt, machine: m, incarnation: run.Incarnation,
 		phase: phaseSent, startSequence: startSequenceUnknown, placedAt: r.leader.core.now.Steady}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -10,38 +10,39 @@
 	"bitternwing/internal/wire"
 )
 
-// leaseRelay renews the leases of workers that can't reach the leader although it leads, as when two zones can't
-// reach each other. It responds to their heartbeats with the leader's fencing token and relays the heartbeats through
-// the key-value store, where the leader takes them as evidence like any other. It starts nothing. The only command
-// that it gives by itself is to stop tasks of cancelled jobs, which is right whoever leads.
+// leaseRelay renews the leases of workers that can't reach an active leader, for example because two zones can't reach
+// each other. It responds to their heartbeats with the leader's fencing token and relays the heartbeats through the
+// key-value store, where the leader reconciles them like any other. It starts no tasks. The only command that it sends
+// is to stop tasks of cancelled jobs, which is correct whichever node leads.
 type leaseRelay struct {
 	core            *Core
 	term            uint64
 	workers         map[string]*relayedWorker
-	order           []string                 // of workers, in the order in which they came
-	redirected      map[string]time.Duration // workers redirected to the leader, and when
-	termConfirmedAt time.Duration            // when the leader's key was last seen to be current
+	workerOrder     []string                 // names of the workers in order of arrival
+	redirected      map[string]time.Duration // when workers were redirected to the leader, by name
+	termConfirmedAt time.Duration            // when the store last confirmed that the leader's key is unchanged
 	confirmInFlight bool
 	nextConfirm     time.Duration
 	writeInFlight   bool
 	nextWrite       time.Duration
-	shards          int  // keys that may hold heartbeats
-	servesOtherZone bool // a worker of another zone came while this zone seemed isolated
+	shards          int  // number of keys that may hold heartbeats
+	servesOtherZone bool // a worker of another zone reached this node while this zone seemed isolated
 }
 
 // relayedWorker is a worker whose lease is renewed by the relay.
 type relayedWorker struct {
-	heartbeat         *wire.Heartbeat // the newest
-	since             time.Duration   // when its lease was first renewed here
-	renewedAt         time.Duration   // when it was last renewed here
-	leaderUnreachable bool            // it can't reach the leader
+	heartbeat         *wire.Heartbeat // the newest one
+	firstRenewedAt    time.Duration   // when this node first renewed the worker's lease
+	renewedAt         time.Duration   // when this node last renewed it
+	leaderUnreachable bool            // the worker can't reach the leader
 }
 
 func newLeaseRelay(c *Core) *leaseRelay {
 	return &leaseRelay{core: c, workers: map[string]*relayedWorker{}, redirected: map[string]time.Duration{}}
 }
 
-// leadingPeer gives the other node that leads, as far as this node knows.
+// leadingPeer returns the other node that leads according to the key-value store, or nil if there is none or the store
+// is unavailable.
 func (r *leaseRelay) leadingPeer() *membership.Peer {
 	c := r.core
 	if c.leader != nil || !c.cache.HasLeader() || c.cache.Leader().Node == c.settings.Node || c.storeHealth.down {
@@ -50,40 +51,40 @@
 	return c.members.Peer(c.cache.Leader().Node)
 }
 
-// leadershipVacant tells whether nobody leads, between two terms: the key-value store serves this node and shows no
-// leader, or an earlier process of this very node.
+// leadershipVacant reports whether no node leads because one term has ended and the next has not begun: the key-value
+// store shows no leader, or an earlier process of this node.
 func (r *leaseRelay) leadershipVacant() bool {
 	cache := r.core.cache
 	return cache.Ready() && (!cache.HasLeader() || cache.Leader().Node == r.core.settings.Node)
 }
 
-// leaderUnreachable tells whether there is a leader that can't be reached from here.
+// leaderUnreachable reports whether another node leads and this node can't reach it.
 func (r *leaseRelay) leaderUnreachable() bool {
 	p := r.leadingPeer()
 	return p != nil && p.Unreachable()
 }
 
-// leaderCannotReach tells whether the leader says that workers of a zone can't reach it: they need not try, which
-// would cost them much of their lease.
+// leaderCannotReach reports whether the leader's status says that a zone's workers can't reach it. These workers need
+// not try to reach the leader then, which would cost them much of their lease.
 func (r *leaseRelay) leaderCannotReach(zone string) bool {
 	p := r.leadingPeer()
 	return p != nil && r.core.members.Leads(p, r.core.now.Steady) && slices.Contains(p.Status().UnreachableZones, zone)
 }
 
-// termIsCurrent tells whether the leader's term was seen to be current just now, in the key-value store or by the
-// leader's own status.
+// termIsCurrent reports whether the key-value store or the leader's own status has recently confirmed that the leader's
+// term is current.
 func (r *leaseRelay) termIsCurrent(leader *membership.Peer) bool {
 	c := r.core
 	return r.termConfirmedAt != 0 && c.now.Steady-r.termConfirmedAt < 2*c.times.checkInterval ||
 		c.members.Leads(leader, c.now.Steady) && leader.Status().Term == c.cache.Leader().Term
 }
 
-// handleHeartbeat renews a worker's lease in the leader's place; false if this node may not, or if the worker had
-// better find the leader.
+// handleHeartbeat renews a worker's lease on the leader's behalf. It returns false if this node may not do so or if the
+// worker should look for the leader.
 func (r *leaseRelay) handleHeartbeat(in WorkerHeartbeat) bool {
 	switch {
 	case len(in.Heartbeat.Tasks) == 0:
-		return false // there is nothing to keep alive
+		return false // there are no tasks to keep running
 	case r.core.storeHealth.down:
 		return r.renewDuringStoreOutage(in)
 	case r.leadershipVacant():
@@ -93,9 +94,9 @@
 	return r.renewForLeader(in)
 }
 
-// renewDuringVacancy renews a worker's lease between two terms. Redirected to the next node, it might wait for one
-// that is down, and lose its lease before it has found the next leader. The response repeats its own fencing token, as
-// that of renewDuringStoreOutage does, and is safe for the same reasons.
+// renewDuringVacancy renews a worker's lease between two terms. A worker that is redirected to the next node might wait
+// for a node that is down, and lose its lease before it finds the next leader. The response repeats the worker's own
+// fencing token, as in renewDuringStoreOutage, and is safe for the same reasons.
 func (r *leaseRelay) renewDuringVacancy(in WorkerHeartbeat) {
 	r.core.renewLease(in.RequestID, VacancyBasis, in.Heartbeat.FencingToken, r.core.newLeaseResponse(in.Heartbeat))
 }
@@ -118,7 +119,7 @@
 	if worker == nil {
 		worker = r.adoptWorker(heartbeat)
 	}
-	worker.observe(heartbeat)
+	worker.updateHeartbeat(heartbeat)
 	worker.renewedAt = c.now.Steady
 	if r.term != term {
 		r.term = term
@@ -128,39 +129,40 @@
 	return true
 }
 
-// observe keeps a heartbeat that is newer than the last one.
-func (w *relayedWorker) observe(heartbeat *wire.Heartbeat) {
+// updateHeartbeat replaces the worker's heartbeat if the given one is newer.
+func (w *relayedWorker) updateHeartbeat(heartbeat *wire.Heartbeat) {
 	if isNewer(heartbeat, w.heartbeat.Incarnation, w.heartbeat.Sequence) {
 		w.heartbeat = heartbeat
 	}
 }
 
-// adoptWorker begins to renew a worker's lease. It may reach the leader from where it is: its lease is renewed once,
-// for it has lost time already; then it is redirected, and kept if it comes back. One whose zone can't reach the
-// leader, as this node can't, needs no proof.
+// adoptWorker begins to renew a worker's lease. The worker may be able to reach the leader. Its lease is renewed once,
+// because part of it has elapsed already. With its next heartbeat the worker is redirected to the leader, and if it
+// comes back its lease is renewed from then on. It is not redirected if its zone is known to be unable to reach the
+// leader.
 func (r *leaseRelay) adoptWorker(heartbeat *wire.Heartbeat) *relayedWorker {
 	c := r.core
 	now := c.now.Steady
 	redirectedAt, wasRedirected := r.redirected[heartbeat.Machine]
-	worker := &relayedWorker{heartbeat: heartbeat, since: now}
+	worker := &relayedWorker{heartbeat: heartbeat, firstRenewedAt: now}
 	worker.leaderUnreachable = wasRedirected && now-redirectedAt < c.times.lease ||
 		r.leaderUnreachable() && heartbeat.Zone == c.settings.Zone || r.leaderCannotReach(heartbeat.Zone)
 	r.workers[heartbeat.Machine] = worker
-	r.order = append(r.order, heartbeat.Machine)
-	// With its next heartbeat it is redirected to the leader, which must have heard of it by then: else it counts as
-	// silent there while it is on its way.
+	r.workerOrder = append(r.workerOrder, heartbeat.Machine)
+	// The next heartbeat is redirected to the leader. The leader must have received this one by then, or it would
+	// consider the worker silent until the redirected worker reaches it.
 	r.nextWrite = min(r.nextWrite, now+c.times.checkInterval/2)
 	c.log(Debug, "worker adopted by lease relay", "worker", heartbeat.Machine, "leader", c.cache.Leader().Node)
 	return worker
 }
 
-// shouldRetryLeader tells whether a relayed worker had better look for the leader: it has not yet, or the leader is
-// reachable for others, and it tries again now and then.
+// shouldRetryLeader reports whether a relayed worker should look for the leader: because it has not done so yet, or
+// because this node can reach the leader and two leases have passed since the worker was adopted.
 func (r *leaseRelay) shouldRetryLeader(worker *relayedWorker, zone string) bool {
 	if r.leaderCannotReach(zone) {
 		return false
 	}
-	return !worker.leaderUnreachable || !r.leaderUnreachable() && r.core.now.Steady-worker.since > 2*r.core.times.lease
+	return !worker.leaderUnreachable || !r.leaderUnreachable() && r.core.now.Steady-worker.firstRenewedAt > 2*r.core.times.lease
 }
 
 // maxRedirected bounds the workers that are remembered as redirected to the leader.
@@ -174,16 +176,18 @@
 	r.redirected[machine] = r.core.now.Steady
 }
 
-// renewDuringStoreOutage renews a worker's lease while this node can't reach the key-value store and so can't know
-// who leads: with its whole zone isolated, or with the store unavailable to every node and none left that leads. The
-// response repeats the worker's own fencing token, so it overrules nobody, and it starts nothing. It is safe whoever
-// leads, since a placement never ends by the clock: what runs here counts until there is evidence of its end. A node
-// that alone lost the network must not hold its workers, which could find the leader; it shows by workers of other
-// zones still reaching it.
+// renewDuringStoreOutage renews a worker's lease while this node can't reach the key-value store and therefore can't
+// know which node leads. It does so if its whole zone is isolated, or if the store is unavailable to every node and no
+// node leads any more.
 //
-// It may go on for as long as the outage lasts. In an isolated zone nothing is left of jobs whose users were told of
-// a cancellation; elsewhere only a node that knew the jobs before does this, which lacks no such cancellation (see
-// cancellationReplicator).
+// The response repeats the worker's own fencing token, so it does not override any leader, and it starts no tasks. It
+// is safe whichever node leads, because a placement never ends by a time-out: a task counts as running until there is
+// evidence that it has ended. A node that has lost the network on its own must not keep its workers, because they could
+// find the leader. Such a node detects this by workers of other zones that still reach it.
+//
+// Renewal may continue for as long as the outage lasts. In an isolated zone no task is left of a job whose cancellation
+// was confirmed to a user. Elsewhere only a node that knew the jobs before the outage renews leases, and such a node
+// has all confirmed cancellations (see cancellationReplicator).
 func (r *leaseRelay) renewDuringStoreOutage(in WorkerHeartbeat) bool {
 	c, heartbeat := r.core, in.Heartbeat
 	isolated := c.members.OwnZoneIsolated(c.now.Steady, c.storeHealth.down)
@@ -194,21 +198,21 @@
 	switch {
 	case isolated && !r.servesOtherZone:
 		basis = IsolatedZoneBasis
-	case !r.mayOutlastStore():
+	case !r.mayRenewWithoutStore():
 		return false
 	}
 	c.renewLease(in.RequestID, basis, heartbeat.FencingToken, c.newLeaseResponse(heartbeat))
 	return true
 }
 
-// mayOutlastStore tells whether the key-value store serves no node, none of them leads, and this one knew the jobs
-// before.
-func (r *leaseRelay) mayOutlastStore() bool {
+// mayRenewWithoutStore reports whether the key-value store is unavailable to all nodes, no node leads, and this node
+// knew the jobs before the outage.
+func (r *leaseRelay) mayRenewWithoutStore() bool {
 	c := r.core
 	return c.members.AllPeersLostStore(c.now.Steady) && c.members.Leader(c.now.Steady) == "" && c.cache.Ready()
 }
 
-// run keeps the knowledge of the leader's term fresh while it is needed, and writes the relayed heartbeats.
+// run confirms the leader's term while that is needed, drops expired workers and writes the relayed heartbeats.
 func (r *leaseRelay) run() {
 	r.servesOtherZone = r.servesOtherZone && r.core.storeHealth.down
 	r.confirmTerm()
@@ -216,7 +220,7 @@
 	r.writeWhenDue()
 }
 
-// confirmTerm confirms with the key-value store now and then that the leader's term is current.
+// confirmTerm asks the key-value store every half check interval whether the leader's term is still current.
 func (r *leaseRelay) confirmTerm() {
 	c := r.core
 	if len(r.workers) == 0 && !r.leaderUnreachable() || r.confirmInFlight {
@@ -239,15 +243,16 @@
 	}
 }
 
-// dropExpired drops all workers once the leader has changed, and those whose leases have not been renewed here in time.
+// dropExpired drops all workers once the leader has changed, and else those whose leases this node has not renewed in
+// time.
 func (r *leaseRelay) dropExpired() {
 	c := r.core
 	if r.leadingPeer() == nil || r.term != 0 && c.cache.Leader().Term != r.term {
 		clear(r.workers)
 		clear(r.redirected)
-		r.order = r.order[:0]
+		r.workerOrder = r.workerOrder[:0]
 	}
-	for _, name := range slices.Clone(r.order) {
+	for _, name := range slices.Clone(r.workerOrder) {
 		if c.now.Steady-r.workers[name].renewedAt > c.times.lease {
 			r.dropWorker(name)
 		}
@@ -260,7 +265,7 @@
 
 func (r *leaseRelay) dropWorker(name string) {
 	delete(r.workers, name)
-	if i := slices.Index(r.order, name); i >= 0 {
-		r.order = slices.Delete(r.order, i, i+1)
+	if i := slices.Index(r.workerOrder, name); i >= 0 {
+		r.workerOrder = slices.Delete(r.workerOrder, i, i+1)
 	}
 }
--- a/internal/core/lease_responses.go
+++ b/internal/core/lease_responses.go
@@ -7,59 +7,60 @@
 	"bitternwing/internal/wire"
 )
 
-// LeaseBasis is why a node may respond to a heartbeat so that the worker's lease is renewed.
+// LeaseBasis is the basis on which a node may renew a worker's lease by responding to its heartbeat.
 type LeaseBasis int
 
-// The bases. LeaseBasisCount is how many there are.
+// Lease bases. LeaseBasisCount is their number.
 const (
 	// LeaderBasis: this node leads and has recovered the state.
 	LeaderBasis LeaseBasis = iota
-	// RecoveringLeaderBasis: it leads, and has yet to recover the state.
+	// RecoveringLeaderBasis: this node leads but has not recovered the state yet.
 	RecoveringLeaderBasis
-	// StaleHeartbeatBasis: it leads, and the heartbeat is older than one that it has taken in.
+	// StaleHeartbeatBasis: this node leads and has already handled a newer heartbeat of the worker.
 	StaleHeartbeatBasis
-	// RemovedMachineBasis: it leads, and the machine was released or is gone otherwise.
+	// RemovedMachineBasis: this node leads and has removed the machine.
 	RemovedMachineBasis
 	// RelayBasis: another node leads that the worker can't reach.
 	RelayBasis
-	// VacancyBasis: nobody leads, between two terms.
+	// VacancyBasis: no node leads, between two terms.
 	VacancyBasis
-	// StoreOutageBasis: the key-value store serves no node that responds, and none of them leads.
+	// StoreOutageBasis: the key-value store is unavailable to all nodes and no node leads.
 	StoreOutageBasis
-	// IsolatedZoneBasis: the zone of this node and of the worker is cut off from the others.
+	// IsolatedZoneBasis: the zone of this node and of the worker is isolated from the others.
 	IsolatedZoneBasis
 	LeaseBasisCount
 )
 
-// leaseBasisNames are the names in logs and metrics.
+// leaseBasisNames are the names of the bases in logs and metrics.
 var leaseBasisNames = [LeaseBasisCount]string{"leader", "unread_leader", "late_report", "gone_machine", "relay", "vacancy", "no_state", "cut_zone"}
 
-// String names a basis in logs and metrics.
+// String returns the name of the basis in logs and metrics.
 func (b LeaseBasis) String() string { return leaseBasisNames[b] }
 
-// leaseRenewals counts the responses that renew leases, and the stops of cancelled tasks in them, by their basis.
+// leaseRenewals counts the responses that renew leases, and the stops of cancelled tasks in them, by basis.
 type leaseRenewals struct {
 	responses [LeaseBasisCount]uint64
 	stops     [LeaseBasisCount]uint64
 	lastAt    [LeaseBasisCount]time.Duration
 }
 
-// leaseResponse is a response to a heartbeat that renews the worker's lease. Whoever renews a lease lets the worker's
-// tasks go on, so it has to stop what it knows to be cancelled: whether or not it leads, has recovered the state, or
-// knows of the placements. newLeaseResponse alone makes them, with these stops in front; other commands follow as far
-// as there is room.
+// leaseResponse is a response to a heartbeat that renews the worker's lease. A renewed lease keeps the worker's tasks
+// running, so each node that renews one must stop the tasks that it knows to be cancelled, whether or not it leads, has
+// recovered the state or knows the placements. All lease responses are created by newLeaseResponse, which puts these
+// stops first. Other commands follow while there is room.
 type leaseResponse struct {
 	machine  string
 	commands []wire.Command
-	stopped  map[attemptName]bool // attempts of cancelled jobs that it stops
+	stopped  map[attemptName]bool // attempts of cancelled jobs that the response stops
 }
 
-// maxCommands bounds the commands in a response, so that its one line stays within the protocol's 64 KiB; the rest
-// follows with the next. Tasks that are stopped exit, so the same ones don't take the room of others twice.
+// maxCommands bounds the commands in a response, which is a single line, so that it stays within the protocol's limit
+// of 64 KiB. The remaining commands follow in the next response. Stopped tasks exit, so the same stops don't take up
+// the room in later responses.
 const maxCommands = 400
 
-// newLeaseResponse begins the response to a heartbeat with stops of the tasks whose jobs this node knows to be
-// cancelled.
+// newLeaseResponse returns a response to a heartbeat that stops the tasks whose jobs this node knows to be cancelled.
+// Other commands may be added to it.
 func (c *Core) newLeaseResponse(heartbeat *wire.Heartbeat) *leaseResponse {
 	response := &leaseResponse{machine: heartbeat.Machine, commands: []wire.Command{}}
 	for i := range heartbeat.Tasks {
@@ -72,7 +73,7 @@
 	return response
 }
 
-// stopCancelled adds the stop of a cancelled job's task. Other commands for the same attempt are left out.
+// stopCancelled adds the command to stop a cancelled job's task. Later commands for the same attempt are left out.
 func (r *leaseResponse) stopCancelled(task *wire.TaskStatus) {
 	if r.stopped == nil {
 		r.stopped = map[attemptName]bool{}
@@ -81,23 +82,24 @@
 	r.commands = append(r.commands, stopImmediately(task))
 }
 
-// stopImmediately stops a task without time for a checkpoint.
+// stopImmediately returns the command to stop a task without a grace period for a checkpoint.
 func stopImmediately(task *wire.TaskStatus) wire.Command {
 	gracePeriodS := 0.0
 	return wire.Command{Op: wire.OpStop, Task: task.Task, Attempt: task.Attempt, GracePeriodS: &gracePeriodS}
 }
 
-// full tells whether there is no room for another command.
+// full reports whether there is no room for another command.
 func (r *leaseResponse) full() bool { return len(r.commands) >= maxCommands }
 
-// add adds a command, unless there is no room or its attempt is stopped already.
+// add adds a command unless the response is full or already stops the command's attempt.
 func (r *leaseResponse) add(command wire.Command) {
 	if !r.full() && !r.stopped[attemptName{command.Task, command.Attempt}] {
 		r.commands = append(r.commands, command)
 	}
 }
 
-// renewLease responds to a heartbeat with 200, which renews the worker's lease. No other code does.
+// renewLease responds to a heartbeat with status 200, which renews the worker's lease. No other code responds to a
+// heartbeat with 200.
 func (c *Core) renewLease(requestID uint64, basis LeaseBasis, token uint64, response *leaseResponse) {
 	c.countLeaseRenewal(basis)
 	if n := len(response.stopped); n > 0 {
@@ -107,13 +109,13 @@
 	c.respond(requestID, http.StatusOK, wire.HeartbeatResponse{FencingToken: token, Commands: response.commands})
 }
 
-// isKnownCancelled tells whether this node knows that a job is cancelled.
+// isKnownCancelled reports whether this node knows that a job is cancelled.
 func (c *Core) isKnownCancelled(job string) bool {
 	final, _ := c.cache.FinalState(job)
 	return c.cache.Job(job).Cancelled() || final.State == wire.JobCancelled
 }
 
-// countLeaseRenewal counts a response. The first one on a basis, or the first for a lease, is logged.
+// countLeaseRenewal counts a response. It logs the first one on a basis, and the first one after a pause of a lease.
 func (c *Core) countLeaseRenewal(basis LeaseBasis) {
 	last := &c.leaseRenewals.lastAt[basis]
 	if *last == 0 || c.now.Steady-*last > c.times.lease {
--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -11,17 +11,17 @@
 	"bitternwing/internal/wire"
 )
 
-// newIdleCore makes a core that has done nothing yet.
+// newIdleCore returns a core that has not handled any input yet.
 func newIdleCore() *Core {
-	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator()}
-	set.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}
-	set.Params.Store = config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
-	set.Params.Limits = config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
-	return New(set, "first")
+	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator()}
+	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}
+	settings.Params.Store = config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
+	settings.Params.Limits = config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
+	return New(settings, "first")
 }
 
-// drawHeartbeat draws the tasks of a machine, and makes a part of their jobs known to be cancelled: active ones, and
-// ones whose final state is known.
+// drawHeartbeat draws a heartbeat and adds the jobs of its tasks to the core's cache. Some of them are cancelled: of
+// these one half are active and the other half have ended.
 func drawHeartbeat(t *rapid.T, c *Core) *wire.Heartbeat {
 	states := []wire.TaskState{wire.TaskFetching, wire.TaskRunning, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited}
 	heartbeat := &wire.Heartbeat{Machine: "m1", Incarnation: 1}
@@ -43,7 +43,7 @@
 	return heartbeat
 }
 
-// applyJob has the cache know a job.
+// applyJob adds a job to the core's cache.
 func applyJob(t *rapid.T, c *Core, job stored.Job) {
 	value, err := job.Encode()
 	if err != nil {
@@ -52,7 +52,8 @@
 	c.cache.ApplyJob(job.Spec.ID, value, 1)
 }
 
-// cancelledLeft counts the tasks of a heartbeat that have not exited and whose jobs are known to be cancelled.
+// cancelledLeft returns the number of tasks in a heartbeat that have not exited and whose jobs are known to be
+// cancelled.
 func cancelledLeft(c *Core, heartbeat *wire.Heartbeat) (left int) {
 	for _, task := range heartbeat.Tasks {
 		job, _, _ := wire.ParseTaskName(task.Task)
@@ -63,8 +64,8 @@
 	return left
 }
 
-// obey has a worker carry out the stops of a response.
-func obey(heartbeat *wire.Heartbeat, response *leaseResponse) {
+// applyStops carries out the stops of a response on the tasks of a heartbeat.
+func applyStops(heartbeat *wire.Heartbeat, response *leaseResponse) {
 	stopped := map[attemptName]bool{}
 	for _, command := range response.commands {
 		stopped[attemptName{command.Task, command.Attempt}] = command.Op == wire.OpStop
@@ -76,39 +77,39 @@
 	}
 }
 
-// TestLeaseAnswersStopCancelled responds to heartbeats of many tasks, with many other commands to give. Each response stops
-// as many cancelled tasks as it may hold commands, none of them twice; so all of them are stopped after as many responses
-// as they fill.
-func TestLeaseAnswersStopCancelled(t *testing.T) {
+// TestLeaseResponsesStopCancelledTasks responds to heartbeats with many tasks while many other commands are pending.
+// Each response must stop as many cancelled tasks as it has room for, and no attempt may get two commands. All
+// cancelled tasks are then stopped by as few responses as possible.
+func TestLeaseResponsesStopCancelledTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newIdleCore()
 		heartbeat := drawHeartbeat(t, c)
-		others := rapid.IntRange(0, 2*maxCommands).Draw(t, "other commands")
+		otherCommands := rapid.IntRange(0, 2*maxCommands).Draw(t, "other commands")
 		for left := cancelledLeft(c, heartbeat); ; left = cancelledLeft(c, heartbeat) {
 			response := c.newLeaseResponse(heartbeat)
-			for i := range others {
+			for i := range otherCommands {
 				response.add(wire.Command{Op: wire.OpForget, Task: wire.TaskName("run-900000", i), Attempt: 1})
 			}
 			for i := range heartbeat.Tasks {
-				response.add(stopImmediately(&heartbeat.Tasks[i])) // the leader's own
+				response.add(stopImmediately(&heartbeat.Tasks[i])) // as the leader stops tasks for other reasons
 			}
 			seen := map[attemptName]bool{}
 			for _, command := range response.commands {
 				name := attemptName{command.Task, command.Attempt}
 				if seen[name] {
-					t.Fatalf("two commands for %v", name)
+					t.Fatalf("the response has two commands for %v", name)
 				}
 				seen[name] = true
 			}
 			if len(response.commands) > maxCommands {
-				t.Fatalf("%d commands", len(response.commands))
+				t.Fatalf("the response has %d commands, above the limit", len(response.commands))
 			}
 			if left == 0 {
 				return
 			}
-			obey(heartbeat, response)
-			if after, most := cancelledLeft(c, heartbeat), max(0, left-maxCommands); after > most {
-				t.Fatalf("%d of %d cancelled tasks are left after a response, not %d at most", after, left, most)
+			applyStops(heartbeat, response)
+			if after, maxLeft := cancelledLeft(c, heartbeat), max(0, left-maxCommands); after > maxLeft {
+				t.Fatalf("%d of %d cancelled tasks are left after a response, want at most %d", after, left, maxLeft)
 			}
 		}
 	})
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -2,25 +2,28 @@
 
 import "time"
 
-// A node that is short of processor time does what matters first. Heartbeats are answered, less often (see
-// holdResponse). Users are shed to nodes with time to spare. Comparisons and scheduling cycles wait longer.
+// A node that is short of processor time does the most important work first. It still responds to heartbeats, but holds
+// the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to spare.
+// Comparisons and scheduling cycles are deferred for longer.
 
-// Users are shed above a load, until it has fallen below another, so that they are not sent to and fro. Above it no more
-// machines are requested either: each one sends heartbeats.
+// Users' requests are shed when the load rises above shedAbove, until it has fallen below shedBelow. The gap between
+// the two prevents oscillation. Above shedAbove no more machines are requested either, because each machine sends
+// heartbeats.
 const (
 	shedAbove = 0.5
 	shedBelow = 0.1
 )
 
-// maxSlowdown is how much longer deferrable work waits at full load.
+// maxSlowdown is the slowdown at full load.
 const maxSlowdown = 4
 
-// slowdown is the factor by which deferrable work waits longer.
+// slowdown returns the factor by which deferrable work is deferred for longer under the present load.
 func (c *Core) slowdown() float64 {
 	return 1 + (maxSlowdown-1)*c.timerLoad.Level(c.now.Steady)
 }
 
-// observeLoad takes in how late this step comes: the last one asked to be woken before. Its input may also have waited.
+// observeLoad updates the load estimates by how much later this step runs than the last step asked to be woken, and by
+// how long its input has waited.
 func (c *Core) observeLoad() {
 	late := time.Duration(0)
 	if c.wakeAt != 0 {
@@ -35,13 +38,13 @@
 	c.updateShedding()
 }
 
-// overloaded tells whether this node has so little processor time to spare that a larger fleet would be too much for it.
-// Requests that have waited show it as well as late timers: a core that takes one input after the other has its timers in
-// time. They show nothing else, since a moment with many requests is no reason to defer work.
+// overloaded reports whether this node has so little processor time to spare that it could not handle a larger fleet.
+// Requests that have waited count as well as late timers, because a core that handles one input after the other has its
+// timers fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
 func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
 
-// updateShedding decides whether the load balancer is to send users elsewhere. Only a leader sheds them: it has work that
-// no other node can do, and the others would keep shedding each other's users.
+// updateShedding decides whether the load balancer is to send users to other nodes. Only a leader sheds users, because
+// it has work that no other node can do. If followers did so as well, they would keep shedding users to each other.
 func (c *Core) updateShedding() {
 	level := c.timerLoad.Level(c.now.Steady)
 	switch {
--- a/internal/core/load_shedding_test.go
+++ b/internal/core/load_shedding_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// TestLeaderShedsUsers has the leader run short of processor time. It tells the load balancer to send users to the others,
-// who are not short, until it has time to spare again; with none of the others there it goes on serving them.
+// TestLeaderShedsUsers slows the leader down until it is short of processor time. It must tell the load balancer to
+// send users to the other nodes, which are not slow, until it has processor time to spare again. If no other node is
+// up, it must keep serving users.
 func TestLeaderShedsUsers(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name       string
-		othersGone bool
-		sheds      bool
+		othersDown bool
+		wantShed   bool
 	}{
-		{"others are there", false, true},
-		{"the others are gone", true, false},
+		{"other nodes are up", false, true},
+		{"other nodes are down", true, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := newSimulation(t, 41, map[string]string{"a": "z1", "b": "z1", "c": "z1"})
 			for range 8 {
 				s.addMachine("z1", false, 0)
@@ -24,7 +25,7 @@
 			s.end = 10 * time.Second
 			s.run()
 			leader := s.leader()
-			if x.othersGone {
+			if test.othersDown {
 				for _, node := range s.nodes {
 					if node != leader {
 						s.killNode(node)
@@ -41,13 +42,13 @@
 			leader.stepTime, leader.slowUntil = 160*time.Millisecond, 25*time.Second
 			s.end = 25 * time.Second
 			s.run()
-			if shed != x.sheds || othersShed {
-				t.Errorf("the leader sheds users: %v, want %v; others do: %v", shed, x.sheds, othersShed)
+			if shed != test.wantShed || othersShed {
+				t.Errorf("leader shed users: %v, want %v; other nodes shed users: %v, want false", shed, test.wantShed, othersShed)
 			}
 			s.end = 45 * time.Second
 			s.run()
 			if !leader.core.Healthy() {
-				t.Error("it sheds users with time to spare")
+				t.Error("the leader still sheds users although it has processor time to spare")
 			}
 		})
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -16,39 +16,39 @@
 	machineType                *wire.MachineType
 
 	// From the cloud's list and the state of earlier leaders.
-	firstSeen     time.Duration // when this leader first heard of it
-	requestedAt   time.Duration // when it was requested, as far as known
-	requestedHere bool          // by this leader
-	inCloudList   bool          // seen in the cloud's list
+	firstSeen     time.Duration // when this leader first learned of the machine
+	requestedAt   time.Duration // when it was requested from the cloud, as far as known
+	requestedHere bool          // this leader requested it
+	inCloudList   bool          // it was seen in the cloud's list
 	listedAt      time.Duration
-	missedLists   int  // complete lists in a row that lack it
-	everReported  bool // it has sent a heartbeat at some time, in this term or an earlier one
+	missedLists   int  // consecutive complete lists that don't include it
+	everReported  bool // it has sent a heartbeat in this term or an earlier one
 
 	// From its heartbeats.
-	reported      bool // it has sent one in this term
+	reported      bool // it has sent a heartbeat in this term
 	incarnation   uint64
 	sequence      uint64
 	lastHeartbeat time.Duration
-	lastRelayed   time.Duration // when one last came otherwise: relayed by another node, or as the answer to a status query
+	lastRelayed   time.Duration // when one was last relayed, or returned by a query or a direct command
 	reclaiming    bool
-	exitedTasks   []wire.TaskStatus // exited tasks in the last one
-	orphanedTasks []wire.TaskStatus // tasks in the last one that no record explains
+	exitedTasks   []wire.TaskStatus // exited tasks in the last heartbeat
+	orphanedTasks []wire.TaskStatus // running tasks in the last heartbeat that have no placement
 
-	// Status queries of a machine that is silent, see livenessMonitor.
+	// Status queries while the machine is silent, see livenessMonitor.
 	queryInFlight     bool
-	queriedAt         time.Duration // when its status was last queried
-	queryAnsweredAt   time.Duration // when it last answered a query
-	unansweredQueries int           // queries in a row without an answer, since it was last heard
+	queriedAt         time.Duration // when its worker was last queried
+	queryAnsweredAt   time.Duration // when its worker last answered a query
+	unansweredQueries int           // consecutive queries without an answer since it was last heard from
 
 	// The response to its last heartbeat, see heldResponses.
-	heldResponse *heldResponse // nil: none is held
-	lastHoldTime time.Duration // for how long the response was to be held
+	heldResponse *heldResponse // nil if none is held
+	lastHoldTime time.Duration // for how long the last response was to be held
 
-	// What is placed on it.
+	// Its placements and capacity.
 	placements        map[string]*placement // by task name
-	placementsInOrder []*placement          // the same, by job and task
-	schedulable       *schedulableMachine   // its free capacity; nil while it may take no tasks
-	capacityChanged   bool                  // since its free capacity was last calculated
+	placementsInOrder []*placement          // the same placements, ordered by job and task
+	schedulable       *schedulableMachine   // its free capacity; nil while it accepts no tasks
+	capacityChanged   bool                  // its free capacity has to be recalculated
 	idleSince         time.Duration
 	images            imageCache
 	noCapacityUntil   time.Duration
@@ -56,27 +56,27 @@
 	// Its release, see provisioner.
 	releasing     bool
 	releaseReason releaseReason
-	releaseSent   bool // a request for it may have been carried out
+	releaseSent   bool // a release request may have been carried out
 
 	// Direct commands, see commandDispatcher.
 	commandInFlight bool
 	fence           fencing.Fence
-	directStarts    map[attemptName]uint64 // attempts started directly, and with which fencing token
+	directStarts    map[attemptName]uint64 // fencing tokens of attempts that were started directly
 
 	// Failure accounting, see failure_accounting.go.
-	failures    map[string]int // by job, since something last started and ran well here
-	lastFailure time.Duration  // when something last failed
+	failures    map[string]int // by job, since a task last started and ran successfully here
+	lastFailure time.Duration  // when a task last failed here
 	quarantined bool
 }
 
-// attemptName names an attempt at a task.
+// attemptName identifies an attempt of a task.
 type attemptName struct {
 	task    string
 	attempt uint64
 }
 
-// machineNamed gives a machine by name and adds it if it is new.
-func (l *leader) machineNamed(name string) *machine {
+// findOrAddMachine returns the machine with a name. It adds the machine if it is new.
+func (l *leader) findOrAddMachine(name string) *machine {
 	if m := l.machines[name]; m != nil {
 		return m
 	}
@@ -100,10 +100,10 @@
 
 func compareMachineName(m *machine, name string) int { return strings.Compare(m.name, name) }
 
-// setIdentity sets what kind of machine it is, and where.
+// setIdentity sets the machine's type, zone and address and whether it is a spot machine.
 func (m *machine) setIdentity(typeName, zone, addr string, spot bool) {
 	if zone != m.zone {
-		m.movePlacements(zone)
+		m.movePlacementsToZone(zone)
 	}
 	if typeName != m.typeName || zone != m.zone || spot != m.spot {
 		m.typeName, m.zone, m.spot = typeName, zone, spot
@@ -114,8 +114,8 @@
 	}
 }
 
-// movePlacements counts the machine's placements in another zone.
-func (m *machine) movePlacements(zone string) {
+// movePlacementsToZone updates the counts of placements by zone when the machine's zone changes.
+func (m *machine) movePlacementsToZone(zone string) {
 	for _, p := range m.placementsInOrder {
 		j := p.job
 		if j.placements[p.task] != p {
@@ -129,13 +129,13 @@
 	}
 }
 
-// setType sets the properties of the machine's type; nil: they are not known yet.
+// setType sets the properties of the machine's type, or nil if they are not known yet.
 func (m *machine) setType(machineType *wire.MachineType) {
 	m.machineType = machineType
 	m.capacityChanged = true
 }
 
-// removeMachine drops a machine: there is evidence that it and all on it are no more.
+// removeMachine removes a machine. There must be evidence that the machine and all tasks on it no longer exist.
 func (l *leader) removeMachine(m *machine, reason string) {
 	for _, p := range m.placementsSnapshot() {
 		l.endPlacement(p)
@@ -154,19 +154,21 @@
 	l.requestCycle()
 }
 
-// enterIncarnation notes the incarnation of the machine's worker, which rejects direct commands for earlier ones.
-func (m *machine) enterIncarnation(incarnation uint64) {
+// setIncarnation sets the incarnation of the machine's worker. Direct starts of an earlier incarnation are forgotten,
+// because the worker rejects direct commands for it.
+func (m *machine) setIncarnation(incarnation uint64) {
 	if incarnation != m.incarnation {
 		m.incarnation, m.directStarts = incarnation, nil
 	}
 }
 
-// lastHeardDirectlyOrRelayed is when a heartbeat of the machine last came, here or by another node.
+// lastHeardDirectlyOrRelayed returns when this leader last received a heartbeat of the machine, from the worker itself
+// or relayed by another node.
 func (m *machine) lastHeardDirectlyOrRelayed() time.Duration {
 	return max(m.lastHeartbeat, m.lastRelayed)
 }
 
-// lastHeardDirectly is when a heartbeat of the machine, or its answer to a status query, last came here.
+// lastHeardDirectly returns when the machine last sent this node a heartbeat or an answer to a status query.
 func (m *machine) lastHeardDirectly() time.Duration {
 	return max(m.lastHeartbeat, m.queryAnsweredAt)
 }
--- a/internal/core/machine_placements.go
+++ b/internal/core/machine_placements.go
@@ -2,7 +2,6 @@
 
 import "slices"
 
-// addPlacement adds a placement to the machine.
 func (m *machine) addPlacement(p *placement) {
 	m.capacityChanged = true
 	m.placements[p.name()] = p
@@ -10,7 +9,6 @@
 	m.placementsInOrder = slices.Insert(m.placementsInOrder, i, p)
 }
 
-// removePlacement removes a placement from the machine.
 func (m *machine) removePlacement(p *placement) {
 	m.capacityChanged = true
 	delete(m.placements, p.name())
@@ -30,10 +28,11 @@
 	return a.task - b.task
 }
 
-// placementsSnapshot gives the machine's placements in order, in a list that stays as it is while they end.
+// placementsSnapshot returns a copy of the machine's placements in order, so that placements may end while it is
+// iterated.
 func (m *machine) placementsSnapshot() []*placement { return slices.Clone(m.placementsInOrder) }
 
-// endPlacement ends a placement: its attempt is not and will not be on its machine.
+// endPlacement ends a placement whose attempt is not running on its machine and never will be.
 func (l *leader) endPlacement(p *placement) {
 	j := p.job
 	if j.placements[p.task] != p {
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -8,10 +8,11 @@
 	"bitternwing/internal/outcome"
 )
 
-// followerQueryFactor is how much less often peers that don't lead query each other while a leader is reachable.
+// followerQueryFactor is the factor by which the query interval between two followers is longer while a leader is
+// reachable.
 const followerQueryFactor = 2
 
-// newMembers makes the view of the other controllers in the settings.
+// newMembers returns this node's view of the controllers in the settings.
 func newMembers(s *config.Settings, t times) *membership.Members {
 	peers := make([]membership.Node, 0, len(s.Peers))
 	for _, p := range s.Peers {
@@ -21,7 +22,7 @@
 		membership.Timing{CheckInterval: t.checkInterval, WorkerLease: t.lease})
 }
 
-// queryPeers sends the queries that are due.
+// queryPeers sends the peer queries that are due.
 func (c *Core) queryPeers() {
 	for _, p := range c.members.Peers() {
 		if p.QueryInFlight() {
@@ -37,8 +38,8 @@
 	}
 }
 
-// peerQueryDue gives when a peer is to be queried next. A leader whose word on a cancellation users wait for is queried
-// more often.
+// peerQueryDue returns when a peer is to be queried next. A leader is queried more often while users wait for it to
+// resolve a cancellation.
 func (c *Core) peerQueryDue(p *membership.Peer) time.Duration {
 	if p.Reachable() && c.cancellations.awaitingLeader(p) {
 		return p.QueriedAt() + c.times.checkInterval/8
@@ -46,8 +47,8 @@
 	return c.coalesce(p.QueriedAt() + c.peerQueryInterval(p))
 }
 
-// peerQueryInterval gives how often a peer is queried. While a leader is reachable and the store serves both, nodes that
-// don't lead hardly need each other.
+// peerQueryInterval returns the interval between two queries of a peer. Followers need little from each other while a
+// leader is reachable and the key-value store is available to both.
 func (c *Core) peerQueryInterval(p *membership.Peer) time.Duration {
 	status := p.Status()
 	bothFollow := c.leader == nil && !status.Leading
@@ -58,15 +59,15 @@
 	return c.times.checkInterval
 }
 
-// peerQuery is a query of a peer for its status. It hands over the cancellations that the peer may not know, and its answer
-// acknowledges them.
+// peerQuery is a query for a peer's status. It also carries the cancellations that the peer has not acknowledged, and
+// the reply acknowledges them.
 type peerQuery struct {
 	core          *Core
 	peer          *membership.Peer
 	cancellations []*pendingCancellation
 }
 
-// queryPeer sends a query to a peer.
+// queryPeer sends a status query to a peer.
 func (c *Core) queryPeer(p *membership.Peer) {
 	query := &peerQuery{core: c, peer: p, cancellations: c.cancellations.unacknowledgedBy(p)}
 	p.QueryStarted(c.now.Steady)
@@ -77,7 +78,7 @@
 	c.emit(effect)
 }
 
-// handleResult takes in the peer's status, or that it did not answer.
+// handleResult records the peer's status and acknowledgements, or that the query failed.
 func (q *peerQuery) handleResult(r Result) {
 	if r.Outcome == outcome.OK {
 		q.peer.QueryAnswered(q.core.now.Steady, r.Peer)
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -192,7 +192,7 @@
 	switch r.Outcome {
 	case outcome.OK:
 		for _, name := range r.MachineNames {
-			m := l.machineNamed(name)
+			m := l.findOrAddMachine(name)
 			m.requestedAt, m.requestedHere = r.SentAt, true
 			m.setIdentity(q.Type, q.Zone, "", q.Spot)
 			m.setType(c.catalog.machineType(q.Type))
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -56,7 +56,7 @@
 
 func (f *randomFleet) addMachine() {
 	f.made++
-	m := f.l.machineNamed(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
+	m := f.l.findOrAddMachine(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
 	m.setType(rapid.SampledFrom(f.types).Draw(f.T, "type"))
 	m.setIdentity(m.machineType.Name, rapid.SampledFrom(randomZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
 	m.reported, m.lastHeartbeat = true, f.l.core.now.Steady
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -88,7 +88,7 @@
 	for _, p := range b.placements {
 		if p.phase == phaseUncommitted {
 			p.phase = phaseCommitted
-			w.leader.dispatcher.add(p.machine)
+			w.leader.dispatcher.enqueue(p.machine)
 		}
 	}
 }
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -10,10 +10,10 @@
 	"bitternwing/internal/wire"
 )
 
-// writeWhenDue relays the heartbeats to the leader now and then.
+// writeWhenDue relays the collected heartbeats to the leader every two check intervals.
 func (r *leaseRelay) writeWhenDue() {
 	c := r.core
-	nothingToWrite := len(r.order) == 0 && r.shards == 0
+	nothingToWrite := len(r.workerOrder) == 0 && r.shards == 0
 	if r.writeInFlight || nothingToWrite || c.storeHealth.down {
 		return
 	}
@@ -25,16 +25,16 @@
 	r.writeHeartbeats()
 }
 
-// relayWrite is a write of all relayed heartbeats, in as many transactions as it needs.
+// relayWrite is a write of all relayed heartbeats in one or more transactions.
 type relayWrite struct {
 	relay      *leaseRelay
-	shards     int // keys that hold heartbeats once it is applied
-	pendingOps int // changes without a result
+	shards     int // number of keys that hold heartbeats once the write is applied
+	pendingOps int // operations without a result yet
 	failed     bool
 }
 
-// writeHeartbeats writes the relayed heartbeats, as many to a key as fit. The workers of a whole zone don't fit into
-// one transaction: the store would reject it as malformed, and the leader would take them all for dead.
+// writeHeartbeats writes the relayed heartbeats, as many to a key as fit. The heartbeats of a whole zone don't fit into
+// one transaction: the store would reject it as malformed, and the leader would consider all of these workers dead.
 func (r *leaseRelay) writeHeartbeats() {
 	packer := r.packer()
 	values, tooLarge := packer.Pack(r.encodeHeartbeats())
@@ -50,7 +50,8 @@
 	}
 }
 
-// packer gives the packer of the heartbeats. It compresses them once all nodes are known to read that.
+// packer returns the packer for the heartbeats. It compresses them once all nodes are known to read the compressed
+// format.
 func (r *leaseRelay) packer() stored.RelayedHeartbeatPacker {
 	c := r.core
 	if c.layout().ByTask > 0 {
@@ -60,8 +61,8 @@
 }
 
 func (r *leaseRelay) encodeHeartbeats() []json.RawMessage {
-	heartbeats := make([]json.RawMessage, 0, len(r.order))
-	for _, name := range r.order {
+	heartbeats := make([]json.RawMessage, 0, len(r.workerOrder))
+	for _, name := range r.workerOrder {
 		if encoded, err := json.Marshal(r.workers[name].heartbeat); err == nil {
 			heartbeats = append(heartbeats, encoded)
 		}
@@ -69,7 +70,8 @@
 	return heartbeats
 }
 
-// shardOps puts each value to a key of its own and deletes the keys beyond them.
+// shardOps returns the operations that write each value to its own key and delete the remaining keys of an earlier
+// write.
 func (r *leaseRelay) shardOps(values []json.RawMessage) []wire.Op {
 	node := r.core.settings.Node
 	var ops []wire.Op
@@ -82,7 +84,7 @@
 	return ops
 }
 
-// send sends a transaction of the write.
+// send sends one transaction of the write.
 func (w *relayWrite) send(ops []wire.Op) {
 	c := w.relay.core
 	w.relay.writeInFlight = true
@@ -91,7 +93,7 @@
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{Then: ops}})
 }
 
-// relayTxn is a transaction of a relayWrite.
+// relayTxn is one transaction of a relayWrite.
 type relayTxn struct {
 	write *relayWrite
 	ops   []wire.Op
@@ -115,7 +117,8 @@
 	}
 }
 
-// applyRelayedHeartbeats hands heartbeats that another node relayed to the leader.
+// applyRelayedHeartbeats reconciles the leader's state with heartbeats that another node has relayed. It does nothing
+// on other nodes.
 func (c *Core) applyRelayedHeartbeats(name string, value json.RawMessage) {
 	if c.leader == nil || value == nil {
 		return
@@ -132,7 +135,8 @@
 	}
 }
 
-// observeRelay notes that a node renews workers' leases in the leader's place, whether this one reaches it or not.
+// observeRelay records that another node renews workers' leases on the leader's behalf, whether or not this node can
+// reach it.
 func (c *Core) observeRelay(node string) {
 	c.members.ObserveRelay(node, c.now.Steady)
 }
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -5,12 +5,13 @@
 	"bitternwing/internal/wire"
 )
 
-// maxCheckedStops is how many tasks a response stops at least, if so many are to be stopped.
-const maxCheckedStops = 400
+// maxResponseCommands is the maximum number of commands in a response. A response with as many stops is not checked
+// further.
+const maxResponseCommands = 400
 
-// checkRenewal checks the response to a heartbeat: if it renews the worker's lease, it stops each task of the heartbeat
-// whose job the node knows to be cancelled, up to the bound of commands. Whether any other node leads, is served, or has
-// told a user does not matter.
+// checkRenewal checks the response to a heartbeat. If the response renews the worker's lease, it must stop every task
+// of the heartbeat whose job the node knows to be cancelled, up to the maximum number of commands. This holds whichever
+// node leads, whether or not the key-value store is available, and whether or not a user was told of the cancellation.
 func (s *simulation) checkRenewal(node *simulatedNode, r core.Response) {
 	heartbeat := node.heartbeats[r.RequestID]
 	delete(node.heartbeats, r.RequestID)
@@ -19,12 +20,12 @@
 		return
 	}
 	for _, task := range leftRunning(heartbeat, response, node.core.KnowsCancelled) {
-		s.ruleChecker.report(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
+		s.ruleChecker.report(s.now, "left_running", "%s renewed the lease of %s but did not stop %s, which it knows to be cancelled (leader without recovered state: %v)",
 			node.name, heartbeat.Machine, task, node.core.Status(node.steadyTime(s.now)).Recovering > 0)
 	}
 }
 
-// leftRunning gives the tasks of a heartbeat that a response should stop and does not.
+// leftRunning returns the tasks of a heartbeat that a response should stop and does not.
 func leftRunning(heartbeat *wire.Heartbeat, response wire.HeartbeatResponse, cancelled func(job string) bool) []string {
 	stopped := map[string]bool{}
 	for _, command := range response.Commands {
@@ -32,7 +33,7 @@
 			stopped[attemptKey(command.Task, command.Attempt)] = true
 		}
 	}
-	if len(stopped) >= maxCheckedStops {
+	if len(stopped) >= maxResponseCommands {
 		return nil
 	}
 	var left []string
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -117,7 +117,7 @@
 
 // markDirty has a chunk's record written.
 func (r *runRecords) markDirty(chunk *recordChunk) {
-	r.changes.observe()
+	r.changes.increment()
 	if !chunk.dirty {
 		chunk.dirty = true
 		r.dirty = append(r.dirty, chunk)
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -2,54 +2,55 @@
 
 import "bitternwing/internal/outcome"
 
-// queryStatus queries the status of a machine that has sent no heartbeat here for a while: one that hangs, is dead or out
-// of reach does not answer; one that has yet to find the leader does, and shows its tasks.
-func (v *livenessMonitor) queryStatus(m *machine) {
+// queryStatus queries a worker that has sent this node no heartbeat for a while, if a query is due. A machine that is
+// down, hung or unreachable does not answer. A worker that has not found the leader yet does, and reports its tasks.
+func (lm *livenessMonitor) queryStatus(m *machine) {
 	if m.lastHeardDirectlyOrRelayed() > m.queriedAt {
 		m.unansweredQueries = 0
 	}
-	if !m.hasEverReported() || m.releasing || m.addr == "" || !v.statusQueryDue(m) {
+	if !m.hasEverReported() || m.releasing || m.addr == "" || !lm.statusQueryDue(m) {
 		return
 	}
-	m.queryInFlight, m.queriedAt = true, v.core.now.Steady
-	v.queriesInFlight++
-	query := statusQuery{monitor: v, machine: m}
-	id := v.calls.registerCall(query.applyResult)
-	v.core.emit(QueryWorker{CallID: id, Addr: m.addr})
+	m.queryInFlight, m.queriedAt = true, lm.core.now.Steady
+	lm.queriesInFlight++
+	query := statusQuery{monitor: lm, machine: m}
+	id := lm.calls.registerCall(query.applyResult)
+	lm.core.emit(QueryWorker{CallID: id, Addr: m.addr})
 }
 
-// statusQueryDue tells whether a machine has been silent, and not been queried, for long enough.
-func (v *livenessMonitor) statusQueryDue(m *machine) bool {
-	if m.queryInFlight || v.queriesInFlight >= v.maxStatusQueries() {
+// statusQueryDue reports whether a machine has been silent for long enough and the last query was sent long enough ago.
+// It returns false while the machine has a query in flight or too many queries are in flight in all.
+func (lm *livenessMonitor) statusQueryDue(m *machine) bool {
+	if m.queryInFlight || lm.queriesInFlight >= lm.maxStatusQueries() {
 		return false
 	}
-	now := v.core.now.Steady
-	silence := v.core.pacer.HeartbeatTimeout(v.core.times.lease/4, m.lastHoldTime)
-	return now-m.lastHeardDirectly() >= silence && now-m.queriedAt >= v.core.times.checkInterval
+	now := lm.core.now.Steady
+	silence := lm.core.pacer.HeartbeatTimeout(lm.core.times.lease/4, m.lastHoldTime)
+	return now-m.lastHeardDirectly() >= silence && now-m.queriedAt >= lm.core.times.checkInterval
 }
 
-// statusQuery is a query for a machine's status.
+// statusQuery is a query for the status of a machine's worker.
 type statusQuery struct {
 	monitor *livenessMonitor
 	machine *machine
 }
 
 func (q statusQuery) applyResult(result Result) {
-	v, m := q.monitor, q.machine
+	lm, m := q.monitor, q.machine
 	m.queryInFlight = false
-	v.queriesInFlight--
+	lm.queriesInFlight--
 	switch {
 	case result.Outcome == outcome.Dropped:
 		// The query was not sent.
 	case result.Outcome != outcome.OK:
 		m.unansweredQueries++
 	case result.Heartbeat.Machine == m.name:
-		m.queryAnsweredAt = v.core.now.Steady
-		v.heartbeats.reconcileIndirect(&result.Heartbeat, originQuery)
+		m.queryAnsweredAt = lm.core.now.Steady
+		lm.heartbeats.reconcileIndirect(&result.Heartbeat, originQuery)
 	}
 }
 
-// maxStatusQueries bounds the sockets that status queries take.
-func (v *livenessMonitor) maxStatusQueries() int {
-	return max(4, v.core.settings.Params.Limits.MaxConnections/40)
+// maxStatusQueries returns the limit on concurrent status queries, which bounds the sockets that they use.
+func (lm *livenessMonitor) maxStatusQueries() int {
+	return max(4, lm.core.settings.Params.Limits.MaxConnections/40)
 }
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -200,6 +200,6 @@
 
 // cacheFinalState remembers a final state.
 func (c *Core) cacheFinalState(id string, final stored.FinalState) {
-	c.dependencies.observeEnd(id, final)
+	c.dependencies.observeFinalState(id, final)
 	c.cache.AddFinalState(id, final)
 }
--- a/internal/core/submission_batches.go
+++ b/internal/core/submission_batches.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxSubmissionAttempts bounds the transactions in which a submission is tried.
+	// maxSubmissionAttempts bounds the transactions in which a submission is attempted.
 	maxSubmissionAttempts = 4
-	// submissionOverheadBytes is what a submission takes in a transaction beside its value.
+	// submissionOverheadBytes is the size of a submission in a transaction without its value.
 	submissionOverheadBytes = 256
-	// maxSubmissionBatchBytes bounds a transaction of several submissions.
+	// maxSubmissionBatchBytes bounds the size of a transaction with several submissions.
 	maxSubmissionBatchBytes = wire.MaxBody * 3 / 4
 )
 
-// submissionBatch is the submissions that one transaction commits.
+// submissionBatch is a set of submissions that are committed in one transaction.
 type submissionBatch struct {
 	requests    *userRequests
 	submissions []*submission
 }
 
-// commitSubmissions commits waiting jobs, several in one transaction, one transaction at a time.
+// commitSubmissions commits waiting submissions, several in a transaction and one transaction at a time.
 func (u *userRequests) commitSubmissions() {
 	c := u.core
 	if u.submitInFlight || len(u.submissions) == 0 {
@@ -35,7 +35,8 @@
 	c.emit(StoreTxn{CallID: id, Txn: txn})
 }
 
-// nextSubmissionBatch takes as many submissions out of the queue as fit into a transaction.
+// nextSubmissionBatch removes as many submissions from the queue as fit into a transaction, and returns them with the
+// transaction.
 func (u *userRequests) nextSubmissionBatch() (*submissionBatch, wire.Txn) {
 	var txn wire.Txn
 	n, size := 0, 0
@@ -54,8 +55,8 @@
 	return batch, txn
 }
 
-// applyResult responds to the submissions of the batch. Where one of them was accepted before, the others go into
-// the next transaction.
+// applyResult handles the result of the transaction. If it failed because some of the jobs were accepted before, the
+// other submissions are queued again.
 func (b *submissionBatch) applyResult(r Result) {
 	u := b.requests
 	u.submitInFlight = false
@@ -71,13 +72,14 @@
 		case r.Outcome == outcome.Conflict && s.attempts < maxSubmissionAttempts:
 			u.submissions = append(u.submissions, s)
 		default:
-			// Certainly not applied, or unknown: it may be there, or come yet. A repeated submission finds out.
-			u.giveUpSubmission(s)
+			// The transaction was not applied, or its outcome is unknown and it may still be applied later. A repeated
+			// submission determines the job's state.
+			u.abandonSubmission(s)
 		}
 	}
 }
 
-// acceptSubmission responds to the requests of a submission that was committed.
+// acceptSubmission responds to all requests of a submission that was committed.
 func (u *userRequests) acceptSubmission(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	for _, requestID := range s.requestIDs {
@@ -85,25 +87,25 @@
 	}
 }
 
-// giveUpSubmission responds to the requests of a submission of which nothing can be confirmed.
-func (u *userRequests) giveUpSubmission(s *submission) {
+// abandonSubmission responds to all requests of a submission whose result can't be confirmed.
+func (u *userRequests) abandonSubmission(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	for _, requestID := range s.requestIDs {
 		u.respondIndeterminate(requestID)
 	}
 }
 
-// submittedRead is a submission whose job was accepted before, while its state is read.
+// submittedRead reads the state of a submitted job that was accepted before.
 type submittedRead struct {
 	requests   *userRequests
 	submission *submission
 }
 
-// readSubmitted reads the state of a job that was accepted before.
+// readSubmitted reads the state of a submitted job that was accepted before, and responds with it.
 func (u *userRequests) readSubmitted(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	read := submittedRead{requests: u, submission: s}
-	u.reads = append(u.reads, &lookup{id: s.job.ID, then: read.respond})
+	u.reads = append(u.reads, &lookup{id: s.job.ID, onResult: read.respond})
 }
 
 func (s submittedRead) respond(result lookupResult) {
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -7,37 +7,38 @@
 	"bitternwing/internal/wire"
 )
 
-// dependencyCheck finds out whether all jobs that a submission depends on were accepted.
+// dependencyCheck checks whether all jobs that a submission depends on were accepted.
 type dependencyCheck struct {
 	requests      *userRequests
 	request       SubmitJob
-	pendingReads  int    // reads without a result
-	indeterminate bool   // one of them could not be answered
-	rejected      string // a job on which none can depend
+	pendingReads  int    // reads without a result yet
+	indeterminate bool   // a read could not be answered
+	rejectedID    string // ID of a dependency that does not exist or never ends by itself; empty if there is none
 }
 
-// submitWithDependencies takes a submission that depends on other jobs, once the key-value store has confirmed of
-// each that it was accepted: this node's own view may be behind another's, and a job may have ended long ago.
+// submitWithDependencies queues a submission that depends on other jobs, once each of them is known to have been
+// accepted. Dependencies that are not in this node's cache are read from the key-value store, because the cache may be
+// behind another node's and forgets jobs that ended long ago.
 func (u *userRequests) submitWithDependencies(in SubmitJob) {
 	check := &dependencyCheck{requests: u, request: in}
-	unknown := check.examineCached()
-	if len(unknown) > 0 && len(u.reads) > u.core.operator.MaxPendingRequests {
+	uncached := check.examineCached()
+	if len(uncached) > 0 && len(u.reads) > u.core.operator.MaxPendingRequests {
 		u.respondIndeterminate(in.RequestID) // the queue of reads is full
 		return
 	}
-	check.pendingReads = len(unknown)
-	for _, id := range unknown {
+	check.pendingReads = len(uncached)
+	for _, id := range uncached {
 		read := dependencyRead{check: check, id: id}
-		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, then: read.apply})
+		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, onResult: read.apply})
 	}
 	if check.pendingReads == 0 {
 		check.decide()
 	}
 }
 
-// examineCached examines the dependencies that this node knows and gives those that have to be read. None have to
-// once one is rejected.
-func (d *dependencyCheck) examineCached() (unknown []string) {
+// examineCached examines the dependencies that are in the cache and returns those that have to be read. It returns none
+// if a dependency is rejected.
+func (d *dependencyCheck) examineCached() (uncached []string) {
 	cache := d.requests.core.cache
 	for _, id := range d.request.Job.Dependencies {
 		job := cache.Job(id)
@@ -47,25 +48,25 @@
 			d.examine(id, job)
 		case ended:
 		case !wire.ValidJobID(id):
-			d.rejected = id
+			d.rejectedID = id
 		default:
-			unknown = append(unknown, id)
+			uncached = append(uncached, id)
 		}
 	}
-	if d.rejected != "" {
+	if d.rejectedID != "" {
 		return nil
 	}
-	return unknown
+	return uncached
 }
 
-// examine rejects a dependency that never ends by itself.
+// examine rejects a dependency on a service, which never ends by itself.
 func (d *dependencyCheck) examine(id string, job *watchcache.Job) {
 	if job.Spec.Kind == wire.KindService {
-		d.rejected = id
+		d.rejectedID = id
 	}
 }
 
-// dependencyRead is a dependency that is read from the key-value store.
+// dependencyRead is a read of a dependency from the key-value store.
 type dependencyRead struct {
 	check *dependencyCheck
 	id    string
@@ -78,7 +79,7 @@
 	case lookupIndeterminate:
 		check.indeterminate = true
 	case lookupNotFound:
-		check.rejected = d.id
+		check.rejectedID = d.id
 	case lookupActive:
 		check.examine(d.id, result.job)
 	case lookupEnded:
@@ -88,13 +89,13 @@
 	}
 }
 
-// decide has the submission committed if all of its dependencies were accepted.
+// decide queues the submission if all of its dependencies were accepted, and else responds to the request.
 func (d *dependencyCheck) decide() {
 	u := d.requests
 	switch {
-	case d.rejected != "":
-		// The same words whatever the cause: nothing is disclosed of another's job.
-		u.respondIdempotent(d.request, rejection{status: http.StatusUnprocessableEntity, reason: wire.FieldDependencies + ": " + d.rejected + " can't be waited for"})
+	case d.rejectedID != "":
+		// The text is the same for every cause, so that it discloses nothing about another user's job.
+		u.respondIdempotent(d.request, rejection{status: http.StatusUnprocessableEntity, reason: wire.FieldDependencies + ": " + d.rejectedID + " can't be waited for"})
 	case d.indeterminate:
 		u.respondIndeterminate(d.request.RequestID)
 	default:
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -8,7 +8,8 @@
 	"bitternwing/internal/wire"
 )
 
-// submission is a job that waits to be committed. Repeated submissions of it wait with it.
+// submission is a job that waits to be committed, with the requests that await the result. Repeated submissions of the
+// job share it.
 type submission struct {
 	job        *wire.Job
 	value      json.RawMessage
@@ -16,7 +17,8 @@
 	attempts   int
 }
 
-// submit accepts a job, or responds with the state of one that was accepted before.
+// submit handles a submission: it queues the job to be committed, rejects it, or responds with the state of a job that
+// was accepted before.
 func (u *userRequests) submit(in SubmitJob) {
 	c := u.core
 	if final, ok := c.cache.FinalState(in.Job.ID); ok {
@@ -37,7 +39,7 @@
 		u.respondIdempotent(in, rejection{})
 		return
 	}
-	switch admission := c.admissionOf(in.Job); {
+	switch admission := c.checkAdmission(in.Job); {
 	case admission == inadmissible:
 		u.respondIdempotent(in, rejection{status: http.StatusUnprocessableEntity, reason: "the job can never run here"})
 	case admission == admissionUnknown:
@@ -51,7 +53,7 @@
 	}
 }
 
-// joinSubmission has a repeated submission wait with the one that waits already; false if there is none.
+// joinSubmission adds a request to a waiting submission of the same job. It returns false if there is none.
 func (u *userRequests) joinSubmission(in SubmitJob) bool {
 	s := u.submissionByID[in.Job.ID]
 	if s == nil {
@@ -61,7 +63,7 @@
 	return true
 }
 
-// enqueueSubmission has a submission committed.
+// enqueueSubmission queues a submission to be committed.
 func (u *userRequests) enqueueSubmission(in SubmitJob) {
 	c := u.core
 	if u.joinSubmission(in) {
@@ -77,21 +79,22 @@
 	u.submissions = append(u.submissions, s)
 }
 
-// rejection is the response to a submission that can't be accepted. Without a status nothing can be said.
+// rejection is the response to a submission that can't be accepted. With status 0 it is not known whether the job can
+// be accepted.
 type rejection struct {
 	status int
 	reason string
 }
 
-// repeatedSubmission is a submission of a job that may have been accepted before, and is not accepted now.
+// repeatedSubmission is a submission of a job that may have been accepted before and is not accepted now.
 type repeatedSubmission struct {
 	requests  *userRequests
 	request   SubmitJob
 	rejection rejection
 }
 
-// respondIdempotent responds to a submission of a job that is known, or that can't be accepted. A job that was
-// accepted before gets its state, whatever today's admission check says.
+// respondIdempotent responds to a submission of a job that is known or that can't be accepted. If the job was accepted
+// before, the response is its state, whatever the admission check says now.
 func (u *userRequests) respondIdempotent(in SubmitJob, rejected rejection) {
 	repeated := repeatedSubmission{requests: u, request: in, rejection: rejected}
 	u.lookUp(in.Job.ID, repeated.respond)
@@ -105,7 +108,8 @@
 	case result.state == lookupNotFound && s.rejection.status != 0:
 		u.respond(requestID, s.rejection.status, wire.ErrorBody{Error: s.rejection.reason})
 	default:
-		// Undecided, or gone from the cache during the lookup.
+		// The result of the lookup or of the admission check is unknown, or the job was removed from the cache during
+		// the lookup.
 		u.respondIndeterminate(requestID)
 	}
 }
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -7,16 +7,19 @@
 	"bitternwing/internal/wire"
 )
 
-// reconcileTasks finds out from a heartbeat which tasks have ended. The heartbeat is newer than all before it here.
-// A task that it lacks is proven absent only if it carries this term's fencing token: the worker then had taken a
-// response of this term, after which no earlier start can still take effect, and each response of this term before it
-// was either taken or dropped. That does not hold for a heartbeat that the worker was queried for.
+// reconcileTasks determines from a heartbeat which tasks have ended. The heartbeat is newer than all others reconciled
+// in this term.
+//
+// A task that is missing from the heartbeat is known to be absent only if the heartbeat carries this term's fencing
+// token. The worker has then processed a response of this term, after which no start command of an earlier term can
+// take effect. Each earlier response of this term was either processed or discarded, except if the heartbeat is a reply
+// to a query.
 func (r *reconciler) reconcileTasks(m *machine, heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
 	if m.fence.Shown(heartbeat.FencingToken) {
 		r.actions.requestCycle()
 	}
 	if len(m.orphanedTasks) > 0 {
-		m.capacityChanged = true // they may be gone
+		m.capacityChanged = true // some of them may have exited
 	}
 	m.exitedTasks, m.orphanedTasks = m.exitedTasks[:0], m.orphanedTasks[:0]
 	r.reconciliations++
@@ -25,7 +28,7 @@
 	}
 	for _, p := range r.missingPlacements(m, heartbeat) {
 		if p.incarnation < heartbeat.Incarnation {
-			// The worker has killed and forgotten all of its earlier incarnation.
+			// A new incarnation of the worker has killed and forgotten all tasks of the earlier one.
 			r.core.log(Debug, "task lost with worker incarnation", "task", p.name(), "attempt", p.attempt)
 			r.actions.endPlacement(p)
 		} else {
@@ -34,39 +37,39 @@
 	}
 }
 
-// missingPlacements gives the placements of which a heartbeat shows that their tasks are lost with an earlier
-// incarnation, or that it lacks them.
+// missingPlacements returns the placements whose tasks were lost with an earlier incarnation of the worker, or are
+// missing from a heartbeat that carries this term's fencing token.
 func (r *reconciler) missingPlacements(m *machine, heartbeat *wire.Heartbeat) []*placement {
 	ofThisTerm := fencing.TermOf(heartbeat.FencingToken) == r.term
 	var missing []*placement
 	for _, p := range m.placementsInOrder {
 		lost := p.incarnation < heartbeat.Incarnation
-		lacking := p.incarnation == heartbeat.Incarnation && p.lastReconciliation != r.reconciliations
-		if lost || lacking && ofThisTerm {
+		absent := p.incarnation == heartbeat.Incarnation && p.lastReconciliation != r.reconciliations
+		if lost || absent && ofThisTerm {
 			missing = append(missing, p)
 		}
 	}
 	return missing
 }
 
-// reconcileTask reconciles a placement with its task in a heartbeat.
+// reconcileTask reconciles the placement of a task with the task's status in a heartbeat.
 func (r *reconciler) reconcileTask(m *machine, incarnation uint64, task *wire.TaskStatus) {
 	p := m.placements[task.Task]
 	if p == nil || p.attempt != task.Attempt || p.incarnation != incarnation {
-		r.changes.observe()
+		r.changes.increment()
 		r.reconcileUnknownTask(m, task)
 		return
 	}
 	p.lastReconciliation = r.reconciliations
 	if task.State == wire.TaskExited {
-		r.changes.observe()
+		r.changes.increment()
 		m.exitedTasks = append(m.exitedTasks, *task)
 		r.observeTaskExit(p, task)
 		return
 	}
 	p.phase = max(p.phase, phaseReported)
 	if p.state != task.State {
-		r.changes.observe()
+		r.changes.increment()
 		p.state = task.State
 		if task.State == wire.TaskRunning && p.runningSince == 0 {
 			r.observeTaskStart(p)
@@ -77,7 +80,7 @@
 	}
 }
 
-// observeTaskStart notes that a task is seen running for the first time.
+// observeTaskStart handles the first heartbeat in which a task is running.
 func (r *reconciler) observeTaskStart(p *placement) {
 	now := r.core.now
 	p.runningSince = now.Steady
@@ -87,19 +90,20 @@
 		"image_state", p.imageState, "placed_ms", (p.placedAt - accepted).Milliseconds(), "start_ms", (now.Steady - p.placedAt).Milliseconds())
 }
 
-// reconcileMissingTask handles a placement that a heartbeat of this term, and of the placement's incarnation, lacks.
+// reconcileMissingTask handles a placement whose task is missing from a heartbeat that carries this term's fencing
+// token and has the placement's incarnation.
 func (r *reconciler) reconcileMissingTask(p *placement, heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
 	switch {
 	case p.directStartInFlight:
 		return
 	case p.directStartToken != 0 && heartbeat.FencingToken <= p.directStartToken:
-		// Its direct start may take effect yet.
+		// The direct start command may still take effect.
 		if p.directStartSequence == 0 || heartbeat.Sequence > p.directStartSequence {
 			p.machine.fence.RaiseAbove(p.directStartToken)
 		}
 		return
 	case p.directStartToken != 0, p.phase == phaseReported:
-	case p.phase == phaseSent && p.startWasTaken(heartbeat, origin):
+	case p.phase == phaseSent && p.startResponseHandled(heartbeat, origin):
 	default:
 		return
 	}
@@ -107,12 +111,13 @@
 	r.actions.endPlacement(p)
 }
 
-// startWasTaken tells whether the worker had taken, or dropped, the response with the start when it sent a heartbeat.
-func (p *placement) startWasTaken(heartbeat *wire.Heartbeat, origin heartbeatOrigin) bool {
+// startResponseHandled reports whether the worker had processed or discarded the response with the start command by the
+// time it sent a heartbeat.
+func (p *placement) startResponseHandled(heartbeat *wire.Heartbeat, origin heartbeatOrigin) bool {
 	return p.startSequence == startSequenceUnknown || heartbeat.Sequence > p.startSequence && origin != originQuery
 }
 
-// reconcileUnknownTask handles a task in a heartbeat that no placement here explains.
+// reconcileUnknownTask handles a task in a heartbeat that has no matching placement.
 func (r *reconciler) reconcileUnknownTask(m *machine, task *wire.TaskStatus) {
 	id, index, ok := wire.ParseTaskName(task.Task)
 	if !ok {
@@ -129,8 +134,8 @@
 	}
 }
 
-// completeElsewhere notes that an attempt without a placement has completed a task, which is true whichever attempt
-// it was. The task's placement is ended.
+// completeElsewhere marks a task as done that was completed by an attempt without a placement. It does not matter which
+// attempt completed the task. The task's current placement is ended or stopped.
 func (r *reconciler) completeElsewhere(j *job, task int) {
 	r.records.setDone(j, task)
 	if p := j.placements[task]; p != nil {
@@ -143,7 +148,7 @@
 	r.actions.finishIfDone(j)
 }
 
-// observeTaskExit ends a placement whose task has exited.
+// observeTaskExit handles the exit of a task and ends its placement.
 func (r *reconciler) observeTaskExit(p *placement, task *wire.TaskStatus) {
 	j, now := p.job, r.core.now.Steady
 	retryPause := r.core.times.checkInterval * 2
--- a/internal/core/unresolved_cancellations.go
+++ b/internal/core/unresolved_cancellations.go
@@ -5,19 +5,19 @@
 const (
 	// maxUnresolvedBytes bounds the unresolved jobs in a node's status.
 	maxUnresolvedBytes = 32 << 10
-	// unresolvedOverheadBytes is what a job takes in the status beside its ID.
+	// unresolvedOverheadBytes is the encoded size of a job in the status without its ID.
 	unresolvedOverheadBytes = 2
 )
 
-// hasResolved tells whether nothing of a cancelled job can start any more, or run without being seen.
+// hasResolved reports whether no task of a cancelled job can start any more or run unobserved.
 func (l *leader) hasResolved(id string) bool {
 	j := l.jobs[id]
-	return l.recovered && (j == nil || !l.unresolved(j))
+	return l.recovered && (j == nil || !l.isUnresolved(j))
 }
 
-// unresolved tells whether a task of a cancelled job may start yet, its start or its image being on the way, or is left
-// in a zone whose nodes renew its lease while it is isolated.
-func (l *leader) unresolved(j *job) bool {
+// isUnresolved reports whether a task of a cancelled job may still start, because its start command is in flight or its
+// image is being fetched, or is left in a zone whose nodes renew leases while the zone is isolated.
+func (l *leader) isUnresolved(j *job) bool {
 	for _, p := range j.placements {
 		if p.phase < phaseReported || p.state == wire.TaskFetching || l.core.members.ZoneRenewsOwnLeases(p.machine.zone) {
 			return true
@@ -26,8 +26,8 @@
 	return false
 }
 
-// unresolvedJobs gives the cancelled jobs that are not resolved, as many as a node's status holds, and whether there are
-// more.
+// unresolvedJobs returns the cancelled jobs that are not resolved, as many as fit into a node's status, and whether
+// there are more.
 func (l *leader) unresolvedJobs() (listed []string, more bool) {
 	size := 0
 	for _, id := range l.allUnresolvedJobs() {
@@ -41,7 +41,8 @@
 	return listed, more
 }
 
-// allUnresolvedJobs gives all cancelled jobs that are not resolved. Before a leader has recovered the state these are all.
+// allUnresolvedJobs returns all cancelled jobs that are not resolved. Until the leader has recovered the state, that is
+// every cancelled job.
 func (l *leader) allUnresolvedJobs() []string {
 	var ids []string
 	if !l.recovered {
@@ -53,7 +54,7 @@
 		return ids
 	}
 	for _, j := range l.queue {
-		if j.cancelled && l.unresolved(j) {
+		if j.cancelled && l.isUnresolved(j) {
 			ids = append(ids, j.id)
 		}
 	}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -9,26 +9,26 @@
 	"bitternwing/internal/wire"
 )
 
-// userRequests answers the requests of users: submissions, lookups and cancellations. A response states only
-// what the key-value store has confirmed at that moment, except for final states and cancellations, which never
-// change. What can't be confirmed now gets 503 at once.
+// userRequests handles the requests of users: submissions, lookups and cancellations. A response states only what the
+// key-value store has just confirmed, except for final states and cancellations, which never change. A request whose
+// response can't be confirmed now gets 503 at once.
 type userRequests struct {
 	core    *Core
 	waiting int // requests without a response yet
 
-	comparisons     []*lookup // to confirm by a comparison of versions
-	compareInFlight bool
-	nextCompare     time.Duration // no comparison before this
-	lastCompare     time.Duration // when the last one was sent
+	comparisons        []*lookup // lookups to be confirmed by a comparison of versions
+	comparisonInFlight bool
+	nextComparison     time.Duration // earliest time of the next comparison
+	lastComparison     time.Duration // when the last comparison was sent
 
-	reads         []*lookup // to answer by reading the job's keys
+	reads         []*lookup // lookups to be answered by reading the job's keys
 	readsInFlight int
 
 	submissions    []*submission
 	submissionByID map[string]*submission
 	submitInFlight bool
 
-	// dependentCancellations are the cancellations of dependent jobs that are being written, by job.
+	// dependentCancellations are the cancellations of dependent jobs that are being written, by job ID.
 	dependentCancellations map[string]*dependentCancellation
 }
 
@@ -37,14 +37,15 @@
 		dependentCancellations: map[string]*dependentCancellation{}}
 }
 
-// run sends what waits to be sent to the key-value store.
+// run sends the queued comparisons, reads and submissions to the key-value store.
 func (u *userRequests) run() {
 	u.runComparisons()
 	u.runReads()
 	u.commitSubmissions()
 }
 
-// rejectIfOverloaded responds with 429 when too many requests wait already; else it counts the request as waiting.
+// rejectIfOverloaded responds with 429 and returns true if too many requests are waiting. Else it counts the request as
+// waiting.
 func (u *userRequests) rejectIfOverloaded(requestID uint64) bool {
 	if u.waiting >= u.core.operator.MaxPendingRequests {
 		u.core.respondRetryLater(requestID, http.StatusTooManyRequests, "too many requests")
@@ -54,28 +55,28 @@
 	return false
 }
 
-// respond ends a waiting request.
+// respond responds to a waiting request.
 func (u *userRequests) respond(requestID uint64, status int, body any) {
 	u.waiting--
 	u.core.respond(requestID, status, body)
 }
 
-// respondIndeterminate ends a waiting request about which nothing can be confirmed now.
+// respondIndeterminate responds with 503 to a waiting request whose response can't be confirmed now.
 func (u *userRequests) respondIndeterminate(requestID uint64) {
 	u.waiting--
 	u.core.respondRetryLater(requestID, http.StatusServiceUnavailable, "can't be confirmed now")
 }
 
-// noSuchJob is the body of a response about a job that was never accepted.
+// noSuchJob is the response body for a job that was never accepted.
 var noSuchJob = wire.ErrorBody{Error: "no such job"}
 
-// finalJobState is what users are told of a job that has ended.
+// finalJobState returns the state of an ended job as users see it.
 func finalJobState(id string, final stored.FinalState) wire.JobState {
 	running := 0
 	return wire.JobState{ID: id, State: final.State, Done: &final.Done, Running: &running}
 }
 
-// activeJobState is what users are told of a job that has not ended.
+// activeJobState returns the state of an active job as users see it.
 func (c *Core) activeJobState(id string, job *watchcache.Job) wire.JobState {
 	counts := c.countsOf(id)
 	state := wire.JobState{ID: id, State: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
@@ -88,7 +89,8 @@
 	return state
 }
 
-// countsOf counts a job's tasks: a leader knows them itself, other nodes from what it has written.
+// countsOf returns the counts of a job's tasks. A leader counts them itself, and other nodes use the counts that the
+// leader has written.
 func (c *Core) countsOf(id string) stored.TaskCounts {
 	if c.leader != nil {
 		if j := c.leader.jobs[id]; j != nil {
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/wire"
 )
 
-// livenessMonitor tells dead machines from those that are merely out of this node's reach, and releases them. It queries
-// the status of silent machines, and drains those that are about to be taken.
+// livenessMonitor detects dead machines, as opposed to machines that only this node can't reach, and releases them. It
+// queries the workers of silent machines, and drains machines that are about to be reclaimed or are faulty.
 type livenessMonitor struct {
 	core        *Core
 	authority   leaderAuthority
@@ -19,21 +19,21 @@
 	termStart   time.Duration
 
 	lastWithoutAuthority time.Duration            // when this leader last had no authority to act
-	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated with its controllers
-	unreachableZones     []string                 // zones much of which this node can't reach, whoever renews the leases there
-	silentZones          map[string]bool          // zones much of which is silent; true: none of their controllers answers either
+	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated, with its controllers
+	unreachableZones     []string                 // zones of which this node can't reach a large part
+	silentZones          map[string]bool          // zones of which a large part is silent; true: so are its controllers
 	queriesInFlight      int                      // status queries without a result yet
 }
 
-// placementEnder ends placements whose attempts are not and will not be on their machines.
+// placementEnder ends placements whose attempts are not running on their machines and never will be.
 type placementEnder interface{ endPlacement(p *placement) }
 
-// indirectReconciler reconciles the state with heartbeats that workers did not send to this node themselves.
+// indirectReconciler reconciles the state with heartbeats other than those that workers send periodically to this node.
 type indirectReconciler interface {
 	reconcileIndirect(heartbeat *wire.Heartbeat, origin heartbeatOrigin)
 }
 
-// newLivenessMonitor makes the monitor of a leader.
+// newLivenessMonitor returns the liveness monitor of a leader.
 func newLivenessMonitor(l *leader) *livenessMonitor {
 	return &livenessMonitor{
 		core:           l.core,
@@ -48,103 +48,109 @@
 	}
 }
 
-// zoneSilent reports whether much of a zone is silent.
-func (v *livenessMonitor) zoneSilent(zone string) bool {
-	_, silent := v.silentZones[zone]
+// zoneSilent reports whether a large part of a zone is silent.
+func (lm *livenessMonitor) zoneSilent(zone string) bool {
+	_, silent := lm.silentZones[zone]
 	return silent
 }
 
-// check looks for machines that are silent too long and stops what runs on those that will be taken.
-func (v *livenessMonitor) check(machines []*machine) {
-	v.checkZones(machines)
-	hasAuthority := v.authority.hasAuthority()
+// check releases machines that have been silent for too long, drains those that will be reclaimed or are faulty, and
+// queries silent ones.
+func (lm *livenessMonitor) check(machines []*machine) {
+	lm.checkZones(machines)
+	hasAuthority := lm.authority.hasAuthority()
 	if !hasAuthority {
-		v.lastWithoutAuthority = v.core.now.Steady
+		lm.lastWithoutAuthority = lm.core.now.Steady
 	}
 	for _, m := range machines {
 		if hasAuthority {
-			v.releaseUnreachable(m)
+			lm.releaseUnreachable(m)
 		}
 		if m.reclaiming || m.quarantined {
-			v.drain(m)
+			lm.drain(m)
 		}
 		if hasAuthority {
-			v.queryStatus(m)
+			lm.queryStatus(m)
 		}
 	}
 }
 
-// releaseUnreachable releases a machine that is silent too long, or that responses don't reach.
-func (v *livenessMonitor) releaseUnreachable(m *machine) {
-	if m.hasEverReported() && !m.releasing && v.core.now.Steady >= v.releaseDeadline(m) {
-		v.provisioner.release(m, releaseSilent)
+// releaseUnreachable releases a machine that has been silent for too long or that responses don't reach.
+func (lm *livenessMonitor) releaseUnreachable(m *machine) {
+	if m.hasEverReported() && !m.releasing && lm.core.now.Steady >= lm.releaseDeadline(m) {
+		lm.provisioner.release(m, releaseSilent)
 	}
-	if v.responsesLost(m) {
-		v.provisioner.release(m, releaseResponsesLost)
+	if lm.responsesLost(m) {
+		lm.provisioner.release(m, releaseResponsesLost)
 	}
 }
 
-// hasEverReported tells whether the machine has sent a heartbeat in this term or an earlier one.
+// hasEverReported reports whether the machine has sent a heartbeat in this term or an earlier one.
 func (m *machine) hasEverReported() bool { return m.reported || m.everReported }
 
-// minUnansweredQueries in a row show that a machine itself does not answer.
+// minUnansweredQueries is how many consecutive status queries must go unanswered for a machine to count as
+// unresponsive.
 const minUnansweredQueries = 2
 
-// releaseDeadline is until when a machine may be silent.
-func (v *livenessMonitor) releaseDeadline(m *machine) time.Duration {
-	due := m.lastHeardDirectlyOrRelayed() + v.allowedSilence(m)
-	// Workers have to find their way back first: those of a zone that was isolated, and all after a time in which this
-	// leader could not respond.
-	due = max(due, v.lastWithoutAuthority+v.unreachableTimeout())
+// releaseDeadline returns the time until which a machine may be silent.
+func (lm *livenessMonitor) releaseDeadline(m *machine) time.Duration {
+	due := m.lastHeardDirectlyOrRelayed() + lm.allowedSilence(m)
+	// Workers need time to find the leader again: all workers after a period in which this leader could not respond,
+	// and those of a zone that was isolated.
+	due = max(due, lm.lastWithoutAuthority+lm.unreachableTimeout())
 	if !m.reported {
-		// What the last leader wrote of it may be a heartbeat interval old, and it has to find this one.
-		due = max(due, v.termStart+v.core.times.lease/2)
+		// The previous leader's record of the machine may be a heartbeat interval old, and the worker has to find the
+		// new leader.
+		due = max(due, lm.termStart+lm.core.times.lease/2)
 	}
-	if at, was := v.zoneIsolatedAt[m.zone]; was {
-		due = max(due, at+max(v.unreachableTimeout(), v.core.times.lease))
+	if isolatedAt, wasIsolated := lm.zoneIsolatedAt[m.zone]; wasIsolated {
+		due = max(due, isolatedAt+max(lm.unreachableTimeout(), lm.core.times.lease))
 	}
 	return due
 }
 
-// unreachableTimeout is for how long a machine may be silent if the reason is unknown.
-func (v *livenessMonitor) unreachableTimeout() time.Duration {
-	return time.Duration(float64(v.core.times.lease) * v.core.operator.UnreachableLeases)
+// unreachableTimeout returns for how long a machine may be silent for an unknown reason.
+func (lm *livenessMonitor) unreachableTimeout() time.Duration {
+	return time.Duration(float64(lm.core.times.lease) * lm.core.operator.UnreachableLeases)
 }
 
-// allowedSilence is for how long a machine may be silent, by the state of its zone and its own.
-func (v *livenessMonitor) allowedSilence(m *machine) time.Duration {
-	limit := v.unreachableTimeout()
-	lease := max(limit, v.core.times.lease)
-	isolated, mostlySilent := v.silentZones[m.zone]
-	unreachableZone := m.zone != v.core.settings.Zone && slices.Contains(v.unreachableZones, m.zone)
-	answersNobody := m.unansweredQueries >= minUnansweredQueries
+// allowedSilence returns for how long a machine may be silent, which depends on its own state and that of its zone.
+func (lm *livenessMonitor) allowedSilence(m *machine) time.Duration {
+	timeout := lm.unreachableTimeout()
+	lease := max(timeout, lm.core.times.lease)
+	isolated, mostlySilent := lm.silentZones[m.zone]
+	unreachableZone := m.zone != lm.core.settings.Zone && slices.Contains(lm.unreachableZones, m.zone)
+	unresponsive := m.unansweredQueries >= minUnansweredQueries
 	switch {
 	case isolated:
-		// The zone's own nodes renew its workers' leases; dead machines show in the cloud's list.
-		return time.Duration(float64(lease) * v.core.operator.PartitionLeases)
-	case mostlySilent, unreachableZone, !m.reported && !answersNobody:
-		// Much of a zone is silent, or out of this node's reach while others renew its leases: its workers may be on
-		// their way to a node that does, the last few as well. Or a worker has yet to find this leader. By then its
-		// tasks are gone with its lease, or it was heard of: a heartbeat is relayed within half a heartbeat interval.
+		// The zone's own controllers renew the leases of its workers. Dead machines are detected by the cloud's list.
+		return time.Duration(float64(lease) * lm.core.operator.PartitionLeases)
+	case mostlySilent, unreachableZone, !m.reported && !unresponsive:
+		// Either a large part of the zone is silent, or this node can't reach it while others renew its leases. All of
+		// the zone's workers may then be looking for a node that renews their leases, including the last few that are
+		// silent. Or the worker has yet to find this leader. After this time the worker's tasks have ended with its
+		// lease, or this leader has heard of the worker, because a heartbeat is relayed within half a heartbeat
+		// interval.
 		return lease * 11 / 10
-	case answersNobody && !v.relayedLately(m, 2*lease):
-		return limit * 5 / 8
+	case unresponsive && !lm.relayedWithin(m, 2*lease):
+		return timeout * 5 / 8
 	}
-	return limit
+	return timeout
 }
 
-// relayedLately tells whether a heartbeat of the machine was relayed within a time.
-func (v *livenessMonitor) relayedLately(m *machine, within time.Duration) bool {
-	return m.lastRelayed != 0 && v.core.now.Steady-m.lastRelayed <= within
+// relayedWithin reports whether another node relayed a heartbeat of the machine, or its worker answered a query, within
+// a period.
+func (lm *livenessMonitor) relayedWithin(m *machine, period time.Duration) bool {
+	return m.lastRelayed != 0 && lm.core.now.Steady-m.lastRelayed <= period
 }
 
-// drain evicts what can save a checkpoint from a machine that will be taken, and all from one that is faulty.
-func (v *livenessMonitor) drain(m *machine) {
+// drain evicts the tasks that write checkpoints from a machine that will be reclaimed, and all tasks from a faulty one.
+func (lm *livenessMonitor) drain(m *machine) {
 	for _, p := range m.placementsSnapshot() {
 		switch {
 		case p.stop != stopNone:
 		case p.phase < phaseSent:
-			v.placements.endPlacement(p)
+			lm.placements.endPlacement(p)
 		case p.job.spec.CheckpointIntervalS > 0:
 			p.requestStop(stopAfterCheckpoint, stopDrain)
 		case m.quarantined:
@@ -152,16 +158,17 @@
 		}
 	}
 	if m.quarantined && len(m.placements) == 0 {
-		v.provisioner.release(m, releaseFaulty)
+		lm.provisioner.release(m, releaseFaulty)
 	}
 }
 
-// responsesLost reports whether a machine's heartbeats have arrived for half a lease without showing that responses reach
-// it. The time in which this leader could not respond does not count.
-func (v *livenessMonitor) responsesLost(m *machine) bool {
-	now := v.core.now.Steady
-	if !m.fence.Required() || now-m.lastHeartbeat >= v.core.times.heartbeatTimeout {
+// responsesLost reports whether a machine's heartbeats have arrived for half a lease without the required fencing
+// token, so that responses do not seem to reach the worker. Time in which this leader had no authority to respond does
+// not count.
+func (lm *livenessMonitor) responsesLost(m *machine) bool {
+	now := lm.core.now.Steady
+	if !m.fence.Required() || now-m.lastHeartbeat >= lm.core.times.heartbeatTimeout {
 		return false
 	}
-	return now-max(m.fence.RequiredSince(), v.lastWithoutAuthority) > v.core.times.lease/2
+	return now-max(m.fence.RequiredSince(), lm.lastWithoutAuthority) > lm.core.times.lease/2
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -67,7 +67,7 @@
 // two at once, were records of tasks to take each as it comes.
 func (w *writer) minChanges() float64 {
 	if len(w.endings) > 0 {
-		return endChanges
+		return minEndChanges
 	}
 	return 1
 }
@@ -81,7 +81,7 @@
 // run sends what there is to write, as far as the budget allows.
 func (w *writer) run() {
 	l, c := w.leader, w.leader.core
-	w.budget.Refill(c.now.Steady, w.rate(), max(w.rate(), endChanges))
+	w.budget.Refill(c.now.Steady, w.rate(), max(w.rate(), minEndChanges))
 	if c.now.Steady < w.notBefore {
 		c.wakeBy(w.notBefore)
 		return
--- a/internal/core/zone_reachability.go
+++ b/internal/core/zone_reachability.go
@@ -6,18 +6,21 @@
 	"time"
 )
 
-// zoneReachability counts a zone's machines that have sent a heartbeat at some time.
+// countReachability counts the machines of a zone that have ever sent a heartbeat.
 type zoneReachability struct {
 	total       int
-	silent      int // not heard of lately, here or by another node
-	unreachable int // not heard of lately by this node itself
+	silent      int // not heard from recently, neither directly nor by a relayed heartbeat
+	unreachable int // not heard from recently by this node itself
 }
 
-// mostlySilent tells whether it is rather the network or a change of leaders than the machines. In the leader's own
-// zone it is the network only where nearly all are out of its reach: a partition between zones takes none out of reach
-// there, so the rest is dead, hangs or is cut off from everybody. There only what this node itself hears counts. Were
-// relayed heartbeats to count, the first of them would turn all that have yet to find another node into single silent
-// machines, to be released at once.
+// mostlySilent reports whether so many machines of the zone are silent that the cause is likely the network or a change
+// of leaders rather than the machines themselves.
+//
+// In the leader's own zone the network is a likely cause only if nearly all machines are unreachable. A partition
+// between zones makes no machine of the leader's own zone unreachable, so a smaller number of silent machines there are
+// dead, hung or cut off from all nodes. In its own zone only what this node hears itself counts. If relayed heartbeats
+// counted, the first one would turn the machines whose workers have yet to find another node into individual failures,
+// and they would be released at once.
 func (z *zoneReachability) mostlySilent(ownZone bool) bool {
 	if ownZone {
 		return z.unreachable > maxSingleFailures && z.unreachable*4 > 3*z.total
@@ -25,36 +28,38 @@
 	return z.silent > maxSingleFailures && z.silent*4 > z.total
 }
 
-// mostlyUnreachable tells whether much of a zone is out of this node's reach, whoever renews its leases.
+// mostlyUnreachable reports whether this node can't reach a large part of the zone, whether or not other nodes renew
+// the leases there.
 func (z *zoneReachability) mostlyUnreachable() bool {
 	return z.unreachable > maxSingleFailures && z.unreachable*4 > z.total
 }
 
-// maxSingleFailures of a zone that are silent at once are taken for single ones, whatever share they are.
+// maxSingleFailures is up to how many silent machines of a zone count as individual failures, whatever share of the
+// zone they are.
 const maxSingleFailures = 3
 
-// checkZones finds the zones much of which is silent or out of this node's reach.
-func (v *livenessMonitor) checkZones(machines []*machine) {
-	zones := v.zoneReachability(machines)
-	v.unreachableZones = nil
-	clear(v.silentZones)
+// checkZones finds the zones of which a large part is silent or unreachable.
+func (lm *livenessMonitor) checkZones(machines []*machine) {
+	zones := lm.countReachability(machines)
+	lm.unreachableZones = nil
+	clear(lm.silentZones)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		reachability := zones[zone]
 		if reachability.mostlyUnreachable() {
-			v.unreachableZones = append(v.unreachableZones, zone)
+			lm.unreachableZones = append(lm.unreachableZones, zone)
 		}
-		if !reachability.mostlySilent(zone == v.core.settings.Zone) {
+		if !reachability.mostlySilent(zone == lm.core.settings.Zone) {
 			continue
 		}
-		v.silentZones[zone] = v.core.members.ZoneIsolated(zone)
-		if v.silentZones[zone] {
-			v.zoneIsolatedAt[zone] = v.core.now.Steady
+		lm.silentZones[zone] = lm.core.members.ZoneIsolated(zone)
+		if lm.silentZones[zone] {
+			lm.zoneIsolatedAt[zone] = lm.core.now.Steady
 		}
 	}
 }
 
-// zoneReachability counts the machines of each zone.
-func (v *livenessMonitor) zoneReachability(machines []*machine) map[string]*zoneReachability {
+// countReachability returns the counts of machines by zone.
+func (lm *livenessMonitor) countReachability(machines []*machine) map[string]*zoneReachability {
 	zones := map[string]*zoneReachability{}
 	for _, m := range machines {
 		if !m.hasEverReported() {
@@ -66,17 +71,18 @@
 			zones[m.zone] = zone
 		}
 		zone.total++
-		if v.silentSince(m, m.lastHeardDirectlyOrRelayed()) {
+		if lm.isSilent(m, m.lastHeardDirectlyOrRelayed()) {
 			zone.silent++
 		}
-		if v.silentSince(m, m.lastHeardDirectly()) {
+		if lm.isSilent(m, m.lastHeardDirectly()) {
 			zone.unreachable++
 		}
 	}
 	return zones
 }
 
-// silentSince tells whether a machine has been silent since a moment a third of a lease ago.
-func (v *livenessMonitor) silentSince(m *machine, at time.Duration) bool {
-	return v.core.now.Steady-at > v.core.pacer.HeartbeatTimeout(v.core.times.lease/3, m.lastHoldTime)
+// isSilent reports whether a machine that was last heard at a given time has been silent for more than a third of a
+// lease, or for longer if its last response was held.
+func (lm *livenessMonitor) isSilent(m *machine, lastHeard time.Duration) bool {
+	return lm.core.now.Steady-lastHeard > lm.core.pacer.HeartbeatTimeout(lm.core.times.lease/3, m.lastHoldTime)
 }
