--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -63,7 +63,7 @@
 		onResult(true)
 		return
 	}
-	pending := r.pendingOf(id)
+	pending := r.findPending(id)
 	if pending == nil {
 		value, err := job.Encode()
 		if err != nil {
@@ -79,8 +79,8 @@
 	r.resolvePending()
 }
 
-// pendingOf returns the pending cancellation of a job, or nil if there is none.
-func (r *cancellationReplicator) pendingOf(id string) *pendingCancellation {
+// findPending returns the pending cancellation of a job, or nil if there is none.
+func (r *cancellationReplicator) findPending(id string) *pendingCancellation {
 	for _, pending := range r.pending {
 		if pending.cancellation.Job == id {
 			return pending
@@ -215,7 +215,7 @@
 
 // drop removes the cancellation of a job whose end has been written, since it no longer has to be replicated.
 func (r *cancellationReplicator) drop(id string) {
-	pending := r.pendingOf(id)
+	pending := r.findPending(id)
 	if pending == nil {
 		return
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -114,14 +114,14 @@
 
 // applyResult caches the final state. If there is none, the watch cache is behind and does not have the job yet, and
 // the read is retried after a pause.
-func (e finalStateRead) applyResult(r Result) {
-	c := e.tracker.core
-	delete(e.tracker.reading, e.id)
+func (f finalStateRead) applyResult(r Result) {
+	c := f.tracker.core
+	delete(f.tracker.reading, f.id)
 	if r.Outcome == outcome.OK {
 		if final, err := stored.DecodeFinalState(r.Item.Value); err == nil {
-			c.cacheFinalState(e.id, final)
+			c.cacheFinalState(f.id, final)
 			return
 		}
 	}
-	e.tracker.nextRead = c.now.Steady + c.times.retryPause
+	f.tracker.nextRead = c.now.Steady + c.times.retryPause
 }
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -93,7 +93,8 @@
 		authority = "store outage confirmed"
 	}
 	l.core.log(Debug, "worker command", "op", op, "task", p.name(), "attempt", p.attempt, "worker", p.machine.name,
-		"fencing_token", p.machine.fence.Token(), "term", l.term, "path", path, "authority", authority, "reason", p.stopReason, "store_available", !l.core.storeHealth.down)
+		"fencing_token", p.machine.fence.Token(), "term", l.term, "path", path, "authority", authority,
+		"reason", p.stopReason, "store_available", !l.core.storeHealth.down)
 }
 
 // startable reports whether a placement is committed and its task is to be started.
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -91,12 +91,12 @@
 		return StaleHeartbeatBasis
 	}
 	r.heldResponses.supersede(m)
-	r.observeRegistration(m, heartbeat)
+	r.handleRegistration(m, heartbeat)
 	r.updateFencingRequirement(m, heartbeat)
 	m.applyHeartbeat(heartbeat)
 	m.lastHeartbeat, m.lastHoldTime = r.core.now.Steady, 0
 	r.provisioner.cancelRelease(m)
-	r.observeReclaimNotice(m, heartbeat)
+	r.handleReclaimNotice(m, heartbeat)
 	r.reconcileTasks(m, heartbeat, originWorker)
 	r.commands.addCommands(m, heartbeat, response)
 	return LeaderBasis
@@ -138,8 +138,8 @@
 	m.sequence = heartbeat.Sequence
 }
 
-// observeRegistration handles the first heartbeat of a worker in this term or of a new incarnation.
-func (r *reconciler) observeRegistration(m *machine, heartbeat *wire.Heartbeat) {
+// handleRegistration handles the first heartbeat of a worker in this term or of a new incarnation.
+func (r *reconciler) handleRegistration(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.Incarnation != m.incarnation || !m.reported {
 		r.changes.increment()
 	}
@@ -172,8 +172,8 @@
 // isUnknown reports whether this leader has neither seen the machine in the cloud's list nor requested it.
 func (m *machine) isUnknown() bool { return !m.inCloudList && !m.requestedHere }
 
-// observeReclaimNotice records the first notice in a heartbeat that the cloud will reclaim the machine.
-func (r *reconciler) observeReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
+// handleReclaimNotice records the first notice in a heartbeat that the cloud will reclaim the machine.
+func (r *reconciler) handleReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.ReclaimNoticeS == nil || m.reclaiming {
 		return
 	}
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -70,8 +70,8 @@
 // to stay in the fleet and need not show a fencing token.
 func (h *heldResponses) mayHold(m *machine, heartbeat *wire.Heartbeat) bool {
 	newest := m.reported && m.incarnation == heartbeat.Incarnation && m.sequence == heartbeat.Sequence
-	remains := !m.reclaiming && !m.releasing && !m.quarantined
-	return newest && remains && h.recovery.hasRecovered() && !m.fence.Required()
+	staysInFleet := !m.reclaiming && !m.releasing && !m.quarantined
+	return newest && staysInFleet && h.recovery.hasRecovered() && !m.fence.Required()
 }
 
 // isStable reports whether no change is expected in the machine's next heartbeat: it has no tasks, or only running
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -91,8 +91,8 @@
 func (w *writer) completeEnd(j *job, b *writeBatch) {
 	l, c := w.leader, w.leader.core
 	c.cacheFinalState(j.id, j.finalState)
-	left := slices.DeleteFunc(w.records.keys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
-	w.deleteOrphans(left)
+	remaining := slices.DeleteFunc(w.records.keys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
+	w.deleteOrphans(remaining)
 	l.dropJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
 	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
--- a/internal/core/lease_responses.go
+++ b/internal/core/lease_responses.go
@@ -32,7 +32,9 @@
 )
 
 // leaseBasisNames are the names of the bases in logs and metrics.
-var leaseBasisNames = [LeaseBasisCount]string{"leader", "unread_leader", "late_report", "gone_machine", "relay", "vacancy", "no_state", "cut_zone"}
+var leaseBasisNames = [LeaseBasisCount]string{
+	"leader", "unread_leader", "late_report", "gone_machine", "relay", "vacancy", "no_state", "cut_zone",
+}
 
 // String returns the name of the basis in logs and metrics.
 func (b LeaseBasis) String() string { return leaseBasisNames[b] }
--- a/internal/core/load_shedding_test.go
+++ b/internal/core/load_shedding_test.go
@@ -43,7 +43,8 @@
 			s.end = 25 * time.Second
 			s.run()
 			if shed != test.wantShed || othersShed {
-				t.Errorf("leader shed users: %v, want %v; other nodes shed users: %v, want false", shed, test.wantShed, othersShed)
+				t.Errorf("leader shed users: %v, want %v; other nodes shed users: %v, want false",
+					shed, test.wantShed, othersShed)
 			}
 			s.end = 45 * time.Second
 			s.run()
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -20,7 +20,8 @@
 		return
 	}
 	for _, task := range leftRunning(heartbeat, response, node.core.KnowsCancelled) {
-		s.ruleChecker.report(s.now, "left_running", "%s renewed the lease of %s but did not stop %s, which it knows to be cancelled (leader without recovered state: %v)",
+		s.ruleChecker.report(s.now, "left_running",
+			"%s renewed the lease of %s but did not stop %s, which it knows to be cancelled (leader without recovered state: %v)",
 			node.name, heartbeat.Machine, task, node.core.Status(node.steadyTime(s.now)).Recovering > 0)
 	}
 }
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -29,7 +29,7 @@
 	check.pendingReads = len(uncached)
 	for _, id := range uncached {
 		read := dependencyRead{check: check, id: id}
-		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, onResult: read.apply})
+		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, onResult: read.applyResult})
 	}
 	if check.pendingReads == 0 {
 		check.decide()
@@ -72,7 +72,7 @@
 	id    string
 }
 
-func (d dependencyRead) apply(result lookupResult) {
+func (d dependencyRead) applyResult(result lookupResult) {
 	check := d.check
 	check.pendingReads--
 	switch result.state {
@@ -95,7 +95,10 @@
 	switch {
 	case d.rejectedID != "":
 		// The text is the same for every cause, so that it discloses nothing about another user's job.
-		u.respondIdempotent(d.request, rejection{status: http.StatusUnprocessableEntity, reason: wire.FieldDependencies + ": " + d.rejectedID + " can't be waited for"})
+		u.respondIdempotent(d.request, rejection{
+			status: http.StatusUnprocessableEntity,
+			reason: wire.FieldDependencies + ": " + d.rejectedID + " can't be waited for",
+		})
 	case d.indeterminate:
 		u.respondIndeterminate(d.request.RequestID)
 	default:
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -64,7 +64,7 @@
 	if task.State == wire.TaskExited {
 		r.changes.increment()
 		m.exitedTasks = append(m.exitedTasks, *task)
-		r.observeTaskExit(p, task)
+		r.handleTaskExit(p, task)
 		return
 	}
 	p.phase = max(p.phase, phaseReported)
@@ -72,7 +72,7 @@
 		r.changes.increment()
 		p.state = task.State
 		if task.State == wire.TaskRunning && p.runningSince == 0 {
-			r.observeTaskStart(p)
+			r.handleTaskStart(p)
 		}
 	}
 	if p.runningSince != 0 && (!p.job.ranSuccessfully || len(m.failures) > 0) {
@@ -80,14 +80,15 @@
 	}
 }
 
-// observeTaskStart handles the first heartbeat in which a task is running.
-func (r *reconciler) observeTaskStart(p *placement) {
+// handleTaskStart handles the first heartbeat in which a task is running.
+func (r *reconciler) handleTaskStart(p *placement) {
 	now := r.core.now
 	p.runningSince = now.Steady
 	p.machine.markImageReady(p.job.spec.Image)
 	accepted := now.Steady - time.Duration(now.WallMS-p.job.queuedMS)*time.Millisecond
 	r.core.log(Debug, "task running", "task", p.name(), "class", p.job.spec.Class, "worker", p.machine.name,
-		"image_state", p.imageState, "placed_ms", (p.placedAt - accepted).Milliseconds(), "start_ms", (now.Steady - p.placedAt).Milliseconds())
+		"image_state", p.imageState, "placed_ms", (p.placedAt - accepted).Milliseconds(),
+		"start_ms", (now.Steady - p.placedAt).Milliseconds())
 }
 
 // reconcileMissingTask handles a placement whose task is missing from a heartbeat that carries this term's fencing
@@ -130,13 +131,13 @@
 	m.exitedTasks = append(m.exitedTasks, *task)
 	j := r.jobs[id]
 	if task.Cause == wire.CauseDone && j != nil && index < j.spec.Tasks && j.isArray() && !r.records.isDone(j, index) {
-		r.completeElsewhere(j, index)
+		r.markCompletedElsewhere(j, index)
 	}
 }
 
-// completeElsewhere marks a task as done that was completed by an attempt without a placement. It does not matter which
-// attempt completed the task. The task's current placement is ended or stopped.
-func (r *reconciler) completeElsewhere(j *job, task int) {
+// markCompletedElsewhere marks a task as done that was completed by an attempt without a placement. It does not matter
+// which attempt completed the task. The task's current placement is ended or stopped.
+func (r *reconciler) markCompletedElsewhere(j *job, task int) {
 	r.records.setDone(j, task)
 	if p := j.placements[task]; p != nil {
 		if p.phase < phaseSent {
@@ -148,8 +149,8 @@
 	r.actions.finishIfDone(j)
 }
 
-// observeTaskExit handles the exit of a task and ends its placement.
-func (r *reconciler) observeTaskExit(p *placement, task *wire.TaskStatus) {
+// handleTaskExit handles the exit of a task and ends its placement.
+func (r *reconciler) handleTaskExit(p *placement, task *wire.TaskStatus) {
 	j, now := p.job, r.core.now.Steady
 	retryPause := r.core.times.checkInterval * 2
 	r.core.log(Debug, "task exited", "task", task.Task, "attempt", task.Attempt, "reason", task.Cause,
--- a/internal/core/zone_reachability.go
+++ b/internal/core/zone_reachability.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countReachability counts the machines of a zone that have ever sent a heartbeat.
+// zoneReachability counts the machines of a zone that have ever sent a heartbeat.
 type zoneReachability struct {
 	total       int
 	silent      int // not heard from recently, neither directly nor by a relayed heartbeat
