--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -26,7 +26,7 @@
 				RequestID: requestID,
 				From:      request.GetFrom(),
 				Team:      request.GetTeam(),
-				Whole:     shareOf(request.GetWhole()),
+				Total:     shareOf(request.GetWhole()),
 				Share:     shareOf(request.GetShare()),
 			}
 		},
@@ -44,7 +44,7 @@
 		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
 			transfer := quota.Transfer{From: request.GetFrom(), To: request.GetTo(), Number: request.GetNumber(), Share: shareOf(request.GetShare())}
-			return core.DeliverQuota{RequestID: requestID, Team: request.GetTeam(), Whole: shareOf(request.GetWhole()), Transfer: transfer}
+			return core.DeliverQuota{RequestID: requestID, Team: request.GetTeam(), Total: shareOf(request.GetWhole()), Transfer: transfer}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 			request.Relayed = true
@@ -68,7 +68,7 @@
 		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{
 			From:  call.Request.From,
 			Team:  call.Request.Team,
-			Whole: shareProto(call.Request.Whole),
+			Whole: shareProto(call.Request.Total),
 			Share: shareProto(call.Request.Share),
 		})
 	case call.Deliver != nil:
@@ -78,7 +78,7 @@
 			To:     transfer.To,
 			Team:   call.Deliver.Team,
 			Number: transfer.Number,
-			Whole:  shareProto(call.Deliver.Whole),
+			Whole:  shareProto(call.Deliver.Total),
 			Share:  shareProto(transfer.Share),
 		})
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -66,7 +66,7 @@
 		Priority:     spec.Priority.Rank(),
 		AcceptedMS:   cached.AcceptedMS,
 		EstimateMS:   milliseconds(spec.EstimatedRunS),
-		DeadlineMS:   dependency.Never,
+		DeadlineMS:   dependency.NoDeadline,
 	}
 	if spec.DeadlineS != nil {
 		job.DeadlineMS = cached.AcceptedMS + milliseconds(*spec.DeadlineS)
--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -9,7 +9,7 @@
 // the response: a job that depends on a cancelled one is cancelled with it, and where the end of a dependency is not
 // known here yet nothing can be said.
 func (u *userRequests) mayDisclose(id string, job *watchcache.Job, then func(lookupResult)) bool {
-	switch u.core.dependencies.graph.Of(id).State {
+	switch u.core.dependencies.graph.Status(id).State {
 	case dependency.Unresolved:
 		then(lookupResult{state: lookupIndeterminate})
 		return false
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -67,7 +67,7 @@
 
 // addJob adds a job. One with dependencies is queued once they are done.
 func (l *leader) addJob(id string, e *watchcache.Job) *job {
-	status := l.core.dependencies.graph.Of(id)
+	status := l.core.dependencies.graph.Status(id)
 	j := &job{
 		id:               id,
 		spec:             e.Spec,
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -38,7 +38,7 @@
 func (j *job) isIdlePriority() bool { return priority(j) == wire.PriorityIdle.Rank() }
 
 // hasDeadline tells whether a pipeline's deadline depends on a job.
-func (j *job) hasDeadline() bool { return j.latestEndMS != dependency.Never }
+func (j *job) hasDeadline() bool { return j.latestEndMS != dependency.NoDeadline }
 
 // latestStart is the Unix time in milliseconds at which a job has to start for the deadlines that depend on it, as far
 // as its owner's estimate tells.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -155,6 +155,6 @@
 // turnAwayWaiting responds to all requests that wait for this leader, whose term ends.
 func (l *leader) turnAwayWaiting() {
 	l.heldResponses.redirectAll(l.machinesByName)
-	l.rollouts.refuseWaiting()
-	l.quotas.refuseWaiting()
+	l.rollouts.rejectPending()
+	l.quotas.rejectPending()
 }
--- a/internal/core/leader_dependencies.go
+++ b/internal/core/leader_dependencies.go
@@ -11,19 +11,19 @@
 		return
 	}
 	l.dependenciesSeen = evaluations
-	for _, id := range graph.InOrder() {
+	for _, id := range graph.TopologicalOrder() {
 		if j := l.jobs[id]; j != nil && j.waitingForDependencies && !j.cancelled {
 			l.followWaitingJob(j)
 		}
 	}
 	for _, j := range l.queue {
-		j.inheritUrgency(graph.Of(j.id))
+		j.inheritUrgency(graph.Status(j.id))
 	}
 }
 
 // followWaitingJob queues or cancels a job that waits for others, as far as they have ended.
 func (l *leader) followWaitingJob(j *job) {
-	switch l.core.dependencies.graph.Of(j.id).State {
+	switch l.core.dependencies.graph.Status(j.id).State {
 	case dependency.Ready:
 		l.admit(j)
 		l.requestCycle()
@@ -50,7 +50,7 @@
 
 // admit queues a job that has waited for others. From here on it counts for its team, and its waiting time counts.
 func (l *leader) admit(j *job) {
-	status := l.core.dependencies.graph.Of(j.id)
+	status := l.core.dependencies.graph.Status(j.id)
 	j.waitingForDependencies = false
 	j.rank, j.latestEndMS = status.Priority, status.LatestEndMS
 	if status.State == dependency.Ready {
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -136,14 +136,14 @@
 	return s.digest.String()
 }
 
-// digestOfRegions plays a day of three regions with random troubles, as TestAnyRegionTroubles does.
+// digestOfRegions plays a day of three regions with random troubles, as TestRandomRegionFaults does.
 func digestOfRegions(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 6))
 	world := newRegionWorld(t, 3)
 	for range 2 + random.IntN(9) {
 		world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
-		world.anyTrouble(random)
+		world.injectFault(random)
 	}
 	world.heal()
 	world.advance(5 * time.Second)
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -8,20 +8,21 @@
 	"bitternwing/internal/config"
 )
 
-// BenchmarkAllowances takes a leader's processor time, in microseconds for each second of its time, with so many teams whose limits are
-// divided among four regions of which none asks for anything, and 400 services on 400 machines.
-func BenchmarkAllowances(b *testing.B) {
+// BenchmarkQuotas measures a leader's CPU time, in microseconds per second of simulated time, with 400 services on
+// 400 machines and various numbers of teams whose limits are divided among four regions. No region requests a share.
+func BenchmarkQuotas(b *testing.B) {
 	for _, teams := range []int{0, 12, 350} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
 			for range b.N {
-				b.ReportMetric(timeWithTeams(b, teams), "µs/s")
+				b.ReportMetric(leaderCPUTimeWithTeams(b, teams), "µs/s")
 			}
 		})
 	}
 }
 
-// timeWithTeams gives a leader's time; with no teams the limits of 12 are not divided.
-func timeWithTeams(b *testing.B, teams int) float64 {
+// leaderCPUTimeWithTeams returns the leader's CPU time with the given number of teams, in microseconds per second. With
+// 0 there are 12 teams whose limits are not divided.
+func leaderCPUTimeWithTeams(b *testing.B, teams int) float64 {
 	b.Helper()
 	cluster := newScaleCluster(b, 1, 0)
 	cluster.large, cluster.operator.IdleBoots = true, 100
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -7,7 +7,8 @@
 	"bitternwing/internal/outcome"
 )
 
-// deliverTransfers sends the outgoing transfers, the oldest to each region, until their receivers acknowledge them.
+// deliverTransfers sends the oldest outgoing transfer to each region, unless it is in flight already. Transfers are
+// sent again until their receivers acknowledge them.
 func (m *quotaManager) deliverTransfers(t *teamQuota) {
 	c := m.leader.core
 	for _, transfer := range t.account.Outgoing {
@@ -16,20 +17,20 @@
 			continue
 		}
 		t.delivering[to] = true
-		t.attempts++
+		t.callCount++
 		id := m.leader.registerCall(func(r Result) {
 			delete(t.delivering, to)
 			if r.Outcome == outcome.OK {
 				m.settleTransfer(t, to, transfer.Number)
 			}
 		})
-		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.attempts,
-			Deliver: &DeliverQuota{Team: t.settings.Name, Whole: t.whole, Transfer: transfer}})
+		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.callCount,
+			Deliver: &DeliverQuota{Team: t.settings.Name, Total: t.total, Transfer: transfer}})
 	}
 }
 
-// settleTransfer removes a transfer from the account that its receiver has acknowledged. If that can't be written now, it is
-// after the next delivery, which the receiver acknowledges as a duplicate.
+// settleTransfer removes a transfer from the account after its receiver has acknowledged it. If that can't be written
+// now, the transfer is delivered again, acknowledged as a duplicate, and removed then.
 func (m *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
 	if t.writeInFlight || t.account == nil || !m.mayWrite() || !m.leader.mayCommit() {
 		return
@@ -39,17 +40,18 @@
 	}
 }
 
-// maxRequestIntervals bounds the backoff between two requests for a team that bring nothing, in check intervals.
+// maxRequestIntervals is the longest backoff between two requests for a team, in check intervals. The backoff grows
+// while the requests bring nothing.
 const maxRequestIntervals = 10
 
-// requestFromRegion requests from the other regions in turn what this one's work lacks.
-func (m *quotaManager) requestFromRegion(t *teamQuota, demand teamDemand) {
+// requestMissing requests the share that this region's jobs lack from the other regions in turn.
+func (m *quotaManager) requestMissing(t *teamQuota, demand teamDemand) {
 	c := m.leader.core
 	if t.requestInFlight || c.now.Steady < t.nextRequest {
 		return
 	}
-	missing := t.account.Shortfall(t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.whole))
-	if missing.Zero() {
+	missing := t.account.Shortfall(t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.total))
+	if missing.IsZero() {
 		return
 	}
 	others := c.operator.Regions.Others()
@@ -57,20 +59,20 @@
 		return
 	}
 	t.requestInFlight = true
-	t.attempts++
-	region := others[t.nextRegion%len(others)]
-	t.nextRegion++
+	t.callCount++
+	region := others[t.nextRegionIndex%len(others)]
+	t.nextRegionIndex++
 	id := m.leader.registerCall(func(Result) {
 		t.requestInFlight = false
 		t.requestCount++
 		t.nextRequest = c.now.Steady + c.times.checkInterval*time.Duration(min(1+t.requestCount/len(others), maxRequestIntervals))
 	})
-	c.emit(CallRegion{CallID: id, Region: region, Attempt: t.attempts,
-		Request: &RequestQuota{From: c.operator.Regions.Name, Team: t.settings.Name, Whole: t.whole, Share: missing}})
+	c.emit(CallRegion{CallID: id, Region: region, Attempt: t.callCount,
+		Request: &RequestQuota{From: c.operator.Regions.Name, Team: t.settings.Name, Total: t.total, Share: missing}})
 }
 
-// redirectWaiting tells the regions whose messages wait to retry later.
-func (t *teamQuota) redirectWaiting(c *Core) {
+// rejectPending answers the waiting messages of other regions: they have to retry later.
+func (t *teamQuota) rejectPending(c *Core) {
 	for _, in := range t.requests {
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	}
@@ -80,9 +82,9 @@
 	t.requests, t.deliveries = nil, nil
 }
 
-// refuseWaiting tells all regions whose messages wait to retry later, at the end of this term.
-func (m *quotaManager) refuseWaiting() {
-	for _, t := range m.ordered {
-		t.redirectWaiting(m.leader.core)
+// rejectPending answers the waiting messages of all teams. It is called at the end of the term.
+func (m *quotaManager) rejectPending() {
+	for _, t := range m.teamsInOrder {
+		t.rejectPending(m.leader.core)
 	}
 }
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -7,21 +7,21 @@
 	"bitternwing/internal/wire"
 )
 
-// Messages between regions about a team's quota. Only the leader answers them; other controllers redirect to it.
+// Messages from other regions about a team's quota. Only the leader answers them; other controllers redirect to it.
 type (
-	// RequestQuota is a request of another region whose work of a team waits.
+	// RequestQuota is a request from another region in which tasks of a team wait for quota.
 	RequestQuota struct {
 		RequestID uint64
 		From      string
 		Team      string
-		Whole     quota.Share // by the settings of the requesting region
-		Share     quota.Share // what it lacks
+		Total     quota.Share // limit and guarantee by the settings of the requesting region
+		Share     quota.Share // that is missing there
 	}
-	// DeliverQuota is a transfer of another region. A response of 200 acknowledges that it is committed.
+	// DeliverQuota delivers a transfer from another region. The response 200 acknowledges that it is committed.
 	DeliverQuota struct {
 		RequestID uint64
 		Team      string
-		Whole     quota.Share
+		Total     quota.Share // limit and guarantee by the settings of the sending region
 		Transfer  quota.Transfer
 	}
 )
@@ -29,7 +29,7 @@
 func (RequestQuota) input() {}
 func (DeliverQuota) input() {}
 
-// CallRegion sends one of the messages to a region. Attempt selects one of the addresses of its controllers.
+// CallRegion sends one of the messages to a region. Attempt selects which of the region's controllers is called.
 type CallRegion struct {
 	CallID  uint64
 	Region  string
@@ -48,8 +48,9 @@
 	reasonTransferMissing = "an earlier transfer is missing"
 )
 
-// quotaForMessage gives the quota that a message is about. If there is none it answers the message itself and gives nil.
-func (c *Core) quotaForMessage(req uint64, from, team string, whole quota.Share) *teamQuota {
+// quotaForMessage returns the quota that a message is about. If the message can't be accepted, it answers the message
+// itself and returns nil.
+func (c *Core) quotaForMessage(req uint64, from, team string, total quota.Share) *teamQuota {
 	l := c.leaderForRequest(req)
 	if l == nil {
 		return nil
@@ -62,9 +63,9 @@
 		c.respondRefused(req, reasonNoSuchRegion)
 	case t == nil:
 		c.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
-	case t.whole != whole:
-		if !t.regionDisagrees {
-			t.regionDisagrees = true // it is logged once a term
+	case t.total != total:
+		if !t.limitMismatchLogged {
+			t.limitMismatchLogged = true // log it once a term
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
 		c.respondRefused(req, reasonLimitsDiffer)
@@ -76,21 +77,21 @@
 	return nil
 }
 
-// handleQuotaRequest queues a region's request for a share of a team's quota.
+// handleQuotaRequest queues another region's request for a share of a team's quota.
 func (c *Core) handleQuotaRequest(in RequestQuota) {
-	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Whole); t != nil {
+	if t := c.quotaForMessage(in.RequestID, in.From, in.Team, in.Total); t != nil {
 		t.requests = append(t.requests, in)
 		c.leader.quotas.nextCheck = c.now.Steady
 	}
 }
 
-// handleQuotaDelivery queues a transfer of another region.
+// handleQuotaDelivery queues a transfer from another region.
 func (c *Core) handleQuotaDelivery(in DeliverQuota) {
 	if in.Transfer.To != c.operator.Regions.Name {
 		c.respondRefused(in.RequestID, reasonNoSuchRegion)
 		return
 	}
-	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Whole); t != nil {
+	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Total); t != nil {
 		t.deliveries = append(t.deliveries, in)
 		c.leader.quotas.nextCheck = c.now.Steady
 	}
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -13,18 +13,19 @@
 	"bitternwing/internal/wire"
 )
 
-// TestQuotaFollowsDemand has all of a team's work submitted in one region, and then in another one: each gets the whole limit.
+// TestQuotaFollowsDemand submits all of a team's jobs in one region, and then in the next one. Each region in turn gets
+// the whole limit.
 func TestQuotaFollowsDemand(t *testing.T) {
 	world := newRegionWorld(t, 3)
 	for region := range world.regions {
-		ids := world.submitFor(region, "t1", 8, 8)
-		world.waitUntil("the whole limit is used in one region", func() bool { return world.regions[region].used("t1") == regionLimit })
+		ids := world.submitAndWait(region, "t1", 8, 8)
+		world.waitUntil("one region uses the whole limit", func() bool { return world.regions[region].used("t1") == regionLimit })
 		world.cancel(region, ids)
 	}
 }
 
-// TestBurstsInAllRegions has both teams burst in all regions at the same moment: each gets its whole limit, no more, and none
-// is kept from its guarantee.
+// TestBurstsInAllRegions submits bursts of both teams in all regions at the same time. Each team gets its guarantee and
+// its whole limit, and no more.
 func TestBurstsInAllRegions(t *testing.T) {
 	world := newRegionWorld(t, 3)
 	for region := range world.regions {
@@ -32,59 +33,59 @@
 		world.submit(region, "t2", 6, 4)
 	}
 	for _, team := range []string{"t1", "t2"} {
-		took := world.waitUntil(team+" has its guarantee", func() bool { return world.usedBy(team) >= regionGuarantee })
-		t.Logf("%s has its guarantee after %v", team, took)
-		world.usesAll(team)
+		took := world.waitUntil(team+" uses its guarantee", func() bool { return world.usedBy(team) >= regionGuarantee })
+		t.Logf("%s uses its guarantee after %v", team, took)
+		world.waitForFullUse(team)
 	}
 }
 
-// TestRegionCutOff cuts a region off while work comes in all of them. Each goes on with what it holds; once they meet again,
-// what lay unused goes to where work waits.
-func TestRegionCutOff(t *testing.T) {
+// TestRegionPartition partitions a region from the other while jobs are submitted in both. Each uses only the share
+// that it holds; after the partition, the unused share moves to the region where tasks wait.
+func TestRegionPartition(t *testing.T) {
 	world := newRegionWorld(t, 2)
-	world.cutOff(1, true)
+	world.setPartitioned(1, true)
 	world.submit(0, "t1", 24, 2)
 	world.advance(30 * time.Second)
 	if used := world.regions[0].used("t1"); used != regionLimit/2 {
-		t.Errorf("region 0 uses %g GPUs while it is cut off, of %d that it holds", used, regionLimit/2)
+		t.Errorf("region 0 uses %g GPUs during the partition, want the %d that it holds", used, regionLimit/2)
 	}
 	world.submit(1, "t1", 4, 2)
 	world.advance(10 * time.Second)
 	if used := world.regions[1].used("t1"); used != 8 {
-		t.Errorf("region 1 uses %g GPUs while it is cut off, of 8 that it needs", used)
+		t.Errorf("region 1 uses %g GPUs during the partition, want the 8 that it needs", used)
 	}
-	world.cutOff(1, false)
-	world.usesAll("t1")
+	world.setPartitioned(1, false)
+	world.waitForFullUse("t1")
 }
 
-// TestOneWayCut loses the messages of one direction alone: transfers come, and nobody hears that they have.
-func TestOneWayCut(t *testing.T) {
-	for _, way := range [][2]int{{0, 1}, {1, 0}} {
+// TestOneWayPartition drops the messages in one direction only, so that transfers or their acknowledgements are lost.
+func TestOneWayPartition(t *testing.T) {
+	for _, link := range [][2]int{{0, 1}, {1, 0}} {
 		world := newRegionWorld(t, 2)
 		world.submit(0, "t1", 24, 2)
 		world.advance(300 * time.Millisecond)
-		world.cutLinks[way] = true
+		world.cutLinks[link] = true
 		world.advance(30 * time.Second)
 		world.heal()
-		world.usesAll("t1")
-		world.waitUntil("no transfer is left", func() bool {
+		world.waitForFullUse("t1")
+		world.waitUntil("all transfers are acknowledged", func() bool {
 			return len(world.regions[0].account("t1").Outgoing)+len(world.regions[1].account("t1").Outgoing) == 0
 		})
 	}
 }
 
-// TestLeaderEndsDuringTransfer ends the leaders of the giving and the receiving region at each moment of a transfer, with the
-// answers of writes lost or the writes late besides.
-func TestLeaderEndsDuringTransfer(t *testing.T) {
-	troubles := map[string]func(*worldRegion){
-		"ends":                  func(r *worldRegion) { r.restartLeaderIfAny() },
-		"answer lost":           func(r *worldRegion) { r.lostResponses = 2 },
-		"answer lost, ends":     func(r *worldRegion) { r.lostResponses = 2; r.restartLeaderIfAny() },
-		"write late, then ends": func(r *worldRegion) { r.delayedTransactions = 2; r.restartLeaderIfAny() },
-		"write late":            func(r *worldRegion) { r.delayedTransactions = 2 },
-		"frozen":                func(r *worldRegion) { r.frozen = r.leaderNode().name },
+// TestLeaderFailsDuringTransfer injects a fault into the sending or the receiving region at various times of a
+// transfer: the leader fails or is suspended, responses to writes are lost, or writes are applied late.
+func TestLeaderFailsDuringTransfer(t *testing.T) {
+	faults := map[string]func(*simulatedRegion){
+		"leader fails":                func(r *simulatedRegion) { r.restartLeaderIfAny() },
+		"response lost":               func(r *simulatedRegion) { r.lostResponses = 2 },
+		"response lost, leader fails": func(r *simulatedRegion) { r.lostResponses = 2; r.restartLeaderIfAny() },
+		"write late, leader fails":    func(r *simulatedRegion) { r.delayedTransactions = 2; r.restartLeaderIfAny() },
+		"write late":                  func(r *simulatedRegion) { r.delayedTransactions = 2 },
+		"leader suspended":            func(r *simulatedRegion) { r.frozen = r.leaderNode().name },
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for step := range 12 {
@@ -92,19 +93,19 @@
 					world := newRegionWorld(t, 2)
 					world.submit(0, "t1", 24, 2)
 					world.advance(time.Duration(step) * 4 * scaleStep)
-					trouble(world.regions[region])
+					fault(world.regions[region])
 					world.advance(6 * time.Second)
 					world.heal()
-					world.usesAll("t1")
+					world.waitForFullUse("t1")
 				}
 			}
 		})
 	}
 }
 
-// TestAnyRegionTroubles plays days of random troubles of regions, and checks that all of the limit can be used after them.
-// As with TestSearch, -first and -seeds play more of them.
-func TestAnyRegionTroubles(t *testing.T) {
+// TestRandomRegionFaults runs seeded random sequences of faults in regions, and checks that the whole limit can be used
+// after them. As with TestSearch, -first and -seeds select the seeds.
+func TestRandomRegionFaults(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -112,18 +113,18 @@
 			world := newRegionWorld(t, 3)
 			for range 2 + random.IntN(9) {
 				world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
-				world.anyTrouble(random)
+				world.injectFault(random)
 			}
 			world.heal()
 			world.advance(5 * time.Second)
-			world.submitFor(0, "t1", 24, 2)
-			world.usesAll("t1")
+			world.submitAndWait(0, "t1", 24, 2)
+			world.waitForFullUse("t1")
 		})
 	}
 }
 
-// anyTrouble has something happen to a region.
-func (world *regionWorld) anyTrouble(random *rand.Rand) {
+// injectFault injects a random fault into a region, or changes its load.
+func (world *regionWorld) injectFault(random *rand.Rand) {
 	region := random.IntN(3)
 	r, leader := world.regions[region], world.regions[region].leaderNode()
 	switch kind := random.IntN(14); kind {
@@ -154,105 +155,106 @@
 			r.refusedNode = leader.name
 		}
 	case 10:
-		world.cutOff(region, true)
+		world.setPartitioned(region, true)
 	case 11:
 		world.cutLinks[[2]int{region, (region + 1 + random.IntN(2)) % 3}] = true
 	case 12:
-		world.repeatMessages = true
+		world.duplicateMessages = true
 	default:
 		world.heal()
 	}
 }
 
-// TestGuaranteeMoves has another team's batch work fill the region in which a team's work comes, beyond what that region holds
-// of the team's guarantee: the rest of the guarantee is transferred from the other regions, and the batch work is preempted.
-func TestGuaranteeMoves(t *testing.T) {
+// TestGuaranteeTransferred fills a region with batch tasks of one team, and then submits services of another team
+// there, more than the region's share of that team's guarantee. The rest of the guarantee is transferred from the other
+// regions, and batch tasks are preempted.
+func TestGuaranteeTransferred(t *testing.T) {
 	world := newRegionWorldOf(t, 3, 5) // 40 GPUs in each
 	region := world.regions[0]
 	region.submitAt(region.nodes[0], &wire.Job{ID: "run-900000", Kind: wire.KindArray, Class: "c", Team: "t2", Tasks: 20, CPUs: 4, GPUs: 2, MemoryGB: 20,
 		Priority: "prod", Image: "img-1", ImageGB: 4, EstimatedRunS: 600, CheckpointIntervalS: 10, CheckpointTimeS: 1})
-	world.waitUntil("batch work fills the region", func() bool { return region.used("t2") == 40 })
+	world.waitUntil("batch tasks fill the region", func() bool { return region.used("t2") == 40 })
 	world.submit(0, "t1", 8, 2)
-	took := world.waitUntil("the team has 16 of its guarantee of 24", func() bool { return region.used("t1") == 16 })
-	t.Logf("after %v", took)
+	took := world.waitUntil("the team uses 16 GPUs of its guarantee of 24", func() bool { return region.used("t1") == 16 })
+	t.Logf("reached after %v", took)
 }
 
-// transferInDoubt has a region request what it lacks from another one, whose write of the transfer is delayed, as are so many
-// of its writes of the account.
-func transferInDoubt(t *testing.T, heldUp int) (world *regionWorld, giver *worldRegion) {
+// startIndeterminateTransfer has region 0 request quota from region 1, which delays the given number of writes of its
+// account. So the result of the write of the transfer is not known.
+func startIndeterminateTransfer(t *testing.T, delayedWrites int) (world *regionWorld, sender *simulatedRegion) {
 	t.Helper()
 	world = newRegionWorld(t, 2)
-	giver = world.regions[1]
-	giver.delayKey, giver.delayedTransactions = "w/q/t1", heldUp
+	sender = world.regions[1]
+	sender.delayKey, sender.delayedTransactions = "w/q/t1", delayedWrites
 	world.submit(0, "t1", 24, 2)
-	world.waitUntil("a transfer is in doubt", func() bool { return len(giver.heldTransactions) > 0 })
-	return world, giver
+	world.waitUntil("the write of a transfer is delayed", func() bool { return len(sender.heldTransactions) > 0 })
+	return world, sender
 }
 
-// TestGivenInDoubt has a region's write of a transfer be in doubt for a while in which work comes there. It must not use what
-// it may have transferred; the write is applied later.
-func TestGivenInDoubt(t *testing.T) {
-	world, _ := transferInDoubt(t, 1000)
+// TestIndeterminateTransfer submits jobs in a region while the result of its write of a transfer is not known. The
+// region must not use the share that it may have transferred. The write is applied later.
+func TestIndeterminateTransfer(t *testing.T) {
+	world, _ := startIndeterminateTransfer(t, 1000)
 	world.submit(1, "t1", 12, 2)
 	world.advance(4 * time.Second)
 	world.heal()
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 }
 
-// TestLateGift has the write of a transfer arrive after its leader has ended, and the next one has used the share for work
-// of its own: the write must not be applied.
-func TestLateGift(t *testing.T) {
-	world, giver := transferInDoubt(t, 1)
-	late := giver.heldTransactions
-	giver.heldTransactions = nil
-	world.cutOff(0, true) // so that nothing else is given
-	giver.restartLeaderIfAny()
+// TestDelayedTransferWrite delays the write of a transfer until the leader has failed and its successor has used the
+// share for tasks of the region itself. The write must not be applied then.
+func TestDelayedTransferWrite(t *testing.T) {
+	world, sender := startIndeterminateTransfer(t, 1)
+	delayed := sender.heldTransactions
+	sender.heldTransactions = nil
+	world.setPartitioned(0, true) // so that there is no other transfer
+	sender.restartLeaderIfAny()
 	world.submit(1, "t1", 12, 2)
-	world.waitUntil("the region uses what it holds", func() bool { return giver.used("t1") == regionLimit/2 })
-	giver.heldTransactions = late
+	world.waitUntil("the region uses its own share", func() bool { return sender.used("t1") == regionLimit/2 })
+	sender.heldTransactions = delayed
 	world.heal()
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 }
 
-// TestSettingsWithoutRegions has a node whose settings name no regions, beside others that divide the limits: it must not lead,
-// since it would go by the whole limits.
+// TestSettingsWithoutRegions starts a node whose settings name no regions in a cluster that divides the limits. It must
+// not become the leader, since it would enforce the undivided limits.
 func TestSettingsWithoutRegions(t *testing.T) {
 	world := newRegionWorld(t, 2)
 	region := world.regions[0]
-	with := region.operator
+	withRegions := region.operator
 	region.operator = config.DefaultOperator()
 	region.startNode(1)
 	region.step(region.nodes[1], core.Tick{})
-	region.operator = with
+	region.operator = withRegions
 	region.frozen, region.refusedNode = region.nodes[0].name, region.nodes[2].name
 	world.advance(20 * time.Second)
 	if region.nodes[1].core.PeerStatus().Leading {
-		t.Fatal("a node that knows no regions leads")
+		t.Fatal("a node without regions in its settings leads")
 	}
 	world.heal()
 	world.submit(0, "t1", 24, 2)
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 }
 
-// TestOlderVersionCannotLead has limits be divided: from then on no version that knows nothing of that can read the term, so none
-// can win one; this version can, after any number of changes.
-func TestOlderVersionCannotLead(t *testing.T) {
+// TestVersionWithoutRegionsCannotLead checks that once limits are divided, the term is stored in a format that versions
+// without regions can't read. So none of them can become the leader, while this version still can after several terms.
+func TestVersionWithoutRegionsCannotLead(t *testing.T) {
 	world := newRegionWorld(t, 2)
 	region := world.regions[0]
 	for range 3 {
 		item, got := region.store.Get("w/term")
 		if got != outcome.OK || core.ReadableWithPlans(item.Value) {
-			t.Fatalf("an older version reads %s", item.Value)
+			t.Fatalf("an older version can read the term %s", item.Value)
 		}
 		region.restartLeaderIfAny()
 		world.advance(6 * time.Second)
 	}
 	world.submit(0, "t1", 24, 2)
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 }
 
-// TestLimitChanges lowers the limit in one region after the other, and raises it: none is past the old one before all have the
-// new one, and then all of that is used.
+// TestLimitChanges lowers the limit in one region after the other, and then raises it. While the settings differ each
+// region stays within its part of its own limit; once they agree, all of the new limit is used.
 func TestLimitChanges(t *testing.T) {
 	world := newRegionWorld(t, 2)
 	world.setLimit(0, 24)
@@ -260,36 +262,37 @@
 	ids := world.submit(1, "t1", 24, 2)
 	world.advance(20 * time.Second)
 	if north, south := world.regions[0].used("t1"), world.regions[1].used("t1"); north != 12 || south != 24 {
-		t.Errorf("the regions use %g and %g while their limits differ, not their parts of them", north, south)
+		t.Errorf("the regions use %g and %g GPUs while their limits differ, want 12 and 24", north, south)
 	}
 	world.cancel(1, ids)
 	world.setLimit(1, 24)
 	world.submit(1, "t1", 24, 2)
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 	world.setLimit(0, 72)
 	world.setLimit(1, 72)
-	world.usesAll("t1")
+	world.waitForFullUse("t1")
 }
 
-// TestOtherLimits has a region whose settings give a team another limit: it gets nothing of it, and gives nothing.
-func TestOtherLimits(t *testing.T) {
+// TestMismatchedRequests checks that requests with a different limit, from an unknown region or for an unknown team are
+// refused.
+func TestMismatchedRequests(t *testing.T) {
 	world := newRegionWorld(t, 2)
-	ask := core.RequestQuota{From: regionName(1), Team: "t1", Share: world.regions[0].account("t1").Whole}
+	request := core.RequestQuota{From: regionName(1), Team: "t1", Share: world.regions[0].account("t1").Total}
 	region := world.regions[0]
 	var statuses []int
 	for _, change := range []func(*core.RequestQuota){
-		func(in *core.RequestQuota) { in.Whole = ask.Share; in.Whole.Limit.GPUs++ },
+		func(in *core.RequestQuota) { in.Total = request.Share; in.Total.Limit.GPUs++ },
 		func(in *core.RequestQuota) { in.From = "elsewhere" },
-		func(in *core.RequestQuota) { in.Whole = ask.Share; in.Team = "t9" },
+		func(in *core.RequestQuota) { in.Total = request.Share; in.Team = "t9" },
 	} {
-		in := ask
+		in := request
 		region.lastRequest++
 		in.RequestID = region.lastRequest << 16
-		region.pending[in.RequestID] = func(response core.Response) { statuses = append(statuses, response.Status) }
+		region.responseHandlers[in.RequestID] = func(response core.Response) { statuses = append(statuses, response.Status) }
 		change(&in)
 		region.step(region.leaderNode(), in)
 	}
 	if !slices.Equal(statuses, []int{422, 422, 404}) {
-		t.Errorf("they get %v", statuses)
+		t.Errorf("statuses are %v, want 422, 422, 404", statuses)
 	}
 }
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -11,16 +11,16 @@
 	"bitternwing/internal/wire"
 )
 
-// maxAccountWrites is how many writes of accounts may be in flight.
+// maxAccountWrites is the maximum number of writes of accounts in flight.
 const maxAccountWrites = 2
 
-// mayWrite tells whether one more account may be written now.
+// mayWrite reports whether another account may be written now.
 func (m *quotaManager) mayWrite() bool {
-	return m.inFlight < maxAccountWrites && m.leader.writer.mayWriteOne()
+	return m.writesInFlight < maxAccountWrites && m.leader.writer.mayWriteOne()
 }
 
-// writeNextChange commits the first change that an account waits for: its creation, a delivered transfer, or a request of
-// another region.
+// writeNextChange commits the first of the changes that are due: the account's creation, a delivered transfer, a
+// transfer that another region requests, or an overwrite that resolves an indeterminate write.
 func (m *quotaManager) writeNextChange(t *teamQuota, demand teamDemand) {
 	c := m.leader.core
 	switch {
@@ -29,17 +29,17 @@
 	case t.account == nil && c.cache.QuotaAccount(t.key) == nil:
 		m.commit(t, t.initial, func(Result) {})
 	case t.account == nil:
-		t.redirectWaiting(c) // it can't be read
+		t.rejectPending(c) // the account exists and can't be read
 	case len(t.deliveries) > 0:
 		m.acceptDelivery(t)
 	case len(t.requests) > 0:
 		m.grantRequest(t, demand)
 	case len(t.indeterminate) > 0:
-		m.commit(t, t.account, func(Result) {}) // so that no earlier write can be applied any more
+		m.commit(t, t.account, func(Result) {}) // the new version rules out that an earlier write is still applied
 	}
 }
 
-// acceptDelivery commits a delivered transfer, and acknowledges it then.
+// acceptDelivery commits the oldest delivered transfer and then acknowledges it.
 func (m *quotaManager) acceptDelivery(t *teamQuota) {
 	c, in := m.leader.core, t.deliveries[0]
 	t.deliveries = t.deliveries[1:]
@@ -54,7 +54,8 @@
 	}
 }
 
-// grantRequest commits a transfer to a region that requests one, if there is something to transfer.
+// grantRequest answers the oldest request of another region. If there is anything to transfer, it commits the transfer
+// first.
 func (m *quotaManager) grantRequest(t *teamQuota, demand teamDemand) {
 	c, in := m.leader.core, t.requests[0]
 	t.requests = t.requests[1:]
@@ -67,7 +68,7 @@
 	m.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
-// respondCommitted answers a region by the result of a commit.
+// respondCommitted answers a region according to the result of a commit.
 func (c *Core) respondCommitted(req uint64, r Result) {
 	if r.Outcome == outcome.OK {
 		c.respond(req, http.StatusOK, nil)
@@ -76,8 +77,8 @@
 	c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 }
 
-// commit writes an account by compare-and-swap, fenced by the term. Until the result is known the minimum of the old and the
-// new account applies.
+// commit writes an account by compare-and-swap, fenced by the term. Until the result is known, the minimum of the old
+// and the new account is enforced.
 func (m *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
 	l := m.leader
 	value, err := json.Marshal(next)
@@ -85,20 +86,20 @@
 		return
 	}
 	t.writeInFlight = true
-	m.inFlight++
+	m.writesInFlight++
 	t.indeterminate = append(t.indeterminate, next)
 	m.refreshEffective(t)
 	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		t.writeInFlight = false
-		m.inFlight--
+		m.writesInFlight--
 		m.applyWriteResult(t, next, r)
 		then(r)
 	})
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
 
-// applyWriteResult takes in the result of a write of an account.
+// applyWriteResult handles the result of a write of an account.
 func (m *quotaManager) applyWriteResult(t *teamQuota, next *quota.Account, r Result) {
 	c := m.leader.core
 	switch {
@@ -107,17 +108,17 @@
 	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
-		m.reread(t)
+		m.rereadAccount(t)
 	default:
-		// It was certainly not applied.
+		// The write was certainly not applied.
 		t.indeterminate = t.indeterminate[:len(t.indeterminate)-1]
 		m.refreshEffective(t)
 		t.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
 
-// reread reads the stored account. If it has not changed, the indeterminate write may yet be applied.
-func (m *quotaManager) reread(t *teamQuota) {
+// rereadAccount reads the stored account. If it has not changed, the indeterminate write may still be applied.
+func (m *quotaManager) rereadAccount(t *teamQuota) {
 	c := m.leader.core
 	t.writeInFlight = true
 	id := m.leader.registerStoreCall(func(r Result) {
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -8,48 +8,48 @@
 	"bitternwing/internal/stored"
 )
 
-// quotaManager keeps a leader within the shares that its region holds in escrow of the teams' limits and guarantees (package
-// quota), transfers shares to regions that lack them, and requests what its own work lacks. An account is committed before
-// anybody acts on it.
+// quotaManager keeps the leader within the shares of the teams' limits and guarantees that its region holds in escrow
+// (see package quota). It transfers shares to regions that request them, and requests the shares that its own jobs
+// lack. An account is committed to the store before anything is done that relies on it.
 type quotaManager struct {
 	leader           *leader
 	nextCheck        time.Duration
 	teams            map[string]*teamQuota
-	ordered          []*teamQuota // as the settings have them
-	inFlight         int          // writes of accounts in flight
-	cacheChangesSeen uint64       // changes of the watched accounts that were taken in
+	teamsInOrder     []*teamQuota // in the order of the settings
+	writesInFlight   int          // writes of accounts in flight
+	cacheChangesSeen uint64       // the cache's count of changes when the accounts were last read from it
 }
 
-// teamQuota is a team's quota in this region, as the leader applies it.
+// teamQuota is a team's quota in this region as the leader enforces it.
 type teamQuota struct {
-	// effective is the team with the limits and guarantees that apply now; jobs of the team point to it.
+	// effective is the team with the limits and guarantees that are enforced now. Jobs of the team point to it.
 	effective config.Team
 	settings  *config.Team
-	whole     quota.Share    // by the settings
-	initial   *quota.Account // that this region begins with
-	key       string
-	account   *quota.Account // as it is stored; nil: it does not exist, or can't be read
-	version   uint64
-	// indeterminate are accounts whose write may or may not be applied: the minimum of all of them applies.
+	total     quota.Share    // limit and guarantee in all regions together, by this node's settings
+	initial   *quota.Account // with which this region begins
+	key       string         // of the account in the store
+	account   *quota.Account // as stored; nil if it does not exist or can't be read
+	version   uint64         // of the stored account
+	// indeterminate holds accounts that may or may not have been written. The minimum of all of them is enforced.
 	indeterminate []*quota.Account
 	writeInFlight bool
 	retryAt       time.Duration
 
-	requests        []RequestQuota
-	deliveries      []DeliverQuota
-	delivering      map[string]bool // regions to which a delivery is in flight
-	requestInFlight bool
-	nextRegion      int // that is requested next
-	nextRequest     time.Duration
-	requestCount    int // since the last transfer was received
-	attempts        int
-	regionDisagrees bool // a region has other limits of the team
+	requests            []RequestQuota
+	deliveries          []DeliverQuota
+	delivering          map[string]bool // regions to which a delivery is in flight
+	requestInFlight     bool
+	nextRegionIndex     int // index of the region to which the next request goes
+	nextRequest         time.Duration
+	requestCount        int  // requests since the share that is held last grew
+	callCount           int  // calls sent; selects the controller that is called
+	limitMismatchLogged bool // whether it was logged in this term that a region has other limits of the team
 }
 
-// zeroLimit stands for a limit of which nothing is held: a limit of 0 would mean that there is none.
+// zeroLimit is the effective limit where nothing of a limit is held. A limit of 0 would mean that there is no limit.
 const zeroLimit = 1e-6
 
-// newQuotaManager makes the quotas of all teams. A team has nothing before its account is read.
+// newQuotaManager returns a manager of the quotas of all teams. A team may use nothing before its account is read.
 func newQuotaManager(l *leader) *quotaManager {
 	m := &quotaManager{leader: l, teams: map[string]*teamQuota{}}
 	if !l.core.operator.Regions.Enabled() {
@@ -63,20 +63,20 @@
 			settings:   team,
 			key:        stored.QuotaAccountKey(team.Name),
 			delivering: map[string]bool{},
-			whole: quota.Share{
+			total: quota.Share{
 				Limit:     quota.RoundDown(team.MaxGPUs, team.MaxCPUs),
 				Guarantee: quota.RoundDown(team.GuaranteedGPUs, team.GuaranteedCPUs),
 			},
 		}
-		t.initial = quota.Initial(t.whole, regions, l.core.operator.Regions.Name)
+		t.initial = quota.Initial(t.total, regions, l.core.operator.Regions.Name)
 		t.setEffective(quota.Share{})
 		m.teams[team.Name] = t
-		m.ordered = append(m.ordered, t)
+		m.teamsInOrder = append(m.teamsInOrder, t)
 	}
 	return m
 }
 
-// regionShares gives the regions with the fraction of each limit that they begin with.
+// regionShares returns the regions, each with the fraction of the limits with which it begins.
 func (c *Core) regionShares() []quota.Region {
 	var regions []quota.Region
 	for _, r := range c.operator.Regions.All {
@@ -85,7 +85,8 @@
 	return regions
 }
 
-// teamOf gives a team with the limits and guarantees that apply to it in this region; nil if it does not exist.
+// teamOf returns a team with the limits and guarantees that are enforced in this region, or nil if there is no such
+// team.
 func (l *leader) teamOf(name string) *config.Team {
 	if t := l.quotas.teams[name]; t != nil {
 		return &t.effective
@@ -93,11 +94,12 @@
 	return l.core.team(name)
 }
 
-// setEffective sets the effective limits and guarantees to what is held. A resource without a limit stays so.
+// setEffective sets the effective limits and guarantees to the share that is held. A resource without a limit stays
+// unlimited.
 func (t *teamQuota) setEffective(held quota.Share) {
 	team := t.settings
-	effective := func(whole, held float64) float64 {
-		if whole == 0 {
+	effective := func(total, held float64) float64 {
+		if total == 0 {
 			return 0
 		}
 		return max(held, zeroLimit)
@@ -110,16 +112,17 @@
 	t.effective.GuaranteedCPUs = effective(team.GuaranteedCPUs, guaranteeCPUs)
 }
 
-// usable gives the share of the team's limits, as they are now, that may be used here.
+// usable returns the share that this region may use, in terms of the team's limits and guarantees by the current
+// settings.
 func (t *teamQuota) usable() quota.Share {
 	if t.account == nil {
 		return quota.Share{}
 	}
-	return t.account.Usable(t.held(), t.whole, t.initial.Held)
+	return t.account.Usable(t.held(), t.total, t.initial.Held)
 }
 
-// held gives the share that this region certainly holds: the minimum of the stored account and of those that may yet be
-// written.
+// held returns the share that this region holds for certain: the minimum of the stored account and of those that may
+// still be written.
 func (t *teamQuota) held() quota.Share {
 	if t.account == nil {
 		return quota.Share{}
@@ -131,7 +134,7 @@
 	return held
 }
 
-// run advances the accounts of all teams.
+// run writes the accounts that have to change, delivers transfers and requests missing shares, for all teams.
 func (m *quotaManager) run() {
 	c := m.leader.core
 	if len(m.teams) == 0 {
@@ -149,9 +152,9 @@
 	c.wakeBy(m.nextCheck)
 	mayCommit := m.leader.mayCommit()
 	demands := m.demands()
-	for _, t := range m.ordered {
+	for _, t := range m.teamsInOrder {
 		if !mayCommit {
-			t.redirectWaiting(c)
+			t.rejectPending(c)
 			continue
 		}
 		demand := demands[t.settings.Name]
@@ -160,14 +163,14 @@
 		}
 		if t.account != nil {
 			m.deliverTransfers(t)
-			m.requestFromRegion(t, demand)
+			m.requestMissing(t, demand)
 		}
 	}
 }
 
-// readStored takes in the accounts as they are watched.
+// readStored applies the accounts that were received by the watch.
 func (m *quotaManager) readStored() {
-	for _, t := range m.ordered {
+	for _, t := range m.teamsInOrder {
 		current := m.leader.core.cache.QuotaAccount(t.key)
 		if current == nil || current.Version <= t.version {
 			continue
@@ -179,16 +182,16 @@
 	}
 }
 
-// adoptAccount applies an account as it is stored. No earlier write can be applied any more, since the version has changed.
+// adoptAccount applies a stored account. No earlier write can be applied any more, since the version has changed.
 func (m *quotaManager) adoptAccount(t *teamQuota, account *quota.Account, version uint64) {
-	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).Zero() {
+	if t.account == nil || account == nil || !account.Held.Minus(t.account.Held).IsZero() {
 		t.requestCount = 0
 	}
 	t.account, t.version, t.indeterminate = account, version, nil
 	m.refreshEffective(t)
 }
 
-// refreshEffective updates the effective limits, and requests a scheduling cycle if they change.
+// refreshEffective updates the effective limits and guarantees, and requests a scheduling cycle if they change.
 func (m *quotaManager) refreshEffective(t *teamQuota) {
 	before := t.effective
 	t.setEffective(t.usable())
@@ -197,10 +200,11 @@
 	}
 }
 
-// teamDemand is what a team's work needs in this region: what its tasks use, and what waiting tasks would use beyond that.
+// teamDemand is what a team's jobs need in this region: what placed tasks use, and what waiting tasks would use beyond
+// that.
 type teamDemand struct{ used, waiting quota.Amount }
 
-// demands works out the teams' demand. Each placement counts as used until there is evidence of its end.
+// demands returns the demand of each team with jobs. A placement counts as used until there is evidence of its end.
 func (m *quotaManager) demands() map[string]teamDemand {
 	type sum struct{ usedGPUs, usedCPUs, allGPUs, allCPUs float64 }
 	sums := map[string]*sum{}
@@ -225,15 +229,16 @@
 	return demands
 }
 
-// equalShare gives a share with an amount of both the limit and the guarantee.
+// equalShare returns a share with the same amount of the limit and of the guarantee.
 func equalShare(a quota.Amount) quota.Share { return quota.Share{Limit: a, Guarantee: a} }
 
-// retained gives what this region keeps at another one's request, in units of the account: what is used, and of the rest what
-// its own waiting work needs, but no more than half. So neither region's work has to wait for all of the other's.
+// retained returns the share that this region keeps when another one requests some, in units of the account: what is in
+// use, and of the rest what its own waiting tasks need, but no more than half. So neither region's waiting tasks have
+// to wait until all of the other's have finished.
 func (t *teamQuota) retained(demand teamDemand) quota.Share {
 	held := t.held()
-	used := t.account.ToAccountUnits(equalShare(demand.used), t.whole)
-	all := t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.whole)
+	used := t.account.ToAccountUnits(equalShare(demand.used), t.total)
+	all := t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.total)
 	free := held.Minus(used)
 	return used.Plus(all.Minus(used).Min(free.Half()))
 }
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/quota"
 )
 
-// used adds up what a team's tasks have on the machines of a region.
-func (region *worldRegion) used(team string) float64 {
+// used returns the number of GPUs that a team's tasks use on the machines of a region.
+func (region *simulatedRegion) used(team string) float64 {
 	sum := 0.0
 	for task, holder := range region.workerByTask {
 		job := region.specs[task[:len("run-000000")]]
@@ -19,7 +19,7 @@
 	return sum
 }
 
-// usedBy adds up what a team's tasks have in all regions.
+// usedBy returns the number of GPUs that a team's tasks use in all regions.
 func (world *regionWorld) usedBy(team string) float64 {
 	sum := 0.0
 	for _, region := range world.regions {
@@ -28,8 +28,8 @@
 	return sum
 }
 
-// account gives a team's account as a region's state service holds it; nil: there is none yet.
-func (region *worldRegion) account(team string) *quota.Account {
+// account returns a team's account in a region's store, or nil if there is none yet.
+func (region *simulatedRegion) account(team string) *quota.Account {
 	item, got := region.store.Get("w/q/" + team)
 	if got != outcome.OK {
 		return nil
@@ -41,8 +41,8 @@
 	return a
 }
 
-// limit gives the limit that is in force: a change is once all regions have it, and until then the higher one counts.
-func (world *regionWorld) limit() float64 {
+// highestLimit returns the limit that the regions together may use: the highest one while their settings differ.
+func (world *regionWorld) highestLimit() float64 {
 	limit := 0.0
 	for _, region := range world.regions {
 		limit = max(limit, region.limit)
@@ -50,20 +50,20 @@
 	return limit
 }
 
-// check checks the limits, and that nothing of them is lost or made.
+// check checks that no team exceeds its limit, and that the shares of each team add up to the total.
 func (world *regionWorld) check() {
 	world.test.Helper()
 	for _, team := range []string{"t1", "t2"} {
-		world.overshoot = max(world.overshoot, world.usedBy(team)-world.limit())
+		world.overshoot = max(world.overshoot, world.usedBy(team)-world.highestLimit())
 		if world.overshoot > 0 {
-			world.test.Fatalf("%v: %s uses %g GPUs", world.regions[0].now, team, world.usedBy(team))
+			world.test.Fatalf("%v: team %s uses %g GPUs, more than its limit", world.regions[0].now, team, world.usedBy(team))
 		}
-		world.checkSum(team)
+		world.checkTotal(team)
 	}
 }
 
-// checkSum checks that the accounts of a team, with what is on its way between them, add up to the whole.
-func (world *regionWorld) checkSum(team string) {
+// checkTotal checks that the shares of a team's accounts and those in transfer add up to the total.
+func (world *regionWorld) checkTotal(team string) {
 	accounts := map[string]*quota.Account{}
 	for _, region := range world.regions {
 		a := region.account(team)
@@ -81,17 +81,18 @@
 			}
 		}
 	}
-	if whole := accounts[regionName(0)].Whole; sum != whole {
-		world.test.Fatalf("%v: the regions have %+v of %s, not %+v", world.regions[0].now, sum, team, whole)
+	if total := accounts[regionName(0)].Total; sum != total {
+		world.test.Fatalf("%v: shares add up to %+v for team %s, want %+v", world.regions[0].now, sum, team, total)
 	}
 }
 
-// usesAll lets time pass until a team uses all of its limit, and some more, since a late message may yet bring too much.
-func (world *regionWorld) usesAll(team string) {
+// waitForFullUse runs the simulation until a team uses its whole limit, and 6 s longer, since late messages might still
+// lead to more.
+func (world *regionWorld) waitForFullUse(team string) {
 	world.test.Helper()
-	world.waitUntil("all of the limit is used", func() bool { return world.usedBy(team) == world.limit() })
+	world.waitUntil("the whole limit is used", func() bool { return world.usedBy(team) == world.highestLimit() })
 	world.advance(6 * time.Second)
-	if used := world.usedBy(team); used != world.limit() {
-		world.test.Fatalf("%s uses %g GPUs a while later", team, used)
+	if used := world.usedBy(team); used != world.highestLimit() {
+		world.test.Fatalf("team %s uses %g GPUs 6 s after it used its whole limit", team, used)
 	}
 }
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -11,32 +11,32 @@
 	"bitternwing/internal/wire"
 )
 
-// regionWorld is several regions, each with three controllers, a state service and machines of its own, that share the
-// limits of two teams. At each step it checks that no team uses more than its limit in all regions together, and that
-// what the regions hold of it and what is on its way add up to the whole.
+// regionWorld is a simulation of several regions that share the limits of two teams. Each region has three controllers,
+// a store and machines of its own. At each step it checks that no team exceeds its limit in all regions together, and
+// that the shares that the regions hold and those in transfer add up to the total.
 type regionWorld struct {
 	test    reporter
-	regions []*worldRegion
-	// cutLinks tells whether messages from one region to another are lost.
-	cutLinks       map[[2]int]bool
-	repeatMessages bool // messages come twice, the second time late
-	messages       []regionMessage
-	submittedJobs  int
-	machines       int // in each region
-
-	overshoot float64 // the most GPUs that a team used beyond its limit
-	transfers int     // messages of transfers
+	regions []*simulatedRegion
+	// cutLinks holds the pairs of sender and receiver between which messages are lost.
+	cutLinks          map[[2]int]bool
+	duplicateMessages bool // messages come twice, the second time late
+	messages          []regionMessage
+	submittedJobs     int
+	machines          int // in each region
+
+	overshoot float64 // largest number of GPUs that a team used beyond its limit
+	transfers int     // number of deliveries sent
 }
 
-// worldRegion is one of the regions.
-type worldRegion struct {
+// simulatedRegion is one of the simulated regions.
+type simulatedRegion struct {
 	*scaleCluster
 	storeFaults
-	number         int
-	limit          float64                        // of each team, by its settings
-	pending        map[uint64]func(core.Response) // answers that other regions wait for
-	unacceptedJobs []string                       // jobs that are not known to be accepted: users hand them in again
-	submittedAt    time.Duration                  // when they did
+	number           int
+	limit            float64                        // of each team, in the region's settings
+	responseHandlers map[uint64]func(core.Response) // handlers of the responses to other regions' messages, by request
+	unacceptedJobs   []string                       // jobs that are submitted again until they are accepted
+	submittedAt      time.Duration                  // when they were last submitted
 }
 
 const (
@@ -46,14 +46,16 @@
 	regionMachines  = 16 // of 8 GPUs each
 )
 
+// regionName returns the name of a region.
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// newRegionWorld has regions with equal parts of two teams' limits, and room for both limits in each.
+// newRegionWorld returns regions with equal shares of two teams' limits. Each region has enough
+// machines for the limits of both teams.
 func newRegionWorld(t reporter, regions int) *regionWorld {
 	return newRegionWorldOf(t, regions, regionMachines)
 }
 
-// newRegionWorldOf has so many machines in each region.
+// newRegionWorldOf is like newRegionWorld with the given number of machines in each region.
 func newRegionWorldOf(t reporter, regions, machines int) *regionWorld {
 	world := &regionWorld{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
@@ -63,8 +65,9 @@
 	return world
 }
 
-func (world *regionWorld) newRegion(number, regions int) *worldRegion {
-	region := &worldRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Response){}}
+// newRegion returns the region with the given number.
+func (world *regionWorld) newRegion(number, regions int) *simulatedRegion {
+	region := &simulatedRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, responseHandlers: map[uint64]func(core.Response){}}
 	region.digest = newOutputDigest()
 	region.operator.IdleBoots = 100
 	region.operator.Regions = config.Regions{Name: regionName(number)}
@@ -82,8 +85,8 @@
 		return region.interceptStoreCall(node.name, region.store, effect)
 	}
 	region.onAnswer = func(response core.Response) bool {
-		answered := region.pending[response.RequestID]
-		delete(region.pending, response.RequestID)
+		answered := region.responseHandlers[response.RequestID]
+		delete(region.responseHandlers, response.RequestID)
 		if answered != nil {
 			answered(response)
 		}
@@ -94,7 +97,7 @@
 	return region
 }
 
-// advance lets time pass in all regions, and checks at each step.
+// advance runs the simulation of all regions for a while, and checks the invariants at each step.
 func (world *regionWorld) advance(d time.Duration) {
 	world.test.Helper()
 	for end := world.regions[0].now + d; world.regions[0].now < end; {
@@ -109,7 +112,7 @@
 	}
 }
 
-// submit has users hand in services of one task in a region.
+// submit submits services of one task in a region and returns their IDs.
 func (world *regionWorld) submit(region int, team string, tasks int, gpus float64) []string {
 	var ids []string
 	r := world.regions[region]
@@ -124,16 +127,16 @@
 	return ids
 }
 
-// submitFor hands in services and waits until all are accepted.
-func (world *regionWorld) submitFor(region int, team string, tasks int, gpus float64) []string {
+// submitAndWait submits services and waits until all are accepted.
+func (world *regionWorld) submitAndWait(region int, team string, tasks int, gpus float64) []string {
 	world.test.Helper()
 	ids := world.submit(region, team, tasks, gpus)
-	world.waitUntil("all are accepted", func() bool { return len(world.regions[region].unacceptedJobs) == 0 })
+	world.waitUntil("all jobs are accepted", func() bool { return len(world.regions[region].unacceptedJobs) == 0 })
 	return ids
 }
 
-// resubmit has users hand in once a second what is not accepted.
-func (region *worldRegion) resubmit() {
+// resubmit submits the jobs that are not accepted again, once a second.
+func (region *simulatedRegion) resubmit() {
 	if region.now < region.submittedAt+time.Second {
 		return
 	}
@@ -144,14 +147,14 @@
 	}
 }
 
-// accepted tells whether a job is there, or was.
-func (region *worldRegion) accepted(id string) bool {
+// accepted reports whether a job is active or has ended.
+func (region *simulatedRegion) accepted(id string) bool {
 	_, active := region.store.Get("w/a/" + id)
 	_, ended := region.store.Get("f/" + id)
 	return active == outcome.OK || ended == outcome.OK
 }
 
-// cancel has users cancel jobs, again until that is written.
+// cancel cancels jobs, repeatedly until the store has their final states.
 func (world *regionWorld) cancel(region int, ids []string) {
 	r := world.regions[region]
 	for _, id := range ids {
@@ -166,7 +169,7 @@
 	}
 }
 
-// setLimit gives a region's controllers another limit of each team in their settings, and starts them anew.
+// setLimit changes the limit of each team in the settings of a region's controllers, and restarts them.
 func (world *regionWorld) setLimit(region int, limit float64) {
 	world.regions[region].limit = limit
 	for i, node := range world.regions[region].nodes {
@@ -176,8 +179,8 @@
 	world.advance(8 * time.Second)
 }
 
-// waitUntil lets time pass until something holds.
-func (world *regionWorld) waitUntil(what string, holds func() bool) time.Duration {
+// waitUntil runs the simulation until a condition holds, and returns how long that took.
+func (world *regionWorld) waitUntil(condition string, holds func() bool) time.Duration {
 	world.test.Helper()
 	begin := world.regions[0].now
 	for range 1200 {
@@ -186,21 +189,21 @@
 		}
 		world.advance(100 * time.Millisecond)
 	}
-	world.test.Fatalf("never: %s", what)
+	world.test.Fatalf("not reached within 2 minutes: %s", condition)
 	return 0
 }
 
-// cutOff loses, or no longer loses, the messages between a region and all others.
-func (world *regionWorld) cutOff(region int, cut bool) {
+// setPartitioned starts or ends a partition between a region and all others.
+func (world *regionWorld) setPartitioned(region int, partitioned bool) {
 	for i := range world.regions {
-		world.cutLinks[[2]int{region, i}], world.cutLinks[[2]int{i, region}] = cut, cut
+		world.cutLinks[[2]int{region, i}], world.cutLinks[[2]int{i, region}] = partitioned, partitioned
 	}
 }
 
-// heal ends all troubles.
+// heal ends all faults and applies the delayed writes.
 func (world *regionWorld) heal() {
 	clear(world.cutLinks)
-	world.repeatMessages = false
+	world.duplicateMessages = false
 	for _, region := range world.regions {
 		region.endStoreFaults()
 		region.commitHeld(region.store)
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -11,20 +11,21 @@
 	"bitternwing/internal/rollout"
 )
 
-// BenchmarkPlans takes the processor time of the leader, in microseconds for each second of its time, with so many plans that
-// bake: two old and two new jobs of two replicas each, checked once a second, one router each.
-func BenchmarkPlans(b *testing.B) {
+// BenchmarkRollouts measures the CPU time of the leader, in microseconds per second of simulated time, with various
+// numbers of plans that are baking. Each plan has two old and two new jobs of two replicas each, probes once a second,
+// and one router.
+func BenchmarkRollouts(b *testing.B) {
 	for _, plans := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprint(plans), func(b *testing.B) {
 			for range b.N {
-				b.ReportMetric(leaderTime(b, plans), "µs/s")
+				b.ReportMetric(leaderCPUTime(b, plans), "µs/s")
 			}
 		})
 	}
 }
 
-// leaderTime gives the leader's processor time with so many plans.
-func leaderTime(b *testing.B, plans int) float64 {
+// leaderCPUTime returns the leader's CPU time with the given number of plans, in microseconds per second.
+func leaderCPUTime(b *testing.B, plans int) float64 {
 	b.Helper()
 	world := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
 	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleBoots = true, 1, 100
@@ -38,23 +39,23 @@
 	world.addMachines(400)
 	world.runFor(10 * time.Second)
 	for i := range plans {
-		world.beginPlan(i)
+		world.applyPlan(i)
 	}
 	world.runFor(30 * time.Second)
 	world.measured, world.stepTime = true, 0
 	const seconds = 20
 	for range seconds {
-		world.routeAll(plans)
+		world.requestAllRoutings(plans)
 		world.runFor(time.Second)
 	}
-	if baking := world.baking(); baking != plans {
-		b.Fatalf("%d plans of %d bake", baking, plans)
+	if baking := world.bakingPlans(); baking != plans {
+		b.Fatalf("%d plans of %d are baking", baking, plans)
 	}
 	return float64(world.stepTime.Microseconds()) / seconds
 }
 
-// beginPlan has a plan with jobs of its own applied.
-func (world *rolloutWorld) beginPlan(i int) {
+// applyPlan applies a plan with jobs of its own, and submits the jobs.
+func (world *rolloutWorld) applyPlan(i int) {
 	id := func(k int) string { return fmt.Sprintf("run-%07d", 100*(i+1)+k) }
 	plan := &rollout.Plan{Name: fmt.Sprint("plan-", i), Team: "t1", PromisedCapacity: 30,
 		Old: rollout.Fleet{Jobs: []string{id(1), id(2)}, ReplicaCapacity: 10}, New: rollout.Fleet{Jobs: []string{id(3), id(4)}, ReplicaCapacity: 10},
@@ -64,23 +65,23 @@
 		world.submitReplica(job)
 	}
 	world.runFor(200 * time.Millisecond)
-	world.order(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: plan} })
+	world.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: plan} })
 	for _, job := range plan.New.Jobs {
 		world.submitReplica(job)
 	}
 	world.runFor(200 * time.Millisecond)
 }
 
-// routeAll has a router of each plan ask.
-func (world *rolloutWorld) routeAll(plans int) {
+// requestAllRoutings sends a request from the router of each plan.
+func (world *rolloutWorld) requestAllRoutings(plans int) {
 	for i := range plans {
 		world.lastRequest++
 		world.step(world.nodes[0], core.GetRouting{RequestID: world.lastRequest << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
 	}
 }
 
-// baking counts the plans that bake.
-func (world *rolloutWorld) baking() int {
+// bakingPlans returns the number of plans that are baking.
+func (world *rolloutWorld) bakingPlans() int {
 	n := 0
 	for _, key := range storedKeys(world.store, "w/p/") {
 		item, got := world.store.Get(key)
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -9,12 +9,12 @@
 	"bitternwing/internal/rollout"
 )
 
-// serves tells whether a replica runs and answers rightly.
-func (world *rolloutWorld) serves(x rollout.Weight) bool {
-	return world.probe(rollout.Replica{Task: x.Task, Attempt: x.Attempt, Address: x.Address, Version: x.Version}).Verdict == rollout.Passed
+// servesCorrectly reports whether a replica runs and passes the checks.
+func (world *rolloutWorld) servesCorrectly(weight rollout.Weight) bool {
+	return world.probe(rollout.Replica{Task: weight.Task, Attempt: weight.Attempt, Address: weight.Address, Version: weight.Version}).Verdict == rollout.Passed
 }
 
-// check checks what a rollout promises, at this moment.
+// check checks the guarantees of a rollout in the current state, and records the phases of the plan.
 func (world *rolloutWorld) check() {
 	r := world.record()
 	if r == nil {
@@ -25,7 +25,7 @@
 		world.phases = append(world.phases, string(r.Phase))
 	}
 	world.checkJobs(r)
-	if world.machinesTaken || world.answersWrongly != nil && world.now < world.answersWronglySince+world.tolerance {
+	if world.capacityNotGuaranteed || world.wrongAnswers != nil && world.now < world.wrongAnswersSince+world.detectionTime {
 		return
 	}
 	for _, router := range world.routers {
@@ -33,62 +33,63 @@
 			continue
 		}
 		world.checkRecorded(r, router)
-		if !world.unreached(router) {
+		if !world.holdsStaleGrant(router) {
 			world.checkCapacity(r, router)
 		}
 	}
 }
 
-// checkJobs checks that nothing was started before its step, and nothing of the old version cancelled before its time.
+// checkJobs checks that no new job runs before its step, and that no old job is cancelled before the plan retires them.
 func (world *rolloutWorld) checkJobs(r *rollout.Record) {
 	for i := range newJobs {
 		if world.runsOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
-			world.test.Fatalf("%s runs in %s of step %d", newJob(i), r.Phase, r.Step)
+			world.test.Fatalf("new job %s runs in phase %s of step %d", newJob(i), r.Phase, r.Step)
 		}
 	}
-	if world.machinesTaken || r.Phase == rollout.Retiring || r.Phase == rollout.Completed {
+	if world.capacityNotGuaranteed || r.Phase == rollout.Retiring || r.Phase == rollout.Completed {
 		return
 	}
 	for i := range oldJobs {
 		if world.cancelled(oldJob(i)) {
-			world.test.Fatalf("%s is cancelled in %s", oldJob(i), r.Phase)
+			world.test.Fatalf("old job %s is cancelled in phase %s", oldJob(i), r.Phase)
 		}
 	}
 }
 
-// checkCapacity checks that what a router reaches can serve what is promised.
+// checkCapacity checks that the replicas to which a router sends traffic have at least the promised capacity.
 func (world *rolloutWorld) checkCapacity(r *rollout.Record, router *simulatedRouter) {
 	capacity, weights := 0.0, router.weights(world.now)
-	for _, x := range weights {
-		if world.serves(x) {
+	for _, weight := range weights {
+		if world.servesCorrectly(weight) {
 			capacity += world.plan.Old.ReplicaCapacity
 		}
 	}
 	if capacity < world.plan.PromisedCapacity {
-		world.test.Fatalf("%v: router %s reaches a capacity of %g in %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
+		world.test.Fatalf("%v: router %s has a capacity of %g in phase %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
 			r.Step, weights, router.grantExpiresAt)
 	}
 }
 
-// unreached tells whether a router was granted what it goes by before wrong answers could be found, and nobody has
-// answered it since, as while no node leads. It goes on by that until its lease ends.
-func (world *rolloutWorld) unreached(r *simulatedRouter) bool {
-	return world.answersWrongly != nil && r.unanswered && r.grantedAt < world.answersWronglySince+world.tolerance && world.now < r.grantExpiresAt
+// holdsStaleGrant reports whether a router uses a routing that was granted before the wrong answers could be detected,
+// and has had no answer since, as happens while no node leads. It uses that routing until its lease expires.
+func (world *rolloutWorld) holdsStaleGrant(r *simulatedRouter) bool {
+	return world.wrongAnswers != nil && r.unanswered && r.grantRequestedAt < world.wrongAnswersSince+world.detectionTime && world.now < r.grantExpiresAt
 }
 
-// checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns of it.
+// checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns about
+// it.
 func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
 	if !r.Phase.Over() && !slices.Contains(r.Routers, router.name) {
-		world.test.Fatalf("%v: router %s has a routing and is not recorded in %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
+		world.test.Fatalf("%v: router %s has a routing and is not recorded in phase %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
 
-// gone tells whether a router has been without a lease for longer than the plan waits for it.
+// gone reports whether a router's lease expired so long ago that the plan may no longer wait for it.
 func (world *rolloutWorld) gone(r *simulatedRouter) bool {
 	return world.now > r.grantExpiresAt+15*time.Second
 }
 
-// cancelled tells whether a job is cancelled.
+// cancelled reports whether a job is cancelled.
 func (world *rolloutWorld) cancelled(id string) bool {
 	if item, got := world.store.Get("w/a/" + id); got == outcome.OK {
 		var v struct {
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -11,25 +11,26 @@
 	"bitternwing/internal/rollout"
 )
 
-// TestLeaderDiesAtEachTransition ends the leader before the commit of a transition, after it, and with the answer to
-// it lost or the transaction late.
-func TestLeaderDiesAtEachTransition(t *testing.T) {
+// TestLeaderFailsAtEachTransition injects a fault in each phase: the leader fails, the response to its next write is
+// lost, or the write is applied late. The plan has to complete, or to be rolled back if the new version then answers
+// wrongly.
+func TestLeaderFailsAtEachTransition(t *testing.T) {
 	phases := []rollout.Phase{rollout.Pending, rollout.Starting, rollout.Checking, rollout.Shifting, rollout.Baking, rollout.Completing, rollout.Retiring}
 	for _, phase := range phases {
 		for name, fault := range map[string]func(world *rolloutWorld){
-			"ends":        func(world *rolloutWorld) { world.restartLeaderIfAny() },
-			"answer lost": func(world *rolloutWorld) { world.lostResponses = 1 },
-			"lost, then ends": func(world *rolloutWorld) {
+			"leader fails":  func(world *rolloutWorld) { world.restartLeaderIfAny() },
+			"response lost": func(world *rolloutWorld) { world.lostResponses = 1 },
+			"response lost, then leader fails": func(world *rolloutWorld) {
 				world.lostResponses = 1
 				world.advance(300 * time.Millisecond)
 				world.restartLeaderIfAny()
 			},
-			"transaction late": func(world *rolloutWorld) {
+			"write late": func(world *rolloutWorld) {
 				world.delayedTransactions = 2
 				world.advance(2 * time.Second)
 				world.commitHeld(world.store)
 			},
-			"late, then ends": func(world *rolloutWorld) {
+			"write late, then leader fails": func(world *rolloutWorld) {
 				world.delayedTransactions = 2
 				world.advance(time.Second)
 				world.restartLeaderIfAny()
@@ -46,24 +47,24 @@
 			})
 		}
 	}
-	for _, phase := range phases[:len(phases)-1] { // there is no way back from the last one
+	for _, phase := range phases[:len(phases)-1] { // Retiring can't be rolled back
 		t.Run(fmt.Sprint(phase, " rolling back"), func(t *testing.T) {
 			world := newRolloutWorld(t)
 			world.start()
 			world.waitForPhase(phase)
-			world.answerWrongly(func(task string) bool { return task > "run-000010" })
+			world.setWrongAnswers(func(task string) bool { return task > "run-000010" })
 			if phase != rollout.Pending {
 				world.waitForPhase(rollout.RollingBack)
 			}
 			world.restartLeaderIfAny()
-			world.tolerance += 4 * time.Second // without a leader routers go by what they have until their lease ends
+			world.detectionTime += 4 * time.Second // without a leader routers keep their routing until the lease expires
 			world.checkRolledBack(rollout.WrongAnswer)
 		})
 	}
 }
 
-// TestDeposedLeader has the state service refuse the leader, which is followed by another one, and serve it again:
-// what it still believes moves nothing.
+// TestDeposedLeader has the store refuse the leader until another one is elected, and then serve it again. The outdated
+// state of the deposed leader must have no effect.
 func TestDeposedLeader(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.start()
@@ -74,8 +75,9 @@
 	world.waitForPhase(rollout.Completed)
 }
 
-// TestFrozenLeader has the leader stand still until another one leads, and awake: it takes itself for the leader at first.
-func TestFrozenLeader(t *testing.T) {
+// TestSuspendedLeader suspends the leader's process until another one leads. When it is resumed it still considers
+// itself the leader at first.
+func TestSuspendedLeader(t *testing.T) {
 	for _, phase := range []rollout.Phase{rollout.Checking, rollout.Baking, rollout.Completing} {
 		world := newRolloutWorld(t)
 		world.start()
@@ -87,14 +89,15 @@
 	}
 }
 
-// TestStateServiceDown has it refuse the leader, and then all, for longer than a router's lease, in mid-step and in mid-rollback.
-func TestStateServiceDown(t *testing.T) {
+// TestStoreDown has the store refuse the leader and then all nodes for longer than a router's lease, during a
+// step and during a rollback.
+func TestStoreDown(t *testing.T) {
 	for _, wrong := range []bool{false, true} {
 		world := newRolloutWorld(t)
 		world.start()
 		world.waitForPhase(rollout.Baking)
 		if wrong {
-			world.answerWrongly(func(task string) bool { return task == "run-000011/0" })
+			world.setWrongAnswers(func(task string) bool { return task == "run-000011/0" })
 			world.waitForPhase(rollout.RollingBack)
 		}
 		world.refusedNode = world.leaderNode().name
@@ -110,22 +113,23 @@
 	}
 }
 
-// TestRouterCutOff has a router hear nothing, or nothing from the leader itself.
-func TestRouterCutOff(t *testing.T) {
+// TestIsolatedRouter isolates one router from all controllers and another one only from the leader. The first falls
+// back to the old version; the second keeps its lease by way of the other controllers.
+func TestIsolatedRouter(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.routers[0].isolated = true
-	world.routers[1].cutFromNode = world.leaderNode().name
+	world.routers[1].unreachableNode = world.leaderNode().name
 	world.waitForPhase(rollout.Completing)
 	world.advance(6 * time.Second)
-	for _, x := range world.routers[0].weights(world.now) {
-		if x.Version != rollout.OldVersion {
-			t.Errorf("a router without a lease sends traffic to %s", x.Task)
+	for _, weight := range world.routers[0].weights(world.now) {
+		if weight.Version != rollout.OldVersion {
+			t.Errorf("a router without a lease sends traffic to %s", weight.Task)
 		}
 	}
 	if world.routers[1].grantExpiresAt < world.now {
-		t.Error("a router that reaches other controllers has lost its lease")
+		t.Error("a router that reaches other controllers lost its lease")
 	}
 	world.routers[0].isolated = false
 	world.waitForPhase(rollout.Completed)
@@ -134,44 +138,46 @@
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.routers[0].isolated = true
-	world.answerWrongly(func(task string) bool { return task > "run-000010" })
+	world.setWrongAnswers(func(task string) bool { return task > "run-000010" })
 	world.checkRolledBack(rollout.WrongAnswer)
 }
 
-// TestAnyTroubles plays any order of troubles. The promise holds throughout, and once they are over the plan ends.
-func TestAnyTroubles(t *testing.T) {
+// TestRandomRolloutFaults injects random sequences of faults. The guarantees of the rollout hold throughout, and the
+// plan ends once the faults are over.
+func TestRandomRolloutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world := newRolloutWorld(t)
 		world.start()
-		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
-			world.advance(time.Duration(rapid.IntRange(1, 60).Draw(t, "tenths")) * 100 * time.Millisecond)
-			switch rapid.SampledFrom([]string{"crash", "lose", "delay", "late", "down", "refuse", "cut", "cut leader", "heal",
-				"wrong", "unreachable", "pause", "resume", "abort"}).Draw(t, "trouble") {
-			case "crash":
+		for range rapid.IntRange(1, 8).Draw(t, "faults") {
+			world.advance(time.Duration(rapid.IntRange(1, 60).Draw(t, "delay in tenths of a second")) * 100 * time.Millisecond)
+			switch rapid.SampledFrom([]string{"restart leader", "lose responses", "delay writes", "apply delayed writes", "toggle store",
+				"refuse leader", "isolate router", "isolate router from leader", "heal", "wrong answers", "unreachable replica",
+				"pause", "resume", "abort"}).Draw(t, "fault") {
+			case "restart leader":
 				world.restartLeaderIfAny()
-			case "lose":
+			case "lose responses":
 				world.lostResponses = 2
-			case "delay":
+			case "delay writes":
 				world.delayedTransactions = 2
-			case "late":
+			case "apply delayed writes":
 				world.commitHeld(world.store)
-			case "down":
+			case "toggle store":
 				world.storeDown = !world.storeDown
-			case "refuse":
+			case "refuse leader":
 				if node := world.leaderNode(); node != nil {
 					world.refusedNode = node.name
 				}
-			case "cut":
+			case "isolate router":
 				world.routers[0].isolated = true
-			case "cut leader":
+			case "isolate router from leader":
 				if node := world.leaderNode(); node != nil {
-					world.routers[1].cutFromNode = node.name
+					world.routers[1].unreachableNode = node.name
 				}
 			case "heal":
 				world.heal()
-			case "wrong":
-				world.answerWrongly(func(task string) bool { return task == "run-000011/1" })
-			case "unreachable":
+			case "wrong answers":
+				world.setWrongAnswers(func(task string) bool { return task == "run-000011/1" })
+			case "unreachable replica":
 				world.unreachable = func(task string) bool { return task == "run-000012/0" }
 			default:
 				world.tryChange(rapid.SampledFrom([]rollout.Change{rollout.Pause, rollout.Resume, rollout.Abort}).Draw(t, "change"))
@@ -188,26 +194,27 @@
 			}
 			world.advance(500 * time.Millisecond)
 		}
-		t.Fatalf("the plan does not end: %v, %+v", world.phases, world.record())
+		t.Fatalf("the plan has not ended after the faults: %v, %+v", world.phases, world.record())
 	})
 }
 
-// heal ends the troubles of the network and the state service.
+// heal ends the faults of the network and the store.
 func (world *rolloutWorld) heal() {
 	world.endStoreFaults()
-	world.routers[0].isolated, world.routers[1].cutFromNode = false, ""
+	world.routers[0].isolated, world.routers[1].unreachableNode = false, ""
 }
 
-// tryChange asks for a change once.
+// tryChange requests a change once, whether or not it is answered.
 func (world *rolloutWorld) tryChange(change rollout.Change) {
-	world.ask(world.nodes[0], func(request uint64) core.Input {
+	world.sendRequest(world.nodes[0], func(request uint64) core.Input {
 		return core.ChangePlan{RequestID: request, Name: world.plan.Name, Change: change}
 	})
 }
 
-// TestGoesBackBeforeProofs ends two leaders in a row while the plan goes back. The next one has heard of the new replicas
-// before the old ones have proved themselves, and must not send all traffic to the new ones for that: a rapid search found it.
-func TestGoesBackBeforeProofs(t *testing.T) {
+// TestRollbackBeforeValidation restarts two leaders in a row during a rollback. The next leader knows of the new
+// replicas before the old ones are validated, and must not route all traffic to the new ones because of that. Found by
+// TestRandomRolloutFaults.
+func TestRollbackBeforeValidation(t *testing.T) {
 	for tenths := time.Duration(10); tenths <= 60; tenths += 5 {
 		world := newRolloutWorld(t)
 		world.plan.Steps[0].BakeS = 30
@@ -223,9 +230,9 @@
 	}
 }
 
-// TestRouterCutAfterRefusal cuts a router off while the state service refuses the leader, and ends a leader after that. The
-// router asked before, and must not be taken for gone before its time: a rapid search found it.
-func TestRouterCutAfterRefusal(t *testing.T) {
+// TestRouterIsolatedAfterStoreRefusal isolates a router while the store refuses the leader, and restarts a leader after
+// that. The router sent requests before and must not count as gone too early. Found by TestRandomRolloutFaults.
+func TestRouterIsolatedAfterStoreRefusal(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.start()
 	world.advance(1200 * time.Millisecond)
@@ -243,10 +250,10 @@
 	world.advance(30 * time.Second)
 }
 
-// TestReplicasFailWhileNoneLeads has one new replica answer wrongly and another one be out of reach right after the leader
-// has ended. Nobody can tell the routers before there is a leader: they must be back on the old version when their
-// leases end. A rapid search found it.
-func TestReplicasFailWhileNoneLeads(t *testing.T) {
+// TestReplicasFailWithoutLeader has one new replica answer wrongly and another one become unreachable right after the
+// leader has failed. Without a leader routers can't be notified; they must fall back to the old version when their
+// leases expire. Found by TestRandomRolloutFaults.
+func TestReplicasFailWithoutLeader(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.start()
 	for world.record().Step == 0 || world.record().Phase != rollout.Baking {
@@ -254,14 +261,14 @@
 	}
 	world.restartLeaderIfAny()
 	world.advance(100 * time.Millisecond)
-	world.answerWrongly(func(task string) bool { return task == "run-000011/1" })
+	world.setWrongAnswers(func(task string) bool { return task == "run-000011/1" })
 	world.unreachable = func(task string) bool { return task == "run-000012/0" }
 	world.checkRolledBack(rollout.WrongAnswer)
 }
 
-// TestForgottenRouterReturns has a write that takes a router that is gone out of the plan's record come late, after the
-// router has asked again: until its name has been written anew it must not be granted anything.
-func TestForgottenRouterReturns(t *testing.T) {
+// TestRemovedRouterReturns delays the write that removes a gone router from the plan's record until the router has
+// sent a request again. The router must not be granted a routing before its name was written again.
+func TestRemovedRouterReturns(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.plan.Steps[0].BakeS, world.plan.Limits.RouterGoneS = 40, 10
 	world.start()
@@ -274,11 +281,11 @@
 		world.advance(100 * time.Millisecond)
 	}
 	if key := world.heldTransactions[0].Txn.Then[0].Put; key != "w/p/"+world.plan.Name {
-		t.Fatalf("a write of %s is held up, not the plan's", key)
+		t.Fatalf("a write of %s was delayed, want the plan's", key)
 	}
 	south.isolated = false
-	cutUntil := world.now
-	for south.grantedAt < cutUntil {
+	reconnectedAt := world.now
+	for south.grantRequestedAt < reconnectedAt {
 		world.advance(100 * time.Millisecond)
 	}
 	world.commitHeld(world.store)
--- a/internal/core/rollout_holds.go
+++ b/internal/core/rollout_holds.go
@@ -8,13 +8,13 @@
 	"bitternwing/internal/wire"
 )
 
-// planMatchesJob tells whether a plan may decide about a job: it is a service of the plan's team. An ID that somebody else
-// has taken is not the plan's.
+// planMatchesJob reports whether a plan controls a job: the job has to be a service of the plan's team. A plan names
+// the IDs of its new jobs before they are submitted, so a job of another team may have such an ID.
 func planMatchesJob(plan *rollout.Plan, spec *wire.Job) bool {
 	return spec.Team == plan.Team && spec.Kind == wire.KindService
 }
 
-// planHolds tells whether a job may not be started because of a plan.
+// planHolds reports whether a plan holds a job back, so that it may not be started.
 func (l *leader) planHolds(id string, spec *wire.Job) bool {
 	records := make([]*rollout.Record, 0, 2)
 	if current := l.core.cache.PlanHolding(id); current != nil {
@@ -28,7 +28,7 @@
 	})
 }
 
-// refreshHoldsOf updates which of some jobs are held.
+// refreshHoldsOf updates which of the given jobs are held back.
 func (l *leader) refreshHoldsOf(ids []string) {
 	for _, id := range ids {
 		if j := l.jobs[id]; j != nil {
@@ -37,15 +37,15 @@
 	}
 }
 
-// refreshHolds updates which jobs are held.
+// refreshHolds updates which of all jobs are held back.
 func (l *leader) refreshHolds() {
 	if l.recovered {
 		l.refreshHoldsOf(slices.Sorted(maps.Keys(l.jobs)))
 	}
 }
 
-// refreshHold removes a job that is held from the queue, unless some of it was placed, and queues one that is no longer held.
-// Its wait counts from then.
+// refreshHold updates whether a job is held back. A job that is now held is removed from the queue unless some of its
+// tasks are placed. A job that is no longer held is queued, and its waiting time counts from then.
 func (l *leader) refreshHold(j *job) {
 	held := l.planHolds(j.id, j.spec)
 	if held == j.heldByRollout {
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -18,39 +18,39 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutManager carries out the plans of rollouts on the leader. Package rollout decides what a plan does next; that is
-// committed before it takes effect.
+// rolloutManager carries out rollout plans on the leader. Package rollout decides the next transition of a plan. A
+// transition is committed to the store before it takes effect.
 type rolloutManager struct {
 	leader         *leader
 	nextCheck      time.Duration
 	runs           map[string]*activeRollout
-	uncommitted    map[string]*rollout.Record // their first write is in flight: they hold their jobs already
+	uncommitted    map[string]*rollout.Record // new plans whose first write is in flight; they already hold their jobs
 	probesInFlight int
 }
 
-// activeRollout is a plan while a leader carries it out.
+// activeRollout is the state that the leader keeps in memory for a plan. The next leader starts without it.
 type activeRollout struct {
 	name          string
-	since         time.Duration // when this leader took it over
+	takenOverAt   time.Duration // when this leader took it over
 	validations   *rollout.Validations
 	routers       *rollout.Routers
 	routing       rollout.Routing
 	reconciled    bool
-	phase         rollout.Phase // that was last seen, and since when
-	phaseSince    time.Duration
+	phase         rollout.Phase // of the record, when it was last checked
+	phaseSince    time.Duration // when this leader first saw that phase
 	writeInFlight bool
-	retryAt       time.Duration
-	changes       []planChange // of operators, that wait to be committed
-	joinRequests  []routerJoin // of routers whose names are not in the record yet
-	joinsInFlight []routerJoin // of routers whose names are being written
-	// droppedRouters holds the routers that a write of this term removes from the record, or may yet remove.
+	retryAt       time.Duration // earliest time of the next write
+	changes       []planChange  // waiting to be committed
+	joinRequests  []routerJoin  // from routers whose names are not in the record yet
+	joinsInFlight []routerJoin  // from routers whose names are being written
+	// droppedRouters holds the routers that a write of this term has removed from the record, or may still remove.
 	droppedRouters map[string]bool
 }
 
-// planChange is a request of an operator to change a plan.
+// planChange is an operator's request to change a plan.
 type planChange struct {
-	req    uint64
-	change rollout.Change
+	requestID uint64
+	change    rollout.Change
 }
 
 func newRolloutManager(l *leader) *rolloutManager {
@@ -62,21 +62,23 @@
 	}
 }
 
-// probeInterval and probeTimeout are the operators' settings for the probes of replicas.
+// probeInterval returns the time between two probes of a replica.
 func (c *Core) probeInterval() time.Duration {
 	return config.Seconds(c.operator.Rollouts.CheckIntervalS)
 }
 
+// probeTimeout returns the timeout of a probe.
 func (c *Core) probeTimeout() time.Duration { return config.Seconds(c.operator.Rollouts.CheckTimeoutS) }
 
-// routerLease is how long a router may use a routing, by its own clock; routingHoldTime is the same by this node's clock.
+// routerLease returns how long a router may use a routing, measured by the router's clock.
 func (c *Core) routerLease() time.Duration { return config.Seconds(c.operator.Rollouts.RouterLeaseS) }
 
+// routingHoldTime returns the time, by this node's clock, after which a router's lease has expired despite clock drift.
 func (c *Core) routingHoldTime() time.Duration {
 	return time.Duration(float64(c.routerLease()) * (1 + election.MaxClockDrift))
 }
 
-// maxReplicaProbes bounds the number of connections for probes of replicas.
+// maxReplicaProbes returns how many probes of replicas may be in flight. Each takes one connection.
 func (c *Core) maxReplicaProbes() int { return max(4, c.settings.Params.Limits.MaxConnections/40) }
 
 // run advances all plans.
@@ -93,14 +95,14 @@
 	c.wakeBy(m.nextCheck)
 	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
 		if c.cache.Plan(name) == nil {
-			m.end(m.runs[name])
+			m.drop(m.runs[name])
 		}
 	}
 	for _, name := range c.cache.PlanNames() {
 		current := c.cache.Plan(name)
 		run := m.runs[name]
 		if run == nil {
-			run = m.begin(name, current)
+			run = m.takeOver(name, current)
 		}
 		if current.Problem == nil {
 			l.runRollout(run, current)
@@ -108,12 +110,12 @@
 	}
 }
 
-// begin takes a plan over. What an earlier leader knew of its replicas and routers is not known here.
-func (m *rolloutManager) begin(name string, current *watchcache.Plan) *activeRollout {
+// takeOver takes over a plan. It starts without an earlier leader's knowledge of the plan's replicas and routers.
+func (m *rolloutManager) takeOver(name string, current *watchcache.Plan) *activeRollout {
 	c := m.leader.core
 	run := &activeRollout{
 		name:           name,
-		since:          c.now.Steady,
+		takenOverAt:    c.now.Steady,
 		validations:    rollout.NewValidations(c.probeInterval()),
 		routers:        rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
@@ -126,35 +128,36 @@
 	return run
 }
 
-func (m *rolloutManager) end(run *activeRollout) {
+// drop drops the state of a plan whose record was removed, and answers the requests that wait for it.
+func (m *rolloutManager) drop(run *activeRollout) {
 	delete(m.runs, run.name)
-	for _, req := range run.waiting() {
+	for _, req := range run.pendingRequests() {
 		m.leader.core.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
-// waiting gives the IDs of the requests that wait for a commit.
-func (run *activeRollout) waiting() []uint64 {
+// pendingRequests returns the IDs of the requests that wait for a commit of the plan.
+func (run *activeRollout) pendingRequests() []uint64 {
 	var requests []uint64
-	for _, x := range run.changes {
-		requests = append(requests, x.req)
+	for _, pending := range run.changes {
+		requests = append(requests, pending.requestID)
 	}
-	for _, x := range slices.Concat(run.joinRequests, run.joinsInFlight) {
-		requests = append(requests, x.req)
+	for _, pending := range slices.Concat(run.joinRequests, run.joinsInFlight) {
+		requests = append(requests, pending.requestID)
 	}
 	return requests
 }
 
-// refuseWaiting answers all requests that wait for a commit, at the end of this term.
-func (m *rolloutManager) refuseWaiting() {
+// rejectPending answers all requests that wait for a commit. It is called at the end of the term.
+func (m *rolloutManager) rejectPending() {
 	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
-		for _, req := range m.runs[name].waiting() {
+		for _, req := range m.runs[name].pendingRequests() {
 			m.leader.core.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	}
 }
 
-// planChanged updates which jobs are held after a plan has changed.
+// planChanged updates which jobs are held back after a plan has changed.
 func (l *leader) planChanged(before, after *watchcache.Plan) {
 	if !l.recovered {
 		return
@@ -166,7 +169,8 @@
 	}
 }
 
-// runRollout advances a plan by what is observed.
+// runRollout probes the plan's replicas, updates its routing, queues the cancellations that are due, and starts at most
+// one write of its record.
 func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
 	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
@@ -175,10 +179,10 @@
 	if run.phase != r.Phase {
 		run.phase, run.phaseSince = r.Phase, c.now.Steady
 	}
-	l.probeReplicas(run, r) // of an ended plan too: routers use its routing until it is removed
+	l.probeReplicas(run, r) // also of an ended plan: routers use its routing until it is removed
 	o := l.observeRollout(run, r)
 	if run.mayRoute(r, o) && l.hasAuthority() {
-		run.route(c, r, o)
+		run.updateRouting(c, r, o)
 		l.addRouterObservations(run, r, o)
 	}
 	for _, id := range r.Cancels(o) {
@@ -208,19 +212,20 @@
 	}
 }
 
-// reconcile notes when this leader has a heartbeat of each machine with tasks of the plan, and has probed each replica. A
-// worker that has not found the leader within a lease has stopped its tasks.
+// reconcile marks the plan as reconciled once this leader has received a heartbeat from each machine with tasks of the
+// plan and has probed each replica. After a deadline it does so regardless: a worker that has not reached the leader
+// within its lease has stopped its tasks.
 func (run *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
 	c := l.core
 	if run.reconciled {
 		return
 	}
-	deadline := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
-	reported := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
+	deadline := run.takenOverAt + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
+	reported := c.now.Steady >= run.takenOverAt+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
 	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllAnswered()
 }
 
-// allPlanMachinesReported tells whether each machine with a task of a plan has sent a heartbeat in this term.
+// allPlanMachinesReported reports whether each machine with a task of a plan has sent a heartbeat in this term.
 func (l *leader) allPlanMachinesReported(plan *rollout.Plan) bool {
 	for _, id := range plan.Jobs() {
 		j := l.jobs[id]
@@ -236,7 +241,7 @@
 	return true
 }
 
-// replicasOf gives the running tasks of a plan's jobs.
+// replicasOf returns the running tasks of a plan's jobs, those of the old version first.
 func (l *leader) replicasOf(plan *rollout.Plan) []rollout.Replica {
 	var replicas []rollout.Replica
 	add := func(ids []string, version rollout.Version) {
@@ -258,17 +263,17 @@
 	return replicas
 }
 
-// modelAddress gives the address of the model server on a machine; false if the machine's address is invalid.
-func (c *Core) modelAddress(machine string) (string, bool) {
-	host, _, err := net.SplitHostPort(machine)
+// modelAddress returns the address of the model server on a machine, and false if the machine's address is invalid.
+func (c *Core) modelAddress(machineAddr string) (string, bool) {
+	host, _, err := net.SplitHostPort(machineAddr)
 	if err != nil {
 		return "", false
 	}
 	return net.JoinHostPort(host, strconv.Itoa(c.operator.Rollouts.ModelPort)), true
 }
 
-// observeRollout observes a plan's jobs and replicas. Routers are added by addRouterObservations once the leader has
-// reconciled.
+// observeRollout returns the state of a plan's jobs and replicas. It reports the routers as missing;
+// addRouterObservations adds their state once the leader has reconciled.
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
 	o := &rollout.Observation{
@@ -298,7 +303,8 @@
 	return o
 }
 
-// observeRolloutJob observes a job. One that was accepted, as all old jobs were, and does not exist any more is over.
+// observeRolloutJob returns the state of a job. A job that was accepted and no longer exists is over; old jobs are
+// known to have been accepted.
 func (l *leader) observeRolloutJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
 	e := l.core.cache.Job(id)
 	if e == nil {
@@ -312,17 +318,18 @@
 	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Spec.Tasks}
 }
 
-// mayRoute tells whether enough is known for a routing. A rollback does not wait for validations once as much of the old
-// version runs as can serve: the sooner traffic returns to it, the fewer wrong answers.
+// mayRoute reports whether enough is known to compute a routing. A rollback does not wait for validations once enough
+// replicas of the old version run: the sooner traffic returns to them, the fewer wrong answers are served.
 func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
 	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
 }
 
-// route updates a plan's routing by the validations of its replicas.
-func (run *activeRollout) route(c *Core, r *rollout.Record, o *rollout.Observation) {
+// updateRouting recomputes a plan's routing from the validations of its replicas, and increments the revision if it
+// changes.
+func (run *activeRollout) updateRouting(c *Core, r *rollout.Record, o *rollout.Observation) {
 	capacity := r.Plan.CapacityOf(o)
 	if !run.reconciled {
-		capacity.New = 0 // the old version runs, though it is not validated yet
+		capacity.New = 0 // route to the old version, which runs although it is not validated yet
 	}
 	routing := rollout.RoutingOf(r, capacity, run.validations.States(c.now.Steady))
 	routing.Generation = run.routing.Generation
@@ -332,10 +339,10 @@
 	routing.Generation.Revision++
 	run.routing = routing
 	c.log(Debug, "rollout routing updated", "plan", run.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
-		"replicas", len(routing.Weights), "aim", r.TargetShare(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
+		"replicas", len(routing.Weights), "target_share", r.TargetShare(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
-// probeReplicas probes the replicas that are due.
+// probeReplicas sends the probes that are due. Replicas of the new version also have to pass the plan's checks.
 func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
 	m := l.rollouts
 	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
@@ -360,12 +367,13 @@
 	}
 }
 
-// conditionalTxn is a compare-and-swap of a key on its version, fenced by the leader's term.
+// conditionalTxn returns a compare-and-swap of a key on its version, fenced by the leader's term.
 func (l *leader) conditionalTxn(key string, version uint64, op wire.Op) wire.Txn {
 	return wire.Txn{If: []wire.Condition{l.termCondition(), {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
-// commitPlan writes a plan's next record, which takes effect once it is known to be written.
+// commitPlan writes a plan's next record. The record takes effect once the write is known to have succeeded; then is
+// called with the result of the write.
 func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
@@ -387,7 +395,7 @@
 	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Put: key, Value: value})})
 }
 
-// commitTransition commits a plan's next phase, or an operator's change, and logs it.
+// commitTransition writes a plan's next phase or an operator's change, and logs it once it is committed.
 func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
 	l.commitPlan(run, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
@@ -397,7 +405,7 @@
 	})
 }
 
-// logPlan logs a committed transition, with the plan's capacity.
+// logPlan logs a committed transition with the plan's capacity.
 func (l *leader) logPlan(run *activeRollout, record *rollout.Record) {
 	capacity := record.Plan.CapacityOf(l.observeRollout(run, record))
 	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
@@ -406,7 +414,7 @@
 		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
-// applyPlanWriteResult takes in the result of a write of a plan; value is nil if it removes the plan.
+// applyPlanWriteResult handles the result of a write of a plan. The value is nil if the write removes the plan.
 func (l *leader) applyPlanWriteResult(run *activeRollout, r Result, value json.RawMessage) {
 	c := l.core
 	switch {
@@ -415,7 +423,7 @@
 	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
-		// An earlier write was applied after all, or this one may yet be: the stored record counts.
+		// An earlier write was applied after all, or this one may still be applied: read what is stored.
 		l.rereadPlan(run)
 	default:
 		run.retryAt = c.now.Steady + c.times.retryPause
@@ -423,7 +431,7 @@
 	}
 }
 
-// rereadPlan reads the stored record of a plan.
+// rereadPlan reads the stored record of a plan and applies it.
 func (l *leader) rereadPlan(run *activeRollout) {
 	c := l.core
 	run.writeInFlight = true
@@ -437,7 +445,7 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(run.name)})
 }
 
-// removePlan removes the record of a plan that has ended long ago.
+// removePlan deletes the record of an ended plan whose retention period is over.
 func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
 	l.writer.spend(1)
@@ -449,7 +457,7 @@
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Delete: key})})
 }
 
-// applyPlan takes in a plan's record as it was read, written or watched.
+// applyPlan updates the cache with a plan's record that was read, written or watched, and the jobs that it holds back.
 func (c *Core) applyPlan(name string, value json.RawMessage, version uint64) {
 	before := c.cache.Plan(name)
 	c.cache.ApplyPlan(name, value, version)
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -16,7 +16,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Requests of operators and routers about plans. Only the leader answers them; other controllers redirect to it.
+// Requests from operators and routers about plans. Only the leader answers them; other controllers redirect to it.
 type (
 	// ApplyPlan submits a plan.
 	ApplyPlan struct {
@@ -34,7 +34,7 @@
 		RequestID uint64
 		Name      string
 	}
-	// GetRouting requests a router's routing, and confirms the generation that it uses.
+	// GetRouting requests the routing for a router, and confirms the generation that the router uses.
 	GetRouting struct {
 		RequestID  uint64
 		Name       string
@@ -51,15 +51,15 @@
 // PlanStatus is the status of a plan.
 type PlanStatus struct {
 	Record     *rollout.Record
-	Problem    string // why the plan is not carried out; "": it is
-	Reconciled bool   // the leader has reconciled, so what follows is complete
+	Problem    string // why the plan can't be carried out; empty if it can
+	Reconciled bool   // whether the leader has reconciled; until then the following fields are incomplete
 	Capacity   rollout.Capacity
 	Routing    rollout.Routing
 	Replicas   []rollout.ReplicaState
 	Routers    []string
 }
 
-// RoutingGrant is a routing with a lease.
+// RoutingGrant is a routing with the lease for which the router may use it.
 type RoutingGrant struct {
 	Routing rollout.Routing
 	LeaseMS int64
@@ -71,15 +71,16 @@
 	reasonUnavailable      = "can't be confirmed now"
 )
 
-// leaderForRequest gives the leader if this node leads and may answer; otherwise it answers the request itself and gives nil.
+// leaderForRequest returns the leader if this node leads and may answer. Otherwise it answers the request itself and
+// returns nil.
 func (c *Core) leaderForRequest(req uint64) *leader {
 	l := c.leader
 	if l == nil {
-		to := ""
+		leaderNode := ""
 		if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
-			to = c.cache.Leader().Node
+			leaderNode = c.cache.Leader().Node
 		}
-		c.respond(req, http.StatusMisdirectedRequest, wire.Redirect{Leader: to})
+		c.respond(req, http.StatusMisdirectedRequest, wire.Redirect{Leader: leaderNode})
 		return nil
 	}
 	if !l.recovered || !l.hasAuthority() {
@@ -89,12 +90,13 @@
 	return l
 }
 
-// respondRefused answers that a request is invalid or not allowed.
-func (c *Core) respondRefused(req uint64, why string) {
-	c.respond(req, http.StatusUnprocessableEntity, wire.ErrorBody{Error: why})
+// respondRefused answers a request that is invalid or not allowed.
+func (c *Core) respondRefused(req uint64, reason string) {
+	c.respond(req, http.StatusUnprocessableEntity, wire.ErrorBody{Error: reason})
 }
 
-// handleApplyPlan accepts a plan, if its jobs and its team allow it.
+// handleApplyPlan accepts a plan if its team, its jobs and the operator's limits allow it. Applying the same plan again
+// succeeds.
 func (c *Core) handleApplyPlan(in ApplyPlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -126,7 +128,7 @@
 	}
 }
 
-// checkPlan checks a plan against the teams and the jobs. Its errors disclose nothing about jobs of other teams.
+// checkPlan checks a plan against the teams and the jobs. The errors disclose nothing about jobs of other teams.
 func (l *leader) checkPlan(plan *rollout.Plan) error {
 	team := l.core.team(plan.Team)
 	if team == nil {
@@ -153,7 +155,8 @@
 
 const problemJobUnavailable = "is no service of this team that a plan may have"
 
-// checkOldJobs checks that a plan's old jobs are services that run, adds what they use and counts their replicas.
+// checkOldJobs checks that a plan's old jobs are accepted services that are not cancelled. It adds their resources to
+// usage and returns the number of their replicas.
 func (l *leader) checkOldJobs(plan *rollout.Plan, usage scheduling.TeamUsage) (replicas int, err error) {
 	for i, id := range plan.Old.Jobs {
 		e := l.core.cache.Job(id)
@@ -166,7 +169,8 @@
 	return replicas, nil
 }
 
-// checkNewJobs checks that nothing of a plan's new jobs was started, and adds what those that are submitted will use.
+// checkNewJobs checks that no task of a plan's new jobs was ever started. It adds the resources of those that are
+// already submitted to usage.
 func (l *leader) checkNewJobs(plan *rollout.Plan, usage scheduling.TeamUsage) error {
 	for i, id := range plan.New.Jobs {
 		field := fmt.Sprintf("/new/jobs/%d", i)
@@ -184,8 +188,8 @@
 	return nil
 }
 
-// jobAvailableForPlan tells whether a job may be in a plan: it is in no other plan, and if it was accepted it is a service of
-// the team.
+// jobAvailableForPlan reports whether a job may be in a plan: it is in no other plan and, if it was accepted, it is a
+// service of the plan's team.
 func (l *leader) jobAvailableForPlan(plan *rollout.Plan, id string) bool {
 	if l.core.cache.PlanHolding(id) != nil {
 		return false
@@ -194,7 +198,7 @@
 	return e == nil || planMatchesJob(plan, e.Spec)
 }
 
-// commitNewPlan writes a plan. Its new jobs are held from here on, and released if the write turns out not to be applied.
+// commitNewPlan writes a plan. Its new jobs are held back from here on, and released if the write was not applied.
 func (l *leader) commitNewPlan(in ApplyPlan) {
 	c := l.core
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
@@ -211,7 +215,7 @@
 		switch {
 		case r.Outcome == outcome.OK:
 			c.applyPlan(name, value, r.Txn.Revision)
-			l.planApplied(in.Plan)
+			l.planWriteResolved(in.Plan)
 			c.log(Info, "rollout phase committed", "plan", name, "phase", string(record.Phase))
 			c.respond(in.RequestID, http.StatusOK, l.planStatus(name))
 		case r.Outcome == outcome.Unknown:
@@ -221,14 +225,15 @@
 			c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 			c.election.StepDown(election.TermSuperseded)
 		default:
-			l.planApplied(in.Plan)
+			l.planWriteResolved(in.Plan)
 			c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: l.newPlanTxn(in.Plan, value)})
 }
 
-// newPlanTxn writes a plan on the condition that its jobs have not changed since it was checked.
+// newPlanTxn returns a transaction that writes a plan on the condition that its jobs have not changed since they were
+// checked, as far as the store's limit on conditions permits.
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
 	txn := l.conditionalTxn(stored.PlanKey(plan.Name), 0, wire.Op{Put: stored.PlanKey(plan.Name), Value: value})
 	for _, id := range plan.Jobs() {
@@ -243,20 +248,21 @@
 	return txn
 }
 
-// planApplied notes that the write of a plan is decided: from here on its stored record says which jobs are held.
-func (l *leader) planApplied(plan *rollout.Plan) {
+// planWriteResolved ends the wait for the first write of a plan, whether it was applied or not. From here on only the
+// stored record determines which jobs are held back.
+func (l *leader) planWriteResolved(plan *rollout.Plan) {
 	delete(l.rollouts.uncommitted, plan.Name)
 	l.refreshHoldsOf(plan.New.Jobs)
 }
 
-// resolvePlanWrite reads whether a plan was written. Until then it holds its jobs: the write may be applied late. If the read
-// fails the leader steps down, since a late write can't pass the fence of the next term.
+// resolvePlanWrite reads whether a plan was written. Until then the plan holds its jobs back, since the write may be
+// applied late. If the read fails, the leader steps down: the next term fences off the late write.
 func (l *leader) resolvePlanWrite(plan *rollout.Plan) {
 	c := l.core
 	id := l.registerStoreCall(func(r Result) {
 		if r.Outcome == outcome.OK {
 			c.applyPlan(plan.Name, r.Item.Value, r.Item.Version)
-			l.planApplied(plan)
+			l.planWriteResolved(plan)
 			return
 		}
 		c.election.StepDown(election.PlanWriteIndeterminate)
@@ -264,7 +270,7 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(plan.Name)})
 }
 
-// handleChangePlan accepts a change of an operator, which is answered once it is committed.
+// handleChangePlan queues an operator's change of a plan. It is answered once the change is committed.
 func (c *Core) handleChangePlan(in ChangePlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -284,28 +290,28 @@
 	}
 }
 
-// commitChange commits the first change that waits.
+// commitChange commits the oldest queued change.
 func (l *leader) commitChange(run *activeRollout, current *watchcache.Plan) {
-	c, x := l.core, run.changes[0]
+	c, pending := l.core, run.changes[0]
 	run.changes = run.changes[1:]
-	next, err := current.Record.Change(x.change, c.now.WallMS)
+	next, err := current.Record.Change(pending.change, c.now.WallMS)
 	switch {
 	case err != nil:
-		c.respondRefused(x.req, err.Error())
+		c.respondRefused(pending.requestID, err.Error())
 	case next == current.Record:
-		c.respond(x.req, http.StatusOK, l.planStatus(run.name))
+		c.respond(pending.requestID, http.StatusOK, l.planStatus(run.name))
 	default:
 		l.commitTransition(run, current, next, func(r Result) {
 			if r.Outcome == outcome.OK {
-				c.respond(x.req, http.StatusOK, l.planStatus(run.name))
+				c.respond(pending.requestID, http.StatusOK, l.planStatus(run.name))
 			} else {
-				c.respondRetryLater(x.req, http.StatusServiceUnavailable, reasonUnavailable)
+				c.respondRetryLater(pending.requestID, http.StatusServiceUnavailable, reasonUnavailable)
 			}
 		})
 	}
 }
 
-// handleGetPlan answers with the status of a plan.
+// handleGetPlan answers a request for the status of a plan.
 func (c *Core) handleGetPlan(in GetPlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -318,7 +324,7 @@
 	c.respond(in.RequestID, http.StatusOK, l.planStatus(in.Name))
 }
 
-// planStatus gives the status of a plan.
+// planStatus returns the status of a plan.
 func (l *leader) planStatus(name string) PlanStatus {
 	current, run := l.core.cache.Plan(name), l.rollouts.runs[name]
 	status := PlanStatus{Record: current.Record}
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -12,25 +12,26 @@
 	"bitternwing/internal/wire"
 )
 
-// A router falls back to the old version when its lease expires. So the old version may be retired only once each router
-// that was ever granted a routing has confirmed the one of completion, or has been silent for long enough to be gone. A
-// leader's memory does not survive it; therefore a router's name is committed to the plan's record before its first routing
-// is granted.
+// A router falls back to the old version when its lease expires. So the old version may be retired only once each
+// router that was ever granted a routing has confirmed the final one, or has sent no request for so long that it counts
+// as gone. The next leader has to know these routers too; therefore a router's name is committed to the plan's record
+// before its first routing is granted.
 
-// routerJoin is a request of a router that waits for its name to be recorded.
+// routerJoin is a routing request from a router whose name has to be recorded before it is answered.
 type routerJoin struct {
-	req        uint64
+	requestID  uint64
 	router     string
-	generation rollout.Generation // that it uses
+	generation rollout.Generation // of the routing that the router uses
 }
 
 const reasonTooManyRouters = "too many routers"
 
-// recordReserve is the fraction (one part in so many) of the largest stored value that routers' names leave to later
-// transitions of the plan.
-const recordReserve = 16
+// recordReserveDivisor is the divisor that gives the reserve of a plan's record: routers' names may not use the last
+// 1/16 of the largest stored value, so that later transitions of the plan still fit.
+const recordReserveDivisor = 16
 
-// handleGetRouting gives a router its routing, with a lease.
+// handleGetRouting grants a router the current routing with a lease. If the router's name is not recorded yet, the
+// request waits until it is.
 func (c *Core) handleGetRouting(in GetRouting) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -43,7 +44,7 @@
 		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil || run == nil || run.routing.Generation.Revision == 0:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
-	case run.recorded(current.Record, in.Router):
+	case run.isRecorded(current.Record, in.Router):
 		l.grantRouting(run, join)
 	case !l.mayCommit() || len(run.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
@@ -53,13 +54,13 @@
 	}
 }
 
-// recorded tells whether a router's name is in the plan's record, and no write that may yet be applied removes it.
-func (run *activeRollout) recorded(r *rollout.Record, router string) bool {
+// isRecorded reports whether a router's name is in the plan's record and no write that may still be applied removes it.
+func (run *activeRollout) isRecorded(r *rollout.Record, router string) bool {
 	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
 }
 
-// noteDropped notes the routers that a write removes from the record. The write may be applied late without an answer, so
-// they count as recorded again only once a later write with their names has succeeded.
+// noteDropped remembers the routers that a write removes from the record. The write may be applied late without an
+// answer, so these routers count as recorded again only once a later write with their names has succeeded.
 func (run *activeRollout) noteDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
 		if !slices.Contains(after.Routers, router) {
@@ -68,25 +69,26 @@
 	}
 }
 
-// noteRecorded notes that a record was written: no earlier write can be applied after it.
+// noteRecorded is called after a record was written. No earlier write can be applied after it, so its routers are
+// recorded.
 func (run *activeRollout) noteRecorded(r *rollout.Record) {
 	for _, router := range r.Routers {
 		delete(run.droppedRouters, router)
 	}
 }
 
-// grantRouting answers a router whose name is recorded.
+// grantRouting answers a router whose name is recorded with the current routing and a lease.
 func (l *leader) grantRouting(run *activeRollout, join routerJoin) {
 	c := l.core
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
-		c.respondRetryLater(join.req, http.StatusTooManyRequests, reasonTooManyRouters)
+		c.respondRetryLater(join.requestID, http.StatusTooManyRequests, reasonTooManyRouters)
 		return
 	}
-	c.respond(join.req, http.StatusOK, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
+	c.respond(join.requestID, http.StatusOK, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
-// commitJoins records the names of the routers that wait, and then answers them. It removes the names of routers that are
-// gone.
+// commitJoins writes the names of the waiting routers to the record and then answers them. The same write removes the
+// names of routers that are gone.
 func (l *leader) commitJoins(run *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
 	next := l.recordWithJoins(run, current.Record, o)
 	if next == nil {
@@ -106,8 +108,8 @@
 	})
 }
 
-// recordWithJoins gives the record with the names of the routers that wait. If the record becomes too large the last of them
-// are refused; nil if none is left.
+// recordWithJoins returns the record with the names of the waiting routers. If the record becomes too large, it refuses
+// the last of them; if none is left it returns nil.
 func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Reconciled {
@@ -118,31 +120,31 @@
 		for _, join := range run.joinRequests {
 			names = append(names, join.router)
 		}
-		if next := r.WithRouters(known, names); l.fitsRouters(next) {
+		if next := r.WithRouters(known, names); l.recordFits(next) {
 			return next
 		}
 		last := len(run.joinRequests) - 1
-		l.core.respondRetryLater(run.joinRequests[last].req, http.StatusTooManyRequests, reasonTooManyRouters)
+		l.core.respondRetryLater(run.joinRequests[last].requestID, http.StatusTooManyRequests, reasonTooManyRouters)
 		run.joinRequests = run.joinRequests[:last]
 	}
 	return nil
 }
 
-// fitsRouters tells whether a record has no more routers than are allowed, and is small enough for later transitions.
-func (l *leader) fitsRouters(r *rollout.Record) bool {
+// recordFits reports whether a record has no more routers than allowed and leaves enough bytes for later transitions.
+func (l *leader) recordFits(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
 	maxBytes := l.core.maxValueBytes()
-	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserve
+	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserveDivisor
 }
 
-// refuseJoins tells routers to retry: their names can't be recorded now.
+// refuseJoins tells routers to retry later, since their names can't be recorded now.
 func (c *Core) refuseJoins(joins []routerJoin) {
 	for _, join := range joins {
-		c.respondRetryLater(join.req, http.StatusServiceUnavailable, reasonUnavailable)
+		c.respondRetryLater(join.requestID, http.StatusServiceUnavailable, reasonUnavailable)
 	}
 }
 
-// addRouterObservations adds the state of the routers to an observation.
+// addRouterObservations adds the state of the routers to an observation, if the leader has reconciled.
 func (l *leader) addRouterObservations(run *activeRollout, r *rollout.Record, o *rollout.Observation) {
 	now, generation := l.core.now.Steady, run.routing.Generation
 	goneAfter := config.Seconds(r.Plan.Limits.RouterGoneS)
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -14,39 +14,38 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutWorld is a small cluster in which a plan is carried out: model servers that answer rightly or not, routers
-// that ask for their routing, a state service that fails. It checks at all times what a rollout promises.
+// rolloutWorld is a simulated cluster in which a plan is carried out, with model servers that may answer wrongly,
+// routers that request their routing, and a store that may fail. It checks the guarantees of a rollout at each step.
 type rolloutWorld struct {
 	*scaleCluster
 	plan    *rollout.Plan
 	routers []*simulatedRouter
 
-	answersWrongly      func(task string) bool // whether a replica answers wrongly; nil: none does
-	answersWronglySince time.Duration          // since when
-	tolerance           time.Duration          // for how long it may go on then
-	unreachable         func(task string) bool // whether probes don't reach a replica; nil: they do
-	outdatedNode        string                 // a node of a version without plans
-	machinesTaken       bool                   // machines were taken away: the promise is not the rollout's alone any more
+	wrongAnswers          func(task string) bool // whether a new replica answers wrongly; nil if none does
+	wrongAnswersSince     time.Duration
+	detectionTime         time.Duration          // how long wrong answers may affect routing
+	unreachable           func(task string) bool // whether a replica can't be probed; nil if all can
+	outdatedNode          string                 // node that runs a version without rollouts
+	capacityNotGuaranteed bool                   // the test takes away capacity itself, so the rollout can't guarantee it
 	storeFaults
 
-	asked     time.Duration
-	lastPhase rollout.Phase
-	phases    []string
+	routersPolledAt time.Duration // when routers last sent their requests
+	lastPhase       rollout.Phase
+	phases          []string // through which the plan has gone
 }
 
-// simulatedRouter is a router that keeps to the protocol of leases.
+// simulatedRouter is a router that follows the lease protocol.
 type simulatedRouter struct {
-	name           string
-	isolated       bool // from all controllers
-	cutFromNode    string
-	grant          core.RoutingGrant
-	grantExpiresAt time.Duration
-	// grantedAt is when it asked for what it holds; unanswered tells that it has asked in vain since.
-	grantedAt  time.Duration
-	unanswered bool
+	name             string
+	isolated         bool   // from all controllers
+	unreachableNode  string // node that does not receive its requests
+	grant            core.RoutingGrant
+	grantExpiresAt   time.Duration
+	grantRequestedAt time.Duration // when it sent the request for its current grant
+	unanswered       bool          // whether its last request was not granted
 }
 
-// weights gives the shares by which a router goes now.
+// weights returns the weights by which a router distributes traffic now.
 func (r *simulatedRouter) weights(now time.Duration) []rollout.Weight {
 	if now < r.grantExpiresAt {
 		return r.grant.Routing.Weights
@@ -60,10 +59,13 @@
 	modelPort        = "8000"
 )
 
+// oldJob returns the ID of a job of the old version.
 func oldJob(i int) string { return fmt.Sprintf("run-0000%02d", 1+i) }
+
+// newJob returns the ID of a job of the new version.
 func newJob(i int) string { return fmt.Sprintf("run-0000%02d", 11+i) }
 
-// newRolloutWorld has the old version whole, and the nodes ready to take a plan.
+// newRolloutWorld returns a cluster in which the old version runs completely and the nodes are ready to accept a plan.
 func newRolloutWorld(t reporter) *rolloutWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &rolloutWorld{scaleCluster: cluster}
@@ -86,22 +88,24 @@
 		world.plan.New.Jobs = append(world.plan.New.Jobs, newJob(i))
 		world.plan.Steps = append(world.plan.Steps, rollout.Step{Jobs: []string{newJob(i)}, Share: float64(i+1) / newJobs, BakeS: 3})
 	}
-	world.tolerance = detection
+	world.detectionTime = defaultDetectionTime
 	world.routers = []*simulatedRouter{{name: "north"}, {name: "south"}}
 	world.advance(15 * time.Second)
 	return world
 }
 
+// replicaJob returns a service of a team with replicasOfJob replicas.
 func replicaJob(id, team string) *wire.Job {
 	return &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: team, Tasks: replicasOfJob, CPUs: 4, GPUs: 2, MemoryGB: 20,
 		Priority: "prod", Image: "img-" + id[8:9], ImageGB: 4}
 }
 
+// submitReplica submits a service of the plan's team.
 func (world *rolloutWorld) submitReplica(id string) {
 	world.submitAt(world.nodes[0], replicaJob(id, "t1"))
 }
 
-// submitNew has the owner submit the new jobs, again until they are accepted.
+// submitNew submits the new jobs repeatedly until they are accepted.
 func (world *rolloutWorld) submitNew() {
 	for i := range newJobs {
 		for range 100 {
@@ -114,12 +118,12 @@
 	}
 }
 
-// interceptCall plays what the state service and the replicas do.
+// interceptCall simulates outdated peers, the replicas, and the faults of the store.
 func (world *rolloutWorld) interceptCall(node *scaleNode, effect core.Effect) (core.Result, bool) {
 	switch e := effect.(type) {
 	case core.QueryPeer:
 		if e.Node == world.outdatedNode {
-			// A version without plans: it says nothing of them.
+			// A version without rollouts does not set the field.
 			result, ok := world.queryPeer(e)
 			result.Peer.SupportsRollouts = false
 			return result, ok
@@ -135,7 +139,8 @@
 	return world.interceptStoreCall(node.name, world.store, effect)
 }
 
-// storeCallID gives the id of a call to the state service; watches stay open through an outage.
+// storeCallID returns the ID of a call to the store, and false for other effects. Watches stay open during an outage
+// and do not count.
 func storeCallID(effect core.Effect) (uint64, bool) {
 	switch effect.(type) {
 	case core.StoreGet, core.StoreList, core.StoreTxn, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
@@ -144,29 +149,30 @@
 	return 0, false
 }
 
-// answerWrongly has some of the new replicas answer wrongly from now on. Old ones are asked for their health alone.
-func (world *rolloutWorld) answerWrongly(wrong func(task string) bool) {
-	world.answersWrongly, world.answersWronglySince = wrong, world.now
+// setWrongAnswers makes some of the new replicas answer wrongly from now on. Of old replicas only the health is probed.
+func (world *rolloutWorld) setWrongAnswers(wrong func(task string) bool) {
+	world.wrongAnswers, world.wrongAnswersSince = wrong, world.now
 }
 
-// detection is the time in which a fault of a replica is found, and routers hear of it: a check, and two questions
-// of a router, of which one may meet a node that does not know the leader.
-const detection = 2 * time.Second
+// defaultDetectionTime is the time in which a failing replica is detected and routers have a new routing. It covers a
+// probe and two requests of a router, one of which may reach a node that does not know the leader.
+const defaultDetectionTime = 2 * time.Second
 
-// probe gives what a replica answers.
+// probe returns the result of probing a replica.
 func (world *rolloutWorld) probe(r rollout.Replica) rollout.ProbeResult {
 	machine := world.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
 	case machine == nil || machine.dead || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
-	case r.Version == rollout.NewVersion && world.answersWrongly != nil && world.answersWrongly(r.Task):
+	case r.Version == rollout.NewVersion && world.wrongAnswers != nil && world.wrongAnswers(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.Failed, Check: "sum"}
 	}
 	return rollout.ProbeResult{Verdict: rollout.Passed}
 }
 
-// ask hands a request to a node, which relays it to the leader once, and gives the answer.
-func (world *rolloutWorld) ask(node *scaleNode, input func(request uint64) core.Input) *core.Response {
+// sendRequest sends a request to a node, follows a redirect to the leader, and returns the response. It returns nil if
+// there is none in time.
+func (world *rolloutWorld) sendRequest(node *scaleNode, input func(request uint64) core.Input) *core.Response {
 	world.lastRequest++
 	request := world.lastRequest << 16
 	var got *core.Response
@@ -181,9 +187,9 @@
 	}
 	world.step(node, input(request))
 	if got != nil && got.Status == 421 {
-		for _, x := range world.nodes {
-			if to, ok := got.Body.(wire.Redirect); ok && x.name == to.Leader {
-				return world.ask(x, input)
+		for _, peer := range world.nodes {
+			if to, ok := got.Body.(wire.Redirect); ok && peer.name == to.Leader {
+				return world.sendRequest(peer, input)
 			}
 		}
 	}
@@ -193,38 +199,40 @@
 	return got
 }
 
-// order hands a request in until it is answered for good.
-func (world *rolloutWorld) order(input func(request uint64) core.Input) *core.Response {
+// requestUntilAnswered sends a request until the response is neither a redirect nor a request to retry later.
+func (world *rolloutWorld) requestUntilAnswered(input func(request uint64) core.Input) *core.Response {
 	for range 60 {
-		if response := world.ask(world.nodes[0], input); response != nil && response.Status != 503 && response.Status != 421 {
+		if response := world.sendRequest(world.nodes[0], input); response != nil && response.Status != 503 && response.Status != 421 {
 			return response
 		}
 		world.advance(200 * time.Millisecond)
 	}
-	world.test.Fatal("a request is not answered")
+	world.test.Fatal("request was not answered after 60 attempts")
 	return nil
 }
 
+// apply applies the plan.
 func (world *rolloutWorld) apply() *core.Response {
-	return world.order(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: world.plan} })
+	return world.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: world.plan} })
 }
 
-// start has the owner apply the plan and submit the new jobs.
+// start applies the plan and submits the new jobs.
 func (world *rolloutWorld) start() {
 	world.test.Helper()
 	if response := world.apply(); response.Status != 200 {
-		world.test.Fatalf("the plan is refused: %+v", response)
+		world.test.Fatalf("the plan was refused: %+v", response)
 	}
 	world.submitNew()
 }
 
+// change requests a change of the plan.
 func (world *rolloutWorld) change(change rollout.Change) *core.Response {
-	return world.order(func(request uint64) core.Input {
+	return world.requestUntilAnswered(func(request uint64) core.Input {
 		return core.ChangePlan{RequestID: request, Name: world.plan.Name, Change: change}
 	})
 }
 
-// record gives the plan as the state service holds it; nil: there is none.
+// record returns the stored record of the plan, or nil if there is none.
 func (world *rolloutWorld) record() *rollout.Record {
 	item, got := world.store.Get("w/p/" + world.plan.Name)
 	if got != outcome.OK {
@@ -237,28 +245,29 @@
 	return r
 }
 
-// advance lets time pass, has routers ask, and checks the promise at each step.
+// advance runs the simulation for a while. The routers send requests every 500 ms, and the guarantees are checked at
+// each step.
 func (world *rolloutWorld) advance(d time.Duration) {
 	for end := world.now + d; world.now < end; {
 		world.runFor(10 * scaleStep)
-		if world.now >= world.asked+500*time.Millisecond {
-			world.asked = world.now
+		if world.now >= world.routersPolledAt+500*time.Millisecond {
+			world.routersPolledAt = world.now
 			for i, r := range world.routers {
-				world.route(r, world.nodes[(i+int(world.now/time.Second))%len(world.nodes)])
+				world.requestRouting(r, world.nodes[(i+int(world.now/time.Second))%len(world.nodes)])
 			}
 		}
 		world.check()
 	}
 }
 
-// route has a router ask a node. Its lease begins when it asks.
-func (world *rolloutWorld) route(r *simulatedRouter, node *scaleNode) {
+// requestRouting sends a router's request to a node. The lease of the grant begins when the request was sent.
+func (world *rolloutWorld) requestRouting(r *simulatedRouter, node *scaleNode) {
 	sent := world.now
 	r.unanswered = true
-	if r.isolated || node.name == r.cutFromNode {
+	if r.isolated || node.name == r.unreachableNode {
 		return
 	}
-	response := world.ask(node, func(request uint64) core.Input {
+	response := world.sendRequest(node, func(request uint64) core.Input {
 		return core.GetRouting{RequestID: request, Name: world.plan.Name, Router: r.name, Generation: r.grant.Routing.Generation}
 	})
 	if response == nil || response.Status != 200 {
@@ -268,11 +277,11 @@
 	if grant.Routing.Generation.Before(r.grant.Routing.Generation) {
 		return
 	}
-	r.grantedAt, r.unanswered = sent, false
+	r.grantRequestedAt, r.unanswered = sent, false
 	r.grant, r.grantExpiresAt = grant, sent+time.Duration(grant.LeaseMS)*time.Millisecond
 }
 
-// waitForPhase lets time pass until the plan is in a phase.
+// waitForPhase runs the simulation until the plan is in a phase.
 func (world *rolloutWorld) waitForPhase(phase rollout.Phase) {
 	world.test.Helper()
 	for range 3000 {
@@ -281,10 +290,10 @@
 		}
 		world.advance(100 * time.Millisecond)
 	}
-	world.test.Fatalf("%s is not reached: %v, %+v", phase, world.phases, world.record())
+	world.test.Fatalf("phase %s was not reached: %v, %+v", phase, world.phases, world.record())
 }
 
-// params gives the teams their limits.
+// limitTeam sets the limit of the plan's team and restarts the nodes.
 func (world *rolloutWorld) limitTeam(gpus float64) {
 	world.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
 	world.restart()
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,9 +1,9 @@
-// Package dependency keeps the dependency graph of jobs. It tells which jobs are ready, which are cancelled with a job
-// that they depend on, and what a job inherits from its dependents: their priority, and the time by which it has to end
-// so that the last of them meets its deadline.
+// Package dependency maintains the dependency graph of jobs. It determines which jobs are ready, which are cancelled
+// because a job that they depend on is cancelled, and what a job inherits from its dependents: their priority, and the
+// time by which it has to end so that all of them meet their deadlines.
 //
-// There is no clock and no I/O in it, and no recursion: long chains and wide fans cost one pass over the jobs that are
-// part of a pipeline, whenever one of them has changed.
+// The package reads no clock, does no I/O and uses no recursion, since chains of dependencies may be long. An
+// evaluation takes one pass over the jobs that are part of a pipeline, and happens only after one of them has changed.
 package dependency
 
 import (
@@ -11,72 +11,72 @@
 	"slices"
 )
 
-// State is what the dependencies of a job say of it.
+// State tells whether the dependencies of a job let it run.
 type State int
 
 // The states.
 const (
 	Ready      State = iota // all dependencies are done
 	Waiting                 // a direct or indirect dependency is not done
-	Unresolved              // the end of a direct or indirect dependency is not known here
+	Unresolved              // it is not known how a direct or indirect dependency ended
 	Cancelled               // a direct or indirect dependency is cancelled
 )
 
-// Never is the latest end of a job that no deadline depends on.
-const Never = math.MaxInt64
+// NoDeadline is the deadline of a job without one, and the latest end of a job on which no deadline depends.
+const NoDeadline = math.MaxInt64
 
-// Job is an active job. Times of day are in milliseconds.
+// Job is an active job. Points in time are Unix times in milliseconds.
 type Job struct {
 	Dependencies []string
 	Cancelled    bool
 	Priority     int
 	AcceptedMS   int64
-	EstimateMS   int64 // run time of its longest task
-	DeadlineMS   int64 // time of day; Never if it has none
+	EstimateMS   int64 // estimated run time of the longest task
+	DeadlineMS   int64 // Never if there is none
 }
 
 // End is how a job ended.
 type End struct {
-	Done bool  // else it was cancelled
-	AtMS int64 // time of day; 0: not known
+	Done bool  // false if it was cancelled
+	AtMS int64 // Unix time in milliseconds; 0 if not known
 }
 
-// Status is what the graph tells of an active job.
+// Status is the result of the evaluation of the graph for an active job.
 type Status struct {
 	State State
-	// ReadyMS is when the last dependency was done, or when the job was accepted if it has none or their ends carry no
-	// time.
+	// ReadyMS is when the last dependency was done. It is when the job was accepted if it has no dependencies, or if
+	// the times of their ends are not known.
 	ReadyMS int64
-	// Priority is the highest of its own and of its direct and indirect dependents.
+	// Priority is the highest of the job's own priority and those of its direct and indirect dependents.
 	Priority int
-	// LatestEndMS is when it has to be done at the latest for every deadline of its own or of a dependent; Never for a
-	// job that is not part of a pipeline.
+	// LatestEndMS is the latest time at which the job has to be done so that its own deadline and those of its direct
+	// and indirect dependents are met. It is Never for a job that is not part of a pipeline.
 	LatestEndMS int64
 }
 
-// Graph is the graph of the active jobs.
+// Graph is the dependency graph of the active jobs.
 type Graph struct {
 	jobs       map[string]Job
-	dependents map[string]int  // how many active jobs depend directly on a job
-	ends       map[string]End  // of dependencies that are not active any more
+	dependents map[string]int  // number of active jobs that depend directly on a job
+	ends       map[string]End  // of dependencies that are no longer active
 	pipeline   map[string]bool // active jobs with dependencies
 
-	// What the last evaluation found.
-	status     map[string]Status
-	unresolved []string // dependencies whose ends have to be known
-	order      []string // active jobs with dependencies, in topological order
+	// Results of the last evaluation.
+	status     map[string]Status // of jobs with dependencies or dependents
+	unresolved []string          // dependencies whose ends are not known, by ID
+	order      []string          // active jobs with dependencies, in topological order
 
-	changed     bool // since the last evaluation
+	changed     bool // whether the graph has changed since the last evaluation
 	evaluations uint64
 }
 
-// New makes an empty graph.
+// New returns an empty graph.
 func New() *Graph {
 	return &Graph{jobs: map[string]Job{}, dependents: map[string]int{}, ends: map[string]End{},
 		pipeline: map[string]bool{}, status: map[string]Status{}}
 }
 
-// Put adds an active job, or takes in its change.
+// Put adds an active job, or records that it was cancelled.
 func (g *Graph) Put(id string, j Job) {
 	old, known := g.jobs[id]
 	if !known {
@@ -85,7 +85,7 @@
 		}
 	}
 	if known && old.Cancelled == j.Cancelled {
-		return // nothing else of a job ever changes
+		return // no other field of a job ever changes
 	}
 	if known {
 		j.Dependencies = old.Dependencies // a cancelled job may be stored without them
@@ -98,7 +98,7 @@
 	g.changed = g.changed || len(j.Dependencies) > 0 || g.dependents[id] > 0
 }
 
-// End takes in the end of a job and removes it.
+// End records the end of a job and removes the job from the active ones.
 func (g *Graph) End(id string, e End) {
 	if g.dependents[id] > 0 {
 		g.ends[id] = e
@@ -107,7 +107,7 @@
 	g.remove(id)
 }
 
-// Remove removes an active job whose end is not known.
+// Remove removes an active job when it is not known how it ended.
 func (g *Graph) Remove(id string) {
 	g.changed = g.changed || g.dependents[id] > 0
 	g.remove(id)
@@ -129,7 +129,7 @@
 	}
 }
 
-// Active gives the IDs of all active jobs, in no order.
+// Active returns the IDs of all active jobs in no particular order.
 func (g *Graph) Active() []string {
 	ids := make([]string, 0, len(g.jobs))
 	for id := range g.jobs {
@@ -138,51 +138,52 @@
 	return ids
 }
 
-// Evaluations counts how often what the graph tells has changed.
+// Evaluations returns how often the graph was evaluated after a change. While it stays the same, so do all statuses.
 func (g *Graph) Evaluations() uint64 {
 	g.evaluate()
 	return g.evaluations
 }
 
-// Of gives the status of an active job; the zero value for any other.
-func (g *Graph) Of(id string) Status {
+// Status returns the status of an active job. For any other job all fields are zero but LatestEndMS, which is Never.
+func (g *Graph) Status(id string) Status {
 	g.evaluate()
 	if s, ok := g.status[id]; ok {
 		return s
 	}
 	j, known := g.jobs[id]
 	if !known {
-		return Status{LatestEndMS: Never}
+		return Status{LatestEndMS: NoDeadline}
 	}
 	s := ownStatus(j)
 	if g.pipeline[id] {
-		s.State = Waiting // part of a cycle, which acceptance rules out
+		s.State = Waiting // part of a cycle, which the checks at submission rule out
 	}
 	return s
 }
 
-// Unresolved gives the jobs whose ends have to be known, in order of their IDs.
+// Unresolved returns the dependencies that are not active and whose ends are not known, in order of their IDs.
 func (g *Graph) Unresolved() []string {
 	g.evaluate()
 	return g.unresolved
 }
 
-// InOrder gives the active jobs with dependencies in topological order: dependencies come before their dependents.
-func (g *Graph) InOrder() []string {
+// TopologicalOrder returns the active jobs with dependencies in topological order: dependencies come before their
+// dependents.
+func (g *Graph) TopologicalOrder() []string {
 	g.evaluate()
 	return g.order
 }
 
-// ownStatus is the status of a job by itself. Its own deadline counts only if it has dependencies.
+// ownStatus returns the status of a job without regard to other jobs. Its deadline counts only if it has dependencies.
 func ownStatus(j Job) Status {
-	s := Status{ReadyMS: j.AcceptedMS, Priority: j.Priority, LatestEndMS: Never}
+	s := Status{ReadyMS: j.AcceptedMS, Priority: j.Priority, LatestEndMS: NoDeadline}
 	if len(j.Dependencies) > 0 {
 		s.LatestEndMS = j.DeadlineMS
 	}
 	return s
 }
 
-// evaluate updates the status of all jobs that have dependencies or dependents.
+// evaluate updates the status of all jobs that have dependencies or dependents, if the graph has changed.
 func (g *Graph) evaluate() {
 	if !g.changed {
 		return
@@ -191,23 +192,23 @@
 	g.evaluations++
 	clear(g.status)
 	g.unresolved = g.unresolved[:0]
-	g.order = g.sorted()
+	g.order = g.topologicalSort()
 	for _, id := range g.order {
 		g.status[id] = g.statusOf(g.jobs[id])
 	}
 	for _, id := range slices.Backward(g.order) {
-		g.lendToDependencies(id)
+		g.propagateToDependencies(id)
 	}
 	slices.Sort(g.unresolved)
 	g.unresolved = slices.Compact(g.unresolved)
 }
 
-// sorted gives the active jobs with dependencies in topological order. Jobs depend only on jobs that were accepted
-// before them, so there are no cycles; were there one, its jobs would be left out and wait.
-func (g *Graph) sorted() []string {
+// topologicalSort returns the active jobs with dependencies in topological order. Jobs depend only on jobs that were
+// accepted before them, so there are no cycles. The jobs of a cycle would be left out and wait.
+func (g *Graph) topologicalSort() []string {
 	dependentsOf := map[string][]string{}
-	pending := map[string]int{} // dependencies that are not in the order yet
-	var next []string
+	pending := map[string]int{} // number of dependencies that are not in the order yet
+	var order []string
 	for id := range g.pipeline {
 		for _, dependency := range g.jobs[id].Dependencies {
 			if g.pipeline[dependency] {
@@ -216,23 +217,23 @@
 			}
 		}
 		if pending[id] == 0 {
-			next = append(next, id)
+			order = append(order, id)
 		}
 	}
-	slices.Sort(next)
-	for i := 0; i < len(next); i++ {
-		freed := dependentsOf[next[i]]
-		slices.Sort(freed)
-		for _, id := range freed {
+	slices.Sort(order)
+	for i := 0; i < len(order); i++ {
+		dependents := dependentsOf[order[i]]
+		slices.Sort(dependents)
+		for _, id := range dependents {
 			if pending[id]--; pending[id] == 0 {
-				next = append(next, id)
+				order = append(order, id)
 			}
 		}
 	}
-	return next
+	return order
 }
 
-// statusOf gives a job's status from those of its dependencies, which come before it in the order.
+// statusOf computes a job's status from those of its dependencies, which come before it in the order.
 func (g *Graph) statusOf(j Job) Status {
 	s := ownStatus(j)
 	for _, dependency := range j.Dependencies {
@@ -248,7 +249,7 @@
 	return s
 }
 
-// stateOfDependency tells the state that a dependency gives its dependents.
+// stateOfDependency returns the state that a dependency imposes on its dependents.
 func (g *Graph) stateOfDependency(id string) State {
 	if j, active := g.jobs[id]; active {
 		if j.Cancelled {
@@ -267,14 +268,15 @@
 	return Cancelled
 }
 
-// lendToDependencies passes a job's priority and deadline on to its dependencies. One that is cancelled has none any more.
-func (g *Graph) lendToDependencies(id string) {
+// propagateToDependencies raises the priority and advances the latest end of a job's direct dependencies to what the
+// job needs. A cancelled job needs nothing.
+func (g *Graph) propagateToDependencies(id string) {
 	s, j := g.status[id], g.jobs[id]
 	if s.State == Cancelled {
 		return
 	}
 	latest := s.LatestEndMS
-	if latest != Never {
+	if latest != NoDeadline {
 		latest -= j.EstimateMS
 	}
 	for _, dependency := range j.Dependencies {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Region is one of the regions that divide the limits, with the fraction of each that it begins with.
+// Region is one of the regions that divide the limits. Share is the fraction of each limit with which it begins.
 type Region struct {
 	Name  string
 	Share float64 // from 0 to 1; the regions' fractions add up to 1
 }
 
-// Transfer is a share that is moved from one region to another. The transfers from one region to another are numbered from
-// 1, so that each is applied once and in order.
+// Transfer is a share that moves from one region to another. The transfers between a sender and a receiver are numbered
+// from 1, so that each is applied exactly once and in order.
 type Transfer struct {
 	From   string `json:"f"`
 	To     string `json:"t"`
@@ -23,14 +23,15 @@
 	Share  Share  `json:"s"`
 }
 
-// Account is a region's escrow account of one team, as it is stored.
+// Account is a region's escrow account of one team, in the form in which it is stored.
 type Account struct {
-	// Whole is the team's limit and guarantee that was divided.
-	Whole Share `json:"w"`
-	Held  Share `json:"h"`
-	// Outgoing are transfers that are debited here and not acknowledged by their receivers yet.
+	// Total is the team's limit and guarantee for all regions together, at the time when it was divided.
+	Total Share `json:"w"`
+	// Held is the region's own part of Total.
+	Held Share `json:"h"`
+	// Outgoing holds the transfers that are debited here and not yet acknowledged by their receivers.
 	Outgoing []Transfer `json:"o,omitempty"`
-	// Sent and Received are the numbers of the last transfers to and from each region.
+	// Sent and Received hold the numbers of the last transfers to and from each region.
 	Sent     map[string]uint64 `json:"x,omitempty"`
 	Received map[string]uint64 `json:"r,omitempty"`
 }
@@ -38,17 +39,17 @@
 // Receipt is the result of receiving a transfer.
 type Receipt int
 
-// The receipts.
+// The results of receiving a transfer.
 const (
-	Accepted   Receipt = iota // it is credited, once the account is committed
-	Duplicate                 // it was credited before
-	OutOfOrder                // an earlier one is missing: the sender has to send that first
+	Accepted   Receipt = iota // credited in the returned account, which has to be committed
+	Duplicate                 // credited before
+	OutOfOrder                // not credited: the sender has to send an earlier transfer first
 )
 
-// ErrUnreadable says that this version does not understand a stored account.
-var ErrUnreadable = errors.New("the account of a team's allowance can't be read")
+// ErrUnreadable reports a stored account that this version can't decode.
+var ErrUnreadable = errors.New("stored quota account is unreadable")
 
-// Decode reads a stored account.
+// Decode decodes a stored account.
 func Decode(data []byte) (*Account, error) {
 	a := &Account{}
 	if err := json.Unmarshal(data, a); err != nil {
@@ -57,79 +58,80 @@
 	return a, nil
 }
 
-// Initial gives the account that a region begins with. The regions' shares add up to the whole exactly: each begins where
-// the one before it ends.
-func Initial(whole Share, regions []Region, name string) *Account {
-	a := &Account{Whole: whole}
-	below := 0.0
+// Initial returns the account with which a region begins. The regions' shares add up to the total exactly, since each
+// begins where the previous one ends.
+func Initial(total Share, regions []Region, name string) *Account {
+	a := &Account{Total: total}
+	start := 0.0
 	for i, r := range regions {
-		above := below + r.Share
+		end := start + r.Share
 		if i == len(regions)-1 {
-			above = 1
+			end = 1
 		}
 		if r.Name == name {
-			a.Held = whole.firstPart(above).Minus(whole.firstPart(below))
+			a.Held = total.portion(end).Minus(total.portion(start))
 		}
-		below = above
+		start = end
 	}
 	return a
 }
 
-// Usable converts the share that is held to the limits as they are now. Accounts keep shares of the whole that was divided
-// first. If the whole has changed since, a share is the same fraction of the new one, rounded down, so that the regions'
-// shares do not add up to more. What had no limit when it was divided is divided by the initial shares.
-func (a *Account) Usable(held, whole Share, initial Share) Share {
-	usable := Share{Limit: held.Limit.scaled(a.Whole.Limit, whole.Limit, false),
-		Guarantee: held.Guarantee.scaled(a.Whole.Guarantee, whole.Guarantee, false)}
-	usable.Limit = usable.Limit.orWhereUnlimited(a.Whole.Limit, initial.Limit)
-	usable.Guarantee = usable.Guarantee.orWhereUnlimited(a.Whole.Guarantee, initial.Guarantee)
+// Usable converts a held share from the limits that were divided to the current ones. An account keeps shares of the
+// limits that were divided first. If they have changed since, a share is the same fraction of the new limits, rounded
+// down so that the regions' shares do not add up to more. A resource that had no limit when it was divided is divided
+// as initially.
+func (a *Account) Usable(held, total Share, initial Share) Share {
+	usable := Share{Limit: held.Limit.scaled(a.Total.Limit, total.Limit, false),
+		Guarantee: held.Guarantee.scaled(a.Total.Guarantee, total.Guarantee, false)}
+	usable.Limit = usable.Limit.replaceUnlimited(a.Total.Limit, initial.Limit)
+	usable.Guarantee = usable.Guarantee.replaceUnlimited(a.Total.Guarantee, initial.Guarantee)
 	return usable
 }
 
-// orWhereUnlimited replaces the amounts of resources for which a whole has no limit.
-func (a Amount) orWhereUnlimited(whole, others Amount) Amount {
-	if whole.GPUs == 0 {
-		a.GPUs = others.GPUs
+// replaceUnlimited returns the amount, with the replacement for each resource that has no limit in total.
+func (a Amount) replaceUnlimited(total, replacement Amount) Amount {
+	if total.GPUs == 0 {
+		a.GPUs = replacement.GPUs
 	}
-	if whole.CPUs == 0 {
-		a.CPUs = others.CPUs
+	if total.CPUs == 0 {
+		a.CPUs = replacement.CPUs
 	}
 	return a
 }
 
-// ToAccountUnits converts a share of the whole as it is now to one of the whole that was divided, rounded up: it is for what
-// is needed.
-func (a *Account) ToAccountUnits(s, whole Share) Share {
+// ToAccountUnits converts a share of the current limits to one of the limits that were divided, rounded up. It is the
+// inverse of Usable for shares that are needed.
+func (a *Account) ToAccountUnits(s, total Share) Share {
 	return Share{
-		Limit:     s.Limit.scaled(whole.Limit, a.Whole.Limit, true),
-		Guarantee: s.Guarantee.scaled(whole.Guarantee, a.Whole.Guarantee, true),
+		Limit:     s.Limit.scaled(total.Limit, a.Total.Limit, true),
+		Guarantee: s.Guarantee.scaled(total.Guarantee, a.Total.Guarantee, true),
 	}
 }
 
-// firstPart gives the first part of a share, which is a fraction of it, rounded down.
-func (s Share) firstPart(fraction float64) Share {
+// portion returns a fraction of a share, rounded down.
+func (s Share) portion(fraction float64) Share {
 	part := func(x int64) int64 { return int64(float64(x)*fraction + roundingError) }
 	return Share{Limit: Amount{part(s.Limit.GPUs), part(s.Limit.CPUs)}, Guarantee: Amount{part(s.Guarantee.GPUs), part(s.Guarantee.CPUs)}}
 }
 
-// copied gives a deep copy.
-func (a *Account) copied() *Account {
+// clone returns a deep copy of the account.
+func (a *Account) clone() *Account {
 	b := *a
 	b.Outgoing, b.Sent, b.Received = slices.Clone(a.Outgoing), maps.Clone(a.Sent), maps.Clone(a.Received)
 	return &b
 }
 
-// Grant gives the account after a transfer to another region of what that requests, as far as it is not needed here; nil if
-// there is nothing to transfer. There is one transfer to a region at a time.
+// Grant returns the account after a transfer of the requested share to another region, as far as it is not needed here.
+// It returns nil if there is nothing to transfer, or if an earlier transfer to that region is not acknowledged yet.
 func (a *Account) Grant(from, to string, requested, needed Share) *Account {
 	if slices.ContainsFunc(a.Outgoing, func(t Transfer) bool { return t.To == to }) {
 		return nil
 	}
 	share := requested.Min(a.Held.Minus(needed))
-	if share.Zero() {
+	if share.IsZero() {
 		return nil
 	}
-	b := a.copied()
+	b := a.clone()
 	if b.Sent == nil {
 		b.Sent = map[string]uint64{}
 	}
@@ -139,7 +141,8 @@
 	return b
 }
 
-// Receive gives the account after a transfer was received, and the result; the same account if nothing changes.
+// Receive returns the account after a transfer was received, and the result. It returns the same account if the
+// transfer is not credited.
 func (a *Account) Receive(t Transfer) (*Account, Receipt) {
 	switch last := a.Received[t.From]; {
 	case t.Number <= last:
@@ -147,7 +150,7 @@
 	case t.Number > last+1:
 		return a, OutOfOrder
 	}
-	b := a.copied()
+	b := a.clone()
 	if b.Received == nil {
 		b.Received = map[string]uint64{}
 	}
@@ -156,16 +159,17 @@
 	return b, Accepted
 }
 
-// Acknowledge gives the account after a region has acknowledged a transfer; the same account if that was known.
+// Acknowledge returns the account after a region has acknowledged a transfer. It returns the same account if the
+// transfer was acknowledged before.
 func (a *Account) Acknowledge(to string, number uint64) *Account {
 	acknowledged := func(t Transfer) bool { return t.To == to && t.Number <= number }
 	if !slices.ContainsFunc(a.Outgoing, acknowledged) {
 		return a
 	}
-	b := a.copied()
+	b := a.clone()
 	b.Outgoing = slices.DeleteFunc(b.Outgoing, acknowledged)
 	return b
 }
 
-// Shortfall gives what a region has to request: what its work needs beyond what it holds, and no more than the whole.
-func (a *Account) Shortfall(needed Share) Share { return needed.Min(a.Whole).Minus(a.Held) }
+// Shortfall returns the share that a region has to request: what its jobs need, up to the total, beyond what it holds.
+func (a *Account) Shortfall(needed Share) Share { return needed.Min(a.Total).Minus(a.Held) }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -9,15 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-func regionsOf(parts ...float64) []Region {
+// regionsOf returns regions with the given fractions of each limit.
+func regionsOf(fractions ...float64) []Region {
 	var regions []Region
-	for i, part := range parts {
-		regions = append(regions, Region{Name: fmt.Sprint("r", i), Share: part})
+	for i, fraction := range fractions {
+		regions = append(regions, Region{Name: fmt.Sprint("r", i), Share: fraction})
 	}
 	return regions
 }
 
-// The initial shares of regions add up to the whole, whatever their fractions.
+// TestInitial checks that the regions' initial shares add up to the total, whatever their fractions are.
 func TestInitial(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "regions")
@@ -29,28 +30,28 @@
 			}
 			left -= regions[i].Share
 		}
-		whole := Share{Limit: RoundDown(rapid.Float64Range(0, 9999).Draw(t, "gpus"), 17), Guarantee: RoundDown(24.5, 0)}
+		total := Share{Limit: RoundDown(rapid.Float64Range(0, 9999).Draw(t, "gpus"), 17), Guarantee: RoundDown(24.5, 0)}
 		var sum Share
 		for _, r := range regions {
-			sum = sum.Plus(Initial(whole, regions, r.Name).Held)
+			sum = sum.Plus(Initial(total, regions, r.Name).Held)
 		}
-		if sum != whole {
-			t.Fatalf("%+v of %+v", sum, whole)
+		if sum != total {
+			t.Fatalf("initial shares add up to %+v, want %+v", sum, total)
 		}
 	})
 }
 
-// What regions hold and what is in transfer is the whole at each moment, with messages that are lost, duplicated, delayed
-// and reordered.
+// TestTransfers checks that the shares held and those in transfer always add up to the total while messages are lost,
+// duplicated, delayed and reordered.
 func TestTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := Share{Limit: RoundDown(48, 0), Guarantee: RoundDown(24, 0)}
+		total := Share{Limit: RoundDown(48, 0), Guarantee: RoundDown(24, 0)}
 		regions := regionsOf(0.5, 0.3, 0.2)
 		accounts := map[string]*Account{}
 		for _, r := range regions {
-			accounts[r.Name] = Initial(whole, regions, r.Name)
+			accounts[r.Name] = Initial(total, regions, r.Name)
 		}
-		var sent []Transfer // all that ever was; each may come at any time, again
+		var sent []Transfer // all transfers so far; each may be delivered at any time, also repeatedly
 		name := rapid.SampledFrom([]string{"r0", "r1", "r2"})
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			from, to := name.Draw(t, "from"), name.Draw(t, "to")
@@ -58,29 +59,29 @@
 			case 0:
 				amount := func(what string) Amount { return RoundDown(rapid.Float64Range(0, 30).Draw(t, what), 0) }
 				needed := Share{Limit: amount("needed"), Guarantee: amount("needed guarantee")}
-				if next := accounts[from].Grant(from, to, Share{Limit: amount("asked"), Guarantee: amount("asked guarantee")}, needed); next != nil && from != to {
+				if next := accounts[from].Grant(from, to, Share{Limit: amount("requested"), Guarantee: amount("requested guarantee")}, needed); next != nil && from != to {
 					sent = append(sent, next.Outgoing[len(next.Outgoing)-1])
 					accounts[from] = next
 				}
 			case 1:
 				if len(sent) > 0 {
-					x := rapid.SampledFrom(sent).Draw(t, "transfer")
-					next, receipt := accounts[x.To].Receive(x)
-					accounts[x.To] = next
-					if receipt != OutOfOrder && rapid.Bool().Draw(t, "answered") {
-						accounts[x.From] = accounts[x.From].Acknowledge(x.To, x.Number)
+					transfer := rapid.SampledFrom(sent).Draw(t, "transfer")
+					next, receipt := accounts[transfer.To].Receive(transfer)
+					accounts[transfer.To] = next
+					if receipt != OutOfOrder && rapid.Bool().Draw(t, "acknowledged") {
+						accounts[transfer.From] = accounts[transfer.From].Acknowledge(transfer.To, transfer.Number)
 					}
 				}
 			default:
-				accounts[from] = stored(t, accounts[from])
+				accounts[from] = reloaded(t, accounts[from])
 			}
-			checkWhole(t, accounts, whole)
+			checkTotal(t, accounts, total)
 		}
 	})
 }
 
-// stored gives an account as it is read from the store.
-func stored(t *rapid.T, a *Account) *Account {
+// reloaded returns an account after it was encoded and decoded, as by a restart.
+func reloaded(t *rapid.T, a *Account) *Account {
 	data, err := json.Marshal(a)
 	if err != nil {
 		t.Fatal(err)
@@ -92,50 +93,52 @@
 	return b
 }
 
-func checkWhole(t *rapid.T, accounts map[string]*Account, whole Share) {
+// checkTotal checks that the shares held and those not yet received add up to the total.
+func checkTotal(t *rapid.T, accounts map[string]*Account, total Share) {
 	var sum Share
 	for _, a := range accounts {
 		sum = sum.Plus(a.Held)
-		for _, x := range a.Outgoing {
-			if accounts[x.To].Received[x.From] < x.Number {
-				sum = sum.Plus(x.Share)
+		for _, transfer := range a.Outgoing {
+			if accounts[transfer.To].Received[transfer.From] < transfer.Number {
+				sum = sum.Plus(transfer.Share)
 			}
 		}
 	}
-	if sum != whole {
-		t.Fatalf("%+v of %+v", sum, whole)
+	if sum != total {
+		t.Fatalf("shares held and in transfer add up to %+v, want %+v", sum, total)
 	}
 }
 
-// A region grants what it does not need, one transfer to a region at a time, and requests what it lacks of the whole.
+// TestGrantAndShortfall checks that a region grants only what it does not need, one transfer to a region at a time, and
+// that it requests what it lacks, up to the total.
 func TestGrantAndShortfall(t *testing.T) {
 	gpus := func(limit, guarantee float64) Share {
 		return Share{Limit: RoundDown(limit, 0), Guarantee: RoundDown(guarantee, 0)}
 	}
-	a := &Account{Whole: gpus(48, 24), Held: gpus(24, 12)}
-	given := a.Grant("r0", "r1", gpus(20, 20), gpus(10, 10))
-	if given == nil || given.Held != gpus(10, 10) || !slices.Equal(given.Outgoing, []Transfer{{From: "r0", To: "r1", Number: 1, Share: gpus(14, 2)}}) {
-		t.Errorf("%+v", given)
+	a := &Account{Total: gpus(48, 24), Held: gpus(24, 12)}
+	granted := a.Grant("r0", "r1", gpus(20, 20), gpus(10, 10))
+	if granted == nil || granted.Held != gpus(10, 10) || !slices.Equal(granted.Outgoing, []Transfer{{From: "r0", To: "r1", Number: 1, Share: gpus(14, 2)}}) {
+		t.Errorf("account after the grant: %+v", granted)
 	}
-	if again := given.Grant("r0", "r1", gpus(20, 20), Share{}); again != nil {
-		t.Errorf("a second transfer while the first is on its way: %+v", again)
+	if again := granted.Grant("r0", "r1", gpus(20, 20), Share{}); again != nil {
+		t.Errorf("second transfer before the first was acknowledged: %+v", again)
 	}
 	if nothing := a.Grant("r0", "r1", gpus(20, 20), gpus(30, 30)); nothing != nil {
-		t.Errorf("given although all is needed: %+v", nothing)
+		t.Errorf("granted although everything is needed: %+v", nothing)
 	}
 	if missing := a.Shortfall(gpus(100, 100)); missing != gpus(24, 12) {
-		t.Errorf("%+v is missing", missing)
+		t.Errorf("shortfall is %+v", missing)
 	}
 	if next, receipt := a.Receive(Transfer{From: "r1", To: "r0", Number: 2, Share: gpus(1, 0)}); receipt != OutOfOrder || next != a {
-		t.Errorf("the second transfer comes first: %v", receipt)
+		t.Errorf("second transfer received before the first: %v", receipt)
 	}
 	if _, err := Decode([]byte(`{"w":3}`)); err == nil {
-		t.Error("an account of another form is read")
+		t.Error("an account of another form was decoded")
 	}
 }
 
-// However the limit changes after it was divided, what regions may use of it is not above it, and what is needed is not
-// less in the units of the accounts.
+// TestChangedLimit checks conversions after a limit has changed since it was divided. The regions together may not use
+// more than the new limit, and a needed share converted to units of the accounts may not become smaller.
 func TestChangedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		divided := Share{Limit: RoundDown(float64(rapid.IntRange(1, 5000).Draw(t, "divided")), 0)}
@@ -144,31 +147,31 @@
 		var usable Share
 		for _, r := range regions {
 			a := Initial(divided, regions, r.Name)
-			mine := a.Usable(a.Held, now, Initial(now, regions, r.Name).Held)
-			usable = usable.Plus(mine)
-			if kept := a.ToAccountUnits(mine, now); !mine.Minus(a.Usable(kept, now, Share{Limit: Amount{CPUs: mine.Limit.CPUs}})).Zero() {
-				t.Fatalf("%+v is kept as %+v, which is too little", mine, kept)
+			own := a.Usable(a.Held, now, Initial(now, regions, r.Name).Held)
+			usable = usable.Plus(own)
+			if converted := a.ToAccountUnits(own, now); !own.Minus(a.Usable(converted, now, Share{Limit: Amount{CPUs: own.Limit.CPUs}})).IsZero() {
+				t.Fatalf("%+v converts to %+v in units of the account, which is too little", own, converted)
 			}
 		}
-		if !usable.Minus(now).Zero() {
-			t.Fatalf("%+v may be used of %+v", usable, now)
+		if !usable.Minus(now).IsZero() {
+			t.Fatalf("the regions may use %+v of a limit of %+v", usable, now)
 		}
 		if usable.Limit.CPUs != now.Limit.CPUs {
-			t.Fatalf("%+v may be used of a limit that is new, of %+v", usable, now)
+			t.Fatalf("the regions may use %+v of CPUs that were unlimited before, limit %+v", usable, now)
 		}
 	})
 }
 
-// Amounts rounded from floating-point numbers neither exceed a limit nor hide usage.
+// TestAmounts checks that amounts rounded from floating-point numbers neither exceed a limit nor hide usage.
 func TestAmounts(t *testing.T) {
 	x := 0.0
 	for range 10 {
 		x += 0.1
 	}
 	if RoundDown(x, 0) != RoundUp(x, 0) || RoundDown(x, 0) != RoundDown(1, 0) {
-		t.Errorf("ten tenths are %+v and %+v", RoundDown(x, 0), RoundUp(x, 0))
+		t.Errorf("ten times 0.1 rounds to %+v and %+v, want 1", RoundDown(x, 0), RoundUp(x, 0))
 	}
 	if RoundDown(0.0015, 0).GPUs != 1 || RoundUp(0.0015, 0).GPUs != 2 {
-		t.Error("parts of a thousandth are not rounded to the safe side")
+		t.Error("fractions of a thousandth are not rounded to the safe side")
 	}
 }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,40 +1,41 @@
-// Package resource is the arithmetic of the resources that machines have and tasks take.
+// Package resource implements arithmetic on the resources that machines offer and tasks request.
 package resource
 
 import "bitternwing/internal/wire"
 
-// tolerance is the rounding error that amounts, given as decimal numbers, may have after additions and subtractions.
+// tolerance is the largest rounding error that amounts, which are given as decimal fractions, may accumulate by
+// additions and subtractions.
 const tolerance = 1e-9
 
 // Amount is an amount of each resource.
 type Amount struct{ GPUs, CPUs, MemoryGB float64 }
 
-// OfTask gives the resources that a task of a job takes.
+// OfTask returns the resources that one task of a job requests.
 func OfTask(j *wire.Job) Amount { return Amount{j.GPUs, j.CPUs, j.MemoryGB} }
 
-// OfMachine gives the resources of a machine of a type.
+// OfMachine returns the resources of a machine of the given type.
 func OfMachine(t *wire.MachineType) Amount { return Amount{t.GPUs, t.CPUs, t.MemoryGB} }
 
-// Covers tells whether there is at least as much as another amount of each resource.
+// Covers reports whether a is at least b in each resource, within the tolerance.
 func (a Amount) Covers(b Amount) bool {
 	return a.GPUs+tolerance >= b.GPUs && a.CPUs+tolerance >= b.CPUs && a.MemoryGB+tolerance >= b.MemoryGB
 }
 
-// Subtract subtracts an amount.
+// Subtract subtracts b from a.
 func (a *Amount) Subtract(b Amount) {
 	a.GPUs -= b.GPUs
 	a.CPUs -= b.CPUs
 	a.MemoryGB -= b.MemoryGB
 }
 
-// Add adds an amount.
+// Add adds b to a.
 func (a *Amount) Add(b Amount) {
 	a.GPUs += b.GPUs
 	a.CPUs += b.CPUs
 	a.MemoryGB += b.MemoryGB
 }
 
-// CappedBy limits each resource to that of another amount, of which negative ones count as 0.
+// CappedBy returns the smaller of a and b in each resource. Negative amounts of b count as 0.
 func (a Amount) CappedBy(b Amount) Amount {
 	return Amount{min(a.GPUs, max(0, b.GPUs)), min(a.CPUs, max(0, b.CPUs)), min(a.MemoryGB, max(0, b.MemoryGB))}
 }
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -46,7 +46,7 @@
 
 func previousQuotaAccount() *quota.Account {
 	share := func(gpus, cpus int64) quota.Share { return quota.Share{Limit: quota.Amount{GPUs: gpus, CPUs: cpus}} }
-	return &quota.Account{Whole: share(1000, 64000), Held: share(500, 32000),
+	return &quota.Account{Total: share(1000, 64000), Held: share(500, 32000),
 		Outgoing: []quota.Transfer{{From: "west", To: "east", Number: 3, Share: share(250, 16000)}},
 		Sent:     map[string]uint64{"east": 3}, Received: map[string]uint64{"east": 1}}
 }
