--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -44,8 +44,8 @@
 // while the requests bring nothing.
 const maxRequestIntervals = 10
 
-// requestMissing requests the share that this region's jobs lack from the other regions in turn.
-func (m *quotaManager) requestMissing(t *teamQuota, demand teamDemand) {
+// requestShortfall requests the share that this region's jobs lack. Each request goes to the next of the other regions.
+func (m *quotaManager) requestShortfall(t *teamQuota, demand teamDemand) {
 	c := m.leader.core
 	if t.requestInFlight || c.now.Steady < t.nextRequest {
 		return
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -50,27 +50,27 @@
 
 // quotaForMessage returns the quota that a message is about. If the message can't be accepted, it answers the message
 // itself and returns nil.
-func (c *Core) quotaForMessage(req uint64, from, team string, total quota.Share) *teamQuota {
-	l := c.leaderForRequest(req)
+func (c *Core) quotaForMessage(requestID uint64, from, team string, total quota.Share) *teamQuota {
+	l := c.leaderForRequest(requestID)
 	if l == nil {
 		return nil
 	}
 	t := l.quotas.teams[team]
 	switch {
 	case !c.operator.Regions.Enabled():
-		c.respondRefused(req, reasonNoRegions)
+		c.respondRefused(requestID, reasonNoRegions)
 	case !c.operator.Regions.Other(from):
-		c.respondRefused(req, reasonNoSuchRegion)
+		c.respondRefused(requestID, reasonNoSuchRegion)
 	case t == nil:
-		c.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
+		c.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.total != total:
 		if !t.limitMismatchLogged {
 			t.limitMismatchLogged = true // log it once a term
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
-		c.respondRefused(req, reasonLimitsDiffer)
+		c.respondRefused(requestID, reasonLimitsDiffer)
 	case t.account == nil || !l.mayCommit() || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
-		c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
+		c.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		return t
 	}
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -69,17 +69,17 @@
 }
 
 // respondCommitted answers a region according to the result of a commit.
-func (c *Core) respondCommitted(req uint64, r Result) {
+func (c *Core) respondCommitted(requestID uint64, r Result) {
 	if r.Outcome == outcome.OK {
-		c.respond(req, http.StatusOK, nil)
+		c.respond(requestID, http.StatusOK, nil)
 		return
 	}
-	c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
+	c.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 }
 
 // commit writes an account by compare-and-swap, fenced by the term. Until the result is known, the minimum of the old
 // and the new account is enforced.
-func (m *quotaManager) commit(t *teamQuota, next *quota.Account, then func(Result)) {
+func (m *quotaManager) commit(t *teamQuota, next *quota.Account, onResult func(Result)) {
 	l := m.leader
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -94,7 +94,7 @@
 		t.writeInFlight = false
 		m.writesInFlight--
 		m.applyWriteResult(t, next, r)
-		then(r)
+		onResult(r)
 	})
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(t.key, t.version, wire.Op{Put: t.key, Value: value})})
 }
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -163,7 +163,7 @@
 		}
 		if t.account != nil {
 			m.deliverTransfers(t)
-			m.requestMissing(t, demand)
+			m.requestShortfall(t, demand)
 		}
 	}
 }
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -10,9 +10,9 @@
 // used returns the number of GPUs that a team's tasks use on the machines of a region.
 func (region *simulatedRegion) used(team string) float64 {
 	sum := 0.0
-	for task, holder := range region.workerByTask {
+	for task, worker := range region.workerByTask {
 		job := region.specs[task[:len("run-000000")]]
-		if job.Team == team && !holder.dead && holder.machine.Holds(task) {
+		if job.Team == team && !worker.dead && worker.machine.Holds(task) {
 			sum += job.GPUs
 		}
 	}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -19,7 +19,7 @@
 	regions []*simulatedRegion
 	// cutLinks holds the pairs of sender and receiver between which messages are lost.
 	cutLinks          map[[2]int]bool
-	duplicateMessages bool // messages come twice, the second time late
+	duplicateMessages bool // messages are delivered twice, the second time late
 	messages          []regionMessage
 	submittedJobs     int
 	machines          int // in each region
@@ -49,8 +49,8 @@
 // regionName returns the name of a region.
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// newRegionWorld returns regions with equal shares of two teams' limits. Each region has enough
-// machines for the limits of both teams.
+// newRegionWorld returns regions with equal shares of two teams' limits. Each region has enough machines
+// for the limits of both teams.
 func newRegionWorld(t reporter, regions int) *regionWorld {
 	return newRegionWorldOf(t, regions, regionMachines)
 }
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -53,6 +53,7 @@
 	change    rollout.Change
 }
 
+// newRolloutManager returns a manager that takes over each plan when it first runs.
 func newRolloutManager(l *leader) *rolloutManager {
 	return &rolloutManager{
 		leader:      l,
@@ -131,8 +132,8 @@
 // drop drops the state of a plan whose record was removed, and answers the requests that wait for it.
 func (m *rolloutManager) drop(run *activeRollout) {
 	delete(m.runs, run.name)
-	for _, req := range run.pendingRequests() {
-		m.leader.core.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
+	for _, requestID := range run.pendingRequests() {
+		m.leader.core.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
@@ -151,8 +152,8 @@
 // rejectPending answers all requests that wait for a commit. It is called at the end of the term.
 func (m *rolloutManager) rejectPending() {
 	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
-		for _, req := range m.runs[name].pendingRequests() {
-			m.leader.core.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
+		for _, requestID := range m.runs[name].pendingRequests() {
+			m.leader.core.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	}
 }
@@ -372,9 +373,9 @@
 	return wire.Txn{If: []wire.Condition{l.termCondition(), {Key: key, Version: version}}, Then: []wire.Op{op}}
 }
 
-// commitPlan writes a plan's next record. The record takes effect once the write is known to have succeeded; then is
-// called with the result of the write.
-func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
+// commitPlan writes a plan's next record, and calls onResult with the result. The record takes effect once the write is
+// known to have succeeded.
+func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -389,19 +390,19 @@
 		if r.Outcome == outcome.OK {
 			run.noteRecorded(next)
 		}
-		then(r)
+		onResult(r)
 	})
 	key := stored.PlanKey(run.name)
 	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Put: key, Value: value})})
 }
 
 // commitTransition writes a plan's next phase or an operator's change, and logs it once it is committed.
-func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, then func(Result)) {
+func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
 	l.commitPlan(run, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
 			l.logPlan(run, next)
 		}
-		then(r)
+		onResult(r)
 	})
 }
 
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -73,26 +73,26 @@
 
 // leaderForRequest returns the leader if this node leads and may answer. Otherwise it answers the request itself and
 // returns nil.
-func (c *Core) leaderForRequest(req uint64) *leader {
+func (c *Core) leaderForRequest(requestID uint64) *leader {
 	l := c.leader
 	if l == nil {
 		leaderNode := ""
 		if c.cache.HasLeader() && c.cache.Leader().Node != c.settings.Node {
 			leaderNode = c.cache.Leader().Node
 		}
-		c.respond(req, http.StatusMisdirectedRequest, wire.Redirect{Leader: leaderNode})
+		c.respond(requestID, http.StatusMisdirectedRequest, wire.Redirect{Leader: leaderNode})
 		return nil
 	}
 	if !l.recovered || !l.hasAuthority() {
-		c.respondRetryLater(req, http.StatusServiceUnavailable, reasonUnavailable)
+		c.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 		return nil
 	}
 	return l
 }
 
 // respondRefused answers a request that is invalid or not allowed.
-func (c *Core) respondRefused(req uint64, reason string) {
-	c.respond(req, http.StatusUnprocessableEntity, wire.ErrorBody{Error: reason})
+func (c *Core) respondRefused(requestID uint64, reason string) {
+	c.respond(requestID, http.StatusUnprocessableEntity, wire.ErrorBody{Error: reason})
 }
 
 // handleApplyPlan accepts a plan if its team, its jobs and the operator's limits allow it. Applying the same plan again
@@ -153,6 +153,8 @@
 	return nil
 }
 
+// problemJobUnavailable is the problem of an unknown job as well as of one that the plan may not have, so that it
+// discloses nothing about jobs of other teams.
 const problemJobUnavailable = "is no service of this team that a plan may have"
 
 // checkOldJobs checks that a plan's old jobs are accepted services that are not cancelled. It adds their resources to
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -262,7 +262,7 @@
 
 // requestRouting sends a router's request to a node. The lease of the grant begins when the request was sent.
 func (world *rolloutWorld) requestRouting(r *simulatedRouter, node *scaleNode) {
-	sent := world.now
+	sentAt := world.now
 	r.unanswered = true
 	if r.isolated || node.name == r.unreachableNode {
 		return
@@ -277,8 +277,8 @@
 	if grant.Routing.Generation.Before(r.grant.Routing.Generation) {
 		return
 	}
-	r.grantRequestedAt, r.unanswered = sent, false
-	r.grant, r.grantExpiresAt = grant, sent+time.Duration(grant.LeaseMS)*time.Millisecond
+	r.grantRequestedAt, r.unanswered = sentAt, false
+	r.grant, r.grantExpiresAt = grant, sentAt+time.Duration(grant.LeaseMS)*time.Millisecond
 }
 
 // waitForPhase runs the simulation until the plan is in a phase.
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// State tells whether the dependencies of a job let it run.
+// State reports whether the dependencies of a job let it run.
 type State int
 
 // The states.
@@ -32,7 +32,7 @@
 	Priority     int
 	AcceptedMS   int64
 	EstimateMS   int64 // estimated run time of the longest task
-	DeadlineMS   int64 // Never if there is none
+	DeadlineMS   int64 // NoDeadline if there is none
 }
 
 // End is how a job ended.
@@ -50,7 +50,7 @@
 	// Priority is the highest of the job's own priority and those of its direct and indirect dependents.
 	Priority int
 	// LatestEndMS is the latest time at which the job has to be done so that its own deadline and those of its direct
-	// and indirect dependents are met. It is Never for a job that is not part of a pipeline.
+	// and indirect dependents are met. It is NoDeadline for a job that is not part of a pipeline.
 	LatestEndMS int64
 }
 
@@ -113,6 +113,7 @@
 	g.remove(id)
 }
 
+// remove removes an active job, and what is known about dependencies on which no other active job depends.
 func (g *Graph) remove(id string) {
 	j, known := g.jobs[id]
 	if !known {
@@ -144,7 +145,8 @@
 	return g.evaluations
 }
 
-// Status returns the status of an active job. For any other job all fields are zero but LatestEndMS, which is Never.
+// Status returns the status of an active job. For any other job all fields are zero but LatestEndMS, which is
+// NoDeadline.
 func (g *Graph) Status(id string) Status {
 	g.evaluate()
 	if s, ok := g.status[id]; ok {
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -11,11 +11,13 @@
 	return Job{Dependencies: dependencies, Priority: priority, AcceptedMS: accepted, EstimateMS: 10_000, DeadlineMS: NoDeadline}
 }
 
+// withDeadline returns a job with a deadline.
 func withDeadline(j Job, deadline int64) Job {
 	j.DeadlineMS = deadline
 	return j
 }
 
+// cancelled returns a job that is cancelled.
 func cancelled(j Job) Job {
 	j.Cancelled = true
 	return j
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -24,7 +24,7 @@
 		n := rapid.IntRange(1, 7).Draw(t, "regions")
 		regions, left := regionsOf(make([]float64, n)...), 1.0
 		for i := range regions {
-			regions[i].Share = left * rapid.Float64Range(0, 1).Draw(t, "part")
+			regions[i].Share = left * rapid.Float64Range(0, 1).Draw(t, "fraction")
 			if i == n-1 {
 				regions[i].Share = left
 			}
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -24,17 +24,17 @@
 const (
 	// partsPerUnit is the number of parts of a GPU or a CPU.
 	partsPerUnit = 1000
-	// roundingError is the error, in parts, of an amount that was computed in floating point.
+	// roundingError is the largest error, in parts, of an amount that was computed in floating point.
 	roundingError = 1e-3
 )
 
-// RoundDown returns the largest amount that is not above the given one. It is used for what may be used.
+// RoundDown rounds down to thousandths, but for roundingError. It is applied to what may be used.
 func RoundDown(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Floor(x*partsPerUnit + roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
 }
 
-// RoundUp returns the smallest amount that is not below the given one. It is used for what is in use or needed.
+// RoundUp rounds up to thousandths, but for roundingError. It is applied to what is in use or needed.
 func RoundUp(gpus, cpus float64) Amount {
 	parts := func(x float64) int64 { return int64(math.Ceil(x*partsPerUnit - roundingError)) }
 	return Amount{parts(gpus), parts(cpus)}
