--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -9,7 +9,7 @@
 // takes over the lookup: a job that depends on a cancelled one is cancelled first, and the lookup is indeterminate if
 // this node does not know yet how a dependency ended.
 func (u *userRequests) mayDisclose(id string, job *watchcache.Job, onResult func(lookupResult)) bool {
-	switch u.core.dependencies.graph.Of(id).State {
+	switch u.core.dependencies.graph.Status(id).State {
 	case dependency.Unresolved:
 		onResult(lookupResult{state: lookupIndeterminate})
 		return false
