--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -49,13 +49,13 @@
 			Attempt:      r.Attempt,
 			Machine:      r.Machine,
 			Zone:         r.Zone,
-			Chosen:       r.Chosen,
-			Weighed:      r.Weighed,
-			LoadS:        r.LoadS,
-			LossS:        r.LossS,
-			Warmest:      r.Warmest,
-			WarmestLoadS: r.WarmestLoadS,
-			AvoidedS:     r.AvoidedS,
+			Chosen:       r.PlacedByThisLeader,
+			Weighed:      r.SpreadWeighed,
+			LoadS:        r.ImageLoadS,
+			LossS:        r.ExpectedLossS,
+			Warmest:      r.BestFit,
+			WarmestLoadS: r.BestFitLoadS,
+			AvoidedS:     r.AvoidedLossS,
 		})
 	}
 	return reply, nil
--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/wire"
 )
 
-// checkCapacityIndex checks that each node's capacity index is what it would be if it were built anew.
+// checkCapacityIndex checks that the capacity index of each node equals one that is rebuilt from scratch.
 func (cluster *scaleCluster) checkCapacityIndex() {
 	cluster.test.Helper()
 	for _, node := range cluster.nodes {
@@ -19,7 +19,7 @@
 	}
 }
 
-// fullCluster has a full fleet, and as many tasks that wait.
+// fullCluster returns a cluster whose machines are all in use, with about as many tasks still waiting.
 func fullCluster(t *testing.T, nodes, machines int) *scaleCluster {
 	t.Helper()
 	cluster := newLargeScaleCluster(t, nodes, 0)
@@ -33,8 +33,9 @@
 	return cluster
 }
 
-// TestTakeoverOfFullFleet has a leader take over a full fleet, with heartbeats of all workers at once: the index is that of
-// what runs, nothing is lost, and waiting tasks go on to be placed.
+// TestTakeoverOfFullFleet checks a change of leader on a full fleet, in which all workers send heartbeats to the new
+// leader at once. The new index must match the running tasks, no machine with work may be released, and waiting tasks
+// must continue to be placed.
 func TestTakeoverOfFullFleet(t *testing.T) {
 	cluster := fullCluster(t, 3, 300)
 	running, started := len(cluster.workerByTask), cluster.startedTasks
@@ -44,12 +45,13 @@
 	cluster.runFor(60 * time.Second)
 	cluster.checkCapacityIndex()
 	if running < 2900 || cluster.counts.releasedWithWork > 0 || cluster.startedTasks-started < 10 {
-		t.Errorf("%d tasks, %d machines with work released, %d starts after it", running, cluster.counts.releasedWithWork, cluster.startedTasks-started)
+		t.Errorf("%d tasks ran before the change of leader, %d machines with work were released, %d tasks were started after it; want at least 2900, none, at least 10",
+			running, cluster.counts.releasedWithWork, cluster.startedTasks-started)
 	}
 }
 
-// TestCapacityOfSilentZone partitions a zone and heals it: nothing is placed there meanwhile, and all of its capacity is used
-// afterwards.
+// TestCapacityOfSilentZone checks that nothing is placed in a partitioned zone, and that its capacity is used again
+// after the partition heals.
 func TestCapacityOfSilentZone(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 3, 0)
 	cluster.addMachines(100, "z1", "z2")
@@ -60,20 +62,20 @@
 	cluster.checkCapacityIndex()
 	cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 60, GPUs: 4})
 	cluster.runFor(5 * time.Second)
-	if here, there := cluster.lastJobByZone(); here == 0 || there > 0 {
-		t.Errorf("%d tasks were started, and %d in the zone that is out of reach", here, there)
+	if reachable, partitioned := cluster.lastJobByZone(); reachable == 0 || partitioned > 0 {
+		t.Errorf("%d tasks were started in the reachable zone and %d in the partitioned zone, want some and none", reachable, partitioned)
 	}
 	cluster.isolatedZone = ""
 	cluster.runFor(20 * time.Second)
 	cluster.checkCapacityIndex()
 	cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 400, GPUs: 1})
 	cluster.runFor(10 * time.Second)
-	if here, there := cluster.lastJobByZone(); there == 0 {
-		t.Errorf("%d tasks were started, none in the zone that is back", here)
+	if reachable, partitioned := cluster.lastJobByZone(); partitioned == 0 {
+		t.Errorf("%d tasks were started in the other zone and none in the zone that is reachable again", reachable)
 	}
 }
 
-// lastJobByZone counts the tasks of the last array, in the first zone and in the second one.
+// lastJobByZone returns the number of running tasks of the last submitted array in zone z1 and in all other zones.
 func (cluster *scaleCluster) lastJobByZone() (first, second int) {
 	for task, worker := range cluster.workerByTask {
 		switch {
@@ -87,31 +89,31 @@
 	return first, second
 }
 
-// TestHugeArray places an array of the largest size as far as there is capacity. The number of evaluations depends on the tasks
-// placed, not on those that wait.
-func TestHugeArray(t *testing.T) {
+// TestArrayOfMaximumSize places an array of the maximum size, as far as the capacity and the team limit allow. The
+// number of evaluations must depend on the tasks placed, not on those that wait.
+func TestArrayOfMaximumSize(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 1, 0)
 	cluster.addMachines(400)
 	cluster.runFor(5 * time.Second)
-	n := cluster.nodes[0].core
-	before := n.Evaluations()
+	node := cluster.nodes[0].core
+	before := node.Evaluations()
 	cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: wire.MaxTasks, GPUs: 1})
 	cluster.runFor(20 * time.Second)
 	// The limit of the team is 1,500 tasks.
 	if cluster.startedTasks != 1500 {
-		t.Errorf("%d tasks were started", cluster.startedTasks)
+		t.Errorf("%d tasks were started, want 1500", cluster.startedTasks)
 	}
-	if perStart := float64(n.Evaluations()-before) / float64(cluster.startedTasks); perStart > 100 {
-		t.Errorf("%.0f evaluations for a start", perStart)
+	if perStart := float64(node.Evaluations()-before) / float64(cluster.startedTasks); perStart > 100 {
+		t.Errorf("%.0f evaluations per started task, want at most 100", perStart)
 	}
 	cluster.checkCapacityIndex()
 }
 
-// TestHopelessBacklog has as many jobs wait as there are machines, for which there is no capacity. Each cycle refuses them
-// without evaluating machines for each.
-func TestHopelessBacklog(t *testing.T) {
+// TestUnplaceableBacklog queues twice as many jobs as there are machines, all without capacity for them. A cycle must
+// reject them without an evaluation of all machines for each job.
+func TestUnplaceableBacklog(t *testing.T) {
 	cluster := fullCluster(t, 1, 200)
-	n := cluster.nodes[0].core
+	node := cluster.nodes[0].core
 	const jobs, seconds = 200, 10
 	for range jobs {
 		cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 9}) // more than any machine has
@@ -119,14 +121,14 @@
 		cluster.runFor(20 * time.Millisecond)
 	}
 	cluster.runFor(2 * time.Second)
-	before, started := n.Evaluations(), cluster.startedTasks
+	before, started := node.Evaluations(), cluster.startedTasks
 	cluster.runFor(seconds * time.Second)
-	spent := n.Evaluations() - before
-	t.Logf("%d evaluations, %d starts", spent, cluster.startedTasks-started)
-	// Eight cycles a second at the most, each with a few evaluations for each of two kinds of jobs of a team: among them
-	// one for every four jobs that could be shrunk.
-	if most := seconds * 8 * 2 * len(cluster.lastSettings.Params.Teams) * 40; spent > most || cluster.startedTasks > started {
-		t.Errorf("%d evaluations in %d s for a backlog of %d, more than %d", spent, seconds, 2*jobs, most)
+	evaluations := node.Evaluations() - before
+	t.Logf("%d evaluations, %d starts", evaluations, cluster.startedTasks-started)
+	// At most eight cycles a second, and two kinds of jobs for each team. Each kind costs a few evaluations, and one
+	// for every four jobs that could be shrunk.
+	if maxEvaluations := seconds * 8 * 2 * len(cluster.lastSettings.Params.Teams) * 40; evaluations > maxEvaluations || cluster.startedTasks > started {
+		t.Errorf("%d evaluations in %d s for a backlog of %d jobs, want at most %d and no starts", evaluations, seconds, 2*jobs, maxEvaluations)
 	}
 	cluster.checkCapacityIndex()
 }
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -12,41 +12,41 @@
 	"bitternwing/internal/wire"
 )
 
-// capacityPlan is what the fleet lacks and what it has too much of. The provisioner carries it out.
+// capacityPlan lists the machines to request and those to release. The provisioner carries it out.
 type capacityPlan struct {
 	scaleOut []scaleOutDemand
 	scaleIn  []*machine
 }
 
-// scaleOutDemand is a number of machines of a group that are missing.
+// scaleOutDemand is a number of missing machines of a group.
 type scaleOutDemand struct {
 	capacity.Group
 	count int
 }
 
-// plannerInput is what a capacity plan is made from, besides the scheduling cycle that found unmet demand.
+// plannerInput is the input of the planner in addition to the unmet demand of a scheduling cycle.
 type plannerInput struct {
-	machines []*machine         // all, by name
+	machines []*machine         // all machines, by name
 	pending  []*scaleOutRequest // sent to the cloud and not answered yet
-	// unavailable tells for which groups no machines are to be requested now.
+	// unavailable reports whether machines of a group must not be requested now.
 	unavailable func(capacity.Group) bool
-	overloaded  bool    // this node could not answer more machines
-	spareShare  float64 // of what services use, to be kept free for more of them
-	idleBoots   float64 // how long an idle machine is kept, in times of its boot
+	overloaded  bool    // this node could not handle the heartbeats of more machines
+	spareShare  float64 // headroom to keep, as a share of the GPUs of services
+	idleBoots   float64 // how long an idle machine is kept, in boot times
 }
 
-// capacityPlanner plans how many machines to scale out, by first-fit bin packing of the unmet demand into those that are
-// to come, and which idle ones to scale in. It reaches neither the cloud nor the store.
+// capacityPlanner decides how many machines to request, by first-fit bin packing of the unmet demand into upcoming
+// machines, and which idle machines to release. It uses neither the cloud nor the store.
 type capacityPlanner struct {
 	plannerInput
 	cycle                *schedulingCycle
 	upcoming             []*plannedMachine
-	machinesByGroup      map[capacity.Group]int // those that there are, and those to come
+	machinesByGroup      map[capacity.Group]int // existing and upcoming machines
 	zonesByJob           map[*job]map[string]int
-	pendingArrayMachines float64 // what is left of array work that is not worth a machine yet, in machines
+	pendingArrayMachines float64 // array work that does not justify a machine yet, in machines
 }
 
-// plannedMachine is a machine to come: booting, requested, or planned.
+// plannedMachine is an upcoming machine: booting, requested or planned.
 type plannedMachine struct {
 	capacity.Group
 	machineType *wire.MachineType
@@ -58,22 +58,22 @@
 	return &plannedMachine{Group: group, machineType: machineType, free: resource.OfMachine(machineType)}
 }
 
-// planCapacity scales the fleet out and in after a scheduling cycle.
+// planCapacity plans and starts scale-out and scale-in after a scheduling cycle.
 func (l *leader) planCapacity(cycle *schedulingCycle) {
-	t := &l.provisioner
-	if !t.reconciled() {
+	p := &l.provisioner
+	if !p.reconciled() {
 		return
 	}
-	t.dropUnsentRequests()
+	p.dropUnsentRequests()
 	planner := newCapacityPlanner(cycle, plannerInput{
 		machines:    l.machinesByName,
-		pending:     t.requests,
-		unavailable: t.unavailable,
+		pending:     p.requests,
+		unavailable: p.unavailable,
 		overloaded:  l.core.overloaded(),
 		spareShare:  l.core.operator.SpareShare,
 		idleBoots:   l.core.operator.IdleBoots,
 	})
-	t.apply(planner.plan())
+	p.applyPlan(planner.plan())
 }
 
 func newCapacityPlanner(cycle *schedulingCycle, input plannerInput) *capacityPlanner {
@@ -83,11 +83,12 @@
 	return p
 }
 
-// overdueBoots is after how many times its boot time a machine is not counted on any more: what it should have taken is
-// not left waiting for it.
+// overdueBoots is the time since its request, in boot times, after which a machine without a heartbeat no longer counts
+// as upcoming, so that tasks do not keep waiting for it.
 const overdueBoots = 1.5
 
-// addBooting counts the machines that there are, and packs into those that have yet to send a first heartbeat.
+// addBooting counts the existing machines by group, and adds those that have not sent a heartbeat yet to the upcoming
+// ones.
 func (p *capacityPlanner) addBooting() {
 	for _, m := range p.machines {
 		if m.machineType == nil || m.releasing {
@@ -101,7 +102,7 @@
 	}
 }
 
-// addPending counts the machines that were requested.
+// addPending adds the requested machines to the upcoming ones.
 func (p *capacityPlanner) addPending() {
 	for _, request := range p.pending {
 		machineType := p.cycle.params.fleet.machineType(request.Type)
@@ -115,7 +116,8 @@
 	}
 }
 
-// plan packs all that found no machine, and makes a plan of what is missing then.
+// plan packs all unmet demand into upcoming machines, and returns a plan for the machines that are still missing and
+// those that are surplus.
 func (p *capacityPlanner) plan() capacityPlan {
 	counted := map[*job]int{}
 	for _, demand := range p.cycle.unmetDemand {
@@ -131,7 +133,7 @@
 	return capacityPlan{scaleOut: p.unrequested(), scaleIn: p.surplusMachines()}
 }
 
-// packDemand packs the tasks of an unmet demand, as far as there are machine types for them.
+// packDemand packs the tasks of an unmet demand until no machine type can hold them.
 func (p *capacityPlanner) packDemand(demand unmetDemand) {
 	for range demand.tasks {
 		if !p.pack(demand.job, demand.job.spec.Spot) && !p.pack(demand.job, false) {
@@ -140,9 +142,9 @@
 	}
 }
 
-// pack packs a task into the first machine to come that holds it, and plans one if there is none.
+// pack assigns a task to the first upcoming machine that can hold it, and plans a new machine if there is none.
 func (p *capacityPlanner) pack(j *job, spot bool) bool {
-	p.cycle.evaluations -= len(p.upcoming) / checksPerEvaluation
+	p.cycle.evaluationsLeft -= len(p.upcoming) / checksPerEvaluation
 	for _, m := range p.upcoming {
 		if p.fits(j, m) {
 			p.assign(m, j)
@@ -166,7 +168,7 @@
 	p.zonesOf(j)[m.Zone]++
 }
 
-// zonesOf counts a job's tasks by zone: those that are placed, and those that were packed.
+// zonesOf returns the number of a job's tasks in each zone, both placed and packed.
 func (p *capacityPlanner) zonesOf(j *job) map[string]int {
 	zones := p.zonesByJob[j]
 	if zones == nil {
@@ -176,7 +178,8 @@
 	return zones
 }
 
-// mayRunOn tells whether a job's next task may run on machines of a group, given where its other tasks are or will be.
+// mayRunOn reports whether a job's next task may run on machines of a group, given the zones of its other tasks, both
+// placed and packed.
 func (p *capacityPlanner) mayRunOn(j *job, group capacity.Group) bool {
 	s := j.spec
 	if group.Spot && !s.Spot || s.Zone != "" && s.Zone != group.Zone || !allowsType(s, group.Type) {
@@ -192,8 +195,8 @@
 	return !s.SpreadZones || zones[group.Zone] < (s.Tasks+1)/2
 }
 
-// planMachine plans a new machine for a task: of the machine type that holds it at the lowest price per GPU, in the zone
-// with the fewest machines of that group; nil if there is none.
+// planMachine plans a new machine for a task. It takes the machine type with the lowest price per GPU that can hold the
+// task, in the zone with the fewest machines of the group. It returns nil if there is none.
 func (p *capacityPlanner) planMachine(j *job, spot bool) *plannedMachine {
 	if p.overloaded {
 		return nil
@@ -227,7 +230,7 @@
 	return best
 }
 
-// pricePerGPU is a machine type's price for each GPU, or for all of it if it has none.
+// pricePerGPU returns the price of a machine type per GPU, or its whole price if it has no GPU.
 func pricePerGPU(machineType *wire.MachineType, spot bool) float64 {
 	price := machineType.Price
 	if spot {
@@ -236,14 +239,14 @@
 	return price / max(1, machineType.GPUs)
 }
 
-// undoLastMachine takes back the machine that was planned last.
-func (p *capacityPlanner) undoLastMachine(m *plannedMachine) {
+// removeLastMachine removes the machine that was planned last.
+func (p *capacityPlanner) removeLastMachine(m *plannedMachine) {
 	p.upcoming = p.upcoming[:len(p.upcoming)-1]
 	p.machinesByGroup[m.Group]--
 }
 
-// planArray plans machines for so many more tasks of an array. A machine costs its boot time before it is of use, so one
-// is requested only for about as much work as that.
+// planArray plans machines for additional tasks of an array. A machine is of no use while it boots, so one is requested
+// only if there is enough work in proportion to its boot time.
 func (p *capacityPlanner) planArray(j *job, tasks int) {
 	if used := p.cycle.usage.Of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
 		tasks = min(tasks, int((j.team.MaxGPUs-used.GPUs)/j.spec.GPUs))
@@ -261,15 +264,15 @@
 				break
 			}
 			tasks -= p.fillNew(m, j, tasks)
-			if !p.worthMachine(j, m) {
-				p.undoLastMachine(m)
+			if !p.justifiesMachine(j, m) {
+				p.removeLastMachine(m)
 				return
 			}
 		}
 	}
 }
 
-// fill packs up to so many tasks of a job into a machine, and gives how many.
+// fill packs up to the given number of tasks of a job into a machine, and returns how many fit.
 func (p *capacityPlanner) fill(m *plannedMachine, j *job, tasks int) int {
 	packed := 0
 	for packed < tasks && p.fits(j, m) {
@@ -279,8 +282,9 @@
 	return packed
 }
 
-// fillNew packs up to so many tasks of a job into a machine that was planned for it, and gives how many. The zone was
-// checked for the first of them only (planMachine); the scheduling cycle does it again for each.
+// fillNew packs up to the given number of tasks of a job into a machine that was just planned for it, and returns how
+// many fit. The zone constraints were checked by planMachine for the first task only; the scheduling cycle checks them
+// for each task.
 func (p *capacityPlanner) fillNew(m *plannedMachine, j *job, tasks int) int {
 	packed := 0
 	for packed < tasks && m.free.Covers(resource.OfTask(j.spec)) {
@@ -290,27 +294,28 @@
 	return packed
 }
 
-// minMachineWork is the work of arrays, in boot times of a machine, from which on another machine is worth it.
-const minMachineWork = 0.5
+// minMachineWorkBoots is the amount of array work, in boot times of a machine, that justifies another machine.
+const minMachineWorkBoots = 0.5
 
-// worthMachine tells whether the work of arrays so far, with that of a job on a new machine, is worth that machine.
-func (p *capacityPlanner) worthMachine(j *job, m *plannedMachine) bool {
+// justifiesMachine reports whether the array work collected so far, including that of a job on a new machine, justifies
+// the machine.
+func (p *capacityPlanner) justifiesMachine(j *job, m *plannedMachine) bool {
 	share := 1 - m.free.GPUs/max(1, m.machineType.GPUs)
 	work := share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
 	p.pendingArrayMachines += work
 	if !m.Spot && j.spec.Spot {
-		// An on-demand machine in place of a spot one has to be worth more.
+		// An on-demand machine instead of a spot machine needs more work to be justified.
 		p.pendingArrayMachines -= work * (1 - m.machineType.SpotPrice/m.machineType.Price)
 	}
-	if p.pendingArrayMachines < minMachineWork {
+	if p.pendingArrayMachines < minMachineWorkBoots {
 		return false
 	}
 	p.pendingArrayMachines--
 	return true
 }
 
-// unrequested counts the planned machines by group. What is missing most goes first where the cloud's rate limit makes
-// the rest wait.
+// unrequested returns the number of planned machines by group, the largest first, since the cloud's rate limit may
+// delay the later requests.
 func (p *capacityPlanner) unrequested() []scaleOutDemand {
 	var demands []scaleOutDemand
 	indexes := map[capacity.Group]int{}
@@ -330,8 +335,8 @@
 	return demands
 }
 
-// idleLongEnough tells whether a machine has been idle for as long as it is kept: for about as long as another one takes
-// to boot.
+// idleLongEnough reports whether a machine has been idle for the time that idle machines are kept, which is a multiple
+// of the boot time of a replacement.
 func (p *capacityPlanner) idleLongEnough(m *machine, now time.Duration) bool {
 	if m.schedulable == nil || len(m.placementsInOrder) > 0 || len(m.orphanedTasks) > 0 || m.releasing {
 		return false
--- a/internal/core/capacity_planner_test.go
+++ b/internal/core/capacity_planner_test.go
@@ -18,19 +18,19 @@
 
 func (s plannerState) jobsToRun() []*job { return s.jobs }
 
-// plannerCatalog has a machine type of four GPUs that is cheaper per GPU than the one of eight.
+// plannerCatalog has a machine type with four GPUs that is cheaper per GPU than the type with eight.
 var plannerCatalog = []wire.MachineType{
 	{Name: "large", GPUs: 8, CPUs: 32, MemoryGB: 256, Price: 9, SpotPrice: 5, BootS: 60, CacheGB: 100, Zones: []string{"z1", "z2"}},
 	{Name: "small", GPUs: 4, CPUs: 16, MemoryGB: 128, Price: 4, SpotPrice: 1, BootS: 60, CacheGB: 100, Zones: []string{"z1", "z2"}},
 }
 
-// plannedJob makes a job without placements.
+// plannedJob returns a job without placements.
 func plannedJob(spec wire.Job) *job {
 	spec.Team = "t"
 	return &job{id: spec.ID, spec: &spec, team: &config.Team{Name: "t"}, placementsByZone: map[string]int{}}
 }
 
-// planFor plans for jobs of which no task found a machine.
+// planFor returns the plan for jobs none of whose tasks found a machine.
 func planFor(input plannerInput, jobs ...*job) capacityPlan {
 	params := cycleParams{now: time.Hour, fleet: fleetView{catalog: plannerCatalog}}
 	cycle := newSchedulingCycle(plannerState{jobs: jobs}, params)
@@ -61,24 +61,24 @@
 		jobs  []*job
 		want  []scaleOutDemand
 	}{
-		"two tasks on a machine":          {plannerInput{}, []*job{service(4, 2)}, []scaleOutDemand{{small("z1", false), 1}, {small("z2", false), 1}}},
-		"only the large type holds it":    {plannerInput{}, []*job{service(1, 6)}, []scaleOutDemand{{capacity.Group{Type: "large", Zone: "z1"}, 1}}},
-		"no type holds it":                {plannerInput{}, []*job{service(1, 9)}, nil},
-		"spread over zones":               {plannerInput{}, []*job{spread}, []scaleOutDemand{{small("z1", false), 2}, {small("z2", false), 2}}},
-		"spot":                            {plannerInput{}, []*job{spot}, []scaleOutDemand{{small("z1", true), 1}, {small("z2", true), 1}}},
-		"a controller that is overloaded": {plannerInput{overloaded: true}, []*job{service(4, 2)}, nil},
-		"a zone that is unavailable": {plannerInput{unavailable: func(g capacity.Group) bool { return g.Zone == "z1" }}, []*job{service(2, 4)},
+		"two tasks per machine":    {plannerInput{}, []*job{service(4, 2)}, []scaleOutDemand{{small("z1", false), 1}, {small("z2", false), 1}}},
+		"only the large type fits": {plannerInput{}, []*job{service(1, 6)}, []scaleOutDemand{{capacity.Group{Type: "large", Zone: "z1"}, 1}}},
+		"no type fits":             {plannerInput{}, []*job{service(1, 9)}, nil},
+		"spread over zones":        {plannerInput{}, []*job{spread}, []scaleOutDemand{{small("z1", false), 2}, {small("z2", false), 2}}},
+		"spot":                     {plannerInput{}, []*job{spot}, []scaleOutDemand{{small("z1", true), 1}, {small("z2", true), 1}}},
+		"overloaded controller":    {plannerInput{overloaded: true}, []*job{service(4, 2)}, nil},
+		"unavailable zone": {plannerInput{unavailable: func(g capacity.Group) bool { return g.Zone == "z1" }}, []*job{service(2, 4)},
 			[]scaleOutDemand{{small("z2", false), 2}}},
-		"a request is pending": {plannerInput{pending: []*scaleOutRequest{{Group: small("z2", false), count: 1}}}, []*job{service(3, 2)},
+		"pending request": {plannerInput{pending: []*scaleOutRequest{{Group: small("z2", false), count: 1}}}, []*job{service(3, 2)},
 			[]scaleOutDemand{{small("z1", false), 1}}},
 	} {
 		if plan := planFor(c.input, c.jobs...); !slices.Equal(plan.scaleOut, c.want) || len(plan.scaleIn) > 0 {
-			t.Errorf("%s: %+v, not %+v", name, plan.scaleOut, c.want)
+			t.Errorf("%s: scale-out of %+v, want %+v and no scale-in", name, plan.scaleOut, c.want)
 		}
 	}
 }
 
-// TestPlannerPlansArrays requests machines for an array only if its work is worth their boot time.
+// TestPlannerPlansArrays checks that machines are requested for an array only if the work justifies their boot time.
 func TestPlannerPlansArrays(t *testing.T) {
 	for _, c := range []struct {
 		runS     float64
@@ -90,12 +90,13 @@
 			machines += demand.count
 		}
 		if machines != c.machines {
-			t.Errorf("%d machines for tasks of %g s, not %d", machines, c.runS, c.machines)
+			t.Errorf("%d machines for tasks of %g s, want %d", machines, c.runS, c.machines)
 		}
 	}
 }
 
-// TestPlannerScalesIn releases idle machines, those with the smallest image cache first, and keeps the headroom.
+// TestPlannerScalesIn checks that idle machines are released in the order of their image cache contents, the smallest
+// first, and that the headroom is kept.
 func TestPlannerScalesIn(t *testing.T) {
 	idle := func(name string, spot bool, cachedGB float64) *machine {
 		m := &machine{name: name, typeName: "small", zone: "z1", spot: spot, machineType: &plannerCatalog[1], reported: true}
@@ -108,13 +109,13 @@
 		return m
 	}
 	busyService := plannedJob(wire.Job{ID: "run-1", Kind: wire.KindService, Tasks: 1, GPUs: 4})
-	busyService.done = 1 // it lacks nothing, and counts for the headroom
+	busyService.done = 1 // complete, but counted for the headroom
 	machines := []*machine{idle("a", false, 8), idle("b", false, 0), idle("c", true, 0)}
 	plan := planFor(plannerInput{machines: machines, spareShare: 0.1, idleBoots: 1}, busyService)
 	if want := []*machine{machines[1], machines[2]}; !slices.Equal(plan.scaleIn, want) {
-		t.Errorf("%d machines are scaled in, not b and c", len(plan.scaleIn))
+		t.Errorf("%d machines are scaled in, want b and c", len(plan.scaleIn))
 	}
 	if plan := planFor(plannerInput{machines: machines, spareShare: 0.1, idleBoots: 100}, busyService); len(plan.scaleIn) > 0 {
-		t.Errorf("%d machines are scaled in that have not been idle for long", len(plan.scaleIn))
+		t.Errorf("%d machines are scaled in before they have been idle long enough", len(plan.scaleIn))
 	}
 }
--- a/internal/core/cloud_calls.go
+++ b/internal/core/cloud_calls.go
@@ -4,7 +4,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Calls of the cloud.
+// The effects that call the cloud.
 
 // CloudCatalog reads the machine types.
 type CloudCatalog struct{ CallID uint64 }
@@ -21,7 +21,7 @@
 	Names  []string
 }
 
-// CloudList reads a page of the machines that the cloud lists.
+// CloudList reads a page of the cloud's list of machines, which starts after the machine named by After.
 type CloudList struct {
 	CallID uint64
 	After  string
--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -8,8 +8,8 @@
 	"bitternwing/internal/wire"
 )
 
-// runList begins to read the cloud's list when that is due, and goes on with its pages as the rate limit allows: a large
-// fleet has more of them than may be requested in a second.
+// runList starts to read the cloud's list when it is due, and continues with the next pages as the rate limit allows.
+// The list of a large fleet has more pages than may be requested in a second.
 func (p *provisioner) runList() {
 	now := p.leader.core.now.Steady
 	switch {
@@ -28,8 +28,9 @@
 	}
 }
 
-// requestListPage requests a page of the cloud's list. One that the rate limit refused is requested again; after any other
-// failure the list is read from its beginning when the next one is due.
+// requestListPage requests the page of the cloud's list after the given machine. A page other than the first is
+// requested again if the rate limit refused it. After any other failure, the list is read from the beginning at the
+// next due time.
 func (p *provisioner) requestListPage(after string) {
 	l := p.leader
 	p.listInFlight = true
@@ -48,105 +49,107 @@
 	l.core.emit(CloudList{CallID: id, After: after})
 }
 
-// applyListPage takes in a page of the list, and the end of the list after the last one.
+// applyListPage applies a page of the list. After the last page, it removes machines that are missing from the list.
 func (p *provisioner) applyListPage(page []wire.Machine, more bool) {
 	for i := range page {
 		p.listedNames[page[i].Name] = true
-		p.applyListed(&page[i])
+		p.applyListEntry(&page[i])
 	}
 	if n := len(page); more && n > 0 {
 		p.nextPage = page[n-1].Name
 		return
 	}
-	p.listRead = true
-	p.findAbsent()
+	p.listComplete = true
+	p.removeUnlisted()
 	p.leader.requestCycle()
 }
 
-// applyListed takes in an entry of the cloud's list.
-func (p *provisioner) applyListed(e *wire.Machine) {
+// applyListEntry applies an entry of the cloud's list.
+func (p *provisioner) applyListEntry(entry *wire.Machine) {
 	l, c := p.leader, p.leader.core
 	now := c.now.Steady
-	if at, was := l.releasedMachines[e.Name]; was {
-		if now-at < releasedListLags*c.times.listLag {
-			return // the list lags
+	if releasedAt, released := l.releasedMachines[entry.Name]; released {
+		if now-releasedAt < releasedListLags*c.times.listLag {
+			return // the list lags behind the release
 		}
-		delete(l.releasedMachines, e.Name)
+		delete(l.releasedMachines, entry.Name)
 	}
-	if e.State == wire.MachineFailed {
-		if m := l.machines[e.Name]; m != nil {
+	if entry.State == wire.MachineFailed {
+		if m := l.machines[entry.Name]; m != nil {
 			l.removeMachine(m, "failed")
 		} else {
-			l.releasedMachines[e.Name] = now
+			l.releasedMachines[entry.Name] = now
 		}
-		p.scaleInQueue = append(p.scaleInQueue, e.Name)
+		p.scaleInQueue = append(p.scaleInQueue, entry.Name)
 		return
 	}
-	_, known := l.machines[e.Name]
-	m := l.machineNamed(e.Name)
+	_, known := l.machines[entry.Name]
+	m := l.machineNamed(entry.Name)
 	if !known {
-		c.log(Info, "worker found in cloud list", "worker", e.Name, "state", e.State)
+		c.log(Info, "worker found in cloud list", "worker", entry.Name, "state", entry.State)
 	}
 	if !m.inCloudList {
 		m.inCloudList, m.listedAt = true, now
-		m.requestedAt = min(m.requestedAt, now-config.Seconds(e.AgeS))
+		m.requestedAt = min(m.requestedAt, now-config.Seconds(entry.AgeS))
 	}
-	m.setIdentity(e.Type, e.Zone, e.Addr, e.Spot)
+	m.setIdentity(entry.Type, entry.Zone, entry.Addr, entry.Spot)
 	m.missedLists = 0
 }
 
 const (
-	// releasedListLags is for how many lags of the cloud's list a machine may be listed that was released.
+	// releasedListLags is the time, in list lags, for which a released machine may still be listed.
 	releasedListLags = 10
-	// settledListLags is after how many lags a machine that exists must be listed.
+	// settledListLags is the time, in list lags, after which an existing machine must be listed.
 	settledListLags = 3
-	// missedListsGone is how many complete lists in a row lack a machine that is gone.
-	missedListsGone = 2
-	// maxReleasedMachines and releasedLeases bound the memory of released machines.
-	maxReleasedMachines = 1000
-	releasedLeases      = 30
+	// missedListsForRemoval is the number of consecutive complete lists without a machine after which the machine
+	// counts as gone.
+	missedListsForRemoval = 2
+	// maxReleasedMachines and releasedRetentionLeases bound the record of released machines: above this number of
+	// entries, those older than this many leases are deleted.
+	maxReleasedMachines     = 1000
+	releasedRetentionLeases = 30
 )
 
-// findAbsent removes machines that are not in the cloud's list any more. A list may describe a moment up to twice the lag
-// ago, and one list may be older than the one before. So a machine counts as gone only if the list was requested well
-// after it must have been listed, and if several lists in a row lack it.
-func (p *provisioner) findAbsent() {
+// removeUnlisted removes machines that are no longer in the cloud's list. A list may describe the state up to twice the
+// lag ago, and may be older than the previous list. A machine therefore counts as gone only if the list was requested
+// well after the machine must have been listed, and if several consecutive lists lack it.
+func (p *provisioner) removeUnlisted() {
 	l := p.leader
 	for _, m := range slices.Clone(l.machinesByName) {
 		if p.listedNames[m.name] || !p.mustBeListed(m) {
 			continue
 		}
 		m.missedLists++
-		if m.missedLists >= missedListsGone {
-			l.removeMachine(m, "no longer listed")
+		if m.missedLists >= missedListsForRemoval {
+			l.removeMachine(m, "missing from cloud list")
 		}
 	}
-	p.forgetReleased()
+	p.pruneReleased()
 }
 
-// mustBeListed tells whether a machine would be in the list that was read, if it still existed. One that sends heartbeats
-// exists.
+// mustBeListed reports whether an existing machine would have to be in the list that was read. A machine that sends
+// heartbeats exists, whether listed or not.
 func (p *provisioner) mustBeListed(m *machine) bool {
 	c := p.leader.core
-	known := m.firstSeen
+	knownSince := m.firstSeen
 	if m.inCloudList {
-		known = m.listedAt
+		knownSince = m.listedAt
 	}
 	settled := settledListLags * c.times.listLag
-	if p.listStartedAt < known+settled {
+	if p.listStartedAt < knownSince+settled {
 		return false
 	}
 	return !m.reported || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= settled
 }
 
-// forgetReleased forgets machines that were released long ago, once there are many.
-func (p *provisioner) forgetReleased() {
+// pruneReleased deletes old entries from the record of released machines once there are many.
+func (p *provisioner) pruneReleased() {
 	l, c := p.leader, p.leader.core
 	if len(l.releasedMachines) <= maxReleasedMachines {
 		return
 	}
-	for name, at := range l.releasedMachines {
-		if c.now.Steady-at > releasedLeases*c.times.lease {
+	for name, releasedAt := range l.releasedMachines {
+		if c.now.Steady-releasedAt > releasedRetentionLeases*c.times.lease {
 			delete(l.releasedMachines, name)
 		}
 	}
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -6,20 +6,20 @@
 	"bitternwing/internal/config"
 )
 
-// cycleTimer says when scheduling cycles run: regularly, and soon after something changed. They share a budget of
-// evaluations (of a machine for a task), which refills with time. A cycle that runs out of it is continued by the next
-// one.
+// cycleTimer determines when scheduling cycles run: at a regular interval, and shortly after a change. The cycles share
+// a budget of evaluations of a machine for a task, which refills with time. A cycle that exhausts the budget is
+// continued by the next one.
 type cycleTimer struct {
 	nextAt           time.Duration
 	lastAt           time.Duration
-	evaluationsLeft  float64       // below 0 it is a debt, which the next cycle has to wait for
-	minPause         time.Duration // before the next cycle at least, after one that ran out
+	evaluationsLeft  float64       // negative while the budget is overdrawn, which delays the next cycle
+	minPause         time.Duration // minimum time before the next cycle, after one that ran out of budget
 	evaluationsSpent int           // in this term
-	resumeFrom       *job          // where the last cycle stopped in the order of minimums; nil: it came through
+	resumeFrom       *job          // job at which the last cycle stopped, in the order of minimums; nil if it completed
 }
 
-// requestCycle asks for a cycle soon. That is a recorded exception to the cycle interval of the design, for starts that
-// are due within seconds.
+// requestCycle requests a cycle soon, ahead of the regular cycle interval. Some starts are due within seconds, which
+// the interval alone would not allow.
 func (l *leader) requestCycle() {
 	l.changes.observe()
 	if !l.core.operator.EventDrivenCycles {
@@ -29,8 +29,8 @@
 	l.cycles.nextAt = min(l.cycles.nextAt, l.cycles.lastAt+max(gap, l.cycles.minPause))
 }
 
-// pauseAfter is the time to the next cycle after one that ran out of budget. Where only the bound of a single cycle was
-// reached, the next one follows soon.
+// pauseAfter returns the time to the next cycle after one that ran out of budget. If only the bound on a single cycle
+// was reached, the next one follows after the minimum gap.
 func (t *cycleTimer) pauseAfter(c *Core) time.Duration {
 	if t.evaluationsLeft > 0 {
 		return c.times.minCycleGap
@@ -39,31 +39,34 @@
 	return min(max(c.times.checkInterval/2, debt), c.times.cycleInterval)
 }
 
-// evaluationsPerSecond is what the operators' share of the processor allows.
+// evaluationsPerSecond returns the rate of evaluations that fits into the share of processor time configured for
+// scheduling cycles.
 func (c *Core) evaluationsPerSecond() float64 {
 	return c.operator.CycleBudget * c.settings.Params.Limits.CPUShare / c.evaluationCost.Seconds()
 }
 
 const (
-	// cyclesPerCheckInterval is how many cycles fit into a check interval if each is as long as a single one may be: a
-	// cycle must not keep heartbeats and users waiting.
+	// cyclesPerCheckInterval is the number of cycles of maximum length that fit into a check interval. The bound keeps
+	// a single cycle from delaying heartbeats and user requests.
 	cyclesPerCheckInterval = 30
-	// checksPerEvaluation is how many simple checks of a list's entries count as one evaluation.
+	// checksPerEvaluation is the number of simple checks of list entries that count as one evaluation.
 	checksPerEvaluation = 4
-	// evaluationsPerVictim is what each instance that could be preempted counts as in the selection of victims.
+	// evaluationsPerVictim is the number of evaluations charged for each preemptible instance when victims are
+	// selected.
 	evaluationsPerVictim = 4
-	// minCycleEvaluations is what each cycle may make, whatever is left of the budget.
+	// minCycleEvaluations is the number of evaluations that each cycle may make even if the budget is used up.
 	minCycleEvaluations = 32
 )
 
-// cycleBudget gives the number of evaluations that a cycle may make: the operators' share of the processor over the time
-// since the last cycle, at most that of a check interval, and no more than a single cycle may take.
+// cycleBudget returns the number of evaluations that a cycle may make: what has accrued since the last cycle, capped at
+// one check interval of evaluations and at the bound on a single cycle.
 func (l *leader) cycleBudget() int {
 	rate := l.core.evaluationsPerSecond()
 	timer := &l.cycles
 	refilled := timer.evaluationsLeft + rate*(l.core.now.Steady-timer.lastAt).Seconds()
 	timer.evaluationsLeft = min(rate*l.core.times.checkInterval.Seconds(), refilled)
-	timer.evaluationsLeft = max(timer.evaluationsLeft, -rate*l.core.times.cycleInterval.Seconds()) // no debt outlasts the next regular cycle
-	mostOfOne := l.core.times.checkInterval.Seconds() / cyclesPerCheckInterval / l.core.evaluationCost.Seconds()
-	return max(minCycleEvaluations, int(min(timer.evaluationsLeft, mostOfOne)))
+	// An overdraft is limited to what accrues until the next regular cycle.
+	timer.evaluationsLeft = max(timer.evaluationsLeft, -rate*l.core.times.cycleInterval.Seconds())
+	maxPerCycle := l.core.times.checkInterval.Seconds() / cyclesPerCheckInterval / l.core.evaluationCost.Seconds()
+	return max(minCycleEvaluations, int(min(timer.evaluationsLeft, maxPerCycle)))
 }
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -9,45 +9,44 @@
 	"bitternwing/internal/wire"
 )
 
-// cycleState is what the scheduling cycle reaches of the leader: the jobs that are to run and what becomes of their tasks.
-// It reaches neither the store nor workers nor the cloud: what a cycle decides is written by the writer, and sent only
-// once it is written.
+// cycleState is the part of the leader that a scheduling cycle uses: the jobs to run, and operations on their
+// placements. It gives no access to the store, the workers or the cloud. The writer persists the decisions of a cycle,
+// and commands are sent only after that.
 type cycleState interface {
-	// jobsToRun gives the jobs in the order of their submission.
+	// jobsToRun returns the jobs in the order of submission.
 	jobsToRun() []*job
-	// nextTask gives the lowest task from a number on that is neither done nor placed; -1 if there is none.
+	// nextTask returns the lowest task number, starting at from, that is neither done nor placed; -1 if there is none.
 	nextTask(j *job, from int) int
-	// assignAttempt gives the number of a task's next attempt, and withdrawAttempt takes the last one back.
+	// assignAttempt returns the number of the next attempt at a task, and withdrawAttempt takes that number back.
 	assignAttempt(j *job, task int) uint64
 	withdrawAttempt(p *placement)
-	// persist has the placement of a task written.
+	// persist schedules the record of a task to be written.
 	persist(j *job, task int)
-	// avoidsMachine tells whether a job should rather not be tried on a machine again.
+	// avoidsMachine reports whether a job should not be tried again on a machine because of earlier failures.
 	avoidsMachine(j *job, m *machine) bool
-	// updateCapacityIndex updates a machine in the index after a change of its free resources.
-	updateCapacityIndex(h *schedulableMachine)
-	// endPlacement ends a placement of which nothing was sent.
+	// updateCapacityIndex updates a machine in the capacity index after a change of its free resources.
+	updateCapacityIndex(changed *schedulableMachine)
+	// endPlacement ends a placement for which no command was sent.
 	endPlacement(p *placement)
-	// dispatch has commands sent to a machine at once.
+	// dispatch schedules commands to be sent to a machine at once.
 	dispatch(m *machine)
-	// logPreempted logs that a task is stopped for a job.
+	// logPreempted logs that a task is preempted for a job.
 	logPreempted(p *placement, by *job)
 }
 
-// cycleParams are the time, the settings and the rest of what a scheduling cycle decides by. None of it changes during
-// the cycle.
+// cycleParams are the time, the settings and the fleet of a scheduling cycle. They are constant during the cycle.
 type cycleParams struct {
-	now              time.Duration // on the steady clock
+	now              time.Duration // steady clock
 	wallMS           int64         // Unix time in milliseconds
 	objectives       []config.Objective
 	spread           config.Spread
-	lossDetection    time.Duration // after which the loss of a machine is noticed for certain
-	resumeFrom       *job          // where the last cycle ran out of its budget; nil: it did not
+	lossDetection    time.Duration // time by which the loss of a machine is certain to be detected
+	resumeFrom       *job          // job at which the previous cycle ran out of budget; nil if it completed
 	fleet            fleetView
 	evaluationBudget int
 }
 
-// lossDetectionLeases is after how many leases of workers a machine's loss is noticed for certain.
+// lossDetectionLeases is the time, in worker leases, by which the loss of a machine is certain to be detected.
 const lossDetectionLeases = 1.1
 
 func (l *leader) cycleParams(evaluationBudget int) cycleParams {
@@ -72,7 +71,7 @@
 
 func (l *leader) withdrawAttempt(p *placement) { l.records.withdrawAttempt(p) }
 
-// refreshCapacityIndex brings the capacity index up to date for a cycle.
+// refreshCapacityIndex brings the capacity index up to date before a cycle.
 func (l *leader) refreshCapacityIndex() { l.schedulable.refresh(l.machinesByName) }
 
 func (l *leader) updateCapacityIndex(changed *schedulableMachine) { l.schedulable.update(changed) }
@@ -84,10 +83,10 @@
 func (l *leader) dispatch(m *machine) { l.dispatcher.add(m) }
 
 func (l *leader) logPreempted(p *placement, by *job) {
-	l.core.log(Debug, "task preempted", "task", p.name(), "for", by.id)
+	l.core.log(Debug, "task preempted", "task", p.name(), "preempted_by", by.id)
 }
 
-// fleetView is the machines that may be given tasks, and the machine types.
+// fleetView is the catalog of machine types and the index of the machines that may be given tasks.
 type fleetView struct {
 	catalog []wire.MachineType
 	index   *capacity.Index[*schedulableMachine]
@@ -97,7 +96,7 @@
 	return fleetView{catalog: l.core.catalog.types, index: l.schedulable.index}
 }
 
-// machineType gives a type by name; nil if there is none.
+// machineType returns a machine type by name; nil if there is none.
 func (f fleetView) machineType(name string) *wire.MachineType {
 	for i := range f.catalog {
 		if f.catalog[i].Name == name {
@@ -107,26 +106,28 @@
 	return nil
 }
 
-// coldStartSeconds is how long a job's image takes to fetch on a machine of a type that fetches nothing else.
-func (f fleetView) coldStartSeconds(j *job, typeName string) float64 {
+// imageFetchSeconds returns how long a machine of the given type takes to fetch a job's image if it fetches nothing
+// else.
+func (f fleetView) imageFetchSeconds(j *job, typeName string) float64 {
 	if machineType := f.machineType(typeName); machineType != nil && machineType.FetchGBPerS > 0 {
 		return j.spec.ImageGB / machineType.FetchGBPerS
 	}
 	return 0
 }
 
-// slowestImageFetch is the longest that a job's image takes to fetch on any machine type that the job may run on.
-func (f fleetView) slowestImageFetch(j *job) time.Duration {
+// maxImageFetchTime returns the longest time that a job's image takes to fetch on any machine type that the job may
+// use.
+func (f fleetView) maxImageFetchTime(j *job) time.Duration {
 	slowest := 0.0
 	for i := range f.catalog {
 		if typeName := f.catalog[i].Name; allowsType(j.spec, typeName) {
-			slowest = max(slowest, f.coldStartSeconds(j, typeName))
+			slowest = max(slowest, f.imageFetchSeconds(j, typeName))
 		}
 	}
 	return config.Seconds(slowest)
 }
 
-// zonesFor gives the zones that have machines on which a job may run.
+// zonesFor returns the zones that have machines on which a job may run.
 func (f fleetView) zonesFor(j *job) []string {
 	var zones []string
 	for _, group := range f.index.Groups() {
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/scheduling"
 )
 
-// allocateElastic allocates free resources to arrays. Idle-priority work comes last: it takes what all else leaves, and
-// is preempted for what found no machine.
+// allocateElastic allocates free resources to arrays. Idle-priority arrays come last: they get the remaining resources,
+// and are preempted for other arrays that found no machine.
 func (cycle *schedulingCycle) allocateElastic() {
 	var regular, idle []*job
 	for _, j := range cycle.state.jobsToRun() {
@@ -28,10 +28,10 @@
 	cycle.allocateByFulfillment(idle)
 }
 
-// allocateForDeadlines allocates free resources to arrays that would miss their deadline or their class's objective
-// without them, those with the earliest latest start first. It is an exception to the order of fulfillment: with equal
-// shares all arrays that compete would end at about the same, late time; one after the other, most are in time. It
-// preempts nobody.
+// allocateForDeadlines allocates free resources to arrays that would otherwise miss their deadline or the objective of
+// their class, in the order of their latest start. It takes precedence over the order of fulfillment: with equal
+// shares, all competing arrays would finish at about the same time and late; one after another, most finish in time. It
+// preempts no tasks.
 func (cycle *schedulingCycle) allocateForDeadlines(jobs []*job) {
 	var late []*job
 	for _, j := range jobs {
@@ -51,7 +51,8 @@
 	}
 }
 
-// allocate allocates up to so many instances to a job, as long as there are resources and its team's limit allows it.
+// allocate allocates up to the given number of instances to a job, as long as there are free resources and the team's
+// limit permits.
 func (cycle *schedulingCycle) allocate(j *job, instances int) {
 	for from := 0; instances > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1); instances-- {
 		task := cycle.state.nextTask(j, from)
@@ -68,9 +69,9 @@
 	}
 }
 
-// requiredInstances is how many instances of an array have to run now for its deadline or its class's objective, as far
-// as its owner's estimate tells. The jobs after one on which a pipeline's deadline depends have no time to spare, so it
-// needs all of its instances; without a deadline or objective the minimum will do.
+// requiredInstances returns the number of instances that an array needs now to meet its deadline or the objective of
+// its class, according to its owner's estimate. A job that a pipeline's deadline depends on needs all instances, since
+// the jobs after it have no slack. Without a deadline or an objective, the minimum is enough.
 func (cycle *schedulingCycle) requiredInstances(j *job) int {
 	if j.elastic() && j.hasDeadline() {
 		return j.maxInstances()
@@ -86,11 +87,11 @@
 	return required
 }
 
-// allocateByFulfillment allocates free resources, one instance at a time, to the least fulfilled job below 1.0. A job
-// that finds no machine for its next instance, or has reached its team's limit, drops out of this cycle. It returns the
-// candidates that found no machine.
+// allocateByFulfillment allocates free resources, one instance at a time, to the least fulfilled job with a score below
+// 1.0. A job that finds no machine for its next instance, or has reached its team's limit, is not considered further in
+// this cycle. It returns the candidates that found no machine.
 func (cycle *schedulingCycle) allocateByFulfillment(jobs []*job) []*scheduling.Candidate[*job] {
-	var candidates, lacking []*scheduling.Candidate[*job]
+	var candidates, withoutMachine []*scheduling.Candidate[*job]
 	for _, j := range jobs {
 		if j.unplaced() > 0 {
 			candidates = append(candidates, &scheduling.Candidate[*job]{
@@ -112,7 +113,7 @@
 		}
 		m := cycle.findMachine(j)
 		if m == nil {
-			lacking = append(lacking, candidate)
+			withoutMachine = append(withoutMachine, candidate)
 			queue.Drop()
 			continue
 		}
@@ -120,17 +121,17 @@
 		cycle.state.persist(j, task)
 		queue.Allocated(task)
 	}
-	return lacking
+	return withoutMachine
 }
 
-// preemptIdleFor preempts idle-priority work above its minimum for an array's further instances. It is an exception to
-// the design, by which only minimums preempt: work that is to run when nobody else wants the machines must not keep them
-// from anybody, and its tasks can hold all the CPUs of a fleet whose GPUs are free.
+// preemptIdleFor preempts idle-priority work for the instances of an array above its minimum. Otherwise only minimums
+// preempt. Idle-priority work is the exception, since it must not keep resources from any other job, and its tasks
+// could occupy all CPUs of a fleet whose GPUs are free.
 func (cycle *schedulingCycle) preemptIdleFor(candidate *scheduling.Candidate[*job]) {
 	j := candidate.Job
 	missing := candidate.Instances.Max - candidate.Instances.Current
 	for missing > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1) && cycle.preemptFor(j, 1, true) {
-		cycle.countUsage(j, 1) // as good as placed: its team's limit holds for the next instance
+		cycle.countUsage(j, 1) // counted as placed, so that the team's limit applies to the next instance
 		missing--
 	}
 }
--- a/internal/core/headroom.go
+++ b/internal/core/headroom.go
@@ -5,11 +5,12 @@
 	"sort"
 )
 
-// Headroom is the GPUs on on-demand machines that are kept available for services to come, so that these need not wait for
-// a machine to boot.
+// Headroom is the amount of GPUs on on-demand machines that is kept available for future services, so that they need
+// not wait for a machine to boot.
 
-// headroomWanted is the headroom to keep: a share of what services use, and enough for the largest of them.
-func (p *capacityPlanner) headroomWanted() float64 {
+// requiredHeadroom returns the headroom to keep in GPUs: a share of the GPUs of all services, and at least those of the
+// largest service.
+func (p *capacityPlanner) requiredHeadroom() float64 {
 	inUse, largest := 0.0, 0.0
 	for _, j := range p.cycle.state.jobsToRun() {
 		if !j.isArray() && !j.cancelled {
@@ -24,9 +25,9 @@
 	return max(largest, inUse*p.spareShare)
 }
 
-// headroom is what services could have: free, to come, or held by elastic jobs above their minimum (half of it, since
-// those have to stop first). It is added up no further than to an amount that is enough.
-func (p *capacityPlanner) headroom(enough float64) float64 {
+// headroom returns the GPUs that services could get: free ones, those of upcoming machines, and half of those held by
+// elastic jobs above their minimum, which have to stop first. It stops adding machines once the sum reaches the limit.
+func (p *capacityPlanner) headroom(limit float64) float64 {
 	sum := 0.0
 	for _, m := range p.upcoming {
 		if !m.Spot {
@@ -34,7 +35,7 @@
 		}
 	}
 	for _, m := range p.machines {
-		if sum >= enough {
+		if sum >= limit {
 			break
 		}
 		if m.schedulable != nil && !m.spot {
@@ -54,13 +55,13 @@
 	return sum
 }
 
-// maxHeadroomMachines is how many machines are planned for headroom at a time.
+// maxHeadroomMachines is the maximum number of machines planned for headroom in one plan.
 const maxHeadroomMachines = 4
 
-// ensureHeadroom plans machines for the headroom that is missing.
+// ensureHeadroom plans machines for missing headroom.
 func (p *capacityPlanner) ensureHeadroom() {
-	wanted := p.headroomWanted()
-	for i := 0; i < maxHeadroomMachines && p.headroom(wanted) < wanted; i++ {
+	required := p.requiredHeadroom()
+	for i := 0; i < maxHeadroomMachines && p.headroom(required) < required; i++ {
 		j := p.typicalService()
 		if j == nil || p.planMachine(j, false) == nil {
 			return
@@ -68,8 +69,8 @@
 	}
 }
 
-// typicalService gives the latest service that may run in any zone, for the choice of a machine type; nil if there is
-// none.
+// typicalService returns the most recent service without zone constraints, which determines the machine type for
+// headroom; nil if there is none.
 func (p *capacityPlanner) typicalService() *job {
 	var latest *job
 	for _, j := range p.cycle.state.jobsToRun() {
@@ -80,8 +81,9 @@
 	return latest
 }
 
-// surplusMachines gives the idle machines to scale in. On-demand ones are kept as far as they are the headroom. Those with
-// the least in their image caches go first, since what the next service needs may be in the others'.
+// surplusMachines returns the idle machines to scale in. On-demand machines that are needed for headroom are kept.
+// Machines with the smallest image cache contents go first, since the other caches are more likely to hold the image of
+// the next service.
 func (p *capacityPlanner) surplusMachines() []*machine {
 	var idle, surplus []*machine
 	for _, m := range p.machines {
@@ -92,7 +94,7 @@
 	if len(idle) == 0 {
 		return nil
 	}
-	spareGPUs := p.headroom(math.Inf(1)) - p.headroomWanted()
+	spareGPUs := p.headroom(math.Inf(1)) - p.requiredHeadroom()
 	sort.SliceStable(idle, func(a, b int) bool { return idle[a].images.readyGB() < idle[b].images.readyGB() })
 	for _, m := range idle {
 		if !m.spot {
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -6,10 +6,10 @@
 	"bitternwing/internal/capacity"
 )
 
-// imageCache is what is known of the images in a machine's cache, the least recently used first.
+// imageCache is the presumed content of the image cache of a machine, the least recently used image first.
 type imageCache []cachedImage
 
-// cachedImage is an image that a machine has, or will have.
+// cachedImage is an image that a machine has or is fetching.
 type cachedImage struct {
 	name  string
 	bit   capacity.ImageBit
@@ -17,20 +17,20 @@
 	state cachedImageState
 }
 
-// cachedImageState is how far an image in a cache can be relied on.
+// cachedImageState is the knowledge about an image in a cache.
 type cachedImageState int
 
 const (
-	cachedImageFetching    cachedImageState = iota // on its way
-	cachedImageReady                               // there
-	cachedImageUnconfirmed                         // an earlier leader had it as ready, and nothing has shown it since
+	cachedImageFetching    cachedImageState = iota // being fetched
+	cachedImageReady                               // in the cache
+	cachedImageUnconfirmed                         // recorded as ready by an earlier leader, not confirmed since
 )
 
 func newCachedImage(name string, gb float64) cachedImage {
 	return cachedImage{name: name, bit: capacity.BitOf(name), gb: gb}
 }
 
-// use makes an image the most recently used one, and adds it as being fetched if it is not there.
+// use makes an image the most recently used one. An image that is not in the cache is added as being fetched.
 func (c *imageCache) use(name string, gb float64) {
 	image, found := c.remove(name)
 	if !found {
@@ -39,7 +39,7 @@
 	*c = append(*c, image)
 }
 
-// evict evicts the least recently used images that don't fit beside the most recently used one, which takes an amount.
+// evict removes the least recently used images that do not fit beside the most recently used one, whose size is gb.
 func (c *imageCache) evict(gb, capacityGB float64) {
 	sum := gb
 	for i := len(*c) - 2; i >= 0; i-- {
@@ -51,7 +51,7 @@
 	}
 }
 
-// remove removes an image and gives it; false if it is not there.
+// remove removes an image and returns it; false if it is not in the cache.
 func (c *imageCache) remove(name string) (cachedImage, bool) {
 	i := slices.IndexFunc(*c, func(image cachedImage) bool { return image.name == name })
 	if i < 0 {
@@ -62,7 +62,7 @@
 	return image, true
 }
 
-// markReady notes that an image is there; false if it was not expected. Hints of an earlier leader may list an image
+// markReady marks an image as ready, and reports whether it was expected. Hints of an earlier leader may list an image
 // twice.
 func (c imageCache) markReady(name string) bool {
 	found := false
@@ -74,7 +74,7 @@
 	return found
 }
 
-// fits tells whether there is space for another image beside all that are there.
+// fits reports whether an image of the given size fits beside all images in the cache.
 func (c imageCache) fits(gb, capacityGB float64) bool {
 	sum := gb
 	for i := range c {
@@ -83,7 +83,7 @@
 	return sum <= capacityGB
 }
 
-// readyGB is how much the images take that are there.
+// readyGB returns the total size of the ready images.
 func (c imageCache) readyGB() float64 {
 	sum := 0.0
 	for i := range c {
@@ -94,7 +94,7 @@
 	return sum
 }
 
-// stateOf tells how much work remains until a task can start with an image.
+// stateOf returns how far the machine is from having an image ready.
 func (c imageCache) stateOf(name string) capacity.ImageState {
 	state := capacity.ImageAbsent
 	for i := range c {
@@ -112,7 +112,7 @@
 	return state
 }
 
-// names gives the images that are believed to be there.
+// names returns the images that are presumed to be in the cache, confirmed or not.
 func (c imageCache) names() []string {
 	var names []string
 	for i := range c {
@@ -123,15 +123,15 @@
 	return names
 }
 
-// markImageReady notes that a machine has an image.
+// markImageReady records that an image is ready on a machine.
 func (m *machine) markImageReady(name string) {
 	if m.images.markReady(name) {
 		m.capacityChanged = true
 	}
 }
 
-// addImage notes that a machine will have an image. The least recently used ones make way, as far as the size of its
-// cache is known.
+// addImage records that a machine will have an image. If the size of its cache is known, the least recently used images
+// are evicted.
 func (m *machine) addImage(name string, gb float64) {
 	m.capacityChanged = true
 	m.images.use(name, gb)
@@ -140,7 +140,7 @@
 	}
 }
 
-// removeImage notes that a machine does not get an image.
+// removeImage records that a machine will not get an image.
 func (m *machine) removeImage(name string) {
 	m.images.remove(name)
 	m.capacityChanged = true
--- a/internal/core/image_cache_test.go
+++ b/internal/core/image_cache_test.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/wire"
 )
 
-// imageNamesOf gives all images of a machine, the least recently used first.
+// imageNamesOf returns the names of all images of a machine, the least recently used first.
 func imageNamesOf(m *machine) []string {
 	var names []string
 	for _, image := range m.images {
@@ -23,22 +23,22 @@
 		m.addImage(name, 3)
 	}
 	if got := imageNamesOf(m); !slices.Equal(got, []string{"b", "c", "a"}) {
-		t.Errorf("after four uses of three images: %v", got)
+		t.Errorf("after four uses of three images: got %v, want [b c a]", got)
 	}
 	m.addImage("d", 3)
 	if got := imageNamesOf(m); !slices.Equal(got, []string{"c", "a", "d"}) {
-		t.Errorf("after a fourth image: %v", got)
+		t.Errorf("after a fourth image: got %v, want [c a d]", got)
 	}
 	m.addImage("e", 9)
 	if got := imageNamesOf(m); !slices.Equal(got, []string{"e"}) {
-		t.Errorf("after an image that leaves no space: %v", got)
+		t.Errorf("after an image that leaves no space: got %v, want [e]", got)
 	}
 	unsized := &machine{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		unsized.addImage(name, 100)
 	}
 	if got := len(unsized.images); got != 4 {
-		t.Errorf("%d images where the size of the cache is not known", got)
+		t.Errorf("cache of unknown size: %d images, want 4", got)
 	}
 }
 
@@ -50,31 +50,31 @@
 			t.Errorf("%s: the state of %s is %v, want %v", when, name, got, want)
 		}
 	}
-	check("at first", "a", capacity.ImageAbsent)
+	check("empty cache", "a", capacity.ImageAbsent)
 	m.addImage("a", 3)
-	check("while it is fetched", "a", capacity.ImageFetching)
-	check("while another one is fetched", "b", capacity.ImageFetchShared)
+	check("while a is fetched", "a", capacity.ImageFetching)
+	check("while a is fetched", "b", capacity.ImageFetchShared)
 	m.markImageReady("a")
-	check("once it is there", "a", capacity.ImageReady)
-	check("once another one is there", "b", capacity.ImageAbsent)
+	check("once a is ready", "a", capacity.ImageReady)
+	check("once a is ready", "b", capacity.ImageAbsent)
 	if got := m.images.readyGB(); got != 3 {
-		t.Errorf("%v GB are there, want 3", got)
+		t.Errorf("%v GB are ready, want 3", got)
 	}
 	if !m.images.fits(7, 10) || m.images.fits(7.5, 10) {
-		t.Error("of 10 GB 7 are free, and no more")
+		t.Error("with 3 of 10 GB in use, 7 GB must fit and 7.5 GB must not")
 	}
 
 	m.images[0].state = cachedImageUnconfirmed
-	check("unconfirmed", "a", capacity.ImageFetching)
-	check("another one, beside an unconfirmed one", "b", capacity.ImageAbsent)
+	check("a is unconfirmed", "a", capacity.ImageFetching)
+	check("a is unconfirmed", "b", capacity.ImageAbsent)
 	if got := m.images.names(); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("believed to be there: %v", got)
+		t.Errorf("presumed images: got %v, want [a]", got)
 	}
 	m.capacityChanged = false
 	m.markImageReady("b")
 	if m.capacityChanged {
-		t.Error("an image that was not expected changes the machine")
+		t.Error("an unexpected image marked the capacity of the machine as changed")
 	}
 	m.removeImage("a")
-	check("removed", "a", capacity.ImageAbsent)
+	check("a is removed", "a", capacity.ImageAbsent)
 }
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// apply has a machine that is first seen in this term have the images that the leader before presumed to be on
+// applyPlan has a machine that is first seen in this term have the images that the leader before presumed to be on
 // it.
 func (h *imageHints) apply(m *machine, jobs []*job) {
 	for _, name := range h.core.cache.Images(m.name) {
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -12,9 +12,9 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// PrefetchImage requests a worker to fetch an image that no task there waits for. It is an extension of the workers'
-// protocol, sent only if operators enable it, to workers that support it. Its Result is OK with the time until the image is
-// there.
+// PrefetchImage requests a worker to fetch an image for which no task waits there. It is an extension of the worker
+// protocol, which is sent only if enabled in the operator settings, and only to workers that support it. Its Result is
+// OK with the time until the image is ready.
 type PrefetchImage struct {
 	CallID uint64
 	Addr   string
@@ -24,7 +24,7 @@
 
 func (PrefetchImage) effect() {}
 
-// imagePrefetcher keeps a copy of each model's weights in each zone where its replicas could run, within a budget.
+// imagePrefetcher keeps a copy of each model's weights in each zone in which its replicas could run, within a budget.
 type imagePrefetcher struct {
 	core      *Core
 	authority leaderAuthority
@@ -37,17 +37,17 @@
 	budget      ratelimit.Bucket // in GB
 	inFlight    int
 	nextCheck   time.Duration
-	unsupported bool // a worker does not support the request: presumably none does
+	unsupported bool // a worker does not support the request, so presumably none does
 	arrivals    []imageArrival
 }
 
-// replicaFleet is the services and zones among which images are spread.
+// replicaFleet provides the services and the machines among which images are distributed.
 type replicaFleet interface {
 	servicesByModel() map[topologyspread.Model][]*job
 	fleet() fleetView
 }
 
-// newImagePrefetcher makes the prefetcher of a leader.
+// newImagePrefetcher returns the prefetcher of a leader.
 func newImagePrefetcher(l *leader) imagePrefetcher {
 	return imagePrefetcher{
 		core:      l.core,
@@ -60,13 +60,13 @@
 	}
 }
 
-// imageArrival is an image that will be on a machine.
+// imageArrival is the time at which an image will be ready on a machine.
 type imageArrival struct {
 	machine, image string
 	at             time.Duration
 }
 
-// run notes which images have arrived, and requests those that are missing.
+// run marks the images that have arrived, and requests missing ones.
 func (p *imagePrefetcher) run() {
 	c := p.core
 	perHour := c.operator.Spread.PrefetchGBPerHour
@@ -80,7 +80,7 @@
 	}
 	p.nextCheck = c.now.Steady + c.times.checkInterval
 	if p.budget == (ratelimit.Bucket{}) {
-		p.budget = ratelimit.NewBucket(perHour, c.now.Steady) // an hour's worth to begin with
+		p.budget = ratelimit.NewBucket(perHour, c.now.Steady) // starts with the budget of one hour
 	}
 	p.budget.Refill(c.now.Steady, perHour/secondsPerHour, perHour)
 	services := p.replicas.servicesByModel()
@@ -93,17 +93,17 @@
 
 // applyArrivals marks the images that have arrived by now.
 func (p *imagePrefetcher) applyArrivals() {
-	keep := p.arrivals[:0]
-	for _, a := range p.arrivals {
-		if p.core.now.Steady < a.at {
-			keep = append(keep, a)
+	pending := p.arrivals[:0]
+	for _, arrival := range p.arrivals {
+		if p.core.now.Steady < arrival.at {
+			pending = append(pending, arrival)
 			continue
 		}
-		if m := p.machines[a.machine]; m != nil {
-			m.markImageReady(a.image)
+		if m := p.machines[arrival.machine]; m != nil {
+			m.markImageReady(arrival.image)
 		}
 	}
-	p.arrivals = keep
+	p.arrivals = pending
 }
 
 // prefetchModel requests a copy of a model's weights in each zone that has none.
@@ -119,23 +119,24 @@
 	}
 }
 
-// prefetchTarget gives the machine of a zone for a copy of a job's image: one with the resources for a replica, that fetches
-// nothing, and whose cache holds the image beside all others there; nil if there is none, or if the zone has a copy.
+// prefetchTarget returns the machine of a zone that is to fetch a job's image. The machine has the resources for a
+// replica, fetches no other image, and has space for the image beside all others in its cache. It returns nil if there
+// is none, or if the zone already has a copy.
 func (p *imagePrefetcher) prefetchTarget(j *job, zone string) *machine {
-	allowed := j.groupRules()
-	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
-	_, copied, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
+	allowed := j.groupFilter()
+	penalty := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
+	_, hasCopy, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: penalty,
 		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			state := target.machine.images.stateOf(j.spec.Image)
 			return state, state <= capacity.ImageFetching
 		}})
-	if copied {
+	if hasCopy {
 		return nil
 	}
 	target, found, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:    resource.OfTask(j.spec),
 		Image:   j.spec.Image,
-		Penalty: within,
+		Penalty: penalty,
 		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			m := target.machine
 			absent := m.images.stateOf(j.spec.Image) == capacity.ImageAbsent
@@ -147,7 +148,7 @@
 	return target.machine
 }
 
-// prefetch requests an image for a machine. Until it is there the machine counts as fetching it.
+// prefetch requests a machine to fetch an image. Until the image is ready, the machine counts as fetching it.
 func (p *imagePrefetcher) prefetch(j *job, m *machine) {
 	image := j.spec.Image
 	m.addImage(image, j.spec.ImageGB)
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -16,41 +16,41 @@
 type job struct {
 	id                     string
 	spec                   *wire.Job
-	acceptedMS             int64  // Unix time of its acceptance, in milliseconds
-	queuedMS               int64  // the same, or of the end of its last dependency: its wait counts from here
-	waitingForDependencies bool   // it is not queued, and nothing of it is placed
-	heldByRollout          bool   // by the plan of a rollout: none of its tasks may be started
-	queued                 bool   // it is in the leader's queue
-	rank                   int    // its priority, or the highest of its dependents
-	latestEndMS            int64  // Unix time in milliseconds by which the deadlines of its dependents need it to be done
-	version                uint64 // of its key
+	acceptedMS             int64  // Unix time of acceptance, in milliseconds
+	queuedMS               int64  // the same, or that of the end of the last dependency; the wait counts from here
+	waitingForDependencies bool   // not queued yet, and without placements
+	heldByRollout          bool   // a rollout plan does not allow its tasks to start yet
+	queued                 bool   // in the leader's queue
+	rank                   int    // highest priority among the job and its dependents
+	latestEndMS            int64  // Unix time in milliseconds by which the job has to be done for the deadlines of its dependents
+	version                uint64 // version of its key in the store
 	cancelled              bool
-	cancelledAt            time.Duration     // on the steady clock
-	ending                 bool              // its final state is being written
-	finalState             stored.FinalState // that is written
+	cancelledAt            time.Duration     // steady clock
+	ending                 bool              // the final state is being written
+	finalState             stored.FinalState // the final state being written
 
 	team   *config.Team
 	chunks map[int]*recordChunk
-	// superseded are the job's records of a layout that is not written any more, with their versions.
-	superseded       map[string]uint64
-	placements       map[int]*placement     // by task
-	placementsByZone map[string]int         // of these, how many are in each zone
-	replicaLedger    *topologyspread.Ledger // of all models
-	withinGuarantee  bool                   // in this cycle: it fits into its team's guarantee
-	stopping         int                    // of these, how many are stopping
-	done             int
-	nextUnplaced     int // no task below this is both undone and unplaced
+	// supersededRecords are the keys of the job's records in an old layout, with their versions.
+	supersededRecords map[string]uint64
+	placements        map[int]*placement     // by task
+	placementsByZone  map[string]int         // number of placements in each zone
+	replicaLedger     *topologyspread.Ledger // shared by all models
+	withinGuarantee   bool                   // whether the job fits into its team's guarantee in this cycle
+	stopping          int                    // number of placements that are being stopped
+	done              int
+	nextUnplaced      int // every task below this is done or placed
 
 	// Failure accounting, see failureAccounting.
-	ranSuccessfully bool // a task of it ran well somewhere
+	ranSuccessfully bool // one of its tasks has run well on some machine
 	failedOn        map[string]bool
-	retryAt         time.Duration // no start before this
+	retryAt         time.Duration // no task is started before this
 }
 
-// unplaced counts the tasks that still need a place.
+// unplaced returns the number of tasks that are neither done nor placed.
 func (j *job) unplaced() int { return j.spec.Tasks - j.done - len(j.placements) }
 
-// unfinished counts the tasks that are not done.
+// unfinished returns the number of tasks that are not done.
 func (j *job) unfinished() int { return j.spec.Tasks - j.done }
 
 func (j *job) isArray() bool { return j.spec.Kind == wire.KindArray }
@@ -65,16 +65,17 @@
 	return stored.TaskCounts{Running: running, Done: j.done}
 }
 
-// addJob adds a job. One with dependencies is queued once they are done.
-func (l *leader) addJob(id string, e *watchcache.Job) *job {
+// addJob adds a job. A job with dependencies is not queued until they are done, and one held by a rollout plan not
+// until it is released.
+func (l *leader) addJob(id string, cached *watchcache.Job) *job {
 	status := l.core.dependencies.graph.Of(id)
 	j := &job{
 		id:               id,
-		spec:             e.Spec,
-		acceptedMS:       e.AcceptedMS,
-		queuedMS:         e.AcceptedMS,
-		version:          e.Version,
-		team:             l.teamOf(e.Spec.Team),
+		spec:             cached.Spec,
+		acceptedMS:       cached.AcceptedMS,
+		queuedMS:         cached.AcceptedMS,
+		version:          cached.Version,
+		team:             l.teamOf(cached.Spec.Team),
 		rank:             status.Priority,
 		latestEndMS:      status.LatestEndMS,
 		chunks:           map[int]*recordChunk{},
@@ -83,22 +84,22 @@
 		replicaLedger:    l.replicaLedger,
 	}
 	l.jobs[id] = j
-	j.waitingForDependencies = len(e.Spec.Dependencies) > 0
-	j.heldByRollout = l.planHolds(id, e.Spec)
+	j.waitingForDependencies = len(cached.Spec.Dependencies) > 0
+	j.heldByRollout = l.planHolds(id, cached.Spec)
 	if !j.waitingForDependencies && !j.heldByRollout {
 		l.enqueue(j)
 	}
 	return j
 }
 
-// enqueue adds a job to the queue, which is in the order of submission.
+// enqueue inserts a job into the queue, which is ordered by submission.
 func (l *leader) enqueue(j *job) {
 	i := sort.Search(len(l.queue), func(i int) bool { return j.queuedBefore(l.queue[i]) })
 	l.queue = slices.Insert(l.queue, i, j)
 	j.queued = true
 }
 
-// dequeue removes a job from the queue, if it is in there.
+// dequeue removes a job from the queue, if present.
 func (l *leader) dequeue(j *job) {
 	if i := slices.Index(l.queue, j); i >= 0 {
 		l.queue = slices.Delete(l.queue, i, i+1)
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -81,7 +81,7 @@
 				w.reread(chunk)
 			}
 		}
-		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failed[key] })
+		maps.DeleteFunc(j.supersededRecords, func(key string, _ uint64) bool { return failed[key] })
 		w.queueEnd(j)
 	}
 }
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -7,19 +7,19 @@
 	"bitternwing/internal/wire"
 )
 
-// This file is what the policy of package scheduling needs to know of a job.
+// This file adapts jobs to the policy of package scheduling.
 //
-// An array is elastic: its bounds are one task and its unfinished tasks. A service has a fixed size, and an array with a
-// single unfinished task has equal bounds: neither has a fulfillment score.
+// An array is elastic: it has at least one task and at most its unfinished tasks as instances. The size of a service is
+// fixed, and an array with a single unfinished task has equal bounds, so neither has a fulfillment score.
 
 func (j *job) minInstances() int { return min(1, j.unfinished()) }
 func (j *job) maxInstances() int { return j.unfinished() }
 
-// activeInstances counts the instances that are not stopping. A stopping one does not count, although its resources are not
-// free yet.
+// activeInstances returns the number of instances that are not being stopped. An instance that is being stopped does
+// not count, although its resources are still in use.
 func (j *job) activeInstances() int { return len(j.placements) - j.stopping }
 
-// instances gives the number of instances with its bounds.
+// instances returns the number of active instances with its bounds.
 func (j *job) instances() scheduling.Instances {
 	return scheduling.Instances{Current: j.activeInstances(), Min: j.minInstances(), Max: j.maxInstances()}
 }
@@ -28,20 +28,20 @@
 	return j.isArray() && !j.cancelled && j.instances().Elastic()
 }
 
-// shrinkable tells whether a job is elastic and above its minimum.
+// shrinkable reports whether a job is elastic and above its minimum.
 func (j *job) shrinkable() bool { return j.elastic() && j.activeInstances() > j.minInstances() }
 
-// priority gives a job's rank; jobs that depend on it lend it theirs.
+// priority returns the rank of a job, which is raised to the highest priority among its dependents.
 func priority(j *job) int { return j.rank }
 
-// isIdlePriority tells whether a job is to run only on what nobody else wants.
+// isIdlePriority reports whether a job runs only on resources that no other job needs.
 func (j *job) isIdlePriority() bool { return priority(j) == wire.PriorityIdle.Rank() }
 
-// hasDeadline tells whether a pipeline's deadline depends on a job.
+// hasDeadline reports whether the deadline of a pipeline depends on a job.
 func (j *job) hasDeadline() bool { return j.latestEndMS != dependency.Never }
 
-// latestStart is the Unix time in milliseconds at which a job has to start for the deadlines that depend on it, as far
-// as its owner's estimate tells.
+// latestStart returns the Unix time in milliseconds by which a job has to start to meet the deadlines that depend on
+// it, according to its owner's estimate of its run time.
 func (j *job) latestStart() int64 {
 	if !j.hasDeadline() {
 		return j.latestEndMS
@@ -49,14 +49,14 @@
 	return j.latestEndMS - milliseconds(j.spec.EstimatedRunS)
 }
 
-// position is a job's place in the order of submission.
+// position returns the place of a job in the order of submission.
 func (j *job) position() scheduling.QueuePosition {
 	return scheduling.QueuePosition{QueuedMS: j.queuedMS, ID: j.id}
 }
 
 func (j *job) queuedBefore(k *job) bool { return j.position().Before(k.position()) }
 
-// urgency is what the turn of a job that lacks its minimum depends on.
+// urgency returns the attributes that order the jobs below their minimum.
 func (j *job) urgency() scheduling.Urgency {
 	return scheduling.Urgency{
 		WithinGuarantee: j.withinGuarantee,
@@ -66,17 +66,17 @@
 	}
 }
 
-// claim is what decides whom a job may preempt, and who may preempt it.
+// claim returns the attributes that decide which jobs a job may preempt and which may preempt it.
 func (j *job) claim() scheduling.Claim {
 	return scheduling.Claim{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
-// countUsage counts so many more tasks of a job as used by its team.
+// countUsage adds a number of tasks of a job to the usage of its team; a negative number is subtracted.
 func (cycle *schedulingCycle) countUsage(j *job, tasks int) {
 	cycle.usage.Add(j.spec.Team, resource.OfTask(j.spec), tasks)
 }
 
-// withinLimit tells whether a job's team stays within its limit with so many more tasks.
+// withinLimit reports whether the team of a job stays within its limit with the given number of additional tasks.
 func (cycle *schedulingCycle) withinLimit(j *job, tasks int) bool {
 	return cycle.usage.WithinLimit(j.team, resource.OfTask(j.spec), tasks)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -146,7 +146,7 @@
 		l.nextFleetCheck = l.core.coalesce(now + 1)
 		l.liveness.check(l.machinesByName)
 		l.enforceCancellations()
-		l.provisioner.releaseNeverUp()
+		l.provisioner.releaseUnbooted()
 		l.core.warnOfUndersizedSettings(len(l.machinesByName))
 	}
 	l.core.wakeBy(l.nextFleetCheck)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -121,7 +121,7 @@
 		if j.placements[p.task] != p {
 			continue
 		}
-		j.leaveZone(m.zone)
+		j.decrementZoneCount(m.zone)
 		j.placementsByZone[zone]++
 		if model, ok := j.model(); ok && j.replicaLedger != nil {
 			j.replicaLedger.Move(model, m.zone, zone, m.name)
--- a/internal/core/machine_catalog.go
+++ b/internal/core/machine_catalog.go
@@ -7,23 +7,23 @@
 	"bitternwing/internal/wire"
 )
 
-// catalogRefreshLags is how often a leader reads the catalog, in the list lags of the cloud.
+// catalogRefreshLags is the interval, in list lags of the cloud, at which a leader reads the catalog.
 const catalogRefreshLags = 30
 
-// machineCatalog is the machine types that the cloud offers. They change seldom; prices drift, so a leader reads them
-// again now and then. The catalog is kept in the key-value store too, so that a node can admit submissions while the
-// cloud is down.
+// machineCatalog holds the machine types that the cloud offers. The types seldom change, but prices drift, so a leader
+// reads the catalog periodically. It is also stored in the key-value store, so that a node can admit submissions while
+// the cloud is down.
 type machineCatalog struct {
 	core        *Core
-	types       []wire.MachineType // nil: not known yet
+	types       []wire.MachineType // nil until known
 	refreshedAt time.Duration
 	inFlight    bool
 }
 
-// known tells whether the machine types are known.
+// known reports whether the machine types are known.
 func (m *machineCatalog) known() bool { return m.types != nil }
 
-// machineType gives a machine type by name; nil if there is none.
+// machineType returns a machine type by name; nil if there is none.
 func (m *machineCatalog) machineType(name string) *wire.MachineType {
 	for i := range m.types {
 		if m.types[i].Name == name {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// run reads the catalog when that is due.
+// run reads the catalog if it is due.
 func (m *machineCatalog) run() {
 	c := m.core
 	if m.inFlight || !c.cache.Ready() {
--- a/internal/core/minimums.go
+++ b/internal/core/minimums.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/scheduling"
 )
 
-// markWithinGuarantee finds the jobs that fit into their team's guarantee together with the team's older unfinished
+// markWithinGuarantee marks the jobs that fit into their team's guarantee together with the team's older unfinished
 // jobs.
 func (cycle *schedulingCycle) markWithinGuarantee() {
 	claimed := scheduling.TeamUsage{}
@@ -21,23 +21,23 @@
 	}
 }
 
-// placeMinimums places the tasks of jobs that lack their minimum: services that are not complete, and arrays without a
-// task. Where no machine has the resources, the most fulfilled jobs are preempted. It returns the job at which the
-// budget ran out, where the next cycle goes on: so each job has its turn, and arrays are allocated free resources only
-// after all services had theirs.
+// placeMinimums places the tasks of jobs below their minimum: incomplete services, and arrays without a task. If no
+// machine has the resources, it preempts the most fulfilled jobs. It returns the job at which the budget ran out, from
+// which the next cycle continues; nil if all jobs were considered. So every job is considered in turn, and arrays get
+// free resources only after all services were considered.
 func (cycle *schedulingCycle) placeMinimums() *job {
 	resumeFrom := cycle.params.resumeFrom
-	var stopped *job
+	var resumeAt *job
 	for _, j := range cycle.lackingMinimum() {
 		need := j.missingForMinimum()
 		switch {
 		case !cycle.withinLimit(j, need):
 			continue
 		case resumeFrom != nil && j.urgency().Before(resumeFrom.urgency()):
-			// It had its turn in the last cycle; machines for it are still to be requested.
+			// The job was considered in the last cycle. Its demand still counts for scale-out.
 		case !cycle.hasBudget():
-			if stopped == nil {
-				stopped = j
+			if resumeAt == nil {
+				resumeAt = j
 			}
 			continue
 		case cycle.placeAllOrNone(j, need):
@@ -47,10 +47,10 @@
 		}
 		cycle.unmetDemand = append(cycle.unmetDemand, unmetDemand{j, need})
 	}
-	return stopped
+	return resumeAt
 }
 
-// lackingMinimum gives the jobs that lack their minimum, the most urgent first.
+// lackingMinimum returns the jobs below their minimum, the most urgent first.
 func (cycle *schedulingCycle) lackingMinimum() []*job {
 	var lacking []*job
 	for _, j := range cycle.state.jobsToRun() {
@@ -65,7 +65,8 @@
 	return lacking
 }
 
-// missingForMinimum is how many tasks have to be placed at once: all of a service, and one of an array.
+// missingForMinimum returns the number of tasks that have to be placed together: all unplaced tasks of a service, and
+// one of an array.
 func (j *job) missingForMinimum() int {
 	if j.isArray() {
 		return 1
@@ -73,7 +74,7 @@
 	return j.unplaced()
 }
 
-// placeAllOrNone places the next tasks of a job, all of them or none.
+// placeAllOrNone places the next tasks of a job, either all of them or none, and reports whether it did.
 func (cycle *schedulingCycle) placeAllOrNone(j *job, need int) bool {
 	var placed []*placement
 	from := 0
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -5,67 +5,70 @@
 	"bitternwing/internal/resource"
 )
 
-// zoneRules gives the zones in which a job's next task may run, given where its other tasks are. Tasks that are stopping
-// or on silent machines count. A new leader learns the zone of an earlier leader's machine from the cloud's list or from a
-// heartbeat; until then a task on it counts in each zone if the job is to be spread.
-func (j *job) zoneRules() func(zone string) bool {
+// zoneFilter returns a predicate for the zones in which the job's next task may run, given the zones of its other
+// tasks. Tasks that are being stopped or are on silent machines count. A new leader learns the zone of a machine of an
+// earlier term from the cloud's list or from a heartbeat; until then, a task on it counts in every zone if the job is
+// spread over zones.
+func (j *job) zoneFilter() func(zone string) bool {
 	s := j.spec
 	if !s.SingleZone && !s.SpreadZones {
 		return func(zone string) bool { return s.Zone == "" || s.Zone == zone }
 	}
-	unknown := 0
+	unknownZone := 0
 	if s.SpreadZones {
-		unknown = j.placementsByZone[""]
+		unknownZone = j.placementsByZone[""]
 	}
 	return func(zone string) bool {
-		here := j.placementsByZone[zone]
+		inZone := j.placementsByZone[zone]
 		if zone != "" {
-			here += unknown
+			inZone += unknownZone
 		}
 		switch {
-		case s.Zone != "" && s.Zone != zone, s.SingleZone && here < len(j.placements):
+		case s.Zone != "" && s.Zone != zone, s.SingleZone && inZone < len(j.placements):
 			return false
 		}
-		return !s.SpreadZones || here < (s.Tasks+1)/2
+		return !s.SpreadZones || inZone < (s.Tasks+1)/2
 	}
 }
 
-// groupRules tells whether a job's next task may run on machines of a group: by machine type, zone, and spot or on-demand.
-func (j *job) groupRules() func(capacity.Group) bool {
-	zone := j.zoneRules()
+// groupFilter returns a predicate for the machine groups (type, zone, spot or on-demand) on which the job's next task
+// may run.
+func (j *job) groupFilter() func(capacity.Group) bool {
+	zone := j.zoneFilter()
 	return func(g capacity.Group) bool {
 		return (j.spec.Spot || !g.Spot) && allowsType(j.spec, g.Type) && zone(g.Zone)
 	}
 }
 
-// onDemandPenalty is by how many image states an on-demand machine comes after a spot one, for what may run on both.
+// onDemandPenalty is the number of image states by which an on-demand machine ranks behind a spot machine for a job
+// that may run on both.
 const onDemandPenalty = capacity.MaxPenalty
 
-// findMachine finds the machine for a job's next task; nil if none has the resources. Machines with the image come first,
-// except that what may run on spot machines prefers those; then best fit, so that other machines become idle and can be
-// scaled in. If operators have replicas spread, a service's replica goes where the load of its weights and the expected
-// loss of its zone and machine cost the least.
+// findMachine returns the machine for a job's next task; nil if no machine has the resources. Machines with the image
+// come first, except that jobs that allow spot machines prefer those. Among equals the best fit is taken, so that other
+// machines become idle and can be scaled in. If spreading of replicas is enabled, a service's replica is placed where
+// the sum of image load time and expected loss of its zone and machine is lowest.
 func (cycle *schedulingCycle) findMachine(j *job) *machine {
-	request, plain := requestOf(j)
-	if plain && cycle.exhaustedRequests[request] {
+	request, cacheable := requestOf(j)
+	if cacheable && cycle.exhaustedRequests[request] {
 		return nil
 	}
 	var m *machine
-	if costs, weighed := cycle.replicaCostFor(j); weighed {
+	if costs, byCost := cycle.replicaCostFor(j); byCost {
 		m = cycle.cheapestReplicaMachine(j, costs)
 	} else {
 		m = cycle.bestFit(j)
 	}
-	if m == nil && plain {
+	if m == nil && cacheable {
 		cycle.exhaustedRequests[request] = true
 	}
 	return m
 }
 
-// bestFit finds the machine for a job's next task that is closest to having the image, and of these the one with the least
-// left free.
+// bestFit returns the machine for a job's next task with the best image state, and among those the one with the least
+// resources left free.
 func (cycle *schedulingCycle) bestFit(j *job) *machine {
-	allowed := j.groupRules()
+	allowed := j.groupFilter()
 	target, found, evaluated := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
 		Need:  resource.OfTask(j.spec),
 		Image: j.spec.Image,
@@ -79,18 +82,19 @@
 			return target.machine.images.stateOf(j.spec.Image), !cycle.state.avoidsMachine(j, target.machine)
 		},
 	})
-	cycle.evaluations -= max(1, evaluated) // a search that finds nothing at once is not free either
+	cycle.evaluationsLeft -= max(1, evaluated) // a search that evaluates no machine has a cost too
 	if !found {
 		return nil
 	}
 	return target.machine
 }
 
-// evaluationsPerIndexLevel is how many evaluations a change of a machine's free resources counts as, for each level of the
-// index but the first.
+// evaluationsPerIndexLevel is the number of evaluations charged for a change of a machine's free resources, for each
+// index level above the first.
 const evaluationsPerIndexLevel = 4
 
-// place decides a placement. The caller has it persisted once it is final; nothing is sent before it is written.
+// place places a task on a machine. The caller persists the placement when it is final; commands are sent only after it
+// has been written.
 func (cycle *schedulingCycle) place(j *job, task int, m *machine) *placement {
 	p := &placement{
 		job:         j,
@@ -110,15 +114,15 @@
 	target.free.Subtract(resource.OfTask(j.spec))
 	target.freeAfterStops.Subtract(resource.OfTask(j.spec))
 	cycle.state.updateCapacityIndex(target)
-	cycle.evaluations -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
+	cycle.evaluationsLeft -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
 	cycle.countUsage(j, 1)
-	clear(cycle.hopelessPreemptions)
+	clear(cycle.infeasiblePreemptions)
 	cycle.placed++
 	return p
 }
 
-// revertPlacement takes back the last placement of this very cycle. Its attempt was never written, so its number is free
-// again.
+// revertPlacement undoes the most recent placement of this cycle. Its attempt was never written, so the attempt number
+// can be reused.
 func (cycle *schedulingCycle) revertPlacement(p *placement) {
 	cycle.state.withdrawAttempt(p)
 	p.job.removePlacement(p)
@@ -127,7 +131,7 @@
 	target.free.Add(resource.OfTask(p.job.spec))
 	target.freeAfterStops.Add(resource.OfTask(p.job.spec))
 	cycle.state.updateCapacityIndex(target)
-	cycle.capacityGrew()
+	cycle.clearFailedRequests()
 	cycle.countUsage(p.job, -1)
 	cycle.placed--
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -10,10 +10,10 @@
 	"bitternwing/internal/resource"
 )
 
-// allMachines gives the machines by name, those that may not be given tasks too.
+// allMachines returns all machines by name, including those that may not be given tasks.
 func allMachines(cycle *schedulingCycle) []*machine { return cycle.state.(*leader).machinesByName }
 
-// scanAllowed tells whether a job's next task may run on a machine, given where its other tasks are.
+// scanAllowed reports whether a job's next task may run on a machine, given the zones of its other tasks.
 func scanAllowed(cycle *schedulingCycle, j *job, m *machine) bool {
 	s := j.spec
 	if m.spot && !s.Spot || s.Zone != "" && s.Zone != m.zone || !allowsType(s, m.typeName) || cycle.state.avoidsMachine(j, m) {
@@ -22,39 +22,39 @@
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
-	here := 0
+	inZone := 0
 	for _, p := range j.placements {
 		switch {
 		case p.machine.zone == m.zone, s.SpreadZones && p.machine.zone == "":
-			here++
+			inZone++
 		case s.SingleZone:
 			return false
 		}
 	}
-	return !s.SpreadZones || here < (s.Tasks+1)/2
+	return !s.SpreadZones || inZone < (s.Tasks+1)/2
 }
 
-// scanWeighed finds the machine that costs a job's next replica the least, by a scan of all.
-func scanWeighed(cycle *schedulingCycle, j *job, w replicaCostModel) *machine {
+// scanReplicaCost returns the machine with the lowest cost for a job's next replica, by a scan of all machines.
+func scanReplicaCost(cycle *schedulingCycle, j *job, costs replicaCostModel) *machine {
 	var best *schedulableMachine
 	bestCost, bestLeft := 0.0, 0.0
 	need := resource.OfTask(j.spec)
 	for _, m := range allMachines(cycle) {
-		h := m.schedulable
-		if h == nil || !h.free.Covers(need) || !scanAllowed(cycle, j, m) {
+		target := m.schedulable
+		if target == nil || !target.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		cost, left := w.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
-		if w.Crowded(m.name) {
-			cost += w.MachineS()
+		cost, left := costs.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
+		if costs.Crowded(m.name) {
+			cost += costs.MachineS()
 		}
 		if m.machineType.GPUs > 0 {
-			left = (h.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+			left = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
 		} else if m.machineType.CPUs > 0 {
-			left = (h.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
+			left = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
 		if best == nil || cost < bestCost || cost == bestCost && left < bestLeft {
-			best, bestCost, bestLeft = h, cost, left
+			best, bestCost, bestLeft = target, cost, left
 		}
 	}
 	if best == nil {
@@ -63,31 +63,31 @@
 	return best.machine
 }
 
-// scanFit finds the machine for a job's next task by a scan of all.
+// scanFit returns the machine for a job's next task, by a scan of all machines.
 func scanFit(cycle *schedulingCycle, j *job) *machine {
-	if w, weighed := cycle.replicaCostFor(j); weighed {
-		return scanWeighed(cycle, j, w)
+	if costs, byCost := cycle.replicaCostFor(j); byCost {
+		return scanReplicaCost(cycle, j, costs)
 	}
 	var best *schedulableMachine
 	bestScore := math.Inf(1)
 	need := resource.OfTask(j.spec)
 	for _, m := range allMachines(cycle) {
-		h := m.schedulable
-		if h == nil || !h.free.Covers(need) || !scanAllowed(cycle, j, m) {
+		target := m.schedulable
+		if target == nil || !target.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
 		left := 1.0
 		if m.machineType.GPUs > 0 {
-			left = (h.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+			left = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
 		} else if m.machineType.CPUs > 0 {
-			left = (h.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
+			left = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
 		score := left + 2*float64(m.images.stateOf(j.spec.Image))
 		if j.spec.Spot && !m.spot {
 			score += 4
 		}
 		if score < bestScore {
-			best, bestScore = h, score
+			best, bestScore = target, score
 		}
 	}
 	if best == nil {
@@ -96,25 +96,25 @@
 	return best.machine
 }
 
-// scanCheapest finds the machine on which preemption costs the least by a scan of all.
-func scanCheapest(cycle *schedulingCycle, j *job, victim func(*job, *placement) bool) *preemptionPlan {
+// scanPreemption returns the plan with the lowest preemption cost, by a scan of all machines.
+func scanPreemption(cycle *schedulingCycle, j *job, mayStop func(*job, *placement) bool) *preemptionPlan {
 	var best *preemptionPlan
 	for _, m := range allMachines(cycle) {
 		if m.schedulable == nil || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		stops, ok := cycle.preemptionSet(j, m.schedulable, victim)
-		if !ok {
+		stops, possible := cycle.preemptionSet(j, m.schedulable, mayStop)
+		if !possible {
 			continue
 		}
-		if cost := costOf(stops, m.schedulable, j); best == nil || cost.Less(best.cost) {
+		if cost := preemptionCost(stops, m.schedulable, j); best == nil || cost.Less(best.cost) {
 			best = &preemptionPlan{m.schedulable, stops, cost}
 		}
 	}
 	return best
 }
 
-// runCycle compares what index and scan choose for some jobs, and does that.
+// runCycle compares the choices of the index with those of the scan for some jobs, and applies them.
 func (f *randomFleet) runCycle() {
 	l := f.l
 	l.refreshCapacityIndex()
@@ -126,7 +126,7 @@
 		}
 		want := scanFit(cycle, j)
 		if got := cycle.findMachine(j); got != want {
-			f.Fatalf("%s: %s by the index, %s by the scan", j.id, nameOf(got), nameOf(want))
+			f.Fatalf("%s: the index chose %s, the scan %s", j.id, nameOf(got), nameOf(want))
 		}
 		switch {
 		case want != nil:
@@ -141,29 +141,31 @@
 	}
 }
 
-// preempt compares what index and scan preempt for a job.
+// preempt compares the preemption plans of the index and the scan for a job, and applies the plan.
 func (f *randomFleet) preempt(cycle *schedulingCycle, j *job) {
-	// A cycle looks for the jobs that can be shrunk once; here the next decision may follow any other.
+	// A real cycle looks up the jobs that can be shrunk only once. Here the decisions follow in random order, so the
+	// list is discarded.
 	cycle.preemptible = nil
 	idleOnly := f.chance("idle work only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
-	want := scanCheapest(cycle, j, rule.mayStop)
+	want := scanPreemption(cycle, j, rule.mayStop)
 	got := cycle.cheapestPreemption(j, &rule)
 	if (got == nil) != (want == nil) {
-		f.Fatalf("%s: %+v by the index, %+v by the scan", j.id, got, want)
+		f.Fatalf("%s: the index chose %+v, the scan %+v", j.id, got, want)
 	}
-	request, plain := preemptionRequestOf(j, idleOnly)
-	if plain && cycle.hopelessPreemptions[request] && want != nil {
-		f.Fatalf("%s could preempt on %s, though that is remembered as hopeless", j.id, want.machine.machine.name)
+	request, cacheable := preemptionRequestOf(j, idleOnly)
+	if cacheable && cycle.infeasiblePreemptions[request] && want != nil {
+		f.Fatalf("%s could preempt on %s, but the request is recorded as infeasible", j.id, want.machine.machine.name)
 	}
 	if got == nil {
-		if plain {
-			cycle.hopelessPreemptions[request] = true
+		if cacheable {
+			cycle.infeasiblePreemptions[request] = true
 		}
 		return
 	}
 	if got.machine != want.machine || got.cost != want.cost || !slices.Equal(got.stops, want.stops) {
-		f.Fatalf("%s: on %s for %+v by the index, on %s for %+v by the scan", j.id, got.machine.machine.name, got.cost, want.machine.machine.name, want.cost)
+		f.Fatalf("%s: the index chose %s at cost %+v, the scan %s at cost %+v", j.id, got.machine.machine.name, got.cost,
+			want.machine.machine.name, want.cost)
 	}
 	cycle.preempt(j, got)
 }
@@ -175,10 +177,11 @@
 	return m.name
 }
 
-// TestIndexChoosesAsScan draws fleets and their events: spread and single zones, spot machines, avoided machines, ties,
-// tasks that stop, reclaimed and silent machines, unknown zones, reserved resources and reverted placements. The index
-// chooses the same machines and the same tasks to stop as a scan, and stays equal to one built anew.
-func TestIndexChoosesAsScan(t *testing.T) {
+// TestIndexMatchesScan checks that the index chooses the same machines and the same tasks to stop as a scan of all
+// machines, and that it stays equal to one that is rebuilt from scratch. It draws random fleets and events: jobs in a
+// single zone or spread over zones, spot machines, avoided machines, ties, stopping tasks, reclaimed and silent
+// machines, unknown zones, reserved resources and reverted placements.
+func TestIndexMatchesScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newRandomFleet(t)
 		for range rapid.SampledFrom([]int{1, 4, 10, 40}).Draw(t, "jobs") {
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// GetPlacements requests the placements of a job's replicas, with what each of them cost. Only the leader answers.
+// GetPlacements requests the placements of a job's replicas with their costs. Only the leader answers it.
 type GetPlacements struct {
 	RequestID uint64
 	Job       string
@@ -20,16 +20,16 @@
 	Attempt uint64
 	Machine string
 	Zone    string
-	// Chosen tells that this leader made the placement, so that what follows is known; Weighed that image load was weighed
-	// against spread.
-	Chosen  bool
-	Weighed bool
-	LoadS   float64
-	LossS   float64
-	// Warmest is the machine that was closest to having the weights, if another one was chosen; "" otherwise.
-	Warmest      string
-	WarmestLoadS float64
-	AvoidedS     float64
+	// PlacedByThisLeader reports whether this leader made the placement; the costs below are known only then.
+	PlacedByThisLeader bool
+	// SpreadWeighed reports whether image load time was weighed against spread.
+	SpreadWeighed bool
+	ImageLoadS    float64
+	ExpectedLossS float64
+	// BestFit is the machine that would have been chosen without spreading, if another one was chosen; "" otherwise.
+	BestFit      string
+	BestFitLoadS float64
+	AvoidedLossS float64
 }
 
 // handleGetPlacements answers with the placements of a job's replicas.
@@ -43,12 +43,12 @@
 		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: "no such job, or it is over"})
 		return
 	}
-	places := []ReplicaPlacement{}
+	replicas := []ReplicaPlacement{}
 	for _, p := range j.placementsByTask() {
 		cost := p.cost
-		places = append(places, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
-			Chosen: p.startSequence != startSequenceUnknown, Weighed: cost.spreadWeighed, LoadS: cost.imageLoadS, LossS: cost.expectedLossS,
-			Warmest: cost.bestCached, WarmestLoadS: cost.bestCachedLoadS, AvoidedS: cost.avoidedLossS})
+		replicas = append(replicas, ReplicaPlacement{Task: p.name(), Attempt: p.attempt, Machine: p.machine.name, Zone: p.machine.zone,
+			PlacedByThisLeader: p.startSequence != startSequenceUnknown, SpreadWeighed: cost.spreadWeighed, ImageLoadS: cost.imageLoadS, ExpectedLossS: cost.expectedLossS,
+			BestFit: cost.bestFit, BestFitLoadS: cost.bestFitLoadS, AvoidedLossS: cost.avoidedLossS})
 	}
-	c.respond(in.RequestID, http.StatusOK, places)
+	c.respond(in.RequestID, http.StatusOK, replicas)
 }
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/wire"
 )
 
-// placement is an attempt of a task on a machine. It exists from the moment it is decided until there is evidence that the
-// attempt does not run there and never will.
+// placement is an attempt at a task on a machine. It exists from the decision to place the task until there is evidence
+// that the attempt is not running on the machine and never will.
 type placement struct {
 	job                 *job
 	task                int
@@ -16,30 +16,30 @@
 	machine             *machine
 	incarnation         uint64
 	phase               placementPhase
-	startSequence       uint64              // of the heartbeat in whose response its start was sent
-	directStartToken    uint64              // the fencing token with which its start was sent directly; 0: it was not
-	directStartInFlight bool                // a direct start is sent and not answered yet
-	directStartSequence uint64              // the worker's sequence number in that answer; 0: none came
-	imageState          capacity.ImageState // on its machine when it was placed
-	cost                placementCost       // of a replica: what its placement cost
-	state               wire.TaskState      // in the last heartbeat
+	startSequence       uint64              // of the heartbeat whose response carried the start command
+	directStartToken    uint64              // fencing token with which the start was sent directly; 0 if it was not
+	directStartInFlight bool                // a direct start has been sent and not answered yet
+	directStartSequence uint64              // the worker's sequence number in the answer to the direct start; 0 if there was none
+	imageState          capacity.ImageState // on the machine, at the time of placement
+	cost                placementCost       // of placing the replica
+	state               wire.TaskState      // as of the last heartbeat
 	placedAt            time.Duration
-	runningSince        time.Duration // when first seen running; 0: not yet
-	// lastReconciliation is the last reconciliation of the leader, by its count, in which the machine held the placement.
+	runningSince        time.Duration // when first reported running; 0 if it was not yet
+	// lastReconciliation is the number of the leader's last reconciliation in which the machine held the placement.
 	lastReconciliation uint64
-	taskName           string // of the protocol; empty: not worked out yet
+	taskName           string // name in the protocol, computed on first use
 	stop               stopMode
 	stopReason         stopReason
-	stopSent           bool // the stop was sent directly; responses to heartbeats repeat it
+	stopSent           bool // the stop was sent directly; heartbeat responses repeat it
 }
 
 type placementPhase int
 
 const (
-	phaseUncommitted placementPhase = iota // not yet written to the store: nothing was sent
-	phaseCommitted                         // may be sent
-	phaseSent                              // sent by this leader, or perhaps by an earlier one
-	phaseReported                          // in a heartbeat of the machine
+	phaseUncommitted placementPhase = iota // not written to the store yet; no command was sent
+	phaseCommitted                         // written; its start may be sent
+	phaseSent                              // its start was sent by this leader, or possibly by an earlier one
+	phaseReported                          // included in a heartbeat of the machine
 )
 
 type stopMode int
@@ -50,21 +50,22 @@
 	stopImmediate
 )
 
-// stopReason is why a placement is stopped, for the log.
+// stopReason is the reason for stopping a placement, for the log.
 type stopReason string
 
 const (
 	stopCancelled          stopReason = "cancelled"
-	stopDrain              stopReason = "drain"          // its machine is released or reclaimed
-	stopPreempted          stopReason = "shrunk"         // by a job that lacks its minimum
-	stopRebalanced         stopReason = "moved"          // its model's replicas are brought back into balance
-	stopCompletedElsewhere stopReason = "done elsewhere" // another attempt has completed
+	stopDrain              stopReason = "drain"               // the machine is being released or reclaimed
+	stopPreempted          stopReason = "shrunk"              // for a job below its minimum
+	stopRebalanced         stopReason = "moved"               // to bring its model's replicas back into balance
+	stopCompletedElsewhere stopReason = "completed elsewhere" // by another attempt
 )
 
-// startSequenceUnknown marks a placement of an earlier term, whose start may have gone out.
+// startSequenceUnknown marks a placement of an earlier term, whose start may have been sent.
 const startSequenceUnknown = ^uint64(0)
 
-// requestStop has a placement stopped. One that is being stopped already gets the new mode.
+// requestStop requests that a placement be stopped. If it is already being stopped, the mode and the reason are
+// replaced.
 func (p *placement) requestStop(mode stopMode, reason stopReason) {
 	if p.stop == stopNone {
 		p.job.stopping++
@@ -84,12 +85,12 @@
 // removePlacement removes a placement from its job and its machine.
 func (j *job) removePlacement(p *placement) {
 	delete(j.placements, p.task)
-	j.leaveZone(p.machine.zone)
+	j.decrementZoneCount(p.machine.zone)
 	p.countReplica(false)
 	p.machine.removePlacement(p)
 }
 
-func (j *job) leaveZone(zone string) {
+func (j *job) decrementZoneCount(zone string) {
 	if j.placementsByZone[zone]--; j.placementsByZone[zone] == 0 {
 		delete(j.placementsByZone, zone)
 	}
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -5,48 +5,49 @@
 	"bitternwing/internal/wire"
 )
 
-// preemptibleJobs are the jobs that can be shrunk in a cycle, in the order of submission. Within a phase of a cycle no others
-// are added: a job that is placed for its minimum is at its minimum.
+// preemptibleJobs are the jobs that can be shrunk in a cycle, in the order of submission. The list does not grow within
+// a phase of the cycle, since a job that is placed for its minimum is at its minimum.
 type preemptibleJobs struct {
-	jobs        []*job
-	countByRank [capacity.Ranks]int
-	unknownTeam bool // one of them is of a team that does not exist any more
+	jobs           []*job
+	countByRank    [capacity.Ranks]int
+	hasUnknownTeam bool // one of the jobs is of a team that no longer exists
 }
 
-// findPreemptible looks for the jobs that can be shrunk.
+// findPreemptible returns the jobs that can be shrunk.
 func (cycle *schedulingCycle) findPreemptible() *preemptibleJobs {
-	v := &preemptibleJobs{}
+	preemptible := &preemptibleJobs{}
 	for _, j := range cycle.state.jobsToRun() {
 		if !j.shrinkable() {
 			continue
 		}
-		v.jobs = append(v.jobs, j)
-		v.countByRank[priority(j)]++
-		v.unknownTeam = v.unknownTeam || j.team == nil
+		preemptible.jobs = append(preemptible.jobs, j)
+		preemptible.countByRank[priority(j)]++
+		preemptible.hasUnknownTeam = preemptible.hasUnknownTeam || j.team == nil
 	}
-	return v
+	return preemptible
 }
 
-// highestRankBelow is the rank below which a job can preempt others by its priority; 0 if there are none.
-func (v *preemptibleJobs) highestRankBelow(j *job) int {
+// preemptibleRankLimit returns the rank below which a job can preempt others by priority; 0 if no job of a lower rank
+// can be shrunk.
+func (p *preemptibleJobs) preemptibleRankLimit(j *job) int {
 	for rank := range priority(j) {
-		if v.countByRank[rank] > 0 {
+		if p.countByRank[rank] > 0 {
 			return priority(j)
 		}
 	}
 	return 0
 }
 
-// preemptionRule tells which placements a job may preempt.
+// preemptionRule determines which placements a job may preempt.
 type preemptionRule struct {
 	mayStop func(j *job, p *placement) bool
-	// belowRank bounds the ranks of their jobs, and candidates are these jobs where they are few.
+	// belowRank bounds the ranks of the jobs that may be preempted. candidates lists these jobs if they are few.
 	belowRank  int
 	candidates []*job
 }
 
-// preemptionRule is the rule for a job that lacks its minimum or, with idleOnly, for one that has it and may preempt only
-// idle-priority work.
+// preemptionRule returns the rule for a job below its minimum. With idleOnly, it returns the rule for a job that has
+// its minimum and may preempt only idle-priority work.
 func (cycle *schedulingCycle) preemptionRule(j *job, idleOnly bool) preemptionRule {
 	if cycle.preemptible == nil {
 		cycle.preemptible = cycle.findPreemptible()
@@ -59,47 +60,49 @@
 		}
 		return rule
 	}
-	rule := preemptionRule{mayStop: cycle.mayPreempt, belowRank: preemptible.highestRankBelow(j)}
-	if !j.withinGuarantee && !preemptible.unknownTeam {
+	rule := preemptionRule{mayStop: cycle.mayPreempt, belowRank: preemptible.preemptibleRankLimit(j)}
+	if !j.withinGuarantee && !preemptible.hasUnknownTeam {
 		return rule
 	}
-	victims, placed := cycle.allowedPreemptions(j)
+	victims, instances := cycle.allowedPreemptions(j)
 	if len(victims) == 0 {
 		return rule
 	}
 	rule.belowRank = capacity.AllRanks
-	if placed < cycle.params.fleet.index.Len()/fewPreemptibleRatio {
+	if instances < cycle.params.fleet.index.Len()/machinesPerVictim {
 		rule.candidates = victims
 	}
 	return rule
 }
 
-// fewPreemptibleRatio says that fewer instances than one for so many machines are few.
-const fewPreemptibleRatio = 2
+// machinesPerVictim is the ratio of machines to preemptible instances above which the instances count as few.
+const machinesPerVictim = 2
 
-// allowedPreemptions gives the jobs that a job may preempt, by priority or by guarantee, and counts their instances.
-func (cycle *schedulingCycle) allowedPreemptions(j *job) (victims []*job, placed int) {
-	cycle.evaluations -= len(cycle.preemptible.jobs) / checksPerEvaluation
-	for _, v := range cycle.preemptible.jobs {
-		if cycle.usage.MayPreempt(j.claim(), v.claim()) && v.shrinkable() {
-			victims = append(victims, v)
-			placed += len(v.placements)
+// allowedPreemptions returns the jobs that a job may preempt, by priority or by guarantee, and the number of their
+// instances.
+func (cycle *schedulingCycle) allowedPreemptions(j *job) (victims []*job, instances int) {
+	cycle.evaluationsLeft -= len(cycle.preemptible.jobs) / checksPerEvaluation
+	for _, victim := range cycle.preemptible.jobs {
+		if cycle.usage.MayPreempt(j.claim(), victim.claim()) && victim.shrinkable() {
+			victims = append(victims, victim)
+			instances += len(victim.placements)
 		}
 	}
-	return victims, placed
+	return victims, instances
 }
 
-// mayPreempt tells whether a job that lacks its minimum may preempt a placement.
+// mayPreempt reports whether a job below its minimum may preempt a placement.
 func (cycle *schedulingCycle) mayPreempt(j *job, p *placement) bool {
 	return p.stop == stopNone && p.job.shrinkable() && cycle.usage.MayPreempt(j.claim(), p.job.claim())
 }
 
-// mayPreemptIdle tells whether a job that has its minimum may preempt a placement.
+// mayPreemptIdle reports whether a job that has its minimum may preempt a placement.
 func (cycle *schedulingCycle) mayPreemptIdle(j *job, p *placement) bool {
 	return p.job.isIdlePriority() && !j.isIdlePriority() && cycle.mayPreempt(j, p)
 }
 
-// preemptionRequest is what decides whether preemption can help a task, where nothing else does.
+// preemptionRequest holds all attributes that decide whether preemption can help a task of a job without further
+// constraints.
 type preemptionRequest struct {
 	resourceRequest
 	team       string
@@ -108,14 +111,15 @@
 	idleOnly   bool
 }
 
-// preemptionRequestOf gives a job's preemption request; false if more than that decides.
+// preemptionRequestOf returns the preemption request of a job; false if the job has constraints that the request does
+// not hold.
 func preemptionRequestOf(j *job, idleOnly bool) (preemptionRequest, bool) {
-	request, plain := requestOf(j)
+	request, cacheable := requestOf(j)
 	return preemptionRequest{
 		resourceRequest: request,
 		team:            j.spec.Team,
 		rank:            priority(j),
 		guaranteed:      j.withinGuarantee,
 		idleOnly:        idleOnly,
-	}, plain
+	}, cacheable
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -6,21 +6,22 @@
 	"bitternwing/internal/scheduling"
 )
 
-// preemptFor preempts instances for tasks of a job, on the machines where the fewest have to be stopped, and of the most
-// fulfilled jobs above their minimum. The resources it counts on are reserved in this cycle, and each cycle works that out
-// anew, so an instance that is stopping already is not replaced by another one. It tells whether all the tasks have, or
-// will have, a machine. With idleOnly, only idle-priority work is preempted.
-func (cycle *schedulingCycle) preemptFor(j *job, need int, idleOnly bool) bool {
-	request, plain := preemptionRequestOf(j, idleOnly)
-	if plain && cycle.hopelessPreemptions[request] {
+// preemptFor preempts instances to make room for tasks of a job. It chooses the machines where the fewest instances
+// have to stop, and there the instances of the most fulfilled jobs above their minimum. The resources to be freed are
+// reserved within this cycle. Each cycle derives the reservations again, so an instance that is already stopping is not
+// followed by another one for the same task. It reports whether all tasks have, or will have, a machine. With idleOnly,
+// only idle-priority work is preempted.
+func (cycle *schedulingCycle) preemptFor(j *job, tasks int, idleOnly bool) bool {
+	request, cacheable := preemptionRequestOf(j, idleOnly)
+	if cacheable && cycle.infeasiblePreemptions[request] {
 		return false
 	}
 	rule := cycle.preemptionRule(j, idleOnly)
-	for range need {
+	for range tasks {
 		best := cycle.cheapestPreemption(j, &rule)
 		if best == nil {
-			if plain {
-				cycle.hopelessPreemptions[request] = true
+			if cacheable {
+				cycle.infeasiblePreemptions[request] = true
 			}
 			return false
 		}
@@ -29,42 +30,42 @@
 	return true
 }
 
-// preemptionPlan is a machine that will have the resources for a task, and what has to be stopped for that.
+// preemptionPlan is a machine that will have the resources for a task, and the placements to stop for that.
 type preemptionPlan struct {
 	machine *schedulableMachine
 	stops   []*placement
 	cost    capacity.Cost
 }
 
-// preempt stops what a plan names, and reserves the resources for a task of a job.
-func (cycle *schedulingCycle) preempt(j *job, c *preemptionPlan) {
-	target := c.machine
-	for _, p := range c.stops {
+// preempt stops the placements of a plan and reserves the resources for a task of a job.
+func (cycle *schedulingCycle) preempt(j *job, plan *preemptionPlan) {
+	target := plan.machine
+	for _, p := range plan.stops {
 		p.requestStop(stopModeFor(j, p), stopPreempted)
 		cycle.state.dispatch(p.machine)
 		if p.phase < phaseSent {
 			cycle.state.endPlacement(p)
 			target.free.Add(resource.OfTask(p.job.spec))
-			cycle.capacityGrew()
+			cycle.clearFailedRequests()
 		}
 		target.freeAfterStops.Add(resource.OfTask(p.job.spec))
 		cycle.state.logPreempted(p, j)
 	}
 	target.freeAfterStops.Subtract(resource.OfTask(j.spec))
-	// What is free there already is reserved too, as far as the task needs it.
+	// Resources that are free already are reserved too, as far as the task needs them.
 	target.free = target.free.CappedBy(target.freeAfterStops)
-	target.machine.capacityChanged = true // the reservation is for this cycle only
+	target.machine.capacityChanged = true // the reservation ends with this cycle
 	cycle.state.updateCapacityIndex(target)
 }
 
-// capacityGrew notes that requests that failed in this cycle may succeed now.
-func (cycle *schedulingCycle) capacityGrew() {
+// clearFailedRequests discards the record of failed requests, since they may succeed after resources were freed.
+func (cycle *schedulingCycle) clearFailedRequests() {
 	clear(cycle.exhaustedRequests)
-	clear(cycle.hopelessPreemptions)
+	clear(cycle.infeasiblePreemptions)
 }
 
-// cheapestPreemption finds the machine on which preemption for a job's next task costs the least, and of these the first by
-// name; nil if there is none.
+// cheapestPreemption returns the plan with the lowest preemption cost for a job's next task, and among those the first
+// by machine name; nil if there is none.
 func (cycle *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
 	s := &preemptionSearch{
 		cycle:   cycle,
@@ -72,24 +73,24 @@
 		rule:    rule,
 		need:    resource.OfTask(j.spec),
 		image:   capacity.BitOf(j.spec.Image),
-		allowed: j.groupRules(),
+		allowed: j.groupFilter(),
 	}
 	if len(rule.candidates) > 0 {
-		// Few jobs can be shrunk: only the machines of their tasks come into question, and those that will have the
+		// There are few candidates. Only the machines of their tasks have to be evaluated, and those that will have the
 		// resources without preemption.
 		for _, victim := range rule.candidates {
 			for _, p := range victim.placements {
-				s.consider(p.machine)
+				s.evaluateIfAllowed(p.machine)
 			}
 		}
-		s.walk(0)
+		s.walkIndex(0)
 	} else {
-		s.walk(rule.belowRank)
+		s.walkIndex(rule.belowRank)
 	}
 	return s.best
 }
 
-// preemptionSearch is a search for the machine on which preemption costs the least.
+// preemptionSearch is a search for the machine with the lowest preemption cost.
 type preemptionSearch struct {
 	cycle   *schedulingCycle
 	job     *job
@@ -100,32 +101,34 @@
 	best    *preemptionPlan
 }
 
-// walk evaluates all machines that may be better than the best so far, if work below a rank can be stopped.
-func (s *preemptionSearch) walk(below int) {
+// walkIndex evaluates all machines that may be better than the best plan so far, assuming that work below the given
+// rank can be stopped.
+func (s *preemptionSearch) walkIndex(belowRank int) {
 	evaluated := s.cycle.params.fleet.index.Walk(s.allowed, func(b *capacity.Bounds) bool {
-		least, possible := b.MinCost(s.need, below, s.image)
-		return !possible || !s.better(least, b.FirstName)
+		minCost, possible := b.MinCost(s.need, belowRank, s.image)
+		return !possible || !s.mayImprove(minCost, b.FirstName)
 	}, s.evaluate)
-	s.cycle.evaluations -= max(1, evaluated)
+	s.cycle.evaluationsLeft -= max(1, evaluated)
 }
 
-// better tells whether a cost on a machine, or on one that comes after it by name, may be better than the best.
-func (s *preemptionSearch) better(cost capacity.Cost, name string) bool {
+// mayImprove reports whether the given cost, on the named machine or a later one by name, may be better than the best
+// plan so far.
+func (s *preemptionSearch) mayImprove(cost capacity.Cost, name string) bool {
 	if s.best == nil || cost.Less(s.best.cost) {
 		return true
 	}
 	return cost == s.best.cost && name < s.best.machine.machine.name
 }
 
-// consider evaluates a machine if a task of the job may run there.
-func (s *preemptionSearch) consider(m *machine) {
-	s.cycle.evaluations--
+// evaluateIfAllowed evaluates a machine if a task of the job may run on it.
+func (s *preemptionSearch) evaluateIfAllowed(m *machine) {
+	s.cycle.evaluationsLeft--
 	if m.schedulable != nil && s.allowed(m.group()) {
 		s.evaluate(m.schedulable)
 	}
 }
 
-// evaluate works out what has to stop on a machine.
+// evaluate determines which placements would have to stop on a machine, and keeps the plan if it is the best so far.
 func (s *preemptionSearch) evaluate(target *schedulableMachine) {
 	if s.cycle.state.avoidsMachine(s.job, target.machine) {
 		return
@@ -134,13 +137,13 @@
 	if !possible {
 		return
 	}
-	if cost := costOf(stops, target, s.job); s.better(cost, target.machine.name) {
+	if cost := preemptionCost(stops, target, s.job); s.mayImprove(cost, target.machine.name) {
 		s.best = &preemptionPlan{target, stops, cost}
 	}
 }
 
-// stopModeFor tells how a placement is stopped for a job. A service is not made to wait for one more checkpoint of
-// idle-priority work, which loses at most what it did since the last one.
+// stopModeFor returns how a placement is stopped for a job. Idle-priority work is stopped at once for a service,
+// without another checkpoint, since it loses at most the work since its last checkpoint.
 func stopModeFor(j *job, p *placement) stopMode {
 	if p.job.isIdlePriority() && !j.isArray() {
 		return stopImmediate
@@ -148,9 +151,9 @@
 	return stopAfterCheckpoint
 }
 
-// costOf gives what preemption on a machine costs: instances that are stopped, then the state of the job's image there, then
-// instances of idle priority that are stopped.
-func costOf(stops []*placement, target *schedulableMachine, j *job) capacity.Cost {
+// preemptionCost returns the cost of preemption on a machine. The number of stopped instances counts first, then the
+// state of the image on the machine, then the number of stopped idle-priority instances.
+func preemptionCost(stops []*placement, target *schedulableMachine, j *job) capacity.Cost {
 	cost := capacity.Cost{ImageState: target.machine.images.stateOf(j.spec.Image)}
 	for _, p := range stops {
 		if p.job.isIdlePriority() {
@@ -162,22 +165,22 @@
 	return cost
 }
 
-// preemptionSet gives the instances to stop on a machine so that a task of j fits, the most fulfilled job's first; false
-// if all that may be stopped would not be enough.
+// preemptionSet returns the instances to stop on a machine so that a task of j fits, those of the most fulfilled jobs
+// first. It returns false if stopping all permitted instances would not free enough.
 func (cycle *schedulingCycle) preemptionSet(j *job, target *schedulableMachine, mayStop func(*job, *placement) bool) ([]*placement, bool) {
 	need := resource.OfTask(j.spec)
 	if target.freeAfterStops.Covers(need) {
 		return nil, true
 	}
-	// Mostly all that may be stopped there would not be enough; that is the cheaper question.
-	freeAtMost := target.freeAfterStops
+	// Check the sum of all permitted instances first: it is cheaper, and on most machines it is not enough.
+	maxFree := target.freeAfterStops
 	for _, p := range target.machine.placementsInOrder {
 		if mayStop(j, p) {
-			freeAtMost.Add(resource.OfTask(p.job.spec))
+			maxFree.Add(resource.OfTask(p.job.spec))
 		}
 	}
-	cycle.evaluations -= len(target.machine.placementsInOrder) / checksPerEvaluation
-	if !freeAtMost.Covers(need) {
+	cycle.evaluationsLeft -= len(target.machine.placementsInOrder) / checksPerEvaluation
+	if !maxFree.Covers(need) {
 		return nil, false
 	}
 	var candidates []*placement
@@ -192,7 +195,7 @@
 			})
 		}
 	}
-	cycle.evaluations -= evaluationsPerVictim * len(candidates)
+	cycle.evaluationsLeft -= evaluationsPerVictim * len(candidates)
 	victims, possible := scheduling.SelectVictims(need, target.freeAfterStops, instances)
 	stops := make([]*placement, len(victims))
 	for i, victim := range victims {
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -12,11 +12,11 @@
 	"bitternwing/internal/wire"
 )
 
-// provisioner is the client of the cloud: it requests machines, releases them and reads the cloud's list of them, within
-// the cloud's rate limit. What is missing and what is idle is decided by the capacity planner.
+// provisioner is the client of the cloud. It requests machines, releases them and reads the cloud's list of machines,
+// within the cloud's rate limit. The capacity planner decides how many machines to request and which to release.
 type provisioner struct {
 	leader      *leader
-	requestRate ratelimit.Bucket // of requests to the cloud
+	requestRate ratelimit.Bucket // for requests to the cloud
 
 	lastRequest     int
 	requests        []*scaleOutRequest
@@ -24,36 +24,38 @@
 	nextScaleIn     time.Duration
 	scaleInInFlight bool
 
-	nextList      time.Duration
-	listInFlight  bool          // a page is being read
-	listStartedAt time.Duration // when the list being read was requested
-	nextPage      string        // of the list being read, the machine after which the next page begins; "": none is due
-	listedNames   map[string]bool
-	listRead      bool
-	exhausted     map[capacity.Group]time.Duration // refused lately; not requested before this
+	nextList       time.Duration
+	listInFlight   bool          // a page is being read
+	listStartedAt  time.Duration // when the first page of the current list was requested
+	nextPage       string        // last machine of the page before the next one to read; "" if no page is due
+	listedNames    map[string]bool
+	listComplete   bool
+	exhaustedUntil map[capacity.Group]time.Duration // groups recently refused by the cloud, with the time until which they are not requested
 }
 
-// scaleOutRequest is a request for machines. Its ID holds the term, so that no other request ever has it; it is retried
-// under that ID until its outcome is known, so that machines are granted once.
+// scaleOutRequest is a request for machines. Its ID includes the term, so it is unique. The request is retried under
+// the same ID until its outcome is known, so that the machines are granted only once.
 type scaleOutRequest struct {
 	capacity.Group
-	id       string
-	count    int
-	sent     bool // until then the next plan replaces it
-	inFlight bool
-	nextTry  time.Duration
+	id            string
+	count         int
+	sent          bool // until it is sent, the next plan may replace it
+	inFlight      bool
+	nextAttemptAt time.Duration
 }
 
 func (p *provisioner) init(l *leader) {
 	p.leader = l
 	p.requestRate = ratelimit.NewBucket(l.core.settings.Params.Cloud.RPS, l.core.now.Steady)
-	p.exhausted = map[capacity.Group]time.Duration{}
+	p.exhaustedUntil = map[capacity.Group]time.Duration{}
 }
 
-// usableRateShare is the share of the cloud's rate limit that the leader uses. The rest is a margin against refusals.
+// usableRateShare is the share of the cloud's rate limit that the leader uses. The remainder is a margin against
+// refused requests.
 const usableRateShare = 0.8
 
-// takeRateToken takes a token for a request to the cloud, or has the core woken when there will be one.
+// takeRateToken takes a token for a request to the cloud. If there is none, it schedules a wake-up for when one is
+// available and returns false.
 func (p *provisioner) takeRateToken() bool {
 	now := p.leader.core.now.Steady
 	rate := usableRateShare * p.leader.core.settings.Params.Cloud.RPS
@@ -65,7 +67,8 @@
 	return true
 }
 
-// run sends the requests that are due, as far as the rate limit allows: releases first, then scale-out, then the list.
+// run sends the requests that are due, as far as the rate limit allows: releases first, then scale-out requests, then
+// the list.
 func (p *provisioner) run() {
 	l, c := p.leader, p.leader.core
 	if !l.hasAuthority() {
@@ -76,48 +79,48 @@
 		p.sendScaleIn()
 	}
 	for i := 0; i < len(p.requests); i++ {
-		q := p.requests[i]
-		if q.inFlight {
+		request := p.requests[i]
+		if request.inFlight {
 			continue
 		}
-		if now < q.nextTry {
-			c.wakeBy(q.nextTry)
+		if now < request.nextAttemptAt {
+			c.wakeBy(request.nextAttemptAt)
 			continue
 		}
 		if !p.takeRateToken() {
 			break
 		}
-		p.sendScaleOut(q)
+		p.sendScaleOut(request)
 	}
 	p.runList()
 }
 
-// releaseReason is why a machine is released, for the log.
+// releaseReason is the reason for releasing a machine, for the log.
 type releaseReason string
 
-// The reasons.
+// The reasons for releasing a machine.
 const (
 	releaseIdle          releaseReason = "idle"
 	releaseSilent        releaseReason = "silent"
 	releaseFaulty        releaseReason = "faulty"
-	releaseNeverUp       releaseReason = "did not come up"
-	releaseCancelled     releaseReason = "a cancelled task does not go"
-	releaseResponsesLost releaseReason = "answers don't reach it"
+	releaseBootTimeout   releaseReason = "no heartbeat after boot"
+	releaseCancelled     releaseReason = "cancelled task does not stop"
+	releaseResponsesLost releaseReason = "responses do not arrive"
 )
 
-// release has a machine scaled in. What runs on it counts until the cloud has confirmed that it is gone.
-func (p *provisioner) release(m *machine, why releaseReason) {
+// release schedules a machine for release. Its tasks count as running until the cloud has confirmed the release.
+func (p *provisioner) release(m *machine, reason releaseReason) {
 	if m.releasing {
 		return
 	}
-	m.releasing, m.releaseReason = true, why
+	m.releasing, m.releaseReason = true, reason
 	p.scaleInQueue = append(p.scaleInQueue, m.name)
-	p.leader.core.log(Info, "releasing worker", "worker", m.name, "reason", why, "tasks", len(m.placements))
+	p.leader.core.log(Info, "releasing worker", "worker", m.name, "reason", reason, "tasks", len(m.placements))
 	p.leader.requestCycle()
 }
 
-// cancelRelease keeps a machine that was to be released as silent and sends heartbeats again, as long as no request for it
-// can have been applied: while the cloud is out of reach its tasks may have gone on all the time.
+// cancelRelease cancels the release of a silent machine that sends heartbeats again, unless a request for the release
+// may already have been applied. While the cloud is out of reach, the machine's tasks may have kept running.
 func (p *provisioner) cancelRelease(m *machine) {
 	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
 		return
@@ -128,7 +131,7 @@
 	p.leader.requestCycle()
 }
 
-// markReleaseSent notes whether a request to release machines may have been applied.
+// markReleaseSent records whether a request to release the machines may have been applied.
 func (p *provisioner) markReleaseSent(names []string, maybeApplied bool) {
 	for _, name := range names {
 		if m := p.leader.machines[name]; m != nil {
@@ -137,13 +140,13 @@
 	}
 }
 
-// sendScaleIn sends a request to release the machines that have waited longest. It is idempotent, so it is retried after
-// any failure.
+// sendScaleIn sends a request to release the machines at the head of the queue. The request is idempotent, so it is
+// retried after any failure.
 func (p *provisioner) sendScaleIn() {
 	l, c := p.leader, p.leader.core
-	n := min(len(p.scaleInQueue), wire.MaxScaleIn)
-	names := append([]string(nil), p.scaleInQueue[:n]...)
-	p.scaleInQueue = append([]string(nil), p.scaleInQueue[n:]...)
+	count := min(len(p.scaleInQueue), wire.MaxScaleIn)
+	names := append([]string(nil), p.scaleInQueue[:count]...)
+	p.scaleInQueue = append([]string(nil), p.scaleInQueue[count:]...)
 	p.scaleInInFlight = true
 	p.markReleaseSent(names, true)
 	id := l.registerCall(func(r Result) {
@@ -167,72 +170,74 @@
 }
 
 // sendScaleOut sends a request for machines.
-func (p *provisioner) sendScaleOut(q *scaleOutRequest) {
-	q.inFlight, q.sent = true, true
+func (p *provisioner) sendScaleOut(request *scaleOutRequest) {
+	request.inFlight, request.sent = true, true
 	id := p.leader.registerCall(func(r Result) {
-		q.inFlight = false
-		p.handleScaleOutResult(q, r)
+		request.inFlight = false
+		p.handleScaleOutResult(request, r)
 	})
 	p.leader.core.emit(CloudScaleOut{CallID: id,
-		Request: wire.ScaleOutRequest{RequestID: q.id, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.count}})
+		Request: wire.ScaleOutRequest{RequestID: request.id, Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.count}})
 }
 
 const (
-	// exhaustedListLags is for how many lags of the cloud's list a group is not requested after the cloud had too few.
+	// exhaustedListLags is the time, in list lags of the cloud, for which a group is not requested after the cloud
+	// could not grant all machines.
 	exhaustedListLags = 2
-	// invalidListLags is the same after the cloud has called a request invalid.
+	// invalidListLags is the same time after the cloud has rejected a request as invalid.
 	invalidListLags = 20
 )
 
-// handleScaleOutResult takes in the machines that the cloud granted. A request whose outcome is not known is retried under
+// handleScaleOutResult adds the machines that the cloud granted. A request whose outcome is unknown is retried under
 // its ID.
-func (p *provisioner) handleScaleOutResult(q *scaleOutRequest, r Result) {
+func (p *provisioner) handleScaleOutResult(request *scaleOutRequest, result Result) {
 	l, c := p.leader, p.leader.core
 	now := c.now.Steady
-	switch r.Outcome {
+	switch result.Outcome {
 	case outcome.OK:
-		for _, name := range r.MachineNames {
+		for _, name := range result.MachineNames {
 			m := l.machineNamed(name)
-			m.requestedAt, m.requestedHere = r.SentAt, true
-			m.setIdentity(q.Type, q.Zone, "", q.Spot)
-			m.setType(c.catalog.machineType(q.Type))
+			m.requestedAt, m.requestedHere = result.SentAt, true
+			m.setIdentity(request.Type, request.Zone, "", request.Spot)
+			m.setType(c.catalog.machineType(request.Type))
 		}
-		if len(r.MachineNames) < q.count {
-			p.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
+		if len(result.MachineNames) < request.count {
+			p.exhaustedUntil[request.Group] = now + exhaustedListLags*c.times.listLag
 		}
-		p.dropRequest(q)
+		p.dropRequest(request)
 		l.requestCycle()
-		c.log(Info, "scaled out", "requested", q.count, "granted", len(r.MachineNames), "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+		c.log(Info, "scaled out", "requested", request.count, "granted", len(result.MachineNames), "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 	case outcome.Unavailable:
-		p.exhausted[q.Group] = now + exhaustedListLags*c.times.listLag
-		p.dropRequest(q)
+		p.exhaustedUntil[request.Group] = now + exhaustedListLags*c.times.listLag
+		p.dropRequest(request)
 		l.requestCycle()
-		c.log(Debug, "scale-out refused", "type", q.Type, "zone", q.Zone, "spot", q.Spot)
+		c.log(Debug, "scale-out refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 	case outcome.Invalid:
-		p.exhausted[q.Group] = now + invalidListLags*c.times.listLag
-		p.dropRequest(q)
-		c.log(Error, "scale-out request invalid", "type", q.Type, "zone", q.Zone)
+		p.exhaustedUntil[request.Group] = now + invalidListLags*c.times.listLag
+		p.dropRequest(request)
+		c.log(Error, "scale-out request invalid", "type", request.Type, "zone", request.Zone)
 	case outcome.Unknown, outcome.Conflict, outcome.NotFound, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
-		q.nextTry = now + c.times.checkInterval
-		c.wakeBy(q.nextTry)
+		request.nextAttemptAt = now + c.times.checkInterval
+		c.wakeBy(request.nextAttemptAt)
 	}
 }
 
-// unavailable tells whether machines of a group are not to be requested now: its zone is cut off, or the cloud had too few
-// of them lately.
+// unavailable reports whether machines of a group must not be requested now, because the zone is cut off or the cloud
+// recently had too few of them.
 func (p *provisioner) unavailable(group capacity.Group) bool {
-	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhausted[group]
+	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhaustedUntil[group]
 }
 
-// apply has a capacity plan carried out: a request for each group that is missing, and the release of what is idle.
-func (p *provisioner) apply(plan capacityPlan) {
+// applyPlan carries out a capacity plan: it queues a request for each group that lacks machines, and releases the
+// machines to scale in.
+func (p *provisioner) applyPlan(plan capacityPlan) {
 	for _, demand := range plan.scaleOut {
 		p.lastRequest++
 		p.requests = append(p.requests, &scaleOutRequest{
-			Group:   demand.Group,
-			id:      fmt.Sprintf("bw-%d-%d", p.leader.term, p.lastRequest),
-			count:   min(demand.count, wire.MaxScaleOut),
-			nextTry: p.leader.core.now.Steady,
+			Group:         demand.Group,
+			id:            fmt.Sprintf("bw-%d-%d", p.leader.term, p.lastRequest),
+			count:         min(demand.count, wire.MaxScaleOut),
+			nextAttemptAt: p.leader.core.now.Steady,
 		})
 	}
 	for _, m := range plan.scaleIn {
@@ -240,31 +245,31 @@
 	}
 }
 
-// dropUnsentRequests drops requests that still wait for the cloud's rate limit. The next plan counts anew what is missing,
-// so that one request asks for all of it: cycles come faster than requests may be sent, and a queue of small ones would
-// delay the fleet by many seconds.
+// dropUnsentRequests drops the requests that still wait for the cloud's rate limit. The next plan counts the missing
+// machines again and combines them into one request per group. Cycles are more frequent than requests may be sent, so a
+// queue of small requests would delay the machines by many seconds.
 func (p *provisioner) dropUnsentRequests() {
 	sent := p.requests[:0]
-	for _, q := range p.requests {
-		if q.sent {
-			sent = append(sent, q)
+	for _, request := range p.requests {
+		if request.sent {
+			sent = append(sent, request)
 		}
 	}
 	clear(p.requests[len(sent):])
 	p.requests = sent
 }
 
-func (p *provisioner) dropRequest(q *scaleOutRequest) {
-	for i, x := range p.requests {
-		if x == q {
+func (p *provisioner) dropRequest(request *scaleOutRequest) {
+	for i, other := range p.requests {
+		if other == request {
 			p.requests = append(p.requests[:i], p.requests[i+1:]...)
 			return
 		}
 	}
 }
 
-// releaseNeverUp releases machines that send no heartbeat long after they should have booted.
-func (p *provisioner) releaseNeverUp() {
+// releaseUnbooted releases machines that have not sent a heartbeat long after they should have booted.
+func (p *provisioner) releaseUnbooted() {
 	l, c := p.leader, p.leader.core
 	if !l.hasAuthority() {
 		return
@@ -275,20 +280,20 @@
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
-			// Known from before this term: it may be up and not have found this leader yet.
+			// The machine is older than this term: it may be running and not have found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
-			p.release(m, releaseNeverUp)
+			p.release(m, releaseBootTimeout)
 		}
 	}
 }
 
-// reconciled tells whether this leader knows the fleet well enough to scale it out and in: the cloud's list has been read,
-// and the machines of earlier terms have had time to be listed and to send a heartbeat.
+// reconciled reports whether this leader knows the fleet well enough to scale it: the cloud's list has been read, and
+// the machines of earlier terms have had time to be listed and to send a heartbeat.
 func (p *provisioner) reconciled() bool {
 	l, c := p.leader, p.leader.core
-	if !p.listRead {
+	if !p.listComplete {
 		return false
 	}
 	if l.term == 1 {
@@ -301,16 +306,16 @@
 	if c.now.Steady-l.startedAt > c.times.lease {
 		return true
 	}
-	awaited, up := 0, 0
+	expected, reported := 0, 0
 	for _, m := range l.machinesByName {
 		if m.everReported && (m.reported || m.unansweredQueries < 2) {
-			awaited++
+			expected++
 			if m.reported {
-				up++
+				reported++
 			}
 		}
 	}
-	// The last few may be dead, and so may those that left two queries unanswered: what the fleet lacks without them it
-	// lacks anyway.
-	return 10*up >= 9*awaited
+	// At least 90 % of the expected machines have to report, since the rest may be dead. Machines that left two status
+	// queries unanswered are not expected: if the fleet needs a replacement for them, it needs it in any case.
+	return 10*reported >= 9*expected
 }
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -139,8 +139,8 @@
 
 // supersede notes a record of a layout that is not written any more: it is deleted with the job's end.
 func (j *job) supersede(key string, version uint64) {
-	if j.superseded == nil {
-		j.superseded = map[string]uint64{}
+	if j.supersededRecords == nil {
+		j.supersededRecords = map[string]uint64{}
 	}
-	j.superseded[key] = version
+	j.supersededRecords[key] = version
 }
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -9,7 +9,8 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// model gives the model that a job's replicas serve; false if the job is not a service, whose tasks alone are spread.
+// model returns the model that the replicas of a job serve; false if the job is not a service, since only services are
+// spread.
 func (j *job) model() (topologyspread.Model, bool) {
 	if j.isArray() {
 		return topologyspread.Model{}, false
@@ -17,7 +18,7 @@
 	return topologyspread.Model{Team: j.spec.Team, Image: j.spec.Image}, true
 }
 
-// servicesByModel gives the services that are to run, by the model that they serve.
+// servicesByModel returns the queued services by the model that they serve.
 func (l *leader) servicesByModel() map[topologyspread.Model][]*job {
 	services := map[topologyspread.Model][]*job{}
 	for _, j := range l.queue {
@@ -28,8 +29,8 @@
 	return services
 }
 
-// countReplica adds a placement to the ledger of replicas, or removes it. The ledger is kept whether replicas are spread or
-// not, so that it can be shown.
+// countReplica adds a placement to the replica ledger, or removes it. The ledger is kept even if spreading is disabled,
+// so that replica counts are always available.
 func (p *placement) countReplica(present bool) {
 	model, ok := p.job.model()
 	if !ok || p.job.replicaLedger == nil {
@@ -42,26 +43,27 @@
 	}
 }
 
-// placementCost is what the placement of a replica costs, in seconds of replica time.
+// placementCost is the cost of the placement of a replica, in seconds of replica time.
 type placementCost struct {
-	spreadWeighed bool    // image load was weighed against spread; else the best fit was taken
+	spreadWeighed bool    // image load time was weighed against spread; otherwise the best fit was taken
 	imageLoadS    float64 // expected wait for the weights
-	expectedLossS float64 // expected to be lost by what the zone and the machine have beyond the balanced share
-	// bestCached is the machine that would have been the best fit, with what it would have cost; "" if it was taken.
-	bestCached                    string
-	bestCachedLoadS, avoidedLossS float64
+	expectedLossS float64 // expected loss due to replicas beyond the balanced share of the zone and the machine
+	// bestFit is the machine that would have been chosen without spreading, with its load time and additional loss; ""
+	// if it was chosen.
+	bestFit                    string
+	bestFitLoadS, avoidedLossS float64
 }
 
-// replicaCostModel gives the cost of machines for a job's next replica.
+// replicaCostModel calculates the cost of machines for a job's next replica.
 type replicaCostModel struct {
 	topologyspread.Costs
 	fleet        fleetView
 	job          *job
-	recoveryTime time.Duration // until a lost replica runs again
-	spreadOver   topologyspread.Fleet
+	recoveryTime time.Duration // from the loss of a replica until its replacement runs
+	fleetSize    topologyspread.Fleet
 }
 
-// replicaCostFor gives the cost model of a job's next replica; false if its placement is not weighed by cost.
+// replicaCostFor returns the cost model for a job's next replica; false if the placement does not depend on cost.
 func (cycle *schedulingCycle) replicaCostFor(j *job) (replicaCostModel, bool) {
 	model, ok := j.model()
 	if !ok || !cycle.params.spread.Enabled || j.replicaLedger == nil {
@@ -72,18 +74,18 @@
 	}
 	costs := cycle.replicaCost
 	if costs.job != j {
-		// What does not depend on where replicas are is worked out once for consecutive tasks of a job.
+		// These values do not depend on the placement of replicas, so consecutive tasks of a job share them.
 		fleet := cycle.params.fleet
-		costs.recoveryTime = cycle.params.lossDetection + fleet.slowestImageFetch(j)
-		costs.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
+		costs.recoveryTime = cycle.params.lossDetection + fleet.maxImageFetchTime(j)
+		costs.fleetSize = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
 		costs.fleet, costs.job = fleet, j
 	}
-	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.spreadOver, costs.recoveryTime)
+	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.fleetSize, costs.recoveryTime)
 	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.Changes()
 	return costs, true
 }
 
-// lossRates are the losses that operators expect.
+// lossRates returns the configured loss rates.
 func lossRates(spread config.Spread) topologyspread.Rates {
 	return topologyspread.Rates{
 		ZoneLossesPerDay:    spread.ZoneLossesPerDay,
@@ -92,23 +94,25 @@
 	}
 }
 
-// cost gives what a machine of a group costs the job's next replica, by the state of its image there.
+// cost returns the cost of a machine of a group for the job's next replica, given the state of its image on the
+// machine. It does not include the cost of a crowded machine.
 func (costs replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
 	cost := costs.imageLoad(g, state) + costs.ZoneS(g.Zone)
 	if costs.job.spec.Spot && !g.Spot {
-		// On-demand machines come as far behind spot ones as in bestFit, where a recovery counts as an image state.
+		// On-demand machines rank as far behind spot machines as in bestFit, with the recovery time as the cost of one
+		// image state.
 		cost += onDemandPenalty * costs.recoveryTime.Seconds()
 	}
 	return cost
 }
 
 func (costs replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(state), costs.fleet.coldStartSeconds(costs.job, g.Type))
+	return topologyspread.LoadSeconds(int(state), costs.fleet.imageFetchSeconds(costs.job, g.Type))
 }
 
-// cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
+// cheapestReplicaMachine returns the machine with the lowest cost for a job's next replica; nil if there is none.
 func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, costs replicaCostModel) *machine {
-	allowed := j.groupRules()
+	allowed := j.groupFilter()
 	target, _, found, evaluated := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
 		Need:        resource.OfTask(j.spec),
 		Image:       j.spec.Image,
@@ -124,14 +128,14 @@
 			return m.images.stateOf(j.spec.Image), costs.Crowded(m.name), !cycle.state.avoidsMachine(j, m)
 		},
 	})
-	cycle.evaluations -= max(1, evaluated)
+	cycle.evaluationsLeft -= max(1, evaluated)
 	if !found {
 		return nil
 	}
 	return target.machine
 }
 
-// costOn gives what a machine costs a job's next replica.
+// costOn returns the cost of a machine for the job's next replica.
 func (costs replicaCostModel) costOn(m *machine) placementCost {
 	cost := placementCost{
 		spreadWeighed: true,
@@ -144,13 +148,13 @@
 	return cost
 }
 
-// explainCost gives the cost of the machine that was chosen for a replica and, if the image is not ready there, what the
-// best fit would have cost.
+// explainCost returns the cost of the machine chosen for a replica. If the image is not ready on it, the result
+// includes the cost of the best fit for comparison.
 func (cycle *schedulingCycle) explainCost(j *job, m *machine) placementCost {
-	costs, weighed := cycle.replicaCostFor(j)
+	costs, byCost := cycle.replicaCostFor(j)
 	state := m.images.stateOf(j.spec.Image)
-	if !weighed {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(state), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
+	if !byCost {
+		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(state), cycle.params.fleet.imageFetchSeconds(j, m.typeName))}
 	}
 	cost := costs.costOn(m)
 	if state == capacity.ImageReady {
@@ -158,8 +162,8 @@
 	}
 	if best := cycle.bestFit(j); best != nil && best != m {
 		other := costs.costOn(best)
-		cost.bestCached = best.name
-		cost.bestCachedLoadS = other.imageLoadS
+		cost.bestFit = best.name
+		cost.bestFitLoadS = other.imageLoadS
 		cost.avoidedLossS = other.expectedLossS - cost.expectedLossS
 	}
 	return cost
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -8,18 +8,18 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// rebalancing brings replicas of services back into balance, as after the recovery of a zone: one replica of a model at a
-// time, within a budget, only while all of the model runs, and only if the gain in balance is more than what the move
-// costs. A moved replica is drained from its machine, and the next cycle places it where it costs the least.
+// rebalancing restores the balance of the replicas of services, for example after a zone has recovered. It moves one
+// replica of a model at a time, within a budget, only while all replicas of the model run, and only if the gain exceeds
+// the cost of the move. A moved replica is stopped, and the next cycle places it where the cost is lowest.
 type rebalancing struct{ budget ratelimit.Bucket }
 
-// secondsPerHour turns an hourly budget into a rate per second.
+// secondsPerHour converts an hourly budget to a rate per second.
 const secondsPerHour = 3600
 
-// rebalanceBurstSeconds is how many seconds' worth of the budget may be used at once; one move may be in any case.
+// rebalanceBurstSeconds is the time for which unused budget accumulates. At least one move may always be saved up.
 const rebalanceBurstSeconds = 60
 
-// rebalanceReplicas moves the replicas for which it is worth it.
+// rebalanceReplicas moves replicas for which the gain exceeds the cost.
 func (l *leader) rebalanceReplicas(cycle *schedulingCycle) {
 	s := l.core.operator.Spread
 	if !s.Enabled || s.MovesPerHour <= 0 {
@@ -45,7 +45,8 @@
 	}
 }
 
-// replicaToMove gives a replica of a model that is worth moving; nil if there is none, or if not all of the model runs.
+// replicaToMove returns a replica of a model that is worth moving; nil if there is none, or if not all replicas of the
+// model run.
 func (l *leader) replicaToMove(cycle *schedulingCycle, model topologyspread.Model, services []*job) *placement {
 	for _, j := range services {
 		if !cycle.schedulable(j) || !j.allRunning() {
@@ -53,8 +54,8 @@
 		}
 	}
 	for _, j := range services {
-		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
-			continue // it has no choice, or a rollout decides about it
+		if j.spec.Zone != "" || j.spec.SingleZone || l.inRolloutPlan(j.id) {
+			continue // its zone is fixed, or its rollout controls it
 		}
 		zone := l.replicaLedger.OverfullZone(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// allRunning tells whether all of a service's replicas run, and none is to be stopped.
+// allRunning reports whether all replicas of a service run and none is being stopped.
 func (j *job) allRunning() bool {
 	if j.unplaced() > 0 || j.stopping > 0 {
 		return false
@@ -74,24 +75,24 @@
 	return !slices.ContainsFunc(j.placementsByTask(), func(p *placement) bool { return p.runningSince == 0 || p.stop != stopNone })
 }
 
-// moveSavesCost tells whether a replica would cost less elsewhere, including its restart of so long and the load of its
-// weights.
-func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, restart time.Duration) bool {
+// moveSavesCost reports whether a replica would cost less in another zone, including the load of its weights and the
+// time of a restart.
+func (cycle *schedulingCycle) moveSavesCost(j *job, p *placement, restartTime time.Duration) bool {
 	j.removePlacement(p)
 	costs, _ := cycle.replicaCostFor(j)
-	stay := costs.costOn(p.machine).expectedLossS
-	to := cycle.cheapestReplicaMachine(j, costs)
+	currentLoss := costs.costOn(p.machine).expectedLossS
+	destination := cycle.cheapestReplicaMachine(j, costs)
 	gain := 0.0
-	if to != nil && to.zone != p.machine.zone {
-		there := costs.costOn(to)
-		gain = stay - there.imageLoadS - there.expectedLossS
+	if destination != nil && destination.zone != p.machine.zone {
+		destinationCost := costs.costOn(destination)
+		gain = currentLoss - destinationCost.imageLoadS - destinationCost.expectedLossS
 	}
 	j.addPlacement(p)
-	return gain > restart.Seconds()
+	return gain > restartTime.Seconds()
 }
 
-// planOwns tells whether a job belongs to the plan of a rollout.
-func (l *leader) planOwns(id string) bool {
-	owned := l.core.cache.PlanHolding(id) != nil
-	return owned
+// inRolloutPlan reports whether a job belongs to a rollout plan.
+func (l *leader) inRolloutPlan(id string) bool {
+	inPlan := l.core.cache.PlanHolding(id) != nil
+	return inPlan
 }
--- a/internal/core/resource_request.go
+++ b/internal/core/resource_request.go
@@ -2,14 +2,15 @@
 
 import "bitternwing/internal/resource"
 
-// resourceRequest is what a task needs of a machine, if any machine with that will do.
+// resourceRequest is what a task requires of a machine, for jobs without constraints beyond that.
 type resourceRequest struct {
 	resource.Amount
 	spot              bool
 	zone, machineType string
 }
 
-// requestOf gives a job's resource request; false if more than that decides where its next task may run.
+// requestOf returns the resource request of a job; false if the job has further constraints on the machine of its next
+// task.
 func requestOf(j *job) (resourceRequest, bool) {
 	s := j.spec
 	if s.SingleZone || s.SpreadZones || len(j.failedOn) > 0 || len(s.MachineTypes) > 1 {
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -83,8 +83,8 @@
 			conditions = append(conditions, wire.Condition{Key: r.key(chunk), Version: chunk.version})
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.superseded)) {
-		conditions = append(conditions, wire.Condition{Key: key, Version: j.superseded[key]})
+	for _, key := range slices.Sorted(maps.Keys(j.supersededRecords)) {
+		conditions = append(conditions, wire.Condition{Key: key, Version: j.supersededRecords[key]})
 	}
 	return conditions
 }
--- a/internal/core/schedulable_machines.go
+++ b/internal/core/schedulable_machines.go
@@ -6,15 +6,15 @@
 	"bitternwing/internal/wire"
 )
 
-// schedulableMachine is a machine that may be given tasks, with its free resources. Within a cycle both amounts count what
-// the cycle has placed and reserved.
+// schedulableMachine is a machine that may be given tasks, with its free resources. During a cycle, both amounts
+// include the placements and reservations of the cycle.
 type schedulableMachine struct {
 	machine        *machine
 	free           resource.Amount
-	freeAfterStops resource.Amount // free once all stopping tasks are gone
+	freeAfterStops resource.Amount // free once all stopping tasks have ended
 }
 
-// schedulableMachines are the machines that may be given tasks, in the index in which the scheduler searches.
+// schedulableMachines are the machines that may be given tasks, in the index that the scheduler searches.
 type schedulableMachines struct {
 	index      *capacity.Index[*schedulableMachine]
 	catalog    *machineCatalog
@@ -22,7 +22,7 @@
 	acceptance taskAcceptance
 }
 
-// newSchedulableMachines makes the schedulable machines of a leader.
+// newSchedulableMachines returns the schedulable machines of a leader, initially none.
 func newSchedulableMachines(l *leader) schedulableMachines {
 	return schedulableMachines{
 		index:      capacity.NewIndex[*schedulableMachine](),
@@ -32,8 +32,8 @@
 	}
 }
 
-// refresh brings the capacity index up to date for a cycle: with the machines that have become schedulable or
-// unschedulable, and those whose free resources have changed.
+// refresh updates the capacity index before a cycle. It covers machines that have become schedulable or unschedulable,
+// and machines whose free resources have changed.
 func (s *schedulableMachines) refresh(machines []*machine) {
 	for _, m := range machines {
 		if m.machineType == nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// refreshMachine works out a machine's free resources.
+// refreshMachine recalculates the free resources of a machine and updates the index.
 func (s *schedulableMachines) refreshMachine(m *machine) {
 	if m.schedulable == nil {
 		m.schedulable = &schedulableMachine{machine: m}
@@ -63,7 +63,7 @@
 	s.index.Put(changed.machine.group(), resource.OfMachine(changed.machine.machineType), changed.indexEntry(), changed)
 }
 
-// group is the group of the index that a machine is in.
+// group returns the index group of a machine.
 func (m *machine) group() capacity.Group {
 	return capacity.Group{Type: m.typeName, Zone: m.zone, Spot: m.spot}
 }
@@ -74,11 +74,11 @@
 	s.index.Remove(m.name)
 }
 
-// indexEntry gives the entry of a machine in the index.
+// indexEntry returns the index entry of a machine.
 func (s *schedulableMachine) indexEntry() capacity.MachineCapacity {
 	entry := capacity.MachineCapacity{Name: s.machine.name, Free: s.free, FreeAfterStops: s.freeAfterStops}
 	for _, p := range s.machine.placementsInOrder {
-		// Which of their jobs can be shrunk, and for whom, is decided in the search.
+		// The search decides which of the jobs can be shrunk, and for which job.
 		if p.stop == stopNone && p.job.isArray() {
 			entry.Preemptible[priority(p.job)].Add(resource.OfTask(p.job.spec))
 		}
@@ -96,7 +96,8 @@
 	return entry
 }
 
-// freeCapacity gives what is free of a machine now, and once all that stops is gone.
+// freeCapacity returns the free resources of a machine now, and once all stopping tasks have ended. An orphaned task
+// uses the resources of its job; if the job is unknown, the machine counts as full.
 func (s *schedulableMachines) freeCapacity(m *machine) (free, freeAfterStops resource.Amount) {
 	free = resource.OfMachine(m.machineType)
 	for _, p := range m.placementsInOrder {
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -2,30 +2,30 @@
 
 import "bitternwing/internal/scheduling"
 
-// schedulingCycle is one cycle of decisions about what starts and what is preempted.
+// schedulingCycle is one pass of the scheduler. It decides which tasks start and which are preempted.
 type schedulingCycle struct {
-	state               cycleState
-	params              cycleParams
-	usage               scheduling.TeamUsage
-	evaluations         int // that are left of the budget
-	placed              int
-	unmetDemand         []unmetDemand              // what found no machine, for the scale-out
-	exhaustedRequests   map[resourceRequest]bool   // what no machine has free resources for in this cycle
-	replicaCost         replicaCostModel           // of the job that was placed last
-	replicaCostVersion  uint64                     // the changes of the replica ledger by then
-	preemptible         *preemptibleJobs           // the jobs that can be shrunk; nil: not looked for yet
-	hopelessPreemptions map[preemptionRequest]bool // for what no preemption would free enough in this cycle
+	state                 cycleState
+	params                cycleParams
+	usage                 scheduling.TeamUsage
+	evaluationsLeft       int                        // left of the budget
+	placed                int                        // tasks placed in this cycle
+	unmetDemand           []unmetDemand              // tasks without a machine, the input of scale-out
+	exhaustedRequests     map[resourceRequest]bool   // requests for which no machine has free resources in this cycle
+	replicaCost           replicaCostModel           // cached for the job whose replica was placed last
+	replicaCostVersion    uint64                     // version of the replica ledger that replicaCost was calculated from
+	preemptible           *preemptibleJobs           // jobs that can be shrunk; nil until first needed
+	infeasiblePreemptions map[preemptionRequest]bool // requests for which preemption cannot free enough in this cycle
 }
 
-// newSchedulingCycle makes a cycle with a budget of evaluations, from the placements that there are.
+// newSchedulingCycle returns a cycle that starts from the current placements, with the evaluation budget in params.
 func newSchedulingCycle(state cycleState, params cycleParams) *schedulingCycle {
 	cycle := &schedulingCycle{
-		state:               state,
-		params:              params,
-		usage:               scheduling.TeamUsage{},
-		evaluations:         params.evaluationBudget,
-		exhaustedRequests:   map[resourceRequest]bool{},
-		hopelessPreemptions: map[preemptionRequest]bool{},
+		state:                 state,
+		params:                params,
+		usage:                 scheduling.TeamUsage{},
+		evaluationsLeft:       params.evaluationBudget,
+		exhaustedRequests:     map[resourceRequest]bool{},
+		infeasiblePreemptions: map[preemptionRequest]bool{},
 	}
 	for _, j := range state.jobsToRun() {
 		if len(j.placements) > 0 {
@@ -36,16 +36,18 @@
 	return cycle
 }
 
-// unmetDemand is a number of tasks of a job for which there is no machine.
+// unmetDemand is the number of tasks of a job that found no machine.
 type unmetDemand struct {
 	job   *job
 	tasks int
 }
 
-// hasBudget tells whether the cycle may go on.
-func (cycle *schedulingCycle) hasBudget() bool { return cycle.evaluations > 0 }
+// hasBudget reports whether the cycle may make more evaluations.
+func (cycle *schedulingCycle) hasBudget() bool { return cycle.evaluationsLeft > 0 }
 
-// acceptsTasks tells whether a machine may be given tasks: its heartbeats arrive, and it is not about to go.
+// acceptsTasks reports whether tasks may be placed on a machine. Its type has to be known, its heartbeats have to
+// arrive, and its worker must have shown the required fencing token. The machine must not be about to be released,
+// reclaimed or quarantined, and must not have rejected a task for lack of capacity recently.
 func (l *leader) acceptsTasks(m *machine) bool {
 	if !m.reported || m.machineType == nil || m.fence.Required() {
 		return false
@@ -58,7 +60,7 @@
 	return now-m.lastHeartbeat < timeout && now >= m.noCapacityUntil
 }
 
-// schedulable tells whether a job may be given tasks now.
+// schedulable reports whether tasks of a job may be started now.
 func (cycle *schedulingCycle) schedulable(j *job) bool {
 	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && cycle.params.now >= j.retryAt
 }
@@ -90,12 +92,12 @@
 	}
 	l.planCapacity(cycle)
 	l.logCycle(cycle)
-	l.settleCycleBudget(budget-cycle.evaluations, cycle.hasBudget())
+	l.chargeCycleBudget(budget-cycle.evaluationsLeft, cycle.hasBudget())
 }
 
-// settleCycleBudget accounts for the evaluations that a cycle made. One that ran out of its budget is continued from
-// where it stopped, once what it took beyond the budget is made up for.
-func (l *leader) settleCycleBudget(spent int, completed bool) {
+// chargeCycleBudget charges the evaluations of a cycle to the budget. A cycle that ran out of budget is continued from
+// where it stopped, as soon as the budget is no longer overdrawn.
+func (l *leader) chargeCycleBudget(spent int, completed bool) {
 	l.cycles.evaluationsLeft -= float64(spent)
 	l.cycles.evaluationsSpent += spent
 	l.core.evaluationCost.Spend(spent)
@@ -107,8 +109,8 @@
 	l.core.wakeBy(l.cycles.nextAt)
 }
 
-// logCycle logs the result of a cycle, for whoever looks for the cause of a wait: the tasks of arrays without a machine,
-// how many of them their teams' limits hold back, and the free resources.
+// logCycle logs the result of a cycle, to show why tasks wait: array tasks without a machine, how many of them are held
+// back by team limits, and the free resources.
 func (l *leader) logCycle(cycle *schedulingCycle) {
 	if cycle.placed == 0 && len(cycle.unmetDemand) == 0 {
 		return
@@ -136,6 +138,7 @@
 			idle++
 		}
 	}
-	l.core.log(Debug, "scheduling cycle", "placed", cycle.placed, "waiting", len(cycle.unmetDemand), "array_tasks", unplaced,
-		"at_limit", limited, "free", free, "free_spot", spot, "idle", idle, "evaluations_left", cycle.evaluations)
+	l.core.log(Debug, "scheduling cycle", "placed", cycle.placed, "jobs_waiting", len(cycle.unmetDemand),
+		"array_tasks_waiting", unplaced, "array_tasks_at_team_limit", limited, "free_gpus", free, "free_spot_gpus", spot,
+		"idle_machines", idle, "evaluations_left", cycle.evaluationsLeft)
 }
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -7,20 +7,22 @@
 	"bitternwing/internal/wire"
 )
 
-// spreadWorld is a cluster in which places of replicas are weighed. It follows in which zone each replica runs.
+// spreadWorld is a cluster with spreading of replicas enabled. It tracks the zone in which each replica runs.
 type spreadWorld struct {
 	*scaleCluster
-	running map[string]string // zones, by task
-	starts  int
+	zoneOf map[string]string // by running task
+	starts int
 }
 
-// losses make a zone's loss weigh more than the load of the tests' images, and a machine's less.
-var losses = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaDays: 30, MovesPerHour: 1200}
+// spreadSettings are settings with which the expected loss of a zone outweighs the load of the tests' images, and the
+// loss of a machine does not.
+var spreadSettings = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaDays: 30, MovesPerHour: 1200}
 
-// newSpreadWorld has so many machines in each zone; the first two zones have nodes.
-func newSpreadWorld(t reporter, spread config.Spread, perZone map[string]int) *spreadWorld {
+// newSpreadWorld returns a cluster with the given number of machines in each zone. The first two zones have controller
+// nodes.
+func newSpreadWorld(t reporter, spread config.Spread, machinesPerZone map[string]int) *spreadWorld {
 	cluster := newScaleCluster(t, 3, 0)
-	world := &spreadWorld{scaleCluster: cluster, running: map[string]string{}}
+	world := &spreadWorld{scaleCluster: cluster, zoneOf: map[string]string{}}
 	cluster.operator.IdleBoots = 100
 	cluster.operator.Spread = spread
 	cluster.adjustParams = func(p *config.Params) {
@@ -29,12 +31,12 @@
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	cluster.onRuns = func(machine, task string) { world.running[task] = cluster.workerByName[machine].zone; world.starts++ }
-	cluster.onEnds = func(task string) { delete(world.running, task) }
+	cluster.onRuns = func(machine, task string) { world.zoneOf[task] = cluster.workerByName[machine].zone; world.starts++ }
+	cluster.onEnds = func(task string) { delete(world.zoneOf, task) }
 	cluster.restart()
 	for _, zone := range []string{"z1", "z2", "z3"} {
-		if perZone[zone] > 0 {
-			cluster.addMachines(perZone[zone], zone)
+		if machinesPerZone[zone] > 0 {
+			cluster.addMachines(machinesPerZone[zone], zone)
 		}
 	}
 	cluster.runFor(10 * time.Second)
@@ -43,17 +45,17 @@
 
 var threeZones = map[string]int{"z1": 6, "z2": 6, "z3": 6}
 
-// service submits a service of a model and lets its replicas come up.
-func (world *spreadWorld) service(id string, tasks int, image string, imageGB float64) {
+// runService submits a service of a model and waits until its replicas have had time to start.
+func (world *spreadWorld) runService(id string, tasks int, image string, imageGB float64) {
 	world.submitAt(world.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: image, ImageGB: imageGB})
 	world.runFor(25 * time.Second)
 }
 
-// zones counts the running replicas of a job, or of all jobs for "", by zone.
-func (world *spreadWorld) zones(job string) map[string]int {
+// replicasByZone returns the number of running replicas in each zone, of the given job or, for "", of all jobs.
+func (world *spreadWorld) replicasByZone(job string) map[string]int {
 	zones := map[string]int{}
-	for task, zone := range world.running {
+	for task, zone := range world.zoneOf {
 		if id, _, _ := wire.ParseTaskName(task); job == "" || id == job {
 			zones[zone]++
 		}
@@ -61,20 +63,20 @@
 	return zones
 }
 
-// expect checks how many replicas are in each zone.
-func (world *spreadWorld) expect(what string, z1, z2, z3 int) {
+// expectReplicas checks the number of replicas in each zone.
+func (world *spreadWorld) expectReplicas(what string, z1, z2, z3 int) {
 	world.test.Helper()
-	if got := world.zones(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
-		world.test.Errorf("%s: %v, not %d, %d, %d", what, got, z1, z2, z3)
+	if got := world.replicasByZone(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
+		world.test.Errorf("%s: replicas by zone are %v, want %d, %d, %d", what, got, z1, z2, z3)
 	}
 }
 
-// loseZone ends all machines of a zone.
-func (world *spreadWorld) loseZone(zone string) {
-	for _, x := range world.workers {
-		if x.zone == zone && !x.dead {
-			x.dead = true
-			x.machine.KillAll()
+// killZone kills all machines of a zone.
+func (world *spreadWorld) killZone(zone string) {
+	for _, worker := range world.workers {
+		if worker.zone == zone && !worker.dead {
+			worker.dead = true
+			worker.machine.KillAll()
 		}
 	}
 }
