--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -51,7 +51,7 @@
 	capacity.Group
 	machineType *wire.MachineType
 	free        resource.Amount
-	unrequested bool
+	unrequested bool // planned in this cycle and not requested yet
 }
 
 func newPlannedMachine(group capacity.Group, machineType *wire.MachineType) *plannedMachine {
@@ -61,7 +61,7 @@
 // planCapacity plans and starts scale-out and scale-in after a scheduling cycle.
 func (l *leader) planCapacity(cycle *schedulingCycle) {
 	p := &l.provisioner
-	if !p.reconciled() {
+	if !p.fleetKnown() {
 		return
 	}
 	p.dropUnsentRequests()
@@ -124,13 +124,13 @@
 		counted[demand.job] += demand.tasks
 		p.packDemand(demand)
 	}
-	for _, j := range p.cycle.state.jobsToRun() {
+	for _, j := range p.cycle.state.queuedJobs() {
 		if j.isArray() && p.cycle.schedulable(j) {
 			p.planArray(j, j.unplaced()-counted[j])
 		}
 	}
 	p.ensureHeadroom()
-	return capacityPlan{scaleOut: p.unrequested(), scaleIn: p.surplusMachines()}
+	return capacityPlan{scaleOut: p.scaleOutDemands(), scaleIn: p.surplusMachines()}
 }
 
 // packDemand packs the tasks of an unmet demand until no machine type can hold them.
@@ -172,7 +172,7 @@
 func (p *capacityPlanner) zonesOf(j *job) map[string]int {
 	zones := p.zonesByJob[j]
 	if zones == nil {
-		zones = maps.Clone(j.placementsByZone)
+		zones = maps.Clone(j.placementCountByZone)
 		p.zonesByJob[j] = zones
 	}
 	return zones
@@ -304,7 +304,7 @@
 	work := share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
 	p.pendingArrayMachines += work
 	if !m.Spot && j.spec.Spot {
-		// An on-demand machine instead of a spot machine needs more work to be justified.
+		// An on-demand machine in place of a spot machine is justified only by more work.
 		p.pendingArrayMachines -= work * (1 - m.machineType.SpotPrice/m.machineType.Price)
 	}
 	if p.pendingArrayMachines < minMachineWorkBoots {
@@ -314,17 +314,17 @@
 	return true
 }
 
-// unrequested returns the number of planned machines by group, the largest first, since the cloud's rate limit may
+// scaleOutDemands returns the number of planned machines by group, the largest first, since the cloud's rate limit may
 // delay the later requests.
-func (p *capacityPlanner) unrequested() []scaleOutDemand {
+func (p *capacityPlanner) scaleOutDemands() []scaleOutDemand {
 	var demands []scaleOutDemand
 	indexes := map[capacity.Group]int{}
 	for _, m := range p.upcoming {
 		if !m.unrequested {
 			continue
 		}
-		i, known := indexes[m.Group]
-		if !known {
+		i, found := indexes[m.Group]
+		if !found {
 			i = len(demands)
 			indexes[m.Group] = i
 			demands = append(demands, scaleOutDemand{Group: m.Group})
--- a/internal/core/capacity_planner_test.go
+++ b/internal/core/capacity_planner_test.go
@@ -16,7 +16,7 @@
 	jobs []*job
 }
 
-func (s plannerState) jobsToRun() []*job { return s.jobs }
+func (s plannerState) queuedJobs() []*job { return s.jobs }
 
 // plannerCatalog has a machine type with four GPUs that is cheaper per GPU than the type with eight.
 var plannerCatalog = []wire.MachineType{
@@ -27,7 +27,7 @@
 // plannedJob returns a job without placements.
 func plannedJob(spec wire.Job) *job {
 	spec.Team = "t"
-	return &job{id: spec.ID, spec: &spec, team: &config.Team{Name: "t"}, placementsByZone: map[string]int{}}
+	return &job{id: spec.ID, spec: &spec, team: &config.Team{Name: "t"}, placementCountByZone: map[string]int{}}
 }
 
 // planFor returns the plan for jobs none of whose tasks found a machine.
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -13,7 +13,7 @@
 	nextAt           time.Duration
 	lastAt           time.Duration
 	evaluationsLeft  float64       // negative while the budget is overdrawn, which delays the next cycle
-	minPause         time.Duration // minimum time before the next cycle, after one that ran out of budget
+	minDelay         time.Duration // minimum time before the next cycle, after one that ran out of budget
 	evaluationsSpent int           // in this term
 	resumeFrom       *job          // job at which the last cycle stopped, in the order of minimums; nil if it completed
 }
@@ -26,12 +26,12 @@
 		return
 	}
 	gap := time.Duration(float64(l.core.times.minCycleGap) * l.core.slowdown())
-	l.cycles.nextAt = min(l.cycles.nextAt, l.cycles.lastAt+max(gap, l.cycles.minPause))
+	l.cycles.nextAt = min(l.cycles.nextAt, l.cycles.lastAt+max(gap, l.cycles.minDelay))
 }
 
-// pauseAfter returns the time to the next cycle after one that ran out of budget. If only the bound on a single cycle
-// was reached, the next one follows after the minimum gap.
-func (t *cycleTimer) pauseAfter(c *Core) time.Duration {
+// delayAfterExhaustion returns the time to the next cycle after one that ran out of budget. If only the bound on a
+// single cycle was reached, the next one follows after the minimum gap.
+func (t *cycleTimer) delayAfterExhaustion(c *Core) time.Duration {
 	if t.evaluationsLeft > 0 {
 		return c.times.minCycleGap
 	}
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -13,8 +13,8 @@
 // placements. It gives no access to the store, the workers or the cloud. The writer persists the decisions of a cycle,
 // and commands are sent only after that.
 type cycleState interface {
-	// jobsToRun returns the jobs in the order of submission.
-	jobsToRun() []*job
+	// queuedJobs returns the queued jobs in the order of submission.
+	queuedJobs() []*job
 	// nextTask returns the lowest task number, starting at from, that is neither done nor placed; -1 if there is none.
 	nextTask(j *job, from int) int
 	// assignAttempt returns the number of the next attempt at a task, and withdrawAttempt takes that number back.
@@ -63,7 +63,7 @@
 	}
 }
 
-func (l *leader) jobsToRun() []*job { return l.queue }
+func (l *leader) queuedJobs() []*job { return l.queue }
 
 func (l *leader) nextTask(j *job, from int) int { return l.records.nextTask(j, from) }
 
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -11,7 +11,7 @@
 // and are preempted for other arrays that found no machine.
 func (cycle *schedulingCycle) allocateElastic() {
 	var regular, idle []*job
-	for _, j := range cycle.state.jobsToRun() {
+	for _, j := range cycle.state.queuedJobs() {
 		switch {
 		case !j.isArray() || !cycle.schedulable(j) || j.unplaced() == 0:
 		case j.isIdlePriority():
@@ -54,8 +54,8 @@
 // allocate allocates up to the given number of instances to a job, as long as there are free resources and the team's
 // limit permits.
 func (cycle *schedulingCycle) allocate(j *job, instances int) {
-	for from := 0; instances > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1); instances-- {
-		task := cycle.state.nextTask(j, from)
+	for nextTask := 0; instances > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1); instances-- {
+		task := cycle.state.nextTask(j, nextTask)
 		if task < 0 {
 			return
 		}
@@ -65,7 +65,7 @@
 		}
 		cycle.place(j, task, m)
 		cycle.state.persist(j, task)
-		from = task + 1
+		nextTask = task + 1
 	}
 }
 
@@ -131,7 +131,7 @@
 	j := candidate.Job
 	missing := candidate.Instances.Max - candidate.Instances.Current
 	for missing > 0 && cycle.hasBudget() && cycle.withinLimit(j, 1) && cycle.preemptFor(j, 1, true) {
-		cycle.countUsage(j, 1) // counted as placed, so that the team's limit applies to the next instance
+		cycle.addUsage(j, 1) // counted as placed, so that the team's limit applies to the next instance
 		missing--
 	}
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -66,8 +66,8 @@
 		for _, p := range j.placements {
 			zones[p.machine.zone]++
 		}
-		if !maps.Equal(zones, j.placementsByZone) {
-			return fmt.Errorf("%s: tasks by zone %v, built anew %v", j.id, j.placementsByZone, zones)
+		if !maps.Equal(zones, j.placementCountByZone) {
+			return fmt.Errorf("%s: tasks by zone %v, built anew %v", j.id, j.placementCountByZone, zones)
 		}
 	}
 	return nil
--- a/internal/core/headroom.go
+++ b/internal/core/headroom.go
@@ -12,7 +12,7 @@
 // largest service.
 func (p *capacityPlanner) requiredHeadroom() float64 {
 	inUse, largest := 0.0, 0.0
-	for _, j := range p.cycle.state.jobsToRun() {
+	for _, j := range p.cycle.state.queuedJobs() {
 		if !j.isArray() && !j.cancelled {
 			gpus := float64(j.spec.Tasks) * j.spec.GPUs
 			inUse += gpus
@@ -73,7 +73,7 @@
 // headroom; nil if there is none.
 func (p *capacityPlanner) typicalService() *job {
 	var latest *job
-	for _, j := range p.cycle.state.jobsToRun() {
+	for _, j := range p.cycle.state.queuedJobs() {
 		if !j.isArray() && !j.cancelled && j.team != nil && !j.spec.SpreadZones && !j.spec.SingleZone {
 			latest = j
 		}
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -12,7 +12,7 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// PrefetchImage requests a worker to fetch an image for which no task waits there. It is an extension of the worker
+// PrefetchImage requests a worker to fetch an image before a task there needs it. It is an extension of the worker
 // protocol, which is sent only if enabled in the operator settings, and only to workers that support it. Its Result is
 // OK with the time until the image is ready.
 type PrefetchImage struct {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -32,14 +32,14 @@
 	team   *config.Team
 	chunks map[int]*recordChunk
 	// supersededRecords are the keys of the job's records in an old layout, with their versions.
-	supersededRecords map[string]uint64
-	placements        map[int]*placement     // by task
-	placementsByZone  map[string]int         // number of placements in each zone
-	replicaLedger     *topologyspread.Ledger // shared by all models
-	withinGuarantee   bool                   // whether the job fits into its team's guarantee in this cycle
-	stopping          int                    // number of placements that are being stopped
-	done              int
-	nextUnplaced      int // every task below this is done or placed
+	supersededRecords    map[string]uint64
+	placements           map[int]*placement     // by task
+	placementCountByZone map[string]int         // number of placements in each zone
+	replicaLedger        *topologyspread.Ledger // shared by all models
+	withinGuarantee      bool                   // whether the job fits into its team's guarantee in this cycle
+	stopping             int                    // number of placements that are being stopped
+	done                 int
+	nextUnplaced         int // every task below this is done or placed
 
 	// Failure accounting, see failureAccounting.
 	ranSuccessfully bool // one of its tasks has run well on some machine
@@ -70,18 +70,18 @@
 func (l *leader) addJob(id string, cached *watchcache.Job) *job {
 	status := l.core.dependencies.graph.Of(id)
 	j := &job{
-		id:               id,
-		spec:             cached.Spec,
-		acceptedMS:       cached.AcceptedMS,
-		queuedMS:         cached.AcceptedMS,
-		version:          cached.Version,
-		team:             l.teamOf(cached.Spec.Team),
-		rank:             status.Priority,
-		latestEndMS:      status.LatestEndMS,
-		chunks:           map[int]*recordChunk{},
-		placements:       map[int]*placement{},
-		placementsByZone: map[string]int{},
-		replicaLedger:    l.replicaLedger,
+		id:                   id,
+		spec:                 cached.Spec,
+		acceptedMS:           cached.AcceptedMS,
+		queuedMS:             cached.AcceptedMS,
+		version:              cached.Version,
+		team:                 l.teamOf(cached.Spec.Team),
+		rank:                 status.Priority,
+		latestEndMS:          status.LatestEndMS,
+		chunks:               map[int]*recordChunk{},
+		placements:           map[int]*placement{},
+		placementCountByZone: map[string]int{},
+		replicaLedger:        l.replicaLedger,
 	}
 	l.jobs[id] = j
 	j.waitingForDependencies = len(cached.Spec.Dependencies) > 0
@@ -107,7 +107,7 @@
 	j.queued = false
 }
 
-func (l *leader) dropJob(j *job) {
+func (l *leader) removeJob(j *job) {
 	delete(l.jobs, j.id)
 	l.dequeue(j)
 }
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -92,7 +92,7 @@
 	c.cacheFinalState(j.id, j.finalState)
 	left := slices.DeleteFunc(w.records.keys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
 	w.deleteOrphans(left)
-	l.dropJob(j)
+	l.removeJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
 	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
 }
@@ -110,7 +110,7 @@
 		// Its end, whose outcome was unknown, was applied.
 		if j.ending && l.jobs[j.id] == j {
 			w.deleteOrphans(w.records.keys(j))
-			l.dropJob(j)
+			l.removeJob(j)
 		}
 		return
 	}
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -71,8 +71,8 @@
 	return scheduling.Claim{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
-// countUsage adds a number of tasks of a job to the usage of its team; a negative number is subtracted.
-func (cycle *schedulingCycle) countUsage(j *job, tasks int) {
+// addUsage adds a number of tasks of a job to the usage of its team; a negative number is subtracted.
+func (cycle *schedulingCycle) addUsage(j *job, tasks int) {
 	cycle.usage.Add(j.spec.Team, resource.OfTask(j.spec), tasks)
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		j.decrementZoneCount(m.zone)
-		j.placementsByZone[zone]++
+		j.placementCountByZone[zone]++
 		if model, ok := j.model(); ok && j.replicaLedger != nil {
 			j.replicaLedger.Move(model, m.zone, zone, m.name)
 		}
--- a/internal/core/minimums.go
+++ b/internal/core/minimums.go
@@ -11,7 +11,7 @@
 // jobs.
 func (cycle *schedulingCycle) markWithinGuarantee() {
 	claimed := scheduling.TeamUsage{}
-	for _, j := range cycle.state.jobsToRun() {
+	for _, j := range cycle.state.queuedJobs() {
 		j.withinGuarantee = false
 		if j.cancelled || j.team == nil {
 			continue
@@ -28,7 +28,7 @@
 func (cycle *schedulingCycle) placeMinimums() *job {
 	resumeFrom := cycle.params.resumeFrom
 	var resumeAt *job
-	for _, j := range cycle.lackingMinimum() {
+	for _, j := range cycle.jobsBelowMinimum() {
 		need := j.missingForMinimum()
 		switch {
 		case !cycle.withinLimit(j, need):
@@ -50,19 +50,19 @@
 	return resumeAt
 }
 
-// lackingMinimum returns the jobs below their minimum, the most urgent first.
-func (cycle *schedulingCycle) lackingMinimum() []*job {
-	var lacking []*job
-	for _, j := range cycle.state.jobsToRun() {
+// jobsBelowMinimum returns the jobs below their minimum, the most urgent first.
+func (cycle *schedulingCycle) jobsBelowMinimum() []*job {
+	var jobs []*job
+	for _, j := range cycle.state.queuedJobs() {
 		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
 		if !j.isArray() || j.activeInstances() < j.minInstances() {
-			lacking = append(lacking, j)
+			jobs = append(jobs, j)
 		}
 	}
-	sort.SliceStable(lacking, func(a, b int) bool { return lacking[a].urgency().Before(lacking[b].urgency()) })
-	return lacking
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].urgency().Before(jobs[b].urgency()) })
+	return jobs
 }
 
 // missingForMinimum returns the number of tasks that have to be placed together: all unplaced tasks of a service, and
@@ -77,9 +77,9 @@
 // placeAllOrNone places the next tasks of a job, either all of them or none, and reports whether it did.
 func (cycle *schedulingCycle) placeAllOrNone(j *job, need int) bool {
 	var placed []*placement
-	from := 0
+	nextTask := 0
 	for len(placed) < need {
-		task := cycle.state.nextTask(j, from)
+		task := cycle.state.nextTask(j, nextTask)
 		if task < 0 {
 			break
 		}
@@ -91,7 +91,7 @@
 			return false
 		}
 		placed = append(placed, cycle.place(j, task, m))
-		from = task + 1
+		nextTask = task + 1
 	}
 	for _, p := range placed {
 		cycle.state.persist(j, p.task)
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -16,10 +16,10 @@
 	}
 	unknownZone := 0
 	if s.SpreadZones {
-		unknownZone = j.placementsByZone[""]
+		unknownZone = j.placementCountByZone[""]
 	}
 	return func(zone string) bool {
-		inZone := j.placementsByZone[zone]
+		inZone := j.placementCountByZone[zone]
 		if zone != "" {
 			inZone += unknownZone
 		}
@@ -49,7 +49,7 @@
 // machines become idle and can be scaled in. If spreading of replicas is enabled, a service's replica is placed where
 // the sum of image load time and expected loss of its zone and machine is lowest.
 func (cycle *schedulingCycle) findMachine(j *job) *machine {
-	request, cacheable := requestOf(j)
+	request, cacheable := resourceRequestOf(j)
 	if cacheable && cycle.exhaustedRequests[request] {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	target.freeAfterStops.Subtract(resource.OfTask(j.spec))
 	cycle.state.updateCapacityIndex(target)
 	cycle.evaluationsLeft -= evaluationsPerIndexLevel * (cycle.params.fleet.index.Height() - 1)
-	cycle.countUsage(j, 1)
+	cycle.addUsage(j, 1)
 	clear(cycle.infeasiblePreemptions)
 	cycle.placed++
 	return p
@@ -132,6 +132,6 @@
 	target.freeAfterStops.Add(resource.OfTask(p.job.spec))
 	cycle.state.updateCapacityIndex(target)
 	cycle.clearFailedRequests()
-	cycle.countUsage(p.job, -1)
+	cycle.addUsage(p.job, -1)
 	cycle.placed--
 }
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -37,24 +37,24 @@
 // scanReplicaCost returns the machine with the lowest cost for a job's next replica, by a scan of all machines.
 func scanReplicaCost(cycle *schedulingCycle, j *job, costs replicaCostModel) *machine {
 	var best *schedulableMachine
-	bestCost, bestLeft := 0.0, 0.0
+	bestCost, bestLeftover := 0.0, 0.0
 	need := resource.OfTask(j.spec)
 	for _, m := range allMachines(cycle) {
 		target := m.schedulable
 		if target == nil || !target.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		cost, left := costs.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
+		cost, leftover := costs.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
 		if costs.Crowded(m.name) {
 			cost += costs.MachineS()
 		}
 		if m.machineType.GPUs > 0 {
-			left = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+			leftover = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
 		} else if m.machineType.CPUs > 0 {
-			left = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
+			leftover = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
-		if best == nil || cost < bestCost || cost == bestCost && left < bestLeft {
-			best, bestCost, bestLeft = target, cost, left
+		if best == nil || cost < bestCost || cost == bestCost && leftover < bestLeftover {
+			best, bestCost, bestLeftover = target, cost, leftover
 		}
 	}
 	if best == nil {
@@ -76,13 +76,13 @@
 		if target == nil || !target.free.Covers(need) || !scanAllowed(cycle, j, m) {
 			continue
 		}
-		left := 1.0
+		leftover := 1.0
 		if m.machineType.GPUs > 0 {
-			left = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
+			leftover = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
 		} else if m.machineType.CPUs > 0 {
-			left = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
+			leftover = (target.free.CPUs - j.spec.CPUs) / m.machineType.CPUs
 		}
-		score := left + 2*float64(m.images.stateOf(j.spec.Image))
+		score := leftover + 2*float64(m.images.stateOf(j.spec.Image))
 		if j.spec.Spot && !m.spot {
 			score += 4
 		}
@@ -131,7 +131,7 @@
 		switch {
 		case want != nil:
 			p := cycle.place(j, l.nextTask(j, 0), want)
-			if f.chance("taken back", 5) {
+			if f.chance("revert placement", 5) {
 				cycle.revertPlacement(p)
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
@@ -146,7 +146,7 @@
 	// A real cycle looks up the jobs that can be shrunk only once. Here the decisions follow in random order, so the
 	// list is discarded.
 	cycle.preemptible = nil
-	idleOnly := f.chance("idle work only", 3)
+	idleOnly := f.chance("idle only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
 	want := scanPreemption(cycle, j, rule.mayStop)
 	got := cycle.cheapestPreemption(j, &rule)
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -77,7 +77,7 @@
 // addPlacement adds a placement to its job and its machine.
 func (j *job) addPlacement(p *placement) {
 	j.placements[p.task] = p
-	j.placementsByZone[p.machine.zone]++
+	j.placementCountByZone[p.machine.zone]++
 	p.countReplica(true)
 	p.machine.addPlacement(p)
 }
@@ -91,8 +91,8 @@
 }
 
 func (j *job) decrementZoneCount(zone string) {
-	if j.placementsByZone[zone]--; j.placementsByZone[zone] == 0 {
-		delete(j.placementsByZone, zone)
+	if j.placementCountByZone[zone]--; j.placementCountByZone[zone] == 0 {
+		delete(j.placementCountByZone, zone)
 	}
 }
 
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -16,7 +16,7 @@
 // findPreemptible returns the jobs that can be shrunk.
 func (cycle *schedulingCycle) findPreemptible() *preemptibleJobs {
 	preemptible := &preemptibleJobs{}
-	for _, j := range cycle.state.jobsToRun() {
+	for _, j := range cycle.state.queuedJobs() {
 		if !j.shrinkable() {
 			continue
 		}
@@ -114,7 +114,7 @@
 // preemptionRequestOf returns the preemption request of a job; false if the job has constraints that the request does
 // not hold.
 func preemptionRequestOf(j *job, idleOnly bool) (preemptionRequest, bool) {
-	request, cacheable := requestOf(j)
+	request, cacheable := resourceRequestOf(j)
 	return preemptionRequest{
 		resourceRequest: request,
 		team:            j.spec.Team,
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -18,10 +18,10 @@
 	leader      *leader
 	requestRate ratelimit.Bucket // for requests to the cloud
 
-	lastRequest     int
+	lastRequest     int // number of the last scale-out request of this term
 	requests        []*scaleOutRequest
-	scaleInQueue    []string // names of machines to release
-	nextScaleIn     time.Duration
+	scaleInQueue    []string      // names of machines to release
+	nextScaleIn     time.Duration // no scale-in request is sent before this
 	scaleInInFlight bool
 
 	nextList       time.Duration
@@ -29,8 +29,8 @@
 	listStartedAt  time.Duration // when the first page of the current list was requested
 	nextPage       string        // last machine of the page before the next one to read; "" if no page is due
 	listedNames    map[string]bool
-	listComplete   bool
-	exhaustedUntil map[capacity.Group]time.Duration // groups recently refused by the cloud, with the time until which they are not requested
+	listComplete   bool                             // all pages of a list have been read in this term
+	exhaustedUntil map[capacity.Group]time.Duration // groups recently refused by the cloud are not requested before this
 }
 
 // scaleOutRequest is a request for machines. Its ID includes the term, so it is unique. The request is retried under
@@ -280,7 +280,7 @@
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
-			// The machine is older than this term: it may be running and not have found this leader yet.
+			// The machine is older than this term: it may be running but not have found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
@@ -289,9 +289,9 @@
 	}
 }
 
-// reconciled reports whether this leader knows the fleet well enough to scale it: the cloud's list has been read, and
+// fleetKnown reports whether this leader knows the fleet well enough to scale it: the cloud's list has been read, and
 // the machines of earlier terms have had time to be listed and to send a heartbeat.
-func (p *provisioner) reconciled() bool {
+func (p *provisioner) fleetKnown() bool {
 	l, c := p.leader, p.leader.core
 	if !p.listComplete {
 		return false
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -161,10 +161,10 @@
 		return cost
 	}
 	if best := cycle.bestFit(j); best != nil && best != m {
-		other := costs.costOn(best)
+		bestFitCost := costs.costOn(best)
 		cost.bestFit = best.name
-		cost.bestFitLoadS = other.imageLoadS
-		cost.avoidedLossS = other.expectedLossS - cost.expectedLossS
+		cost.bestFitLoadS = bestFitCost.imageLoadS
+		cost.avoidedLossS = bestFitCost.expectedLossS - cost.expectedLossS
 	}
 	return cost
 }
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -209,12 +209,12 @@
 	}
 	placements, ok := getPlacements("run-000003").Body.([]core.ReplicaPlacement)
 	if !ok || len(placements) != 3 {
-		t.Fatalf("%+v", placements)
+		t.Fatalf("got placements %+v, want 3", placements)
 	}
 	displaced := 0
 	for _, p := range placements {
 		if !p.PlacedByThisLeader || !p.SpreadWeighed || !strings.HasPrefix(p.Task, "run-000003/") {
-			t.Errorf("%+v", p)
+			t.Errorf("got %+v, want a replica placed by this leader with spread weighed", p)
 		}
 		if p.BestFit != "" && p.BestFit != p.Machine && p.AvoidedLossS > p.ImageLoadS-p.BestFitLoadS && p.ImageLoadS > 0 {
 			displaced++
@@ -229,7 +229,7 @@
 	world.restartLeader()
 	world.runFor(8 * time.Second)
 	if placements, ok := getPlacements("run-000003").Body.([]core.ReplicaPlacement); !ok || len(placements) != 3 || placements[0].PlacedByThisLeader {
-		t.Errorf("after a change of leader: got %+v, want 3 replicas not chosen by this leader", placements)
+		t.Errorf("after a change of leader: got %+v, want 3 replicas placed by an earlier leader", placements)
 	}
 }
 
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -27,7 +27,7 @@
 	}
 	movesPerSecond := s.MovesPerHour / secondsPerHour
 	l.rebalancing.budget.Refill(l.core.now.Steady, movesPerSecond, max(1, movesPerSecond*rebalanceBurstSeconds))
-	if l.rebalancing.budget.Tokens() < 1 || !l.provisioner.reconciled() {
+	if l.rebalancing.budget.Tokens() < 1 || !l.provisioner.fleetKnown() {
 		return
 	}
 	services := l.servicesByModel()
--- a/internal/core/resource_request.go
+++ b/internal/core/resource_request.go
@@ -9,9 +9,9 @@
 	zone, machineType string
 }
 
-// requestOf returns the resource request of a job; false if the job has further constraints on the machine of its next
-// task.
-func requestOf(j *job) (resourceRequest, bool) {
+// resourceRequestOf returns the resource request of a job; false if the job has further constraints on the machine of
+// its next task.
+func resourceRequestOf(j *job) (resourceRequest, bool) {
 	s := j.spec
 	if s.SingleZone || s.SpreadZones || len(j.failedOn) > 0 || len(s.MachineTypes) > 1 {
 		return resourceRequest{}, false
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -7,7 +7,7 @@
 	state                 cycleState
 	params                cycleParams
 	usage                 scheduling.TeamUsage
-	evaluationsLeft       int                        // left of the budget
+	evaluationsLeft       int
 	placed                int                        // tasks placed in this cycle
 	unmetDemand           []unmetDemand              // tasks without a machine, the input of scale-out
 	exhaustedRequests     map[resourceRequest]bool   // requests for which no machine has free resources in this cycle
@@ -27,9 +27,9 @@
 		exhaustedRequests:     map[resourceRequest]bool{},
 		infeasiblePreemptions: map[preemptionRequest]bool{},
 	}
-	for _, j := range state.jobsToRun() {
+	for _, j := range state.queuedJobs() {
 		if len(j.placements) > 0 {
-			cycle.countUsage(j, len(j.placements))
+			cycle.addUsage(j, len(j.placements))
 		}
 	}
 	cycle.markWithinGuarantee()
@@ -73,7 +73,7 @@
 		return
 	}
 	l.cycles.nextAt = now + l.core.times.cycleInterval
-	l.cycles.minPause = 0
+	l.cycles.minDelay = 0
 	l.core.wakeBy(l.cycles.nextAt)
 	if !l.core.catalog.known() || !l.mayCommit() {
 		l.cycles.lastAt = now
@@ -104,8 +104,8 @@
 	if completed {
 		return
 	}
-	l.cycles.minPause = l.cycles.pauseAfter(l.core)
-	l.cycles.nextAt = l.core.now.Steady + l.cycles.minPause
+	l.cycles.minDelay = l.cycles.delayAfterExhaustion(l.core)
+	l.cycles.nextAt = l.core.now.Steady + l.cycles.minDelay
 	l.core.wakeBy(l.cycles.nextAt)
 }
 
