--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -17,7 +17,7 @@
 	state cachedImageState
 }
 
-// cachedImageState is the knowledge about an image in a cache.
+// cachedImageState is the known state of an image in a cache.
 type cachedImageState int
 
 const (
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -33,6 +33,7 @@
 	stopSent           bool // the stop was sent directly; heartbeat responses repeat it
 }
 
+// placementPhase is the progress of a placement from the decision to the first heartbeat that reports it.
 type placementPhase int
 
 const (
@@ -42,6 +43,7 @@
 	phaseReported                          // included in a heartbeat of the machine
 )
 
+// stopMode is the way in which a placement is stopped.
 type stopMode int
 
 const (
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -140,5 +140,5 @@
 	}
 	l.core.log(Debug, "scheduling cycle", "placed", cycle.placed, "jobs_waiting", len(cycle.unmetDemand),
 		"array_tasks_waiting", unplaced, "array_tasks_at_team_limit", limited, "free_gpus", free, "free_spot_gpus", spot,
-		"idle_machines", idle, "evaluations_left", cycle.evaluationsLeft)
+		"idle", idle, "evaluations_left", cycle.evaluationsLeft)
 }
