--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -81,7 +81,7 @@
 				w.reread(chunk)
 			}
 		}
-		maps.DeleteFunc(j.superseded, func(key string, _ uint64) bool { return failedKeys[key] })
+		maps.DeleteFunc(j.supersededRecords, func(key string, _ uint64) bool { return failedKeys[key] })
 		w.queueEnd(j)
 	}
 }
@@ -93,7 +93,7 @@
 	c.cacheFinalState(j.id, j.finalState)
 	remaining := slices.DeleteFunc(w.records.keys(j), func(record wire.Condition) bool { return b.conditions[record.Key] })
 	w.deleteOrphans(remaining)
-	l.dropJob(j)
+	l.removeJob(j)
 	c.log(Info, "job ended", "job", j.id, "cancelled", j.cancelled)
 	c.log(Debug, "job statistics", "class", j.spec.Class, "tasks", j.spec.Tasks, "after_s", (c.now.WallMS-j.acceptedMS)/1000)
 }
@@ -111,7 +111,7 @@
 		// A write of the job's end whose outcome was unknown has been applied.
 		if j.ending && l.jobs[j.id] == j {
 			w.deleteOrphans(w.records.keys(j))
-			l.dropJob(j)
+			l.removeJob(j)
 		}
 		return
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -121,8 +121,8 @@
 		if j.placements[p.task] != p {
 			continue
 		}
-		j.leaveZone(m.zone)
-		j.placementsByZone[zone]++
+		j.decrementZoneCount(m.zone)
+		j.placementCountByZone[zone]++
 		if model, ok := j.model(); ok && j.replicaLedger != nil {
 			j.replicaLedger.Move(model, m.zone, zone, m.name)
 		}
--- a/internal/core/minimums.go
+++ b/internal/core/minimums.go
@@ -7,11 +7,11 @@
 	"bitternwing/internal/scheduling"
 )
 
-// markWithinGuarantee finds the jobs that fit into their team's guarantee together with the team's older unfinished
+// markWithinGuarantee marks the jobs that fit into their team's guarantee together with the team's older unfinished
 // jobs.
 func (cycle *schedulingCycle) markWithinGuarantee() {
 	claimed := scheduling.TeamUsage{}
-	for _, j := range cycle.state.jobsToRun() {
+	for _, j := range cycle.state.queuedJobs() {
 		j.withinGuarantee = false
 		if j.cancelled || j.team == nil {
 			continue
@@ -21,23 +21,23 @@
 	}
 }
 
-// placeMinimums places the tasks of jobs that lack their minimum: services that are not complete, and arrays without a
-// task. Where no machine has the resources, the most fulfilled jobs are preempted. It returns the job at which the
-// budget ran out, where the next cycle goes on: so each job has its turn, and arrays are allocated free resources only
-// after all services had theirs.
+// placeMinimums places the tasks of jobs below their minimum: incomplete services, and arrays without a task. If no
+// machine has the resources, it preempts the most fulfilled jobs. It returns the job at which the budget ran out, from
+// which the next cycle continues; nil if all jobs were considered. So every job is considered in turn, and arrays get
+// free resources only after all services were considered.
 func (cycle *schedulingCycle) placeMinimums() *job {
 	resumeFrom := cycle.params.resumeFrom
-	var stopped *job
-	for _, j := range cycle.lackingMinimum() {
+	var resumeAt *job
+	for _, j := range cycle.jobsBelowMinimum() {
 		need := j.missingForMinimum()
 		switch {
 		case !cycle.withinLimit(j, need):
 			continue
 		case resumeFrom != nil && j.urgency().Before(resumeFrom.urgency()):
-			// It had its turn in the last cycle; machines for it are still to be requested.
+			// The job was considered in the last cycle. Its demand still counts for scale-out.
 		case !cycle.hasBudget():
-			if stopped == nil {
-				stopped = j
+			if resumeAt == nil {
+				resumeAt = j
 			}
 			continue
 		case cycle.placeAllOrNone(j, need):
@@ -47,25 +47,26 @@
 		}
 		cycle.unmetDemand = append(cycle.unmetDemand, unmetDemand{j, need})
 	}
-	return stopped
+	return resumeAt
 }
 
-// lackingMinimum gives the jobs that lack their minimum, the most urgent first.
-func (cycle *schedulingCycle) lackingMinimum() []*job {
-	var lacking []*job
-	for _, j := range cycle.state.jobsToRun() {
+// jobsBelowMinimum returns the jobs below their minimum, the most urgent first.
+func (cycle *schedulingCycle) jobsBelowMinimum() []*job {
+	var jobs []*job
+	for _, j := range cycle.state.queuedJobs() {
 		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
 		if !j.isArray() || j.activeInstances() < j.minInstances() {
-			lacking = append(lacking, j)
+			jobs = append(jobs, j)
 		}
 	}
-	sort.SliceStable(lacking, func(a, b int) bool { return lacking[a].urgency().Before(lacking[b].urgency()) })
-	return lacking
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].urgency().Before(jobs[b].urgency()) })
+	return jobs
 }
 
-// missingForMinimum is how many tasks have to be placed at once: all of a service, and one of an array.
+// missingForMinimum returns the number of tasks that have to be placed together: all unplaced tasks of a service, and
+// one of an array.
 func (j *job) missingForMinimum() int {
 	if j.isArray() {
 		return 1
@@ -73,12 +74,12 @@
 	return j.unplaced()
 }
 
-// placeAllOrNone places the next tasks of a job, all of them or none.
+// placeAllOrNone places the next tasks of a job, either all of them or none, and reports whether it did.
 func (cycle *schedulingCycle) placeAllOrNone(j *job, need int) bool {
 	var placed []*placement
-	from := 0
+	nextTask := 0
 	for len(placed) < need {
-		task := cycle.state.nextTask(j, from)
+		task := cycle.state.nextTask(j, nextTask)
 		if task < 0 {
 			break
 		}
@@ -90,7 +91,7 @@
 			return false
 		}
 		placed = append(placed, cycle.place(j, task, m))
-		from = task + 1
+		nextTask = task + 1
 	}
 	for _, p := range placed {
 		cycle.state.persist(j, p.task)
