--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -4,17 +4,17 @@
 	"bitternwing/internal/wire"
 )
 
-// resultHandler takes in the result of a call.
+// resultHandler handles the result of a call.
 type resultHandler func(Result)
 
-// registerCall registers the handler of a call's result and gives the call's ID.
+// registerCall registers the handler of a call's result and returns the call's ID.
 func (c *Core) registerCall(handle resultHandler) uint64 {
 	c.lastCallID++
 	c.pendingCalls[c.lastCallID] = handle
 	return c.lastCallID
 }
 
-// registerStoreCall registers a call of the key-value store: its result also shows whether the store serves this node.
+// registerStoreCall is registerCall for a call to the key-value store, whose outcome also updates storeHealth.
 func (c *Core) registerStoreCall(handle resultHandler) uint64 {
 	return c.registerCall(func(r Result) {
 		c.storeHealth.observe(r.Outcome)
@@ -22,7 +22,7 @@
 	})
 }
 
-// handleResult hands a result to the handler of its call. A second result of the same call has none.
+// handleResult passes a result to the handler of its call. A repeated result for the same call is ignored.
 func (c *Core) handleResult(r Result) {
 	handle := c.pendingCalls[r.CallID]
 	if handle == nil {
@@ -34,18 +34,18 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// respond ends a request.
+// respond sends the response to a request.
 func (c *Core) respond(requestID uint64, status int, body any) {
 	c.emit(Response{RequestID: requestID, Status: status, Body: body})
 }
 
-// respondRetryLater asks a user to come back. It is the only response where nothing can be confirmed now, and it is sent
-// at once.
+// respondRetryLater sends an error response with a Retry-After header. It is used when nothing can be confirmed at
+// present, and is sent immediately instead of making the user wait.
 func (c *Core) respondRetryLater(requestID uint64, status int, reason string) {
 	c.emit(Response{RequestID: requestID, Status: status, Body: wire.ErrorBody{Error: reason}, RetryAfterS: 1})
 }
 
-// OmitDebugLines has the core make no log lines of level Debug, for a node that would drop them.
+// OmitDebugLines suppresses log lines of level Debug. A node that would discard them calls it to save their cost.
 func (c *Core) OmitDebugLines() { c.omitDebug = true }
 
 func (c *Core) log(level Level, message string, fields ...any) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,18 +14,18 @@
 	"bitternwing/internal/wire"
 )
 
-// Core is the state machine of one controller node.
+// Core is the deterministic state machine of one controller node.
 type Core struct {
 	settings *config.Settings
 	operator *config.Operator
-	// incarnation tells this process from earlier ones of the same node.
+	// incarnation distinguishes this process from earlier processes of the same node.
 	incarnation string
 	times       times
 
 	now        Time
 	effects    []Effect
 	lastCallID uint64
-	// pendingCalls are the handlers of calls without a result yet, by call ID.
+	// pendingCalls maps the IDs of calls in flight to the handlers of their results.
 	pendingCalls map[uint64]resultHandler
 
 	cache         *watchcache.Cache
@@ -36,29 +36,29 @@
 	election      *election.Election
 	leaseRelay    *leaseRelay
 	cancellations *cancellationReplicator
-	leader        *leader // nil unless this node holds a term
+	leader        *leader // nil unless this node leads
 	members       *membership.Members
 
 	catalog     machineCatalog
 	storeHealth storeHealth
 
-	lastHeartbeat  time.Duration // when a worker's heartbeat last came here; negative: never
+	lastHeartbeat  time.Duration // when this node last received a worker's heartbeat; negative: never
 	wakeAt         time.Duration
 	evaluationCost budget.Cost
-	// nothingChanged tells that the input of this step left nothing to do before the core wakes anyway.
+	// nothingChanged is set if the input of this step created no work that is due before wakeAt.
 	nothingChanged bool
-	// shedding tells that users are sent to other nodes.
+	// shedding is set while the node reports itself unhealthy so that the load balancer sends users to other nodes.
 	shedding      bool
 	pacer         *pacing.Pacer
-	timerLoad     *pacing.Load // by late timers
-	requestLoad   *pacing.Load // by late timers and requests that have waited
+	timerLoad     *pacing.Load // estimated from late timers
+	requestLoad   *pacing.Load // estimated from late timers and from how long inputs were queued
 	sizeWarnings  sizeWarnings
 	leaseRenewals leaseRenewals
-	// omitDebug tells that log lines of level Debug are not made.
+	// omitDebug suppresses log lines of level Debug.
 	omitDebug bool
 }
 
-// New makes the core of a node.
+// New returns the core of a node that does not lead yet. The incarnation identifies this process.
 func New(settings *config.Settings, incarnation string) *Core {
 	operator := settings.Operator
 	if operator == nil {
@@ -82,10 +82,10 @@
 	return c
 }
 
-// Step takes in an input and returns the effects to carry out. The slice is valid until the next call.
+// Step processes an input and returns the effects to carry out. The returned slice is valid until the next call.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = now
-	c.evaluationCost.Observe(now.Took)
+	c.evaluationCost.Observe(now.LastStepDuration)
 	c.observeLoad()
 	c.nothingChanged = false
 	clear(c.effects)
@@ -97,7 +97,7 @@
 	return c.effects
 }
 
-// handleInput hands an input to the part that it concerns.
+// handleInput dispatches an input to its handler.
 func (c *Core) handleInput(in Input) {
 	switch in := in.(type) {
 	case SubmitJob:
@@ -131,26 +131,25 @@
 	}
 }
 
-// farFuture is later than all times.
+// farFuture is a time that is never reached.
 const farFuture = time.Duration(math.MaxInt64)
 
-// Wake tells when Step wants a Tick at the latest.
-func (c *Core) Wake() time.Duration { return c.wakeAt }
+// NextWake returns the time by which Step must be called again, with a Tick if there is no other input.
+func (c *Core) NextWake() time.Duration { return c.wakeAt }
 
-// coalesce defers a time to one of the moments at which deferrable work is done, so that a node wakes for much of it at
-// once.
+// coalesce rounds a time up to a multiple of the coalescing interval, so that one wake-up serves many deferrable tasks.
 func (c *Core) coalesce(t time.Duration) time.Duration {
 	return (t + c.times.timerCoalescing - 1) / c.times.timerCoalescing * c.times.timerCoalescing
 }
 
-// wakeBy has the core woken at a time at the latest.
+// wakeBy schedules the next wake-up no later than t.
 func (c *Core) wakeBy(t time.Duration) {
 	if t < c.wakeAt {
 		c.wakeAt = t
 	}
 }
 
-// runDue does the work that is due. Each part sets when it is to be woken.
+// runDue runs the work of every component that is due. Each component schedules its own next wake-up.
 func (c *Core) runDue() {
 	c.wakeAt = c.now.Steady + c.times.storeProbeInterval
 	c.catalog.run()
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -1,28 +1,28 @@
 package core
 
-// Effect is something that the core has decided and that its host carries out. Effects with a CallID are calls; each is
-// answered by one Result with the same ID.
+// Effect is an action that the core has decided on and that its host carries out. An effect with a CallID is a call,
+// which the host answers with one Result that has the same CallID.
 type Effect interface{ effect() }
 
-// Response ends a waiting request.
+// Response is the response to a request.
 type Response struct {
 	RequestID   uint64
-	Status      int // of HTTP
+	Status      int // HTTP status code
 	Body        any
-	RetryAfterS int // of the header Retry-After; 0: there is none
+	RetryAfterS int // value of the Retry-After header in seconds; 0: no header
 }
 
 // Level is the level of a log line.
 type Level int
 
-// The levels.
+// The log levels, in increasing order of severity.
 const (
 	Debug Level = iota
 	Info
 	Error
 )
 
-// Log is a log line: a message and pairs of names and values.
+// Log is a log line. Fields alternates between names and values.
 type Log struct {
 	Level   Level
 	Message string
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -9,10 +9,10 @@
 	"bitternwing/internal/wire"
 )
 
-// electionHost is the controller as its election sees it.
+// electionHost implements election.Host for a controller.
 type electionHost struct{ core *Core }
 
-// newElection makes this controller's part in the election of a leader.
+// newElection returns this controller's participant in the leader election.
 func newElection(c *Core) *election.Election {
 	return election.New(electionHost{c}, electionStore{c}, c.members, election.Timing{LeaseTTL: c.times.leaderTTL,
 		WorkerLease: c.times.lease, CheckInterval: c.times.checkInterval, RetryPause: c.times.retryPause})
@@ -34,13 +34,13 @@
 
 func (h electionHost) CandidacyBlocked() string {
 	if h.quotasDividedElsewhere() {
-		return "quotas are divided among regions and the settings name none"
+		return "team quotas are divided among regions, but the settings name no region"
 	}
 	return ""
 }
 
-// quotasDividedElsewhere reports whether this region's limits are divided among regions while this node's settings know of
-// none: it would grant the whole limits, and so must not lead.
+// quotasDividedElsewhere reports whether the team quotas are divided among regions while this node's settings configure
+// no regions. As a leader it would grant each team its whole quota, so it must not lead.
 func (h electionHost) quotasDividedElsewhere() bool {
 	return h.core.cache.QuotaAccountCount() > 0 && !h.core.operator.Regions.Enabled()
 }
@@ -64,7 +64,7 @@
 }
 
 func (h electionHost) SteppedDown(election.StepDownReason) {
-	h.core.leader.turnAwayWaiting()
+	h.core.leader.rejectPendingRequests()
 	h.core.leader = nil
 }
 
@@ -72,10 +72,10 @@
 func (h electionHost) LogInfo(message string, fields ...any)  { h.core.log(Info, message, fields...) }
 func (h electionHost) LogError(message string, fields ...any) { h.core.log(Error, message, fields...) }
 
-// electionStore makes the calls of an election.
+// electionStore implements election.Store by calls to the key-value store.
 type electionStore struct{ core *Core }
 
-// register registers a call of an election for its reply.
+// register registers an election's call, which is completed by its result, and returns the call ID.
 func (s electionStore) register(call election.Call) uint64 {
 	return s.core.registerStoreCall(func(r Result) {
 		call.Complete(election.Reply{Outcome: r.Outcome, SentAt: r.SentAt, Lease: r.Lease, Revision: r.Txn.Revision})
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -9,7 +9,8 @@
 	"bitternwing/internal/wire"
 )
 
-// Evaluations is how many the cycles of this node's current term made.
+// Evaluations returns the number of evaluations by the scheduling cycles of the current term; 0 if the node does not
+// lead.
 func (c *Core) Evaluations() int {
 	if c.leader == nil {
 		return 0
@@ -17,23 +18,23 @@
 	return c.leader.cycles.evaluationsSpent
 }
 
-// EvaluationsPerSecond is how many the settings allow, at the measured cost.
+// EvaluationsPerSecond returns how many evaluations per second the settings allow at the measured cost.
 func (c *Core) EvaluationsPerSecond() float64 { return c.evaluationsPerSecond() }
 
-// LastEvaluations is how many the last step made.
+// LastEvaluations returns the number of evaluations in the last step.
 func (c *Core) LastEvaluations() int { return c.evaluationCost.Taken() }
 
-// KnowsCancelled tells whether this node knows that a job is cancelled.
+// KnowsCancelled reports whether this node knows that a job is cancelled.
 func (c *Core) KnowsCancelled(id string) bool {
 	final, _ := c.cache.FinalState(id)
 	return c.cache.Job(id).Cancelled() || final.State == wire.JobCancelled
 }
 
-// Finals is how many final states this node remembers.
-func (c *Core) Finals() int { return c.cache.FinalStateCount() }
+// FinalStateCount returns the number of cached final states.
+func (c *Core) FinalStateCount() int { return c.cache.FinalStateCount() }
 
-// CheckCapacityIndex compares the capacity index, and the counts of jobs' tasks by zone, with what they would be if they
-// were built anew.
+// CheckCapacityIndex compares the capacity index, the replica ledger and the jobs' placement counts by zone, which are
+// updated incrementally, with ones that are built from scratch.
 func (c *Core) CheckCapacityIndex() error {
 	l := c.leader
 	if l == nil {
@@ -52,11 +53,11 @@
 		want := (&schedulableMachine{machine: m, free: free, freeAfterStops: freeAfterStops}).indexEntry()
 		group, got, ok := l.schedulable.index.Get(m.name)
 		if !ok || got != want || group != m.group() {
-			return fmt.Errorf("%s: %+v %+v in the index, %+v built anew", m.name, group, got, want)
+			return fmt.Errorf("%s: the index has %+v %+v, want %+v", m.name, group, got, want)
 		}
 	}
 	if l.schedulable.index.Len() != schedulable {
-		return fmt.Errorf("%d machines in the index, of %d", l.schedulable.index.Len(), schedulable)
+		return fmt.Errorf("the index has %d machines, want %d", l.schedulable.index.Len(), schedulable)
 	}
 	if err := l.checkReplicas(); err != nil {
 		return err
@@ -67,37 +68,38 @@
 			zones[p.machine.zone]++
 		}
 		if !maps.Equal(zones, j.placementsByZone) {
-			return fmt.Errorf("%s: tasks by zone %v, built anew %v", j.id, j.placementsByZone, zones)
+			return fmt.Errorf("%s: placements by zone are %v, want %v", j.id, j.placementsByZone, zones)
 		}
 	}
 	return nil
 }
 
-// checkReplicas compares the ledger of replicas with one that is built anew.
+// checkReplicas compares the replica ledger with one that is built from scratch.
 func (l *leader) checkReplicas() error {
-	anew := topologyspread.NewLedger()
+	rebuilt := topologyspread.NewLedger()
 	models := map[topologyspread.Model]bool{}
 	for _, m := range l.machinesByName {
 		for _, p := range m.placementsInOrder {
 			if model, ok := p.job.model(); ok && p.job.placements[p.task] == p {
-				anew.Add(model, m.zone, m.name)
+				rebuilt.Add(model, m.zone, m.name)
 				models[model] = true
 			}
 		}
 	}
-	if anew.Models() != l.replicaLedger.Models() {
-		return fmt.Errorf("%d models have replicas, built anew %d", l.replicaLedger.Models(), anew.Models())
+	if rebuilt.Models() != l.replicaLedger.Models() {
+		return fmt.Errorf("the ledger has %d models, want %d", l.replicaLedger.Models(), rebuilt.Models())
 	}
 	for model := range models {
 		total, zone, machine := l.replicaLedger.Replicas(model)
-		if wantTotal, wantZone, wantMachine := anew.Replicas(model); total != wantTotal || zone != wantZone || machine != wantMachine {
-			return fmt.Errorf("%v has %d replicas, %d in a zone, %d on a machine; built anew %d, %d, %d", model, total, zone, machine, wantTotal, wantZone, wantMachine)
+		if wantTotal, wantZone, wantMachine := rebuilt.Replicas(model); total != wantTotal || zone != wantZone || machine != wantMachine {
+			return fmt.Errorf("%v has %d replicas, %d in a zone, %d on a machine; want %d, %d, %d", model, total, zone, machine, wantTotal, wantZone, wantMachine)
 		}
 	}
 	return nil
 }
 
-// What versions before rollouts, and the one with rollouts, read as a term. They stay as they are.
+// The forms of a term that earlier versions can read: the two before rollouts, and the one with rollouts. They are
+// frozen copies and must not change.
 type (
 	plainTerm struct {
 		Term uint64 `json:"term"`
@@ -113,15 +115,15 @@
 	}
 )
 
-// ReadableBefore tells whether the version before rollouts can read a term.
-func ReadableBefore(value json.RawMessage) bool {
+// ReadableBeforeRollouts reports whether versions before rollouts can read a stored term.
+func ReadableBeforeRollouts(value json.RawMessage) bool {
 	var plain plainTerm
 	var fenced layoutFencedTerm
 	return json.Unmarshal(value, &plain) == nil || json.Unmarshal(value, &fenced) == nil
 }
 
-// ReadableWithPlans tells whether the version before quota accounts can read a term.
-func ReadableWithPlans(value json.RawMessage) bool {
+// ReadableBeforeQuotas reports whether versions before quota accounts can read a stored term.
+func ReadableBeforeQuotas(value json.RawMessage) bool {
 	var rollouts rolloutsTerm
-	return json.Unmarshal(value, &rollouts) == nil || ReadableBefore(value)
+	return json.Unmarshal(value, &rollouts) == nil || ReadableBeforeRollouts(value)
 }
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -6,21 +6,21 @@
 	"bitternwing/internal/wire"
 )
 
-// Time is the moment of an input.
+// Time is the time of an input, with measurements of the host's event loop.
 type Time struct {
-	Steady time.Duration // the steady clock of this process
-	WallMS int64         // the time of day in milliseconds
-	Took   time.Duration // how long the step before this one took; 0: not known. It tells what an evaluation costs.
-	Waited time.Duration // how long the input waited for the core; 0: not known
+	Steady           time.Duration // monotonic time of this process
+	WallMS           int64         // Unix time in milliseconds
+	LastStepDuration time.Duration // of the previous step, to estimate the cost of an evaluation; 0: unknown
+	QueueDelay       time.Duration // how long the input waited for this step; 0: unknown
 }
 
 // Input is an event that the core handles.
 type Input interface{ input() }
 
-// Tick is the passing of time.
+// Tick only advances the time.
 type Tick struct{}
 
-// SubmitJob is a user's request to accept a job.
+// SubmitJob is a user's submission of a job.
 type SubmitJob struct {
 	RequestID uint64
 	Job       *wire.Job
@@ -44,8 +44,8 @@
 	Heartbeat *wire.Heartbeat
 }
 
-// ReplicateCancellations are cancellations that a peer sends. The response acknowledges that they are known here from now
-// on.
+// ReplicateCancellations carries cancellations from a peer. The response acknowledges that this node knows them from
+// then on.
 type ReplicateCancellations struct {
 	RequestID     uint64
 	Cancellations []Cancellation
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// applyJobChange takes in a change of a job's key.
+// applyJobChange updates the leader's state of a job from the watch cache.
 func (l *leader) applyJobChange(id string) {
 	if !l.recovered {
 		return
 	}
 	cached, j := l.core.cache.Job(id), l.jobs[id]
 	if cached == nil {
-		return // only the leader ends jobs, and drops them itself
+		return // only the leader ends jobs, and it drops them itself
 	}
 	if j == nil {
-		if _, over := l.core.cache.FinalState(id); over {
+		if _, ended := l.core.cache.FinalState(id); ended {
 			return
 		}
 		j = l.addJob(id, cached)
@@ -27,7 +27,7 @@
 	}
 }
 
-// applyCancellation stops all tasks of a job. Starts that were not yet sent never will be.
+// applyCancellation stops all tasks of a job. Placements whose start was not sent yet end without one.
 func (l *leader) applyCancellation(j *job, cancelledMS int64) {
 	age := time.Duration(max(0, l.core.now.WallMS-cancelledMS)) * time.Millisecond
 	j.cancelled = true
@@ -40,7 +40,7 @@
 		p.requestStop(stopImmediate, stopCancelled)
 		p.stopSent = false
 		if p.directStartToken != 0 {
-			// Its start may still be on the way, and arrive after the stop.
+			// Its start may still be in flight and arrive after the stop, so the fence is raised above its token.
 			p.machine.fence.RaiseAbove(p.directStartToken)
 		}
 		l.dispatcher.add(p.machine)
@@ -49,7 +49,7 @@
 	l.finishIfDone(j)
 }
 
-// placementsByTask gives a job's placements by task number.
+// placementsByTask returns a job's placements in task order.
 func (j *job) placementsByTask() []*placement {
 	placements := make([]*placement, 0, len(j.placements))
 	for _, p := range j.placements {
@@ -59,7 +59,8 @@
 	return placements
 }
 
-// finishIfDone writes a job's final state once all its tasks are done, or all are gone after a cancellation.
+// finishIfDone queues the write of a job's final state if the job has no placements left and is either cancelled or an
+// array all of whose tasks are done.
 func (l *leader) finishIfDone(j *job) {
 	if j.ending || len(j.placements) > 0 {
 		return
@@ -70,16 +71,16 @@
 	}
 }
 
-// The parts of the time for a cancellation after which a machine is released that still runs a task of the job. Releasing
-// takes a call or two and a retry.
+// A machine that still runs tasks of a cancelled job is released after these tenths of the time allowed for a
+// cancellation. The remaining time is for the release itself, which takes one or two calls and a retry.
 const (
 	cancelReleaseTenths = 4
-	// cancelRecoveryTenths is the latest for a machine that has yet to send a new leader a heartbeat: what an earlier leader
-	// recorded may long be gone, its end not yet written.
+	// cancelRecoveryTenths is the upper bound for a machine that has not sent a heartbeat to a new leader yet. The task
+	// that an earlier leader recorded may have exited long ago without its end being written.
 	cancelRecoveryTenths = 6
 )
 
-// enforceCancellations releases the machines that don't stop the tasks of a cancelled job in time.
+// enforceCancellations releases machines that have not stopped the tasks of a cancelled job in time.
 func (l *leader) enforceCancellations() {
 	if !l.hasAuthority() {
 		return
@@ -96,13 +97,14 @@
 	}
 }
 
-// cancellationDeadline gives when a machine is released that still runs a task of a cancelled job.
+// cancellationDeadline returns when the machine of a cancelled job's placement is released if the placement has not
+// ended.
 func (l *leader) cancellationDeadline(p *placement) time.Duration {
 	cancelledAt, limit := p.job.cancelledAt, l.core.times.cancelDeadline
 	due := cancelledAt + limit*cancelReleaseTenths/10
 	if p.machine.reported {
 		return due
 	}
-	timeToReport := l.startedAt + l.core.times.lease/2
-	return max(due, min(timeToReport, cancelledAt+limit*cancelRecoveryTenths/10))
+	reportDeadline := l.startedAt + l.core.times.lease/2
+	return max(due, min(reportDeadline, cancelledAt+limit*cancelRecoveryTenths/10))
 }
--- a/internal/core/job_comparisons.go
+++ b/internal/core/job_comparisons.go
@@ -8,13 +8,13 @@
 	"bitternwing/internal/wire"
 )
 
-// comparisonBatch is the lookups that one comparison with the key-value store confirms.
+// comparisonBatch is a set of lookups that one comparison with the key-value store confirms.
 type comparisonBatch struct {
 	requests *userRequests
 	lookups  []*lookup
 }
 
-// runComparisons confirms cached states, many in one comparison, one comparison at a time.
+// runComparisons sends a comparison for the queued lookups if one is due. Only one comparison is in flight at a time.
 func (u *userRequests) runComparisons() {
 	c := u.core
 	if u.compareInFlight || len(u.comparisons) == 0 {
@@ -31,7 +31,8 @@
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: conditions}})
 }
 
-// nextComparisonBatch takes as many lookups out of the queue as fit into a comparison.
+// nextComparisonBatch removes as many lookups from the queue as fit into a comparison, and returns them with their
+// conditions.
 func (u *userRequests) nextComparisonBatch() (*comparisonBatch, []wire.Condition) {
 	limit := u.core.limits.maxConditions()
 	var conditions []wire.Condition
@@ -44,10 +45,10 @@
 	return batch, conditions
 }
 
-// maxLookupConditions bounds the conditions of one lookup.
+// maxLookupConditions is the maximum number of conditions of a lookup.
 const maxLookupConditions = 2
 
-// conditions are those that hold as long as the cached state of the job is current.
+// conditions returns conditions that hold as long as the cached state of the job is current.
 func (l *lookup) conditions() []wire.Condition {
 	if l.cached != nil {
 		return []wire.Condition{{Key: stored.JobKey(l.id), Version: l.cached.Version}}
@@ -55,8 +56,8 @@
 	return []wire.Condition{{Key: stored.JobKey(l.id)}, {Key: stored.FinalStateKey(l.id)}}
 }
 
-// scheduleNextComparison sets when the comparison after one that is sent now may be sent: soon while lookups are
-// queued, else later, so that more of them share it.
+// scheduleNextComparison sets the earliest time of the comparison after the one being sent. It is soon if lookups
+// remain queued, and later otherwise, so that more lookups share that comparison.
 func (u *userRequests) scheduleNextComparison() {
 	c := u.core
 	u.lastCompare = c.now.Steady
@@ -67,7 +68,7 @@
 	}
 }
 
-// applyResult hands over what the comparison has confirmed. A job whose cached state is out of date is read.
+// applyResult completes the lookups that the comparison has confirmed. Jobs whose cached state is outdated are read.
 func (b *comparisonBatch) applyResult(r Result) {
 	u := b.requests
 	u.compareInFlight = false
@@ -84,7 +85,7 @@
 	}
 }
 
-// failedIn tells whether a condition of this lookup is among those that failed.
+// failedIn reports whether a condition of this lookup is among those that failed.
 func (l *lookup) failedIn(failedKeys map[string]bool) bool {
 	return failedKeys[stored.JobKey(l.id)] || failedKeys[stored.FinalStateKey(l.id)]
 }
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -60,7 +60,7 @@
 			b.delete(r.Key, r.Version)
 		}
 	}
-	b.size += endChangeBytes * (endChanges + len(records))
+	b.bodyBytes += endChangeBytes * (endChanges + len(records))
 	b.endings = append(b.endings, j)
 	return true
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,37 +7,37 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// leader is a controller that leads a term. It wires the components that do the work of a leader and runs them in order.
-// What several of them share is a field of the leader; what only one uses is a field of that component.
+// leader is the state of a controller that leads a term. It wires the components of a leader and runs them in order.
+// State that several components share is a field of the leader; state that only one uses is a field of that component.
 //
-// All of it is rebuilt when a term begins: first from the key-value store (leaderRecovery), then from the heartbeats of the
-// workers.
+// All of it is rebuilt at the start of a term, first from the key-value store (leaderRecovery), then from the workers'
+// heartbeats.
 type leader struct {
 	core *Core
 	leaderAuthority
 	termCalls
 
-	// The term, and the version of its key, on which every write is conditional.
+	// The term, and the version of the term key, on which every write of the leader is conditional.
 	term        uint64
 	termVersion uint64
 	startedAt   time.Duration
-	recovered   bool // the state of earlier terms is restored
+	recovered   bool // the state of earlier terms has been restored
 
-	// The jobs.
-	jobs             map[string]*job
-	queue            []*job // by acceptance
-	dependenciesSeen uint64 // evaluations of the dependency graph that were followed
-	records          runRecords
+	// Jobs.
+	jobs               map[string]*job
+	queue              []*job // in the order of acceptance
+	appliedEvaluations uint64 // evaluations of the dependency graph that have been applied
+	records            runRecords
 
-	// The machines.
+	// Machines.
 	machines         map[string]*machine
-	machinesByName   []*machine               // by name
-	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
+	machinesByName   []*machine               // sorted by name
+	releasedMachines map[string]time.Duration // when they were removed; their heartbeats are not reconciled
 	schedulable      schedulableMachines
 	replicaLedger    *topologyspread.Ledger
-	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
+	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
 
-	// changes counts for the reconciler what changes at a heartbeat.
+	// changes counts state changes: a heartbeat that causes none needs no further work.
 	changes changeCounter
 
 	// Heartbeats and commands.
@@ -56,16 +56,16 @@
 	rollouts    *rolloutManager
 	quotas      *quotaManager
 
-	// The key-value store.
-	recovery        *leaderRecovery
-	writer          writer
-	layoutMigration layoutMigration
-	termUpgrade     termFormatUpgrade
-	images          imageHints
-	unreachable     unreachableHints
+	// Key-value store.
+	recovery         *leaderRecovery
+	writer           writer
+	layoutMigration  layoutMigration
+	termUpgrade      termFormatUpgrade
+	imageHints       imageHints
+	unreachableHints unreachableHints
 }
 
-// newLeader makes the leader of a term that was just won, which has yet to recover the state of earlier terms.
+// newLeader returns the leader of a term that was just won. It has yet to recover the state of earlier terms.
 func newLeader(c *Core, term, version uint64) *leader {
 	l := &leader{
 		core:             c,
@@ -91,7 +91,7 @@
 	return l
 }
 
-// wireHeartbeats makes what handles heartbeats and sends commands, each before those that use it.
+// wireHeartbeats creates the components that handle heartbeats and send commands, dependencies first.
 func (l *leader) wireHeartbeats() {
 	l.failures = failureAccounting{core: l.core, jobs: l.jobs, machines: l.machines}
 	l.commands = newCommandBuilder(l)
@@ -101,21 +101,21 @@
 	l.dispatcher = newCommandDispatcher(l)
 }
 
-// wireStore makes what reads and writes the key-value store.
+// wireStore creates the components that read and write the key-value store.
 func (l *leader) wireStore() {
 	now := l.core.now.Steady
 	l.recovery = newLeaderRecovery(l)
 	l.writer.init(l)
 	l.layoutMigration.leader = l
 	l.termUpgrade.leader = l
-	l.unreachable = unreachableHints{leader: l, nextWrite: now + l.core.times.checkInterval}
-	l.images = imageHints{core: l.core, writer: &l.writer, nextWrite: now, shards: newShardWriter(l, stored.ImageHintKey)}
+	l.unreachableHints = unreachableHints{leader: l, nextWrite: now + l.core.times.checkInterval}
+	l.imageHints = imageHints{core: l.core, writer: &l.writer, lastWrite: now, shards: newShardWriter(l, stored.ImageHintKey)}
 }
 
-// hasRecovered tells whether the state of earlier terms is restored.
+// hasRecovered reports whether the state of earlier terms has been restored.
 func (l *leader) hasRecovered() bool { return l.recovered }
 
-// run does what is due. Every part sets when it wants to be woken.
+// run runs the work of every component that is due. Each component schedules its own next wake-up.
 func (l *leader) run() {
 	if !l.recovered {
 		l.recovery.run()
@@ -123,7 +123,7 @@
 			return
 		}
 	}
-	l.followDependencies()
+	l.applyDependencyChanges()
 	l.quotas.run()
 	l.checkFleet()
 	l.runSchedulingCycle()
@@ -135,11 +135,11 @@
 	l.dispatcher.run()
 	l.heldResponses.sendDue(l.machinesByName)
 	l.provisioner.run()
-	l.images.run(l.machinesByName)
-	l.unreachable.run()
+	l.imageHints.run(l.machinesByName)
+	l.unreachableHints.run()
 }
 
-// checkFleet looks through the machines and the cancelled jobs when that is due.
+// checkFleet checks the machines and the cancelled jobs when the next check is due.
 func (l *leader) checkFleet() {
 	now := l.core.now.Steady
 	if now >= l.nextFleetCheck {
@@ -152,8 +152,8 @@
 	l.core.wakeBy(l.nextFleetCheck)
 }
 
-// turnAwayWaiting responds to all requests that wait for this leader, whose term ends.
-func (l *leader) turnAwayWaiting() {
+// rejectPendingRequests rejects or redirects the requests that wait for this leader, at the end of its term.
+func (l *leader) rejectPendingRequests() {
 	l.heldResponses.redirectAll(l.machinesByName)
 	l.rollouts.refuseWaiting()
 	l.quotas.refuseWaiting()
--- a/internal/core/leader_authority_test.go
+++ b/internal/core/leader_authority_test.go
@@ -8,11 +8,12 @@
 	"bitternwing/internal/outcome"
 )
 
-// newLeaderWithPeers makes a leader of term 3 whose lease is not valid. The store serves neither it nor its two peers.
+// newLeaderWithPeers returns a leader of term 3 whose lease is not valid. The key-value store is unavailable to it and
+// to both of its peers.
 func newLeaderWithPeers() *leader {
-	set := *newIdleCore().settings
-	set.Peers = []config.Peer{{Node: "b", Zone: "z2"}, {Node: "c", Zone: "z3"}}
-	c := New(&set, "first")
+	settings := *newIdleCore().settings
+	settings.Peers = []config.Peer{{Node: "b", Zone: "z2"}, {Node: "c", Zone: "z3"}}
+	c := New(&settings, "first")
 	c.leader = newLeader(c, 3, 1)
 	c.now.Steady = c.times.lease
 	c.storeHealth.observe(outcome.Unavailable)
@@ -23,31 +24,31 @@
 	return c.leader
 }
 
-// TestAuthorityWithoutLease: past its lease a leader acts only while all peers confirm an outage of the store, and commits
-// nothing even then.
+// TestAuthorityWithoutLease checks that a leader whose lease has expired has authority only while all peers confirm an
+// outage of the key-value store, and that it never commits.
 func TestAuthorityWithoutLease(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name   string
 		change func(c *Core, peer *membership.Peer)
 		want   bool
 	}{
 		{"all peers confirm the outage", func(*Core, *membership.Peer) {}, true},
 		{"a peer does not answer", func(_ *Core, peer *membership.Peer) { peer.QueryFailed() }, false},
-		{"the store serves a peer", func(c *Core, peer *membership.Peer) {
+		{"the store is available to a peer", func(c *Core, peer *membership.Peer) {
 			peer.QueryAnswered(c.now.Steady, membership.Status{})
 		}, false},
 		{"a peer knows a newer term", func(c *Core, peer *membership.Peer) {
 			peer.QueryAnswered(c.now.Steady, membership.Status{StoreDown: true, Term: 4})
 		}, false},
-		{"the peers were not heard lately", func(c *Core, _ *membership.Peer) { c.now.Steady += c.times.lease }, false},
+		{"the peers were not heard recently", func(c *Core, _ *membership.Peer) { c.now.Steady += c.times.lease }, false},
 	} {
 		l := newLeaderWithPeers()
-		x.change(l.core, l.core.members.Peer("c"))
-		if got := l.hasAuthority(); got != x.want {
-			t.Errorf("%s: authority %v, want %v", x.name, got, x.want)
+		tc.change(l.core, l.core.members.Peer("c"))
+		if got := l.hasAuthority(); got != tc.want {
+			t.Errorf("%s: hasAuthority = %v, want %v", tc.name, got, tc.want)
 		}
 		if l.mayCommit() {
-			t.Errorf("%s: the leader commits without a lease", x.name)
+			t.Errorf("%s: the leader may commit without a valid lease", tc.name)
 		}
 	}
 }
--- a/internal/core/leader_dependencies.go
+++ b/internal/core/leader_dependencies.go
@@ -2,18 +2,19 @@
 
 import "bitternwing/internal/dependency"
 
-// followDependencies takes in changes of the dependency graph: jobs that are ready are queued, jobs that depend on a
-// cancelled one are cancelled, and jobs on which others depend inherit their priority and deadline for as long as they do.
-func (l *leader) followDependencies() {
+// applyDependencyChanges applies changes of the dependency graph. Jobs whose dependencies are done are queued, and jobs
+// that depend on a cancelled job are cancelled. A job inherits the priority and the deadline of its dependents while it
+// has any.
+func (l *leader) applyDependencyChanges() {
 	graph := l.core.dependencies.graph
 	evaluations := graph.Evaluations()
-	if evaluations == l.dependenciesSeen {
+	if evaluations == l.appliedEvaluations {
 		return
 	}
-	l.dependenciesSeen = evaluations
+	l.appliedEvaluations = evaluations
 	for _, id := range graph.InOrder() {
 		if j := l.jobs[id]; j != nil && j.waitingForDependencies && !j.cancelled {
-			l.followWaitingJob(j)
+			l.updateWaitingJob(j)
 		}
 	}
 	for _, j := range l.queue {
@@ -21,8 +22,8 @@
 	}
 }
 
-// followWaitingJob queues or cancels a job that waits for others, as far as they have ended.
-func (l *leader) followWaitingJob(j *job) {
+// updateWaitingJob queues or cancels a job that waits for its dependencies, once their outcome decides that.
+func (l *leader) updateWaitingJob(j *job) {
 	switch l.core.dependencies.graph.Of(j.id).State {
 	case dependency.Ready:
 		l.admit(j)
@@ -33,22 +34,23 @@
 	}
 }
 
-// inheritUrgency gives a job the priority and the latest end that the jobs that depend on it lend to it.
+// inheritUrgency sets a job's priority and latest end to those that its dependents require.
 func (j *job) inheritUrgency(status dependency.Status) {
 	if j.rank != status.Priority {
-		j.rankChanged()
+		j.markMachineCapacityChanged()
 	}
 	j.rank, j.latestEndMS = status.Priority, status.LatestEndMS
 }
 
-// rankChanged notes that what could be preempted on the job's machines has to be calculated again.
-func (j *job) rankChanged() {
+// markMachineCapacityChanged marks the job's machines so that their preemptible capacity is calculated again.
+func (j *job) markMachineCapacityChanged() {
 	for _, p := range j.placements {
 		p.machine.capacityChanged = true
 	}
 }
 
-// admit queues a job that has waited for others. From here on it counts for its team, and its waiting time counts.
+// admit queues a job whose dependencies are done. From then on it counts towards its team's usage, and its waiting time
+// starts.
 func (l *leader) admit(j *job) {
 	status := l.core.dependencies.graph.Of(j.id)
 	j.waitingForDependencies = false
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -11,32 +11,34 @@
 	"bitternwing/internal/wire"
 )
 
-// leaderRecovery restores the state of earlier terms when a term begins: the jobs from the cache of the watched keys, and
-// their placements from the run records, which are read page by page.
+// leaderRecovery restores the state of earlier terms when a term begins: the jobs from the watch cache, and their
+// placements from the run records, which are read page by page.
 //
-// Both are complete once all pages are read and the watch has reached the revision of the win: later writes of earlier terms
-// fail on their version of the term key. Until then the leader renews the leases of workers, which would expire otherwise,
-// and stops the tasks that it knows to be cancelled, as every node does that renews a lease. It decides nothing else.
+// Both are complete once all pages are read and the watch has reached the revision at which the term was won. Writes of
+// earlier leaders that arrive later fail, since the version of the term key has changed.
+//
+// Until then the leader only renews the leases of workers, which would expire otherwise, and stops the tasks that it
+// knows to be cancelled, as every node does that renews a lease. It makes no other decisions.
 type leaderRecovery struct {
 	leader *leader
 
-	records      map[string]wire.Item // read so far, by key
-	lastKey      string               // of the pages read so far
+	records      map[string]wire.Item // run records read so far, by key
+	lastKey      string               // of the last page read
 	readInFlight bool
-	nextRead     time.Duration // no page is read before
-	recordsRead  bool          // all pages are
+	nextRead     time.Duration // no page is read before this
+	recordsRead  bool          // all pages have been read
 	completedAt  time.Duration // when the last page was read
 
-	renewalsBefore uint64 // leases that this process had renewed while recovering earlier terms
-	slowLogged     bool
+	renewalsAtStart uint64 // leases that this process renewed during the recoveries of earlier terms
+	slowLogged      bool
 }
 
 func newLeaderRecovery(l *leader) *leaderRecovery {
 	return &leaderRecovery{leader: l, records: map[string]wire.Item{},
-		renewalsBefore: l.core.leaseRenewals.responses[RecoveringLeaderBasis]}
+		renewalsAtStart: l.core.leaseRenewals.responses[RecoveringLeaderBasis]}
 }
 
-// run reads what is due and restores the state once all is there.
+// run reads the next page if it is due, and restores the state once everything is read.
 func (r *leaderRecovery) run() {
 	l, c := r.leader, r.leader.core
 	if !r.readInFlight && !r.recordsRead {
@@ -60,8 +62,8 @@
 	r.leader.core.emit(StoreList{CallID: id, Prefix: stored.RunRecordPrefix, After: r.lastKey})
 }
 
-// handlePage takes in a page and reads the one after it. What was read stays valid if a page fails: nobody but this leader
-// writes records in its term.
+// handlePage stores a page and reads the next one. If a read fails, the pages read before it stay valid, since only
+// this leader writes records in its term.
 func (r *leaderRecovery) handlePage(result Result) {
 	c := r.leader.core
 	r.readInFlight = false
@@ -82,11 +84,11 @@
 	r.recordsRead, r.completedAt = true, c.now.Steady
 }
 
-// restore builds the leader's jobs and placements from what was read.
+// restore builds the leader's jobs and placements from the watch cache and the run records.
 func (r *leaderRecovery) restore() {
 	l, c := r.leader, r.leader.core
 	l.records.layout = c.layout()
-	l.unreachable.written = c.cache.UnreachableHintValues()
+	l.unreachableHints.written = c.cache.UnreachableHintValues()
 	ids := c.cache.JobIDs()
 	for _, id := range ids {
 		l.addJob(id, c.cache.Job(id))
@@ -104,7 +106,7 @@
 	l.requestCycle()
 }
 
-// applyRecords takes in the run records of earlier terms.
+// applyRecords restores the placements and progress of all jobs from the run records.
 func (r *leaderRecovery) applyRecords() {
 	byJob := r.decodeRecords()
 	for _, id := range slices.Sorted(maps.Keys(byJob)) {
@@ -112,24 +114,24 @@
 	}
 }
 
-// decodeRecords gives the records of each job. Those of jobs that are over are to be deleted.
+// decodeRecords returns the records by job. Records of jobs that have ended are queued for deletion.
 func (r *leaderRecovery) decodeRecords() map[string][]record.Entry {
 	l := r.leader
 	byJob := map[string][]record.Entry{}
-	for _, name := range slices.Sorted(maps.Keys(r.records)) {
-		item := r.records[name]
-		key, ok := stored.ParseRunRecordKey(name)
+	for _, storedKey := range slices.Sorted(maps.Keys(r.records)) {
+		item := r.records[storedKey]
+		key, ok := stored.ParseRunRecordKey(storedKey)
 		if !ok {
-			l.core.log(Error, "run record key not recognized", "key", name)
+			l.core.log(Error, "run record key not recognized", "key", storedKey)
 			continue
 		}
 		if l.jobs[key.Job] == nil {
-			l.writer.deleteOrphan(name, item.Version)
+			l.writer.deleteOrphan(storedKey, item.Version)
 			continue
 		}
 		decoded, err := record.Decode(item.Value, l.records.layout.TasksOf(key))
 		if err != nil {
-			l.core.log(Error, "run record unreadable", "key", name, "error", err.Error())
+			l.core.log(Error, "run record unreadable", "key", storedKey, "error", err.Error())
 			continue
 		}
 		byJob[key.Job] = append(byJob[key.Job], record.Entry{Key: key, Version: item.Version, Record: decoded})
@@ -137,7 +139,7 @@
 	return byJob
 }
 
-// applyJobRecords takes in the records of a job.
+// applyJobRecords restores the placements and progress of a job from its run records.
 func (r *leaderRecovery) applyJobRecords(j *job, entries []record.Entry) {
 	l := r.leader
 	if j.waitingForDependencies {
@@ -145,7 +147,7 @@
 		l.admit(j)
 	}
 	if !j.queued {
-		l.enqueue(j) // held by a rollout plan that is rolled back, after it was placed
+		l.enqueue(j) // it is held by a plan that is being rolled back, and was placed before
 	}
 	for _, entry := range entries {
 		if l.records.layout.ByTask > 0 && !entry.Key.ByTask {
@@ -166,8 +168,8 @@
 	}
 }
 
-// adoptPlacement adopts a placement of an earlier term. It may be running, or its start still be on the way, until the
-// heartbeat of its machine shows.
+// adoptPlacement restores a placement of an earlier term. Until the machine's next heartbeat it is unknown whether the
+// task runs or its start command is still in flight.
 func (r *leaderRecovery) adoptPlacement(j *job, task int, run record.Run) {
 	m := r.leader.machineNamed(run.Machine)
 	m.everReported = true
@@ -177,12 +179,12 @@
 	m.addImage(j.spec.Image, j.spec.ImageGB)
 }
 
-// renewals is how many leases were renewed in this term during the recovery.
+// renewals returns how many leases were renewed so far during this recovery.
 func (r *leaderRecovery) renewals() uint64 {
-	return r.leader.core.leaseRenewals.responses[RecoveringLeaderBasis] - r.renewalsBefore
+	return r.leader.core.leaseRenewals.responses[RecoveringLeaderBasis] - r.renewalsAtStart
 }
 
-// logIfSlow logs, once, that the recovery takes longer than reading should.
+// logIfSlow logs once if the recovery takes longer than a check interval.
 func (r *leaderRecovery) logIfSlow() {
 	l, c := r.leader, r.leader.core
 	if r.slowLogged || c.now.Steady-l.startedAt < c.times.checkInterval {
@@ -193,7 +195,7 @@
 		"revision", c.cache.Revision(), "required_revision", l.termVersion, "leases_renewed", r.renewals())
 }
 
-// logFailover logs how long the recovery took, and what was renewed meanwhile.
+// logFailover logs how long the recovery took and how many leases were renewed meanwhile.
 func (r *leaderRecovery) logFailover() {
 	l, c := r.leader, r.leader.core
 	c.log(Debug, "failover completed", "term", l.term, "after_ms", (c.now.Steady - l.startedAt).Milliseconds(),
--- a/internal/core/leader_recovery_test.go
+++ b/internal/core/leader_recovery_test.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/wire"
 )
 
-// nextRecordsPage gives the reading of a page of records among effects; nil if there is none.
+// nextRecordsPage returns the request for a page of run records among effects; nil if there is none.
 func nextRecordsPage(effects []Effect) *StoreList {
 	for _, effect := range effects {
 		if list, ok := effect.(StoreList); ok && list.Prefix == stored.RunRecordPrefix {
@@ -19,9 +19,9 @@
 	return nil
 }
 
-// TestReadingGoesOnWhereItFailed has every other page of the records fail at first. Each page is read once all the same, and
-// no record is missing in the end.
-func TestReadingGoesOnWhereItFailed(t *testing.T) {
+// TestRecordReadResumesAfterFailedPage checks that the recovery resumes at a page whose read failed. The first read of
+// every other page fails. Each page must be read successfully exactly once, and no record may be missing.
+func TestRecordReadResumesAfterFailedPage(t *testing.T) {
 	const pages = 6
 	c := newIdleCore()
 	c.leader = newLeader(c, 1, 1)
@@ -41,11 +41,11 @@
 		}
 	}
 	if !c.leader.recovery.recordsRead || len(c.leader.recovery.records) != pages || len(read) != pages {
-		t.Errorf("%d records are read in %d pages, all: %v", len(c.leader.recovery.records), len(read), c.leader.recovery.recordsRead)
+		t.Errorf("read %d records from %d pages, recordsRead = %v", len(c.leader.recovery.records), len(read), c.leader.recovery.recordsRead)
 	}
-	for after, times := range read {
-		if times != 1 {
-			t.Errorf("the page after %q is read %d times", after, times)
+	for after, reads := range read {
+		if reads != 1 {
+			t.Errorf("the page after %q was read %d times", after, reads)
 		}
 	}
 }
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -29,7 +29,7 @@
 	if late > 0 {
 		c.timerLoad.Observe(c.now.Steady, late)
 	}
-	if waited := max(late, c.now.Waited); waited > 0 {
+	if waited := max(late, c.now.QueueDelay); waited > 0 {
 		c.requestLoad.Observe(c.now.Steady, waited)
 	}
 	c.updateShedding()
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -86,13 +86,13 @@
 		fence:         fencing.NewFence(l.term),
 		firstSeen:     now,
 		requestedAt:   now,
-		lastHeartbeat: l.unreachable.lastHeard(name),
+		lastHeartbeat: l.unreachableHints.lastHeard(name),
 		idleSince:     now,
 		placements:    map[string]*placement{},
 		failures:      map[string]int{},
 	}
 	l.machines[name] = m
-	l.images.apply(m, l.queue)
+	l.imageHints.apply(m, l.queue)
 	i, _ := slices.BinarySearchFunc(l.machinesByName, name, compareMachineName)
 	l.machinesByName = slices.Insert(l.machinesByName, i, m)
 	return m
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -241,7 +241,7 @@
 	region := world.regions[0]
 	for range 3 {
 		item, got := region.store.Get("w/term")
-		if got != outcome.OK || core.ReadableWithPlans(item.Value) {
+		if got != outcome.OK || core.ReadableBeforeQuotas(item.Value) {
 			t.Fatalf("an older version reads %s", item.Value)
 		}
 		region.restartLeaderIfAny()
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -142,7 +142,7 @@
 	case 11:
 		j := f.anyJob()
 		j.failedOn = map[string]bool{m.name: true}
-		j.rankChanged()
+		j.markMachineCapacityChanged()
 		j.rank = f.number("rank now", 0, capacity.Ranks-1)
 	case 17:
 		// Limits and guarantees fall and rise.
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -12,47 +12,50 @@
 	"bitternwing/internal/wire"
 )
 
-// This file migrates the run records to their second layout, once, when the settings announce smaller values.
+// This file migrates the run records to their second layout. That happens once, when the settings announce a smaller
+// limit on the size of values.
 //
-// Version 1 finds a record by an index, whose meaning follows from its settings; it would take records of the second
-// layout for those of other tasks, or delete them. So the migration waits until every controller is known to run a version
-// that can read both. A controller that is out of reach is not known to; one that was known to once stays so, since
-// versions are not rolled back (docs/operating.md).
+// Version 1 of the controller finds a record by an index whose meaning depends on its settings. It would attribute
+// records of the second layout to other tasks, or delete them. So the migration waits until every controller has
+// announced that it supports both layouts. A controller that can't be reached may not support it. One that has
+// announced support once keeps it, since versions are not rolled back (docs/operating.md).
 //
-// The layout is written once, conditional on the term, and never changed again. The term is written with it, in a form
-// that fences off version 1: none of its nodes can read it, so none wins another election. A candidate for the next term
-// that has not seen the layout, or one with an older write on its way, fails by the version of the term's key.
+// The layout is written once, conditional on the term, and never changed again. The same transaction rewrites the term
+// in a format that version 1 can't read, so none of its nodes wins another election. It also changes the version of the
+// term key, so a candidate that has not seen the layout can't win the next term, and writes that are still in flight
+// fail.
 //
-// Until then records are written in the first layout, and may turn out too large: see revertUnwritten and isFull.
+// Before the migration records are written in the first layout and may become too large; see revertUnwritten and
+// isFull.
 
-// recordLayoutByTask is the second layout, as nodes announce to each other that they support it.
+// recordLayoutByTask is the number of the second layout, by which nodes announce to each other that they support it.
 const recordLayoutByTask = 2
 
-// layoutMigration migrates the records of a leader. It changes the version of the term's key, and so holds the leader.
+// layoutMigration migrates the run records of a leader. It changes the version of the leader's term key.
 type layoutMigration struct {
 	leader    *leader
-	requested bool // nothing else is written until it is settled
+	requested bool // the writer sends nothing until the migration is settled
 	inFlight  bool
-	retryAt   time.Duration // not before
+	retryAt   time.Duration // no attempt before this
 }
 
-// layout returns the layout of the run records that is in use.
+// layout returns the current layout of the run records.
 func (c *Core) layout() record.Layout {
 	if layout, known := c.cache.RecordLayout(); known {
 		return layout
 	}
-	return record.Layout{ByIndex: record.ByIndexFor(c.limits.present.ValueKB)}
+	return record.Layout{ByIndex: record.ByIndexFor(c.limits.current.ValueKB)}
 }
 
-// mayRun reports whether the records have to change their layout, and all controllers can read the next one.
+// mayRun reports whether the run records have to be migrated and all controllers support the second layout.
 func (m *layoutMigration) mayRun() bool {
 	l, c := m.leader, m.leader.core
-	return l.records.layout.ByTask == 0 && c.limits.valuesShrink() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
+	return l.records.layout.ByTask == 0 && c.limits.valueLimitWillDecrease() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
 		l.mayCommit()
 }
 
-// run writes the next layout once it may be used and no record is on its way: a record of the first layout that was
-// written after the migration would contradict newer records of the same tasks.
+// run writes the second layout once it may be used and no transaction is in flight. A record of the first layout that
+// was written after the migration would contradict newer records of the same tasks.
 func (m *layoutMigration) run() {
 	l, c := m.leader, m.leader.core
 	if !m.mayRun() {
@@ -81,7 +84,7 @@
 	}})
 }
 
-// applyResult handles the result of the write of the next layout.
+// applyResult handles the result of writing the second layout.
 func (m *layoutMigration) applyResult(next record.Layout, r Result) {
 	c := m.leader.core
 	m.inFlight = false
@@ -89,7 +92,8 @@
 	case outcome.OK:
 		m.applyLayout(next, r.Txn.Revision)
 	case outcome.Conflict:
-		// It was applied before, its outcome unknown, or the term has moved on. The next leader finds out.
+		// Either an earlier attempt of unknown outcome was applied, or a newer term has begun. The next leader reads
+		// the stored layout.
 		c.election.StepDown(election.RecordLayoutIndeterminate)
 	case outcome.Unknown, outcome.Unavailable, outcome.NotFound, outcome.Invalid, outcome.TooOld, outcome.TooLarge, outcome.Dropped:
 		m.retryAt = c.now.Steady + c.times.retryPause
@@ -97,8 +101,8 @@
 	}
 }
 
-// applyLayout goes on in the second layout. Records of the first stay where they are, and are overridden where something
-// changes.
+// applyLayout switches to the second layout. Records of the first layout remain stored; a record of the second
+// overrides them for its tasks once one of these changes.
 func (m *layoutMigration) applyLayout(next record.Layout, version uint64) {
 	l, c, old := m.leader, m.leader.core, m.leader.records.layout
 	l.termVersion = version
@@ -112,7 +116,8 @@
 	c.log(Info, "run record layout migrated", "by_index", next.ByIndex, "by_task", next.ByTask)
 }
 
-// migrateChunks spreads a job's chunks over those of the new layout. What the old records don't have yet is written anew.
+// migrateChunks splits a job's chunks into chunks of the new layout. State that was not yet written in the old layout
+// is written in the new one.
 func (r *runRecords) migrateChunks(j *job, old record.Layout) {
 	chunks := j.chunks
 	j.chunks = map[int]*recordChunk{}
@@ -121,23 +126,23 @@
 		if chunk.version != 0 {
 			j.supersede(stored.RunRecordKey(old.Key(j.id, index)), chunk.version)
 		}
-		stale := !chunk.persisted() || chunk.rereadInFlight
+		needsWrite := !chunk.persisted() || chunk.rereadInFlight
 		chunk.dirty = false
 		first := index * old.ByIndex
 		for task := first; task < min(first+old.ByIndex, j.spec.Tasks); task++ {
-			part := r.chunkOf(j, task)
-			part.highestAttempt = max(part.highestAttempt, chunk.highestAttempt)
+			newChunk := r.chunkOf(j, task)
+			newChunk.highestAttempt = max(newChunk.highestAttempt, chunk.highestAttempt)
 			if chunk.done.Has(task - first) {
-				part.done.Set(task % r.tasksPerRecord())
+				newChunk.done.Set(task % r.tasksPerRecord())
 			}
-			if stale {
-				r.markDirty(part)
+			if needsWrite {
+				r.markDirty(newChunk)
 			}
 		}
 	}
 }
 
-// supersede notes a record of a layout that is not written any more: it is deleted with the job's end.
+// supersede registers a stored record of an earlier layout, to be deleted when the job ends.
 func (j *job) supersede(key string, version uint64) {
 	if j.superseded == nil {
 		j.superseded = map[string]uint64{}
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -8,32 +8,33 @@
 	"bitternwing/internal/wire"
 )
 
-// persisted reports whether the key-value store has the present state of a chunk.
+// persisted reports whether the key-value store holds the current state of the chunk.
 func (chunk *recordChunk) persisted() bool { return !chunk.dirty && !chunk.inFlight }
 
-// addRecords adds records of tasks, those of the most urgent jobs first.
+// addRecords adds changed run records to a batch, those of the most urgent jobs first.
 func (w *writer) addRecords(b *writeBatch) {
 	slices.SortStableFunc(w.records.dirty, func(a, b *recordChunk) int { return priority(b.job) - priority(a.job) })
 	idleChanges := int(w.budget.Tokens() - w.urgentReserve())
-	var later []*recordChunk
+	var deferred []*recordChunk
 	for _, chunk := range w.records.dirty {
 		if chunk.job.ending || w.leader.jobs[chunk.job.id] != chunk.job {
 			chunk.dirty = false
 			continue
 		}
 		if !w.mayAddRecord(b, chunk, idleChanges) || !w.addRecord(b, chunk) {
-			later = append(later, chunk)
+			deferred = append(deferred, chunk)
 		}
 	}
-	w.records.dirty = later
+	w.records.dirty = deferred
 }
 
-// mayAddRecord reports whether a record may be written with a batch, which takes so many changes of idle-priority jobs.
+// mayAddRecord reports whether a chunk's record may be added to a batch. Records of idle-priority jobs may be added
+// while the batch has fewer than idleChanges changes.
 func (w *writer) mayAddRecord(b *writeBatch, chunk *recordChunk, idleChanges int) bool {
 	switch {
 	case chunk.inFlight || chunk.rereadInFlight:
-		return false // its version is not known
-	case !b.hasRoom(1) || b.size > wire.MaxBody/2:
+		return false // the version of its key is not known
+	case !b.hasRoom(1) || b.bodyBytes > wire.MaxBody/2:
 		return false
 	case len(b.txn.If)+2 > w.leader.core.limits.maxConditions():
 		return false
@@ -41,7 +42,7 @@
 	return !chunk.job.isIdlePriority() || len(b.txn.Then) < idleChanges
 }
 
-// addRecord adds a record; false if it is too large to be written now.
+// addRecord adds a chunk's record to a batch. It returns false if the record is too large to be written now.
 func (w *writer) addRecord(b *writeBatch, chunk *recordChunk) bool {
 	value, placed := w.records.encode(chunk)
 	if len(value) > w.records.maxBytes() {
@@ -55,7 +56,7 @@
 	b.addCondition(key, chunk.version)
 	for _, p := range placed {
 		if p.phase == phaseUncommitted {
-			// A new placement stands only while the job is not cancelled.
+			// The job must not have been cancelled when a new placement is committed.
 			b.addCondition(stored.JobKey(chunk.job.id), chunk.job.version)
 			b.placements = append(b.placements, p)
 		}
@@ -66,7 +67,7 @@
 	return true
 }
 
-// applyRecordResult handles the result of the write of a record.
+// applyRecordResult handles the result of a transaction that wrote a chunk's record.
 func (w *writer) applyRecordResult(chunk *recordChunk, r Result, failed map[string]bool) {
 	chunk.inFlight = false
 	switch {
@@ -83,7 +84,7 @@
 	}
 }
 
-// commitPlacements has the placements dispatched that were written.
+// commitPlacements marks the placements of a batch as committed and queues their machines for dispatch.
 func (w *writer) commitPlacements(b *writeBatch) {
 	for _, p := range b.placements {
 		if p.phase == phaseUncommitted {
@@ -93,8 +94,8 @@
 	}
 }
 
-// reread finds the version of a record whose last write had an unknown outcome. Only the version counts: the leader is the
-// only writer of its term.
+// reread reads the version of a record whose last write had an unknown outcome. The value needs no check, since only
+// the leader writes records during its term.
 func (w *writer) reread(chunk *recordChunk) {
 	if chunk.rereadInFlight {
 		return
@@ -112,38 +113,38 @@
 	w.leader.core.emit(StoreGet{CallID: id, Key: w.records.key(chunk)})
 }
 
-// deleteOrphan has a record deleted whose job has ended.
+// deleteOrphan queues the deletion of a run record whose job has ended.
 func (w *writer) deleteOrphan(key string, version uint64) {
 	w.orphans = append(w.orphans, wire.Condition{Key: key, Version: version})
 }
 
-// deleteOrphans has records deleted whose job has ended.
+// deleteOrphans queues the deletion of run records whose jobs have ended.
 func (w *writer) deleteOrphans(records []wire.Condition) { w.orphans = append(w.orphans, records...) }
 
-// addOrphans adds the deletion of orphaned records.
+// addOrphans adds deletions of orphaned records to a batch.
 func (w *writer) addOrphans(b *writeBatch) {
 	for len(w.orphans) > 0 && b.hasRoom(1) {
-		o := w.orphans[0]
+		orphan := w.orphans[0]
 		w.orphans = w.orphans[1:]
-		b.delete(o.Key, o.Version)
-		b.orphans = append(b.orphans, o)
+		b.delete(orphan.Key, orphan.Version)
+		b.orphans = append(b.orphans, orphan)
 	}
 }
 
-// requeueOrphans has orphans deleted after all that were not. One that has another version by now, or is gone, is left
-// to the next leader.
+// requeueOrphans queues the orphans of a failed batch again. An orphan whose version has changed, or which no longer
+// exists, is dropped; if it exists, the next leader deletes it.
 func (w *writer) requeueOrphans(b *writeBatch, failed map[string]bool) {
-	for _, o := range b.orphans {
-		if !failed[o.Key] {
-			w.orphans = append(w.orphans, o)
+	for _, orphan := range b.orphans {
+		if !failed[orphan.Key] {
+			w.orphans = append(w.orphans, orphan)
 		}
 	}
 }
 
-// revertUnwritten ends the placements that were not written, in a record of the first layout that is too large by now. The
-// rest of it gets smaller as its tasks end, and is written then.
+// revertUnwritten ends the uncommitted placements of a record of the first layout that has become too large to be
+// written. If the record is still too large, it is written once more of its tasks have ended.
 func (w *writer) revertUnwritten(chunk *recordChunk) {
-	for _, p := range w.records.placedIn(chunk) {
+	for _, p := range w.records.placementsIn(chunk) {
 		if p.phase == phaseUncommitted {
 			w.leader.endPlacement(p)
 		}
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -54,9 +54,9 @@
 func (r *leaseRelay) packer() stored.RelayedHeartbeatPacker {
 	c := r.core
 	if c.layout().ByTask > 0 {
-		return stored.RelayedHeartbeatPacker{MaxBytes: c.maxValueBytes(), Compressed: true}
+		return stored.RelayedHeartbeatPacker{MaxBytes: c.usableValueBytes(), Compressed: true}
 	}
-	return stored.RelayedHeartbeatPacker{MaxBytes: stored.UsableValueBytes(c.limits.largestAcceptedValue())}
+	return stored.RelayedHeartbeatPacker{MaxBytes: stored.UsableValueBytes(c.limits.maxAcceptedValueBytes())}
 }
 
 func (r *leaseRelay) encodeHeartbeats() []json.RawMessage {
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -273,7 +273,7 @@
 	c := l.core
 	o := &rollout.Observation{
 		NowMS:          c.now.WallMS,
-		ClockErrorMS:   c.clockError().Milliseconds(),
+		ClockErrorMS:   c.maxClockError().Milliseconds(),
 		Reconciled:     run.reconciled,
 		Jobs:           map[string]rollout.Job{},
 		Revalidated:    run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -199,8 +199,8 @@
 	c := l.core
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
 	value, err := json.Marshal(record)
-	if err != nil || len(value) > c.maxValueBytes() {
-		c.respondRefused(in.RequestID, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.maxValueBytes()))
+	if err != nil || len(value) > c.usableValueBytes() {
+		c.respondRefused(in.RequestID, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.usableValueBytes()))
 		return
 	}
 	name := in.Plan.Name
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -131,7 +131,7 @@
 // fitsRouters tells whether a record has no more routers than are allowed, and is small enough for later transitions.
 func (l *leader) fitsRouters(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
-	maxBytes := l.core.maxValueBytes()
+	maxBytes := l.core.usableValueBytes()
 	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserve
 }
 
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -363,7 +363,7 @@
 	world.apply()
 	for range 2 {
 		item, _ := world.store.Get("w/term")
-		if core.ReadableBefore(item.Value) {
+		if core.ReadableBeforeRollouts(item.Value) {
 			t.Errorf("an older version reads the term %s", item.Value)
 		}
 		world.restartLeaderIfAny()
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -11,37 +11,37 @@
 	"bitternwing/internal/wire"
 )
 
-// recordChunk is the run record of a range of tasks: what has to be durable of them. highestAttempt is the highest attempt
-// used for any task of the range, so that no attempt is ever used twice.
+// recordChunk is the leader's copy of a run record, which holds the durable state of a range of a job's tasks.
+// highestAttempt is the highest attempt number used for any task of the range, so that no number is ever reused.
 type recordChunk struct {
 	job            *job
-	index          int // the range begins at the task index * tasksPerRecord
+	index          int // the range begins at task index * tasksPerRecord
 	highestAttempt uint64
 	done           record.Bits
-	version        uint64 // of its key; 0: not written yet
-	dirty          bool
-	inFlight       bool
+	version        uint64 // of the record's key; 0: not written yet
+	dirty          bool   // it has changes that are not yet part of a write
+	inFlight       bool   // a write of it has no result yet
 	rereadInFlight bool
 }
 
-// runRecords are the run records of all jobs: their keys and values, and which have yet to be written. The chunks of a job
-// are fields of the job.
+// runRecords manages the run records of all jobs: their layout, keys and values, and which of them have to be written.
+// The chunks themselves are kept in the jobs.
 type runRecords struct {
 	limits  *storeLimits
 	layout  record.Layout
 	changes *changeCounter
-	dirty   []*recordChunk // have to be written
+	dirty   []*recordChunk // chunks whose records have to be written
 }
 
-// tasksPerRecord is how many tasks a run record holds.
+// tasksPerRecord returns how many tasks a run record holds.
 func (r *runRecords) tasksPerRecord() int { return r.layout.Tasks() }
 
-// key is the key of a chunk's record.
+// key returns the key of a chunk's record.
 func (r *runRecords) key(chunk *recordChunk) string {
 	return stored.RunRecordKey(r.layout.Key(chunk.job.id, chunk.index))
 }
 
-// chunkOf gives the chunk with a task, and makes it if there is none yet.
+// chunkOf returns the chunk of a task. It creates the chunk if there is none yet.
 func (r *runRecords) chunkOf(j *job, task int) *recordChunk {
 	index := task / r.tasksPerRecord()
 	chunk := j.chunks[index]
@@ -52,13 +52,13 @@
 	return chunk
 }
 
-// isDone tells whether a task is done.
+// isDone reports whether a task is done.
 func (r *runRecords) isDone(j *job, task int) bool {
 	chunk := j.chunks[task/r.tasksPerRecord()]
 	return chunk != nil && chunk.done.Has(task%r.tasksPerRecord())
 }
 
-// setDone notes that a task is done.
+// setDone marks a task as done.
 func (r *runRecords) setDone(j *job, task int) {
 	if r.isDone(j, task) {
 		return
@@ -69,13 +69,13 @@
 	r.markDirty(chunk)
 }
 
-// isPersisted tells whether all that is known of a task is in the key-value store.
+// isPersisted reports whether the key-value store holds the current state of a task.
 func (r *runRecords) isPersisted(j *job, task int) bool {
 	chunk := j.chunks[task/r.tasksPerRecord()]
 	return chunk == nil || chunk.persisted()
 }
 
-// keys gives the keys of all records of a job, with their versions.
+// keys returns the keys of all stored records of a job with their versions.
 func (r *runRecords) keys(j *job) []wire.Condition {
 	var conditions []wire.Condition
 	for _, i := range slices.Sorted(maps.Keys(j.chunks)) {
@@ -89,22 +89,22 @@
 	return conditions
 }
 
-// encode gives a chunk's record and the placements in it.
+// encode returns a chunk's record in its stored form and the placements in it.
 func (r *runRecords) encode(chunk *recordChunk) (json.RawMessage, []*placement) {
 	value := record.Record{HighestAttempt: chunk.highestAttempt, Done: chunk.done, Placed: map[int]record.Run{}}
-	placements := r.placedIn(chunk)
+	placements := r.placementsIn(chunk)
 	for _, p := range placements {
 		value.Placed[p.task] = record.Run{Attempt: p.attempt, Machine: p.machine.name, Incarnation: p.incarnation}
 	}
 	encoded, err := value.Encode()
 	if err != nil {
-		panic(fmt.Sprintf("a run record can't be encoded: %v", err)) // only plain values are in it
+		panic(fmt.Sprintf("encode run record: %v", err)) // can't happen: a record has only fields that JSON can encode
 	}
 	return encoded, placements
 }
 
-// placedIn gives the placements of a chunk's tasks, in order.
-func (r *runRecords) placedIn(chunk *recordChunk) []*placement {
+// placementsIn returns the placements of a chunk's tasks in task order.
+func (r *runRecords) placementsIn(chunk *recordChunk) []*placement {
 	var placements []*placement
 	first := chunk.index * r.tasksPerRecord()
 	for task := first; task < min(first+r.tasksPerRecord(), chunk.job.spec.Tasks); task++ {
@@ -115,7 +115,7 @@
 	return placements
 }
 
-// markDirty has a chunk's record written.
+// markDirty queues a chunk's record to be written.
 func (r *runRecords) markDirty(chunk *recordChunk) {
 	r.changes.observe()
 	if !chunk.dirty {
@@ -124,53 +124,54 @@
 	}
 }
 
-// nextTask gives the lowest task from a number on that is neither done nor placed; -1 if there is none.
+// nextTask returns the lowest task, not below from, that is neither done nor placed and whose record is not full; -1 if
+// there is none.
 func (r *runRecords) nextTask(j *job, from int) int {
 	for task := max(from, j.nextUnplaced); task < j.spec.Tasks; task++ {
-		open := j.placements[task] == nil && !r.isDone(j, task)
-		if open && !r.isFull(j, task) {
+		needsPlacement := j.placements[task] == nil && !r.isDone(j, task)
+		if needsPlacement && !r.isFull(j, task) {
 			return task
 		}
-		if task == j.nextUnplaced && !open {
+		if task == j.nextUnplaced && !needsPlacement {
 			j.nextUnplaced++
 		}
 	}
 	return -1
 }
 
-// maxBytes is how large a record may be.
+// maxBytes returns the largest size of a record in bytes.
 func (r *runRecords) maxBytes() int {
 	if r.layout.ByTask > 0 {
 		return r.limits.maxValueBytes()
 	}
-	return r.limits.largestAcceptedValue()
+	return r.limits.maxAcceptedValueBytes()
 }
 
-// isFull reports whether the record of a task should take no further placement: the limits have fallen before the
-// layout could change.
+// isFull reports whether the record of a task should take no further placements, because the store's value size limit
+// was lowered before the layout could be migrated.
 func (r *runRecords) isFull(j *job, task int) bool {
-	if r.layout.ByTask > 0 || !r.limits.lowered {
+	if r.layout.ByTask > 0 || !r.limits.nextValueLimitInEffect {
 		return false
 	}
 	chunk := j.chunks[task/r.tasksPerRecord()]
-	return chunk != nil && len(r.placedIn(chunk)) >= r.limits.maxValueBytes()/record.PlacementBytes
+	return chunk != nil && len(r.placementsIn(chunk)) >= r.limits.maxValueBytes()/record.PlacementBytes
 }
 
-// nextAttempt gives the number of a task's next attempt.
+// nextAttempt assigns and returns the number of a task's next attempt.
 func (r *runRecords) nextAttempt(j *job, task int) uint64 {
 	chunk := r.chunkOf(j, task)
 	chunk.highestAttempt++
 	return chunk.highestAttempt
 }
 
-// withdrawAttempt frees the number of an attempt that was never written.
+// withdrawAttempt frees the number of a placement's attempt if it was never written.
 func (r *runRecords) withdrawAttempt(p *placement) {
 	if chunk := r.chunkOf(p.job, p.task); chunk.highestAttempt == p.attempt && !chunk.inFlight && !chunk.dirty {
 		chunk.highestAttempt--
 	}
 }
 
-// changeLayout goes on in another layout, of which no record is to be written yet.
+// changeLayout switches to another layout. No record of the new layout has to be written yet.
 func (r *runRecords) changeLayout(next record.Layout) {
 	r.layout, r.dirty = next, nil
 }
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -165,7 +165,7 @@
 		took = node.lastStepTime
 	}
 	began := time.Now()
-	effects := node.core.Step(core.Time{Steady: cluster.now, WallMS: int64(cluster.now / time.Millisecond), Took: took}, input)
+	effects := node.core.Step(core.Time{Steady: cluster.now, WallMS: int64(cluster.now / time.Millisecond), LastStepDuration: took}, input)
 	node.lastStepTime = time.Since(began)
 	cluster.stepTime += node.lastStepTime
 	cluster.longestStep = max(cluster.longestStep, node.lastStepTime)
@@ -204,7 +204,7 @@
 				}
 				cluster.step(node, core.Result{CallID: w.CallID, Outcome: got, Changes: ch, SentAt: w.opened})
 			}
-			if node.core.Wake() <= cluster.now {
+			if node.core.NextWake() <= cluster.now {
 				cluster.step(node, core.Tick{})
 			}
 		}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -158,7 +158,7 @@
 		t.Fatalf("%d jobs ended, of 60", n)
 	}
 	for _, node := range cluster.nodes {
-		if k := node.core.Finals(); k == 0 || k > 20 {
+		if k := node.core.FinalStateCount(); k == 0 || k > 20 {
 			t.Errorf("%s remembers %d final states, of 20", node.name, k)
 		}
 	}
--- a/internal/core/shard_writer.go
+++ b/internal/core/shard_writer.go
@@ -8,26 +8,26 @@
 	"bitternwing/internal/wire"
 )
 
-// shardWriter writes a map that is spread over the values of several keys. Only the shards that have changed are written.
+// shardWriter writes a map that is sharded over several keys. It writes only the shards that have changed.
 type shardWriter struct {
-	leader   *leader
-	keyOf    func(shard int) string
-	written  map[string]string // by key
-	inUse    int               // shards that were needed at some time
-	inFlight bool
+	leader     *leader
+	keyOf      func(shard int) string
+	written    map[string]string // the last values known to be stored, by key
+	shardCount int               // the highest number of shards so far
+	inFlight   bool
 }
 
 func newShardWriter(l *leader, keyOf func(shard int) string) shardWriter {
 	return shardWriter{leader: l, keyOf: keyOf, written: map[string]string{}}
 }
 
-// write writes the shards that have changed, as many as a transaction holds, and empties those that are not needed any
-// more. It reports whether the transaction is full, so that there may be more to write.
+// write sends the shards that have changed, as many as fit into a transaction, and empties shards that are no longer
+// needed. It reports whether the transaction is full, in which case there may be more to write.
 func (s *shardWriter) write(values []json.RawMessage) (full bool) {
-	for len(values) < s.inUse {
+	for len(values) < s.shardCount {
 		values = append(values, json.RawMessage(stored.EmptyShard))
 	}
-	s.inUse = len(values)
+	s.shardCount = len(values)
 	ops := s.changes(values)
 	if maxOps := s.leader.core.maxValuesPerTxn(); len(ops) >= maxOps {
 		ops, full = ops[:maxOps], true
@@ -38,7 +38,7 @@
 	return full
 }
 
-// changes returns the writes of the shards that have changed.
+// changes returns the writes of the shards that differ from their stored values.
 func (s *shardWriter) changes(values []json.RawMessage) []wire.Op {
 	var ops []wire.Op
 	for i, value := range values {
--- a/internal/core/shard_writer_test.go
+++ b/internal/core/shard_writer_test.go
@@ -10,8 +10,8 @@
 	"bitternwing/internal/wire"
 )
 
-// TestShardChanges shows that only shards that differ from what is written are written: an empty one that was never
-// written is not, one that is emptied is.
+// TestShardChanges checks that only shards that differ from their stored values are written. An empty shard that was
+// never written is not written, but one that becomes empty is.
 func TestShardChanges(t *testing.T) {
 	s := newShardWriter(nil, stored.TaskCountKey)
 	s.written[stored.TaskCountKey(1)] = `{"a":[1,0]}`
@@ -27,17 +27,17 @@
 		got = append(got, op.Put+"="+string(op.Value))
 	}
 	if want := []string{"w/n/2={}", `w/n/4={"c":[2,1]}`}; !slices.Equal(got, want) {
-		t.Errorf("written are %v", got)
+		t.Errorf("changes are %v", got)
 	}
 }
 
-// TestConflictingKeys shows that the failed conditions count only where they are why nothing was applied.
+// TestConflictingKeys checks that failed conditions are returned only if the outcome is a conflict.
 func TestConflictingKeys(t *testing.T) {
 	failed := wire.TxnResponse{Failed: []string{stored.TermKey}}
 	if keys := (Result{Outcome: outcome.Conflict, Txn: failed}).conflictingKeys(); len(keys) != 1 || !keys[stored.TermKey] {
-		t.Errorf("after a conflict they are %v", keys)
+		t.Errorf("after a conflict the keys are %v", keys)
 	}
 	if keys := (Result{Outcome: outcome.Unknown, Txn: failed}).conflictingKeys(); len(keys) != 0 {
-		t.Errorf("after an unknown outcome they are %v", keys)
+		t.Errorf("after an unknown outcome the keys are %v", keys)
 	}
 }
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -136,14 +136,14 @@
 
 // stepNode has a node take an input now, and carries out the effects.
 func (s *simulation) stepNode(node *simulatedNode, input core.Input, waited time.Duration) {
-	effects := node.core.Step(core.Time{Steady: node.steadyTime(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), Waited: waited}, input)
+	effects := node.core.Step(core.Time{Steady: node.steadyTime(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), QueueDelay: waited}, input)
 	if s.now < node.slowUntil {
 		node.busyUntil = s.now + node.stepTime
 	}
 	for _, effect := range effects {
 		s.carryOut(node, effect)
 	}
-	wake := max(node.core.Wake()-time.Second+node.startedAt, s.now+time.Millisecond)
+	wake := max(node.core.NextWake()-time.Second+node.startedAt, s.now+time.Millisecond)
 	if node.nextTick <= s.now || wake < node.nextTick {
 		node.nextTick = wake
 		incarnation := node.incarnation
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,26 +6,26 @@
 	"bitternwing/internal/membership"
 )
 
-// Status is what a controller shows of itself to its operators.
+// Status is a controller's status as shown to operators.
 type Status struct {
 	Leading       bool
-	TermsLed      uint64  // since the process began
-	Load          float64 // how short of processor time it is, between 0 and 1
-	HeldResponses int     // responses to heartbeats that are held
-	Machines      int     // that it manages as the leader
+	TermsLed      uint64  // terms led since the process started
+	Load          float64 // shortage of processor time, from 0 (none) to 1
+	HeldResponses int     // heartbeat responses that are held back
+	Machines      int     // machines that it manages as the leader
 
 	Term         uint64        // the newest term that it knows
-	HasAuthority bool          // as a leader: its lease is valid, or an outage of the key-value store is confirmed by all
-	Recovering   time.Duration // for how long it has led without having recovered the state; 0: it has, or does not lead
-	// LeaseRenewals are the responses that renewed workers' leases, and CancelledStops the cancelled tasks that they
-	// stopped, by basis.
+	HasAuthority bool          // it leads, and its lease is valid or all peers confirm an outage of the key-value store
+	Recovering   time.Duration // time since its term began while its recovery is incomplete; otherwise 0
+	// LeaseRenewals counts the responses that renewed workers' leases, and CancelledStops the stops of cancelled tasks
+	// in them, by basis.
 	LeaseRenewals, CancelledStops [LeaseBasisCount]uint64
-	Revision                      uint64 // up to which it has read the changes of jobs; 0: not yet
-	// StoreDown is set if the key-value store did not serve it last.
+	Revision                      uint64 // up to which it has read the changes of jobs; 0: it has not read them yet
+	// StoreDown is set if the last calls to the key-value store found it unavailable.
 	StoreDown bool
 }
 
-// Status gives this controller's status at a time.
+// Status returns this controller's status at a time.
 func (c *Core) Status(now time.Duration) Status {
 	s := Status{TermsLed: c.election.TermsLed(), Load: c.timerLoad.Level(now), Term: c.cache.Term().Number,
 		LeaseRenewals: c.leaseRenewals.responses, CancelledStops: c.leaseRenewals.stops,
@@ -50,7 +50,7 @@
 	}
 }
 
-// PeerStatus is what this controller says of itself to the others.
+// PeerStatus returns the status that this controller reports to its peers.
 func (c *Core) PeerStatus() membership.Status {
 	s := membership.Status{StoreDown: c.storeHealth.down || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1,
 		Revision: c.readRevision(), RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
@@ -66,7 +66,7 @@
 	return s
 }
 
-// readRevision is the revision up to which the changes of jobs are read; 0: they are yet to be.
+// readRevision returns the revision up to which the changes of jobs have been read; 0 if they have not been read yet.
 func (c *Core) readRevision() uint64 {
 	if !c.cache.Ready() {
 		return 0
@@ -74,18 +74,19 @@
 	return c.cache.Revision()
 }
 
-// Healthy tells the load balancer whether this controller takes requests. One that alone is not served by the key-value
-// store does not, nor one that sheds load. In an outage that concerns all of them they stay healthy, so that users get their
-// 503 at once and nothing has to be registered again afterwards.
+// Healthy reports to the load balancer whether this controller takes requests. A controller that sheds load does not,
+// nor does one to which the key-value store is unavailable while others can reach it. If the store is unavailable to
+// all controllers, all remain healthy: users get a 503 at once, and no controller has to be registered again
+// afterwards.
 func (c *Core) Healthy() bool {
 	if c.shedding {
 		return false
 	}
 	if !c.cache.Ready() || !c.catalog.known() {
-		// Started during an outage for all: healthy like the others.
+		// A controller that was started during an outage for all is healthy like the others.
 		return c.storeHealth.down && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
-	if !c.storeHealth.down || c.storeHealth.servedLately() {
+	if !c.storeHealth.down || c.storeHealth.servedRecently() {
 		return true
 	}
 	return c.storeOutageConfirmed()
--- a/internal/core/store_calls.go
+++ b/internal/core/store_calls.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Calls of the key-value store.
+// Calls to the key-value store.
 
 // StoreGet reads a key.
 type StoreGet struct {
@@ -14,13 +14,13 @@
 	Key    string
 }
 
-// StoreList reads the keys below a prefix, a page at a time.
+// StoreList reads one page of the keys with a prefix, those after a given key.
 type StoreList struct {
 	CallID        uint64
 	Prefix, After string
 }
 
-// StoreTxn carries out a transaction: a compare-and-swap of several keys.
+// StoreTxn executes a transaction: a compare-and-swap on several keys.
 type StoreTxn struct {
 	CallID uint64
 	Txn    wire.Txn
@@ -38,7 +38,7 @@
 // StoreRevokeLease revokes a lease.
 type StoreRevokeLease struct{ CallID, Lease uint64 }
 
-// StoreWatch waits for changes of the keys below a prefix.
+// StoreWatch waits for changes after a revision to the keys with a prefix.
 type StoreWatch struct {
 	CallID uint64
 	Prefix string
--- a/internal/core/store_health.go
+++ b/internal/core/store_health.go
@@ -7,23 +7,23 @@
 	"bitternwing/internal/wire"
 )
 
-// storeHealth is whether the key-value store serves this node, by the outcomes of its calls.
+// storeHealth tracks whether the key-value store is available to this node, by the outcomes of the node's calls.
 type storeHealth struct {
 	core          *Core
 	down          bool
-	servedAt      time.Duration // when a call was last served
+	lastServedAt  time.Duration // when a call was last answered
 	probeInFlight bool
 	nextProbe     time.Duration // no probe before this
 }
 
-// observe takes in the outcome of a call of the store.
+// observe updates the state with the outcome of a call to the store.
 func (h *storeHealth) observe(o outcome.Outcome) {
 	if o == outcome.Dropped {
-		return // above a rate limit: that is no outage
+		return // exceeded a rate limit or was not sent, which is no sign of an outage
 	}
 	down := o == outcome.Unavailable || o == outcome.Unknown
 	if !down {
-		h.servedAt = h.core.now.Steady
+		h.lastServedAt = h.core.now.Steady
 	}
 	if down == h.down {
 		return
@@ -36,7 +36,8 @@
 	}
 }
 
-// run probes the store when no other call did for a while, so that health and outage mode rest on fresh knowledge.
+// run probes the store when no other call was answered recently, so that health checks and the detection of an outage
+// rely on recent outcomes.
 func (h *storeHealth) run() {
 	if h.probeInFlight {
 		return
@@ -46,7 +47,7 @@
 	if h.down {
 		interval /= 2
 	}
-	if due := c.coalesce(h.servedAt + interval); c.now.Steady < due && !h.down {
+	if due := c.coalesce(h.lastServedAt + interval); c.now.Steady < due && !h.down {
 		c.wakeBy(due)
 		return
 	}
@@ -62,7 +63,7 @@
 
 func (h *storeHealth) applyProbe(Result) { h.probeInFlight = false }
 
-// servedLately tells whether the store has served this node within a check interval.
-func (h *storeHealth) servedLately() bool {
-	return h.core.now.Steady-h.servedAt < h.core.times.checkInterval
+// servedRecently reports whether the store answered a call of this node within the last check interval.
+func (h *storeHealth) servedRecently() bool {
+	return h.core.now.Steady-h.lastServedAt < h.core.times.checkInterval
 }
--- a/internal/core/store_keys_test.go
+++ b/internal/core/store_keys_test.go
@@ -5,7 +5,7 @@
 	"bitternwing/internal/wire"
 )
 
-// storedKeys gives the keys with a prefix, in order.
+// storedKeys returns the stored keys with a prefix in order.
 func storedKeys(store *emulator.Store, prefix string) []string {
 	var keys []string
 	for after := ""; ; after = keys[len(keys)-1] {
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -8,71 +8,73 @@
 	"bitternwing/internal/wire"
 )
 
-// storeLimits are the limits of the key-value store: the present ones, and those that it will have from some moment on that
-// it does not announce. Sizes are kept within the tighter of both at all times, so that the moment changes nothing. Rates
-// follow what the store grants.
+// storeLimits holds the limits of the key-value store: the current ones, and the future ones that take effect at a time
+// that is not announced. Sizes always stay within the tighter of both, so the change needs no reaction. Rates use the
+// current limits, except for a while after a write was dropped for exceeding them.
 type storeLimits struct {
-	present        config.Store
-	next           config.StoreLimits
-	throttledUntil time.Duration // until then writes keep to the rate that is to come
-	lowered        bool          // a value above the limit that is to come was rejected
+	current                config.Store
+	next                   config.StoreLimits
+	throttledUntil         time.Duration // until then writes keep to the future rate
+	nextValueLimitInEffect bool          // presumed after the store has rejected a value above the future limit
 }
 
 func newStoreLimits(s config.Store) *storeLimits {
-	return &storeLimits{present: s, next: s.Next.Within(s)}
+	return &storeLimits{current: s, next: s.Next.Within(s)}
 }
 
 const bytesPerKB = 1024
 
-// maxConditionsPerChange is how many conditions a transaction may have for each change that it may have.
+// maxConditionsPerChange is the ratio of a transaction's maximum number of conditions to its maximum number of changes.
 const maxConditionsPerChange = 4
 
-// maxValueBytes is the largest value that is written.
+// maxValueBytes returns the size limit in bytes that is valid both now and in the future.
 func (l *storeLimits) maxValueBytes() int { return int(bytesPerKB * l.next.ValueKB) }
 
-// maxChanges is the most changes in a transaction.
+// maxChanges returns the maximum number of changes in a transaction.
 func (l *storeLimits) maxChanges() int { return l.next.TxnOps }
 
-// maxConditions is the most conditions in a transaction.
+// maxConditions returns the maximum number of conditions in a transaction.
 func (l *storeLimits) maxConditions() int { return maxConditionsPerChange * l.next.TxnOps }
 
-// largestAcceptedValue is the largest value that the store may accept as yet, for what does not fit into less before the
-// layout of the run records has changed.
-func (l *storeLimits) largestAcceptedValue() int {
-	if l.lowered {
+// maxAcceptedValueBytes returns the size in bytes of the largest value that the store may still accept. It applies to
+// run records of the first layout, which may not fit into the future limit.
+func (l *storeLimits) maxAcceptedValueBytes() int {
+	if l.nextValueLimitInEffect {
 		return l.maxValueBytes()
 	}
-	return int(bytesPerKB * l.present.ValueKB)
+	return int(bytesPerKB * l.current.ValueKB)
 }
 
-// observeInvalid learns from a transaction that was rejected as invalid.
+// observeInvalid checks whether a transaction that was rejected as invalid shows that the future value size is in
+// effect.
 func (l *storeLimits) observeInvalid(txn wire.Txn) {
 	for _, op := range txn.Then {
-		l.lowered = l.lowered || len(op.Value) > l.maxValueBytes()
+		l.nextValueLimitInEffect = l.nextValueLimitInEffect || len(op.Value) > l.maxValueBytes()
 	}
 }
 
-// valuesShrink reports whether values will have to be smaller than they may be now.
-func (l *storeLimits) valuesShrink() bool { return l.next.ValueKB < l.present.ValueKB }
+// valueLimitWillDecrease reports whether the future limit on the size of values is lower than the current one.
+func (l *storeLimits) valueLimitWillDecrease() bool { return l.next.ValueKB < l.current.ValueKB }
 
-// writesPerSecond is the rate of changes that all nodes share.
+// writesPerSecond returns the rate of changes that all nodes share.
 func (l *storeLimits) writesPerSecond(now time.Duration) float64 {
 	if now < l.throttledUntil {
 		return l.next.WriteRPS
 	}
-	return l.present.WriteRPS
+	return l.current.WriteRPS
 }
 
-// throttle keeps writes to the rate that is to come for a while, after one above the rate.
-func (l *storeLimits) throttle(now, pause time.Duration) { l.throttledUntil = now + pause }
+// throttle limits writes to the future rate for a while, after one was dropped for exceeding the rate limit.
+func (l *storeLimits) throttle(now, duration time.Duration) { l.throttledUntil = now + duration }
 
-// maxDependencies bounds the jobs that a job may depend on.
+// maxDependencies returns the maximum number of jobs that a job may depend on.
 func (l *storeLimits) maxDependencies() int { return wire.MaxDependencies(l.maxValueBytes()) }
 
-// maxValueBytes is how large a value is made.
-func (c *Core) maxValueBytes() int { return stored.UsableValueBytes(c.limits.maxValueBytes()) }
+// usableValueBytes returns the size in bytes up to which values are filled. It leaves room below the store's limit and
+// lets several values fit into a transaction.
+func (c *Core) usableValueBytes() int { return stored.UsableValueBytes(c.limits.maxValueBytes()) }
 
-// maxValuesPerTxn is how many values of maxValueBytes a transaction holds.
+// maxValuesPerTxn returns how many values of usableValueBytes fit into a transaction.
 func (c *Core) maxValuesPerTxn() int {
-	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.maxValueBytes())
+	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.usableValueBytes())
 }
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -10,14 +10,14 @@
 	"bitternwing/internal/wire"
 )
 
-// storeWatch keeps the watch cache up to date: it lists the watched keys, follows them with one watch after the other, and
-// lists them anew where a watch can't go on.
+// storeWatch keeps the watch cache up to date. It lists the watched keys, follows their changes by successive watch
+// requests, and lists them again if a watch can't continue.
 type storeWatch struct {
 	core     *Core
-	listing  *watchcache.Listing // the list that is being read; nil: the watch goes on
+	listing  *watchcache.Listing // the list being read; nil while watching
 	inFlight bool
 	openedAt time.Duration // when the last watch was opened
-	nextOpen time.Duration // the next one is not opened before
+	nextOpen time.Duration // no watch is opened before this
 	retryAt  time.Duration // no call before this, after a failure
 }
 
@@ -25,7 +25,7 @@
 	return &storeWatch{core: c, listing: watchcache.NewListing()}
 }
 
-// run makes the next call when it is due.
+// run starts the next list or watch if it is due.
 func (w *storeWatch) run() {
 	c := w.core
 	if w.inFlight {
@@ -43,17 +43,18 @@
 	w.watch()
 }
 
-// nextCallAt returns from when on the next watch may be opened, or a list that takes its place begin.
+// nextCallAt returns when the next watch, or a list that replaces it, may start.
 func (w *storeWatch) nextCallAt() time.Duration {
 	c := w.core
 	if l := c.leader; l != nil && !l.recovered && c.cache.Revision() < l.termVersion {
-		// It decides nothing until it has read up to its election: the longer gap of a follower is not for it.
+		// A new leader makes no decisions until the cache has reached the revision of its election, so the longer gap
+		// between a follower's watches, which may still be set, does not apply.
 		return w.openedAt + c.times.minWatchGap
 	}
 	return w.nextOpen
 }
 
-// list reads the watched keys, page by page, after a key.
+// list reads the watched keys that follow a key, page by page.
 func (w *storeWatch) list(after string) {
 	c := w.core
 	id := c.registerStoreCall(func(r Result) {
@@ -72,7 +73,7 @@
 	c.emit(StoreList{CallID: id, Prefix: stored.WatchedPrefix, After: after})
 }
 
-// finishList has the cache show what was listed, and hands it to those who follow jobs and plans.
+// finishList replaces the cache's contents by the listed keys and updates the components that depend on jobs and plans.
 func (w *storeWatch) finishList() {
 	c := w.core
 	c.cache.Replace(w.listing)
@@ -88,10 +89,10 @@
 	c.leader.refreshHolds()
 }
 
-// followerWatchGapFactor is the least time between two watches of a node that does not lead, in those of a leader.
+// followerWatchGapFactor is the minimum time between two watches of a follower, in multiples of a leader's.
 const followerWatchGapFactor = 3
 
-// watch waits for the changes after the cache's revision.
+// watch requests the changes after the cache's revision.
 func (w *storeWatch) watch() {
 	c := w.core
 	w.openedAt = c.now.Steady
@@ -107,7 +108,7 @@
 	c.emit(StoreWatch{CallID: id, Prefix: stored.WatchedPrefix, After: c.cache.Revision(), Wait: c.times.lease / 2})
 }
 
-// applyResult takes the outcome of a watch.
+// applyResult handles the result of a watch.
 func (w *storeWatch) applyResult(r Result) {
 	c := w.core
 	if r.Outcome == outcome.OK || r.Outcome == outcome.Unavailable {
@@ -117,14 +118,15 @@
 	case outcome.OK:
 		c.applyChanges(r.Changes)
 	case outcome.TooOld, outcome.TooLarge:
-		// The same watch would bring the same and more: the keys are listed anew.
+		// Repeating the watch would fail again, since its revision stays compacted or its response only grows. The keys
+		// are listed instead.
 		w.listing = watchcache.NewListing()
 	case outcome.Unknown, outcome.Unavailable, outcome.Conflict, outcome.NotFound, outcome.Invalid, outcome.Dropped:
 		w.retryAt = c.now.Steady + c.times.retryPause
 	}
 }
 
-// applyChanges takes what a watch brought.
+// applyChanges applies the changes that a watch returned.
 func (c *Core) applyChanges(changes wire.WatchResponse) {
 	for _, event := range changes.Events {
 		c.applyEvent(event)
@@ -132,7 +134,7 @@
 	c.cache.Advance(changes.Revision)
 }
 
-// applyEvent takes a change of a key, and hands it to those who follow its kind.
+// applyEvent applies a change of a key to the cache and to the components that depend on keys of its kind.
 func (c *Core) applyEvent(event wire.Event) {
 	key, value := event.Put, event.Value
 	if event.Delete != "" {
@@ -155,19 +157,20 @@
 	}
 }
 
-// updateSource is how a node learned of a change of a job.
+// updateSource is how a node learned of a change to a job.
 type updateSource string
 
-// The sources.
+// The sources of an update.
 const (
 	fromWatch updateSource = "watch"
 	fromPeer  updateSource = "peer"
-	fromWrite updateSource = "write" // of its own
-	fromRead  updateSource = "read"  // of the key
+	fromWrite updateSource = "write" // the result of this node's own write
+	fromRead  updateSource = "read"  // a read of the job's key
 )
 
-// applyJob takes a job's value, or its deletion where value is nil, and hands it to those who follow jobs. That a job is
-// cancelled is logged when it is known here first: from then on whatever this node answers has to stop it.
+// applyJob applies a job's value, or its deletion if value is nil, to the cache and to the components that depend on
+// jobs. It logs when this node first learns of a cancellation, since every response of the node has to respect it from
+// then on.
 func (c *Core) applyJob(id string, value json.RawMessage, version uint64, source updateSource) {
 	before := c.cache.Job(id)
 	c.cache.ApplyJob(id, value, version)
@@ -180,8 +183,9 @@
 	}
 }
 
-// observeJobEnd remembers a job's final state when its active key is deleted: only the write of the final state does
-// that, and the watch has brought every change before it, so the final state follows from the job as it was last.
+// observeJobEnd caches a job's final state when its active key is deleted. Only the transaction that writes the final
+// state deletes that key, and the watch has delivered all earlier changes, so the final state follows from the cached
+// job.
 func (c *Core) observeJobEnd(id string) {
 	e := c.cache.Job(id)
 	if e == nil {
@@ -195,10 +199,10 @@
 	c.cacheFinalState(id, stored.FinalState{State: wire.JobDone, Done: e.Spec.Tasks, EndedMS: c.now.WallMS})
 }
 
-// finalStatesPerMB is how many final states a node remembers for each MiB of its memory.
+// finalStatesPerMB is how many final states a node caches per MiB of its memory limit.
 const finalStatesPerMB = 100
 
-// cacheFinalState remembers a final state.
+// cacheFinalState records a job's final state in the cache and the dependency graph.
 func (c *Core) cacheFinalState(id string, final stored.FinalState) {
 	c.dependencies.observeEnd(id, final)
 	c.cache.AddFinalState(id, final)
--- a/internal/core/task_counts.go
+++ b/internal/core/task_counts.go
@@ -6,31 +6,31 @@
 	"bitternwing/internal/wire"
 )
 
-// writeCounts writes how many tasks run and are done, for display at other nodes, at most every other heartbeat interval
-// and only with writes to spare.
+// writeCounts stores the number of running and done tasks of each job, for display by other nodes. It runs at most
+// every other heartbeat interval, and only if the write budget has room for hints.
 func (w *writer) writeCounts() {
 	c := w.leader.core
-	if w.counts.inFlight || c.storeHealth.down {
+	if w.taskCounts.inFlight || c.storeHealth.down {
 		return
 	}
-	if due := c.coalesce(w.nextCounts + 2*c.times.heartbeatInterval); c.now.Steady < due {
+	if due := c.coalesce(w.countsWrittenAt + 2*c.times.heartbeatInterval); c.now.Steady < due {
 		c.wakeBy(due)
 		return
 	}
 	if !w.mayWriteHints() {
 		return
 	}
-	w.nextCounts = c.now.Steady
-	packer := stored.NewTaskCountPacker(c.maxValueBytes())
+	w.countsWrittenAt = c.now.Steady
+	packer := stored.NewTaskCountPacker(c.usableValueBytes())
 	for _, j := range w.leader.queue {
 		packer.Add(j.id, j.taskCounts())
 	}
 	if values, err := packer.Encode(); err == nil {
-		w.counts.write(values)
+		w.taskCounts.write(values)
 	}
 }
 
-// writeCatalog keeps the machine types where a node finds them while the cloud is down.
+// writeCatalog stores the machine types, so that a node that starts while the cloud is down has them.
 func (w *writer) writeCatalog() {
 	l, c := w.leader, w.leader.core
 	if w.catalogInFlight || !c.catalog.known() || c.cache.Catalog() != nil || c.storeHealth.down {
--- a/internal/core/term_calls.go
+++ b/internal/core/term_calls.go
@@ -1,12 +1,13 @@
 package core
 
-// termCalls registers calls of a term. The leader's components share it.
+// termCalls registers the calls that a leader makes in its term. The leader's components share it.
 type termCalls struct {
 	core  *Core
-	owner *leader // whose term it is
+	owner *leader
 }
 
-// registerCall registers the handler of a call's result. It is called only if this term still lasts.
+// registerCall registers the handler of a call's result and returns the call's ID. The handler is called only if the
+// term has not ended by then.
 func (t termCalls) registerCall(handle resultHandler) uint64 {
 	return t.core.registerCall(func(r Result) {
 		if t.core.leader == t.owner {
@@ -15,7 +16,7 @@
 	})
 }
 
-// registerStoreCall is registerCall for a call of the key-value store.
+// registerStoreCall is registerCall for a call to the key-value store.
 func (t termCalls) registerStoreCall(handle resultHandler) uint64 {
 	return t.core.registerStoreCall(func(r Result) {
 		if t.core.leader == t.owner {
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -10,27 +10,27 @@
 	"bitternwing/internal/wire"
 )
 
-// encodeTerm gives a term as it is to be written: in the format that it has already, under a layout of the run records.
+// encodeTerm returns a term's stored form, in the current term format and for a layout of the run records.
 func (c *Core) encodeTerm(t stored.Term, layout record.Layout) (json.RawMessage, error) {
 	return t.Encode(c.cache.TermFormat(), layout)
 }
 
-// termFormatUpgrade writes the present term anew in a format that older versions can't read, so that none of them wins a
-// term again. That comes before the first write of what they would disregard (stored.TermFormat). Later terms keep the
-// format.
+// termFormatUpgrade rewrites the current term in a format that older versions can't read, so that none of them wins
+// another term. This precedes the first write of any state that they would ignore (stored.TermFormat). Later terms keep
+// the format.
 type termFormatUpgrade struct {
 	leader   *leader
-	target   stored.TermFormat // stored.BaseTermFormat: no upgrade is wanted
+	target   stored.TermFormat // stored.BaseTermFormat: no upgrade is pending
 	inFlight bool
 }
 
-// request asks for a format, or a later one.
+// request requests an upgrade to at least the given format.
 func (u *termFormatUpgrade) request(format stored.TermFormat) { u.target = max(u.target, format) }
 
-// pending reports whether an upgrade is wanted or under way. The leader writes nothing else until it is settled.
+// pending reports whether an upgrade is requested or in flight. The writer sends nothing until it is settled.
 func (u *termFormatUpgrade) pending() bool { return u.target != stored.BaseTermFormat }
 
-// run writes the term in the target format once no other write is in flight.
+// run writes the term in the target format once no other writes are in flight.
 func (u *termFormatUpgrade) run() {
 	l, c := u.leader, u.leader.core
 	if u.target <= c.cache.TermFormat() {
@@ -52,26 +52,27 @@
 	}})
 }
 
-// mayWrite reports whether the leader may write, and no write is in flight that is conditional on the present version of the
-// term key.
+// mayWrite reports whether the leader may commit and none of the writer's transactions, nor a layout migration, is in
+// flight. They are conditional on the version of the term key, which the upgrade changes.
 func (u *termFormatUpgrade) mayWrite() bool {
 	l := u.leader
 	return l.writer.inFlight == 0 && !l.layoutMigration.requested && l.mayCommit()
 }
 
-// termFormatWrite is the write of a term in another format.
+// termFormatWrite is a write of the term in another format.
 type termFormatWrite struct {
 	upgrade *termFormatUpgrade
 	format  stored.TermFormat
 }
 
-// handleResult takes the new version of the term key. Where the outcome is unknown, or the term key was changed by an earlier
-// attempt or a newer term, the leader can't tell which version its writes are to be conditional on.
+// handleResult adopts the new version of the term key. If the outcome is unknown, or if an earlier attempt or a newer
+// term has changed the term key, the leader steps down, since it no longer knows on which version its writes must be
+// conditional.
 func (w *termFormatWrite) handleResult(r Result) {
 	u := w.upgrade
 	u.inFlight, u.target = false, stored.BaseTermFormat
 	if r.Outcome == outcome.OK {
-		w.applied(r.Txn.Revision)
+		w.adoptFormat(r.Txn.Revision)
 		return
 	}
 	if r.Outcome == outcome.Conflict || r.Outcome == outcome.Unknown {
@@ -79,15 +80,15 @@
 	}
 }
 
-// applied goes on with the term in the new format.
-func (w *termFormatWrite) applied(version uint64) {
+// adoptFormat continues the term in the new format.
+func (w *termFormatWrite) adoptFormat(version uint64) {
 	l, c := w.upgrade.leader, w.upgrade.leader.core
 	l.termVersion = version
 	c.cache.ObserveTerm(l.storedTerm(), w.format, version)
 	c.log(Info, "term format upgraded, older versions can no longer lead", "requires", w.format.String(), "term", l.term)
 }
 
-// storedTerm is this leader's term as it is stored.
+// storedTerm returns this leader's term as it is stored.
 func (l *leader) storedTerm() stored.Term {
 	return stored.Term{Number: l.term, Node: l.core.settings.Node}
 }
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -6,21 +6,21 @@
 	"bitternwing/internal/config"
 )
 
-// times are the durations derived from the settings, each a ratio of one of them.
+// times holds the durations that are derived from the settings.
 type times struct {
-	heartbeatInterval  time.Duration // of workers
-	checkInterval      time.Duration // between two checks of what may fail, and timeout of a call
-	lease              time.Duration // of workers
-	cancelDeadline     time.Duration // until a cancelled job's tasks have to be gone
+	heartbeatInterval  time.Duration // between two heartbeats of a worker
+	checkInterval      time.Duration // between two checks for failures; also the timeout of a call
+	lease              time.Duration // of a worker
+	cancelDeadline     time.Duration // for the tasks of a cancelled job to stop
 	leaderTTL          time.Duration // of the leader's lease
-	listLag            time.Duration // of the cloud's list of machines
+	listLag            time.Duration // by which the cloud's machine list may lag behind
 	storeProbeInterval time.Duration // between two probes of the key-value store
-	retryPause         time.Duration // after a call that was not carried out
-	timerCoalescing    time.Duration // between the moments at which deferrable work is done
-	heartbeatTimeout   time.Duration // a machine that is silent for longer gets no work
-	cycleInterval      time.Duration // between two scheduling cycles
-	minCycleGap        time.Duration // between two scheduling cycles that events ask for
-	minCompareGap      time.Duration // between two comparisons of a node
+	retryPause         time.Duration // before a failed call is retried
+	timerCoalescing    time.Duration // between the times at which deferrable work is done
+	heartbeatTimeout   time.Duration // a machine that has been silent for longer gets no work
+	cycleInterval      time.Duration // between two regular scheduling cycles
+	minCycleGap        time.Duration // between two scheduling cycles that events trigger
+	minCompareGap      time.Duration // between two version comparisons of a node
 	minWatchGap        time.Duration // between two watches of a node
 }
 
@@ -36,14 +36,16 @@
 	}
 	nodes := float64(len(settings.Peers) + 1)
 	t.leaderTTL = time.Duration(float64(t.lease) * operator.LeaderTTLLeases)
-	// What has to be noticed and repaired within workers' leases goes by these, however seldom workers send heartbeats.
+	// Failures must be detected and repaired within the workers' leases, so the following intervals don't depend on the
+	// heartbeat interval.
 	t.checkInterval = config.FailureCheckInterval(params.Workers)
 	t.storeProbeInterval = t.checkInterval
 	t.retryPause = t.checkInterval / 4
 	t.timerCoalescing = t.checkInterval / 4
 	t.minCycleGap = t.cycleInterval / 40
 	t.heartbeatTimeout = max(3*t.heartbeatInterval/2, 3*t.checkInterval)
-	// A node's comparisons use at most a sixth of its share of the requests, its watches at most a fifth.
+	// The nodes share the store's request rate. All together use at most half of it for comparisons and two fifths for
+	// watches.
 	t.minCompareGap = config.Seconds(6 * nodes / params.Store.Next.Within(params.Store).RPS / 3)
 	t.minWatchGap = config.Seconds(5 * nodes / params.Store.Next.Within(params.Store).RPS / 2)
 	return t
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -84,14 +84,14 @@
 	for harness.now < end {
 		next := end
 		for _, name := range harness.nodeNames {
-			next = min(next, max(harness.now+time.Millisecond, harness.nodes[name].core.Wake()))
+			next = min(next, max(harness.now+time.Millisecond, harness.nodes[name].core.NextWake()))
 		}
 		harness.now = next
 		if !harness.outage {
 			harness.store.AdvanceTo(harness.now)
 		}
 		for _, name := range append([]string(nil), harness.nodeNames...) {
-			if node := harness.nodes[name]; node.core.Wake() <= harness.now {
+			if node := harness.nodes[name]; node.core.NextWake() <= harness.now {
 				harness.step(node, core.Tick{})
 			}
 		}
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -10,52 +10,53 @@
 	"bitternwing/internal/wire"
 )
 
-// unreachableHints writes, while much of a zone is silent, when its machines were last heard: see
+// unreachableHints stores when the machines of silent zones were last heard, as hints for the next leader. See
 // stored.UnreachableHints.
 type unreachableHints struct {
 	leader    *leader
 	nextWrite time.Duration
 	inFlight  bool
-	written   []string // the values as they were written, by shard
+	written   []string // the stored values by shard
 }
 
-// lastHeardPrecisionMS is the precision of the times, so that a machine's stays the same from one write to the next.
+// lastHeardPrecisionMS is the precision of the stored times. Rounding keeps a machine's time the same from one write to
+// the next.
 const lastHeardPrecisionMS = 100
 
-// run writes the hints that have changed.
-func (s *unreachableHints) run() {
-	l, c := s.leader, s.leader.core
-	if s.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.liveness.silentZones) == 0 && len(s.written) == 0 {
+// run writes changed hints at most once per check interval.
+func (h *unreachableHints) run() {
+	l, c := h.leader, h.leader.core
+	if h.inFlight || c.storeHealth.down || !l.hasAuthority() || len(l.liveness.silentZones) == 0 && len(h.written) == 0 {
 		return
 	}
-	if c.now.Steady < s.nextWrite {
-		c.wakeBy(s.nextWrite)
+	if c.now.Steady < h.nextWrite {
+		c.wakeBy(h.nextWrite)
 		return
 	}
-	s.nextWrite = c.now.Steady + c.times.checkInterval
-	next, err := s.encode()
+	h.nextWrite = c.now.Steady + c.times.checkInterval
+	next, err := h.encode()
 	if err != nil {
 		return
 	}
-	ops, after := s.changes(next)
+	ops, afterWrite := h.changes(next)
 	if len(ops) == 0 {
 		return
 	}
 	l.writer.spend(len(ops))
-	s.inFlight = true
+	h.inFlight = true
 	id := l.registerStoreCall(func(r Result) {
-		s.inFlight = false
+		h.inFlight = false
 		if r.Outcome == outcome.OK {
-			s.written = after
+			h.written = afterWrite
 		}
 	})
 	c.emit(StoreTxn{CallID: id, Txn: wire.Txn{If: []wire.Condition{l.termCondition()}, Then: ops}})
 }
 
-// encode returns the hints as they are to be written, by shard.
-func (s *unreachableHints) encode() ([]string, error) {
-	l, c := s.leader, s.leader.core
-	packer := stored.NewUnreachableHintPacker(c.maxValueBytes())
+// encode returns the values to store by shard.
+func (h *unreachableHints) encode() ([]string, error) {
+	l, c := h.leader, h.leader.core
+	packer := stored.NewUnreachableHintPacker(c.usableValueBytes())
 	for _, m := range l.machinesByName {
 		silence := c.now.Steady - m.lastHeardDirectlyOrRelayed()
 		if !l.liveness.zoneSilent(m.zone) || m.releasing || silence < c.times.lease/3 {
@@ -75,41 +76,42 @@
 	return hints, nil
 }
 
-// changes returns what has to be written, as much as a transaction holds, and what the store holds after it: the rest goes
-// with the next one. Shards are added after the last one and deleted from the last one on, so that those in use have no
-// gap.
-func (s *unreachableHints) changes(next []string) (ops []wire.Op, after []string) {
-	after = slices.Clone(s.written)
-	maxOps := s.leader.core.maxValuesPerTxn()
-	for len(after) > len(next) && len(ops) < maxOps {
-		after = after[:len(after)-1]
-		ops = append(ops, wire.Op{Delete: stored.UnreachableHintKey(len(after))})
+// changes returns the operations that change the stored values to the next ones, as many as fit into a transaction, and
+// the values stored after that. The next transaction continues from there. Shards are only appended at the end or
+// deleted from the end, so the shards in use have no gaps.
+func (h *unreachableHints) changes(next []string) (ops []wire.Op, afterWrite []string) {
+	afterWrite = slices.Clone(h.written)
+	maxOps := h.leader.core.maxValuesPerTxn()
+	for len(afterWrite) > len(next) && len(ops) < maxOps {
+		afterWrite = afterWrite[:len(afterWrite)-1]
+		ops = append(ops, wire.Op{Delete: stored.UnreachableHintKey(len(afterWrite))})
 	}
 	for shard, value := range next {
-		if len(ops) >= maxOps || shard < len(after) && after[shard] == value {
+		if len(ops) >= maxOps || shard < len(afterWrite) && afterWrite[shard] == value {
 			continue
 		}
-		if shard == len(after) {
-			after = append(after, "")
+		if shard == len(afterWrite) {
+			afterWrite = append(afterWrite, "")
 		}
-		after[shard] = value
+		afterWrite[shard] = value
 		ops = append(ops, wire.Op{Put: stored.UnreachableHintKey(shard), Value: json.RawMessage(value)})
 	}
-	return ops, after
+	return ops, afterWrite
 }
 
-// lastHeard returns when a machine that is new to this leader was last heard, as far as the leader before it wrote that.
-func (s *unreachableHints) lastHeard(name string) time.Duration {
-	c := s.leader.core
+// lastHeard returns when a machine that is new to this leader was last heard according to the previous leader, or the
+// current time if there is no hint.
+func (h *unreachableHints) lastHeard(name string) time.Duration {
+	c := h.leader.core
 	lastHeardMS, known := c.cache.LastHeardMS(name)
 	if !known {
 		return c.now.Steady
 	}
-	silence := time.Duration(c.now.WallMS-lastHeardMS)*time.Millisecond - 2*c.clockError()
+	silence := time.Duration(c.now.WallMS-lastHeardMS)*time.Millisecond - 2*c.maxClockError()
 	return c.now.Steady - max(0, silence)
 }
 
-// clockError is how much the time of day of a node may be off.
-func (c *Core) clockError() time.Duration {
+// maxClockError returns the maximum error of a node's time of day.
+func (c *Core) maxClockError() time.Duration {
 	return time.Duration(c.settings.Params.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/core/write_batch.go
+++ b/internal/core/write_batch.go
@@ -7,30 +7,30 @@
 	"bitternwing/internal/wire"
 )
 
-// writeBatch is a transaction being put together, and what is to be done with its outcome.
+// writeBatch is a transaction under construction, with the objects that its outcome affects.
 type writeBatch struct {
 	txn        wire.Txn
 	maxChanges int
-	size       int // of the body, about
+	bodyBytes  int // approximate size of the request body in bytes
 	conditions map[string]bool
 	chunks     []*recordChunk
-	placements []*placement // that may start once this is applied
+	placements []*placement // may be started once the transaction is applied
 	endings    []*job
 	cancels    []batchedCancel
 	orphans    []wire.Condition
 }
 
-// putOverhead is what a change takes in the body beside its value, about.
-const putOverhead = 128
+// putOverheadBytes is roughly the number of bytes that a change adds to the request body besides its value.
+const putOverheadBytes = 128
 
-// newBatch begins a transaction that is conditional on the term.
+// newBatch returns an empty transaction that is conditional on the term.
 func (w *writer) newBatch() *writeBatch {
 	b := &writeBatch{maxChanges: min(w.leader.core.limits.maxChanges(), int(w.budget.Tokens())), conditions: map[string]bool{}}
 	b.addCondition(stored.TermKey, w.leader.termVersion)
 	return b
 }
 
-// hasRoom reports whether so many more changes go in.
+// hasRoom reports whether the batch has room for the given number of further changes.
 func (b *writeBatch) hasRoom(changes int) bool { return len(b.txn.Then)+changes <= b.maxChanges }
 
 // addCondition makes the transaction conditional on a key's version.
@@ -44,10 +44,10 @@
 // put adds the write of a key.
 func (b *writeBatch) put(key string, value json.RawMessage) {
 	b.txn.Then = append(b.txn.Then, wire.Op{Put: key, Value: value})
-	b.size += len(value) + putOverhead
+	b.bodyBytes += len(value) + putOverheadBytes
 }
 
-// delete adds the deletion of a key, if it is at a version then.
+// delete adds the deletion of a key, conditional on its version.
 func (b *writeBatch) delete(key string, version uint64) {
 	b.addCondition(key, version)
 	b.txn.Then = append(b.txn.Then, wire.Op{Delete: key})
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -10,61 +10,65 @@
 	"bitternwing/internal/wire"
 )
 
-// writer brings what the leader decided into the key-value store, many changes to a transaction and within the write rate.
-// Each transaction is a compare-and-swap: it is conditional on the term, which fences off earlier leaders, and on the
-// version of each key that it changes. One that is applied late changes nothing.
+// writer commits the leader's decisions to the key-value store. It batches many changes into a transaction and keeps
+// within the write rate.
+//
+// Each transaction is a compare-and-swap. It is conditional on the term, which fences off earlier leaders, and on the
+// version of each key that it changes, so a transaction that arrives late changes nothing.
 type writer struct {
-	leader    *leader
-	records   *runRecords
-	endings   []*job // whose final states have to be written
-	cancels   []*job // to be cancelled with a job that they depend on
-	orphans   []wire.Condition
-	inFlight  int
-	notBefore time.Duration // no transaction before this, after one above the store's rate
-	budget    ratelimit.Bucket
-
-	counts          shardWriter
-	nextCounts      time.Duration
+	leader      *leader
+	records     *runRecords
+	endings     []*job           // ended jobs whose final states have to be written
+	cancels     []*job           // jobs to be cancelled because a job that they depend on was
+	orphans     []wire.Condition // run records to be deleted, whose jobs have ended
+	inFlight    int              // transactions without a result yet
+	pausedUntil time.Duration    // no transaction before this, after one was dropped for exceeding the rate limit
+	budget      ratelimit.Bucket
+
+	taskCounts      shardWriter
+	countsWrittenAt time.Duration
 	catalogInFlight bool
 }
 
-// maxTxnsInFlight is how many transactions are on their way at a time.
+// maxTxnsInFlight bounds the transactions in flight.
 const maxTxnsInFlight = 2
 
-// leaderWriteShare is the leader's part of the write rate. The rest is left to submissions and cancellations at all nodes.
+// leaderWriteShare is the leader's share of the write rate. The rest is left for submissions and cancellations at all
+// nodes.
 const leaderWriteShare = 0.6
 
-// throttleLeases is for how many of workers' leases writes keep to the rate that is to come, after one was above the
-// store's rate.
+// throttleLeases is how long writes keep to the announced future rate after a transaction was dropped for exceeding the
+// rate limit, in lease durations of workers.
 const throttleLeases = 6
 
 func (w *writer) init(l *leader) {
 	w.leader, w.records = l, &l.records
-	w.counts = newShardWriter(l, stored.TaskCountKey)
+	w.taskCounts = newShardWriter(l, stored.TaskCountKey)
 	w.budget = ratelimit.NewBucket(w.rate(), l.core.now.Steady)
 }
 
-// rate returns how many changes a second the leader may write.
+// rate returns how many changes per second the leader may write.
 func (w *writer) rate() float64 {
 	c := w.leader.core
 	return leaderWriteShare * c.limits.writesPerSecond(c.now.Steady)
 }
 
-// spend takes changes from the write budget. It may go into debt, which later changes wait for.
+// spend takes changes from the write budget. The budget may become negative; later changes then wait until it recovers.
 func (w *writer) spend(changes int) { w.budget.Spend(float64(changes)) }
 
-// mayWriteOne reports whether the budget has a change left.
+// mayWriteOne reports whether the budget allows another change.
 func (w *writer) mayWriteOne() bool { return w.budget.Tokens() >= 1 }
 
-// mayWriteHints reports whether the budget has enough left for what nobody waits for.
+// mayWriteHints reports whether the budget allows writes that nothing waits for.
 func (w *writer) mayWriteHints() bool { return w.budget.Tokens() >= w.urgentReserve() }
 
-// urgentReserve is what hints and records of idle-priority jobs leave to all other writes: a huge array of short tasks
-// always has more to write than the rate allows.
+// urgentReserve returns the part of the budget that hints and records of idle-priority jobs leave for all other writes.
+// Without it a large array of short tasks, which always has more to write than the rate allows, would delay them.
 func (w *writer) urgentReserve() float64 { return w.rate() / 2 }
 
-// minChanges is what a transaction has to be able to write. Where writes are scarce the end of a job would never find its
-// two at once, were records of tasks to take each as it comes.
+// minChanges returns how many changes the budget must allow before a transaction is sent. The end of a job takes two
+// changes in one transaction. If run records took each single change as it became available, no end would ever be
+// written at a low write rate.
 func (w *writer) minChanges() float64 {
 	if len(w.endings) > 0 {
 		return endChanges
@@ -72,18 +76,18 @@
 	return 1
 }
 
-// wakeAt has the core woken when the budget has so many changes.
-func (w *writer) wakeAt(changes float64) {
+// wakeWhenAffordable schedules a wake-up for when the budget allows the given number of changes.
+func (w *writer) wakeWhenAffordable(changes float64) {
 	c := w.leader.core
 	c.wakeBy(c.now.Steady + max(time.Millisecond, w.budget.WaitFor(changes, w.rate())))
 }
 
-// run sends what there is to write, as far as the budget allows.
+// run sends pending writes as far as the budget allows.
 func (w *writer) run() {
 	l, c := w.leader, w.leader.core
 	w.budget.Refill(c.now.Steady, w.rate(), max(w.rate(), endChanges))
-	if c.now.Steady < w.notBefore {
-		c.wakeBy(w.notBefore)
+	if c.now.Steady < w.pausedUntil {
+		c.wakeBy(w.pausedUntil)
 		return
 	}
 	if l.layoutMigration.requested || l.termUpgrade.pending() {
@@ -91,7 +95,7 @@
 	}
 	for w.inFlight < maxTxnsInFlight && !c.storeHealth.down {
 		if need := w.minChanges(); w.budget.Tokens() < need {
-			w.wakeAt(need)
+			w.wakeWhenAffordable(need)
 			return
 		}
 		if !w.sendNext() {
@@ -99,19 +103,20 @@
 		}
 	}
 	if len(w.records.dirty) > 0 && w.budget.Tokens() < w.urgentReserve()+1 {
-		w.wakeAt(w.urgentReserve() + 1)
+		w.wakeWhenAffordable(w.urgentReserve() + 1)
 	}
 	w.writeCounts()
 	w.writeCatalog()
 }
 
-// termCondition is the condition that no later leader was elected.
+// termCondition returns the condition that no newer term has begun.
 func (l *leader) termCondition() wire.Condition {
 	return wire.Condition{Key: stored.TermKey, Version: l.termVersion}
 }
 
-// sendNext sends one transaction; false if there is nothing to write. Ends of jobs go first, since users wait for them,
-// records of tasks next, since starts wait for them, and the deletion of orphaned records last.
+// sendNext sends a transaction and reports whether there was anything to write. Ends and cancellations of jobs go
+// first, since users wait for them. Run records are next, since task starts wait for them. Orphaned records are deleted
+// last.
 func (w *writer) sendNext() bool {
 	b := w.newBatch()
 	w.addEndings(b)
@@ -131,8 +136,9 @@
 	return true
 }
 
-// applyResult handles a transaction's outcome. Unless it is known to have been applied, all of it is written again from
-// what is known then; if one of unknown outcome was applied after all, the versions no longer match and are read.
+// applyResult handles a transaction's outcome. Unless the transaction is known to have been applied, all of its changes
+// are queued again and written from the state at that time. If a transaction of unknown outcome was applied after all,
+// the repeated write conflicts on the versions, which are then read again.
 func (w *writer) applyResult(b *writeBatch, r Result) {
 	failed := r.conflictingKeys()
 	if failed[stored.TermKey] {
@@ -145,11 +151,11 @@
 	if r.Outcome == outcome.OK {
 		w.commitPlacements(b)
 	}
-	for _, x := range b.cancels {
-		w.applyCancelResult(x, r, failed)
+	for _, cancel := range b.cancels {
+		w.applyCancelResult(cancel, r, failed)
 	}
 	for _, j := range b.endings {
-		if w.leader.jobs[j.id] == j { // else it was found to have ended meanwhile
+		if w.leader.jobs[j.id] == j { // otherwise it was found to have ended meanwhile
 			w.applyEndResult(j, b, r, failed)
 		}
 	}
@@ -158,12 +164,12 @@
 	}
 }
 
-// applyFailure handles the outcome of a transaction that is not known to have been applied.
+// applyFailure handles a transaction that is not known to have been applied.
 func (w *writer) applyFailure(b *writeBatch, r Result, failed map[string]bool) {
 	c := w.leader.core
 	if r.Outcome == outcome.Dropped {
 		w.budget.Return(float64(len(b.txn.Then)))
-		w.notBefore = c.now.Steady + c.times.retryPause
+		w.pausedUntil = c.now.Steady + c.times.retryPause
 		c.limits.throttle(c.now.Steady, throttleLeases*c.times.lease)
 	}
 	w.requeueOrphans(b, failed)
@@ -173,7 +179,7 @@
 	}
 }
 
-// conflictingKeys returns the keys whose conditions failed, if that is why nothing was applied.
+// conflictingKeys returns the keys whose conditions failed, or nil unless the outcome is a conflict.
 func (r Result) conflictingKeys() map[string]bool {
 	if r.Outcome != outcome.Conflict {
 		return nil
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -44,14 +44,14 @@
 	n.coreMu.Lock()
 	defer n.coreMu.Unlock()
 	now := n.now()
-	now.Took, now.Waited = took, waited
+	now.LastStepDuration, now.QueueDelay = took, waited
 	effects := n.core.Step(now, input)
 	stepTime = n.steadyTime() - now.Steady
 	n.metrics.Input(inputKind(input), stepTime)
 	for _, effect := range effects {
 		n.execute(ctx, effect)
 	}
-	wakeAt = n.core.Wake()
+	wakeAt = n.core.NextWake()
 	n.healthy.Store(n.core.Healthy())
 	return stepTime, wakeAt
 }
