--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -33,15 +33,15 @@
 func (h electionHost) StoreDown() bool { return h.core.storeHealth.down }
 
 func (h electionHost) CandidacyBlocked() string {
-	if h.quotasDividedElsewhere() {
+	if h.missingRegionSettings() {
 		return "team quotas are divided among regions, but the settings name no region"
 	}
 	return ""
 }
 
-// quotasDividedElsewhere reports whether the team quotas are divided among regions while this node's settings configure
-// no regions. As a leader it would grant each team its whole quota, so it must not lead.
-func (h electionHost) quotasDividedElsewhere() bool {
+// missingRegionSettings reports whether the team quotas are divided among regions while this node's settings configure
+// no regions. As a leader the node would grant each team its whole quota, so it must not lead.
+func (h electionHost) missingRegionSettings() bool {
 	return h.core.cache.QuotaAccountCount() > 0 && !h.core.operator.Regions.Enabled()
 }
 
@@ -75,7 +75,7 @@
 // electionStore implements election.Store by calls to the key-value store.
 type electionStore struct{ core *Core }
 
-// register registers an election's call, which is completed by its result, and returns the call ID.
+// register returns the ID of a new call, whose result completes the election's call.
 func (s electionStore) register(call election.Call) uint64 {
 	return s.core.registerStoreCall(func(r Result) {
 		call.Complete(election.Reply{Outcome: r.Outcome, SentAt: r.SentAt, Lease: r.Lease, Revision: r.Txn.Revision})
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -26,13 +26,13 @@
 	// Jobs.
 	jobs               map[string]*job
 	queue              []*job // in the order of acceptance
-	appliedEvaluations uint64 // evaluations of the dependency graph that have been applied
+	appliedEvaluations uint64 // evaluation count of the dependency graph when it was last applied
 	records            runRecords
 
 	// Machines.
 	machines         map[string]*machine
 	machinesByName   []*machine               // sorted by name
-	releasedMachines map[string]time.Duration // when they were removed; their heartbeats are not reconciled
+	releasedMachines map[string]time.Duration // removal times by name; late heartbeats are not reconciled
 	schedulable      schedulableMachines
 	replicaLedger    *topologyspread.Ledger
 	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
--- a/internal/core/leader_dependencies.go
+++ b/internal/core/leader_dependencies.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// admit queues a job whose dependencies are done. From then on it counts towards its team's usage, and its waiting time
-// starts.
+// admit queues a job whose dependencies are done, unless a rollout plan holds it. From then on the job counts towards
+// its team's usage, and its waiting time starts.
 func (l *leader) admit(j *job) {
 	status := l.core.dependencies.graph.Of(j.id)
 	j.waitingForDependencies = false
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -147,7 +147,7 @@
 		l.admit(j)
 	}
 	if !j.queued {
-		l.enqueue(j) // it is held by a plan that is being rolled back, and was placed before
+		l.enqueue(j) // a rollout plan that is being rolled back holds it, but it was placed earlier
 	}
 	for _, entry := range entries {
 		if l.records.layout.ByTask > 0 && !entry.Key.ByTask {
--- a/internal/core/store_calls.go
+++ b/internal/core/store_calls.go
@@ -14,7 +14,7 @@
 	Key    string
 }
 
-// StoreList reads one page of the keys with a prefix, those after a given key.
+// StoreList reads a page of the keys that begin with Prefix and sort after After.
 type StoreList struct {
 	CallID        uint64
 	Prefix, After string
@@ -38,7 +38,7 @@
 // StoreRevokeLease revokes a lease.
 type StoreRevokeLease struct{ CallID, Lease uint64 }
 
-// StoreWatch waits for changes after a revision to the keys with a prefix.
+// StoreWatch waits at most Wait for changes, after the revision After, of keys that begin with Prefix.
 type StoreWatch struct {
 	CallID uint64
 	Prefix string
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -9,8 +9,9 @@
 )
 
 // storeLimits holds the limits of the key-value store: the current ones, and the future ones that take effect at a time
-// that is not announced. Sizes always stay within the tighter of both, so the change needs no reaction. Rates use the
-// current limits, except for a while after a write was dropped for exceeding them.
+// that is not announced. Sizes stay within the tighter of both, except for run records of the first layout (see
+// maxAcceptedValueBytes). Rates use the current limits, except for a while after a write was dropped for exceeding
+// them.
 type storeLimits struct {
 	current                config.Store
 	next                   config.StoreLimits
@@ -45,8 +46,8 @@
 	return int(bytesPerKB * l.current.ValueKB)
 }
 
-// observeInvalid checks whether a transaction that was rejected as invalid shows that the future value size is in
-// effect.
+// observeInvalid infers from a transaction that was rejected as invalid whether the future limit on the size of values
+// is in effect.
 func (l *storeLimits) observeInvalid(txn wire.Txn) {
 	for _, op := range txn.Then {
 		l.nextValueLimitInEffect = l.nextValueLimitInEffect || len(op.Value) > l.maxValueBytes()
--- a/internal/core/term_format.go
+++ b/internal/core/term_format.go
@@ -24,7 +24,7 @@
 	inFlight bool
 }
 
-// request requests an upgrade to at least the given format.
+// request schedules an upgrade to at least the given format.
 func (u *termFormatUpgrade) request(format stored.TermFormat) { u.target = max(u.target, format) }
 
 // pending reports whether an upgrade is requested or in flight. The writer sends nothing until it is settled.
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -36,8 +36,8 @@
 	}
 	nodes := float64(len(settings.Peers) + 1)
 	t.leaderTTL = time.Duration(float64(t.lease) * operator.LeaderTTLLeases)
-	// Failures must be detected and repaired within the workers' leases, so the following intervals don't depend on the
-	// heartbeat interval.
+	// Failures must be detected and repaired within the workers' leases, however rarely workers send heartbeats. So the
+	// check interval and the intervals that follow from it depend on the lease.
 	t.checkInterval = config.FailureCheckInterval(params.Workers)
 	t.storeProbeInterval = t.checkInterval
 	t.retryPause = t.checkInterval / 4
--- a/internal/core/write_batch.go
+++ b/internal/core/write_batch.go
@@ -11,7 +11,7 @@
 type writeBatch struct {
 	txn        wire.Txn
 	maxChanges int
-	bodyBytes  int // approximate size of the request body in bytes
+	bodyBytes  int // approximate size of the request body
 	conditions map[string]bool
 	chunks     []*recordChunk
 	placements []*placement // may be started once the transaction is applied
