--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -9,9 +9,9 @@
 )
 
 // storeLimits holds the limits of the key-value store: the current ones, and the future ones that take effect at a time
-// that is not announced. Sizes stay within the tighter of both, except for run records of the first layout (see
-// maxAcceptedValueBytes). Rates use the current limits, except for a while after a write was dropped for exceeding
-// them.
+// that is not announced. Sizes stay within the tighter of both, except for some values before the run records are
+// migrated (see maxAcceptedValueBytes). Rates use the current limits, except for a while after a write was dropped for
+// exceeding them.
 type storeLimits struct {
 	current                config.Store
 	next                   config.StoreLimits
@@ -38,7 +38,8 @@
 func (l *storeLimits) maxConditions() int { return maxConditionsPerChange * l.next.TxnOps }
 
 // maxAcceptedValueBytes returns the size in bytes of the largest value that the store may still accept. It applies to
-// run records of the first layout, which may not fit into the future limit.
+// run records and relayed heartbeats as long as the first layout of the run records is in use, since they may not fit
+// into the future limit until then.
 func (l *storeLimits) maxAcceptedValueBytes() int {
 	if l.nextValueLimitInEffect {
 		return l.maxValueBytes()
