--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -61,7 +61,7 @@
 			b.delete(r.Key, r.Version)
 		}
 	}
-	b.size += endChangeBytes * (minEndChanges + len(records))
+	b.bodyBytes += endChangeBytes * (minEndChanges + len(records))
 	b.endings = append(b.endings, j)
 	return true
 }
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -133,7 +133,7 @@
 // recordFits reports whether a record has no more routers than allowed and leaves enough bytes for later transitions.
 func (l *leader) recordFits(r *rollout.Record) bool {
 	value, err := json.Marshal(r)
-	maxBytes := l.core.maxValueBytes()
+	maxBytes := l.core.usableValueBytes()
 	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserveDivisor
 }
 
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -371,7 +371,7 @@
 	world.apply()
 	for range 2 {
 		item, _ := world.store.Get("w/term")
-		if core.ReadableBefore(item.Value) {
+		if core.ReadableBeforeRollouts(item.Value) {
 			t.Errorf("an older version can read the term %s", item.Value)
 		}
 		world.restartLeaderIfAny()
