--- a/internal/adminapi/rollouts.go
+++ b/internal/adminapi/rollouts.go
@@ -26,7 +26,7 @@
 func CompileChecks(plan *rollout.Plan) error {
 	for i, check := range plan.Checks {
 		if _, err := responsecheck.Compile(check.Script); err != nil {
-			return rollout.CheckError(i, err)
+			return rollout.ScriptError(i, err)
 		}
 	}
 	return nil
--- a/internal/budget/cost.go
+++ b/internal/budget/cost.go
@@ -1,59 +1,61 @@
-// Package budget measures the processor time that an evaluation takes, so that scheduling cycles keep within a share of the
-// processor, whether it is slow or fast.
+// Package budget measures the processor time of an evaluation, so that scheduling cycles stay within a share of the
+// processor regardless of its speed.
 package budget
 
 import "time"
 
-// InitialSeconds is the assumed cost of an evaluation in seconds until it is measured.
+// InitialSeconds is the cost of an evaluation that is assumed before the first measurement.
 const InitialSeconds = 60e-9
 
 const (
-	// measuredEvaluations is the number of evaluations in a measurement.
-	measuredEvaluations = 5000
-	// minStepShare is the fraction (one part in so many) of them that a step has to make to be measured: one with fewer spends
-	// too much of its time on something else.
-	minStepShare = 10
-	// weight is the weight of each measurement in the moving average (one part in so many).
-	weight = 4
-	// maxRise bounds a measurement in multiples of the average, so that a pause of the process in a step is soon forgotten.
-	maxRise = 4
+	// evaluationsPerMeasurement is the number of evaluations that make up a measurement.
+	evaluationsPerMeasurement = 5000
+	// minStepDivisor sets the minimum number of evaluations of a step that is measured, as a fraction 1/minStepDivisor
+	// of evaluationsPerMeasurement. Steps with fewer evaluations spend too much of their time on other work.
+	minStepDivisor = 10
+	// averageDivisor sets the weight of each measurement in the moving average to 1/averageDivisor.
+	averageDivisor = 4
+	// maxIncreaseFactor limits a measurement to this multiple of the average, so that the average recovers quickly from
+	// a pause of the process during a step.
+	maxIncreaseFactor = 4
 )
 
-// Cost is the cost of an evaluation on this machine, measured in steps that made many.
-type Cost struct {
-	seconds     float64       // 0: not measured yet
-	taken       int           // evaluations of the current step
-	evaluations int           // of the steps since the last measurement
-	took        time.Duration // the same
+// EvaluationCost measures the cost of an evaluation on the local machine, from steps with many evaluations.
+type EvaluationCost struct {
+	averageSeconds      float64       // moving average; 0: not measured yet
+	stepEvaluations     int           // in the current step
+	measuredEvaluations int           // in measured steps since the last measurement
+	measuredTime        time.Duration // duration of the same steps
 }
 
-// Spend counts evaluations of the current step.
-func (c *Cost) Spend(evaluations int) { c.taken += evaluations }
+// CountEvaluations adds evaluations to the current step.
+func (c *EvaluationCost) CountEvaluations(evaluations int) { c.stepEvaluations += evaluations }
 
-// Taken is the number of evaluations of the current step.
-func (c *Cost) Taken() int { return c.taken }
+// StepEvaluations returns the number of evaluations in the current step.
+func (c *EvaluationCost) StepEvaluations() int { return c.stepEvaluations }
 
-// Observe ends a step, with the time that it took; 0 if that is not known. All of it counts as time of its evaluations.
-func (c *Cost) Observe(took time.Duration) {
-	evaluations := c.taken
-	c.taken = 0
-	if took <= 0 || evaluations < measuredEvaluations/minStepShare {
+// EndStep ends the current step, which took the given time, or 0 if the time is not known. All of the time is
+// attributed to the evaluations of the step.
+func (c *EvaluationCost) EndStep(took time.Duration) {
+	evaluations := c.stepEvaluations
+	c.stepEvaluations = 0
+	if took <= 0 || evaluations < evaluationsPerMeasurement/minStepDivisor {
 		return
 	}
-	c.evaluations, c.took = c.evaluations+evaluations, c.took+took
-	if c.evaluations < measuredEvaluations {
+	c.measuredEvaluations, c.measuredTime = c.measuredEvaluations+evaluations, c.measuredTime+took
+	if c.measuredEvaluations < evaluationsPerMeasurement {
 		return
 	}
-	old := c.Seconds()
-	cost := min(c.took.Seconds()/float64(c.evaluations), maxRise*old)
-	c.seconds = old + (cost-old)/weight
-	c.evaluations, c.took = 0, 0
+	average := c.Seconds()
+	cost := min(c.measuredTime.Seconds()/float64(c.measuredEvaluations), maxIncreaseFactor*average)
+	c.averageSeconds = average + (cost-average)/averageDivisor
+	c.measuredEvaluations, c.measuredTime = 0, 0
 }
 
-// Seconds is the cost of an evaluation.
-func (c *Cost) Seconds() float64 {
-	if c.seconds == 0 {
+// Seconds returns the average cost of an evaluation.
+func (c *EvaluationCost) Seconds() float64 {
+	if c.averageSeconds == 0 {
 		return InitialSeconds
 	}
-	return c.seconds
+	return c.averageSeconds
 }
--- a/internal/budget/cost_test.go
+++ b/internal/budget/cost_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-func TestCost(t *testing.T) {
-	var c Cost
+func TestEvaluationCost(t *testing.T) {
+	var c EvaluationCost
 	step := func(evaluations int, took time.Duration) {
-		c.Spend(evaluations)
-		c.Observe(took)
+		c.CountEvaluations(evaluations)
+		c.EndStep(took)
 	}
-	step(100, time.Second) // too few to tell
-	step(10_000, 0)        // not measured
+	step(100, time.Second) // too few evaluations to be measured
+	step(10_000, 0)        // duration not known
 	if c.Seconds() != InitialSeconds {
-		t.Errorf("an evaluation costs %v", c.Seconds())
+		t.Errorf("cost of an evaluation is %v s, want InitialSeconds", c.Seconds())
 	}
-	// A pause of the process does not make evaluations dearer by more than a bound.
+	// A pause of the process increases the average by a bounded amount only.
 	step(10_000, time.Minute)
-	if got, most := c.Seconds(), InitialSeconds+(maxRise-1)*InitialSeconds/weight; got <= InitialSeconds || got > 1.001*most {
-		t.Errorf("after a pause an evaluation costs %v", got)
+	if got, maximum := c.Seconds(), InitialSeconds+(maxIncreaseFactor-1)*InitialSeconds/averageDivisor; got <= InitialSeconds || got > 1.001*maximum {
+		t.Errorf("cost of an evaluation is %v s after a pause, want a bounded increase", got)
 	}
 	for range 100 {
 		step(10_000, 10*time.Millisecond)
 	}
 	if got := c.Seconds(); got < 0.9e-6 || got > 1.1e-6 {
-		t.Errorf("an evaluation of a microsecond costs %v", got)
+		t.Errorf("cost of an evaluation is %v s, want about 1e-6 s", got)
 	}
-	if c.Spend(7); c.Taken() != 7 {
-		t.Errorf("%d evaluations in this step", c.Taken())
+	if c.CountEvaluations(7); c.StepEvaluations() != 7 {
+		t.Errorf("%d evaluations in the step, want 7", c.StepEvaluations())
 	}
 }
--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -6,67 +6,68 @@
 	"bitternwing/internal/resource"
 )
 
-// freeBounds are upper bounds of the free resources of the machines below a node of a tree.
+// freeBounds are upper bounds of the free resources of the machines in a subtree.
 type freeBounds struct {
-	free   resource.Amount // the most, each resource by itself
-	images imageBounds
+	maxFree resource.Amount // component-wise maximum over the machines
+	images  imageBounds
 }
 
-func newFreeBounds(r *MachineCapacity) freeBounds {
-	return freeBounds{free: r.Free, images: newImageBounds(r)}
+func newFreeBounds(machine *MachineCapacity) freeBounds {
+	return freeBounds{maxFree: machine.Free, images: newImageBounds(machine)}
 }
 
-func joinFree(into, other *freeBounds, _ bool) {
-	into.free = larger(into.free, other.free)
-	into.images.join(&other.images)
+func combineFreeBounds(into, other *freeBounds, _ bool) {
+	into.maxFree = componentwiseMax(into.maxFree, other.maxFree)
+	into.images.combine(&other.images)
 }
 
-// Bounds are upper bounds of the resources that the machines below a node could have for a task after preemption.
+// Bounds are upper bounds of the resources that preemption could free for a task on any machine in a subtree.
 type Bounds struct {
-	FirstName string // the first of their names
+	FirstName string // lowest machine name in the subtree
 	images    imageBounds
-	// maxFree is what could be free once all work below a rank is stopped; the first is what will be free without
-	// preemption. largestTask is the largest task of such work of a rank above 0, largestIdleTask that of rank 0.
+	// maxFree[r] bounds the free resources of a machine once all work of ranks below r is stopped; maxFree[0] is
+	// without preemption. largestTask[r] is the largest task of ranks 1 to r-1, and largestIdleTask is the largest task
+	// of rank 0.
 	maxFree         [Ranks + 1]resource.Amount
 	largestTask     [Ranks + 1]resource.Amount
 	largestIdleTask resource.Amount
 }
 
-func newBounds(r *MachineCapacity) Bounds {
-	b := Bounds{FirstName: r.Name, images: newImageBounds(r), largestIdleTask: r.Preemptible[0].Largest}
-	b.maxFree[0] = r.FreeAfterStops
+func newBounds(machine *MachineCapacity) Bounds {
+	b := Bounds{FirstName: machine.Name, images: newImageBounds(machine), largestIdleTask: machine.Preemptible[0].Largest}
+	b.maxFree[0] = machine.FreeAfterStops
 	for rank := range Ranks {
 		b.maxFree[rank+1] = b.maxFree[rank]
-		b.maxFree[rank+1].Add(r.Preemptible[rank].Total)
+		b.maxFree[rank+1].Add(machine.Preemptible[rank].Total)
 		b.largestTask[rank+1] = b.largestTask[rank]
 		if rank > 0 {
-			b.largestTask[rank+1] = larger(b.largestTask[rank], r.Preemptible[rank].Largest)
+			b.largestTask[rank+1] = componentwiseMax(b.largestTask[rank], machine.Preemptible[rank].Largest)
 		}
 	}
 	return b
 }
 
-func joinBounds(into, other *Bounds, before bool) {
+func combineBounds(into, other *Bounds, before bool) {
 	if before {
 		into.FirstName = other.FirstName
 	}
-	into.largestIdleTask = larger(into.largestIdleTask, other.largestIdleTask)
-	into.images.join(&other.images)
+	into.largestIdleTask = componentwiseMax(into.largestIdleTask, other.largestIdleTask)
+	into.images.combine(&other.images)
 	for i := range into.maxFree {
-		into.maxFree[i] = larger(into.maxFree[i], other.maxFree[i])
-		into.largestTask[i] = larger(into.largestTask[i], other.largestTask[i])
+		into.maxFree[i] = componentwiseMax(into.maxFree[i], other.maxFree[i])
+		into.largestTask[i] = componentwiseMax(into.largestTask[i], other.largestTask[i])
 	}
 }
 
-// Cost is the cost of preemption on a machine: the tasks above rank 0 that are stopped, then the state of the image, then
-// the tasks of rank 0 that are stopped.
+// Cost is the cost of preemption on a machine. Costs compare by the number of stopped tasks above rank 0, then by the
+// image state, then by the number of stopped tasks of rank 0.
 type Cost struct {
 	Stops      int
 	ImageState ImageState
 	IdleStops  int
 }
 
-// Less orders costs.
+// Less reports whether c is lower than d.
 func (c Cost) Less(d Cost) bool {
 	switch {
 	case c.Stops != d.Stops:
@@ -77,42 +78,43 @@
 	return c.IdleStops < d.IdleStops
 }
 
-// AllRanks stands for work of every rank.
+// AllRanks, passed as the exclusive upper bound of ranks, allows preemption of work of every rank.
 const AllRanks = Ranks
 
-// MinCost is a lower bound of the cost of preemption for a task, if work below a rank may be stopped; false if that can't
-// free enough.
-func (b *Bounds) MinCost(need resource.Amount, below int, bit ImageBit) (Cost, bool) {
-	if !b.maxFree[below].Covers(need) {
+// MinCost returns a lower bound of the cost of preemption for a task if work of ranks below belowRank may be stopped.
+// It returns false if stopping all of that work cannot free enough.
+func (b *Bounds) MinCost(required resource.Amount, belowRank int, bit ImageBit) (Cost, bool) {
+	if !b.maxFree[belowRank].Covers(required) {
 		return Cost{}, false
 	}
-	cost := Cost{ImageState: b.images.best(bit)}
+	cost := Cost{ImageState: b.images.bestState(bit)}
 	switch {
-	case b.maxFree[0].Covers(need):
-	case below > 0 && b.maxFree[1].Covers(need):
-		cost.IdleStops = minTasks(need, b.maxFree[0], b.largestIdleTask)
-	case below > 0:
-		cost.Stops = minTasks(need, b.maxFree[1], b.largestTask[below])
+	case b.maxFree[0].Covers(required):
+	case belowRank > 0 && b.maxFree[1].Covers(required):
+		cost.IdleStops = minTasksToFree(required, b.maxFree[0], b.largestIdleTask)
+	case belowRank > 0:
+		cost.Stops = minTasksToFree(required, b.maxFree[1], b.largestTask[belowRank])
 	}
 	return cost, true
 }
 
-// minTasks is the minimum number of tasks, each no larger than the largest, that take as much as is missing.
-func minTasks(need, have, largest resource.Amount) int {
-	missing := need
-	missing.Subtract(have)
+// minTasksToFree returns the minimum number of tasks that have to be stopped to free the missing resources, where no
+// task is larger than the largest. It is at least 1.
+func minTasksToFree(required, available, largest resource.Amount) int {
+	missing := required
+	missing.Subtract(available)
 	return max(1,
-		tasksCovering(missing.GPUs, largest.GPUs),
-		tasksCovering(missing.CPUs, largest.CPUs),
-		tasksCovering(missing.MemoryGB, largest.MemoryGB))
+		tasksToCover(missing.GPUs, largest.GPUs),
+		tasksToCover(missing.CPUs, largest.CPUs),
+		tasksToCover(missing.MemoryGB, largest.MemoryGB))
 }
 
-// roundingError is what a quotient may be off by. It is subtracted so that the result stays a lower bound.
-const roundingError = 1e-6
+// quotientTolerance bounds the rounding error of a quotient. It is subtracted so that the result remains a lower bound.
+const quotientTolerance = 1e-6
 
-func tasksCovering(missing, largest float64) int {
+func tasksToCover(missing, largest float64) int {
 	if missing <= 0 || largest <= 0 {
 		return 0
 	}
-	return int(math.Ceil(missing/largest - roundingError))
+	return int(math.Ceil(missing/largest - quotientTolerance))
 }
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -9,11 +9,11 @@
 	"bitternwing/internal/resource"
 )
 
-// Index is an index of machines, each with a value of the caller's type.
+// Index is an index of machines. Each machine has a value of the caller's type.
 type Index[T any] struct {
-	groups  map[groupKey]*group[T]
-	order   []*group[T]
-	entries map[string]*entry[T]
+	groups       map[groupKey]*group[T]
+	sortedGroups []*group[T]
+	entries      map[string]*entry[T]
 }
 
 // entry is a machine in the index.
@@ -21,11 +21,11 @@
 	capacity MachineCapacity
 	group    *group[T]
 	value    T
-	// staleByName says that the tree by name does not have the present capacity yet.
-	staleByName bool
+	// nameTreeStale is true while the tree by name holds an outdated capacity of the machine.
+	nameTreeStale bool
 }
 
-// primaryResource gives the resource by which free capacity is ordered: GPUs, or CPUs for machines without.
+// primaryResource returns the resource that orders machines by free capacity: GPUs, or CPUs for machines without GPUs.
 func (e *entry[T]) primaryResource(a resource.Amount) float64 {
 	if e.group.size.GPUs > 0 {
 		return a.GPUs
@@ -33,40 +33,42 @@
 	return a.CPUs
 }
 
-// leftoverShare is the share of a machine's primary resource that a task would leave free.
-func (e *entry[T]) leftoverShare(need resource.Amount) float64 {
+// leftoverFraction returns the fraction of the machine's primary resource that would stay free beside the task.
+func (e *entry[T]) leftoverFraction(required resource.Amount) float64 {
 	size := e.primaryResource(e.group.size)
 	if size == 0 {
 		return 1
 	}
-	return (e.primaryResource(e.capacity.Free) - e.primaryResource(need)) / size
+	return (e.primaryResource(e.capacity.Free) - e.primaryResource(required)) / size
 }
 
-// tighter tells whether a machine is the better fit for a task: it would have less left.
-func (e *entry[T]) tighter(other *entry[T], need resource.Amount) bool {
-	if a, b := e.leftoverShare(need), other.leftoverShare(need); a != b {
-		return a < b
+// betterFitThan reports whether the machine is a better fit for the task than the other one: it would have less left
+// free, or as much and a lower name.
+func (e *entry[T]) betterFitThan(other *entry[T], required resource.Amount) bool {
+	if leftover, otherLeftover := e.leftoverFraction(required), other.leftoverFraction(required); leftover != otherLeftover {
+		return leftover < otherLeftover
 	}
 	return e.capacity.Name < other.capacity.Name
 }
 
-// groupKey identifies a group of machines of one size. Machines of a type differ in size if the type has changed, and free
-// resources are comparable only among machines of one size.
+// groupKey identifies the machines of a group that have one size. Machines of one type differ in size after a change of
+// the type, and free resources are comparable only between machines of the same size.
 type groupKey struct {
 	Group
 	size resource.Amount
 }
 
-// group is the machines of a group in two trees: by free resources, for placement, and by name, for preemption.
+// group holds the machines of a groupKey in two trees: one by free resources, for placement, and one by name, for
+// preemption.
 type group[T any] struct {
 	groupKey
 	byFree treap[*entry[T], freeBounds]
 	byName treap[*entry[T], Bounds]
-	// staleByName are the machines whose change is not in the tree by name yet.
-	staleByName []*entry[T]
+	// staleInNameTree lists the machines whose latest capacity is not in the tree by name.
+	staleInNameTree []*entry[T]
 }
 
-// NewIndex makes an index without machines.
+// NewIndex returns an empty index.
 func NewIndex[T any]() *Index[T] {
 	return &Index[T]{groups: map[groupKey]*group[T]{}, entries: map[string]*entry[T]{}}
 }
@@ -77,33 +79,33 @@
 	}
 	priority := func(e **entry[T]) uint64 { return hash((*e).capacity.Name) }
 	g := &group[T]{groupKey: key,
-		byFree: treap[*entry[T], freeBounds]{before: lessFree[T], priority: priority, join: joinFree,
+		byFree: treap[*entry[T], freeBounds]{before: lessFree[T], priority: priority, combine: combineFreeBounds,
 			summarize: func(e **entry[T]) freeBounds { return newFreeBounds(&(*e).capacity) }},
-		byName: treap[*entry[T], Bounds]{before: lessName[T], priority: priority, join: joinBounds,
+		byName: treap[*entry[T], Bounds]{before: lessName[T], priority: priority, combine: combineBounds,
 			summarize: func(e **entry[T]) Bounds { return newBounds(&(*e).capacity) }},
 	}
 	x.groups[key] = g
-	i, _ := slices.BinarySearchFunc(x.order, g, compareGroups[T])
-	x.order = slices.Insert(x.order, i, g)
+	i, _ := slices.BinarySearchFunc(x.sortedGroups, g, compareGroups[T])
+	x.sortedGroups = slices.Insert(x.sortedGroups, i, g)
 	return g
 }
 
 func compareGroups[T any](a, b *group[T]) int {
-	spot := map[bool]int{true: 1}
-	return cmp.Or(strings.Compare(a.Type, b.Type), strings.Compare(a.Zone, b.Zone), spot[a.Spot]-spot[b.Spot],
+	spotOrder := map[bool]int{true: 1}
+	return cmp.Or(strings.Compare(a.Type, b.Type), strings.Compare(a.Zone, b.Zone), spotOrder[a.Spot]-spotOrder[b.Spot],
 		cmp.Compare(a.size.GPUs, b.size.GPUs), cmp.Compare(a.size.CPUs, b.size.CPUs), cmp.Compare(a.size.MemoryGB, b.size.MemoryGB))
 }
 
 func lessFree[T any](a, b **entry[T]) bool {
-	if x, y := (*a).primaryResource((*a).capacity.Free), (*b).primaryResource((*b).capacity.Free); x != y {
-		return x < y
+	if freeA, freeB := (*a).primaryResource((*a).capacity.Free), (*b).primaryResource((*b).capacity.Free); freeA != freeB {
+		return freeA < freeB
 	}
 	return (*a).capacity.Name < (*b).capacity.Name
 }
 
 func lessName[T any](a, b **entry[T]) bool { return (*a).capacity.Name < (*b).capacity.Name }
 
-// Put adds a machine of a size, or updates it.
+// Put adds a machine of the given group and size, or updates it.
 func (x *Index[T]) Put(key Group, size resource.Amount, capacity MachineCapacity, value T) {
 	e := x.entries[capacity.Name]
 	if e != nil && e.group.groupKey != (groupKey{key, size}) {
@@ -118,16 +120,16 @@
 	}
 	e.value = value
 	if e.capacity != capacity {
-		e.group.change(e, capacity)
+		e.group.update(e, capacity)
 	}
 }
 
-// change updates a machine's capacity. The tree by name is updated when it is used next: most changes come while nothing is
-// preempted.
-func (g *group[T]) change(e *entry[T], capacity MachineCapacity) {
-	if !e.staleByName {
-		e.staleByName = true
-		g.staleByName = append(g.staleByName, e)
+// update sets the capacity of a machine. The tree by name is updated lazily, before its next use, because most changes
+// come while nothing is being preempted.
+func (g *group[T]) update(e *entry[T], capacity MachineCapacity) {
+	if !e.nameTreeStale {
+		e.nameTreeStale = true
+		g.staleInNameTree = append(g.staleInNameTree, e)
 	}
 	if e.capacity.Free == capacity.Free {
 		e.capacity = capacity
@@ -139,25 +141,25 @@
 	g.byFree.insert(e)
 }
 
-// refreshByName brings the tree by name up to date.
-func (g *group[T]) refreshByName() {
-	for _, e := range g.staleByName {
-		if e.staleByName {
-			e.staleByName = false
+// refreshNameTree brings the tree by name up to date.
+func (g *group[T]) refreshNameTree() {
+	for _, e := range g.staleInNameTree {
+		if e.nameTreeStale {
+			e.nameTreeStale = false
 			g.byName.replace(&e)
 		}
 	}
-	clear(g.staleByName)
-	g.staleByName = g.staleByName[:0]
+	clear(g.staleInNameTree)
+	g.staleInNameTree = g.staleInNameTree[:0]
 }
 
 func (g *group[T]) remove(e *entry[T]) {
-	e.staleByName = false
+	e.nameTreeStale = false
 	g.byFree.remove(&e)
 	g.byName.remove(&e)
 }
 
-// Remove removes a machine, if it is there.
+// Remove removes a machine. It does nothing if the machine is not in the index.
 func (x *Index[T]) Remove(name string) {
 	if e := x.entries[name]; e != nil {
 		e.group.remove(e)
@@ -165,10 +167,10 @@
 	}
 }
 
-// Groups gives the groups that have machines, in order; one for each size of machines.
+// Groups returns the groups that have machines, in order. A group appears once for each size of its machines.
 func (x *Index[T]) Groups() []Group {
-	groups := make([]Group, 0, len(x.order))
-	for _, g := range x.order {
+	groups := make([]Group, 0, len(x.sortedGroups))
+	for _, g := range x.sortedGroups {
 		if g.byFree.root != nil {
 			groups = append(groups, g.Group)
 		}
@@ -176,13 +178,14 @@
 	return groups
 }
 
-// Len is the number of machines.
+// Len returns the number of machines.
 func (x *Index[T]) Len() int { return len(x.entries) }
 
-// Height is about the height of a balanced tree of all machines, which is what a change costs, in machines evaluated.
+// Height returns the approximate height of a balanced tree of all machines. An update costs about as much as evaluating
+// that many machines.
 func (x *Index[T]) Height() int { return bits.Len(uint(len(x.entries))) }
 
-// Get gives a machine's group and capacity; false if it is not there.
+// Get returns the group and the capacity of a machine, or false if it is not in the index.
 func (x *Index[T]) Get(name string) (Group, MachineCapacity, bool) {
 	e := x.entries[name]
 	if e == nil {
@@ -191,41 +194,43 @@
 	return e.group.Group, e.capacity, true
 }
 
-// FitRequest is a request for the best fit for a task.
+// FitRequest describes a task for which the best-fitting machine is sought.
 type FitRequest[T any] struct {
-	Need  resource.Amount
-	Image string
-	// Penalty is by how many image states the task prefers other groups; false: it may not run in this one.
+	Required resource.Amount
+	Image    string
+	// Penalty returns by how many image states machines of a group rank lower for the task, from 0 to MaxPenalty. It
+	// returns false if the task may not run in the group.
 	Penalty func(Group) (ImageState, bool)
-	// Suits tells whether a machine that has the resources will do, and the state of the image there.
-	Suits func(T) (ImageState, bool)
+	// Feasible returns the state of the image on a machine with sufficient resources, and whether the task may run
+	// there.
+	Feasible func(T) (ImageState, bool)
 }
 
-// MaxPenalty is the maximum of a penalty.
+// MaxPenalty is the highest penalty of a group.
 const MaxPenalty = 2
 
-// BestFit finds the machine for a task: the one with the best image state, plus penalty; of these the one with the least left
-// free; of these the first by name. It also gives the number of machines evaluated.
-func (x *Index[T]) BestFit(q FitRequest[T]) (found T, ok bool, evaluated int) {
-	bit := BitOf(q.Image)
+// BestFit returns the best machine for a task. Machines compare by image state plus penalty, then by the fraction of
+// the primary resource left free, then by name. It also returns the number of machines evaluated.
+func (x *Index[T]) BestFit(request FitRequest[T]) (found T, ok bool, evaluated int) {
+	bit := BitOf(request.Image)
 	type candidate struct {
 		group   *group[T]
 		penalty ImageState
 	}
 	var groups []candidate
-	for _, g := range x.order {
-		if penalty, may := q.Penalty(g.Group); may && g.byFree.root != nil {
+	for _, g := range x.sortedGroups {
+		if penalty, allowed := request.Penalty(g.Group); allowed && g.byFree.root != nil {
 			groups = append(groups, candidate{g, penalty})
 		}
 	}
-	for level := ImageReady; level < ImageStates+MaxPenalty; level++ {
+	for level := ImageReady; level < ImageStateCount+MaxPenalty; level++ {
 		var best *entry[T]
 		for _, c := range groups {
 			state := level - c.penalty
-			if state < ImageReady || state >= ImageStates {
+			if state < ImageReady || state >= ImageStateCount {
 				continue
 			}
-			if e := c.group.bestFit(&q, state, bit, &evaluated); e != nil && (best == nil || e.tighter(best, q.Need)) {
+			if e := c.group.bestFitInState(&request, state, bit, &evaluated); e != nil && (best == nil || e.betterFitThan(best, request.Required)) {
 				best = e
 			}
 		}
@@ -236,23 +241,24 @@
 	return found, false, evaluated
 }
 
-// bestFit finds the machine of a group with the least left free, of those with one image state.
-func (g *group[T]) bestFit(q *FitRequest[T], state ImageState, bit ImageBit, evaluated *int) *entry[T] {
-	return g.bestFitting(q.Need, state, bit, evaluated, func(e *entry[T]) bool {
-		actual, suits := q.Suits(e.value)
-		return suits && actual == state
+// bestFitInState returns the machine of the group with the least left free, among those where the image is in the given
+// state.
+func (g *group[T]) bestFitInState(request *FitRequest[T], state ImageState, bit ImageBit, evaluated *int) *entry[T] {
+	return g.bestFitWhere(request.Required, state, bit, evaluated, func(e *entry[T]) bool {
+		actual, feasible := request.Feasible(e.value)
+		return feasible && actual == state
 	})
 }
 
-// Walk visits the machines of some groups, by name within each. It prunes subtrees for whose bounds skip is true. It gives
-// the number of machines evaluated.
-func (x *Index[T]) Walk(within func(Group) bool, skip func(*Bounds) bool, visit func(T)) (evaluated int) {
-	for _, g := range x.order {
-		if g.byName.root == nil || !within(g.Group) {
+// Walk visits the machines of the included groups, by name within each group. Subtrees whose bounds satisfy prune are
+// skipped. It returns the number of machines evaluated.
+func (x *Index[T]) Walk(include func(Group) bool, prune func(*Bounds) bool, visit func(T)) (evaluated int) {
+	for _, g := range x.sortedGroups {
+		if g.byName.root == nil || !include(g.Group) {
 			continue
 		}
-		g.refreshByName()
-		g.byName.root.search(skip, func(e **entry[T]) bool {
+		g.refreshNameTree()
+		g.byName.root.search(prune, func(e **entry[T]) bool {
 			visit((*e).value)
 			return false
 		}, &evaluated)
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -10,8 +10,8 @@
 	"bitternwing/internal/resource"
 )
 
-// drawn is a machine that was drawn, with the tasks that could be stopped on it.
-type drawn struct {
+// generatedMachine is a randomly generated machine with the tasks that may be preempted on it.
+type generatedMachine struct {
 	group       Group
 	size        resource.Amount
 	capacity    MachineCapacity
@@ -21,101 +21,101 @@
 
 var images = []string{"a", "b", "c"}
 
-func number(t *rapid.T, what string, least, most int) int {
-	return rapid.IntRange(least, most).Draw(t, what)
+func drawInt(t *rapid.T, label string, minimum, maximum int) int {
+	return rapid.IntRange(minimum, maximum).Draw(t, label)
 }
 
-func amount(t *rapid.T, what string, most int) resource.Amount {
-	return resource.Amount{GPUs: float64(number(t, what+" gpus", 0, most)) / 2, CPUs: float64(number(t, what+" cpus", 0, 2*most)), MemoryGB: float64(number(t, what+" memory", 0, most))}
+func drawAmount(t *rapid.T, label string, maximum int) resource.Amount {
+	return resource.Amount{GPUs: float64(drawInt(t, label+" gpus", 0, maximum)) / 2, CPUs: float64(drawInt(t, label+" cpus", 0, 2*maximum)), MemoryGB: float64(drawInt(t, label+" memory", 0, maximum))}
 }
 
-func drawMachine(t *rapid.T, name string) *drawn {
-	d := &drawn{group: Group{Type: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "type"), Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
+func generateMachine(t *rapid.T, name string) *generatedMachine {
+	m := &generatedMachine{group: Group{Type: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "type"), Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
 		size: resource.Amount{GPUs: 4, CPUs: 16, MemoryGB: 8}, imageStates: map[string]ImageState{}}
-	if d.group.Type == "h" {
-		d.size.GPUs = 0
+	if m.group.Type == "h" {
+		m.size.GPUs = 0
 	}
-	d.capacity = MachineCapacity{Name: name, Free: amount(t, "free", 8)}
-	d.capacity.FreeAfterStops = d.capacity.Free
-	d.capacity.FreeAfterStops.Add(amount(t, "soon", 2))
+	m.capacity = MachineCapacity{Name: name, Free: drawAmount(t, "free", 8)}
+	m.capacity.FreeAfterStops = m.capacity.Free
+	m.capacity.FreeAfterStops.Add(drawAmount(t, "soon", 2))
 	for rank := range Ranks {
-		for range number(t, "tasks", 0, 2) {
-			task := amount(t, "task", 4)
-			d.tasks[rank] = append(d.tasks[rank], task)
-			d.capacity.Preemptible[rank].Add(task)
+		for range drawInt(t, "tasks", 0, 2) {
+			task := drawAmount(t, "task", 4)
+			m.tasks[rank] = append(m.tasks[rank], task)
+			m.capacity.Preemptible[rank].Add(task)
 		}
 	}
-	other := ImageAbsent
+	absentState := ImageAbsent
 	for _, image := range images {
-		switch number(t, "image", 0, 4) {
+		switch drawInt(t, "image", 0, 4) {
 		case 0:
-			d.capacity.Images.Ready.Add(BitOf(image))
-			d.imageStates[image] = ImageReady
+			m.capacity.Images.Ready.Add(BitOf(image))
+			m.imageStates[image] = ImageReady
 		case 1:
-			d.capacity.Images.Fetching.Add(BitOf(image))
-			d.imageStates[image] = ImageFetching
-			other = ImageFetchShared
+			m.capacity.Images.Fetching.Add(BitOf(image))
+			m.imageStates[image] = ImageFetching
+			absentState = ImageFetchShared
 		}
 	}
 	for _, image := range images {
-		if _, has := d.imageStates[image]; !has {
-			d.imageStates[image] = other
+		if _, has := m.imageStates[image]; !has {
+			m.imageStates[image] = absentState
 		}
 	}
-	return d
+	return m
 }
 
-// checkTree checks order, heap and summaries below a node, and gives its values.
-func checkTree[V, S any](t *rapid.T, tree *treap[V, S], n *node[V, S]) []V {
-	if n == nil {
+// checkTree checks the order, the heap property and the summaries of a subtree, and returns its values in order.
+func checkTree[V, S any](t *rapid.T, tree *treap[V, S], root *node[V, S]) []V {
+	if root == nil {
 		return nil
 	}
-	left, right := checkTree(t, tree, n.left), checkTree(t, tree, n.right)
-	all := append(append(left, n.value), right...)
-	sum := tree.summarize(&all[0])
-	for i := 1; i < len(all); i++ {
-		s := tree.summarize(&all[i])
-		tree.join(&sum, &s, false)
-		if !tree.before(&all[i-1], &all[i]) {
-			t.Fatalf("%v is not before %v", all[i-1], all[i])
+	left, right := checkTree(t, tree, root.left), checkTree(t, tree, root.right)
+	values := append(append(left, root.value), right...)
+	summary := tree.summarize(&values[0])
+	for i := 1; i < len(values); i++ {
+		s := tree.summarize(&values[i])
+		tree.combine(&summary, &s, false)
+		if !tree.before(&values[i-1], &values[i]) {
+			t.Fatalf("%v is not before %v", values[i-1], values[i])
 		}
 	}
-	if fmt.Sprint(sum) != fmt.Sprint(n.all) {
-		t.Fatalf("a summary is %+v, not %+v", n.all, sum)
+	if fmt.Sprint(summary) != fmt.Sprint(root.subtreeSummary) {
+		t.Fatalf("summary is %+v, want %+v", root.subtreeSummary, summary)
 	}
-	for _, child := range []*node[V, S]{n.left, n.right} {
-		if child != nil && child.priority > n.priority {
-			t.Fatal("a child has a higher priority")
+	for _, child := range []*node[V, S]{root.left, root.right} {
+		if child != nil && child.priority > root.priority {
+			t.Fatal("a child has a higher priority than its parent")
 		}
 	}
-	return all
+	return values
 }
 
-// scanTightest finds what Tightest is to find, by a look at each machine.
-func scanTightest(machines map[string]*drawn, q FitRequest[string], image string) string {
+// exhaustiveBestFit returns the machine that BestFit has to return, found by evaluating every machine.
+func exhaustiveBestFit(machines map[string]*generatedMachine, request FitRequest[string], image string) string {
 	best, bestScore := "", math.Inf(1)
-	for _, name := range names {
-		d := machines[name]
-		if d == nil || !d.capacity.Free.Covers(q.Need) {
+	for _, name := range machineNames {
+		m := machines[name]
+		if m == nil || !m.capacity.Free.Covers(request.Required) {
 			continue
 		}
-		penalty, may := q.Penalty(d.group)
-		if !may {
+		penalty, allowed := request.Penalty(m.group)
+		if !allowed {
 			continue
 		}
-		left := (d.capacity.Free.GPUs - q.Need.GPUs) / max(d.size.GPUs, 1)
-		if d.size.GPUs == 0 {
-			left = (d.capacity.Free.CPUs - q.Need.CPUs) / d.size.CPUs
+		left := (m.capacity.Free.GPUs - request.Required.GPUs) / max(m.size.GPUs, 1)
+		if m.size.GPUs == 0 {
+			left = (m.capacity.Free.CPUs - request.Required.CPUs) / m.size.CPUs
 		}
-		if score := left + 2*float64(d.imageStates[image]+penalty); score < bestScore {
+		if score := left + 2*float64(m.imageStates[image]+penalty); score < bestScore {
 			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-// names are those of all machines that can be drawn, in order.
-var names = func() []string {
+// machineNames are the names of all machines that may be generated, in order.
+var machineNames = func() []string {
 	var all []string
 	for i := range 60 {
 		all = append(all, fmt.Sprintf("m%02d", i))
@@ -123,60 +123,60 @@
 	return all
 }()
 
-// TestIndex puts machines in, changes and removes them. The trees stay in order, and the tightest machine is the one
-// that a look at each finds.
+// TestIndex adds, updates and removes machines. It checks that the trees stay consistent and that BestFit returns the
+// same machine as an exhaustive search.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, machines := NewIndex[string](), map[string]*drawn{}
-		for range number(t, "changes", 1, 80) {
-			name := rapid.SampledFrom(names).Draw(t, "name")
-			if number(t, "kind", 0, 3) == 0 {
-				x.Remove(name)
+		index, machines := NewIndex[string](), map[string]*generatedMachine{}
+		for range drawInt(t, "changes", 1, 80) {
+			name := rapid.SampledFrom(machineNames).Draw(t, "name")
+			if drawInt(t, "kind", 0, 3) == 0 {
+				index.Remove(name)
 				delete(machines, name)
 				continue
 			}
-			d := drawMachine(t, name)
-			machines[name] = d
-			x.Put(d.group, d.size, d.capacity, name)
+			m := generateMachine(t, name)
+			machines[name] = m
+			index.Put(m.group, m.size, m.capacity, name)
 		}
 		seen := 0
-		for _, g := range x.order {
+		for _, g := range index.sortedGroups {
 			seen += len(checkTree(t, &g.byFree, g.byFree.root))
-			g.refreshByName()
+			g.refreshNameTree()
 			checkTree(t, &g.byName, g.byName.root)
 		}
-		if seen != len(machines) || x.Len() != len(machines) {
-			t.Fatalf("%d machines in the trees, of %d", seen, len(machines))
+		if seen != len(machines) || index.Len() != len(machines) {
+			t.Fatalf("the trees hold %d machines, want %d", seen, len(machines))
 		}
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
 		spotOnly, prefersSpot := rapid.Bool().Draw(t, "spot only"), rapid.Bool().Draw(t, "prefers spot")
-		q := FitRequest[string]{Need: amount(t, "need", 8), Image: image,
+		request := FitRequest[string]{Required: drawAmount(t, "need", 8), Image: image,
 			Penalty: func(g Group) (ImageState, bool) {
 				if prefersSpot && !g.Spot {
 					return MaxPenalty, !spotOnly
 				}
 				return 0, g.Spot || !spotOnly
 			},
-			Suits: func(name string) (ImageState, bool) { return machines[name].imageStates[image], true }}
-		want := scanTightest(machines, q, image)
-		if got, ok, _ := x.BestFit(q); got != want || ok != (want != "") {
-			t.Fatalf("%q, not %q", got, want)
+			Feasible: func(name string) (ImageState, bool) { return machines[name].imageStates[image], true }}
+		want := exhaustiveBestFit(machines, request, image)
+		if got, ok, _ := index.BestFit(request); got != want || ok != (want != "") {
+			t.Fatalf("BestFit returns %q, want %q", got, want)
 		}
 	})
 }
 
-// leastCost is the lowest cost of preemption on a machine, whichever tasks are stopped.
-func (d *drawn) leastCost(need resource.Amount, below int, image string) (best Cost, possible bool) {
+// exhaustiveMinCost returns the lowest cost of preemption on the machine over all subsets of the tasks.
+func (m *generatedMachine) exhaustiveMinCost(required resource.Amount, belowRank int, image string) (best Cost, possible bool) {
 	var tasks []resource.Amount
 	idle := 0
-	for rank := range below {
-		tasks = append(tasks, d.tasks[rank]...)
+	for rank := range belowRank {
+		tasks = append(tasks, m.tasks[rank]...)
 		if rank == 0 {
 			idle = len(tasks)
 		}
 	}
 	for chosen := range 1 << len(tasks) {
-		free, cost := d.capacity.FreeAfterStops, Cost{ImageState: d.imageStates[image]}
+		free, cost := m.capacity.FreeAfterStops, Cost{ImageState: m.imageStates[image]}
 		for i, task := range tasks {
 			if chosen&(1<<i) == 0 {
 				continue
@@ -188,36 +188,36 @@
 				cost.Stops++
 			}
 		}
-		if free.Covers(need) && (!possible || cost.Less(best)) {
+		if free.Covers(required) && (!possible || cost.Less(best)) {
 			best, possible = cost, true
 		}
 	}
 	return best, possible
 }
 
-// TestBounds joins the bounds of some machines: preemption costs no less on any of them, and the first name is
-// that of the first.
-func TestBounds(t *testing.T) {
+// TestBoundsAreLowerBounds combines the bounds of several machines. It checks that preemption on any of them costs no
+// less than the bound, and that FirstName is the lowest name.
+func TestBoundsAreLowerBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var machines []*drawn
-		for i := range number(t, "machines", 1, 4) {
-			machines = append(machines, drawMachine(t, names[i]))
+		var machines []*generatedMachine
+		for i := range drawInt(t, "machines", 1, 4) {
+			machines = append(machines, generateMachine(t, machineNames[i]))
 		}
 		bounds := newBounds(&machines[len(machines)-1].capacity)
 		for i := len(machines) - 2; i >= 0; i-- {
 			b := newBounds(&machines[i].capacity)
-			joinBounds(&bounds, &b, true)
+			combineBounds(&bounds, &b, true)
 		}
-		if bounds.FirstName != names[0] {
-			t.Fatalf("the first is %s", bounds.FirstName)
+		if bounds.FirstName != machineNames[0] {
+			t.Fatalf("FirstName is %s", bounds.FirstName)
 		}
-		need, below := amount(t, "need", 8), number(t, "below", 0, AllRanks)
+		required, belowRank := drawAmount(t, "need", 8), drawInt(t, "below", 0, AllRanks)
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
-		least, possible := bounds.MinCost(need, below, BitOf(image))
-		for _, d := range machines {
-			cost, can := d.leastCost(need, below, image)
-			if can && (!possible || cost.Less(least)) {
-				t.Fatalf("%s preempts for %+v, the bound is %+v, %v", d.capacity.Name, cost, least, possible)
+		lowerBound, possible := bounds.MinCost(required, belowRank, BitOf(image))
+		for _, m := range machines {
+			cost, canPreempt := m.exhaustiveMinCost(required, belowRank, image)
+			if canPreempt && (!possible || cost.Less(lowerBound)) {
+				t.Fatalf("cost of %s is %+v, below the bound %+v (possible: %v)", m.capacity.Name, cost, lowerBound, possible)
 			}
 		}
 	})
--- a/internal/capacity/lowest_cost.go
+++ b/internal/capacity/lowest_cost.go
@@ -7,20 +7,21 @@
 	"bitternwing/internal/resource"
 )
 
-// CostRequest is a request for the machine that costs a task the least, in the caller's unit.
+// CostRequest describes a task for which the machine with the lowest cost is sought. The unit of cost is the caller's.
 type CostRequest[T any] struct {
-	Need  resource.Amount
-	Image string
-	// Cost is what a machine of a group costs, by the state of the image there; false: the task may not run in the group.
+	Required resource.Amount
+	Image    string
+	// Cost returns the cost of a machine of a group by the state of the image there. It returns false if the task may
+	// not run in the group.
 	Cost func(Group, ImageState) (float64, bool)
-	// Suits tells whether a machine that has the resources will do, the state of the image there, and whether the machine
-	// is crowded.
-	Suits func(T) (state ImageState, crowded, suits bool)
-	// CrowdedCost is the additional cost of a crowded machine; at least 0.
+	// Feasible returns, for a machine with sufficient resources, the state of the image, whether CrowdedCost applies to
+	// the machine, and whether the task may run there.
+	Feasible func(T) (state ImageState, crowded, suits bool)
+	// CrowdedCost is the additional cost of a crowded machine. It is not negative.
 	CrowdedCost float64
 }
 
-// costClass is the machines of a group with one image state, including crowded ones or not.
+// costClass is the machines of a group in one image state. If crowded is set, it includes the crowded machines.
 type costClass[T any] struct {
 	group   *group[T]
 	state   ImageState
@@ -28,21 +29,22 @@
 	cost    float64
 }
 
-// LowestCost finds the machine that costs a task the least; of these the one with the least left free; of these the first by
-// name. It also gives the number of machines evaluated.
-func (x *Index[T]) LowestCost(q CostRequest[T]) (found T, cost float64, ok bool, evaluated int) {
+// LowestCost returns the machine with the lowest cost for a task. Machines of equal cost compare by the fraction of the
+// primary resource left free, then by name. It also returns the number of machines evaluated.
+func (x *Index[T]) LowestCost(request CostRequest[T]) (found T, cost float64, ok bool, evaluated int) {
 	var best *entry[T]
-	bit := BitOf(q.Image)
-	for _, c := range x.classes(&q) {
+	bit := BitOf(request.Image)
+	for _, c := range x.costClasses(&request) {
 		if best != nil && c.cost > cost {
 			break
 		}
-		// If crowded machines are included, the others were in an earlier, cheaper class, in which none was suitable.
-		e := c.group.bestFitting(q.Need, c.state, bit, &evaluated, func(e *entry[T]) bool {
-			state, crowded, suits := q.Suits(e.value)
-			return suits && state == c.state && (c.crowded || !crowded)
+		// A class that includes crowded machines follows the cheaper class without them, in which no machine was
+		// feasible.
+		e := c.group.bestFitWhere(request.Required, c.state, bit, &evaluated, func(e *entry[T]) bool {
+			state, crowded, feasible := request.Feasible(e.value)
+			return feasible && state == c.state && (c.crowded || !crowded)
 		})
-		if e != nil && (best == nil || e.tighter(best, q.Need)) {
+		if e != nil && (best == nil || e.betterFitThan(best, request.Required)) {
 			best, cost = e, c.cost
 		}
 	}
@@ -52,21 +54,21 @@
 	return best.value, cost, true, evaluated
 }
 
-// classes gives the classes of machines in which a task may run, the cheapest first.
-func (x *Index[T]) classes(q *CostRequest[T]) []costClass[T] {
+// costClasses returns the classes of machines in which the task may run, in order of cost.
+func (x *Index[T]) costClasses(request *CostRequest[T]) []costClass[T] {
 	var all []costClass[T]
-	for _, g := range x.order {
+	for _, g := range x.sortedGroups {
 		if g.byFree.root == nil {
 			continue
 		}
-		for state := ImageReady; state < ImageStates; state++ {
-			cost, may := q.Cost(g.Group, state)
-			if !may {
+		for state := ImageReady; state < ImageStateCount; state++ {
+			cost, allowed := request.Cost(g.Group, state)
+			if !allowed {
 				break
 			}
-			all = append(all, costClass[T]{g, state, q.CrowdedCost <= 0, cost})
-			if q.CrowdedCost > 0 {
-				all = append(all, costClass[T]{g, state, true, cost + q.CrowdedCost})
+			all = append(all, costClass[T]{g, state, request.CrowdedCost <= 0, cost})
+			if request.CrowdedCost > 0 {
+				all = append(all, costClass[T]{g, state, true, cost + request.CrowdedCost})
 			}
 		}
 	}
@@ -74,12 +76,13 @@
 	return all
 }
 
-// bestFitting finds the machine of a group with the least left free, of those that may have an image state.
-func (g *group[T]) bestFitting(need resource.Amount, state ImageState, bit ImageBit, evaluated *int, suits func(*entry[T]) bool) (found *entry[T]) {
+// bestFitWhere returns the machine with the least left free, among the machines of the group that may have the image in
+// the given state and that match.
+func (g *group[T]) bestFitWhere(required resource.Amount, state ImageState, bit ImageBit, evaluated *int, matches func(*entry[T]) bool) (found *entry[T]) {
 	g.byFree.root.search(func(b *freeBounds) bool {
-		return !b.free.Covers(need) || !b.images.mayBe(state, bit)
+		return !b.maxFree.Covers(required) || !b.images.mayHaveState(state, bit)
 	}, func(e **entry[T]) bool {
-		if suits(*e) {
+		if matches(*e) {
 			found = *e
 		}
 		return found != nil
--- a/internal/capacity/treap.go
+++ b/internal/capacity/treap.go
@@ -1,30 +1,30 @@
 package capacity
 
-// treap is a binary search tree whose nodes have a summary of their subtree. It is balanced by priorities that are hashes of
-// the values' names, so that the same values always give the same tree.
+// treap is a binary search tree whose nodes hold a summary of their subtree. Node priorities are hashes of the values'
+// names, which balances the tree and makes its shape depend on its values only.
 type treap[V, S any] struct {
 	root *node[V, S]
-	// before orders the values. No two are equal.
+	// before is the order of the values. No two values are equal in it.
 	before func(a, b *V) bool
-	// priority orders the values from the root down.
+	// priority is the heap order of the values: a parent has no lower priority than its children.
 	priority func(v *V) uint64
-	// summarize gives the summary of a value. join merges the summary of other values, all before or all after, into
-	// another one.
+	// summarize returns the summary of a single value. combine merges the summary of other values, which are all before
+	// or all after, into the first one.
 	summarize func(v *V) S
-	join      func(into, other *S, before bool)
+	combine   func(into, other *S, before bool)
 }
 
 type node[V, S any] struct {
-	value       V
-	own, all    S // the summaries of the value, and of the whole subtree
-	priority    uint64
-	left, right *node[V, S]
+	value                      V
+	ownSummary, subtreeSummary S // summaries of the node's value and of its subtree
+	priority                   uint64
+	left, right                *node[V, S]
 }
 
-// insert adds a value that is not there yet.
+// insert adds a value that is not in the tree.
 func (t *treap[V, S]) insert(v V) {
 	s := t.summarize(&v)
-	t.root = t.insertAt(t.root, &node[V, S]{value: v, own: s, all: s, priority: t.priority(&v)})
+	t.root = t.insertAt(t.root, &node[V, S]{value: v, ownSummary: s, subtreeSummary: s, priority: t.priority(&v)})
 }
 
 func (t *treap[V, S]) insertAt(n, added *node[V, S]) *node[V, S] {
@@ -33,33 +33,33 @@
 		return added
 	case added.priority > n.priority:
 		added.left, added.right = t.split(n, &added.value)
-		t.pull(added)
+		t.updateSummary(added)
 		return added
 	case t.before(&added.value, &n.value):
 		n.left = t.insertAt(n.left, added)
 	default:
 		n.right = t.insertAt(n.right, added)
 	}
-	t.pull(n)
+	t.updateSummary(n)
 	return n
 }
 
-// split gives the subtrees of what is before a value and of the rest.
+// split splits a subtree into the values before the given one and the rest.
 func (t *treap[V, S]) split(n *node[V, S], at *V) (before, rest *node[V, S]) {
 	if n == nil {
 		return nil, nil
 	}
 	if t.before(&n.value, at) {
 		n.right, rest = t.split(n.right, at)
-		t.pull(n)
+		t.updateSummary(n)
 		return n, rest
 	}
 	before, n.left = t.split(n.left, at)
-	t.pull(n)
+	t.updateSummary(n)
 	return before, n
 }
 
-// remove removes a value that is there.
+// remove removes a value from the tree.
 func (t *treap[V, S]) remove(v *V) { t.root = t.removeAt(t.root, v) }
 
 func (t *treap[V, S]) removeAt(n *node[V, S], v *V) *node[V, S] {
@@ -73,7 +73,7 @@
 	default:
 		return t.merge(n.left, n.right)
 	}
-	t.pull(n)
+	t.updateSummary(n)
 	return n
 }
 
@@ -85,15 +85,15 @@
 		return a
 	case a.priority > b.priority:
 		a.right = t.merge(a.right, b)
-		t.pull(a)
+		t.updateSummary(a)
 		return a
 	}
 	b.left = t.merge(a, b.left)
-	t.pull(b)
+	t.updateSummary(b)
 	return b
 }
 
-// replace updates a value that keeps its place in the order.
+// replace replaces a value by one in the same position of the order.
 func (t *treap[V, S]) replace(v *V) { t.replaceAt(t.root, v) }
 
 func (t *treap[V, S]) replaceAt(n *node[V, S], v *V) {
@@ -105,34 +105,34 @@
 	case t.before(&n.value, v):
 		t.replaceAt(n.right, v)
 	default:
-		n.value, n.own = *v, t.summarize(v)
+		n.value, n.ownSummary = *v, t.summarize(v)
 	}
-	t.pull(n)
+	t.updateSummary(n)
 }
 
-// pull updates a node's summary from those of its children.
-func (t *treap[V, S]) pull(n *node[V, S]) {
-	n.all = n.own
+// updateSummary recomputes the summary of a node's subtree from its value and its children.
+func (t *treap[V, S]) updateSummary(n *node[V, S]) {
+	n.subtreeSummary = n.ownSummary
 	if n.left != nil {
-		t.join(&n.all, &n.left.all, true)
+		t.combine(&n.subtreeSummary, &n.left.subtreeSummary, true)
 	}
 	if n.right != nil {
-		t.join(&n.all, &n.right.all, false)
+		t.combine(&n.subtreeSummary, &n.right.subtreeSummary, false)
 	}
 }
 
-// search visits the values in order until visit returns true. It prunes the subtrees for whose summary skip is true, and
-// counts the nodes that it does not prune.
-func (n *node[V, S]) search(skip func(*S) bool, visit func(*V) bool, evaluated *int) bool {
-	if n == nil || skip(&n.all) {
+// search visits the values in order until visit returns true. It skips subtrees whose summary satisfies prune, and
+// counts the nodes that it evaluates.
+func (n *node[V, S]) search(prune func(*S) bool, visit func(*V) bool, evaluated *int) bool {
+	if n == nil || prune(&n.subtreeSummary) {
 		return false
 	}
 	*evaluated++
-	if n.left.search(skip, visit, evaluated) {
+	if n.left.search(prune, visit, evaluated) {
 		return true
 	}
-	if !skip(&n.own) && visit(&n.value) {
+	if !prune(&n.ownSummary) && visit(&n.value) {
 		return true
 	}
-	return n.right.search(skip, visit, evaluated)
+	return n.right.search(prune, visit, evaluated)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,7 +44,7 @@
 
 	lastHeartbeat  time.Duration // when a worker's heartbeat last came here; negative: never
 	wakeAt         time.Duration
-	evaluationCost budget.Cost
+	evaluationCost budget.EvaluationCost
 	// nothingChanged tells that the input of this step left nothing to do before the core wakes anyway.
 	nothingChanged bool
 	// shedding tells that users are sent to other nodes.
@@ -85,7 +85,7 @@
 // Step takes in an input and returns the effects to carry out. The slice is valid until the next call.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = now
-	c.evaluationCost.Observe(now.Took)
+	c.evaluationCost.EndStep(now.Took)
 	c.observeLoad()
 	c.nothingChanged = false
 	clear(c.effects)
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -107,18 +107,18 @@
 		j := candidate.Job
 		task := cycle.state.nextTask(j, candidate.NextTask)
 		if task < 0 || candidate.Instances.Current >= candidate.Instances.Max || !cycle.withinLimit(j, 1) {
-			queue.Drop()
+			queue.RemoveLeastFulfilled()
 			continue
 		}
 		m := cycle.findMachine(j)
 		if m == nil {
 			lacking = append(lacking, candidate)
-			queue.Drop()
+			queue.RemoveLeastFulfilled()
 			continue
 		}
 		cycle.place(j, task, m)
 		cycle.state.persist(j, task)
-		queue.Allocated(task)
+		queue.RecordAllocation(task)
 	}
 	return lacking
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -21,7 +21,7 @@
 func (c *Core) EvaluationsPerSecond() float64 { return c.evaluationsPerSecond() }
 
 // LastEvaluations is how many the last step made.
-func (c *Core) LastEvaluations() int { return c.evaluationCost.Taken() }
+func (c *Core) LastEvaluations() int { return c.evaluationCost.StepEvaluations() }
 
 // KnowsCancelled tells whether this node knows that a job is cancelled.
 func (c *Core) KnowsCancelled(id string) bool {
@@ -75,7 +75,7 @@
 
 // checkReplicas compares the ledger of replicas with one that is built anew.
 func (l *leader) checkReplicas() error {
-	anew := topologyspread.NewLedger()
+	anew := topologyspread.NewReplicaCounts()
 	models := map[topologyspread.Model]bool{}
 	for _, m := range l.machinesByName {
 		for _, p := range m.placementsInOrder {
@@ -85,8 +85,8 @@
 			}
 		}
 	}
-	if anew.Models() != l.replicaLedger.Models() {
-		return fmt.Errorf("%d models have replicas, built anew %d", l.replicaLedger.Models(), anew.Models())
+	if anew.ModelCount() != l.replicaLedger.ModelCount() {
+		return fmt.Errorf("%d models have replicas, built anew %d", l.replicaLedger.ModelCount(), anew.ModelCount())
 	}
 	for model := range models {
 		total, zone, machine := l.replicaLedger.Replicas(model)
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -31,7 +31,7 @@
 	calls     termCalls
 	machines  map[string]*machine
 	index     *capacity.Index[*schedulableMachine]
-	ledger    *topologyspread.Ledger
+	ledger    *topologyspread.ReplicaCounts
 	replicas  replicaFleet
 
 	budget      ratelimit.Bucket // in GB
@@ -84,7 +84,7 @@
 	}
 	p.budget.Refill(c.now.Steady, perHour/secondsPerHour, perHour)
 	services := p.replicas.servicesByModel()
-	for _, model := range p.ledger.All() {
+	for _, model := range p.ledger.SortedModels() {
 		if i := slices.IndexFunc(services[model], func(j *job) bool { return !j.cancelled }); i >= 0 {
 			p.prefetchModel(services[model][i])
 		}
@@ -125,7 +125,7 @@
 	allowed := j.groupRules()
 	within := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
 	_, copied, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{Image: j.spec.Image, Penalty: within,
-		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+		Feasible: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			state := target.machine.images.stateOf(j.spec.Image)
 			return state, state <= capacity.ImageFetching
 		}})
@@ -133,10 +133,10 @@
 		return nil
 	}
 	target, found, _ := p.index.BestFit(capacity.FitRequest[*schedulableMachine]{
-		Need:    resource.OfTask(j.spec),
-		Image:   j.spec.Image,
-		Penalty: within,
-		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+		Required: resource.OfTask(j.spec),
+		Image:    j.spec.Image,
+		Penalty:  within,
+		Feasible: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			m := target.machine
 			absent := m.images.stateOf(j.spec.Image) == capacity.ImageAbsent
 			return capacity.ImageAbsent, absent && m.images.fits(j.spec.ImageGB, m.machineType.CacheGB) && m.addr != ""
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -33,11 +33,11 @@
 	chunks map[int]*recordChunk
 	// superseded are the job's records of a layout that is not written any more, with their versions.
 	superseded       map[string]uint64
-	placements       map[int]*placement     // by task
-	placementsByZone map[string]int         // of these, how many are in each zone
-	replicaLedger    *topologyspread.Ledger // of all models
-	withinGuarantee  bool                   // in this cycle: it fits into its team's guarantee
-	stopping         int                    // of these, how many are stopping
+	placements       map[int]*placement            // by task
+	placementsByZone map[string]int                // of these, how many are in each zone
+	replicaLedger    *topologyspread.ReplicaCounts // of all models
+	withinGuarantee  bool                          // in this cycle: it fits into its team's guarantee
+	stopping         int                           // of these, how many are stopping
 	done             int
 	nextUnplaced     int // no task below this is both undone and unplaced
 
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -67,8 +67,8 @@
 }
 
 // claim is what decides whom a job may preempt, and who may preempt it.
-func (j *job) claim() scheduling.Claim {
-	return scheduling.Claim{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
+func (j *job) claim() scheduling.PreemptionCriteria {
+	return scheduling.PreemptionCriteria{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
 // countUsage counts so many more tasks of a job as used by its team.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -34,7 +34,7 @@
 	machinesByName   []*machine               // by name
 	releasedMachines map[string]time.Duration // names of released machines, whose late heartbeats don't count
 	schedulable      schedulableMachines
-	replicaLedger    *topologyspread.Ledger
+	replicaLedger    *topologyspread.ReplicaCounts
 	nextFleetCheck   time.Duration // when the machines and the cancelled jobs are checked next
 
 	// changes counts for the reconciler what changes at a heartbeat.
@@ -76,7 +76,7 @@
 		jobs:             map[string]*job{},
 		machines:         map[string]*machine{},
 		releasedMachines: map[string]time.Duration{},
-		replicaLedger:    topologyspread.NewLedger(),
+		replicaLedger:    topologyspread.NewReplicaCounts(),
 	}
 	l.termCalls = termCalls{core: c, owner: l}
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -67,15 +67,15 @@
 func (cycle *schedulingCycle) bestFit(j *job) *machine {
 	allowed := j.groupRules()
 	target, found, evaluated := cycle.params.fleet.index.BestFit(capacity.FitRequest[*schedulableMachine]{
-		Need:  resource.OfTask(j.spec),
-		Image: j.spec.Image,
+		Required: resource.OfTask(j.spec),
+		Image:    j.spec.Image,
 		Penalty: func(g capacity.Group) (capacity.ImageState, bool) {
 			if j.spec.Spot && !g.Spot {
 				return onDemandPenalty, allowed(g)
 			}
 			return 0, allowed(g)
 		},
-		Suits: func(target *schedulableMachine) (capacity.ImageState, bool) {
+		Feasible: func(target *schedulableMachine) (capacity.ImageState, bool) {
 			return target.machine.images.stateOf(j.spec.Image), !cycle.state.avoidsMachine(j, target.machine)
 		},
 	})
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -46,7 +46,7 @@
 		}
 		cost, left := w.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
 		if w.Crowded(m.name) {
-			cost += w.MachineS()
+			cost += w.MachineLossS()
 		}
 		if m.machineType.GPUs > 0 {
 			left = (h.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -186,9 +186,9 @@
 		if mayStop(j, p) {
 			candidates = append(candidates, p)
 			instances = append(instances, scheduling.PreemptibleInstance[*job]{
-				Job:       p.job,
-				Instances: p.job.instances(),
-				Task:      resource.OfTask(p.job.spec),
+				Job:          p.job,
+				JobInstances: p.job.instances(),
+				Task:         resource.OfTask(p.job.spec),
 			})
 		}
 	}
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -58,7 +58,7 @@
 	fleet        fleetView
 	job          *job
 	recoveryTime time.Duration // until a lost replica runs again
-	spreadOver   topologyspread.Fleet
+	spreadOver   topologyspread.DomainCounts
 }
 
 // replicaCostFor gives the cost model of a job's next replica; false if its placement is not weighed by cost.
@@ -67,7 +67,7 @@
 	if !ok || !cycle.params.spread.Enabled || j.replicaLedger == nil {
 		return replicaCostModel{}, false
 	}
-	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.Changes() {
+	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.ChangeCount() {
 		return cycle.replicaCost, true
 	}
 	costs := cycle.replicaCost
@@ -75,26 +75,26 @@
 		// What does not depend on where replicas are is worked out once for consecutive tasks of a job.
 		fleet := cycle.params.fleet
 		costs.recoveryTime = cycle.params.lossDetection + fleet.slowestImageFetch(j)
-		costs.spreadOver = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
+		costs.spreadOver = topologyspread.DomainCounts{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
 		costs.fleet, costs.job = fleet, j
 	}
 	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.spreadOver, costs.recoveryTime)
-	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.Changes()
+	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.ChangeCount()
 	return costs, true
 }
 
 // lossRates are the losses that operators expect.
-func lossRates(spread config.Spread) topologyspread.Rates {
-	return topologyspread.Rates{
+func lossRates(spread config.Spread) topologyspread.FailureRates {
+	return topologyspread.FailureRates{
 		ZoneLossesPerDay:    spread.ZoneLossesPerDay,
 		MachineLossesPerDay: spread.MachineLossesPerDay,
-		ReplicaDays:         spread.ReplicaDays,
+		ReplicaLifetimeDays: spread.ReplicaDays,
 	}
 }
 
 // cost gives what a machine of a group costs the job's next replica, by the state of its image there.
 func (costs replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
-	cost := costs.imageLoad(g, state) + costs.ZoneS(g.Zone)
+	cost := costs.imageLoad(g, state) + costs.ZoneLossS(g.Zone)
 	if costs.job.spec.Spot && !g.Spot {
 		// On-demand machines come as far behind spot ones as in bestFit, where a recovery counts as an image state.
 		cost += onDemandPenalty * costs.recoveryTime.Seconds()
@@ -103,23 +103,23 @@
 }
 
 func (costs replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(state), costs.fleet.coldStartSeconds(costs.job, g.Type))
+	return topologyspread.ExpectedLoadSeconds(int(state), costs.fleet.coldStartSeconds(costs.job, g.Type))
 }
 
 // cheapestReplicaMachine finds the machine for a job's next replica that costs the least.
 func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, costs replicaCostModel) *machine {
 	allowed := j.groupRules()
 	target, _, found, evaluated := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
-		Need:        resource.OfTask(j.spec),
+		Required:    resource.OfTask(j.spec),
 		Image:       j.spec.Image,
-		CrowdedCost: costs.MachineS(),
+		CrowdedCost: costs.MachineLossS(),
 		Cost: func(g capacity.Group, state capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
 			}
 			return costs.cost(g, state), true
 		},
-		Suits: func(target *schedulableMachine) (capacity.ImageState, bool, bool) {
+		Feasible: func(target *schedulableMachine) (capacity.ImageState, bool, bool) {
 			m := target.machine
 			return m.images.stateOf(j.spec.Image), costs.Crowded(m.name), !cycle.state.avoidsMachine(j, m)
 		},
@@ -136,10 +136,10 @@
 	cost := placementCost{
 		spreadWeighed: true,
 		imageLoadS:    costs.imageLoad(m.group(), m.images.stateOf(costs.job.spec.Image)),
-		expectedLossS: costs.ZoneS(m.zone),
+		expectedLossS: costs.ZoneLossS(m.zone),
 	}
 	if costs.Crowded(m.name) {
-		cost.expectedLossS += costs.MachineS()
+		cost.expectedLossS += costs.MachineLossS()
 	}
 	return cost
 }
@@ -150,7 +150,7 @@
 	costs, weighed := cycle.replicaCostFor(j)
 	state := m.images.stateOf(j.spec.Image)
 	if !weighed {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(state), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.ExpectedLoadSeconds(int(state), cycle.params.fleet.coldStartSeconds(j, m.typeName))}
 	}
 	cost := costs.costOn(m)
 	if state == capacity.ImageReady {
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -31,7 +31,7 @@
 		return
 	}
 	services := l.servicesByModel()
-	for _, model := range l.replicaLedger.All() {
+	for _, model := range l.replicaLedger.SortedModels() {
 		if l.rebalancing.budget.Tokens() < 1 || !cycle.hasBudget() {
 			return
 		}
@@ -56,7 +56,7 @@
 		if j.spec.Zone != "" || j.spec.SingleZone || l.planOwns(j.id) {
 			continue // it has no choice, or a rollout decides about it
 		}
-		zone := l.replicaLedger.OverfullZone(model, cycle.params.fleet.zonesFor(j))
+		zone := l.replicaLedger.ZoneToDrain(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
 			if zone != "" && p.machine.zone == zone && cycle.moveSavesCost(j, p, l.core.times.heartbeatInterval) {
 				return p
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -78,7 +78,7 @@
 
 // checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns of it.
 func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
-	if !r.Phase.Over() && !slices.Contains(r.Routers, router.name) {
+	if !r.Phase.Terminal() && !slices.Contains(r.Routers, router.name) {
 		world.test.Fatalf("%v: router %s has a routing and is not recorded in %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -183,7 +183,7 @@
 		world.advance(5 * time.Second)
 		world.tryChange(rollout.Resume)
 		for range 400 {
-			if r := world.record(); r == nil || r.Phase.Over() {
+			if r := world.record(); r == nil || r.Phase.Terminal() {
 				return
 			}
 			world.advance(500 * time.Millisecond)
--- a/internal/core/rollout_holds.go
+++ b/internal/core/rollout_holds.go
@@ -24,7 +24,7 @@
 		records = append(records, uncommitted)
 	}
 	return slices.ContainsFunc(records, func(r *rollout.Record) bool {
-		return r != nil && planMatchesJob(&r.Plan, spec) && r.Holds(id)
+		return r != nil && planMatchesJob(&r.Plan, spec) && r.BlocksStart(id)
 	})
 }
 
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -33,7 +33,7 @@
 	name          string
 	since         time.Duration // when this leader took it over
 	validations   *rollout.Validations
-	routers       *rollout.Routers
+	routers       *rollout.RouterLeases
 	routing       rollout.Routing
 	reconciled    bool
 	phase         rollout.Phase // that was last seen, and since when
@@ -115,7 +115,7 @@
 		name:           name,
 		since:          c.now.Steady,
 		validations:    rollout.NewValidations(c.probeInterval()),
-		routers:        rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
+		routers:        rollout.NewRouterLeases(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
 		droppedRouters: map[string]bool{},
 	}
@@ -170,7 +170,7 @@
 func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
 	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
-	run.validations.Track(replicas)
+	run.validations.SetReplicas(replicas)
 	run.reconcile(l, &r.Plan)
 	if run.phase != r.Phase {
 		run.phase, run.phaseSince = r.Phase, c.now.Steady
@@ -181,7 +181,7 @@
 		run.route(c, r, o)
 		l.addRouterObservations(run, r, o)
 	}
-	for _, id := range r.Cancels(o) {
+	for _, id := range r.JobsToCancel(o) {
 		if j := l.jobs[id]; j != nil && !j.cancelled {
 			l.writer.queueCancel(j)
 		}
@@ -197,7 +197,7 @@
 	switch {
 	case len(run.changes) > 0:
 		l.commitChange(run, current)
-	case r.Expired(o):
+	case r.RetentionExpired(o):
 		l.removePlan(run, current)
 	case len(run.joinRequests) > 0:
 		l.commitJoins(run, current, o)
@@ -217,7 +217,7 @@
 	}
 	deadline := run.since + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
 	reported := c.now.Steady >= run.since+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
-	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllAnswered()
+	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllProbed()
 }
 
 // allPlanMachinesReported tells whether each machine with a task of a plan has sent a heartbeat in this term.
@@ -272,14 +272,14 @@
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
 	o := &rollout.Observation{
-		NowMS:          c.now.WallMS,
-		ClockErrorMS:   c.clockError().Milliseconds(),
-		Reconciled:     run.reconciled,
-		Jobs:           map[string]rollout.Job{},
-		Revalidated:    run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
-		FailedCheck:    run.validations.FailedCheck(),
-		NewServes:      true,
-		RoutersMissing: true,
+		NowMS:              c.now.WallMS,
+		ClockErrorMS:       c.clockError().Milliseconds(),
+		Reconciled:         run.reconciled,
+		Jobs:               map[string]rollout.Job{},
+		Revalidated:        run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
+		FailedCheck:        run.validations.FailedCheck(),
+		NewReceivesTraffic: true,
+		RoutersOutdated:    true,
 	}
 	for _, id := range r.Plan.Old.Jobs {
 		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, true)
@@ -304,7 +304,7 @@
 	if e == nil {
 		_, ended := l.core.cache.FinalState(id)
 		over := wasAccepted || ended
-		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
+		return rollout.Job{Accepted: over, Cancelled: over, Ended: over}
 	}
 	if !planMatchesJob(plan, e.Spec) {
 		return rollout.Job{}
@@ -315,7 +315,7 @@
 // mayRoute tells whether enough is known for a routing. A rollback does not wait for validations once as much of the old
 // version runs as can serve: the sooner traffic returns to it, the fewer wrong answers.
 func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
-	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
+	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldCapacityRunning(o)
 }
 
 // route updates a plan's routing by the validations of its replicas.
@@ -324,9 +324,9 @@
 	if !run.reconciled {
 		capacity.New = 0 // the old version runs, though it is not validated yet
 	}
-	routing := rollout.RoutingOf(r, capacity, run.validations.States(c.now.Steady))
+	routing := rollout.ComputeRouting(r, capacity, run.validations.States(c.now.Steady))
 	routing.Generation = run.routing.Generation
-	if routing.Generation.Revision > 0 && routing.SameAs(&run.routing) {
+	if routing.Generation.Revision > 0 && routing.SameWeights(&run.routing) {
 		return
 	}
 	routing.Generation.Revision++
@@ -338,15 +338,15 @@
 // probeReplicas probes the replicas that are due.
 func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
 	m := l.rollouts
-	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
+	for _, probe := range run.validations.DueProbes(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
 		m.probesInFlight++
 		id := l.registerCall(func(r Result) {
 			m.probesInFlight--
 			if r.Outcome == outcome.Dropped {
-				run.validations.NotSent(probe.Replica)
+				run.validations.ProbeNotSent(probe.Replica)
 				return
 			}
-			run.validations.Observe(probe.Replica, r.Probe, l.core.now.Steady)
+			run.validations.RecordResult(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Passed {
 				l.core.log(Debug, "replica not validated", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
@@ -403,7 +403,7 @@
 	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
-		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
+		"routers", len(run.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
 // applyPlanWriteResult takes in the result of a write of a plan; value is nil if it removes the plan.
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -332,6 +332,6 @@
 	o := l.observeRollout(run, current.Record)
 	status.Reconciled, status.Capacity, status.Routing = run.reconciled, current.Record.Plan.CapacityOf(o), run.routing
 	status.Replicas = run.validations.States(l.core.now.Steady)
-	status.Routers = run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)
+	status.Routers = run.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
 }
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -111,7 +111,7 @@
 func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Reconciled {
-		known = o.Routers
+		known = o.ActiveRouters
 	}
 	for len(run.joinRequests) > 0 {
 		var names []string
@@ -149,8 +149,8 @@
 	if !run.reconciled {
 		return
 	}
-	o.NewServes = run.routing.NewServes()
+	o.NewReceivesTraffic = run.routing.NewReceivesTraffic()
 	o.RoutersCurrent = run.routers.AllCurrent(generation, now)
-	o.Routers = run.routers.Present(r.Routers, goneAfter, now)
-	o.RoutersMissing = run.routers.Missing(o.Routers, generation, goneAfter, now)
+	o.ActiveRouters = run.routers.Active(r.Routers, goneAfter, now)
+	o.RoutersOutdated = run.routers.AnyOutdated(o.ActiveRouters, generation, goneAfter, now)
 }
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -149,7 +149,7 @@
 	world := newRolloutWorld(t)
 	world.start()
 	other := &rollout.Plan{Name: "writer", Team: "t2", PromisedCapacity: 10, Checks: world.plan.Checks, Limits: world.plan.Limits,
-		Old: rollout.Fleet{Jobs: []string{"run-000101"}, ReplicaCapacity: 10}, New: rollout.Fleet{Jobs: []string{"run-000111"}, ReplicaCapacity: 10},
+		Old: rollout.VersionSpec{Jobs: []string{"run-000101"}, ReplicaCapacity: 10}, New: rollout.VersionSpec{Jobs: []string{"run-000111"}, ReplicaCapacity: 10},
 		Steps: []rollout.Step{{Jobs: []string{"run-000111"}, Share: 1, BakeS: 1}}}
 	world.submitAt(world.nodes[0], replicaJob("run-000101", "t2"))
 	world.advance(8 * time.Second)
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -74,7 +74,7 @@
 	cluster.restart()
 	cluster.addMachines(8, "z1", "z2")
 	cluster.runFor(4 * time.Second)
-	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.Fleet{ReplicaCapacity: 10}, New: rollout.Fleet{ReplicaCapacity: 10}, PromisedCapacity: 30,
+	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.VersionSpec{ReplicaCapacity: 10}, New: rollout.VersionSpec{ReplicaCapacity: 10}, PromisedCapacity: 30,
 		Checks: []rollout.Check{{Name: "sum", Request: json.RawMessage(`{}`), Expected: json.RawMessage(`1`), Script: "-"},
 			{Name: "as before", Request: json.RawMessage(`{}`), CompareWithOld: true, Script: "-"}},
 		Limits: rollout.Limits{WaitS: 60, UnreachableS: 20, RouterGoneS: 20, KeepS: 30}}
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -98,7 +98,7 @@
 func (l *leader) settleCycleBudget(spent int, completed bool) {
 	l.cycles.evaluationsLeft -= float64(spent)
 	l.cycles.evaluationsSpent += spent
-	l.core.evaluationCost.Spend(spent)
+	l.core.evaluationCost.CountEvaluations(spent)
 	if completed {
 		return
 	}
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -23,7 +23,7 @@
 			c.sizeWarnings.logged = map[string]bool{}
 		}
 		c.sizeWarnings.logged[short.Field] = true
-		c.log(Info, "setting too small for fleet size", "field", short.Field, "value", short.Value, "minimum", short.Least,
+		c.log(Info, "setting too small for fleet size", "field", short.Field, "value", short.Value, "minimum", short.Minimum,
 			"workers", machines, "effect", short.Effect)
 	}
 }
--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -104,8 +104,8 @@
 // plan gives the plan of a model. In steps, one job comes into service at a time, with its share of the traffic.
 func (m *Model) plan(model int, team string) ([]byte, error) {
 	plan := rollout.Plan{Name: m.Name, Team: team, PromisedCapacity: m.Promised,
-		Old: rollout.Fleet{Jobs: m.jobIDs(model, rollout.OldVersion), ReplicaCapacity: m.ReplicaCapacity},
-		New: rollout.Fleet{Jobs: m.jobIDs(model, rollout.NewVersion), ReplicaCapacity: m.ReplicaCapacity},
+		Old: rollout.VersionSpec{Jobs: m.jobIDs(model, rollout.OldVersion), ReplicaCapacity: m.ReplicaCapacity},
+		New: rollout.VersionSpec{Jobs: m.jobIDs(model, rollout.NewVersion), ReplicaCapacity: m.ReplicaCapacity},
 		Checks: []rollout.Check{
 			{Name: "given", Request: json.RawMessage(`{"model":"m","prompt":"border post"}`), Expected: json.RawMessage(`"BORDER POST"`), Script: givenScript},
 			{Name: "as before", Request: json.RawMessage(`{"model":"m","prompt":"goods code"}`), CompareWithOld: true, Script: compareScript}},
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -36,22 +36,22 @@
 
 // Prober probes replicas.
 type Prober struct {
-	http *http.Client
+	client *http.Client
 
 	mu       sync.Mutex
 	compiled map[string]*responsecheck.Check // by script; nil: it does not compile
 }
 
 // New makes a prober with so many connections at most.
-func New(connections int) *Prober {
+func New(maxConnections int) *Prober {
 	transport := &http.Transport{
-		MaxIdleConns:        connections,
-		MaxConnsPerHost:     connections,
+		MaxIdleConns:        maxConnections,
+		MaxConnsPerHost:     maxConnections,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	return &Prober{compiled: map[string]*responsecheck.Check{}, http: &http.Client{Transport: transport}}
+	return &Prober{compiled: map[string]*responsecheck.Check{}, client: &http.Client{Transport: transport}}
 }
 
 // errUnreachable says that a replica gave no usable response.
@@ -90,7 +90,7 @@
 			return rollout.NotCompared
 		}
 	}
-	compiled := p.compile(check.Script)
+	compiled := p.compiledCheck(check.Script)
 	if compiled == nil {
 		return rollout.NotValidated
 	}
@@ -106,12 +106,12 @@
 	return rollout.Passed
 }
 
-// compile returns a compiled check; nil if it does not compile.
-func (p *Prober) compile(script string) *responsecheck.Check {
+// compiledCheck returns a compiled check; nil if it does not compile.
+func (p *Prober) compiledCheck(script string) *responsecheck.Check {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	compiled, known := p.compiled[script]
-	if !known {
+	compiled, cached := p.compiled[script]
+	if !cached {
 		if len(p.compiled) >= maxCompiledChecks {
 			clear(p.compiled)
 		}
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := p.http.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -15,10 +15,10 @@
 	"bitternwing/internal/simmodelserver"
 )
 
-// everywhere serves some tasks at any address.
-type everywhere map[string]bool
+// taskSet serves some tasks at any address.
+type taskSet map[string]bool
 
-func (e everywhere) Serves(_, task string) bool { return e[task] }
+func (e taskSet) Serves(_, task string) bool { return e[task] }
 
 // TestProbe gets each verdict.
 func TestProbe(t *testing.T) {
@@ -26,20 +26,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := simmodelserver.New(l, everywhere{"run-000001/0": true, "run-000011/0": true})
+	server := simmodelserver.New(l, taskSet{"run-000001/0": true, "run-000011/0": true})
 	defer server.Close()
-	old := rollout.Replica{Task: "run-000001/0", Address: l.Addr().String(), Version: rollout.OldVersion}
-	fresh := rollout.Replica{Task: "run-000011/0", Address: l.Addr().String(), Version: rollout.NewVersion}
-	gone := rollout.Replica{Task: "run-000012/0", Address: l.Addr().String(), Version: rollout.NewVersion}
+	oldReplica := rollout.Replica{Task: "run-000001/0", Address: l.Addr().String(), Version: rollout.OldVersion}
+	newReplica := rollout.Replica{Task: "run-000011/0", Address: l.Addr().String(), Version: rollout.NewVersion}
+	missingReplica := rollout.Replica{Task: "run-000012/0", Address: l.Addr().String(), Version: rollout.NewVersion}
 	script := func(body string) string {
 		return "def check(request, answer, expected):\n  " + body
 	}
-	given := rollout.Check{Name: "given", Request: json.RawMessage(`{"prompt":"ab"}`), Expected: json.RawMessage(`"AB"`),
+	matchesExpected := rollout.Check{Name: "given", Request: json.RawMessage(`{"prompt":"ab"}`), Expected: json.RawMessage(`"AB"`),
 		Script: script("return answer['choices'][0]['text'] == expected")}
-	compared := rollout.Check{Name: "compared", Request: given.Request, CompareWithOld: true, Script: script("return answer['choices'] == expected['choices']")}
-	fails := rollout.Check{Name: "fails", Request: given.Request, Expected: given.Expected, Script: script("fail('no')")}
-	hangs := rollout.Check{Name: "hangs", Request: given.Request, Expected: given.Expected, Script: script("while True:\n    pass")}
-	broken := rollout.Check{Name: "broken", Request: given.Request, Expected: given.Expected, Script: "def"}
+	matchesOld := rollout.Check{Name: "compared", Request: matchesExpected.Request, CompareWithOld: true, Script: script("return answer['choices'] == expected['choices']")}
+	raisesError := rollout.Check{Name: "fails", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: script("fail('no')")}
+	neverEnds := rollout.Check{Name: "hangs", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: script("while True:\n    pass")}
+	doesNotCompile := rollout.Check{Name: "broken", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: "def"}
 	for _, x := range []struct {
 		name   string
 		probe  rollout.Probe
@@ -47,17 +47,17 @@
 		wrong  string // the task that responds wrongly
 		want   rollout.ProbeResult
 	}{
-		{"healthy", rollout.Probe{Replica: old}, nil, "", rollout.ProbeResult{Verdict: rollout.Passed}},
-		{"gone", rollout.Probe{Replica: gone}, nil, "", rollout.ProbeResult{Verdict: rollout.NotReached}},
-		{"right", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{given, compared}, "", rollout.ProbeResult{Verdict: rollout.Passed}},
-		{"wrong", rollout.Probe{Replica: fresh}, []rollout.Check{given}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
-		{"unlike the old one", rollout.Probe{Replica: fresh, Reference: &old}, []rollout.Check{compared}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "compared"}},
-		{"nothing to compare with", rollout.Probe{Replica: fresh}, []rollout.Check{compared}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the old one is gone", rollout.Probe{Replica: fresh, Reference: &gone}, []rollout.Check{compared}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the check fails", rollout.Probe{Replica: fresh}, []rollout.Check{given, fails}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "fails"}},
-		{"the check hangs", rollout.Probe{Replica: fresh}, []rollout.Check{hangs, given}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "hangs"}},
-		{"no check", rollout.Probe{Replica: fresh}, []rollout.Check{broken}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
-		{"wrong counts more", rollout.Probe{Replica: fresh}, []rollout.Check{fails, given}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
+		{"healthy", rollout.Probe{Replica: oldReplica}, nil, "", rollout.ProbeResult{Verdict: rollout.Passed}},
+		{"gone", rollout.Probe{Replica: missingReplica}, nil, "", rollout.ProbeResult{Verdict: rollout.NotReached}},
+		{"right", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesExpected, matchesOld}, "", rollout.ProbeResult{Verdict: rollout.Passed}},
+		{"wrong", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
+		{"unlike the old one", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesOld}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "compared"}},
+		{"nothing to compare with", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"the old one is gone", rollout.Probe{Replica: newReplica, Reference: &missingReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"the check fails", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected, raisesError}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "fails"}},
+		{"the check hangs", rollout.Probe{Replica: newReplica}, []rollout.Check{neverEnds, matchesExpected}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "hangs"}},
+		{"no check", rollout.Probe{Replica: newReplica}, []rollout.Check{doesNotCompile}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
+		{"wrong counts more", rollout.Probe{Replica: newReplica}, []rollout.Check{raisesError, matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
 	} {
 		server.SetWrong(func(task string, _ int64) bool { return task == x.wrong })
 		if got := probe.New(4).Probe(context.Background(), x.probe, x.checks); got != x.want {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestSlowServer has a model server that never responds: it is not reached, and the probe ends with its context.
-func TestSlowServer(t *testing.T) {
+// TestUnresponsiveServer has a model server that never responds: it is not reached, and the probe ends with its context.
+func TestUnresponsiveServer(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer server.Close()
--- a/internal/responsecheck/check.go
+++ b/internal/responsecheck/check.go
@@ -23,18 +23,18 @@
 // Check is a compiled check.
 type Check struct{ program *starlark.Program }
 
-// options allow what a bounded computation may use.
-var options = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
+// fileOptions allow what a bounded computation may use.
+var fileOptions = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
 
 // Compile compiles a check. The error is one line.
 func Compile(script string) (*Check, error) {
 	predeclared := func(string) bool { return false }
-	_, program, err := starlark.SourceProgramOptions(options, "check.star", script, predeclared)
+	_, program, err := starlark.SourceProgramOptions(fileOptions, "check.star", script, predeclared)
 	if err != nil {
 		return nil, fmt.Errorf("does not compile: %w", err)
 	}
 	c := &Check{program}
-	if _, err := c.function(newThread()); err != nil {
+	if _, err := c.checkFunction(newThread()); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -46,8 +46,8 @@
 	return thread
 }
 
-// function runs the script and gives the function that it defines.
-func (c *Check) function(thread *starlark.Thread) (starlark.Callable, error) {
+// checkFunction runs the script and gives the function that it defines.
+func (c *Check) checkFunction(thread *starlark.Thread) (starlark.Callable, error) {
 	globals, err := c.program.Init(thread, nil)
 	if err != nil {
 		return nil, fmt.Errorf("does not run: %w", err)
@@ -68,7 +68,7 @@
 	thread := newThread()
 	stop := context.AfterFunc(ctx, func() { thread.Cancel("it took too long") })
 	defer stop()
-	function, err := c.function(thread)
+	function, err := c.checkFunction(thread)
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
--- a/internal/responsecheck/check_test.go
+++ b/internal/responsecheck/check_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestTime has a check end with its context, whatever it does.
-func TestTime(t *testing.T) {
+// TestContextEnd has a check end with its context, whatever it does.
+func TestContextEnd(t *testing.T) {
 	c, err := Compile("def check(request, answer, expected):\n  while True:\n    pass")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -11,39 +11,39 @@
 	FailedCheck string
 	// RoutersCurrent tells that each router has the current routing, or that its lease has expired.
 	RoutersCurrent bool
-	// NewServes tells whether the current routing sends traffic to the new version.
-	NewServes bool
+	// NewReceivesTraffic tells whether the current routing sends traffic to the new version.
+	NewReceivesTraffic bool
 	// Revalidated tells that each replica of the new version was probed after the phase began, and passed.
 	Revalidated bool
-	// Routers are those that still request their routing.
-	Routers []string
-	// RoutersMissing tells that one of the record's routers may be alive and does not have the current routing.
-	RoutersMissing bool
+	// RouterLeases are those that still request their routing.
+	ActiveRouters []string
+	// RoutersOutdated tells that one of the record's routers may be alive and does not have the current routing.
+	RoutersOutdated bool
 }
 
 // Job is what is seen of a job.
 type Job struct {
 	Accepted  bool
 	Cancelled bool // or ended: it has no future
-	Over      bool // none of its tasks is left
+	Ended     bool // none of its tasks is left
 	Replicas  int  // that it has when all of them run
 	Running   int
 	Validated int
 }
 
-// count adds up a number over jobs.
-func (o *Observation) count(jobs []string, of func(Job) int) int {
+// sum adds up a number over jobs.
+func (o *Observation) sum(jobs []string, value func(Job) int) int {
 	n := 0
 	for _, id := range jobs {
-		n += of(o.Jobs[id])
+		n += value(o.Jobs[id])
 	}
 	return n
 }
 
-// all tells whether a condition holds for all of some jobs.
-func (o *Observation) all(jobs []string, of func(Job) bool) bool {
+// allJobs tells whether a condition holds for all of some jobs.
+func (o *Observation) allJobs(jobs []string, condition func(Job) bool) bool {
 	for _, id := range jobs {
-		if !of(o.Jobs[id]) {
+		if !condition(o.Jobs[id]) {
 			return false
 		}
 	}
@@ -56,14 +56,16 @@
 	Promised float64 // that the rollout has to keep
 }
 
-// tolerance is for sums of capacities.
-const tolerance = 1e-9
+// roundingTolerance is for sums of capacities.
+const roundingTolerance = 1e-9
 
 // oldSufficient tells whether the old version can serve all of the promised capacity.
-func (c Capacity) oldSufficient() bool { return c.Old >= c.Promised-tolerance }
+func (c Capacity) oldSufficient() bool { return c.Old >= c.Promised-roundingTolerance }
 
-// newSufficient tells whether the new version can serve a share of the promised capacity.
-func (c Capacity) newSufficient(share float64) bool { return c.New >= share*c.Promised-tolerance }
+// newSufficientFor tells whether the new version can serve a share of the promised capacity.
+func (c Capacity) newSufficientFor(share float64) bool {
+	return c.New >= share*c.Promised-roundingTolerance
+}
 
 // CapacityOf adds up the capacity of a plan's versions. What is promised is what the plan says, as far as its owner has not
 // cancelled the old jobs that serve it.
@@ -76,16 +78,16 @@
 		return j.Replicas
 	}
 	return Capacity{
-		Old:      p.Old.ReplicaCapacity * float64(o.count(p.Old.Jobs, validated)),
-		New:      p.New.ReplicaCapacity * float64(o.count(p.New.Jobs, validated)),
-		Promised: min(p.PromisedCapacity, p.Old.ReplicaCapacity*float64(o.count(p.Old.Jobs, remaining))),
+		Old:      p.Old.ReplicaCapacity * float64(o.sum(p.Old.Jobs, validated)),
+		New:      p.New.ReplicaCapacity * float64(o.sum(p.New.Jobs, validated)),
+		Promised: min(p.PromisedCapacity, p.Old.ReplicaCapacity*float64(o.sum(p.Old.Jobs, remaining))),
 	}
 }
 
-// OldRuns tells whether as many replicas of the old version run as the promised capacity takes, validated or not.
-func (p *Plan) OldRuns(o *Observation) bool {
-	running := o.count(p.Old.Jobs, func(j Job) int { return j.Running })
-	return p.Old.ReplicaCapacity*float64(running) >= p.CapacityOf(o).Promised-tolerance
+// OldCapacityRunning tells whether as many replicas of the old version run as the promised capacity takes, validated or not.
+func (p *Plan) OldCapacityRunning(o *Observation) bool {
+	running := o.sum(p.Old.Jobs, func(j Job) int { return j.Running })
+	return p.Old.ReplicaCapacity*float64(running) >= p.CapacityOf(o).Promised-roundingTolerance
 }
 
 // NewShare gives the share of traffic for the new version that is closest to a target, such that neither version gets more
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -18,10 +18,10 @@
 
 // Plan says how a model's new version is to replace its old one.
 type Plan struct {
-	Name string `json:"name"`
-	Team string `json:"team"`
-	Old  Fleet  `json:"old"`
-	New  Fleet  `json:"new"`
+	Name string      `json:"name"`
+	Team string      `json:"team"`
+	Old  VersionSpec `json:"old"`
+	New  VersionSpec `json:"new"`
 	// PromisedCapacity is what the rollout keeps available at any time, in the unit of replica_capacity.
 	PromisedCapacity float64 `json:"promised_capacity"`
 	Steps            []Step  `json:"steps"`
@@ -29,8 +29,8 @@
 	Limits           Limits  `json:"limits"`
 }
 
-// Fleet is the jobs that serve a version of a model.
-type Fleet struct {
+// VersionSpec is the jobs that serve a version of a model.
+type VersionSpec struct {
 	Jobs            []string `json:"jobs"`
 	ReplicaCapacity float64  `json:"replica_capacity"` // of one task
 }
@@ -91,31 +91,31 @@
 	if err := json.Unmarshal(data, plan); err != nil {
 		return nil, err
 	}
-	return plan, plan.check()
+	return plan, plan.validate()
 }
 
-// check checks what the schema can't express.
-func (p *Plan) check() error {
-	for _, step := range []func() error{p.checkJobs, p.checkSteps, p.checkChecks} {
-		if err := step(); err != nil {
+// validate checks what the schema can't express.
+func (p *Plan) validate() error {
+	for _, validate := range []func() error{p.validateJobs, p.validateSteps, p.validateChecks} {
+		if err := validate(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Plan) checkJobs() error {
+func (p *Plan) validateJobs() error {
 	seen := map[string]bool{}
-	for _, fleet := range []struct {
+	for _, version := range []struct {
 		name string
 		jobs []string
 	}{{"old", p.Old.Jobs}, {"new", p.New.Jobs}} {
-		for i, id := range fleet.jobs {
+		for i, id := range version.jobs {
 			switch {
 			case !wire.ValidJobID(id):
-				return fieldError("is no job id", "/%s/jobs/%d", fleet.name, i)
+				return fieldError("is no job id", "/%s/jobs/%d", version.name, i)
 			case seen[id]:
-				return fieldError("is named twice", "/%s/jobs/%d", fleet.name, i)
+				return fieldError("is named twice", "/%s/jobs/%d", version.name, i)
 			}
 			seen[id] = true
 		}
@@ -123,13 +123,13 @@
 	return nil
 }
 
-func (p *Plan) checkSteps() error {
-	share, used := 0.0, map[string]bool{}
+func (p *Plan) validateSteps() error {
+	previousShare, used := 0.0, map[string]bool{}
 	for i, step := range p.Steps {
-		if step.Share < share {
+		if step.Share < previousShare {
 			return fieldError("is less than that of the step before", "/steps/%d/share", i)
 		}
-		share = step.Share
+		previousShare = step.Share
 		for k, id := range step.Jobs {
 			switch {
 			case !slices.Contains(p.New.Jobs, id):
@@ -140,7 +140,7 @@
 			used[id] = true
 		}
 	}
-	if share != 1 {
+	if previousShare != 1 {
 		return fieldError("must be 1 in the last step", "/steps/%d/share", len(p.Steps)-1)
 	}
 	for i, id := range p.New.Jobs {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (p *Plan) checkChecks() error {
+func (p *Plan) validateChecks() error {
 	names := map[string]bool{}
 	for i, c := range p.Checks {
 		switch {
@@ -173,7 +173,7 @@
 	return slices.IndexFunc(p.Steps, func(s Step) bool { return slices.Contains(s.Jobs, id) })
 }
 
-// CheckError says that the script of a check is invalid.
-func CheckError(index int, problem error) error {
+// ScriptError says that the script of a check is invalid.
+func ScriptError(index int, problem error) error {
 	return fieldError(problem.Error(), "/checks/%d/script", index)
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -49,7 +49,7 @@
 	Detail string `json:"detail,omitempty"`
 	// PausedMS is the Unix time in milliseconds since when the plan is paused; 0: it is not.
 	PausedMS int64 `json:"paused,omitempty"`
-	// Routers are all that may have been granted a routing, without those that were gone at an earlier write. They have
+	// RouterLeases are all that may have been granted a routing, without those that were gone at an earlier write. They have
 	// to have the routing of completion before the old version is retired.
 	Routers []string `json:"routers,omitempty"`
 }
@@ -86,16 +86,16 @@
 	return false
 }
 
-// Over tells whether a plan has ended.
-func (p Phase) Over() bool { return p == Completed || p == RolledBack }
+// Terminal tells whether a plan has ended.
+func (p Phase) Terminal() bool { return p == Completed || p == RolledBack }
 
-// final tells whether a plan can't be rolled back any more, or is being rolled back.
-func (p Phase) final() bool {
+// outcomeDecided tells whether a plan can't be rolled back any more, or is being rolled back.
+func (p Phase) outcomeDecided() bool {
 	return p == Retiring || p == Completed || p == RollingBack || p == RolledBack
 }
 
-// Holds tells whether a job may not be started: it is a new one whose step has not begun, or the plan is rolled back.
-func (r *Record) Holds(job string) bool {
+// BlocksStart tells whether a job may not be started: it is a new one whose step has not begun, or the plan is rolled back.
+func (r *Record) BlocksStart(job string) bool {
 	step := r.Plan.stepOf(job)
 	if step < 0 {
 		return false
@@ -118,17 +118,17 @@
 	return slices.DeleteFunc(slices.Clone(r.Plan.Checks), func(c Check) bool { return c.CompareWithOld })
 }
 
-// inPhase gives the record in another phase.
-func (r *Record) inPhase(phase Phase, nowMS int64) *Record {
+// withPhase gives the record in another phase.
+func (r *Record) withPhase(phase Phase, nowMS int64) *Record {
 	next := *r
 	next.Phase, next.SinceMS = phase, nowMS
 	return &next
 }
 
 // WithRouters gives the record with these routers: those that are known, and some that join.
-func (r *Record) WithRouters(known, joining []string) *Record {
+func (r *Record) WithRouters(recorded, joining []string) *Record {
 	next := *r
-	next.Routers = slices.Concat(known, joining)
+	next.Routers = slices.Concat(recorded, joining)
 	slices.Sort(next.Routers)
 	next.Routers = slices.Compact(next.Routers)
 	return &next
@@ -136,7 +136,7 @@
 
 // rollBack gives the record in the phase RollingBack.
 func (r *Record) rollBack(reason Reason, detail string, nowMS int64) *Record {
-	next := r.inPhase(RollingBack, nowMS)
+	next := r.withPhase(RollingBack, nowMS)
 	next.Reason, next.Detail = reason, detail
 	next.Share, next.PausedMS = 0, 0
 	return next
@@ -153,9 +153,9 @@
 )
 
 // RefusedError says why a plan can't be changed.
-type RefusedError struct{ Why string }
+type RefusedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return e.Why }
+func (e *RefusedError) Error() string { return e.Reason }
 
 // Change gives the record after a change; the same one if nothing changes.
 func (r *Record) Change(change Change, nowMS int64) (*Record, error) {
@@ -163,11 +163,11 @@
 	switch {
 	case change == Abort && (r.Phase == RollingBack || r.Phase == RolledBack):
 		return r, nil
-	case change == Abort && r.Phase.final():
+	case change == Abort && r.Phase.outcomeDecided():
 		return nil, &RefusedError{fmt.Sprintf("the plan is %s: the old version is being cancelled", r.Phase)}
 	case change == Abort:
 		return r.rollBack(Aborted, "", nowMS), nil
-	case r.Phase.final():
+	case r.Phase.outcomeDecided():
 		return nil, &RefusedError{fmt.Sprintf("the plan is %s", r.Phase)}
 	case change == Pause && r.PausedMS == 0:
 		next.PausedMS = nowMS
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-const goodPlan = `{"name":"reader-v2","team":"vision","old":{"jobs":["run-000001","run-000002"],"replica_capacity":10},
+const validPlan = `{"name":"reader-v2","team":"vision","old":{"jobs":["run-000001","run-000002"],"replica_capacity":10},
  "new":{"jobs":["run-000011","run-000012"],"replica_capacity":10},"promised_capacity":30,
  "steps":[{"jobs":["run-000011"],"share":0.25,"bake_s":20},{"jobs":["run-000012"],"share":1,"bake_s":30}],
  "checks":[{"name":"sum","request":{"prompt":"2+2"},"expected":"4","script":"def check(request, answer, expected):\n  return answer == expected"}],
  "limits":{"wait_s":100,"unreachable_s":30,"router_gone_s":60,"keep_s":600}}`
 
-// TestBadPlans names the field of each mistake.
-func TestBadPlans(t *testing.T) {
-	if _, err := ParsePlan([]byte(goodPlan), 4096); err != nil {
+// TestInvalidPlans names the field of each mistake.
+func TestInvalidPlans(t *testing.T) {
+	if _, err := ParsePlan([]byte(validPlan), 4096); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct{ from, to, field string }{
@@ -38,8 +38,8 @@
 		{`"expected":"4",`, ``, "/checks/0/expected"},
 		{`"expected":"4",`, `"expected":"4","compare_with_old":true,`, "/checks/0/expected"},
 	} {
-		text := strings.Replace(goodPlan, x.from, x.to, 1)
-		if text == goodPlan {
+		text := strings.Replace(validPlan, x.from, x.to, 1)
+		if text == validPlan {
 			t.Fatalf("%s is not in the plan", x.from)
 		}
 		_, err := ParsePlan([]byte(text), 4096)
@@ -48,27 +48,27 @@
 		}
 	}
 	var field *FieldError
-	if _, err := ParsePlan([]byte(goodPlan), 100); !errors.As(err, &field) || field.Field != "/" {
+	if _, err := ParsePlan([]byte(validPlan), 100); !errors.As(err, &field) || field.Field != "/" {
 		t.Errorf("a plan that is too large: %v", err)
 	}
 }
 
-func plan(tb testing.TB) *Plan {
+func parseValidPlan(tb testing.TB) *Plan {
 	tb.Helper()
-	p, err := ParsePlan([]byte(goodPlan), 4096)
+	p, err := ParsePlan([]byte(validPlan), 4096)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return p
 }
 
-// healthy is an observation in which all replicas of both versions run and are validated, the new version's as far as its
+// healthyObservation is an observation in which all replicas of both versions run and are validated, the new version's as far as its
 // steps have begun.
-func healthy(r *Record) *Observation {
+func healthyObservation(r *Record) *Observation {
 	o := &Observation{NowMS: r.SinceMS, Reconciled: true, Jobs: map[string]Job{}, RoutersCurrent: true, Revalidated: true}
 	for _, id := range r.Plan.Jobs() {
 		j := Job{Accepted: true, Replicas: 2}
-		if !r.Holds(id) {
+		if !r.BlocksStart(id) {
 			j.Running, j.Validated = 2, 2
 		}
 		o.Jobs[id] = j
@@ -76,18 +76,18 @@
 	return o
 }
 
-// follow applies transitions until the plan stays, or reaches a phase of a step.
-func follow(t *testing.T, r *Record, phase Phase, step int) *Record {
+// advanceTo applies transitions until the plan stays, or reaches a phase of a step.
+func advanceTo(t *testing.T, r *Record, phase Phase, step int) *Record {
 	t.Helper()
 	for range 50 {
 		if r.Phase == phase && r.Step == step {
 			return r
 		}
-		o := healthy(r)
+		o := healthyObservation(r)
 		o.NowMS += 40_000
 		if r.Phase == Retiring {
 			for _, id := range r.Plan.Old.Jobs {
-				o.Jobs[id] = Job{Accepted: true, Replicas: 2, Cancelled: true, Over: true}
+				o.Jobs[id] = Job{Accepted: true, Replicas: 2, Cancelled: true, Ended: true}
 			}
 		}
 		next := r.Next(o)
@@ -102,29 +102,29 @@
 
 // TestPhases walks through a plan without trouble.
 func TestPhases(t *testing.T) {
-	r := NewRecord(plan(t), 0)
-	var walked []string
+	r := NewRecord(parseValidPlan(t), 0)
+	var visited []string
 	for r.Phase != Completed {
-		walked = append(walked, fmt.Sprintf("%s %d %g", r.Phase, r.Step, r.TargetShare()))
-		o := healthy(r)
+		visited = append(visited, fmt.Sprintf("%s %d %g", r.Phase, r.Step, r.TargetShare()))
+		o := healthyObservation(r)
 		o.NowMS += 40_000
 		if r.Phase == Retiring {
 			for _, id := range r.Plan.Old.Jobs {
-				o.Jobs[id] = Job{Accepted: true, Replicas: 2, Cancelled: true, Over: true}
+				o.Jobs[id] = Job{Accepted: true, Replicas: 2, Cancelled: true, Ended: true}
 			}
 		}
 		if r = r.Next(o); r == nil {
-			t.Fatal("the plan stays after", walked)
+			t.Fatal("the plan stays after", visited)
 		}
 	}
 	want := "pending 0 0, starting 0 0, checking 0 0, shifting 0 0.25, baking 0 0.25, starting 1 0.25, checking 1 0.25, shifting 1 1, baking 1 1, completing 1 1, retiring 1 1"
-	if got := strings.Join(walked, ", "); got != want {
+	if got := strings.Join(visited, ", "); got != want {
 		t.Errorf("walked\n%s, not\n%s", got, want)
 	}
 }
 
-// TestFaults has something go wrong in each phase.
-func TestFaults(t *testing.T) {
+// TestFailures has something go wrong in each phase.
+func TestFailures(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		phase Phase
@@ -161,11 +161,11 @@
 		}, "", ""},
 		{"a router does not know", Shifting, 0, func(o *Observation) { o.RoutersCurrent = false }, "", ""},
 		{"not validated since all is shifted", Completing, 1, func(o *Observation) { o.Revalidated = false }, "", ""},
-		{"a router does not know of the completion", Completing, 1, func(o *Observation) { o.RoutersMissing = true }, "", ""},
+		{"a router does not know of the completion", Completing, 1, func(o *Observation) { o.RoutersOutdated = true }, "", ""},
 		{"not baked", Baking, 1, func(o *Observation) { o.NowMS += 29_000 }, "", ""},
 	} {
-		r := follow(t, NewRecord(plan(t), 0), x.phase, x.step)
-		o := healthy(r)
+		r := advanceTo(t, NewRecord(parseValidPlan(t), 0), x.phase, x.step)
+		o := healthyObservation(r)
 		x.fault(o)
 		next := r.Next(o)
 		switch {
@@ -175,21 +175,21 @@
 	}
 }
 
-// TestCancels has jobs cancelled only by a decision, and only once no router needs them.
-func TestCancels(t *testing.T) {
-	r := NewRecord(plan(t), 0)
+// TestJobsToCancel has jobs cancelled only by a decision, and only once no router needs them.
+func TestJobsToCancel(t *testing.T) {
+	r := NewRecord(parseValidPlan(t), 0)
 	for _, phase := range []Phase{Pending, Starting, Checking, Shifting, Baking, Completing} {
-		r = follow(t, r, phase, r.Step)
-		if jobs := r.Cancels(healthy(r)); len(jobs) > 0 {
+		r = advanceTo(t, r, phase, r.Step)
+		if jobs := r.JobsToCancel(healthyObservation(r)); len(jobs) > 0 {
 			t.Errorf("%s cancels %v", phase, jobs)
 		}
 		if phase == Baking && r.Step == 0 {
-			r = follow(t, r, Baking, 1)
+			r = advanceTo(t, r, Baking, 1)
 		}
 	}
-	back, err := r.Change(Abort, 0)
-	if err != nil || back.Phase != RollingBack {
-		t.Fatal(back, err)
+	rollingBack, err := r.Change(Abort, 0)
+	if err != nil || rollingBack.Phase != RollingBack {
+		t.Fatal(rollingBack, err)
 	}
 	for _, x := range []struct {
 		name   string
@@ -198,21 +198,21 @@
 	}{
 		{"routers know", func(*Observation) {}, 2},
 		{"a router does not", func(o *Observation) { o.RoutersCurrent = false }, 0},
-		{"the old version can't serve all", func(o *Observation) { o.NewServes = true }, 0},
+		{"the old version can't serve all", func(o *Observation) { o.NewReceivesTraffic = true }, 0},
 	} {
-		o := healthy(back)
+		o := healthyObservation(rollingBack)
 		x.change(o)
-		if jobs := back.Cancels(o); len(jobs) != x.want {
+		if jobs := rollingBack.JobsToCancel(o); len(jobs) != x.want {
 			t.Errorf("rolling back, %s: %v are cancelled", x.name, jobs)
 		}
 	}
-	retiring := follow(t, r, Retiring, 1)
-	o := healthy(retiring)
-	if jobs := retiring.Cancels(o); len(jobs) != 2 || jobs[0] != "run-000001" {
+	retiring := advanceTo(t, r, Retiring, 1)
+	o := healthyObservation(retiring)
+	if jobs := retiring.JobsToCancel(o); len(jobs) != 2 || jobs[0] != "run-000001" {
 		t.Errorf("retiring cancels %v", jobs)
 	}
-	o.RoutersMissing = true
-	if jobs := retiring.Cancels(o); len(jobs) > 0 {
+	o.RoutersOutdated = true
+	if jobs := retiring.JobsToCancel(o); len(jobs) > 0 {
 		t.Errorf("retiring cancels %v while a router would fall back to them", jobs)
 	}
 	if _, err := retiring.Change(Abort, 0); err == nil {
@@ -222,12 +222,12 @@
 
 // TestPause stops the clock of a phase, but not what a wrong answer brings.
 func TestPause(t *testing.T) {
-	r := follow(t, NewRecord(plan(t), 0), Checking, 0)
+	r := advanceTo(t, NewRecord(parseValidPlan(t), 0), Checking, 0)
 	paused, err := r.Change(Pause, r.SinceMS+10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := healthy(paused)
+	o := healthyObservation(paused)
 	o.NowMS += 500_000
 	if next := paused.Next(o); next != nil {
 		t.Errorf("a paused plan goes on: %+v", next)
@@ -259,91 +259,91 @@
 		{0, 0, 30, 1, 0},
 		{0, 10, 0, 1, 1},
 	} {
-		if got := (Capacity{Old: x.old, New: x.new, Promised: x.promised}).NewShare(x.aim); got < x.want-1e-9 || got > x.want+1e-9 {
-			t.Errorf("%+v: %g", x, got)
+		if share := (Capacity{Old: x.old, New: x.new, Promised: x.promised}).NewShare(x.aim); share < x.want-1e-9 || share > x.want+1e-9 {
+			t.Errorf("%+v: %g", x, share)
 		}
 	}
 }
 
-// TestProofs counts an attempt only after its own answers.
-func TestProofs(t *testing.T) {
-	p := NewValidations(time.Second)
+// TestValidations counts an attempt only after its own answers.
+func TestValidations(t *testing.T) {
+	validations := NewValidations(time.Second)
 	old := Replica{Job: "run-000001", Task: "run-000001/0", Attempt: 1, Version: OldVersion}
 	first := Replica{Job: "run-000011", Task: "run-000011/0", Attempt: 1, Version: NewVersion}
 	second := first
 	second.Attempt = 2
-	p.Track([]Replica{old, first})
-	probes := p.Due(0, 10)
-	if len(probes) != 2 || probes[1].Reference != nil || p.Validated(first, 0) || p.AllAnswered() {
+	validations.SetReplicas([]Replica{old, first})
+	probes := validations.DueProbes(0, 10)
+	if len(probes) != 2 || probes[1].Reference != nil || validations.Validated(first, 0) || validations.AllProbed() {
 		t.Fatalf("%+v", probes)
 	}
-	p.Observe(old, ProbeResult{Verdict: Passed}, 0)
-	p.Observe(first, ProbeResult{Verdict: Passed}, 0)
-	if !p.Validated(first, 0) || !p.AllAnswered() || len(p.Due(500*time.Millisecond, 10)) > 0 {
+	validations.RecordResult(old, ProbeResult{Verdict: Passed}, 0)
+	validations.RecordResult(first, ProbeResult{Verdict: Passed}, 0)
+	if !validations.Validated(first, 0) || !validations.AllProbed() || len(validations.DueProbes(500*time.Millisecond, 10)) > 0 {
 		t.Error("a passed probe does not count, or is repeated at once")
 	}
-	if probes = p.Due(time.Second, 10); len(probes) != 2 || probes[1].Reference == nil {
+	if probes = validations.DueProbes(time.Second, 10); len(probes) != 2 || probes[1].Reference == nil {
 		t.Errorf("no old replica to compare with: %+v", probes)
 	}
-	p.Track([]Replica{old, second})
-	if p.Validated(second, 0) || p.Validated(first, 0) {
+	validations.SetReplicas([]Replica{old, second})
+	if validations.Validated(second, 0) || validations.Validated(first, 0) {
 		t.Error("a restart begins with credit")
 	}
-	p.Observe(first, ProbeResult{Verdict: Failed, Check: "sum"}, time.Second)
-	if p.FailedCheck() == "" {
+	validations.RecordResult(first, ProbeResult{Verdict: Failed, Check: "sum"}, time.Second)
+	if validations.FailedCheck() == "" {
 		t.Error("a late wrong answer of an attempt that is gone is not known")
 	}
-	p.Observe(second, ProbeResult{Verdict: Passed}, time.Second)
-	if !p.Validated(second, 3*time.Second) || p.Validated(second, 4*time.Second) {
+	validations.RecordResult(second, ProbeResult{Verdict: Passed}, time.Second)
+	if !validations.Validated(second, 3*time.Second) || validations.Validated(second, 4*time.Second) {
 		t.Error("credit does not run out")
 	}
 	for _, v := range []Verdict{NotValidated, NotReached, NotCompared} {
-		p.Observe(second, ProbeResult{Verdict: v}, 5*time.Second)
-		if p.Validated(second, 5*time.Second) {
+		validations.RecordResult(second, ProbeResult{Verdict: v}, 5*time.Second)
+		if validations.Validated(second, 5*time.Second) {
 			t.Errorf("%s counts as a pass", v)
 		}
 	}
 }
 
-// TestRouters has a generation known only once each router has it or has lost its lease.
-func TestRouters(t *testing.T) {
+// TestRouterLeases has a generation known only once each router has it or has lost its lease.
+func TestRouterLeases(t *testing.T) {
 	const lease = 10 * time.Second
 	older, newer := Generation{Term: 3, Revision: 9}, Generation{Term: 4, Revision: 1}
 	if !older.Before(newer) || newer.Before(older) || newer.Before(newer) {
 		t.Fatal("generations are out of order")
 	}
-	r := NewRouters(lease, 0, 2)
-	if r.AllCurrent(newer, lease-1) || !r.AllCurrent(newer, lease) {
+	leases := NewRouterLeases(lease, 0, 2)
+	if leases.AllCurrent(newer, lease-1) || !leases.AllCurrent(newer, lease) {
 		t.Error("what an earlier leader granted is believed to be over too soon, or never")
 	}
-	r.Grant("a", older, newer, lease)
-	if r.AllCurrent(newer, lease+1) {
+	leases.Grant("a", older, newer, lease)
+	if leases.AllCurrent(newer, lease+1) {
 		t.Error("a router with an older generation is taken to know")
 	}
-	r.Grant("a", newer, newer, lease+2)
-	r.Grant("b", older, newer, lease+3)
-	if r.AllCurrent(newer, 2*lease+2) || !r.AllCurrent(newer, 2*lease+3) {
+	leases.Grant("a", newer, newer, lease+2)
+	leases.Grant("b", older, newer, lease+3)
+	if leases.AllCurrent(newer, 2*lease+2) || !leases.AllCurrent(newer, 2*lease+3) {
 		t.Error("a router's lease does not run out, or too soon")
 	}
-	if r.Grant("c", newer, newer, 2*lease) {
+	if leases.Grant("c", newer, newer, 2*lease) {
 		t.Error("there are more routers than are kept")
 	}
-	if !r.Grant("c", newer, newer, 20*lease) {
+	if !leases.Grant("c", newer, newer, 20*lease) {
 		t.Error("routers that are long gone are kept")
 	}
-	r = NewRouters(lease, 0, 2)
-	r.Grant("a", newer, newer, lease)
-	if r.Missing([]string{"a"}, newer, lease, lease) || !r.Missing([]string{"a", "b"}, newer, 5*lease, lease) || r.Missing([]string{"b"}, newer, 5*lease, 5*lease) {
+	leases = NewRouterLeases(lease, 0, 2)
+	leases.Grant("a", newer, newer, lease)
+	if leases.AnyOutdated([]string{"a"}, newer, lease, lease) || !leases.AnyOutdated([]string{"a", "b"}, newer, 5*lease, lease) || leases.AnyOutdated([]string{"b"}, newer, 5*lease, 5*lease) {
 		t.Error("which routers lack a generation is wrong")
 	}
 }
 
 // TestDecode tells a record of another version from one that is broken.
 func TestDecode(t *testing.T) {
-	if r, err := Decode([]byte(`{"plan":` + goodPlan + `,"phase":"dancing","step":0}`)); !errors.Is(err, ErrUnreadable) || r == nil || r.Holds("run-000099") {
+	if r, err := Decode([]byte(`{"plan":` + validPlan + `,"phase":"dancing","step":0}`)); !errors.Is(err, ErrUnreadable) || r == nil || r.BlocksStart("run-000099") {
 		t.Errorf("an unknown phase: %v %v", r, err)
 	}
-	for _, text := range []string{`{`, `{}`, `{"plan":` + goodPlan + `,"phase":"baking","step":7}`} {
+	for _, text := range []string{`{`, `{}`, `{"plan":` + validPlan + `,"phase":"baking","step":7}`} {
 		if r, err := Decode([]byte(text)); !errors.Is(err, ErrUnreadable) || r != nil {
 			t.Errorf("%s: %v %v", text, r, err)
 		}
--- a/internal/rollout/routing.go
+++ b/internal/rollout/routing.go
@@ -35,30 +35,30 @@
 	Fallback   []Weight   `json:"fallback"`
 }
 
-// NewServes tells whether any traffic goes to the new version.
-func (r *Routing) NewServes() bool {
+// NewReceivesTraffic tells whether any traffic goes to the new version.
+func (r *Routing) NewReceivesTraffic() bool {
 	return slices.ContainsFunc(r.Weights, func(w Weight) bool { return w.Version == NewVersion })
 }
 
-// RoutingOf gives the routing by the states of the replicas. The caller sets the generation.
-func RoutingOf(r *Record, c Capacity, states []ReplicaState) Routing {
+// ComputeRouting gives the routing by the states of the replicas. The caller sets the generation.
+func ComputeRouting(record *Record, capacity Capacity, states []ReplicaState) Routing {
 	var routing Routing
-	newShare := c.NewShare(r.TargetShare())
-	if r.Phase == Retiring || r.Phase == Completed {
+	newShare := capacity.NewShare(record.TargetShare())
+	if record.Phase == Retiring || record.Phase == Completed {
 		newShare = 1 // the old version is being retired
 	}
-	routing.Weights = append(spread(states, OldVersion, 1-newShare), spread(states, NewVersion, newShare)...)
+	routing.Weights = append(distribute(states, OldVersion, 1-newShare), distribute(states, NewVersion, newShare)...)
 	fallback := OldVersion
-	if r.Phase == Retiring || r.Phase == Completed {
+	if record.Phase == Retiring || record.Phase == Completed {
 		fallback = NewVersion
 	}
-	routing.Fallback = spread(states, fallback, 1)
+	routing.Fallback = distribute(states, fallback, 1)
 	return routing
 }
 
-// spread distributes a share of traffic equally over the validated replicas of a version; if none is validated, over those
+// distribute distributes a share of traffic equally over the validated replicas of a version; if none is validated, over those
 // that have not failed a check; and if there are none of these, over all: traffic has to go somewhere.
-func spread(states []ReplicaState, version Version, share float64) []Weight {
+func distribute(states []ReplicaState, version Version, share float64) []Weight {
 	if share <= 0 {
 		return nil
 	}
@@ -83,84 +83,84 @@
 	return pick(func(ReplicaState) bool { return true })
 }
 
-// SameAs tells whether two routings differ in nothing but their generation.
-func (r *Routing) SameAs(other *Routing) bool {
+// SameWeights tells whether two routings differ in nothing but their generation.
+func (r *Routing) SameWeights(other *Routing) bool {
 	return slices.Equal(r.Weights, other.Weights) && slices.Equal(r.Fallback, other.Fallback)
 }
 
-// Routers keeps the leases of routers, in a leader's memory. What an earlier leader granted is not known, but has expired a
+// RouterLeases keeps the leases of routers, in a leader's memory. What an earlier leader granted is not known, but has expired a
 // lease after this one began.
-type Routers struct {
-	lease   time.Duration // as granted, plus the clock drift
-	since   time.Duration // when this leader began
-	limit   int           // of the number of routers
-	routers map[string]*routerLease
+type RouterLeases struct {
+	duration   time.Duration // as granted, plus the clock drift
+	since      time.Duration // when this leader began
+	maxRouters int           // of the number of routers
+	byRouter   map[string]*routerLease
 }
 
 // routerLease is the lease of a router.
 type routerLease struct {
 	granted     Generation
 	confirmed   Generation
-	until       time.Duration
+	expiresAt   time.Duration
 	requestedAt time.Duration
 }
 
-// NewRouters makes the leases of a leader that begins now, for at most limit routers.
-func NewRouters(lease, now time.Duration, limit int) *Routers {
-	return &Routers{lease: lease, since: now, limit: limit, routers: map[string]*routerLease{}}
+// NewRouterLeases makes the leases of a leader that begins now, for at most limit routers.
+func NewRouterLeases(lease, now time.Duration, limit int) *RouterLeases {
+	return &RouterLeases{duration: lease, since: now, maxRouters: limit, byRouter: map[string]*routerLease{}}
 }
 
 // Grant renews a router's lease on a routing and notes which one the router has confirmed. It returns false if there are too
 // many routers.
-func (t *Routers) Grant(name string, confirmed, granted Generation, now time.Duration) bool {
-	x := t.routers[name]
-	if x == nil {
-		t.drop(now)
-		if len(t.routers) >= t.limit {
+func (l *RouterLeases) Grant(name string, confirmed, granted Generation, now time.Duration) bool {
+	lease := l.byRouter[name]
+	if lease == nil {
+		l.evictIdle(now)
+		if len(l.byRouter) >= l.maxRouters {
 			return false
 		}
-		x = &routerLease{}
-		t.routers[name] = x
+		lease = &routerLease{}
+		l.byRouter[name] = lease
 	}
-	x.confirmed, x.granted = confirmed, granted
-	x.until, x.requestedAt = now+t.lease, now
+	lease.confirmed, lease.granted = confirmed, granted
+	lease.expiresAt, lease.requestedAt = now+l.duration, now
 	return true
 }
 
-// forgetLeases is after how many leases without a request a router is forgotten to make space for others.
-const forgetLeases = 10
+// evictAfterLeases is after how many leases without a request a router is forgotten to make space for others.
+const evictAfterLeases = 10
 
-func (t *Routers) drop(now time.Duration) {
-	if len(t.routers) < t.limit {
+func (l *RouterLeases) evictIdle(now time.Duration) {
+	if len(l.byRouter) < l.maxRouters {
 		return
 	}
-	for name, x := range t.routers {
-		if now > x.requestedAt+forgetLeases*t.lease {
-			delete(t.routers, name)
+	for name, lease := range l.byRouter {
+		if now > lease.requestedAt+evictAfterLeases*l.duration {
+			delete(l.byRouter, name)
 		}
 	}
 }
 
 // AllCurrent tells whether each router has a routing no older than this one, or its lease has expired.
-func (t *Routers) AllCurrent(g Generation, now time.Duration) bool {
-	if now < t.since+t.lease {
+func (l *RouterLeases) AllCurrent(g Generation, now time.Duration) bool {
+	if now < l.since+l.duration {
 		return false // a lease of an earlier leader may not have expired
 	}
-	for _, x := range t.routers {
-		if x.confirmed.Before(g) && now < x.until {
+	for _, lease := range l.byRouter {
+		if lease.confirmed.Before(g) && now < lease.expiresAt {
 			return false
 		}
 	}
 	return true
 }
 
-// Missing tells whether one of some routers does not have this routing. Routers that have sent no request for goneAfter do
+// AnyOutdated tells whether one of some routers does not have this routing. Routers that have sent no request for goneAfter do
 // not count.
-func (t *Routers) Missing(names []string, g Generation, goneAfter, now time.Duration) bool {
+func (l *RouterLeases) AnyOutdated(names []string, g Generation, goneAfter, now time.Duration) bool {
 	for _, name := range names {
-		requestedAt, confirmed := t.since, Generation{}
-		if x := t.routers[name]; x != nil {
-			requestedAt, confirmed = x.requestedAt, x.confirmed
+		requestedAt, confirmed := l.since, Generation{}
+		if lease := l.byRouter[name]; lease != nil {
+			requestedAt, confirmed = lease.requestedAt, lease.confirmed
 		}
 		if confirmed.Before(g) && now < requestedAt+goneAfter {
 			return true
@@ -169,17 +169,17 @@
 	return false
 }
 
-// Present gives the routers that are not gone, by name: those that have sent a request within goneAfter, and of those that
+// Active gives the routers that are not gone, by name: those that have sent a request within goneAfter, and of those that
 // an earlier leader knew the ones that may yet send one.
-func (t *Routers) Present(earlier []string, goneAfter, now time.Duration) []string {
+func (l *RouterLeases) Active(recorded []string, goneAfter, now time.Duration) []string {
 	var names []string
-	for name, x := range t.routers {
-		if now < x.requestedAt+goneAfter {
+	for name, lease := range l.byRouter {
+		if now < lease.requestedAt+goneAfter {
 			names = append(names, name)
 		}
 	}
-	for _, name := range earlier {
-		if t.routers[name] == nil && now < t.since+goneAfter {
+	for _, name := range recorded {
+		if l.byRouter[name] == nil && now < l.since+goneAfter {
 			names = append(names, name)
 		}
 	}
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -7,7 +7,7 @@
 func (r *Record) Next(o *Observation) *Record {
 	next := r.next(o)
 	if next != nil && o.Reconciled {
-		next.Routers = o.Routers
+		next.Routers = o.ActiveRouters
 	}
 	return next
 }
@@ -17,31 +17,31 @@
 	case Completed, RolledBack:
 		return nil
 	case RollingBack:
-		if o.all(r.acceptedNew(o), func(j Job) bool { return j.Over }) && o.RoutersCurrent && !o.NewServes {
-			return r.inPhase(RolledBack, o.NowMS)
+		if o.allJobs(r.acceptedNewJobs(o), func(j Job) bool { return j.Ended }) && o.RoutersCurrent && !o.NewReceivesTraffic {
+			return r.withPhase(RolledBack, o.NowMS)
 		}
 		return nil
 	case Retiring:
-		if o.all(r.Plan.Old.Jobs, func(j Job) bool { return j.Over }) {
-			return r.inPhase(Completed, o.NowMS)
+		if o.allJobs(r.Plan.Old.Jobs, func(j Job) bool { return j.Ended }) {
+			return r.withPhase(Completed, o.NowMS)
 		}
 		return nil
 	case Pending, Starting, Checking, Shifting, Baking, Completing:
 	}
-	if next := r.failed(o); next != nil {
+	if next := r.rollBackOnFailure(o); next != nil {
 		return next
 	}
 	if !o.Reconciled || r.PausedMS != 0 {
 		return nil
 	}
-	if next := r.forward(o); next != nil {
+	if next := r.advance(o); next != nil {
 		return next
 	}
-	return r.expired(o)
+	return r.rollBackOnTimeout(o)
 }
 
-// failed gives the record that rolls back because of a failure that does not heal by itself; nil if there is none.
-func (r *Record) failed(o *Observation) *Record {
+// rollBackOnFailure gives the record that rolls back because of a failure that does not heal by itself; nil if there is none.
+func (r *Record) rollBackOnFailure(o *Observation) *Record {
 	if o.FailedCheck != "" {
 		return r.rollBack(WrongAnswer, o.FailedCheck, o.NowMS)
 	}
@@ -53,33 +53,33 @@
 	return nil
 }
 
-// forward gives the record of the next phase, once the condition of this one is fulfilled.
-func (r *Record) forward(o *Observation) *Record {
+// advance gives the record of the next phase, once the condition of this one is fulfilled.
+func (r *Record) advance(o *Observation) *Record {
 	capacity := r.Plan.CapacityOf(o)
-	validated := o.all(r.released(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
+	validated := o.allJobs(r.releasedJobs(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
 	switch r.Phase {
 	case Pending:
-		if capacity.oldSufficient() && o.all(r.Plan.Steps[0].Jobs, func(j Job) bool { return j.Accepted }) {
-			return r.inPhase(Starting, o.NowMS)
+		if capacity.oldSufficient() && o.allJobs(r.Plan.Steps[0].Jobs, func(j Job) bool { return j.Accepted }) {
+			return r.withPhase(Starting, o.NowMS)
 		}
 	case Starting:
-		if o.all(r.released(), func(j Job) bool { return j.Accepted && j.Running >= j.Replicas }) {
-			return r.inPhase(Checking, o.NowMS)
+		if o.allJobs(r.releasedJobs(), func(j Job) bool { return j.Accepted && j.Running >= j.Replicas }) {
+			return r.withPhase(Checking, o.NowMS)
 		}
 	case Checking:
-		if validated && capacity.oldSufficient() && capacity.newSufficient(r.Plan.Steps[r.Step].Share) {
-			next := r.inPhase(Shifting, o.NowMS)
+		if validated && capacity.oldSufficient() && capacity.newSufficientFor(r.Plan.Steps[r.Step].Share) {
+			next := r.withPhase(Shifting, o.NowMS)
 			next.Share = r.Plan.Steps[r.Step].Share
 			return next
 		}
 	case Shifting, Baking:
 		if !validated {
-			return r.inPhase(Checking, o.NowMS) // the time of baking is lost
+			return r.withPhase(Checking, o.NowMS) // the time of baking is lost
 		}
-		return r.serving(o, capacity)
+		return r.advanceServing(o, capacity)
 	case Completing:
 		if validated && o.mayRetireOld(capacity) {
-			return r.inPhase(Retiring, o.NowMS)
+			return r.withPhase(Retiring, o.NowMS)
 		}
 	case Retiring, Completed, RollingBack, RolledBack:
 	}
@@ -88,33 +88,33 @@
 
 // mayRetireOld tells whether the new version serves everything and no router depends on the old one any more.
 func (o *Observation) mayRetireOld(capacity Capacity) bool {
-	return o.Revalidated && capacity.newSufficient(1) && o.RoutersCurrent && !o.RoutersMissing
+	return o.Revalidated && capacity.newSufficientFor(1) && o.RoutersCurrent && !o.RoutersOutdated
 }
 
-// serving gives the record that follows in a step whose replicas are all validated: it bakes once routers have its share, and
+// advanceServing gives the record that follows in a step whose replicas are all validated: it bakes once routers have its share, and
 // is complete once it has baked and the old version could serve everything after a rollback.
-func (r *Record) serving(o *Observation, capacity Capacity) *Record {
+func (r *Record) advanceServing(o *Observation, capacity Capacity) *Record {
 	switch {
 	case r.Phase == Shifting && o.RoutersCurrent:
-		return r.inPhase(Baking, o.NowMS)
-	case r.Phase == Baking && capacity.oldSufficient() && r.lasted(o, r.Plan.Steps[r.Step].BakeS):
-		return r.baked(o)
+		return r.withPhase(Baking, o.NowMS)
+	case r.Phase == Baking && capacity.oldSufficient() && r.phaseLasted(o, r.Plan.Steps[r.Step].BakeS):
+		return r.afterBake(o)
 	}
 	return nil
 }
 
-// baked gives the record after a step has baked: in the next step, or in completion.
-func (r *Record) baked(o *Observation) *Record {
+// afterBake gives the record after a step has baked: in the next step, or in completion.
+func (r *Record) afterBake(o *Observation) *Record {
 	if r.Step+1 < len(r.Plan.Steps) {
-		next := r.inPhase(Starting, o.NowMS)
+		next := r.withPhase(Starting, o.NowMS)
 		next.Step++
 		return next
 	}
-	return r.inPhase(Completing, o.NowMS)
+	return r.withPhase(Completing, o.NowMS)
 }
 
-// expired gives the record that rolls back because a phase has timed out.
-func (r *Record) expired(o *Observation) *Record {
+// rollBackOnTimeout gives the record that rolls back because a phase has timed out.
+func (r *Record) rollBackOnTimeout(o *Observation) *Record {
 	limits := r.Plan.Limits
 	reason, limit := TimedOut, limits.WaitS
 	switch r.Phase {
@@ -126,19 +126,19 @@
 		limit += limits.RouterGoneS
 	case Pending, Starting, Shifting, Retiring, Completed, RollingBack, RolledBack:
 	}
-	if !r.lasted(o, limit) {
+	if !r.phaseLasted(o, limit) {
 		return nil
 	}
 	return r.rollBack(reason, fmt.Sprintf("%s for %g s", r.Phase, limit), o.NowMS)
 }
 
-// lasted tells whether the phase has lasted for some seconds by any leader's clock, as far as clocks may be off.
-func (r *Record) lasted(o *Observation, seconds float64) bool {
+// phaseLasted tells whether the phase has lasted for some seconds by any leader's clock, as far as clocks may be off.
+func (r *Record) phaseLasted(o *Observation, seconds float64) bool {
 	return float64(o.NowMS-r.SinceMS-2*o.ClockErrorMS) >= 1000*seconds
 }
 
-// released gives the new jobs of the steps so far.
-func (r *Record) released() []string {
+// releasedJobs gives the new jobs of the steps so far.
+func (r *Record) releasedJobs() []string {
 	var jobs []string
 	for _, step := range r.Plan.Steps[:r.Step+1] {
 		jobs = append(jobs, step.Jobs...)
@@ -146,8 +146,8 @@
 	return jobs
 }
 
-// acceptedNew gives the new jobs that have been submitted and accepted.
-func (r *Record) acceptedNew(o *Observation) []string {
+// acceptedNewJobs gives the new jobs that have been submitted and accepted.
+func (r *Record) acceptedNewJobs(o *Observation) []string {
 	var jobs []string
 	for _, id := range r.Plan.New.Jobs {
 		if o.Jobs[id].Accepted {
@@ -157,9 +157,9 @@
 	return jobs
 }
 
-// Cancels gives the jobs to cancel now. New jobs are cancelled once no router sends them traffic, old ones only after the
+// JobsToCancel gives the jobs to cancel now. New jobs are cancelled once no router sends them traffic, old ones only after the
 // decision to retire them is committed.
-func (r *Record) Cancels(o *Observation) []string {
+func (r *Record) JobsToCancel(o *Observation) []string {
 	var jobs []string
 	add := func(ids []string) {
 		for _, id := range ids {
@@ -170,14 +170,14 @@
 	}
 	switch r.Phase {
 	case RollingBack:
-		if o.RoutersCurrent && !o.NewServes {
+		if o.RoutersCurrent && !o.NewReceivesTraffic {
 			add(r.Plan.New.Jobs)
 		}
 	case RolledBack:
 		add(r.Plan.New.Jobs) // submitted after the rollback
 	case Retiring:
 		// A router without the current routing would fall back to them.
-		if o.RoutersCurrent && !o.RoutersMissing {
+		if o.RoutersCurrent && !o.RoutersOutdated {
 			add(r.Plan.Old.Jobs)
 		}
 	case Pending, Starting, Checking, Shifting, Baking, Completing, Completed:
@@ -197,7 +197,7 @@
 	return r.Share
 }
 
-// Expired tells whether the record of a plan that has ended need not be kept any longer.
-func (r *Record) Expired(o *Observation) bool {
-	return r.Phase.Over() && r.lasted(o, r.Plan.Limits.KeepS)
+// RetentionExpired tells whether the record of a plan that has ended need not be kept any longer.
+func (r *Record) RetentionExpired(o *Observation) bool {
+	return r.Phase.Terminal() && r.phaseLasted(o, r.Plan.Limits.KeepS)
 }
--- a/internal/rollout/validation.go
+++ b/internal/rollout/validation.go
@@ -24,13 +24,13 @@
 	Version Version
 }
 
-// replicaName identifies an attempt.
-type replicaName struct {
+// attemptKey identifies an attempt.
+type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-func (r Replica) name() replicaName { return replicaName{r.Task, r.Attempt} }
+func (r Replica) key() attemptKey { return attemptKey{r.Task, r.Attempt} }
 
 // Verdict is the result of probing a replica.
 type Verdict int
@@ -63,66 +63,66 @@
 
 // validation is what the probes of a replica have shown.
 type validation struct {
-	replica       Replica
-	verdict       Verdict
-	check         string
-	inFlight      bool
-	probed        bool
-	passedProbeAt time.Duration // when the last probe was sent that passed
-	probedAt      time.Duration
-	passedAt      time.Duration // when the result of that probe came
-	results       int
+	replica           Replica
+	verdict           Verdict
+	check             string
+	probeInFlight     bool
+	probed            bool
+	passedProbeSentAt time.Duration // when the last probe was sent that passed
+	probeSentAt       time.Duration
+	passedAt          time.Duration // when the result of that probe came
+	resultCount       int
 }
 
 // Validations keeps the validations of a plan's replicas. A new attempt begins unvalidated.
 type Validations struct {
 	interval  time.Duration // between two probes of a replica
-	byReplica map[replicaName]*validation
-	order     []replicaName
+	byReplica map[attemptKey]*validation
+	order     []attemptKey
 	// failedCheck is the first new replica that failed a check, with the check. It stays, whatever the replica does later.
 	failedCheck string
 }
 
 // NewValidations makes validations of replicas that are probed at an interval.
 func NewValidations(interval time.Duration) *Validations {
-	return &Validations{interval: interval, byReplica: map[replicaName]*validation{}}
+	return &Validations{interval: interval, byReplica: map[attemptKey]*validation{}}
 }
 
-// validIntervals is for how many intervals a passed probe counts. A late probe does not invalidate a replica at once, the
+// validityIntervals is for how many intervals a passed probe counts. A late probe does not invalidate a replica at once, the
 // lack of several does.
-const validIntervals = 3
+const validityIntervals = 3
 
-// Track sets the replicas that run now. Those that are gone lose their validation.
-func (p *Validations) Track(replicas []Replica) {
-	next := make(map[replicaName]*validation, len(replicas))
-	p.order = p.order[:0]
+// SetReplicas sets the replicas that run now. Those that are gone lose their validation.
+func (s *Validations) SetReplicas(replicas []Replica) {
+	next := make(map[attemptKey]*validation, len(replicas))
+	s.order = s.order[:0]
 	for _, r := range replicas {
-		known := p.byReplica[r.name()]
-		if known == nil || known.replica.Address != r.Address {
-			known = &validation{replica: r}
+		existing := s.byReplica[r.key()]
+		if existing == nil || existing.replica.Address != r.Address {
+			existing = &validation{replica: r}
 		}
-		next[r.name()] = known
-		p.order = append(p.order, r.name())
+		next[r.key()] = existing
+		s.order = append(s.order, r.key())
 	}
-	p.byReplica = next
+	s.byReplica = next
 }
 
-// Due gives up to limit probes that are due, those that have waited longest first.
-func (p *Validations) Due(now time.Duration, limit int) []Probe {
+// DueProbes gives up to limit probes that are due, those that have waited longest first.
+func (s *Validations) DueProbes(now time.Duration, limit int) []Probe {
 	var due []*validation
-	for _, name := range p.order {
-		v := p.byReplica[name]
-		if !v.inFlight && (!v.probed || now >= v.probedAt+p.interval) {
+	for _, name := range s.order {
+		v := s.byReplica[name]
+		if !v.probeInFlight && (!v.probed || now >= v.probeSentAt+s.interval) {
 			due = append(due, v)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *validation) int { return cmp.Compare(a.probedAt, b.probedAt) })
+	slices.SortStableFunc(due, func(a, b *validation) int { return cmp.Compare(a.probeSentAt, b.probeSentAt) })
 	var probes []Probe
 	for _, v := range due[:min(len(due), max(0, limit))] {
-		v.inFlight, v.probed, v.probedAt = true, true, now
+		v.probeInFlight, v.probed, v.probeSentAt = true, true, now
 		probe := Probe{Replica: v.replica}
 		if v.replica.Version == NewVersion {
-			probe.Reference = p.reference(now, v.results)
+			probe.Reference = s.reference(now, v.resultCount)
 		}
 		probes = append(probes, probe)
 	}
@@ -130,10 +130,10 @@
 }
 
 // reference gives a healthy old replica, another one each turn; nil if there is none.
-func (p *Validations) reference(now time.Duration, turn int) *Replica {
+func (s *Validations) reference(now time.Duration, turn int) *Replica {
 	var old []*validation
-	for _, name := range p.order {
-		if v := p.byReplica[name]; v.replica.Version == OldVersion && p.valid(v, now) {
+	for _, name := range s.order {
+		if v := s.byReplica[name]; v.replica.Version == OldVersion && s.valid(v, now) {
 			old = append(old, v)
 		}
 	}
@@ -143,59 +143,59 @@
 	return &old[turn%len(old)].replica
 }
 
-// Observe takes in the result of a probe. One of an attempt that is gone counts only if it failed a check.
-func (p *Validations) Observe(r Replica, result ProbeResult, now time.Duration) {
-	if result.Verdict == Failed && r.Version == NewVersion && p.failedCheck == "" {
-		p.failedCheck = r.Task + ", check " + result.Check
+// RecordResult takes in the result of a probe. One of an attempt that is gone counts only if it failed a check.
+func (s *Validations) RecordResult(r Replica, result ProbeResult, now time.Duration) {
+	if result.Verdict == Failed && r.Version == NewVersion && s.failedCheck == "" {
+		s.failedCheck = r.Task + ", check " + result.Check
 	}
-	v := p.byReplica[r.name()]
+	v := s.byReplica[r.key()]
 	if v == nil {
 		return
 	}
-	v.inFlight = false
-	v.results++
+	v.probeInFlight = false
+	v.resultCount++
 	v.verdict, v.check = result.Verdict, result.Check
 	if result.Verdict == Passed {
-		v.passedAt, v.passedProbeAt = now, v.probedAt
+		v.passedAt, v.passedProbeSentAt = now, v.probeSentAt
 	}
 }
 
 // NewValidatedSince tells whether each new replica was probed after a moment, and passed.
-func (p *Validations) NewValidatedSince(moment, now time.Duration) bool {
-	for _, name := range p.order {
-		v := p.byReplica[name]
-		if v.replica.Version == NewVersion && (!p.valid(v, now) || v.passedProbeAt < moment) {
+func (s *Validations) NewValidatedSince(moment, now time.Duration) bool {
+	for _, name := range s.order {
+		v := s.byReplica[name]
+		if v.replica.Version == NewVersion && (!s.valid(v, now) || v.passedProbeSentAt < moment) {
 			return false
 		}
 	}
 	return true
 }
 
-// NotSent notes that a probe was not sent.
-func (p *Validations) NotSent(r Replica) {
-	if v := p.byReplica[r.name()]; v != nil {
-		v.inFlight = false
+// ProbeNotSent notes that a probe was not sent.
+func (s *Validations) ProbeNotSent(r Replica) {
+	if v := s.byReplica[r.key()]; v != nil {
+		v.probeInFlight = false
 	}
 }
 
 // FailedCheck names the first new replica that failed a check, and the check; "": none.
-func (p *Validations) FailedCheck() string { return p.failedCheck }
+func (s *Validations) FailedCheck() string { return s.failedCheck }
 
 // valid tells whether a validation counts: its replica passed the last probe, not long ago.
-func (p *Validations) valid(v *validation, now time.Duration) bool {
-	return v.verdict == Passed && now-v.passedAt < validIntervals*p.interval
+func (s *Validations) valid(v *validation, now time.Duration) bool {
+	return v.verdict == Passed && now-v.passedAt < validityIntervals*s.interval
 }
 
 // Validated tells whether a replica counts as capacity.
-func (p *Validations) Validated(r Replica, now time.Duration) bool {
-	v := p.byReplica[r.name()]
-	return v != nil && p.valid(v, now)
+func (s *Validations) Validated(r Replica, now time.Duration) bool {
+	v := s.byReplica[r.key()]
+	return v != nil && s.valid(v, now)
 }
 
-// AllAnswered tells whether each replica has been probed, with whatever result.
-func (p *Validations) AllAnswered() bool {
-	for _, name := range p.order {
-		if p.byReplica[name].results == 0 {
+// AllProbed tells whether each replica has been probed, with whatever result.
+func (s *Validations) AllProbed() bool {
+	for _, name := range s.order {
+		if s.byReplica[name].resultCount == 0 {
 			return false
 		}
 	}
@@ -211,11 +211,11 @@
 }
 
 // States gives the states of all replicas.
-func (p *Validations) States(now time.Duration) []ReplicaState {
-	states := make([]ReplicaState, 0, len(p.order))
-	for _, name := range p.order {
-		v := p.byReplica[name]
-		states = append(states, ReplicaState{Replica: v.replica, Validated: p.valid(v, now), Verdict: v.verdict, Check: v.check})
+func (s *Validations) States(now time.Duration) []ReplicaState {
+	states := make([]ReplicaState, 0, len(s.order))
+	for _, name := range s.order {
+		v := s.byReplica[name]
+		states = append(states, ReplicaState{Replica: v.replica, Validated: s.valid(v, now), Verdict: v.verdict, Check: v.check})
 	}
 	return states
 }
--- a/internal/scheduling/fulfillment_queue.go
+++ b/internal/scheduling/fulfillment_queue.go
@@ -6,13 +6,13 @@
 	"bitternwing/internal/resource"
 )
 
-// QueuePosition is a job's place in the order of submission.
+// QueuePosition is the position of a job in submission order.
 type QueuePosition struct {
-	QueuedMS int64 // Unix time since when it waits, in milliseconds
+	QueuedMS int64 // Unix time in milliseconds at which the job was queued
 	ID       string
 }
 
-// Before orders jobs by age, and those of the same age by ID.
+// Before orders jobs by queue time, oldest first, and breaks ties by ID.
 func (p QueuePosition) Before(other QueuePosition) bool {
 	if p.QueuedMS != other.QueuedMS {
 		return p.QueuedMS < other.QueuedMS
@@ -20,47 +20,48 @@
 	return p.ID < other.ID
 }
 
-// Candidate is a job to which more instances may be allocated. J is the caller's type for jobs.
+// Candidate is a job to which more instances may be allocated. J is the caller's job type.
 type Candidate[J any] struct {
 	Job       J
 	Instances Instances
-	Task      resource.Amount // that each of its tasks takes
+	Task      resource.Amount // resources of each task of the job
 	Position  QueuePosition
-	NextTask  int // no task below this one is left to place
+	NextTask  int // lowest task index that may still have to be placed
 }
 
-// FulfillmentQueue is a priority queue of candidates with the least fulfilled on top.
+// FulfillmentQueue is a priority queue of candidates. The least fulfilled candidate is at the top.
 type FulfillmentQueue[J any] struct{ heap candidateHeap[J] }
 
-// NewFulfillmentQueue makes a queue of elastic jobs. It takes over the slice.
+// NewFulfillmentQueue returns a queue of elastic jobs. The queue takes ownership of the slice.
 func NewFulfillmentQueue[J any](candidates []*Candidate[J]) *FulfillmentQueue[J] {
 	q := &FulfillmentQueue[J]{heap: candidates}
 	heap.Init(&q.heap)
 	return q
 }
 
-// Len is the number of candidates left.
+// Len returns the number of candidates in the queue.
 func (q *FulfillmentQueue[J]) Len() int { return len(q.heap) }
 
-// LeastFulfilled returns the candidate whose turn it is.
+// LeastFulfilled returns the candidate at the top of the queue. The queue must not be empty.
 func (q *FulfillmentQueue[J]) LeastFulfilled() *Candidate[J] { return q.heap[0] }
 
-// Drop removes the least fulfilled candidate.
-func (q *FulfillmentQueue[J]) Drop() { heap.Pop(&q.heap) }
+// RemoveLeastFulfilled removes the candidate at the top of the queue.
+func (q *FulfillmentQueue[J]) RemoveLeastFulfilled() { heap.Pop(&q.heap) }
 
-// Allocated counts one more instance of the least fulfilled candidate, which runs a task.
-func (q *FulfillmentQueue[J]) Allocated(task int) {
+// RecordAllocation adds one instance, which runs the given task, to the least fulfilled candidate, and reorders the
+// queue.
+func (q *FulfillmentQueue[J]) RecordAllocation(task int) {
 	candidate := q.heap[0]
 	candidate.Instances.Current++
 	candidate.NextTask = task + 1
 	heap.Fix(&q.heap, 0)
 }
 
-// lessFulfilled orders candidates by score; then by what an instance takes, the smaller first, since more of them find a
-// machine; then by age.
+// lessFulfilled orders candidates by fulfillment score, then by the resources of a task, then by queue position.
+// Smaller tasks come first because more of them fit on the machines.
 func lessFulfilled[J any](a, b *Candidate[J]) bool {
-	if x, y := a.Instances.Fulfillment(), b.Instances.Fulfillment(); x != y {
-		return x < y
+	if scoreA, scoreB := a.Instances.Fulfillment(), b.Instances.Fulfillment(); scoreA != scoreB {
+		return scoreA < scoreB
 	}
 	switch {
 	case a.Task.GPUs != b.Task.GPUs:
@@ -80,10 +81,10 @@
 func (h candidateHeap[J]) Less(a, b int) bool { return lessFulfilled(h[a], h[b]) }
 func (h candidateHeap[J]) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
 
-// Push appends a candidate; only package heap calls it.
+// Push appends a candidate. It is called by package heap only.
 func (h *candidateHeap[J]) Push(x any) { *h = append(*h, x.(*Candidate[J])) }
 
-// Pop removes the last candidate; only package heap calls it.
+// Pop removes the last candidate. It is called by package heap only.
 func (h *candidateHeap[J]) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -8,41 +8,42 @@
 	"bitternwing/internal/resource"
 )
 
-// Claim is what a job's right to preempt others, and theirs to preempt it, depends on.
-type Claim struct {
-	Team            *config.Team // nil: a team that does not exist any more
+// PreemptionCriteria are the properties of a job that decide whether it may preempt another job or be preempted.
+type PreemptionCriteria struct {
+	Team            *config.Team // nil: the team no longer exists
 	Priority        int
-	WithinGuarantee bool // it fits into its team's guarantee together with the team's older jobs
+	WithinGuarantee bool // the job and its team's older jobs together fit into the team's guarantee
 }
 
-// MayPreempt tells whether tasks of a victim may be stopped for another job: that one is of higher priority, or it lies
-// within its team's guarantee while the victim's team, another one, exceeds its own.
-func (u TeamUsage) MayPreempt(preemptor, victim Claim) bool {
+// MayPreempt reports whether tasks of the victim may be stopped for the preemptor. That is the case if the victim's
+// team no longer exists, if the preemptor has the higher priority, or if the preemptor is within its team's guarantee
+// while the victim belongs to another team that exceeds its own.
+func (u TeamUsage) MayPreempt(preemptor, victim PreemptionCriteria) bool {
 	if victim.Team == nil || preemptor.Priority > victim.Priority {
 		return true
 	}
 	return preemptor.WithinGuarantee && preemptor.Team.Name != victim.Team.Name && u.ExceedsGuarantee(victim.Team)
 }
 
-// PreemptibleInstance is a running instance that may be stopped. J is the caller's type for jobs.
+// PreemptibleInstance is a running instance that may be stopped. J is the caller's job type.
 type PreemptibleInstance[J comparable] struct {
-	Job       J
-	Instances Instances // of the job
-	Task      resource.Amount
+	Job          J
+	JobInstances Instances // of the job that the instance belongs to
+	Task         resource.Amount
 }
 
-// SelectVictims selects the instances of a machine to stop until a task has the resources it needs. Those of the most
-// fulfilled jobs go first, and no job is taken below its minimum. It returns their indexes; false if all of them would
-// not be enough.
-func SelectVictims[J comparable](need, free resource.Amount, instances []PreemptibleInstance[J]) ([]int, bool) {
+// SelectVictims selects the instances to stop on a machine so that a task has the resources it requires. Instances of
+// the most fulfilled jobs are selected first, and no job is taken below its minimum. It returns the indexes of the
+// selected instances, or false if stopping all of them would not be enough.
+func SelectVictims[J comparable](required, free resource.Amount, instances []PreemptibleInstance[J]) ([]int, bool) {
 	byFulfillment := make([]int, len(instances))
 	surplus := map[J]int{}
 	for i, instance := range instances {
 		byFulfillment[i] = i
-		surplus[instance.Job] = instance.Instances.Surplus()
+		surplus[instance.Job] = instance.JobInstances.Surplus()
 	}
 	slices.SortStableFunc(byFulfillment, func(a, b int) int {
-		return cmp.Compare(instances[b].Instances.Fulfillment(), instances[a].Instances.Fulfillment())
+		return cmp.Compare(instances[b].JobInstances.Fulfillment(), instances[a].JobInstances.Fulfillment())
 	})
 	var victims []int
 	for _, i := range byFulfillment {
@@ -53,7 +54,7 @@
 		surplus[instance.Job]--
 		free.Add(instance.Task)
 		victims = append(victims, i)
-		if free.Covers(need) {
+		if free.Covers(required) {
 			return victims, true
 		}
 	}
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -26,14 +26,14 @@
 		}
 	}
 	if (Instances{Current: 1, Min: 1, Max: 1}).Elastic() {
-		t.Error("equal bounds leave a choice")
+		t.Error("instances with equal bounds are elastic")
 	}
 }
 
-// TestFulfillmentQueue allocates instances until each candidate has all of its own, and notes whose turn it was.
+// TestFulfillmentQueue allocates instances until each candidate is at its maximum, and checks the order of allocation.
 func TestFulfillmentQueue(t *testing.T) {
-	candidate := func(id string, limit int, gpus float64, queuedMS int64) *Candidate[string] {
-		return &Candidate[string]{Job: id, Instances: Instances{Min: 0, Max: limit}, Task: resource.Amount{GPUs: gpus},
+	candidate := func(id string, maxInstances int, gpus float64, queuedMS int64) *Candidate[string] {
+		return &Candidate[string]{Job: id, Instances: Instances{Min: 0, Max: maxInstances}, Task: resource.Amount{GPUs: gpus},
 			Position: QueuePosition{QueuedMS: queuedMS, ID: id}}
 	}
 	queue := NewFulfillmentQueue([]*Candidate[string]{
@@ -42,17 +42,17 @@
 	for queue.Len() > 0 {
 		least := queue.LeastFulfilled()
 		if least.Instances.Current == least.Instances.Max {
-			queue.Drop()
+			queue.RemoveLeastFulfilled()
 			continue
 		}
 		turns = append(turns, least.Job)
-		queue.Allocated(least.NextTask)
+		queue.RecordAllocation(least.NextTask)
 	}
-	want := []string{"long", "older", "younger", "large", // all at 0: the small ones first, of these the oldest
-		"long", // at 1/4, the others at 1/2
+	want := []string{"long", "older", "younger", "large", // all scores are 0: smaller tasks first, and of these the oldest job
+		"long", // at 1/4; the others are at 1/2
 		"long", "older", "younger", "large", "long"}
 	if !slices.Equal(turns, want) {
-		t.Errorf("allocated to %v, not %v", turns, want)
+		t.Errorf("order of allocation is %v, want %v", turns, want)
 	}
 }
 
@@ -61,64 +61,64 @@
 	task := resource.Amount{GPUs: 2, CPUs: 4}
 	usage := TeamUsage{}
 	if usage.WithinLimit(nil, task, 1) {
-		t.Error("a team that does not exist may use something")
+		t.Error("a team that does not exist is within its limit")
 	}
 	usage.Add("a", task, 2)
 	if usage.ExceedsGuarantee(team) || !usage.WithinLimit(team, task, 2) || usage.WithinLimit(team, task, 3) {
-		t.Errorf("%+v of a guarantee of 4 and a limit of 8 GPUs", usage.Of("a"))
+		t.Errorf("usage %+v with a guarantee of 4 GPUs and a limit of 8 GPUs", usage.Of("a"))
 	}
 	usage.Add("a", task, 1)
 	if !usage.ExceedsGuarantee(team) {
-		t.Errorf("%+v is within a guarantee of 4 GPUs", usage.Of("a"))
+		t.Errorf("usage %+v does not exceed a guarantee of 4 GPUs", usage.Of("a"))
 	}
 	usage.Add("a", task, -3)
 	if usage.Of("a") != (Usage{}) {
-		t.Errorf("%+v is used by nothing", usage.Of("a"))
+		t.Errorf("usage %+v after all tasks were removed", usage.Of("a"))
 	}
 	cpuOnly := resource.Amount{CPUs: 5}
 	if !usage.WithinLimit(team, cpuOnly, 4) || usage.WithinLimit(team, cpuOnly, 5) {
-		t.Error("the limit of CPUs is not kept")
+		t.Error("a limit of 20 CPUs does not allow exactly 4 tasks of 5 CPUs")
 	}
 	unguaranteed := &config.Team{Name: "b"}
 	if usage.ExceedsGuarantee(unguaranteed) {
-		t.Error("a team that runs nothing exceeds its guarantee")
+		t.Error("a team without a guarantee exceeds it without any usage")
 	}
 	usage.Add("b", cpuOnly, 1)
 	if !usage.ExceedsGuarantee(unguaranteed) {
-		t.Error("a team without a guarantee does not exceed it with all that it runs")
+		t.Error("a team without a guarantee does not exceed it with a running task")
 	}
 }
 
 func TestMayPreempt(t *testing.T) {
-	guaranteed, excessive := &config.Team{Name: "a", GuaranteedGPUs: 4}, &config.Team{Name: "b", GuaranteedGPUs: 4}
+	guaranteedTeam, otherTeam := &config.Team{Name: "a", GuaranteedGPUs: 4}, &config.Team{Name: "b", GuaranteedGPUs: 4}
 	usage := TeamUsage{}
 	usage.Add("a", resource.Amount{GPUs: 1}, 6)
 	usage.Add("b", resource.Amount{GPUs: 1}, 6)
 	for name, c := range map[string]struct {
-		preemptor, victim Claim
-		may               bool
+		preemptor, victim PreemptionCriteria
+		want              bool
 	}{
-		"higher priority":          {Claim{guaranteed, 2, false}, Claim{excessive, 1, false}, true},
-		"equal priority":           {Claim{guaranteed, 1, false}, Claim{excessive, 1, false}, false},
-		"within guarantee":         {Claim{guaranteed, 1, true}, Claim{excessive, 1, false}, true},
-		"against higher priority":  {Claim{guaranteed, 0, true}, Claim{excessive, 1, false}, true},
-		"of the same team":         {Claim{guaranteed, 1, true}, Claim{guaranteed, 1, false}, false},
-		"victim's team is no more": {Claim{guaranteed, 0, false}, Claim{nil, 3, false}, true},
+		"higher priority":            {PreemptionCriteria{guaranteedTeam, 2, false}, PreemptionCriteria{otherTeam, 1, false}, true},
+		"equal priority":             {PreemptionCriteria{guaranteedTeam, 1, false}, PreemptionCriteria{otherTeam, 1, false}, false},
+		"within guarantee":           {PreemptionCriteria{guaranteedTeam, 1, true}, PreemptionCriteria{otherTeam, 1, false}, true},
+		"victim has higher priority": {PreemptionCriteria{guaranteedTeam, 0, true}, PreemptionCriteria{otherTeam, 1, false}, true},
+		"same team":                  {PreemptionCriteria{guaranteedTeam, 1, true}, PreemptionCriteria{guaranteedTeam, 1, false}, false},
+		"victim's team is gone":      {PreemptionCriteria{guaranteedTeam, 0, false}, PreemptionCriteria{nil, 3, false}, true},
 	} {
-		if usage.MayPreempt(c.preemptor, c.victim) != c.may {
-			t.Errorf("%s: %v expected", name, c.may)
+		if usage.MayPreempt(c.preemptor, c.victim) != c.want {
+			t.Errorf("%s: MayPreempt is not %v", name, c.want)
 		}
 	}
 	usage.Add("b", resource.Amount{GPUs: 1}, -2)
-	if usage.MayPreempt(Claim{guaranteed, 1, true}, Claim{excessive, 1, false}) {
-		t.Error("a team within its guarantee is preempted")
+	if usage.MayPreempt(PreemptionCriteria{guaranteedTeam, 1, true}, PreemptionCriteria{otherTeam, 1, false}) {
+		t.Error("a team within its guarantee may be preempted")
 	}
 }
 
 func TestSelectVictims(t *testing.T) {
 	one := resource.Amount{GPUs: 1}
 	instance := func(job string, current int) PreemptibleInstance[string] {
-		return PreemptibleInstance[string]{Job: job, Instances: Instances{Current: current, Min: 1, Max: 9}, Task: one}
+		return PreemptibleInstance[string]{Job: job, JobInstances: Instances{Current: current, Min: 1, Max: 9}, Task: one}
 	}
 	instances := []PreemptibleInstance[string]{instance("low", 2), instance("high", 3), instance("low", 2), instance("high", 3), instance("high", 3)}
 	for _, c := range []struct {
@@ -128,7 +128,7 @@
 	}{
 		{1, 0, []int{1}, true},
 		{2, 1, []int{1}, true},
-		{3, 0, []int{1, 3, 0}, true}, // two above the minimum of the one job, then one of the other
+		{3, 0, []int{1, 3, 0}, true}, // both surplus instances of the more fulfilled job, then one of the other
 		{4, 0, nil, false},
 	} {
 		victims, possible := SelectVictims(resource.Amount{GPUs: c.need}, resource.Amount{GPUs: c.free}, instances)
@@ -165,8 +165,8 @@
 		possible bool
 	}{
 		{"c", 0, 1, true},  // ten runs fit into 100 s
-		{"c", 75, 5, true}, // two
-		{"c", 95, 1, true}, // none, but 90 into what is left of 1000 s
+		{"c", 75, 5, true}, // two runs fit into the remaining 25 s
+		{"c", 95, 1, true}, // none fits into the remaining 5 s of 100 s, but 90 fit into the rest of 1000 s
 		{"c", 995, 0, false},
 		{"other", 0, 0, false},
 	} {
--- a/internal/scheduling/team_usage.go
+++ b/internal/scheduling/team_usage.go
@@ -5,24 +5,24 @@
 	"bitternwing/internal/resource"
 )
 
-// tolerance is what sums of decimal numbers may be off by.
-const tolerance = 1e-9
+// roundingTolerance bounds the rounding error of sums of decimal amounts.
+const roundingTolerance = 1e-9
 
-// ExceedsLimit tells whether an amount breaks a limit. A limit of 0 means that there is none.
-func ExceedsLimit(amount, limit float64) bool { return limit > 0 && amount > limit+tolerance }
+// ExceedsLimit reports whether an amount exceeds a limit. A limit of 0 means no limit.
+func ExceedsLimit(amount, limit float64) bool { return limit > 0 && amount > limit+roundingTolerance }
 
-// Usage is what the tasks of a team use.
+// Usage is the amount of resources that the tasks of a team use.
 type Usage struct{ GPUs, CPUs float64 }
 
-// plus returns the usage with some more tasks.
+// plus returns the usage with the given number of further tasks. The number may be negative.
 func (u Usage) plus(task resource.Amount, tasks int) Usage {
 	return Usage{GPUs: u.GPUs + float64(tasks)*task.GPUs, CPUs: u.CPUs + float64(tasks)*task.CPUs}
 }
 
-// TeamUsage is the usage of teams by name. A task counts in whatever state it is, until it is known to be gone.
+// TeamUsage is the usage of each team, by team name. A task counts in every state until it is known to have ended.
 type TeamUsage map[string]*Usage
 
-// Of returns a team's usage.
+// Of returns the usage of a team.
 func (u TeamUsage) Of(team string) Usage {
 	if usage := u[team]; usage != nil {
 		return *usage
@@ -30,7 +30,7 @@
 	return Usage{}
 }
 
-// Add counts tasks of a team, or with a negative number of them no longer does.
+// Add adds tasks to the usage of a team. A negative number of tasks removes them.
 func (u TeamUsage) Add(team string, task resource.Amount, tasks int) {
 	usage := u[team]
 	if usage == nil {
@@ -40,8 +40,8 @@
 	*usage = usage.plus(task, tasks)
 }
 
-// WithinLimit tells whether a team stays within its limit with some more tasks. A team that does not exist (nil) has no
-// right to any.
+// WithinLimit reports whether a team stays within its limit with the given number of further tasks. It is false for a
+// team that does not exist (nil).
 func (u TeamUsage) WithinLimit(team *config.Team, task resource.Amount, tasks int) bool {
 	if team == nil {
 		return false
@@ -50,12 +50,12 @@
 	return !ExceedsLimit(usage.GPUs, team.MaxGPUs) && !ExceedsLimit(usage.CPUs, team.MaxCPUs)
 }
 
-// ExceedsGuarantee tells whether a team uses more than its guarantee. A team without any guarantee exceeds it with all
-// that it runs.
+// ExceedsGuarantee reports whether a team uses more than its guarantee. A team without a guarantee exceeds it as soon
+// as it uses anything.
 func (u TeamUsage) ExceedsGuarantee(team *config.Team) bool {
 	usage := u.Of(team.Name)
 	if team.GuaranteedGPUs == 0 && team.GuaranteedCPUs == 0 {
-		return usage.GPUs > tolerance || usage.CPUs > tolerance
+		return usage.GPUs > roundingTolerance || usage.CPUs > roundingTolerance
 	}
 	return ExceedsLimit(usage.GPUs, team.GuaranteedGPUs) || ExceedsLimit(usage.CPUs, team.GuaranteedCPUs)
 }
--- a/internal/scheduling/urgency.go
+++ b/internal/scheduling/urgency.go
@@ -2,15 +2,15 @@
 
 import "bitternwing/internal/config"
 
-// Urgency is what the turn of a job that lacks its minimum depends on.
+// Urgency determines the order in which jobs below their minimum number of instances are started.
 type Urgency struct {
 	WithinGuarantee bool
 	Priority        int
-	LatestStartMS   int64 // Unix time at which it has to start for the deadlines that depend on it
+	LatestStartMS   int64 // Unix time in milliseconds by which the job must start to meet all deadlines that depend on it
 	Position        QueuePosition
 }
 
-// Before orders jobs: guaranteed ones first, then by priority, by deadline and by age.
+// Before orders jobs: those within a guarantee first, then by priority, latest start time and queue position.
 func (u Urgency) Before(other Urgency) bool {
 	if u.WithinGuarantee != other.WithinGuarantee {
 		return u.WithinGuarantee
@@ -24,17 +24,17 @@
 	return u.Position.Before(other.Position)
 }
 
-// objectiveFinished is the kind of objectives that bound the time from the submission of a job to its end.
-const objectiveFinished = "finished"
+// finishedObjectiveKind is the kind of the objectives that limit the time from the submission of a job to its end.
+const finishedObjectiveKind = "finished"
 
-// InstancesForObjective returns how many instances an array of a class needs to be finished within its class's
-// objective, by its owner's estimate of a task's run time: the tasks that are left, over the number of runs that fit
-// one after the other into the time that is left. The closest objective that can still be met counts; false if there is
-// none.
+// InstancesForObjective returns how many instances an array job of a class needs to finish within an objective of its
+// class. It divides the number of unfinished tasks by the number of consecutive runs that fit into the time left, where
+// runS is the owner's estimate of the run time of a task. The tightest objective that can still be met applies; the
+// result is false if there is none.
 func InstancesForObjective(objectives []config.Objective, class string, ageS, runS float64, unfinished int) (int, bool) {
 	leftS := 0.0
 	for _, objective := range objectives {
-		if objective.Kind != objectiveFinished || objective.Class != class {
+		if objective.Kind != finishedObjectiveKind || objective.Class != class {
 			continue
 		}
 		if left := objective.WithinS - ageS; left >= runS && (leftS == 0 || left < leftS) {
@@ -44,6 +44,6 @@
 	if leftS == 0 {
 		return 0, false
 	}
-	runs := int(leftS / runS)
-	return (unfinished + runs - 1) / runs, true
+	runsInTimeLeft := int(leftS / runS)
+	return (unfinished + runsInTimeLeft - 1) / runsInTimeLeft, true
 }
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -9,52 +9,54 @@
 	"bitternwing/internal/wire"
 )
 
-// What the leader needs for each machine, as measured in docs/CAPACITY.md.
+// Requirements of the leader for each machine. docs/CAPACITY.md explains the values.
 const (
-	// socketsPerMachine: half of the sockets are the workers' alone, and each keeps one.
-	socketsPerMachine = 2
-	baseMemoryMB      = 30
-	memoryPerMachine  = 0.1    // MB
-	coresPerMachine   = 0.0001 // of a fleet with little to start; a busy one takes twice as much
-	// listShare is the share of the cloud's rate limit that pages of its list may take: half of the eight tenths in use.
-	listShare = 0.4
+	// connectionsPerMachine is 2 because half of the connections are reserved for workers, each of which keeps one
+	// open.
+	connectionsPerMachine = 2
+	baseMemoryMB          = 30
+	memoryMBPerMachine    = 0.1
+	coresPerMachine       = 0.0001 // with few starts in progress; a busy fleet needs twice as much
+	// listRateShare is the share of the cloud's rate limit that is available for reading pages of its machine list:
+	// half of the eight tenths of the limit that are used.
+	listRateShare = 0.4
 )
 
 // Shortfall is a setting that is too small for a fleet.
 type Shortfall struct {
-	Field  string  // its name in the platform's file
-	Value  float64 // as it is
-	Least  float64 // that is sufficient
-	Effect string  // of a value that is too small
+	Field   string  // name in the platform configuration file
+	Value   float64 // configured value
+	Minimum float64 // lowest sufficient value
+	Effect  string  // what happens with a value that is too small
 }
 
-// String describes the shortfall in a line.
+// String returns a one-line description of the shortfall.
 func (s Shortfall) String() string {
-	return fmt.Sprintf("%s: is %g, at least %g would do: %s", s.Field, s.Value, s.Least, s.Effect)
+	return fmt.Sprintf("%s is %g, must be at least %g: %s", s.Field, s.Value, s.Minimum, s.Effect)
 }
 
-// Check gives the settings that are too small for a number of machines.
+// Check returns the settings that are too small for the given number of machines.
 func Check(p *config.Params, machines int) []Shortfall {
 	n := float64(machines)
 	pages := math.Ceil(n / wire.MaxList)
-	needs := []Shortfall{
-		{"params.limits.max_connections", float64(p.Limits.MaxConnections), socketsPerMachine * n,
-			"workers connect anew for each report"},
-		{"params.limits.memory_mb", p.Limits.MemoryMB, math.Ceil(baseMemoryMB + memoryPerMachine*n),
-			"the leader spends its time collecting garbage, or is killed and another one leads"},
-		{"params.limits.core_share", p.Limits.CPUShare, roundUp(coresPerMachine * n),
-			"decisions and answers to reports come late"},
-		{"params.cloud.rps", p.Cloud.RPS, roundUp(pages / (listShare * p.Cloud.ListLagS)),
-			"the cloud's list is read less often than it changes, and machines that are gone are noticed later"},
+	requirements := []Shortfall{
+		{"params.limits.max_connections", float64(p.Limits.MaxConnections), connectionsPerMachine * n,
+			"workers open a new connection for each report"},
+		{"params.limits.memory_mb", p.Limits.MemoryMB, math.Ceil(baseMemoryMB + memoryMBPerMachine*n),
+			"the leader spends most of its time on garbage collection, or is killed and replaced by another one"},
+		{"params.limits.core_share", p.Limits.CPUShare, roundUpToHundredth(coresPerMachine * n),
+			"scheduling decisions and responses to reports are delayed"},
+		{"params.cloud.rps", p.Cloud.RPS, roundUpToHundredth(pages / (listRateShare * p.Cloud.ListLagS)),
+			"the cloud's machine list is read less often than it changes, and lost machines are detected later"},
 	}
-	var short []Shortfall
-	for _, need := range needs {
-		if need.Value < need.Least {
-			short = append(short, need)
+	var shortfalls []Shortfall
+	for _, requirement := range requirements {
+		if requirement.Value < requirement.Minimum {
+			shortfalls = append(shortfalls, requirement)
 		}
 	}
-	return short
+	return shortfalls
 }
 
-// roundUp rounds up to two decimals.
-func roundUp(v float64) float64 { return math.Ceil(v*100) / 100 }
+// roundUpToHundredth rounds up to two decimal places.
+func roundUpToHundredth(v float64) float64 { return math.Ceil(v*100) / 100 }
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -39,8 +39,8 @@
 )
 
 func previousPlanRecord() *rollout.Record {
-	return rollout.NewRecord(&rollout.Plan{Name: "chat-9", Team: "red", Old: rollout.Fleet{Jobs: []string{"svc-old"}, ReplicaCapacity: 10},
-		New: rollout.Fleet{Jobs: []string{"svc-new"}, ReplicaCapacity: 10}, PromisedCapacity: 20,
+	return rollout.NewRecord(&rollout.Plan{Name: "chat-9", Team: "red", Old: rollout.VersionSpec{Jobs: []string{"svc-old"}, ReplicaCapacity: 10},
+		New: rollout.VersionSpec{Jobs: []string{"svc-new"}, ReplicaCapacity: 10}, PromisedCapacity: 20,
 		Steps: []rollout.Step{{Jobs: []string{"svc-new"}, Share: 1, BakeS: 60}}}, 1764720000000)
 }
 
--- a/internal/topologyspread/spread.go
+++ b/internal/topologyspread/spread.go
@@ -1,5 +1,5 @@
-// Package topologyspread weighs the time to load a model's weights against the expected loss of replicas if a zone or a
-// machine fails. Both are in seconds of replica time. The package is pure.
+// Package topologyspread compares the time to load a model's weights with the expected loss of replicas when a zone or
+// a machine fails. Both are in seconds of replica time. The package is pure: it keeps no clock and makes no calls.
 package topologyspread
 
 import (
@@ -10,201 +10,205 @@
 	"time"
 )
 
-// Model is what is spread: the replicas of all services of a team with the same image.
+// Model identifies the replicas that are spread together: those of all services of a team that use the same image.
 type Model struct{ Team, Image string }
 
-// counter counts replicas by failure domain, and keeps the highest count of any.
-type counter struct {
-	at      map[string]int
-	byCount map[int]int // how many domains have so many replicas
-	worst   int
+// domainCounter counts replicas by failure domain and keeps track of the highest count.
+type domainCounter struct {
+	countByDomain  map[string]int
+	domainsByCount map[int]int // number of domains by replica count
+	highest        int
 }
 
-func newCounter() counter { return counter{at: map[string]int{}, byCount: map[int]int{}} }
+func newDomainCounter() domainCounter {
+	return domainCounter{countByDomain: map[string]int{}, domainsByCount: map[int]int{}}
+}
 
-// change adds replicas to a domain, or with a negative number removes them.
-func (c *counter) change(domain string, by int) {
-	before := c.at[domain]
-	after := before + by
-	c.move(before, -1)
-	c.move(after, 1)
-	if c.at[domain] = after; after == 0 {
-		delete(c.at, domain)
+// add adds replicas to a domain. A negative delta removes them.
+func (c *domainCounter) add(domain string, delta int) {
+	before := c.countByDomain[domain]
+	after := before + delta
+	c.adjustDomains(before, -1)
+	c.adjustDomains(after, 1)
+	if c.countByDomain[domain] = after; after == 0 {
+		delete(c.countByDomain, domain)
 	}
-	c.worst = max(c.worst, after)
-	for c.worst > 0 && c.byCount[c.worst] == 0 {
-		c.worst--
+	c.highest = max(c.highest, after)
+	for c.highest > 0 && c.domainsByCount[c.highest] == 0 {
+		c.highest--
 	}
 }
 
-// move counts a domain among those with so many replicas, or no longer.
-func (c *counter) move(replicas, by int) {
-	if replicas == 0 {
+// adjustDomains changes the number of domains that have count replicas. Domains without replicas are not counted.
+func (c *domainCounter) adjustDomains(count, delta int) {
+	if count == 0 {
 		return
 	}
-	if c.byCount[replicas] += by; c.byCount[replicas] == 0 {
-		delete(c.byCount, replicas)
+	if c.domainsByCount[count] += delta; c.domainsByCount[count] == 0 {
+		delete(c.domainsByCount, count)
 	}
 }
 
-// replicas are the replicas of a model.
-type replicas struct {
-	zones, machines counter
+// modelReplicas holds the replica counts of a model.
+type modelReplicas struct {
+	zones, machines domainCounter
 	total           int
 }
 
-// Ledger counts the replicas of all models by zone and machine. It is updated incrementally.
-type Ledger struct {
-	models  map[Model]*replicas
-	changes uint64
+// ReplicaCounts holds the replica counts of all models by zone and machine. It is updated incrementally.
+type ReplicaCounts struct {
+	models      map[Model]*modelReplicas
+	changeCount uint64
 }
 
-// Changes is the number of changes so far.
-func (l *Ledger) Changes() uint64 { return l.changes }
+// ChangeCount returns the number of changes so far. Callers use it to detect that cached results are outdated.
+func (c *ReplicaCounts) ChangeCount() uint64 { return c.changeCount }
 
-// NewLedger makes a ledger without replicas.
-func NewLedger() *Ledger { return &Ledger{models: map[Model]*replicas{}} }
+// NewReplicaCounts returns counts without replicas.
+func NewReplicaCounts() *ReplicaCounts { return &ReplicaCounts{models: map[Model]*modelReplicas{}} }
 
-// Add counts a replica on a machine. If its zone is not known ("") it counts in none.
-func (l *Ledger) Add(m Model, zone, machine string) { l.change(m, zone, machine, 1) }
+// Add adds a replica on a machine. A replica in an unknown zone ("") counts in no zone.
+func (c *ReplicaCounts) Add(model Model, zone, machine string) { c.add(model, zone, machine, 1) }
 
-// Remove no longer counts a replica on a machine.
-func (l *Ledger) Remove(m Model, zone, machine string) { l.change(m, zone, machine, -1) }
+// Remove removes a replica on a machine.
+func (c *ReplicaCounts) Remove(model Model, zone, machine string) { c.add(model, zone, machine, -1) }
 
-// Move counts a replica in another zone, when its machine's zone becomes known.
-func (l *Ledger) Move(m Model, from, to, machine string) {
-	l.Remove(m, from, machine)
-	l.Add(m, to, machine)
+// Move moves a replica on a machine to another zone, when the zone of the machine becomes known.
+func (c *ReplicaCounts) Move(model Model, from, to, machine string) {
+	c.Remove(model, from, machine)
+	c.Add(model, to, machine)
 }
 
-func (l *Ledger) change(m Model, zone, machine string, by int) {
-	l.changes++
-	r := l.models[m]
-	if r == nil {
-		r = &replicas{zones: newCounter(), machines: newCounter()}
-		l.models[m] = r
+func (c *ReplicaCounts) add(model Model, zone, machine string, delta int) {
+	c.changeCount++
+	replicas := c.models[model]
+	if replicas == nil {
+		replicas = &modelReplicas{zones: newDomainCounter(), machines: newDomainCounter()}
+		c.models[model] = replicas
 	}
 	if zone != "" {
-		r.zones.change(zone, by)
+		replicas.zones.add(zone, delta)
 	}
-	r.machines.change(machine, by)
-	if r.total += by; r.total == 0 {
-		delete(l.models, m)
+	replicas.machines.add(machine, delta)
+	if replicas.total += delta; replicas.total == 0 {
+		delete(c.models, model)
 	}
 }
 
-// Replicas gives how many replicas a model has, and the most of them in a single zone and on a single machine.
-func (l *Ledger) Replicas(m Model) (total, worstZone, worstMachine int) {
-	r := l.models[m]
-	if r == nil {
+// Replicas returns the number of replicas of a model, and the highest number in a single zone and on a single machine.
+func (c *ReplicaCounts) Replicas(model Model) (total, maxInZone, maxOnMachine int) {
+	replicas := c.models[model]
+	if replicas == nil {
 		return 0, 0, 0
 	}
-	return r.total, r.zones.worst, r.machines.worst
+	return replicas.total, replicas.zones.highest, replicas.machines.highest
 }
 
-// Models is the number of models that have replicas.
-func (l *Ledger) Models() int { return len(l.models) }
+// ModelCount returns the number of models that have replicas.
+func (c *ReplicaCounts) ModelCount() int { return len(c.models) }
 
-// Rates are the expected failures, and the expected life of a placement.
-type Rates struct {
+// FailureRates are the expected failure rates and the expected lifetime of a replica's placement.
+type FailureRates struct {
 	ZoneLossesPerDay    float64
 	MachineLossesPerDay float64
-	ReplicaDays         float64
+	ReplicaLifetimeDays float64
 }
 
-// Fleet is the number of failure domains over which a model's replicas can be spread.
-type Fleet struct{ Zones, Machines int }
+// DomainCounts is the number of failure domains over which the replicas of a model can be spread.
+type DomainCounts struct{ Zones, Machines int }
 
-// Costs are the expected losses of placing a model's next replica. The failure of a zone takes at least the balanced share:
-// all replicas over the number of zones, rounded up. Only what a zone has above that is a loss that could be avoided and
-// costs something. The same holds for machines.
+// Costs are the expected losses from the placement of a model's next replica. The failure of a zone always takes at
+// least the balanced share, which is the number of replicas divided by the number of zones, rounded up. Only replicas
+// above that share are an avoidable loss and have a cost. The same applies to machines.
 type Costs struct {
-	replicas       *replicas
+	replicas       *modelReplicas
 	zoneShare      int
 	machineShare   int
-	excessZoneS    float64 // of one replica above the share of a zone
-	excessMachineS float64 // the same of a machine
-	fullestZone    int
+	zoneExcessS    float64 // of each replica above the balanced share of a zone
+	machineExcessS float64 // of each replica above the balanced share of a machine
+	maxZoneCount   int
 }
 
-// CostsFor gives the costs of a model's next replica. recovery is how long a replica is lost: until its loss is detected and
-// its weights are loaded elsewhere.
-func (l *Ledger) CostsFor(m Model, rates Rates, fleet Fleet, recovery time.Duration) Costs {
-	lossS := rates.ReplicaDays * recovery.Seconds()
-	w := Costs{replicas: l.models[m], excessZoneS: rates.ZoneLossesPerDay * lossS, excessMachineS: rates.MachineLossesPerDay * lossS}
+// CostsFor returns the costs of a model's next replica. recovery is the time for which a replica is lost after a
+// failure: until the failure is detected and the weights are loaded on another machine.
+func (c *ReplicaCounts) CostsFor(model Model, rates FailureRates, domains DomainCounts, recovery time.Duration) Costs {
+	lossS := rates.ReplicaLifetimeDays * recovery.Seconds()
+	costs := Costs{replicas: c.models[model], zoneExcessS: rates.ZoneLossesPerDay * lossS, machineExcessS: rates.MachineLossesPerDay * lossS}
 	total := 1
-	if w.replicas != nil {
-		total += w.replicas.total
-		w.fullestZone = w.replicas.zones.worst
+	if costs.replicas != nil {
+		total += costs.replicas.total
+		costs.maxZoneCount = costs.replicas.zones.highest
 	}
-	w.zoneShare, w.machineShare = share(total, fleet.Zones), share(total, fleet.Machines)
-	return w
+	costs.zoneShare, costs.machineShare = balancedShare(total, domains.Zones), balancedShare(total, domains.Machines)
+	return costs
 }
 
-// share gives the highest count of a domain if replicas are balanced.
-func share(total, domains int) int {
+// balancedShare returns the highest count of any domain when the replicas are balanced over the domains.
+func balancedShare(total, domains int) int {
 	domains = max(1, domains)
 	return (total + domains - 1) / domains
 }
 
-// ZoneS gives the expected loss of one more replica in a zone, as far as that takes the zone beyond the balanced share. A zone
-// that is not known counts as the fullest.
-func (w Costs) ZoneS(zone string) float64 {
-	there := 0
+// ZoneLossS returns the expected loss in seconds from one more replica in a zone, to the extent that the zone then
+// exceeds the balanced share. An unknown zone counts as the zone with the most replicas.
+func (c Costs) ZoneLossS(zone string) float64 {
+	current := 0
 	switch {
-	case w.replicas == nil:
+	case c.replicas == nil:
 	case zone == "":
-		there = w.fullestZone
+		current = c.maxZoneCount
 	default:
-		there = w.replicas.zones.at[zone]
+		current = c.replicas.zones.countByDomain[zone]
 	}
-	return w.excessZoneS * float64(max(0, there+1-w.zoneShare))
+	return c.zoneExcessS * float64(max(0, current+1-c.zoneShare))
 }
 
-// Crowded tells whether one more replica on a machine is beyond the balanced share. That costs MachineS.
-func (w Costs) Crowded(machine string) bool {
-	return w.replicas != nil && w.replicas.machines.at[machine] >= w.machineShare
+// Crowded reports whether one more replica on a machine would exceed the balanced share of a machine, at the cost of
+// MachineLossS.
+func (c Costs) Crowded(machine string) bool {
+	return c.replicas != nil && c.replicas.machines.countByDomain[machine] >= c.machineShare
 }
 
-// MachineS gives the expected loss of one more replica on a crowded machine.
-func (w Costs) MachineS() float64 { return w.excessMachineS }
+// MachineLossS returns the expected loss in seconds from one more replica on a crowded machine.
+func (c Costs) MachineLossS() float64 { return c.machineExcessS }
 
-// OverfullZone gives the fullest zone of a model, if it has more than the balanced share and another one could take a replica
-// without becoming as full; "" otherwise. Each move from there reduces the sum of squares of the zones' counts, so moves
-// terminate.
-func (l *Ledger) OverfullZone(m Model, zones []string) string {
-	r := l.models[m]
-	if r == nil {
+// ZoneToDrain returns the zone with the most replicas of a model if it exceeds the balanced share and another zone has
+// at least two replicas fewer; otherwise "". Each move from that zone to the one with the fewest replicas reduces the
+// sum of squares of the zone counts, so the moves terminate.
+func (c *ReplicaCounts) ZoneToDrain(model Model, zones []string) string {
+	replicas := c.models[model]
+	if replicas == nil {
 		return ""
 	}
-	fullest, least := "", r.total
+	fullest, lowest := "", replicas.total
 	for _, zone := range zones {
-		n := r.zones.at[zone]
-		least = min(least, n)
-		if fullest == "" || n > r.zones.at[fullest] {
+		count := replicas.zones.countByDomain[zone]
+		lowest = min(lowest, count)
+		if fullest == "" || count > replicas.zones.countByDomain[fullest] {
 			fullest = zone
 		}
 	}
-	if n := r.zones.at[fullest]; n <= share(r.total, len(zones)) || least > n-2 {
+	if count := replicas.zones.countByDomain[fullest]; count <= balancedShare(replicas.total, len(zones)) || lowest > count-2 {
 		return ""
 	}
 	return fullest
 }
 
-// All gives the models that have replicas, sorted.
-func (l *Ledger) All() []Model {
-	return slices.SortedFunc(maps.Keys(l.models), func(a, b Model) int {
+// SortedModels returns the models that have replicas, sorted by team and image.
+func (c *ReplicaCounts) SortedModels() []Model {
+	return slices.SortedFunc(maps.Keys(c.models), func(a, b Model) int {
 		return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Image, b.Image))
 	})
 }
 
-// LoadSeconds gives how long a replica is expected to wait for its weights, by the state of its image. One that is being
-// fetched takes half of its time on average; one that shares the machine's fetch rate with another takes twice as long.
-func LoadSeconds(imageState int, coldS float64) float64 {
-	return coldS * [...]float64{imageReady: 0, imageFetching: 0.5, imageAbsent: 1, imageFetchShared: 2}[imageState]
+// ExpectedLoadSeconds returns how long a replica is expected to wait for its weights, by the state of its image. An
+// image that is being fetched takes half of the load time on average. An image that shares the fetch rate of the
+// machine with another takes twice the load time.
+func ExpectedLoadSeconds(imageState int, loadS float64) float64 {
+	return loadS * [...]float64{imageReady: 0, imageFetching: 0.5, imageAbsent: 1, imageFetchShared: 2}[imageState]
 }
 
-// The image states, in the order of package capacity.
+// The image states. Their values are those of capacity.ImageState.
 const (
 	imageReady = iota
 	imageFetching
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -128,7 +128,7 @@
 
 func planValue(t *testing.T, name, job string) json.RawMessage {
 	t.Helper()
-	plan := &rollout.Plan{Name: name, New: rollout.Fleet{Jobs: []string{job}}, Steps: []rollout.Step{{Jobs: []string{job}, Share: 1}}}
+	plan := &rollout.Plan{Name: name, New: rollout.VersionSpec{Jobs: []string{job}}, Steps: []rollout.Step{{Jobs: []string{job}, Share: 1}}}
 	value, err := json.Marshal(rollout.NewRecord(plan, 1))
 	if err != nil {
 		t.Fatal(err)
