--- a/internal/budget/cost_test.go
+++ b/internal/budget/cost_test.go
@@ -25,7 +25,7 @@
 		step(10_000, 10*time.Millisecond)
 	}
 	if got := c.Seconds(); got < 0.9e-6 || got > 1.1e-6 {
-		t.Errorf("cost of an evaluation is %v s, want about 1e-6 s", got)
+		t.Errorf("cost of an evaluation is %v s, want 1e-6 s within 10 %%", got)
 	}
 	if c.CountEvaluations(7); c.StepEvaluations() != 7 {
 		t.Errorf("%d evaluations in the step, want 7", c.StepEvaluations())
--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Cost is the cost of preemption on a machine. Costs compare by the number of stopped tasks above rank 0, then by the
-// image state, then by the number of stopped tasks of rank 0.
+// Cost is the cost of preemption on a machine. Costs are compared by the number of stopped tasks above rank 0, then by
+// the image state, then by the number of stopped tasks of rank 0.
 type Cost struct {
 	Stops      int
 	ImageState ImageState
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -209,8 +209,8 @@
 // MaxPenalty is the highest penalty of a group.
 const MaxPenalty = 2
 
-// BestFit returns the best machine for a task. Machines compare by image state plus penalty, then by the fraction of
-// the primary resource left free, then by name. It also returns the number of machines evaluated.
+// BestFit returns the best machine for a task. Machines are compared by image state plus penalty, then by the fraction
+// of the primary resource left free, then by name. It also returns the number of machines evaluated.
 func (x *Index[T]) BestFit(request FitRequest[T]) (found T, ok bool, evaluated int) {
 	bit := BitOf(request.Image)
 	type candidate struct {
--- a/internal/capacity/index_test.go
+++ b/internal/capacity/index_test.go
@@ -37,7 +37,7 @@
 	}
 	m.capacity = MachineCapacity{Name: name, Free: drawAmount(t, "free", 8)}
 	m.capacity.FreeAfterStops = m.capacity.Free
-	m.capacity.FreeAfterStops.Add(drawAmount(t, "soon", 2))
+	m.capacity.FreeAfterStops.Add(drawAmount(t, "stopping", 2))
 	for rank := range Ranks {
 		for range drawInt(t, "tasks", 0, 2) {
 			task := drawAmount(t, "task", 4)
@@ -150,7 +150,7 @@
 		}
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
 		spotOnly, prefersSpot := rapid.Bool().Draw(t, "spot only"), rapid.Bool().Draw(t, "prefers spot")
-		request := FitRequest[string]{Required: drawAmount(t, "need", 8), Image: image,
+		request := FitRequest[string]{Required: drawAmount(t, "required", 8), Image: image,
 			Penalty: func(g Group) (ImageState, bool) {
 				if prefersSpot && !g.Spot {
 					return MaxPenalty, !spotOnly
@@ -211,7 +211,7 @@
 		if bounds.FirstName != machineNames[0] {
 			t.Fatalf("FirstName is %s", bounds.FirstName)
 		}
-		required, belowRank := drawAmount(t, "need", 8), drawInt(t, "below", 0, AllRanks)
+		required, belowRank := drawAmount(t, "required", 8), drawInt(t, "below", 0, AllRanks)
 		image := rapid.SampledFrom(images).Draw(t, "wanted image")
 		lowerBound, possible := bounds.MinCost(required, belowRank, BitOf(image))
 		for _, m := range machines {
--- a/internal/capacity/lowest_cost.go
+++ b/internal/capacity/lowest_cost.go
@@ -16,7 +16,7 @@
 	Cost func(Group, ImageState) (float64, bool)
 	// Feasible returns, for a machine with sufficient resources, the state of the image, whether CrowdedCost applies to
 	// the machine, and whether the task may run there.
-	Feasible func(T) (state ImageState, crowded, suits bool)
+	Feasible func(T) (state ImageState, crowded, feasible bool)
 	// CrowdedCost is the additional cost of a crowded machine. It is not negative.
 	CrowdedCost float64
 }
@@ -29,8 +29,8 @@
 	cost    float64
 }
 
-// LowestCost returns the machine with the lowest cost for a task. Machines of equal cost compare by the fraction of the
-// primary resource left free, then by name. It also returns the number of machines evaluated.
+// LowestCost returns the machine with the lowest cost for a task. Machines of equal cost are compared by the fraction
+// of the primary resource left free, then by name. It also returns the number of machines evaluated.
 func (x *Index[T]) LowestCost(request CostRequest[T]) (found T, cost float64, ok bool, evaluated int) {
 	var best *entry[T]
 	bit := BitOf(request.Image)
@@ -77,7 +77,7 @@
 }
 
 // bestFitWhere returns the machine with the least left free, among the machines of the group that may have the image in
-// the given state and that match.
+// the given state and that match. The tree is ordered by free resources, so that is the first match.
 func (g *group[T]) bestFitWhere(required resource.Amount, state ImageState, bit ImageBit, evaluated *int, matches func(*entry[T]) bool) (found *entry[T]) {
 	g.byFree.root.search(func(b *freeBounds) bool {
 		return !b.maxFree.Covers(required) || !b.images.mayHaveState(state, bit)
--- a/internal/capacity/treap.go
+++ b/internal/capacity/treap.go
@@ -77,6 +77,7 @@
 	return n
 }
 
+// merge returns the union of two subtrees, where all values of a are before all values of b.
 func (t *treap[V, S]) merge(a, b *node[V, S]) *node[V, S] {
 	switch {
 	case a == nil:
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,7 +1,8 @@
-// Package probe checks the health of a replica's model server, and its responses by the checks of a rollout plan. A model server
-// serves the tasks of its machine at http://ADDRESS/TASK, with GET /health and, in the usual form, POST /v1/completions.
+// Package probe checks the health of the model server of a replica, and its responses by the checks of a rollout plan.
+// A model server serves the tasks of its machine at http://ADDRESS/TASK, with GET /health and POST /v1/completions in
+// the usual format.
 //
-// It gives verdicts alone: what follows from them is decided elsewhere.
+// The package returns verdicts only. The caller decides what follows from them.
 package probe
 
 import (
@@ -19,19 +20,19 @@
 	"bitternwing/internal/rollout"
 )
 
-// The paths of a model server, below a task's.
+// Paths of a model server, relative to the path of a task.
 const (
 	HealthPath      = "/health"
 	CompletionsPath = "/v1/completions"
 )
 
-// maxResponseBytes bounds what is read of a response, and maxCompiledChecks the checks that are kept compiled.
+// maxResponseBytes limits the size of a response. maxCompiledChecks limits the number of checks that are kept compiled.
 const (
 	maxResponseBytes  = 64 << 10
 	maxCompiledChecks = 1000
 )
 
-// idleTimeout is how long a connection to a replica is kept without use.
+// idleTimeout is the time after which an unused connection to a replica is closed.
 const idleTimeout = 30 * time.Second
 
 // Prober probes replicas.
@@ -39,10 +40,10 @@
 	client *http.Client
 
 	mu       sync.Mutex
-	compiled map[string]*responsecheck.Check // by script; nil: it does not compile
+	compiled map[string]*responsecheck.Check // by script; nil if the script does not compile
 }
 
-// New makes a prober with so many connections at most.
+// New returns a prober with at most maxConnections connections to each model server.
 func New(maxConnections int) *Prober {
 	transport := &http.Transport{
 		MaxIdleConns:        maxConnections,
@@ -54,10 +55,11 @@
 	return &Prober{compiled: map[string]*responsecheck.Check{}, client: &http.Client{Transport: transport}}
 }
 
-// errUnreachable says that a replica gave no usable response.
+// errUnreachable reports that a replica returned no usable response.
 var errUnreachable = errors.New("not reached")
 
-// Probe probes a replica, and returns the worst verdict of all checks. A check that fails by itself proves nothing.
+// Probe probes a replica and returns the verdict. A failed check takes precedence over every other verdict. A check
+// that cannot be evaluated counts as neither passed nor failed.
 func (p *Prober) Probe(ctx context.Context, probe rollout.Probe, checks []rollout.Check) rollout.ProbeResult {
 	if _, err := p.call(ctx, http.MethodGet, probe.Replica, HealthPath, nil); err != nil {
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
@@ -75,7 +77,7 @@
 	return worst
 }
 
-// check sends a replica the request of a check, and returns the verdict on its response.
+// check sends the request of a check to a replica and returns the verdict on its response.
 func (p *Prober) check(ctx context.Context, probe rollout.Probe, check *rollout.Check) rollout.Verdict {
 	response, err := p.call(ctx, http.MethodPost, probe.Replica, CompletionsPath, check.Request)
 	if err != nil {
@@ -97,7 +99,7 @@
 	passes, err := compiled.Passes(ctx, check.Request, response, expected)
 	switch {
 	case err != nil && !json.Valid(response):
-		return rollout.Failed // it is no completion at all
+		return rollout.Failed // not a completion at all
 	case err != nil:
 		return rollout.NotValidated
 	case !passes:
@@ -106,7 +108,7 @@
 	return rollout.Passed
 }
 
-// compiledCheck returns a compiled check; nil if it does not compile.
+// compiledCheck returns the compiled check of a script, or nil if the script does not compile.
 func (p *Prober) compiledCheck(script string) *responsecheck.Check {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,13 +117,13 @@
 		if len(p.compiled) >= maxCompiledChecks {
 			clear(p.compiled)
 		}
-		compiled, _ = responsecheck.Compile(script) // nil where it does not compile
+		compiled, _ = responsecheck.Compile(script) // nil if the script does not compile
 		p.compiled[script] = compiled
 	}
 	return compiled
 }
 
-// call makes a request to a replica and returns the body of the response.
+// call sends a request to a replica and returns the body of the response.
 func (p *Prober) call(ctx context.Context, method string, replica rollout.Replica, path string, body []byte) ([]byte, error) {
 	url := fmt.Sprintf("http://%s/%s%s", replica.Address, replica.Task, path)
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -15,12 +15,12 @@
 	"bitternwing/internal/simmodelserver"
 )
 
-// taskSet serves some tasks at any address.
+// taskSet serves the tasks of the set at any address.
 type taskSet map[string]bool
 
-func (e taskSet) Serves(_, task string) bool { return e[task] }
+func (s taskSet) Serves(_, task string) bool { return s[task] }
 
-// TestProbe gets each verdict.
+// TestProbe checks that each verdict is returned in the cases that lead to it.
 func TestProbe(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -40,33 +40,34 @@
 	raisesError := rollout.Check{Name: "fails", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: script("fail('no')")}
 	neverEnds := rollout.Check{Name: "hangs", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: script("while True:\n    pass")}
 	doesNotCompile := rollout.Check{Name: "broken", Request: matchesExpected.Request, Expected: matchesExpected.Expected, Script: "def"}
-	for _, x := range []struct {
-		name   string
-		probe  rollout.Probe
-		checks []rollout.Check
-		wrong  string // the task that responds wrongly
-		want   rollout.ProbeResult
+	for _, tt := range []struct {
+		name      string
+		probe     rollout.Probe
+		checks    []rollout.Check
+		wrongTask string // task that answers incorrectly
+		want      rollout.ProbeResult
 	}{
 		{"healthy", rollout.Probe{Replica: oldReplica}, nil, "", rollout.ProbeResult{Verdict: rollout.Passed}},
-		{"gone", rollout.Probe{Replica: missingReplica}, nil, "", rollout.ProbeResult{Verdict: rollout.NotReached}},
-		{"right", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesExpected, matchesOld}, "", rollout.ProbeResult{Verdict: rollout.Passed}},
-		{"wrong", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
-		{"unlike the old one", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesOld}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "compared"}},
-		{"nothing to compare with", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the old one is gone", rollout.Probe{Replica: newReplica, Reference: &missingReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
-		{"the check fails", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected, raisesError}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "fails"}},
-		{"the check hangs", rollout.Probe{Replica: newReplica}, []rollout.Check{neverEnds, matchesExpected}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "hangs"}},
-		{"no check", rollout.Probe{Replica: newReplica}, []rollout.Check{doesNotCompile}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
-		{"wrong counts more", rollout.Probe{Replica: newReplica}, []rollout.Check{raisesError, matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
+		{"replica not reached", rollout.Probe{Replica: missingReplica}, nil, "", rollout.ProbeResult{Verdict: rollout.NotReached}},
+		{"correct answer", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesExpected, matchesOld}, "", rollout.ProbeResult{Verdict: rollout.Passed}},
+		{"wrong answer", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
+		{"differs from the old version", rollout.Probe{Replica: newReplica, Reference: &oldReplica}, []rollout.Check{matchesOld}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "compared"}},
+		{"no reference", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"reference not reached", rollout.Probe{Replica: newReplica, Reference: &missingReplica}, []rollout.Check{matchesOld}, "", rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "compared"}},
+		{"check raises an error", rollout.Probe{Replica: newReplica}, []rollout.Check{matchesExpected, raisesError}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "fails"}},
+		{"check does not terminate", rollout.Probe{Replica: newReplica}, []rollout.Check{neverEnds, matchesExpected}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "hangs"}},
+		{"check does not compile", rollout.Probe{Replica: newReplica}, []rollout.Check{doesNotCompile}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
+		{"failed check takes precedence", rollout.Probe{Replica: newReplica}, []rollout.Check{raisesError, matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
 	} {
-		server.SetWrong(func(task string, _ int64) bool { return task == x.wrong })
-		if got := probe.New(4).Probe(context.Background(), x.probe, x.checks); got != x.want {
-			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
+		server.SetWrong(func(task string, _ int64) bool { return task == tt.wrongTask })
+		if got := probe.New(4).Probe(context.Background(), tt.probe, tt.checks); got != tt.want {
+			t.Errorf("%s: result is %+v, want %+v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// TestUnresponsiveServer has a model server that never responds: it is not reached, and the probe ends with its context.
+// TestUnresponsiveServer checks that a replica counts as not reached if its model server never responds, and that the
+// probe ends with its context.
 func TestUnresponsiveServer(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -76,6 +77,6 @@
 	defer cancel()
 	replica := rollout.Replica{Task: "run-000001/0", Address: strings.TrimPrefix(server.URL, "http://")}
 	if got := probe.New(4).Probe(ctx, rollout.Probe{Replica: replica}, nil); got.Verdict != rollout.NotReached {
-		t.Errorf("%+v", got)
+		t.Errorf("result is %+v, want NotReached", got)
 	}
 }
--- a/internal/responsecheck/check.go
+++ b/internal/responsecheck/check.go
@@ -1,5 +1,6 @@
-// Package responsecheck judges responses of model servers with checks that operators write in Starlark. A check is
-// bounded in steps and time, reaches nothing outside itself, and passes only if it says so.
+// Package responsecheck evaluates responses of model servers with checks that operators write in Starlark. A check is
+// limited in execution steps and time, has no access to anything outside its arguments, and passes only if it returns
+// True.
 package responsecheck
 
 import (
@@ -13,7 +14,8 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds what a check computes. A check defines a function with a name and so many parameters.
+// maxSteps limits the execution steps of a check. A check defines a function functionName with parameterCount
+// parameters.
 const (
 	maxSteps       = 1_000_000
 	functionName   = "check"
@@ -23,10 +25,10 @@
 // Check is a compiled check.
 type Check struct{ program *starlark.Program }
 
-// fileOptions allow what a bounded computation may use.
+// fileOptions enable language features that are safe because execution is bounded.
 var fileOptions = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
 
-// Compile compiles a check. The error is one line.
+// Compile compiles a check. The text of its error is a single line.
 func Compile(script string) (*Check, error) {
 	predeclared := func(string) bool { return false }
 	_, program, err := starlark.SourceProgramOptions(fileOptions, "check.star", script, predeclared)
@@ -46,7 +48,7 @@
 	return thread
 }
 
-// checkFunction runs the script and gives the function that it defines.
+// checkFunction runs the script and returns the check function that it defines.
 func (c *Check) checkFunction(thread *starlark.Thread) (starlark.Callable, error) {
 	globals, err := c.program.Init(thread, nil)
 	if err != nil {
@@ -59,11 +61,11 @@
 	return function, nil
 }
 
-// ErrNoVerdict says that a check has failed, or gave neither True nor False.
+// ErrNoVerdict reports that a check failed to run, or returned neither True nor False.
 var ErrNoVerdict = errors.New("the check gave no verdict")
 
-// Passes tells whether a response is right. Each of the three is JSON. An error tells nothing of the response; it
-// is returned as well when the context ends.
+// Passes reports whether a response passes the check. The three arguments are JSON. An error, which is also returned
+// when the context ends, says nothing about the response.
 func (c *Check) Passes(ctx context.Context, request, response, expected json.RawMessage) (bool, error) {
 	thread := newThread()
 	stop := context.AfterFunc(ctx, func() { thread.Cancel("it took too long") })
@@ -91,7 +93,7 @@
 	return bool(passed), nil
 }
 
-// decode gives a JSON text as a Starlark value.
+// decode converts JSON to a Starlark value. Empty text becomes None.
 func decode(thread *starlark.Thread, text json.RawMessage) (starlark.Value, error) {
 	if len(text) == 0 {
 		return starlark.None, nil
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -1,37 +1,38 @@
 package rollout
 
-// Observation is the state of a plan's jobs, replicas and routers at a moment, as a leader sees it.
+// Observation is the state of the jobs, replicas and routers of a plan at one moment, as the leader observes it.
 type Observation struct {
 	NowMS        int64 // Unix time in milliseconds
-	ClockErrorMS int64 // what the clocks of two leaders may differ from the true time, each
-	// Reconciled tells that the leader has had time to probe each replica. Before that nothing is known to be missing.
+	ClockErrorMS int64 // maximum error of each leader's clock, in milliseconds
+	// Reconciled reports whether the leader has had the time to probe every replica. Before that, replicas and routers
+	// must not be considered missing.
 	Reconciled bool
 	Jobs       map[string]Job
-	// FailedCheck names a new replica that has failed a check, and the check; "": none has.
+	// FailedCheck names a new replica that failed a check, and the check; "" if none did.
 	FailedCheck string
-	// RoutersCurrent tells that each router has the current routing, or that its lease has expired.
+	// RoutersCurrent reports whether each router has the current routing or an expired lease.
 	RoutersCurrent bool
-	// NewReceivesTraffic tells whether the current routing sends traffic to the new version.
+	// NewReceivesTraffic reports whether the current routing sends traffic to the new version.
 	NewReceivesTraffic bool
-	// Revalidated tells that each replica of the new version was probed after the phase began, and passed.
+	// Revalidated reports whether each replica of the new version passed a probe that was sent after the phase began.
 	Revalidated bool
-	// RouterLeases are those that still request their routing.
+	// ActiveRouters are the routers that still request their routing.
 	ActiveRouters []string
-	// RoutersOutdated tells that one of the record's routers may be alive and does not have the current routing.
+	// RoutersOutdated reports whether a router of the record may be active without having the current routing.
 	RoutersOutdated bool
 }
 
-// Job is what is seen of a job.
+// Job is the observed state of a job.
 type Job struct {
 	Accepted  bool
-	Cancelled bool // or ended: it has no future
-	Ended     bool // none of its tasks is left
-	Replicas  int  // that it has when all of them run
+	Cancelled bool // or ended: it will start no more tasks
+	Ended     bool // no task of the job is left
+	Replicas  int  // number when all tasks of the job run
 	Running   int
 	Validated int
 }
 
-// sum adds up a number over jobs.
+// sum returns the sum of a value over the given jobs.
 func (o *Observation) sum(jobs []string, value func(Job) int) int {
 	n := 0
 	for _, id := range jobs {
@@ -40,7 +41,7 @@
 	return n
 }
 
-// allJobs tells whether a condition holds for all of some jobs.
+// allJobs reports whether a condition holds for all of the given jobs.
 func (o *Observation) allJobs(jobs []string, condition func(Job) bool) bool {
 	for _, id := range jobs {
 		if !condition(o.Jobs[id]) {
@@ -50,25 +51,25 @@
 	return true
 }
 
-// Capacity is what a plan's versions can serve.
+// Capacity is the serving capacity of the versions of a plan.
 type Capacity struct {
 	Old, New float64 // of validated replicas
-	Promised float64 // that the rollout has to keep
+	Promised float64 // to be kept available by the rollout
 }
 
-// roundingTolerance is for sums of capacities.
+// roundingTolerance bounds the rounding error of sums of capacities.
 const roundingTolerance = 1e-9
 
-// oldSufficient tells whether the old version can serve all of the promised capacity.
+// oldSufficient reports whether the old version can serve all of the promised capacity.
 func (c Capacity) oldSufficient() bool { return c.Old >= c.Promised-roundingTolerance }
 
-// newSufficientFor tells whether the new version can serve a share of the promised capacity.
+// newSufficientFor reports whether the new version can serve a share of the promised capacity.
 func (c Capacity) newSufficientFor(share float64) bool {
 	return c.New >= share*c.Promised-roundingTolerance
 }
 
-// CapacityOf adds up the capacity of a plan's versions. What is promised is what the plan says, as far as its owner has not
-// cancelled the old jobs that serve it.
+// CapacityOf returns the capacity of the versions of a plan. The promised capacity is that of the plan, but no more
+// than that of the old jobs which their owner has not cancelled.
 func (p *Plan) CapacityOf(o *Observation) Capacity {
 	validated := func(j Job) int { return j.Validated }
 	remaining := func(j Job) int {
@@ -84,14 +85,16 @@
 	}
 }
 
-// OldCapacityRunning tells whether as many replicas of the old version run as the promised capacity takes, validated or not.
+// OldCapacityRunning reports whether enough replicas of the old version are running for the promised capacity,
+// validated or not.
 func (p *Plan) OldCapacityRunning(o *Observation) bool {
 	running := o.sum(p.Old.Jobs, func(j Job) int { return j.Running })
 	return p.Old.ReplicaCapacity*float64(running) >= p.CapacityOf(o).Promised-roundingTolerance
 }
 
-// NewShare gives the share of traffic for the new version that is closest to a target, such that neither version gets more
-// of the promised load than it can serve, as far as both together can.
+// NewShare returns the new version's share of traffic that is closest to the target and sends neither version more of
+// the promised load than it can serve. If both versions together cannot serve the promised load, traffic is divided in
+// proportion to their capacity.
 func (c Capacity) NewShare(target float64) float64 {
 	if c.New <= 0 {
 		return 0
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,9 +1,10 @@
-// Package rollout is progressive delivery for models: a new version comes into service step by step, beside the old one,
-// which keeps all of its replicas until the new one serves all traffic, so that a rollback is possible at any time.
+// Package rollout implements progressive delivery of models. A new version is brought into service in steps beside the
+// old one. The old version keeps all of its replicas until the new one serves all traffic, so that a rollback is
+// possible at any time before.
 //
-// The package is pure: it reads no clock, makes no calls, and decides by an Observation alone. It holds plans and their
-// state machine (Record), the validations of replicas, the routing of traffic, and the leases of routers. It does not know
-// how jobs are placed.
+// The package is pure: it reads no clock, makes no calls, and decides by an Observation only. It contains plans and
+// their state machine (Record), the validation of replicas, the routing of traffic and the leases of routers. It has no
+// notion of how jobs are placed.
 package rollout
 
 import (
@@ -16,60 +17,61 @@
 	"bitternwing/internal/wire"
 )
 
-// Plan says how a model's new version is to replace its old one.
+// Plan describes how a new version of a model replaces the old one.
 type Plan struct {
 	Name string      `json:"name"`
 	Team string      `json:"team"`
 	Old  VersionSpec `json:"old"`
 	New  VersionSpec `json:"new"`
-	// PromisedCapacity is what the rollout keeps available at any time, in the unit of replica_capacity.
+	// PromisedCapacity is the capacity that the rollout keeps available at any time, in the unit of replica_capacity.
 	PromisedCapacity float64 `json:"promised_capacity"`
 	Steps            []Step  `json:"steps"`
 	Checks           []Check `json:"checks"`
 	Limits           Limits  `json:"limits"`
 }
 
-// VersionSpec is the jobs that serve a version of a model.
+// VersionSpec describes the jobs that serve a version of a model.
 type VersionSpec struct {
 	Jobs            []string `json:"jobs"`
 	ReplicaCapacity float64  `json:"replica_capacity"` // of one task
 }
 
-// Step starts some of the new version's jobs.
+// Step starts some of the jobs of the new version.
 type Step struct {
 	Jobs  []string `json:"jobs"`
-	Share float64  `json:"share"`  // of all traffic that the new version gets
-	BakeS float64  `json:"bake_s"` // how long it has to serve that share without a failure
+	Share float64  `json:"share"`  // new version's share of all traffic
+	BakeS float64  `json:"bake_s"` // time in seconds for which that share has to be served without a failure
 }
 
-// Check validates an answer of a new replica.
+// Check validates the response of a new replica to a request.
 type Check struct {
 	Name    string          `json:"name"`
 	Request json.RawMessage `json:"request"` // body of the request
-	// Expected is passed to the script; absent if CompareWithOld is true.
+	// Expected is passed to the script. It is absent if CompareWithOld is true.
 	Expected       json.RawMessage `json:"expected,omitempty"`
-	CompareWithOld bool            `json:"compare_with_old,omitempty"` // with the old version's answer to the same request
-	// Script is Starlark: a function check(request, answer, expected) that gives True for a right answer.
+	CompareWithOld bool            `json:"compare_with_old,omitempty"` // pass the old version's response to the same request to the script instead
+	// Script is a Starlark script. It defines check(request, answer, expected), which returns True for a correct
+	// answer.
 	Script string `json:"script"`
 }
 
-// Limits are the timeouts of a plan.
+// Limits are the timeouts of a plan, in seconds.
 type Limits struct {
-	WaitS        float64 `json:"wait_s"`        // of a phase that waits for jobs, machines, capacity or routers
-	UnreachableS float64 `json:"unreachable_s"` // of the phase in which replicas are validated
-	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that sends no requests counts as gone
-	KeepS        float64 `json:"keep_s"`        // for which the record of a completed plan is kept
+	WaitS        float64 `json:"wait_s"`        // for phases that wait for jobs, machines, capacity or routers
+	UnreachableS float64 `json:"unreachable_s"` // for the phase in which replicas are validated
+	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that sends no requests is considered gone
+	KeepS        float64 `json:"keep_s"`        // for which the record is kept after the plan has ended
 }
 
 //go:embed plan.schema.json
 var planSchema []byte
 
-// PlanSchema is the published schema of plans.
+// PlanSchema returns the published JSON schema of plans.
 func PlanSchema() []byte { return planSchema }
 
-// FieldError says what is wrong with a field of a plan.
+// FieldError describes an invalid field of a plan.
 type FieldError struct {
-	Field   string // as a JSON pointer
+	Field   string // JSON pointer to the field
 	Problem string
 }
 
@@ -79,7 +81,7 @@
 	return &FieldError{Field: fmt.Sprintf(field, args...), Problem: problem}
 }
 
-// ParsePlan reads a plan of at most maxBytes and checks it as far as that is possible without the jobs.
+// ParsePlan parses a plan of at most maxBytes and validates all that can be validated without access to the jobs.
 func ParsePlan(data []byte, maxBytes int) (*Plan, error) {
 	if len(data) > maxBytes {
 		return nil, fieldError(fmt.Sprintf("the plan has %d bytes, at most %d are taken", len(data), maxBytes), "/")
@@ -94,7 +96,7 @@
 	return plan, plan.validate()
 }
 
-// validate checks what the schema can't express.
+// validate checks the constraints that the schema cannot express.
 func (p *Plan) validate() error {
 	for _, validate := range []func() error{p.validateJobs, p.validateSteps, p.validateChecks} {
 		if err := validate(); err != nil {
@@ -165,15 +167,15 @@
 	return nil
 }
 
-// Jobs gives the ids of all jobs of both versions.
+// Jobs returns the IDs of the jobs of both versions.
 func (p *Plan) Jobs() []string { return slices.Concat(p.Old.Jobs, p.New.Jobs) }
 
-// stepOf gives the step that starts a new job; -1 for any other job.
+// stepOf returns the index of the step that starts a new job, or -1 for any other job.
 func (p *Plan) stepOf(id string) int {
 	return slices.IndexFunc(p.Steps, func(s Step) bool { return slices.Contains(s.Jobs, id) })
 }
 
-// ScriptError says that the script of a check is invalid.
+// ScriptError returns the error for an invalid script of the check with the given index.
 func ScriptError(index int, problem error) error {
 	return fieldError(problem.Error(), "/checks/%d/script", index)
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// Phase is where a plan stands.
+// Phase is the phase of a plan.
 type Phase string
 
-// The phases, in order. A step goes through starting, checking, shifting and baking; any phase before
-// retiring may turn into rolling back.
+// The phases, in order. Each step goes through Starting, Checking, Shifting and Baking. Every phase before Retiring may
+// change to RollingBack.
 const (
-	Pending     Phase = "pending"    // waits for the old version's capacity and the first new jobs
-	Starting    Phase = "starting"   // the step's jobs may run
-	Checking    Phase = "checking"   // their replicas are validated
-	Shifting    Phase = "shifting"   // routers get the step's share
-	Baking      Phase = "baking"     // the new version serves that share for a while
-	Completing  Phase = "completing" // all routers get the new version alone
-	Retiring    Phase = "retiring"   // routers fall back to the new version; then the old jobs are cancelled
+	Pending     Phase = "pending"    // waiting for the old version's capacity and for the new jobs of the first step
+	Starting    Phase = "starting"   // the jobs of the step may start
+	Checking    Phase = "checking"   // the replicas of these jobs are validated
+	Shifting    Phase = "shifting"   // routers are sent the traffic share of the step
+	Baking      Phase = "baking"     // the new version serves that share for the bake time of the step
+	Completing  Phase = "completing" // routers are sent a routing to the new version only
+	Retiring    Phase = "retiring"   // routers fall back to the new version, then the old jobs are cancelled
 	Completed   Phase = "completed"
 	RollingBack Phase = "rolling_back" // traffic returns to the old version, then the new jobs are cancelled
 	RolledBack  Phase = "rolled_back"
 )
 
-// Reason is why a plan rolled back.
+// Reason is the reason for a rollback.
 type Reason string
 
-// The reasons.
+// The reasons for a rollback.
 const (
 	WrongAnswer  Reason = "wrong_answer"
 	Unreachable  Reason = "unreachable"
@@ -37,33 +37,33 @@
 	Aborted      Reason = "aborted"
 )
 
-// Record is a plan with its state, as it is stored.
+// Record is a plan with its state, in the stored form.
 type Record struct {
 	Plan    Plan    `json:"plan"`
 	Phase   Phase   `json:"phase"`
 	Step    int     `json:"step"`
-	Share   float64 `json:"share"` // of traffic that the new version is to get
-	SinceMS int64   `json:"since"` // Unix time in milliseconds when the phase began
+	Share   float64 `json:"share"` // new version's target share of traffic
+	SinceMS int64   `json:"since"` // Unix time in milliseconds at which the phase began
 	Reason  Reason  `json:"reason,omitempty"`
-	// Detail names the replica and the check that failed, or the job that was cancelled.
+	// Detail names the failed replica and check, the cancelled job, or the phase that timed out.
 	Detail string `json:"detail,omitempty"`
-	// PausedMS is the Unix time in milliseconds since when the plan is paused; 0: it is not.
+	// PausedMS is the Unix time in milliseconds at which the plan was paused; 0 if it is not paused.
 	PausedMS int64 `json:"paused,omitempty"`
-	// RouterLeases are all that may have been granted a routing, without those that were gone at an earlier write. They have
-	// to have the routing of completion before the old version is retired.
+	// Routers are all routers that may have been granted a routing, except those that were gone at an earlier write of
+	// the record. They need to have the routing of the Completing phase before the old version is retired.
 	Routers []string `json:"routers,omitempty"`
 }
 
-// NewRecord gives the record of a plan that is applied now.
+// NewRecord returns the record of a plan that is applied now.
 func NewRecord(plan *Plan, nowMS int64) *Record {
 	return &Record{Plan: *plan, Phase: Pending, SinceMS: nowMS}
 }
 
-// ErrUnreadable says that a stored record is not one that this version understands.
+// ErrUnreadable reports that a stored record cannot be interpreted by this version of the program.
 var ErrUnreadable = errors.New("the record of a plan can't be read")
 
-// Decode reads a stored record. If only the phase is unknown the record is returned with the error, so that its jobs can be
-// left as they are.
+// Decode decodes a stored record. If only the phase is unknown, it returns both the record and the error, so that the
+// caller can leave the jobs of the plan untouched.
 func Decode(data []byte) (*Record, error) {
 	r := &Record{}
 	if err := json.Unmarshal(data, r); err != nil {
@@ -86,15 +86,16 @@
 	return false
 }
 
-// Terminal tells whether a plan has ended.
+// Terminal reports whether a plan in this phase has ended.
 func (p Phase) Terminal() bool { return p == Completed || p == RolledBack }
 
-// outcomeDecided tells whether a plan can't be rolled back any more, or is being rolled back.
+// outcomeDecided reports whether a plan in this phase can no longer be rolled back, or is already rolling back.
 func (p Phase) outcomeDecided() bool {
 	return p == Retiring || p == Completed || p == RollingBack || p == RolledBack
 }
 
-// BlocksStart tells whether a job may not be started: it is a new one whose step has not begun, or the plan is rolled back.
+// BlocksStart reports whether a job must not be started: it is a new job and either its step has not begun or the plan
+// is rolled back.
 func (r *Record) BlocksStart(job string) bool {
 	step := r.Plan.stepOf(job)
 	if step < 0 {
@@ -110,7 +111,8 @@
 	return step > r.Step
 }
 
-// Checks gives the checks that new replicas have to pass. Once the old version is retired there is nothing to compare with.
+// Checks returns the checks that new replicas have to pass. Comparisons with the old version are left out once that
+// version is being retired.
 func (r *Record) Checks() []Check {
 	if r.Phase != Retiring && r.Phase != Completed {
 		return r.Plan.Checks
@@ -118,14 +120,14 @@
 	return slices.DeleteFunc(slices.Clone(r.Plan.Checks), func(c Check) bool { return c.CompareWithOld })
 }
 
-// withPhase gives the record in another phase.
+// withPhase returns a copy of the record in another phase.
 func (r *Record) withPhase(phase Phase, nowMS int64) *Record {
 	next := *r
 	next.Phase, next.SinceMS = phase, nowMS
 	return &next
 }
 
-// WithRouters gives the record with these routers: those that are known, and some that join.
+// WithRouters returns a copy of the record with the routers that are recorded and those that join.
 func (r *Record) WithRouters(recorded, joining []string) *Record {
 	next := *r
 	next.Routers = slices.Concat(recorded, joining)
@@ -134,7 +136,7 @@
 	return &next
 }
 
-// rollBack gives the record in the phase RollingBack.
+// rollBack returns a copy of the record in the phase RollingBack.
 func (r *Record) rollBack(reason Reason, detail string, nowMS int64) *Record {
 	next := r.withPhase(RollingBack, nowMS)
 	next.Reason, next.Detail = reason, detail
@@ -145,19 +147,19 @@
 // Change is an operator's request to change a plan.
 type Change string
 
-// The changes.
+// The changes of a plan that an operator may request.
 const (
 	Pause  Change = "pause"
 	Resume Change = "resume"
 	Abort  Change = "abort"
 )
 
-// RefusedError says why a plan can't be changed.
+// RefusedError reports why a plan cannot be changed.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Change gives the record after a change; the same one if nothing changes.
+// Change returns the record after a change, or r itself if nothing changes.
 func (r *Record) Change(change Change, nowMS int64) (*Record, error) {
 	next := *r
 	switch {
@@ -172,7 +174,7 @@
 	case change == Pause && r.PausedMS == 0:
 		next.PausedMS = nowMS
 	case change == Resume && r.PausedMS != 0:
-		next.SinceMS += max(0, nowMS-r.PausedMS) // the time before the pause counts
+		next.SinceMS += max(0, nowMS-r.PausedMS) // the time before the pause still counts
 		next.PausedMS = 0
 	default:
 		return r, nil
--- a/internal/rollout/routing.go
+++ b/internal/rollout/routing.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Generation is the version of a routing: the leader's term, then a count within the term. It only increases.
+// Generation is the version of a routing: the term of the leader and a revision within the term. It only increases.
 type Generation struct {
 	Term     uint64 `json:"term"`
 	Revision uint64 `json:"revision"`
 }
 
-// Before tells whether a generation is older than another.
+// Before reports whether g is older than the other generation.
 func (g Generation) Before(other Generation) bool {
 	if g.Term != other.Term {
 		return g.Term < other.Term
@@ -19,7 +19,7 @@
 	return g.Revision < other.Revision
 }
 
-// Weight is a replica's share of all traffic.
+// Weight is the share of all traffic that a replica receives.
 type Weight struct {
 	Task    string  `json:"task"`
 	Attempt uint64  `json:"attempt"`
@@ -28,24 +28,24 @@
 	Share   float64 `json:"share"`
 }
 
-// Routing is how routers distribute traffic. Fallback is how they do it once their lease has expired.
+// Routing is the distribution of traffic by routers. Fallback applies once the lease of a router has expired.
 type Routing struct {
 	Generation Generation `json:"generation"`
 	Weights    []Weight   `json:"weights"`
 	Fallback   []Weight   `json:"fallback"`
 }
 
-// NewReceivesTraffic tells whether any traffic goes to the new version.
+// NewReceivesTraffic reports whether any traffic goes to the new version.
 func (r *Routing) NewReceivesTraffic() bool {
 	return slices.ContainsFunc(r.Weights, func(w Weight) bool { return w.Version == NewVersion })
 }
 
-// ComputeRouting gives the routing by the states of the replicas. The caller sets the generation.
+// ComputeRouting returns the routing for the states of the replicas. The caller sets the generation.
 func ComputeRouting(record *Record, capacity Capacity, states []ReplicaState) Routing {
 	var routing Routing
 	newShare := capacity.NewShare(record.TargetShare())
 	if record.Phase == Retiring || record.Phase == Completed {
-		newShare = 1 // the old version is being retired
+		newShare = 1 // whatever its capacity, because the old version is being retired
 	}
 	routing.Weights = append(distribute(states, OldVersion, 1-newShare), distribute(states, NewVersion, newShare)...)
 	fallback := OldVersion
@@ -56,8 +56,9 @@
 	return routing
 }
 
-// distribute distributes a share of traffic equally over the validated replicas of a version; if none is validated, over those
-// that have not failed a check; and if there are none of these, over all: traffic has to go somewhere.
+// distribute divides a share of traffic equally among the validated replicas of a version. If none is validated, it
+// uses the replicas that have not failed a check, and if there are none of these, all replicas: traffic must be sent to
+// some replica.
 func distribute(states []ReplicaState, version Version, share float64) []Weight {
 	if share <= 0 {
 		return nil
@@ -83,17 +84,17 @@
 	return pick(func(ReplicaState) bool { return true })
 }
 
-// SameWeights tells whether two routings differ in nothing but their generation.
+// SameWeights reports whether two routings are equal except for their generation.
 func (r *Routing) SameWeights(other *Routing) bool {
 	return slices.Equal(r.Weights, other.Weights) && slices.Equal(r.Fallback, other.Fallback)
 }
 
-// RouterLeases keeps the leases of routers, in a leader's memory. What an earlier leader granted is not known, but has expired a
-// lease after this one began.
+// RouterLeases holds the leases of routers in the memory of a leader. Leases that an earlier leader granted are not
+// known, but have expired one lease duration after this leader began.
 type RouterLeases struct {
-	duration   time.Duration // as granted, plus the clock drift
+	duration   time.Duration // duration granted to routers, plus the clock drift
 	since      time.Duration // when this leader began
-	maxRouters int           // of the number of routers
+	maxRouters int
 	byRouter   map[string]*routerLease
 }
 
@@ -105,13 +106,13 @@
 	requestedAt time.Duration
 }
 
-// NewRouterLeases makes the leases of a leader that begins now, for at most limit routers.
-func NewRouterLeases(lease, now time.Duration, limit int) *RouterLeases {
-	return &RouterLeases{duration: lease, since: now, maxRouters: limit, byRouter: map[string]*routerLease{}}
+// NewRouterLeases returns the leases of a leader that begins now, for at most maxRouters routers.
+func NewRouterLeases(duration, now time.Duration, maxRouters int) *RouterLeases {
+	return &RouterLeases{duration: duration, since: now, maxRouters: maxRouters, byRouter: map[string]*routerLease{}}
 }
 
-// Grant renews a router's lease on a routing and notes which one the router has confirmed. It returns false if there are too
-// many routers.
+// Grant renews the lease of a router and records the generation that the router has confirmed and the one that it is
+// granted. It returns false if there are too many routers.
 func (l *RouterLeases) Grant(name string, confirmed, granted Generation, now time.Duration) bool {
 	lease := l.byRouter[name]
 	if lease == nil {
@@ -127,7 +128,8 @@
 	return true
 }
 
-// evictAfterLeases is after how many leases without a request a router is forgotten to make space for others.
+// evictAfterLeases is the number of lease durations without a request after which a router may be evicted to make room
+// for others.
 const evictAfterLeases = 10
 
 func (l *RouterLeases) evictIdle(now time.Duration) {
@@ -141,10 +143,10 @@
 	}
 }
 
-// AllCurrent tells whether each router has a routing no older than this one, or its lease has expired.
+// AllCurrent reports whether each router has a routing of at least this generation or an expired lease.
 func (l *RouterLeases) AllCurrent(g Generation, now time.Duration) bool {
 	if now < l.since+l.duration {
-		return false // a lease of an earlier leader may not have expired
+		return false // leases of an earlier leader may not have expired
 	}
 	for _, lease := range l.byRouter {
 		if lease.confirmed.Before(g) && now < lease.expiresAt {
@@ -154,8 +156,8 @@
 	return true
 }
 
-// AnyOutdated tells whether one of some routers does not have this routing. Routers that have sent no request for goneAfter do
-// not count.
+// AnyOutdated reports whether any of the named routers has not confirmed this generation. Routers without a request for
+// goneAfter do not count.
 func (l *RouterLeases) AnyOutdated(names []string, g Generation, goneAfter, now time.Duration) bool {
 	for _, name := range names {
 		requestedAt, confirmed := l.since, Generation{}
@@ -169,8 +171,8 @@
 	return false
 }
 
-// Active gives the routers that are not gone, by name: those that have sent a request within goneAfter, and of those that
-// an earlier leader knew the ones that may yet send one.
+// Active returns the names of the routers that are not gone, sorted. These are the routers with a request within
+// goneAfter, and those recorded by an earlier leader that may still send one.
 func (l *RouterLeases) Active(recorded []string, goneAfter, now time.Duration) []string {
 	var names []string
 	for name, lease := range l.byRouter {
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Next gives the record that follows by an observation; nil if the plan stays where it is. The caller commits it before it
-// acts on it.
+// Next returns the next record of the plan for an observation, or nil if nothing changes. The caller must commit the
+// record before acting on it.
 func (r *Record) Next(o *Observation) *Record {
 	next := r.next(o)
 	if next != nil && o.Reconciled {
@@ -40,7 +40,7 @@
 	return r.rollBackOnTimeout(o)
 }
 
-// rollBackOnFailure gives the record that rolls back because of a failure that does not heal by itself; nil if there is none.
+// rollBackOnFailure returns a record that rolls back if there is a failure from which the plan cannot recover, or nil.
 func (r *Record) rollBackOnFailure(o *Observation) *Record {
 	if o.FailedCheck != "" {
 		return r.rollBack(WrongAnswer, o.FailedCheck, o.NowMS)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// advance gives the record of the next phase, once the condition of this one is fulfilled.
+// advance returns a record in the next phase if the condition of the current phase is met, or nil.
 func (r *Record) advance(o *Observation) *Record {
 	capacity := r.Plan.CapacityOf(o)
 	validated := o.allJobs(r.releasedJobs(), func(j Job) bool { return j.Accepted && j.Validated >= j.Replicas })
@@ -74,7 +74,7 @@
 		}
 	case Shifting, Baking:
 		if !validated {
-			return r.withPhase(Checking, o.NowMS) // the time of baking is lost
+			return r.withPhase(Checking, o.NowMS) // the bake time so far is lost
 		}
 		return r.advanceServing(o, capacity)
 	case Completing:
@@ -86,13 +86,14 @@
 	return nil
 }
 
-// mayRetireOld tells whether the new version serves everything and no router depends on the old one any more.
+// mayRetireOld reports whether the new version can serve all traffic and no router depends on the old version.
 func (o *Observation) mayRetireOld(capacity Capacity) bool {
 	return o.Revalidated && capacity.newSufficientFor(1) && o.RoutersCurrent && !o.RoutersOutdated
 }
 
-// advanceServing gives the record that follows in a step whose replicas are all validated: it bakes once routers have its share, and
-// is complete once it has baked and the old version could serve everything after a rollback.
+// advanceServing returns the next record of a step whose replicas are all validated, or nil. Shifting changes to Baking
+// once all routers have the share of the step. Baking ends after the bake time if the old version could still serve all
+// traffic after a rollback.
 func (r *Record) advanceServing(o *Observation, capacity Capacity) *Record {
 	switch {
 	case r.Phase == Shifting && o.RoutersCurrent:
@@ -103,7 +104,8 @@
 	return nil
 }
 
-// afterBake gives the record after a step has baked: in the next step, or in completion.
+// afterBake returns the record after the bake time of a step: in the next step, or in the phase Completing after the
+// last one.
 func (r *Record) afterBake(o *Observation) *Record {
 	if r.Step+1 < len(r.Plan.Steps) {
 		next := r.withPhase(Starting, o.NowMS)
@@ -113,7 +115,7 @@
 	return r.withPhase(Completing, o.NowMS)
 }
 
-// rollBackOnTimeout gives the record that rolls back because a phase has timed out.
+// rollBackOnTimeout returns a record that rolls back if the current phase has timed out, or nil.
 func (r *Record) rollBackOnTimeout(o *Observation) *Record {
 	limits := r.Plan.Limits
 	reason, limit := TimedOut, limits.WaitS
@@ -132,12 +134,13 @@
 	return r.rollBack(reason, fmt.Sprintf("%s for %g s", r.Phase, limit), o.NowMS)
 }
 
-// phaseLasted tells whether the phase has lasted for some seconds by any leader's clock, as far as clocks may be off.
+// phaseLasted reports whether the phase has certainly lasted for the given time, allowing for the clock errors of this
+// leader and of the one that recorded its beginning.
 func (r *Record) phaseLasted(o *Observation, seconds float64) bool {
 	return float64(o.NowMS-r.SinceMS-2*o.ClockErrorMS) >= 1000*seconds
 }
 
-// releasedJobs gives the new jobs of the steps so far.
+// releasedJobs returns the new jobs of all steps up to the current one.
 func (r *Record) releasedJobs() []string {
 	var jobs []string
 	for _, step := range r.Plan.Steps[:r.Step+1] {
@@ -146,7 +149,7 @@
 	return jobs
 }
 
-// acceptedNewJobs gives the new jobs that have been submitted and accepted.
+// acceptedNewJobs returns the new jobs that have been submitted and accepted.
 func (r *Record) acceptedNewJobs(o *Observation) []string {
 	var jobs []string
 	for _, id := range r.Plan.New.Jobs {
@@ -157,8 +160,8 @@
 	return jobs
 }
 
-// JobsToCancel gives the jobs to cancel now. New jobs are cancelled once no router sends them traffic, old ones only after the
-// decision to retire them is committed.
+// JobsToCancel returns the jobs to cancel now. New jobs are cancelled only when no router sends them traffic, and old
+// jobs only after the decision to retire them has been committed.
 func (r *Record) JobsToCancel(o *Observation) []string {
 	var jobs []string
 	add := func(ids []string) {
@@ -174,9 +177,9 @@
 			add(r.Plan.New.Jobs)
 		}
 	case RolledBack:
-		add(r.Plan.New.Jobs) // submitted after the rollback
+		add(r.Plan.New.Jobs) // jobs submitted after the rollback
 	case Retiring:
-		// A router without the current routing would fall back to them.
+		// A router without the current routing would fall back to the old jobs.
 		if o.RoutersCurrent && !o.RoutersOutdated {
 			add(r.Plan.Old.Jobs)
 		}
@@ -185,7 +188,7 @@
 	return jobs
 }
 
-// TargetShare gives the share of traffic that the new version gets if its capacity allows.
+// TargetShare returns the new version's share of traffic if its capacity is sufficient.
 func (r *Record) TargetShare() float64 {
 	switch r.Phase {
 	case Completing, Retiring, Completed:
@@ -197,7 +200,7 @@
 	return r.Share
 }
 
-// RetentionExpired tells whether the record of a plan that has ended need not be kept any longer.
+// RetentionExpired reports whether the plan has ended and the retention period of its record is over.
 func (r *Record) RetentionExpired(o *Observation) bool {
 	return r.Phase.Terminal() && r.phaseLasted(o, r.Plan.Limits.KeepS)
 }
--- a/internal/rollout/validation.go
+++ b/internal/rollout/validation.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Version is one of the two versions of a plan.
+// Version identifies one of the two versions of a plan.
 type Version string
 
-// The versions.
+// The versions of a plan.
 const (
 	OldVersion Version = "old"
 	NewVersion Version = "new"
 )
 
-// Replica is an attempt of a task of one of a plan's jobs that runs according to its machine's heartbeats.
+// Replica is an attempt of a task of one of a plan's jobs that is running according to the heartbeats of its machine.
 type Replica struct {
 	Job     string
 	Task    string
 	Attempt uint64
-	Address string // of its model server, host:port
+	Address string // host:port of its model server
 	Version Version
 }
 
-// attemptKey identifies an attempt.
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
@@ -32,67 +32,68 @@
 
 func (r Replica) key() attemptKey { return attemptKey{r.Task, r.Attempt} }
 
-// Verdict is the result of probing a replica.
+// Verdict is the conclusion of a probe about a replica.
 type Verdict int
 
-// The verdicts.
+// The verdicts of a probe.
 const (
-	NotValidated Verdict = iota // not probed yet, or the check itself could not be made
-	Passed                      // it is healthy, and all its answers pass the checks
+	NotValidated Verdict = iota // not probed yet, or a check could not be evaluated
+	Passed                      // healthy, and all answers pass the checks
 	Failed                      // an answer fails a check
-	NotReached                  // it can't be reached, or its health check fails
-	NotCompared                 // there was no answer of the old version to compare with
+	NotReached                  // unreachable, or the health check fails
+	NotCompared                 // no answer of the old version is available for comparison
 )
 
 var verdictNames = [...]string{"unproved", "right", "wrong", "not reached", "not compared"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Probe is a health check of a replica, with the checks of a plan if it is of the new version.
+// Probe is a health check of a replica. For a replica of the new version it includes the checks of the plan.
 type Probe struct {
 	Replica Replica
-	// Reference is an old replica to compare with; nil if there is none.
+	// Reference is an old replica to compare with, or nil if there is none.
 	Reference *Replica
 }
 
 // ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Verdict Verdict
-	Check   string // the check that did not pass
+	Check   string // check that did not pass
 }
 
-// validation is what the probes of a replica have shown.
+// validation is the result of the probes of a replica so far.
 type validation struct {
 	replica           Replica
 	verdict           Verdict
 	check             string
 	probeInFlight     bool
 	probed            bool
-	passedProbeSentAt time.Duration // when the last probe was sent that passed
+	passedProbeSentAt time.Duration // when the last passed probe was sent
 	probeSentAt       time.Duration
-	passedAt          time.Duration // when the result of that probe came
+	passedAt          time.Duration // when the result of the last passed probe arrived
 	resultCount       int
 }
 
-// Validations keeps the validations of a plan's replicas. A new attempt begins unvalidated.
+// Validations holds the validations of the replicas of a plan. Each new attempt starts without validation.
 type Validations struct {
 	interval  time.Duration // between two probes of a replica
 	byReplica map[attemptKey]*validation
 	order     []attemptKey
-	// failedCheck is the first new replica that failed a check, with the check. It stays, whatever the replica does later.
+	// failedCheck names the first new replica that failed a check, and the check. It is kept whatever the replica
+	// answers later.
 	failedCheck string
 }
 
-// NewValidations makes validations of replicas that are probed at an interval.
+// NewValidations returns validations of replicas that are probed at the given interval.
 func NewValidations(interval time.Duration) *Validations {
 	return &Validations{interval: interval, byReplica: map[attemptKey]*validation{}}
 }
 
-// validityIntervals is for how many intervals a passed probe counts. A late probe does not invalidate a replica at once, the
-// lack of several does.
+// validityIntervals is the number of intervals for which a passed probe is valid. A single late probe does not
+// invalidate a replica, several missing ones do.
 const validityIntervals = 3
 
-// SetReplicas sets the replicas that run now. Those that are gone lose their validation.
+// SetReplicas sets the replicas that are running now. Other replicas lose their validation.
 func (s *Validations) SetReplicas(replicas []Replica) {
 	next := make(map[attemptKey]*validation, len(replicas))
 	s.order = s.order[:0]
@@ -107,11 +108,11 @@
 	s.byReplica = next
 }
 
-// DueProbes gives up to limit probes that are due, those that have waited longest first.
+// DueProbes returns up to limit probes that are due, in order of the time since the last probe, longest first.
 func (s *Validations) DueProbes(now time.Duration, limit int) []Probe {
 	var due []*validation
-	for _, name := range s.order {
-		v := s.byReplica[name]
+	for _, key := range s.order {
+		v := s.byReplica[key]
 		if !v.probeInFlight && (!v.probed || now >= v.probeSentAt+s.interval) {
 			due = append(due, v)
 		}
@@ -129,11 +130,11 @@
 	return probes
 }
 
-// reference gives a healthy old replica, another one each turn; nil if there is none.
+// reference returns a validated old replica, or nil if there is none. Successive turns rotate through the old replicas.
 func (s *Validations) reference(now time.Duration, turn int) *Replica {
 	var old []*validation
-	for _, name := range s.order {
-		if v := s.byReplica[name]; v.replica.Version == OldVersion && s.valid(v, now) {
+	for _, key := range s.order {
+		if v := s.byReplica[key]; v.replica.Version == OldVersion && s.valid(v, now) {
 			old = append(old, v)
 		}
 	}
@@ -143,7 +144,7 @@
 	return &old[turn%len(old)].replica
 }
 
-// RecordResult takes in the result of a probe. One of an attempt that is gone counts only if it failed a check.
+// RecordResult records the result of a probe. For an attempt that is no longer running, only a failed check counts.
 func (s *Validations) RecordResult(r Replica, result ProbeResult, now time.Duration) {
 	if result.Verdict == Failed && r.Version == NewVersion && s.failedCheck == "" {
 		s.failedCheck = r.Task + ", check " + result.Check
@@ -160,10 +161,11 @@
 	}
 }
 
-// NewValidatedSince tells whether each new replica was probed after a moment, and passed.
+// NewValidatedSince reports whether each new replica is validated by a probe that was sent at or after the given
+// moment.
 func (s *Validations) NewValidatedSince(moment, now time.Duration) bool {
-	for _, name := range s.order {
-		v := s.byReplica[name]
+	for _, key := range s.order {
+		v := s.byReplica[key]
 		if v.replica.Version == NewVersion && (!s.valid(v, now) || v.passedProbeSentAt < moment) {
 			return false
 		}
@@ -171,31 +173,31 @@
 	return true
 }
 
-// ProbeNotSent notes that a probe was not sent.
+// ProbeNotSent records that a due probe was not sent.
 func (s *Validations) ProbeNotSent(r Replica) {
 	if v := s.byReplica[r.key()]; v != nil {
 		v.probeInFlight = false
 	}
 }
 
-// FailedCheck names the first new replica that failed a check, and the check; "": none.
+// FailedCheck returns the first new replica that failed a check, and the check; "" if none did.
 func (s *Validations) FailedCheck() string { return s.failedCheck }
 
-// valid tells whether a validation counts: its replica passed the last probe, not long ago.
+// valid reports whether a validation is valid: the replica passed its last probe, not longer ago than the validity.
 func (s *Validations) valid(v *validation, now time.Duration) bool {
 	return v.verdict == Passed && now-v.passedAt < validityIntervals*s.interval
 }
 
-// Validated tells whether a replica counts as capacity.
+// Validated reports whether a replica is validated and counts as capacity.
 func (s *Validations) Validated(r Replica, now time.Duration) bool {
 	v := s.byReplica[r.key()]
 	return v != nil && s.valid(v, now)
 }
 
-// AllProbed tells whether each replica has been probed, with whatever result.
+// AllProbed reports whether a probe of each replica has returned a result.
 func (s *Validations) AllProbed() bool {
-	for _, name := range s.order {
-		if s.byReplica[name].resultCount == 0 {
+	for _, key := range s.order {
+		if s.byReplica[key].resultCount == 0 {
 			return false
 		}
 	}
@@ -210,11 +212,11 @@
 	Check     string
 }
 
-// States gives the states of all replicas.
+// States returns the states of all replicas.
 func (s *Validations) States(now time.Duration) []ReplicaState {
 	states := make([]ReplicaState, 0, len(s.order))
-	for _, name := range s.order {
-		v := s.byReplica[name]
+	for _, key := range s.order {
+		v := s.byReplica[key]
 		states = append(states, ReplicaState{Replica: v.replica, Validated: s.valid(v, now), Verdict: v.verdict, Check: v.check})
 	}
 	return states
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestInstances(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		instances   Instances
 		elastic     bool
 		surplus     int
@@ -20,9 +20,9 @@
 		{Instances{Current: 5, Min: 1, Max: 5}, true, 4, 1},
 		{Instances{Current: 0, Min: 1, Max: 5}, true, -1, -0.25},
 	} {
-		i := c.instances
-		if i.Elastic() != c.elastic || i.Surplus() != c.surplus || i.Fulfillment() != c.fulfillment {
-			t.Errorf("%+v: %v, %d, %g", i, i.Elastic(), i.Surplus(), i.Fulfillment())
+		i := tt.instances
+		if i.Elastic() != tt.elastic || i.Surplus() != tt.surplus || i.Fulfillment() != tt.fulfillment {
+			t.Errorf("%+v: elastic %v, surplus %d, fulfillment %g", i, i.Elastic(), i.Surplus(), i.Fulfillment())
 		}
 	}
 	if (Instances{Current: 1, Min: 1, Max: 1}).Elastic() {
@@ -94,7 +94,7 @@
 	usage := TeamUsage{}
 	usage.Add("a", resource.Amount{GPUs: 1}, 6)
 	usage.Add("b", resource.Amount{GPUs: 1}, 6)
-	for name, c := range map[string]struct {
+	for name, tt := range map[string]struct {
 		preemptor, victim PreemptionCriteria
 		want              bool
 	}{
@@ -105,8 +105,8 @@
 		"same team":                  {PreemptionCriteria{guaranteedTeam, 1, true}, PreemptionCriteria{guaranteedTeam, 1, false}, false},
 		"victim's team is gone":      {PreemptionCriteria{guaranteedTeam, 0, false}, PreemptionCriteria{nil, 3, false}, true},
 	} {
-		if usage.MayPreempt(c.preemptor, c.victim) != c.want {
-			t.Errorf("%s: MayPreempt is not %v", name, c.want)
+		if usage.MayPreempt(tt.preemptor, tt.victim) != tt.want {
+			t.Errorf("%s: MayPreempt is not %v", name, tt.want)
 		}
 	}
 	usage.Add("b", resource.Amount{GPUs: 1}, -2)
@@ -121,7 +121,7 @@
 		return PreemptibleInstance[string]{Job: job, JobInstances: Instances{Current: current, Min: 1, Max: 9}, Task: one}
 	}
 	instances := []PreemptibleInstance[string]{instance("low", 2), instance("high", 3), instance("low", 2), instance("high", 3), instance("high", 3)}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		need, free float64
 		victims    []int
 		possible   bool
@@ -131,9 +131,9 @@
 		{3, 0, []int{1, 3, 0}, true}, // both surplus instances of the more fulfilled job, then one of the other
 		{4, 0, nil, false},
 	} {
-		victims, possible := SelectVictims(resource.Amount{GPUs: c.need}, resource.Amount{GPUs: c.free}, instances)
-		if !slices.Equal(victims, c.victims) || possible != c.possible {
-			t.Errorf("%g needed, %g free: %v, %v", c.need, c.free, victims, possible)
+		victims, possible := SelectVictims(resource.Amount{GPUs: tt.need}, resource.Amount{GPUs: tt.free}, instances)
+		if !slices.Equal(victims, tt.victims) || possible != tt.possible {
+			t.Errorf("%g GPUs required, %g free: victims %v, possible %v", tt.need, tt.free, victims, possible)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 
 func TestInstancesForObjective(t *testing.T) {
 	objectives := []config.Objective{{Kind: "started", Class: "c", WithinS: 10}, {Kind: "finished", Class: "c", WithinS: 100}, {Kind: "finished", Class: "c", WithinS: 1000}}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		class    string
 		ageS     float64
 		want     int
@@ -170,8 +170,8 @@
 		{"c", 995, 0, false},
 		{"other", 0, 0, false},
 	} {
-		if n, possible := InstancesForObjective(objectives, c.class, c.ageS, 10, 10); n != c.want || possible != c.possible {
-			t.Errorf("class %s after %g s: %d, %v", c.class, c.ageS, n, possible)
+		if n, possible := InstancesForObjective(objectives, tt.class, tt.ageS, 10, 10); n != tt.want || possible != tt.possible {
+			t.Errorf("class %s after %g s: %d instances, possible %v", tt.class, tt.ageS, n, possible)
 		}
 	}
 }
--- a/internal/topologyspread/spread_test.go
+++ b/internal/topologyspread/spread_test.go
@@ -70,7 +70,7 @@
 	counts, m := NewReplicaCounts(), Model{"t", "a"}
 	rates := FailureRates{ZoneLossesPerDay: 0.01, MachineLossesPerDay: 0.002, ReplicaLifetimeDays: 30}
 	threeZones := DomainCounts{Zones: 3, Machines: 100}
-	costsFor := func(fleet DomainCounts) Costs { return counts.CostsFor(m, rates, fleet, 100*time.Second) }
+	costsFor := func(domains DomainCounts) Costs { return counts.CostsFor(m, rates, domains, 100*time.Second) }
 	costs := costsFor(threeZones)
 	if costs.ZoneLossS("z1") != 0 || costs.Crowded("m1") || costs.MachineLossS() != 6 {
 		t.Errorf("first replica: zone loss %g s, crowded %v, machine loss %g s", costs.ZoneLossS("z1"), costs.Crowded("m1"), costs.MachineLossS())
@@ -124,62 +124,62 @@
 // smallFleet has two machines in each of three zones. Some machines already have the image of the model, whose replicas
 // are placed one after the other.
 type smallFleet struct {
-	warm      [6]bool
+	hasImage  [6]bool
 	zoneLossS float64
 	loadS     float64
 	replicas  int
 }
 
-func (c *smallFleet) zone(machine int) string { return fmt.Sprint("z", machine/2) }
+func (f *smallFleet) zone(machine int) string { return fmt.Sprint("z", machine/2) }
 
 // cost returns the cost of a placement: image loads, and the expected loss from the replicas above the balanced share
 // at the end.
-func (c *smallFleet) cost(machines []int) float64 {
-	warm, zones, cost := c.warm, map[string]int{}, 0.0
+func (f *smallFleet) cost(machines []int) float64 {
+	hasImage, zones, cost := f.hasImage, map[string]int{}, 0.0
 	for _, m := range machines {
-		if !warm[m] {
-			cost += c.loadS
+		if !hasImage[m] {
+			cost += f.loadS
 		}
-		warm[m] = true
-		zones[c.zone(m)]++
+		hasImage[m] = true
+		zones[f.zone(m)]++
 	}
 	for _, n := range zones {
-		cost += c.zoneLossS * float64(max(0, n-balancedShare(len(machines), 3)))
+		cost += f.zoneLossS * float64(max(0, n-balancedShare(len(machines), 3)))
 	}
 	return cost
 }
 
 // optimum returns the lowest cost of any placement that extends the chosen machines.
-func (c *smallFleet) optimum(chosen []int) float64 {
-	if len(chosen) == c.replicas {
-		return c.cost(chosen)
+func (f *smallFleet) optimum(chosen []int) float64 {
+	if len(chosen) == f.replicas {
+		return f.cost(chosen)
 	}
 	lowest := math.Inf(1)
-	for m := range c.warm {
-		lowest = min(lowest, c.optimum(append(chosen, m)))
+	for m := range f.hasImage {
+		lowest = min(lowest, f.optimum(append(chosen, m)))
 	}
 	return lowest
 }
 
 // greedy places each replica at the lowest cost of Costs, which does not know how many replicas will follow.
-func (c *smallFleet) greedy() []int {
-	counts, model, warm := NewReplicaCounts(), Model{"t", "a"}, c.warm
+func (f *smallFleet) greedy() []int {
+	counts, model, hasImage := NewReplicaCounts(), Model{"t", "a"}, f.hasImage
 	var chosen []int
-	for range c.replicas {
-		costs := counts.CostsFor(model, FailureRates{ZoneLossesPerDay: c.zoneLossS, ReplicaLifetimeDays: 1}, DomainCounts{Zones: 3, Machines: 6}, time.Second)
+	for range f.replicas {
+		costs := counts.CostsFor(model, FailureRates{ZoneLossesPerDay: f.zoneLossS, ReplicaLifetimeDays: 1}, DomainCounts{Zones: 3, Machines: 6}, time.Second)
 		chosenMachine, lowest := 0, math.Inf(1)
-		for m := range warm {
-			cost := costs.ZoneLossS(c.zone(m))
-			if !warm[m] {
-				cost += c.loadS
+		for m := range hasImage {
+			cost := costs.ZoneLossS(f.zone(m))
+			if !hasImage[m] {
+				cost += f.loadS
 			}
 			if cost < lowest {
 				chosenMachine, lowest = m, cost
 			}
 		}
-		warm[chosenMachine] = true
+		hasImage[chosenMachine] = true
 		chosen = append(chosen, chosenMachine)
-		counts.Add(model, c.zone(chosenMachine), fmt.Sprint(chosenMachine))
+		counts.Add(model, f.zone(chosenMachine), fmt.Sprint(chosenMachine))
 	}
 	return chosen
 }
@@ -188,15 +188,15 @@
 // image and for zone losses below and above the cost of a load.
 func TestGreedyAgainstOptimum(t *testing.T) {
 	cases, optimal, totalExcess, maxExcess := 0, 0, 0.0, 0.0
-	for warm := 0; warm < 64; warm += 3 {
-		for _, zoneS := range []float64{0, 3, 8, 12, 40} {
-			c := &smallFleet{zoneLossS: zoneS, loadS: 10, replicas: 5}
-			for m := range c.warm {
-				c.warm[m] = warm&(1<<m) != 0
+	for imageMask := 0; imageMask < 64; imageMask += 3 {
+		for _, zoneLossS := range []float64{0, 3, 8, 12, 40} {
+			fleet := &smallFleet{zoneLossS: zoneLossS, loadS: 10, replicas: 5}
+			for m := range fleet.hasImage {
+				fleet.hasImage[m] = imageMask&(1<<m) != 0
 			}
-			optimalCost, greedyCost := c.optimum(nil), c.cost(c.greedy())
+			optimalCost, greedyCost := fleet.optimum(nil), fleet.cost(fleet.greedy())
 			if greedyCost < optimalCost-1e-9 {
-				t.Fatalf("%+v: greedy cost %g is below the optimum %g", c, greedyCost, optimalCost)
+				t.Fatalf("%+v: greedy cost %g is below the optimum %g", fleet, greedyCost, optimalCost)
 			}
 			cases++
 			if greedyCost < optimalCost+1e-9 {
