--- a/internal/responsecheck/check.go
+++ b/internal/responsecheck/check.go
@@ -64,8 +64,8 @@
 // ErrNoVerdict reports that a check failed to run, or returned neither True nor False.
 var ErrNoVerdict = errors.New("the check gave no verdict")
 
-// Passes reports whether a response passes the check. The three arguments are JSON. An error, which is also returned
-// when the context ends, says nothing about the response.
+// Passes reports whether a response passes the check. The request, the response and the expected value are JSON. An
+// error, which is also returned when the context ends, says nothing about the response.
 func (c *Check) Passes(ctx context.Context, request, response, expected json.RawMessage) (bool, error) {
 	thread := newThread()
 	stop := context.AfterFunc(ctx, func() { thread.Cancel("it took too long") })
