--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,7 +44,7 @@
 
 	lastHeartbeat  time.Duration // when this node last received a worker's heartbeat; negative: never
 	wakeAt         time.Duration
-	evaluationCost budget.Cost
+	evaluationCost budget.EvaluationCost
 	// nothingChanged is set if the input of this step created no work that is due before wakeAt.
 	nothingChanged bool
 	// shedding is set while the node reports itself unhealthy so that the load balancer sends users to other nodes.
@@ -85,7 +85,7 @@
 // Step processes an input and returns the effects to carry out. The returned slice is valid until the next call.
 func (c *Core) Step(now Time, in Input) []Effect {
 	c.now = now
-	c.evaluationCost.Observe(now.LastStepDuration)
+	c.evaluationCost.EndStep(now.LastStepDuration)
 	c.observeLoad()
 	c.nothingChanged = false
 	clear(c.effects)
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -22,7 +22,7 @@
 func (c *Core) EvaluationsPerSecond() float64 { return c.evaluationsPerSecond() }
 
 // LastEvaluations returns the number of evaluations in the last step.
-func (c *Core) LastEvaluations() int { return c.evaluationCost.Taken() }
+func (c *Core) LastEvaluations() int { return c.evaluationCost.StepEvaluations() }
 
 // KnowsCancelled reports whether this node knows that a job is cancelled.
 func (c *Core) KnowsCancelled(id string) bool {
@@ -76,7 +76,7 @@
 
 // checkReplicas compares the replica ledger with one that is built from scratch.
 func (l *leader) checkReplicas() error {
-	rebuilt := topologyspread.NewLedger()
+	rebuilt := topologyspread.NewReplicaCounts()
 	models := map[topologyspread.Model]bool{}
 	for _, m := range l.machinesByName {
 		for _, p := range m.placementsInOrder {
@@ -86,8 +86,8 @@
 			}
 		}
 	}
-	if rebuilt.Models() != l.replicaLedger.Models() {
-		return fmt.Errorf("the ledger has %d models, want %d", l.replicaLedger.Models(), rebuilt.Models())
+	if rebuilt.ModelCount() != l.replicaLedger.ModelCount() {
+		return fmt.Errorf("the ledger has %d models, want %d", l.replicaLedger.ModelCount(), rebuilt.ModelCount())
 	}
 	for model := range models {
 		total, zone, machine := l.replicaLedger.Replicas(model)
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -33,11 +33,11 @@
 	chunks map[int]*recordChunk
 	// supersededRecords are the keys of the job's records in an old layout, with their versions.
 	supersededRecords    map[string]uint64
-	placements           map[int]*placement     // by task
-	placementCountByZone map[string]int         // number of placements in each zone
-	replicaLedger        *topologyspread.Ledger // shared by all models
-	withinGuarantee      bool                   // whether the job fits into its team's guarantee in this cycle
-	stopping             int                    // number of placements that are being stopped
+	placements           map[int]*placement            // by task
+	placementCountByZone map[string]int                // number of placements in each zone
+	replicaLedger        *topologyspread.ReplicaCounts // shared by all models
+	withinGuarantee      bool                          // whether the job fits into its team's guarantee in this cycle
+	stopping             int                           // number of placements that are being stopped
 	done                 int
 	nextUnplaced         int // every task below this is done or placed
 
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -67,8 +67,8 @@
 }
 
 // claim returns the attributes that decide which jobs a job may preempt and which may preempt it.
-func (j *job) claim() scheduling.Claim {
-	return scheduling.Claim{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
+func (j *job) claim() scheduling.PreemptionCriteria {
+	return scheduling.PreemptionCriteria{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
 // addUsage adds a number of tasks of a job to the usage of its team; a negative number is subtracted.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -34,7 +34,7 @@
 	machinesByName   []*machine               // sorted by name
 	releasedMachines map[string]time.Duration // removal times by name; late heartbeats are not reconciled
 	schedulable      schedulableMachines
-	replicaLedger    *topologyspread.Ledger
+	replicaLedger    *topologyspread.ReplicaCounts
 	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
 
 	// changes counts state changes: a heartbeat that causes none needs no further work.
@@ -76,7 +76,7 @@
 		jobs:             map[string]*job{},
 		machines:         map[string]*machine{},
 		releasedMachines: map[string]time.Duration{},
-		replicaLedger:    topologyspread.NewLedger(),
+		replicaLedger:    topologyspread.NewReplicaCounts(),
 	}
 	l.termCalls = termCalls{core: c, owner: l}
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -46,7 +46,7 @@
 		}
 		cost, leftover := costs.cost(m.group(), m.images.stateOf(j.spec.Image)), 1.0
 		if costs.Crowded(m.name) {
-			cost += costs.MachineS()
+			cost += costs.MachineLossS()
 		}
 		if m.machineType.GPUs > 0 {
 			leftover = (target.free.GPUs - j.spec.GPUs) / m.machineType.GPUs
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -60,7 +60,7 @@
 	fleet        fleetView
 	job          *job
 	recoveryTime time.Duration // from the loss of a replica until its replacement runs
-	fleetSize    topologyspread.Fleet
+	fleetSize    topologyspread.DomainCounts
 }
 
 // replicaCostFor returns the cost model for a job's next replica; false if the placement does not depend on cost.
@@ -69,7 +69,7 @@
 	if !ok || !cycle.params.spread.Enabled || j.replicaLedger == nil {
 		return replicaCostModel{}, false
 	}
-	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.Changes() {
+	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.ChangeCount() {
 		return cycle.replicaCost, true
 	}
 	costs := cycle.replicaCost
@@ -77,27 +77,27 @@
 		// These values do not depend on the placement of replicas, so consecutive tasks of a job share them.
 		fleet := cycle.params.fleet
 		costs.recoveryTime = cycle.params.lossDetection + fleet.maxImageFetchTime(j)
-		costs.fleetSize = topologyspread.Fleet{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
+		costs.fleetSize = topologyspread.DomainCounts{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
 		costs.fleet, costs.job = fleet, j
 	}
 	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.fleetSize, costs.recoveryTime)
-	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.Changes()
+	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.ChangeCount()
 	return costs, true
 }
 
 // lossRates returns the configured loss rates.
-func lossRates(spread config.Spread) topologyspread.Rates {
-	return topologyspread.Rates{
+func lossRates(spread config.Spread) topologyspread.FailureRates {
+	return topologyspread.FailureRates{
 		ZoneLossesPerDay:    spread.ZoneLossesPerDay,
 		MachineLossesPerDay: spread.MachineLossesPerDay,
-		ReplicaDays:         spread.ReplicaDays,
+		ReplicaLifetimeDays: spread.ReplicaDays,
 	}
 }
 
 // cost returns the cost of a machine of a group for the job's next replica, given the state of its image on the
 // machine. It does not include the cost of a crowded machine.
 func (costs replicaCostModel) cost(g capacity.Group, state capacity.ImageState) float64 {
-	cost := costs.imageLoad(g, state) + costs.ZoneS(g.Zone)
+	cost := costs.imageLoad(g, state) + costs.ZoneLossS(g.Zone)
 	if costs.job.spec.Spot && !g.Spot {
 		// On-demand machines rank as far behind spot machines as in bestFit, with the recovery time as the cost of one
 		// image state.
@@ -107,23 +107,23 @@
 }
 
 func (costs replicaCostModel) imageLoad(g capacity.Group, state capacity.ImageState) float64 {
-	return topologyspread.LoadSeconds(int(state), costs.fleet.imageFetchSeconds(costs.job, g.Type))
+	return topologyspread.ExpectedLoadSeconds(int(state), costs.fleet.imageFetchSeconds(costs.job, g.Type))
 }
 
 // cheapestReplicaMachine returns the machine with the lowest cost for a job's next replica; nil if there is none.
 func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, costs replicaCostModel) *machine {
 	allowed := j.groupFilter()
 	target, _, found, evaluated := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
-		Need:        resource.OfTask(j.spec),
+		Required:    resource.OfTask(j.spec),
 		Image:       j.spec.Image,
-		CrowdedCost: costs.MachineS(),
+		CrowdedCost: costs.MachineLossS(),
 		Cost: func(g capacity.Group, state capacity.ImageState) (float64, bool) {
 			if !allowed(g) {
 				return 0, false
 			}
 			return costs.cost(g, state), true
 		},
-		Suits: func(target *schedulableMachine) (capacity.ImageState, bool, bool) {
+		Feasible: func(target *schedulableMachine) (capacity.ImageState, bool, bool) {
 			m := target.machine
 			return m.images.stateOf(j.spec.Image), costs.Crowded(m.name), !cycle.state.avoidsMachine(j, m)
 		},
@@ -140,10 +140,10 @@
 	cost := placementCost{
 		spreadWeighed: true,
 		imageLoadS:    costs.imageLoad(m.group(), m.images.stateOf(costs.job.spec.Image)),
-		expectedLossS: costs.ZoneS(m.zone),
+		expectedLossS: costs.ZoneLossS(m.zone),
 	}
 	if costs.Crowded(m.name) {
-		cost.expectedLossS += costs.MachineS()
+		cost.expectedLossS += costs.MachineLossS()
 	}
 	return cost
 }
@@ -154,7 +154,7 @@
 	costs, byCost := cycle.replicaCostFor(j)
 	state := m.images.stateOf(j.spec.Image)
 	if !byCost {
-		return placementCost{imageLoadS: topologyspread.LoadSeconds(int(state), cycle.params.fleet.imageFetchSeconds(j, m.typeName))}
+		return placementCost{imageLoadS: topologyspread.ExpectedLoadSeconds(int(state), cycle.params.fleet.imageFetchSeconds(j, m.typeName))}
 	}
 	cost := costs.costOn(m)
 	if state == capacity.ImageReady {
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -79,7 +79,7 @@
 // checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns about
 // it.
 func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
-	if !r.Phase.Over() && !slices.Contains(r.Routers, router.name) {
+	if !r.Phase.Terminal() && !slices.Contains(r.Routers, router.name) {
 		world.test.Fatalf("%v: router %s has a routing and is not recorded in phase %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -33,7 +33,7 @@
 	name          string
 	takenOverAt   time.Duration // when this leader took it over
 	validations   *rollout.Validations
-	routers       *rollout.Routers
+	routers       *rollout.RouterLeases
 	routing       rollout.Routing
 	reconciled    bool
 	phase         rollout.Phase // of the record, when it was last checked
@@ -118,7 +118,7 @@
 		name:           name,
 		takenOverAt:    c.now.Steady,
 		validations:    rollout.NewValidations(c.probeInterval()),
-		routers:        rollout.NewRouters(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
+		routers:        rollout.NewRouterLeases(c.routingHoldTime(), c.now.Steady, c.operator.Rollouts.MaxRouters),
 		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
 		droppedRouters: map[string]bool{},
 	}
@@ -175,7 +175,7 @@
 func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
 	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
-	run.validations.Track(replicas)
+	run.validations.SetReplicas(replicas)
 	run.reconcile(l, &r.Plan)
 	if run.phase != r.Phase {
 		run.phase, run.phaseSince = r.Phase, c.now.Steady
@@ -186,7 +186,7 @@
 		run.updateRouting(c, r, o)
 		l.addRouterObservations(run, r, o)
 	}
-	for _, id := range r.Cancels(o) {
+	for _, id := range r.JobsToCancel(o) {
 		if j := l.jobs[id]; j != nil && !j.cancelled {
 			l.writer.queueCancel(j)
 		}
@@ -202,7 +202,7 @@
 	switch {
 	case len(run.changes) > 0:
 		l.commitChange(run, current)
-	case r.Expired(o):
+	case r.RetentionExpired(o):
 		l.removePlan(run, current)
 	case len(run.joinRequests) > 0:
 		l.commitJoins(run, current, o)
@@ -223,7 +223,7 @@
 	}
 	deadline := run.takenOverAt + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
 	reported := c.now.Steady >= run.takenOverAt+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
-	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllAnswered()
+	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllProbed()
 }
 
 // allPlanMachinesReported reports whether each machine with a task of a plan has sent a heartbeat in this term.
@@ -278,14 +278,14 @@
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
 	o := &rollout.Observation{
-		NowMS:          c.now.WallMS,
-		ClockErrorMS:   c.maxClockError().Milliseconds(),
-		Reconciled:     run.reconciled,
-		Jobs:           map[string]rollout.Job{},
-		Revalidated:    run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
-		FailedCheck:    run.validations.FailedCheck(),
-		NewServes:      true,
-		RoutersMissing: true,
+		NowMS:              c.now.WallMS,
+		ClockErrorMS:       c.maxClockError().Milliseconds(),
+		Reconciled:         run.reconciled,
+		Jobs:               map[string]rollout.Job{},
+		Revalidated:        run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
+		FailedCheck:        run.validations.FailedCheck(),
+		NewReceivesTraffic: true,
+		RoutersOutdated:    true,
 	}
 	for _, id := range r.Plan.Old.Jobs {
 		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, true)
@@ -311,7 +311,7 @@
 	if e == nil {
 		_, ended := l.core.cache.FinalState(id)
 		over := wasAccepted || ended
-		return rollout.Job{Accepted: over, Cancelled: over, Over: over}
+		return rollout.Job{Accepted: over, Cancelled: over, Ended: over}
 	}
 	if !planMatchesJob(plan, e.Spec) {
 		return rollout.Job{}
@@ -322,7 +322,7 @@
 // mayRoute reports whether enough is known to compute a routing. A rollback does not wait for validations once enough
 // replicas of the old version run: the sooner traffic returns to them, the fewer wrong answers are served.
 func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
-	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldRuns(o)
+	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldCapacityRunning(o)
 }
 
 // updateRouting recomputes a plan's routing from the validations of its replicas, and increments the revision if it
@@ -332,9 +332,9 @@
 	if !run.reconciled {
 		capacity.New = 0 // route to the old version, which runs although it is not validated yet
 	}
-	routing := rollout.RoutingOf(r, capacity, run.validations.States(c.now.Steady))
+	routing := rollout.ComputeRouting(r, capacity, run.validations.States(c.now.Steady))
 	routing.Generation = run.routing.Generation
-	if routing.Generation.Revision > 0 && routing.SameAs(&run.routing) {
+	if routing.Generation.Revision > 0 && routing.SameWeights(&run.routing) {
 		return
 	}
 	routing.Generation.Revision++
@@ -346,15 +346,15 @@
 // probeReplicas sends the probes that are due. Replicas of the new version also have to pass the plan's checks.
 func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
 	m := l.rollouts
-	for _, probe := range run.validations.Due(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
+	for _, probe := range run.validations.DueProbes(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
 		m.probesInFlight++
 		id := l.registerCall(func(r Result) {
 			m.probesInFlight--
 			if r.Outcome == outcome.Dropped {
-				run.validations.NotSent(probe.Replica)
+				run.validations.ProbeNotSent(probe.Replica)
 				return
 			}
-			run.validations.Observe(probe.Replica, r.Probe, l.core.now.Steady)
+			run.validations.RecordResult(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Passed {
 				l.core.log(Debug, "replica not validated", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
@@ -412,7 +412,7 @@
 	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
-		"routers", len(run.routers.Present(nil, l.core.routingHoldTime(), l.core.now.Steady)))
+		"routers", len(run.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
 // applyPlanWriteResult handles the result of a write of a plan. The value is nil if the write removes the plan.
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -24,7 +24,7 @@
 			c.sizeWarnings.logged = map[string]bool{}
 		}
 		c.sizeWarnings.logged[shortfall.Field] = true
-		c.log(Info, "setting too small for fleet size", "field", shortfall.Field, "value", shortfall.Value, "minimum", shortfall.Least,
+		c.log(Info, "setting too small for fleet size", "field", shortfall.Field, "value", shortfall.Value, "minimum", shortfall.Minimum,
 			"workers", machines, "effect", shortfall.Effect)
 	}
 }
--- a/internal/responsecheck/check.go
+++ b/internal/responsecheck/check.go
@@ -1,5 +1,6 @@
-// Package responsecheck judges responses of model servers with checks that operators write in Starlark. A check is
-// bounded in steps and time, reaches nothing outside itself, and passes only if it says so.
+// Package responsecheck evaluates responses of model servers with checks that operators write in Starlark. A check is
+// limited in execution steps and time, has no access to anything outside its arguments, and passes only if it returns
+// True.
 package responsecheck
 
 import (
@@ -13,7 +14,8 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds what a check computes. A check defines a function with a name and so many parameters.
+// maxSteps limits the execution steps of a check. A check defines a function functionName with parameterCount
+// parameters.
 const (
 	maxSteps       = 1_000_000
 	functionName   = "check"
@@ -23,18 +25,18 @@
 // Check is a compiled check.
 type Check struct{ program *starlark.Program }
 
-// options allow what a bounded computation may use.
-var options = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
+// fileOptions enable language features that are safe because execution is bounded.
+var fileOptions = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true, GlobalReassign: true}
 
-// Compile compiles a check. The error is one line.
+// Compile compiles a check. The text of its error is a single line.
 func Compile(script string) (*Check, error) {
 	predeclared := func(string) bool { return false }
-	_, program, err := starlark.SourceProgramOptions(options, "check.star", script, predeclared)
+	_, program, err := starlark.SourceProgramOptions(fileOptions, "check.star", script, predeclared)
 	if err != nil {
 		return nil, fmt.Errorf("does not compile: %w", err)
 	}
 	c := &Check{program}
-	if _, err := c.function(newThread()); err != nil {
+	if _, err := c.checkFunction(newThread()); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -46,8 +48,8 @@
 	return thread
 }
 
-// function runs the script and gives the function that it defines.
-func (c *Check) function(thread *starlark.Thread) (starlark.Callable, error) {
+// checkFunction runs the script and returns the check function that it defines.
+func (c *Check) checkFunction(thread *starlark.Thread) (starlark.Callable, error) {
 	globals, err := c.program.Init(thread, nil)
 	if err != nil {
 		return nil, fmt.Errorf("does not run: %w", err)
@@ -59,16 +61,16 @@
 	return function, nil
 }
 
-// ErrNoVerdict says that a check has failed, or gave neither True nor False.
+// ErrNoVerdict reports that a check failed to run, or returned neither True nor False.
 var ErrNoVerdict = errors.New("the check gave no verdict")
 
-// Passes tells whether a response is right. Each of the three is JSON. An error tells nothing of the response; it
-// is returned as well when the context ends.
+// Passes reports whether a response passes the check. The request, the response and the expected value are JSON. An
+// error, which is also returned when the context ends, says nothing about the response.
 func (c *Check) Passes(ctx context.Context, request, response, expected json.RawMessage) (bool, error) {
 	thread := newThread()
 	stop := context.AfterFunc(ctx, func() { thread.Cancel("it took too long") })
 	defer stop()
-	function, err := c.function(thread)
+	function, err := c.checkFunction(thread)
 	if err != nil {
 		return false, fmt.Errorf("%w: %w", ErrNoVerdict, err)
 	}
@@ -91,7 +93,7 @@
 	return bool(passed), nil
 }
 
-// decode gives a JSON text as a Starlark value.
+// decode converts JSON to a Starlark value. Empty text becomes None.
 func decode(thread *starlark.Thread, text json.RawMessage) (starlark.Value, error) {
 	if len(text) == 0 {
 		return starlark.None, nil
