--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -1,8 +1,8 @@
-// Command knownred runs the tests and gives one verdict: they pass, but for those that a file
-// lists as failing for a real fault that is yet to be mended. It has a line each: the test's
-// whole name (TestTraces/gap), the cause, the issue, set apart by semicolons; three lines at
-// most. A line whose test does not exist or does not fail makes the verdict a failure, so that
-// nothing is excused for longer than it has to be. Without the file all tests must pass.
+// Command knownred runs all tests. It fails if a test fails that is not listed in a file of known failures, which are
+// tests that fail because of a real fault that has not been fixed yet. Each line of the file has the test's full name
+// (TestTraces/gap), the cause and the issue, separated by semicolons. The file may have up to three lines. The command
+// also fails if a listed test does not exist or does not fail, so that fixed tests are removed from the file. Without
+// the file all tests must pass.
 package main
 
 import (
@@ -18,19 +18,19 @@
 	"strings"
 )
 
-// maxLines is how many known failures there may be.
-const maxLines = 3
+const maxKnownFailures = 3
 
 func main() {
-	if err := run(context.Background(), os.Args[1], os.Stdout); err != nil {
+	if err := runTests(context.Background(), os.Args[1], os.Stdout); err != nil {
 		fmt.Println("tests:", err)
 		os.Exit(1)
 	}
 }
 
-// run runs the tests and judges their results by the known failures in a file.
-func run(ctx context.Context, path string, out io.Writer) error {
-	known, err := readKnown(path)
+// runTests runs the tests, and returns an error if the failed tests are not exactly the known failures in the file at
+// path.
+func runTests(ctx context.Context, path string, out io.Writer) error {
+	known, err := readKnownFailures(path)
 	if err != nil {
 		return err
 	}
@@ -43,22 +43,23 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	return errors.Join(judge(known, events, out), unexcusedExit(cmd.Wait(), len(known)))
+	return errors.Join(evaluate(known, events, out), testRunError(cmd.Wait(), len(known)))
 }
 
-// unexcusedExit gives a failure of the test run itself where none is excused.
-func unexcusedExit(err error, known int) error {
+// testRunError returns the error of the go test command if there are no known failures. With known failures, a non-zero
+// exit status is expected, and the events tell which tests failed.
+func testRunError(err error, known int) error {
 	if known == 0 {
 		return err
 	}
 	return nil
 }
 
-// fieldsPerLine are the fields of a line of the file: the test, the cause and the issue.
+// fieldsPerLine counts the fields of a line of the file: the test, the cause and the issue.
 const fieldsPerLine = 3
 
-// readKnown reads the tests that may fail, with their lines.
-func readKnown(path string) (map[string]string, error) {
+// readKnownFailures reads the file of known failures. It returns each line by the name of its test.
+func readKnownFailures(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -71,17 +72,17 @@
 		fields := strings.SplitN(line, ";", fieldsPerLine)
 		test := strings.TrimSpace(fields[0])
 		if len(fields) != fieldsPerLine || test == "" {
-			return nil, fmt.Errorf("%s: %q is not test; cause; issue", path, line)
+			return nil, fmt.Errorf("%s: line must have the form \"test; cause; issue\", is %q", path, line)
 		}
 		known[test] = line
 	}
-	if len(known) > maxLines {
-		return nil, fmt.Errorf("%s: %d lines, at most %d", path, len(known), maxLines)
+	if len(known) > maxKnownFailures {
+		return nil, fmt.Errorf("%s: has %d lines, at most %d are allowed", path, len(known), maxKnownFailures)
 	}
 	return known, nil
 }
 
-// event is a line of what go test -json prints.
+// event is a line of the output of go test -json.
 type event struct {
 	Action  action
 	Package string
@@ -89,10 +90,9 @@
 	Output  string
 }
 
-// action is the kind of an event.
+// action is the kind of an event. Other actions than the following are ignored.
 type action string
 
-// The actions that are handled.
 const (
 	actionOutput      action = "output"
 	actionBuildOutput action = "build-output"
@@ -101,21 +101,21 @@
 	actionBuildFail   action = "build-fail"
 )
 
-// testResults are the results in the events so far.
+// testResults collects the results from the events.
 type testResults struct {
-	passed   int
-	failed   map[string]bool // tests
-	byTest   map[string]bool // packages in which one failed
-	packages map[string]bool // that failed
-	output   map[string]*strings.Builder
+	passedTests           int
+	failedTests           map[string]bool             // by name of the test
+	packagesOfFailedTests map[string]bool             // packages with at least one failed test
+	failedPackages        map[string]bool             // packages that did not build or did not pass
+	output                map[string]*strings.Builder // by package and test, separated by a space
 }
 
-// maxEventBytes bounds an event.
 const maxEventBytes = 64 << 20
 
-// judge reads the events of go test -json, and returns an error if a test failed that is not known to.
-func judge(known map[string]string, events io.Reader, out io.Writer) error {
-	results := &testResults{failed: map[string]bool{}, byTest: map[string]bool{}, packages: map[string]bool{}, output: map[string]*strings.Builder{}}
+// evaluate reads the events of go test -json, and prints the results. It returns an error if the failures are not
+// exactly the known failures.
+func evaluate(known map[string]string, events io.Reader, out io.Writer) error {
+	results := &testResults{failedTests: map[string]bool{}, packagesOfFailedTests: map[string]bool{}, failedPackages: map[string]bool{}, output: map[string]*strings.Builder{}}
 	scanner := bufio.NewScanner(events)
 	scanner.Buffer(nil, maxEventBytes)
 	for scanner.Scan() {
@@ -129,20 +129,20 @@
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	excused, err := results.excuse(known, out)
+	expected, err := results.matchKnownFailures(known, out)
 	if err != nil {
 		return err
 	}
-	failed := results.printFailures(excused, out)
+	failed := results.printUnexpectedFailures(expected, out)
 	results.printOutput(out)
-	printLine(out, fmt.Sprintf("%d passed, %d failed", results.passed, failed))
+	printLine(out, fmt.Sprintf("%d passed, %d failed", results.passedTests, failed))
 	if failed > 0 {
 		return fmt.Errorf("%d failed", failed)
 	}
 	return nil
 }
 
-// add adds an event.
+// add updates the results with an event. It prints a line for each package that passed.
 func (t *testResults) add(e event, out io.Writer) {
 	key := e.Package + " " + e.Test
 	switch e.Action {
@@ -153,58 +153,58 @@
 		t.output[key].WriteString(e.Output)
 	case actionPass:
 		if e.Test != "" {
-			t.passed++
+			t.passedTests++
 		} else {
 			printLine(out, "ok  ", e.Package)
 		}
 		delete(t.output, key)
 	case actionBuildFail:
-		t.packages[e.Package] = true
+		t.failedPackages[e.Package] = true
 	case actionFail:
 		if e.Test != "" {
-			t.failed[e.Test], t.byTest[e.Package] = true, true
+			t.failedTests[e.Test], t.packagesOfFailedTests[e.Package] = true, true
 		} else {
-			t.packages[e.Package] = true
+			t.failedPackages[e.Package] = true
 		}
 	}
 }
 
-// excuse gives the tests that may fail: the known failures, and the tests that they are parts of. A known failure
-// that did not occur is an error.
-func (t *testResults) excuse(known map[string]string, out io.Writer) (map[string]bool, error) {
-	excused := map[string]bool{}
+// matchKnownFailures returns the tests that are expected to fail: the known failures and their parent tests. It returns
+// an error if a known failure did not occur.
+func (t *testResults) matchKnownFailures(known map[string]string, out io.Writer) (map[string]bool, error) {
+	expected := map[string]bool{}
 	for test, line := range known {
-		if !t.failed[test] {
+		if !t.failedTests[test] {
 			return nil, fmt.Errorf("KNOWN-RED names %s, which does not exist or does not fail", test)
 		}
 		printLine(out, "KNOWN RED:", line)
 		for name := test; name != ""; {
-			excused[name] = true // a test fails with its part
+			expected[name] = true // a test fails if one of its subtests fails
 			i := strings.LastIndex(name, "/")
 			name = name[:max(i, 0)]
 		}
 	}
-	return excused, nil
+	return expected, nil
 }
 
-// printFailures prints and counts the failures that nothing excuses.
-func (t *testResults) printFailures(excused map[string]bool, out io.Writer) (failed int) {
-	for test := range t.failed {
-		if !excused[test] {
+// printUnexpectedFailures prints and counts the failures that are not expected.
+func (t *testResults) printUnexpectedFailures(expected map[string]bool, out io.Writer) (failed int) {
+	for test := range t.failedTests {
+		if !expected[test] {
 			failed++
 			printLine(out, "FAIL", test)
 		}
 	}
-	for name := range t.packages {
-		if !t.byTest[name] {
-			failed++ // it did not build, or ended outside a test
+	for name := range t.failedPackages {
+		if !t.packagesOfFailedTests[name] {
+			failed++ // the package did not build, or failed outside a test
 			printLine(out, "FAIL", name)
 		}
 	}
 	return failed
 }
 
-// printOutput prints the output of failed tests and packages.
+// printOutput prints the output of failed tests, and all output of failed packages that belongs to no test.
 func (t *testResults) printOutput(out io.Writer) {
 	for key, b := range t.output {
 		if text := b.String(); strings.Contains(text, "FAIL") || strings.Contains(text, "panic:") || strings.HasSuffix(key, " ") {
@@ -213,5 +213,5 @@
 	}
 }
 
-// printLine prints a line. Errors of printing are ignored: the exit status tells the verdict.
+// printLine prints a line. It ignores write errors, because the exit status gives the result.
 func printLine(out io.Writer, args ...any) { _, _ = fmt.Fprintln(out, args...) }
--- a/.ci/knownred/main_test.go
+++ b/.ci/knownred/main_test.go
@@ -8,8 +8,10 @@
 	"testing"
 )
 
-func TestVerdict(t *testing.T) {
-	const red = `{"Action":"fail","Package":"p","Test":"TestA/x"}
+// The tests pass only if exactly the known failures occur. A failed package is a failure of its own if none of its
+// tests failed.
+func TestEvaluate(t *testing.T) {
+	const failures = `{"Action":"fail","Package":"p","Test":"TestA/x"}
 {"Action":"fail","Package":"p","Test":"TestA"}
 {"Action":"pass","Package":"p","Test":"TestB"}
 {"Action":"fail","Package":"p"}
@@ -20,22 +22,23 @@
 		in    string
 		ok    bool
 	}{
-		"all pass":            {nil, `{"Action":"pass","Package":"p","Test":"TestA"}`, true},
-		"one fails":           {nil, red, false},
-		"a known one fails":   {known, red, true},
-		"another one as well": {known, red + `{"Action":"fail","Package":"p","Test":"TestA/y"}`, false},
-		"a known one passes":  {known, `{"Action":"pass","Package":"p","Test":"TestA/x"}`, false},
-		"no build elsewhere":  {known, red + `{"Action":"fail","Package":"q"}`, false},
+		"all tests pass":                 {nil, `{"Action":"pass","Package":"p","Test":"TestA"}`, true},
+		"an unknown failure":             {nil, failures, false},
+		"a known failure":                {known, failures, true},
+		"a known and an unknown failure": {known, failures + `{"Action":"fail","Package":"p","Test":"TestA/y"}`, false},
+		"a known failure passes":         {known, `{"Action":"pass","Package":"p","Test":"TestA/x"}`, false},
+		"another package does not build": {known, failures + `{"Action":"fail","Package":"q"}`, false},
 	} {
-		if err := judge(c.known, strings.NewReader(c.in), io.Discard); (err == nil) != c.ok {
+		if err := evaluate(c.known, strings.NewReader(c.in), io.Discard); (err == nil) != c.ok {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestRead(t *testing.T) {
+// A missing file means no known failures. A line without three fields and a file with more than three lines are errors.
+func TestReadKnownFailures(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
-	if known, err := readKnown(path); len(known) != 0 || err != nil {
+	if known, err := readKnownFailures(path); len(known) != 0 || err != nil {
 		t.Error("no file:", known, err)
 	}
 	for text, ok := range map[string]bool{
@@ -46,7 +49,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := readKnown(path); (err == nil) != ok {
+		if _, err := readKnownFailures(path); (err == nil) != ok {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/cmd/bitternwing/controller.go
+++ b/cmd/bitternwing/controller.go
@@ -12,13 +12,13 @@
 	"bitternwing/internal/adminapi"
 )
 
-// controllerFlags name the controller to call.
+// controllerFlags are the flags of the commands that call a controller's internal address.
 type controllerFlags struct {
 	Controller string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_CONTROLLER" help:"Internal address of any controller."`
 	responseFlags
 }
 
-// callController makes a request to a controller, within the time to wait.
+// callController sends a request to a controller, and retries it for the time of --wait.
 func callController[Reply any](f *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
@@ -30,13 +30,13 @@
 	return request(ctx, client)
 }
 
-// printJSON prints a message as a line of JSON.
+// printJSON prints a message as one line of JSON.
 func printJSON(w io.Writer, message proto.Message) error {
 	text, err := protojson.Marshal(message)
 	if err != nil {
 		return err
 	}
-	// protojson varies its spaces on purpose; scripts get one form.
+	// protojson deliberately varies its white space between builds. Scripts get a stable form.
 	compact, err := json.Marshal(json.RawMessage(text))
 	if err != nil {
 		return err
--- a/cmd/bitternwing/exit_status.go
+++ b/cmd/bitternwing/exit_status.go
@@ -7,9 +7,9 @@
 	"bitternwing/internal/apiclient"
 )
 
-// The exit statuses, beside 0 for success; kong ends with 80 for wrong arguments.
+// The exit statuses besides 0 for success. Kong exits with 80 if the arguments are wrong.
 const (
-	exitFailure     = 1 // any failure without a status of its own
+	exitFailure     = 1 // any other failure
 	exitRefused     = 3
 	exitNotFound    = 4
 	exitUnavailable = 5
@@ -18,16 +18,16 @@
 	exitNotPlaced   = 8
 )
 
-// exitStatus gives the exit status for an error.
+// exitStatus returns the exit status for an error.
 func exitStatus(err error) int {
 	switch {
-	case isType[*apiclient.RefusedError](err), isType[*adminapi.RefusedError](err):
+	case hasType[*apiclient.RefusedError](err), hasType[*adminapi.RefusedError](err):
 		return exitRefused
 	case errors.Is(err, apiclient.ErrNotFound), errors.Is(err, adminapi.ErrNotFound):
 		return exitNotFound
-	case isType[*apiclient.UnavailableError](err), isType[*adminapi.UnavailableError](err):
+	case hasType[*apiclient.UnavailableError](err), hasType[*adminapi.UnavailableError](err):
 		return exitUnavailable
-	case isType[*adminapi.InvalidError](err):
+	case hasType[*adminapi.InvalidError](err):
 		return exitInvalidPlan
 	case errors.Is(err, errRolledBack):
 		return exitRolledBack
@@ -37,8 +37,8 @@
 	return exitFailure
 }
 
-// isType tells whether an error, or one that it wraps, is of a type.
-func isType[E error](err error) bool {
+// hasType reports whether an error, or one that it wraps, has the type E.
+func hasType[E error](err error) bool {
 	_, ok := errors.AsType[E](err)
 	return ok
 }
--- a/cmd/bitternwing/input.go
+++ b/cmd/bitternwing/input.go
@@ -7,12 +7,13 @@
 	"bitternwing/internal/wire"
 )
 
-// standardInput is the name that stands for standard input.
-const standardInput = "-"
+// stdinName is the file name that means standard input.
+const stdinName = "-"
 
-// readInput reads a file, or standard input, up to just beyond the largest request: what is longer is refused when it is parsed.
+// readInput reads a file or standard input. It reads at most one byte more than the largest request; the parser refuses
+// longer input.
 func readInput(name string) ([]byte, error) {
-	if name == standardInput {
+	if name == stdinName {
 		return readLimited(os.Stdin)
 	}
 	file, err := os.Open(name)
--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -12,37 +12,37 @@
 	"bitternwing/internal/wire"
 )
 
-// jobCmd are the commands of users for their jobs.
-type jobCmd struct {
-	Submit submitCmd `cmd:"" help:"Submit a job from a file in the protocol's form (- for standard input)."`
-	Show   showCmd   `cmd:"" help:"Show a job's state."`
-	Cancel cancelCmd `cmd:"" help:"Cancel a job, and all jobs that need it."`
+// jobCommands are the commands for users' jobs.
+type jobCommands struct {
+	Submit jobSubmitCmd `cmd:"" help:"Submit a job from a JSON file."`
+	Show   jobShowCmd   `cmd:"" help:"Show a job's state."`
+	Cancel jobCancelCmd `cmd:"" help:"Cancel a job and all jobs that depend on it."`
 }
 
-// serverFlags name the server.
+// serverFlags are the flags of the commands that call the public API.
 type serverFlags struct {
-	Server string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_SERVER" help:"Address of a controller, or of the load balancer before them."`
+	Server string `required:"" placeholder:"HOST:PORT" env:"BITTERNWING_SERVER" help:"Public address of a controller or of a load balancer for controllers."`
 	responseFlags
 }
 
-// responseFlags say how long to wait for a response, and how to print it.
+// responseFlags are the flags for waiting for a response and printing it.
 type responseFlags struct {
-	Wait time.Duration `default:"60s" help:"How long to go on asking while no answer can be had."`
-	JSON bool          `name:"json" help:"Print the answer as JSON."`
+	Wait time.Duration `default:"60s" help:"How long to retry while no controller can serve the request."`
+	JSON bool          `name:"json" help:"Print the response as JSON."`
 }
 
-// run makes a request, and prints the response with the dependencies of a submitted job.
-func (f *serverFlags) run(dependencies []string, request func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
+// callAndPrint sends a request, and prints the returned job state and the dependencies of a submitted job.
+func (f *serverFlags) callAndPrint(dependencies []string, request func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
 	state, err := request(ctx, apiclient.New(f.Server))
 	if err != nil {
 		return err
 	}
-	return f.print(os.Stdout, state, dependencies)
+	return f.printJob(os.Stdout, state, dependencies)
 }
 
-func (f *serverFlags) print(w io.Writer, state wire.JobState, dependencies []string) error {
+func (f *serverFlags) printJob(w io.Writer, state wire.JobState, dependencies []string) error {
 	if f.JSON {
 		return json.NewEncoder(w).Encode(state)
 	}
@@ -61,58 +61,58 @@
 	return nil
 }
 
-type submitCmd struct {
+type jobSubmitCmd struct {
 	serverFlags
-	File string `arg:"" help:"The job, as JSON."`
+	File string `arg:"" help:"File with the job (JSON, - for standard input)."`
 }
 
-// Run submits a job. A file that is malformed is not sent.
-func (c *submitCmd) Run() error {
-	body, err := readInput(c.File)
+// Run submits a job. It validates the file before sending it.
+func (c *jobSubmitCmd) Run() error {
+	data, err := readInput(c.File)
 	if err != nil {
 		return err
 	}
-	job, err := wire.ParseJob(body)
+	job, err := wire.ParseJob(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.run(job.Dependencies, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
-		return client.Submit(ctx, body)
+	return c.callAndPrint(job.Dependencies, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+		return client.Submit(ctx, data)
 	})
 }
 
-type showCmd struct {
+type jobShowCmd struct {
 	serverFlags
 	ID string `arg:"" help:"The job's id."`
 }
 
-// Run shows a job.
-func (c *showCmd) Run() error {
-	if err := checkID(c.ID); err != nil {
+// Run shows the state of a job.
+func (c *jobShowCmd) Run() error {
+	if err := validateJobID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+	return c.callAndPrint(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
 		return client.Show(ctx, c.ID)
 	})
 }
 
-type cancelCmd struct {
+type jobCancelCmd struct {
 	serverFlags
 	ID string `arg:"" help:"The job's id."`
 }
 
 // Run cancels a job.
-func (c *cancelCmd) Run() error {
-	if err := checkID(c.ID); err != nil {
+func (c *jobCancelCmd) Run() error {
+	if err := validateJobID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+	return c.callAndPrint(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
 		return client.Cancel(ctx, c.ID)
 	})
 }
 
-// checkID checks the form of a job id.
-func checkID(id string) error {
+// validateJobID checks that a job id has the protocol's format.
+func validateJobID(id string) error {
 	if !wire.ValidJobID(id) {
 		return fmt.Errorf("%q is no job id (run- and six to twenty digits)", id)
 	}
--- a/cmd/bitternwing/main.go
+++ b/cmd/bitternwing/main.go
@@ -1,4 +1,5 @@
-// Command bitternwing runs a controller node of the scheduler, and calls controllers for users and operators.
+// Command bitternwing runs a controller node of the scheduler. It is also the command line client for users and
+// operators.
 package main
 
 import (
@@ -10,25 +11,24 @@
 	"bitternwing/internal/config"
 )
 
-// version is the program's version.
 const version = "0.1.0"
 
-// cli are the commands. Kong makes them, their flags and help from the tags.
-type cli struct {
-	Serve     serveCmd     `cmd:"" default:"withargs" help:"Run a controller node (the default)."`
-	Job       jobCmd       `cmd:"" help:"Submit, show and cancel jobs."`
-	Rollout   rolloutCmd   `cmd:"" help:"Bring a model's new version into service by steps."`
-	Placement placementCmd `cmd:"" help:"Explain the places of a job's replicas."`
-	Check     checkCmd     `cmd:"" help:"Check the settings and start nothing."`
-	Schema    schemaCmd    `cmd:"" help:"Print the schema of the operators' settings."`
-	Version   versionCmd   `cmd:"" help:"Print the version."`
+// commandLine holds the commands. Kong derives the commands, their flags and their help texts from the struct tags.
+type commandLine struct {
+	Serve     serveCmd          `cmd:"" default:"withargs" help:"Run a controller node (the default)."`
+	Job       jobCommands       `cmd:"" help:"Submit, show and cancel jobs."`
+	Rollout   rolloutCommands   `cmd:"" help:"Manage stepwise rollouts of a model's new version."`
+	Placement placementCommands `cmd:"" help:"Explain the placements of a job's replicas."`
+	Check     checkCmd          `cmd:"" help:"Validate the settings without starting a node."`
+	Schema    schemaCmd         `cmd:"" help:"Print the JSON schema of the operator settings."`
+	Version   versionCmd        `cmd:"" help:"Print the version."`
 }
 
 type schemaCmd struct{}
 
-// Run prints the schema of the operators' settings.
+// Run prints the JSON schema of the operator settings.
 func (schemaCmd) Run() error {
-	_, err := os.Stdout.Write(config.OperatorSchema())
+	_, err := os.Stdout.Write(config.OperatorSettingsSchema())
 	return err
 }
 
@@ -41,7 +41,7 @@
 }
 
 func main() {
-	var commands cli
+	var commands commandLine
 	ctx := kong.Parse(&commands, kong.Name("bitternwing"),
 		kong.Description("A scheduler for fleets that serve language models."))
 	if err := ctx.Run(); err != nil {
--- a/cmd/bitternwing/placement.go
+++ b/cmd/bitternwing/placement.go
@@ -11,12 +11,12 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// errNotPlaced is returned if no replica of a job is placed.
+// errNotPlaced is returned if none of a job's replicas is placed.
 var errNotPlaced = errors.New("nothing of the job is placed")
 
-// placementCmd are the commands that explain placements.
-type placementCmd struct {
-	Show placementShowCmd `cmd:"" help:"Show where a job's replicas are, and what each place cost."`
+// placementCommands are the commands that explain placements.
+type placementCommands struct {
+	Show placementShowCmd `cmd:"" help:"Show the machines of a job's replicas and the costs of each placement."`
 }
 
 type placementShowCmd struct {
@@ -26,7 +26,7 @@
 
 // Run shows the placements of a job.
 func (c *placementShowCmd) Run() error {
-	if err := checkID(c.ID); err != nil {
+	if err := validateJobID(c.ID); err != nil {
 		return err
 	}
 	reply, err := callController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlacementReply, error) {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// printPlacements prints a line for each replica, with the costs that its placement was chosen by.
+// printPlacements prints a line for each replica, with the costs by which the scheduler chose its machine.
 func printPlacements(w io.Writer, reply *operatorpb.PlacementReply) error {
 	for _, replica := range reply.GetReplicas() {
 		line := fmt.Sprintf("%s attempt %d: %s in %s", replica.GetTask(), replica.GetAttempt(), replica.GetMachine(), replica.GetZone())
--- a/cmd/bitternwing/rollout.go
+++ b/cmd/bitternwing/rollout.go
@@ -14,99 +14,98 @@
 	"bitternwing/internal/rollout"
 )
 
-// errRolledBack is returned if a watched plan was rolled back.
+// errRolledBack is returned if a watched plan has been rolled back.
 var errRolledBack = errors.New("the rollout was rolled back")
 
-// rolloutCmd are the commands for the rollout of a model's new version.
-type rolloutCmd struct {
-	Apply  applyCmd      `cmd:"" help:"Hand in a plan from a file (JSON)."`
-	Show   planShowCmd   `cmd:"" help:"Show how a plan stands."`
-	Watch  watchCmd      `cmd:"" help:"Show a plan's changes until it has ended."`
-	Pause  pauseCmd      `cmd:"" help:"Have a plan take no further step."`
-	Resume resumeCmd     `cmd:"" help:"Have a paused plan go on."`
-	Abort  abortCmd      `cmd:"" help:"Roll a plan back."`
-	Schema planSchemaCmd `cmd:"" help:"Print the schema of plans."`
+// rolloutCommands are the commands for stepwise rollouts.
+type rolloutCommands struct {
+	Apply  rolloutApplyCmd  `cmd:"" help:"Submit a plan from a JSON file."`
+	Show   rolloutShowCmd   `cmd:"" help:"Show a plan's status."`
+	Watch  rolloutWatchCmd  `cmd:"" help:"Print a plan's status after each change until the plan has ended."`
+	Pause  rolloutPauseCmd  `cmd:"" help:"Pause a plan, so that it takes no further step."`
+	Resume rolloutResumeCmd `cmd:"" help:"Resume a paused plan."`
+	Abort  rolloutAbortCmd  `cmd:"" help:"Abort a plan and roll it back."`
+	Schema rolloutSchemaCmd `cmd:"" help:"Print the JSON schema of plans."`
 }
 
-// run makes a request, and prints the status of the plan.
-func (f *controllerFlags) run(request func(context.Context, *adminapi.Client) (*operatorpb.PlanStatus, error)) error {
+// callAndPrint sends a request, and prints the returned plan status.
+func (f *controllerFlags) callAndPrint(request func(context.Context, *adminapi.Client) (*operatorpb.PlanStatus, error)) error {
 	status, err := callController(f, request)
 	if err != nil {
 		return err
 	}
-	return f.print(os.Stdout, status)
+	return f.printPlan(os.Stdout, status)
 }
 
-type applyCmd struct {
+type rolloutApplyCmd struct {
 	controllerFlags
-	File string `arg:"" help:"The plan (JSON, - for standard input)."`
+	File string `arg:"" help:"File with the plan (JSON, - for standard input)."`
 }
 
-// Run submits a plan. One that is malformed is not sent.
-func (c *applyCmd) Run() error {
-	text, err := readInput(c.File)
+// Run submits a plan. It validates the plan before sending it.
+func (c *rolloutApplyCmd) Run() error {
+	data, err := readInput(c.File)
 	if err != nil {
 		return err
 	}
-	plan, err := rollout.ParsePlan(text, adminapi.MaxPlanBytes)
+	plan, err := rollout.ParsePlan(data, adminapi.MaxPlanBytes)
 	if err == nil {
 		err = adminapi.CompileChecks(plan)
 	}
 	if err != nil {
 		return &adminapi.InvalidError{Problem: fmt.Sprintf("%s: %v", c.File, err)}
 	}
-	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
-		return client.Apply(ctx, text)
+	return c.callAndPrint(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
+		return client.Apply(ctx, data)
 	})
 }
 
-// planNameFlags name a plan.
+// planNameFlags are the flags and arguments of the commands for one plan.
 type planNameFlags struct {
 	controllerFlags
 	Name string `arg:"" help:"The plan's name."`
 }
 
-type planShowCmd struct{ planNameFlags }
+type rolloutShowCmd struct{ planNameFlags }
 
 // Run shows the status of a plan.
-func (c *planShowCmd) Run() error {
-	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
+func (c *rolloutShowCmd) Run() error {
+	return c.callAndPrint(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Show(ctx, c.Name)
 	})
 }
 
-// change changes a plan.
-func (c *planNameFlags) change(change operatorpb.ChangeRequest_Change) error {
-	return c.run(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
+// applyChange sends a change of the plan, and prints the returned plan status.
+func (c *planNameFlags) applyChange(change operatorpb.ChangeRequest_Change) error {
+	return c.callAndPrint(func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 		return client.Change(ctx, c.Name, change)
 	})
 }
 
-type pauseCmd struct{ planNameFlags }
+type rolloutPauseCmd struct{ planNameFlags }
 
 // Run pauses a plan.
-func (c *pauseCmd) Run() error { return c.change(operatorpb.ChangeRequest_PAUSE) }
+func (c *rolloutPauseCmd) Run() error { return c.applyChange(operatorpb.ChangeRequest_PAUSE) }
 
-type resumeCmd struct{ planNameFlags }
+type rolloutResumeCmd struct{ planNameFlags }
 
 // Run resumes a paused plan.
-func (c *resumeCmd) Run() error { return c.change(operatorpb.ChangeRequest_RESUME) }
+func (c *rolloutResumeCmd) Run() error { return c.applyChange(operatorpb.ChangeRequest_RESUME) }
 
-type abortCmd struct{ planNameFlags }
+type rolloutAbortCmd struct{ planNameFlags }
 
-// Run rolls a plan back.
-func (c *abortCmd) Run() error { return c.change(operatorpb.ChangeRequest_ABORT) }
+// Run aborts a plan, which rolls it back.
+func (c *rolloutAbortCmd) Run() error { return c.applyChange(operatorpb.ChangeRequest_ABORT) }
 
-type watchCmd struct{ planNameFlags }
+type rolloutWatchCmd struct{ planNameFlags }
 
-// watchPollInterval is the time between two requests.
 const watchPollInterval = time.Second
 
-// Run prints each change of a plan until it has ended.
-func (c *watchCmd) Run() error {
+// Run prints the plan's status whenever its summary line has changed, until the plan has ended.
+func (c *rolloutWatchCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	lastLine := ""
+	lastSummary := ""
 	for {
 		status, err := callController(&c.controllerFlags, func(ctx context.Context, client *adminapi.Client) (*operatorpb.PlanStatus, error) {
 			return client.Show(ctx, c.Name)
@@ -114,9 +113,9 @@
 		if err != nil {
 			return err
 		}
-		if line := summary(status); line != lastLine {
-			lastLine = line
-			if err := c.print(os.Stdout, status); err != nil {
+		if line := summary(status); line != lastSummary {
+			lastSummary = line
+			if err := c.printPlan(os.Stdout, status); err != nil {
 				return err
 			}
 		}
@@ -135,10 +134,10 @@
 	}
 }
 
-type planSchemaCmd struct{}
+type rolloutSchemaCmd struct{}
 
-// Run prints the schema of plans.
-func (planSchemaCmd) Run() error {
+// Run prints the JSON schema of plans.
+func (rolloutSchemaCmd) Run() error {
 	_, err := os.Stdout.Write(rollout.PlanSchema())
 	return err
 }
--- a/cmd/bitternwing/rollout_output.go
+++ b/cmd/bitternwing/rollout_output.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// print prints the status of a plan, and a line for each replica.
-func (f *controllerFlags) print(w io.Writer, status *operatorpb.PlanStatus) error {
+// printPlan prints the status of a plan: as JSON, or as a summary line with a line for each replica.
+func (f *controllerFlags) printPlan(w io.Writer, status *operatorpb.PlanStatus) error {
 	if f.JSON {
 		return printJSON(w, status)
 	}
@@ -33,7 +33,7 @@
 	return err
 }
 
-// summary gives the status of a plan in a line.
+// summary returns the status of a plan as one line.
 func summary(status *operatorpb.PlanStatus) string {
 	if status.GetProblem() != "" {
 		return fmt.Sprintf("%s: left alone: %s", status.GetName(), status.GetProblem())
--- a/cmd/bitternwing/rollout_test.go
+++ b/cmd/bitternwing/rollout_test.go
@@ -12,9 +12,9 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// TestRolloutExitStatus gives each kind of error a status of its own.
-func TestRolloutExitStatus(t *testing.T) {
-	for _, x := range []struct {
+// Each kind of error has its own exit status.
+func TestExitStatus(t *testing.T) {
+	for _, c := range []struct {
 		err  error
 		want int
 	}{
@@ -25,14 +25,14 @@
 		{errRolledBack, exitRolledBack},
 		{errors.New("no such file"), exitFailure},
 	} {
-		if got := exitStatus(x.err); got != x.want {
-			t.Errorf("%v: %d, not %d", x.err, got, x.want)
+		if got := exitStatus(c.err); got != c.want {
+			t.Errorf("%v: %d, not %d", c.err, got, c.want)
 		}
 	}
 }
 
-// TestApplyBadFile names the field of a bad plan without asking anybody.
-func TestApplyBadFile(t *testing.T) {
+// The error for an invalid plan names the field, and comes without a call: nothing listens at the controller's address.
+func TestApplyInvalidFile(t *testing.T) {
 	plan := `{"name":"reader","team":"red","old":{"jobs":["run-000001"],"replica_capacity":1},"new":{"jobs":["run-000011"],"replica_capacity":1},
 	"promised_capacity":1,"steps":[{"jobs":["run-000011"],"share":1,"bake_s":0}],
 	"checks":[{"name":"a","request":{},"expected":1,"script":"def check(request)"}],"limits":{"wait_s":1,"unreachable_s":1,"router_gone_s":1,"keep_s":1}}`
@@ -41,19 +41,19 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := (&applyCmd{controllerFlags: controllerFlags{Controller: "127.0.0.1:1"}, File: file}).Run()
+		err := (&rolloutApplyCmd{controllerFlags: controllerFlags{Controller: "127.0.0.1:1"}, File: file}).Run()
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || exitStatus(err) != exitInvalidPlan {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
 
-// TestSummary shows how a plan stands in a line, and the same as JSON.
-func TestSummary(t *testing.T) {
-	s := &operatorpb.PlanStatus{Name: "reader", Phase: "baking", Step: 1, Steps: 2, Settled: true, OldCapacity: 40, NewCapacity: 20, PromisedCapacity: 30,
+// The status of a plan is printed as a summary line with a line for each replica, or as JSON.
+func TestPrintPlan(t *testing.T) {
+	status := &operatorpb.PlanStatus{Name: "reader", Phase: "baking", Step: 1, Steps: 2, Settled: true, OldCapacity: 40, NewCapacity: 20, PromisedCapacity: 30,
 		NewShare: 0.5, Replicas: []*operatorpb.Replica{{Task: "run-000011/0", Attempt: 2, Version: "new", Verdict: "right", Share: 0.25}}}
 	var text, data strings.Builder
-	if err := errors.Join((&controllerFlags{}).print(&text, s), (&controllerFlags{responseFlags: responseFlags{JSON: true}}).print(&data, s)); err != nil {
+	if err := errors.Join((&controllerFlags{}).printPlan(&text, status), (&controllerFlags{responseFlags: responseFlags{JSON: true}}).printPlan(&data, status)); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"reader: baking, step 1 of 2", "50.0% of traffic", "new run-000011/0 attempt 2: right, 25.0% of traffic"} {
--- a/cmd/bitternwing/serve.go
+++ b/cmd/bitternwing/serve.go
@@ -15,20 +15,20 @@
 	"bitternwing/internal/sizing"
 )
 
-// settingsFlags name the settings files.
+// settingsFlags are the flags for the settings files.
 type settingsFlags struct {
 	Config   string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
-	Operator string `placeholder:"FILE" env:"BITTERNWING_OPERATOR" help:"The operators' own settings (JSON)."`
+	Operator string `placeholder:"FILE" env:"BITTERNWING_OPERATOR" help:"The operators' settings file (JSON)."`
 }
 
-// load reads and validates the settings.
-func (f settingsFlags) load() (*config.Settings, error) {
+// loadSettings reads and validates the settings files.
+func (f settingsFlags) loadSettings() (*config.Settings, error) {
 	settings, err := config.Load(f.Config)
 	if err != nil {
 		return nil, err
 	}
 	if f.Operator != "" {
-		if settings.Operator, err = config.LoadOperator(f.Operator); err != nil {
+		if settings.Operator, err = config.LoadOperatorSettings(f.Operator); err != nil {
 			return nil, err
 		}
 	}
@@ -37,9 +37,9 @@
 
 type serveCmd struct{ settingsFlags }
 
-// Run serves until a signal ends it.
+// Run runs the node until SIGINT or SIGTERM.
 func (c *serveCmd) Run() error {
-	settings, err := c.load()
+	settings, err := c.loadSettings()
 	if err != nil {
 		return err
 	}
@@ -57,24 +57,25 @@
 	return n.Run(ctx)
 }
 
-// The garbage collector runs late as long as memory allows: processor time is scarcer. The memory that it aims to stay below
-// leaves room for what is not on the heap.
+// The garbage collector runs rarely while there is free memory, because CPU time is scarcer than memory. Its soft
+// memory limit is below the process's limit, to leave room for memory that the Go runtime does not manage.
 const (
-	garbagePercent    = 300
-	memoryLimitShare  = 0.6
-	bytesPerMB        = 1 << 20
-	minProcessorCount = 1
+	gcPercent        = 300
+	memoryLimitShare = 0.6
+	bytesPerMB       = 1 << 20
+	minProcessors    = 1
 )
 
-// limitRuntime keeps the runtime within what the node may use: a share of one core needs no more than one processor.
+// limitRuntime keeps the Go runtime within the node's resource limits. One processor is enough for a share of up to one
+// core.
 func limitRuntime(settings *config.Settings) {
 	limits := settings.Params.Limits
-	runtime.GOMAXPROCS(max(minProcessorCount, int(limits.CPUShare)))
-	debug.SetGCPercent(garbagePercent)
+	runtime.GOMAXPROCS(max(minProcessors, int(limits.CPUShare)))
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitShare * limits.MemoryMB * bytesPerMB))
 }
 
-// newLogger makes a logger of structured lines to standard error, at the level of LOG_LEVEL.
+// newLogger returns a logger that writes structured lines to standard error, at the level that LOG_LEVEL names.
 func newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); name {
@@ -92,16 +93,16 @@
 
 type checkCmd struct{ settingsFlags }
 
-// Run validates the settings, and warns of limits that are too small for the expected fleet.
+// Run validates the settings, and prints a warning for each limit that is too small for the expected fleet size.
 func (c *checkCmd) Run() error {
-	settings, err := c.load()
+	settings, err := c.loadSettings()
 	if err != nil {
 		return err
 	}
 	fmt.Printf("settings are good: node %s, %d peers, %d teams\n", settings.Node, len(settings.Peers), len(settings.Params.Teams))
 	machines := settings.Operator.ExpectedMachines
-	for _, shortage := range sizing.Check(&settings.Params, machines) {
-		fmt.Printf("warning: for %d machines: %s\n", machines, shortage)
+	for _, warning := range sizing.Check(&settings.Params, machines) {
+		fmt.Printf("warning: for %d machines: %s\n", machines, warning)
 	}
 	return nil
 }
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -14,16 +14,16 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// ErrNotFound is returned if there is no plan of the name, or no job of the id.
+// ErrNotFound is returned if there is no plan with the name, or no job with the id.
 var ErrNotFound = errors.New("not found")
 
-// InvalidError is returned for a malformed request, and names the field.
+// InvalidError is returned for a malformed request. Its text names the field.
 type InvalidError struct{ Problem string }
 
 // Error implements error.
 func (e *InvalidError) Error() string { return e.Problem }
 
-// RefusedError is returned if a plan can't be accepted or changed, with the reason.
+// RefusedError is returned if a plan can't be accepted or changed.
 type RefusedError struct{ Reason string }
 
 // Error implements error.
@@ -37,20 +37,20 @@
 	return fmt.Sprintf("no answer in time: %s; ask again in %v", e.Reason, retryInterval)
 }
 
-// retryInterval is the time between two attempts.
+// retryInterval is the delay between attempts.
 const retryInterval = time.Second
 
-// Client calls a controller.
+// Client calls the internal address of a controller.
 type Client struct {
 	connection *grpc.ClientConn
 	rollouts   operatorpb.RolloutsClient
 	placements operatorpb.PlacementsClient
 }
 
-// NewClient makes a client of a controller's internal address.
-func NewClient(address string) (*Client, error) {
-	connection, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(largeReplies))
+// NewClient returns a client for the internal address of a controller, of the form host:port.
+func NewClient(controllerAddr string) (*Client, error) {
+	connection, err := grpc.NewClient("passthrough:///"+controllerAddr, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(allowLargeReplies))
 	if err != nil {
 		return nil, err
 	}
@@ -61,10 +61,10 @@
 	}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// Apply submits a plan. It is idempotent: the same plan again changes nothing.
+// Apply submits a plan. It is idempotent: submitting the same plan again changes nothing.
 func (c *Client) Apply(ctx context.Context, plan []byte) (*operatorpb.PlanStatus, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlanStatus, error) {
 		return c.rollouts.Apply(ctx, &operatorpb.ApplyRequest{Plan: plan})
@@ -85,25 +85,26 @@
 	})
 }
 
-// Placements returns the placements of a job's replicas, with their costs.
+// Placements returns the placements of a job's replicas and their costs.
 func (c *Client) Placements(ctx context.Context, job string) (*operatorpb.PlacementReply, error) {
 	return retry(ctx, func(ctx context.Context) (*operatorpb.PlacementReply, error) {
 		return c.placements.Show(ctx, &operatorpb.PlacementRequest{Job: job})
 	})
 }
 
-// Route requests a routing, once: a router that gets none keeps the one that it has.
+// Route requests the current routing. It does not retry: a router that gets no reply keeps its last routing.
 func (c *Client) Route(ctx context.Context, request *operatorpb.RouteRequest) (*operatorpb.RouteReply, error) {
 	return c.rollouts.Route(ctx, request)
 }
 
-// retry makes a request until there is a final reply or the context ends, and at least once.
-func retry[Reply any](ctx context.Context, attempt func(context.Context) (*Reply, error)) (*Reply, error) {
+// retry repeats a call until it gets a reply or a permanent error, or the context ends. It calls at least once, and the
+// end of the context does not cancel a running attempt.
+func retry[Reply any](ctx context.Context, call func(context.Context) (*Reply, error)) (*Reply, error) {
 	for {
 		attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout+retryInterval)
-		reply, err := attempt(attemptCtx)
+		reply, err := call(attemptCtx)
 		cancel()
-		err = errorOf(err)
+		err = errorFromStatus(err)
 		var unavailable *UnavailableError
 		if !errors.As(err, &unavailable) {
 			return reply, err
@@ -116,22 +117,22 @@
 	}
 }
 
-// finalErrors are the errors for the status codes that no retry changes.
-var finalErrors = map[codes.Code]func(message string) error{
+// permanentErrors makes the errors for the status codes that are not retried.
+var permanentErrors = map[codes.Code]func(message string) error{
 	codes.NotFound:           func(string) error { return ErrNotFound },
 	codes.InvalidArgument:    func(message string) error { return &InvalidError{message} },
 	codes.FailedPrecondition: func(message string) error { return &RefusedError{message} },
 	codes.Unimplemented:      func(message string) error { return &RefusedError{message} },
 }
 
-// errorOf gives the error for a status of gRPC.
-func errorOf(err error) error {
+// errorFromStatus converts a gRPC status error to an error of this package.
+func errorFromStatus(err error) error {
 	if err == nil {
 		return nil
 	}
 	s := status.Convert(err)
-	if final, ok := finalErrors[s.Code()]; ok {
-		return final(s.Message())
+	if permanentError, ok := permanentErrors[s.Code()]; ok {
+		return permanentError(s.Message())
 	}
 	return &UnavailableError{s.Message()}
 }
--- a/internal/adminapi/operatorpb/doc.go
+++ b/internal/adminapi/operatorpb/doc.go
@@ -1,3 +1,3 @@
-// Package operatorpb holds the generated messages and stubs of the gRPC services for operators, routers and other regions.
-// It is made from operators.proto.
+// Package operatorpb holds the messages and stubs of the gRPC services for operators, routers and other regions. They
+// are generated from operators.proto.
 package operatorpb
--- a/internal/adminapi/placements.go
+++ b/internal/adminapi/placements.go
@@ -12,35 +12,35 @@
 	"bitternwing/internal/wire"
 )
 
-// placements implements the service of placements.
-type placements struct {
+// placementsServer implements the Placements service.
+type placementsServer struct {
 	operatorpb.UnimplementedPlacementsServer
 	server *Server
 }
 
-// Show implements the service.
-func (p *placements) Show(ctx context.Context, request *operatorpb.PlacementRequest) (*operatorpb.PlacementReply, error) {
+// Show implements operatorpb.PlacementsServer.
+func (p *placementsServer) Show(ctx context.Context, request *operatorpb.PlacementRequest) (*operatorpb.PlacementReply, error) {
 	if !wire.ValidJobID(request.GetJob()) {
 		return nil, status.Error(codes.InvalidArgument, "job: is no job id")
 	}
-	return handle(ctx, p.server, relayable[*operatorpb.PlacementReply]{
+	return handle(ctx, p.server, relayableRequest[*operatorpb.PlacementReply]{
 		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
 			return core.GetPlacements{RequestID: requestID, Job: request.GetJob()}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.PlacementReply, error) {
 			relayed := &operatorpb.PlacementRequest{Job: request.GetJob(), Relayed: true}
-			return operatorpb.NewPlacementsClient(leader).Show(ctx, relayed, largeReplies)
+			return operatorpb.NewPlacementsClient(leader).Show(ctx, relayed, allowLargeReplies)
 		},
 		convert: placementReply,
 	})
 }
 
-// placementReply gives the placements of a job's replicas on the wire.
+// placementReply converts the core's response to a reply message.
 func placementReply(response core.Response) (*operatorpb.PlacementReply, error) {
 	replicas, ok := response.Body.([]core.ReplicaPlacement)
 	if !ok {
-		return nil, errUnexpectedResponse
+		return nil, errUnexpectedResponseBody
 	}
 	reply := &operatorpb.PlacementReply{}
 	for _, r := range replicas {
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -11,23 +11,23 @@
 	"bitternwing/internal/quota"
 )
 
-// regions implements the service for the controllers of other regions.
-type regions struct {
+// regionsServer implements the Regions service, which the controllers of other regions call.
+type regionsServer struct {
 	operatorpb.UnimplementedRegionsServer
 	server *Server
 }
 
-// Ask implements the service.
-func (r *regions) Ask(ctx context.Context, request *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
-	return handle(ctx, r.server, relayable[*operatorpb.AllowanceReply]{
+// Ask implements operatorpb.RegionsServer.
+func (r *regionsServer) Ask(ctx context.Context, request *operatorpb.AllowanceAsk) (*operatorpb.AllowanceReply, error) {
+	return handle(ctx, r.server, relayableRequest[*operatorpb.AllowanceReply]{
 		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
 			return core.RequestQuota{
 				RequestID: requestID,
 				From:      request.GetFrom(),
 				Team:      request.GetTeam(),
-				Whole:     shareOf(request.GetWhole()),
-				Share:     shareOf(request.GetShare()),
+				Whole:     shareFromProto(request.GetWhole()),
+				Share:     shareFromProto(request.GetShare()),
 			}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
@@ -38,13 +38,13 @@
 	})
 }
 
-// Deliver implements the service.
-func (r *regions) Deliver(ctx context.Context, request *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
-	return handle(ctx, r.server, relayable[*operatorpb.AllowanceReply]{
+// Deliver implements operatorpb.RegionsServer.
+func (r *regionsServer) Deliver(ctx context.Context, request *operatorpb.AllowanceDelivery) (*operatorpb.AllowanceReply, error) {
+	return handle(ctx, r.server, relayableRequest[*operatorpb.AllowanceReply]{
 		relayed: request.GetRelayed(),
 		input: func(requestID uint64) core.Input {
-			transfer := quota.Transfer{From: request.GetFrom(), To: request.GetTo(), Number: request.GetNumber(), Share: shareOf(request.GetShare())}
-			return core.DeliverQuota{RequestID: requestID, Team: request.GetTeam(), Whole: shareOf(request.GetWhole()), Transfer: transfer}
+			transfer := quota.Transfer{From: request.GetFrom(), To: request.GetTo(), Number: request.GetNumber(), Share: shareFromProto(request.GetShare())}
+			return core.DeliverQuota{RequestID: requestID, Team: request.GetTeam(), Whole: shareFromProto(request.GetWhole()), Transfer: transfer}
 		},
 		relay: func(ctx context.Context, leader grpc.ClientConnInterface) (*operatorpb.AllowanceReply, error) {
 			request.Relayed = true
@@ -54,12 +54,13 @@
 	})
 }
 
-// allowanceReply is empty: that there is one says that the message was committed.
+// allowanceReply returns an empty message. A reply means that the core committed the request.
 func allowanceReply(core.Response) (*operatorpb.AllowanceReply, error) {
 	return &operatorpb.AllowanceReply{}, nil
 }
 
-// CallRegion sends a message to a controller of another region.
+// CallRegion sends a quota request or a quota transfer to a controller of another region. The outcome of a failed call
+// is unknown, as the request may have been committed.
 func CallRegion(ctx context.Context, connection grpc.ClientConnInterface, call core.CallRegion) outcome.Outcome {
 	client := operatorpb.NewRegionsClient(connection)
 	var err error
@@ -68,8 +69,8 @@
 		_, err = client.Ask(ctx, &operatorpb.AllowanceAsk{
 			From:  call.Request.From,
 			Team:  call.Request.Team,
-			Whole: shareProto(call.Request.Whole),
-			Share: shareProto(call.Request.Share),
+			Whole: shareToProto(call.Request.Whole),
+			Share: shareToProto(call.Request.Share),
 		})
 	case call.Deliver != nil:
 		transfer := call.Deliver.Transfer
@@ -78,8 +79,8 @@
 			To:     transfer.To,
 			Team:   call.Deliver.Team,
 			Number: transfer.Number,
-			Whole:  shareProto(call.Deliver.Whole),
-			Share:  shareProto(transfer.Share),
+			Whole:  shareToProto(call.Deliver.Whole),
+			Share:  shareToProto(transfer.Share),
 		})
 	}
 	if err != nil {
@@ -88,15 +89,15 @@
 	return outcome.OK
 }
 
-// shareOf decodes a share; amounts below 0 count as none.
-func shareOf(share *operatorpb.AllowanceShare) quota.Share {
+// shareFromProto converts a share. It replaces negative amounts by 0.
+func shareFromProto(share *operatorpb.AllowanceShare) quota.Share {
 	amount := func(amount *operatorpb.AllowanceAmount) quota.Amount {
 		return quota.Amount{GPUs: max(0, amount.GetGpus()), CPUs: max(0, amount.GetCpus())}
 	}
 	return quota.Share{Limit: amount(share.GetLimit()), Guarantee: amount(share.GetGuarantee())}
 }
 
-func shareProto(share quota.Share) *operatorpb.AllowanceShare {
+func shareToProto(share quota.Share) *operatorpb.AllowanceShare {
 	amount := func(amount quota.Amount) *operatorpb.AllowanceAmount {
 		return &operatorpb.AllowanceAmount{Gpus: amount.GPUs, Cpus: amount.CPUs}
 	}
--- a/internal/adminapi/rollout_messages.go
+++ b/internal/adminapi/rollout_messages.go
@@ -6,11 +6,11 @@
 	"bitternwing/internal/rollout"
 )
 
-// planStatus gives a plan's status on the wire.
+// planStatus converts the core's response to a reply message.
 func planStatus(response core.Response) (*operatorpb.PlanStatus, error) {
 	plan, ok := response.Body.(core.PlanStatus)
 	if !ok {
-		return nil, errUnexpectedResponse
+		return nil, errUnexpectedResponseBody
 	}
 	reply := &operatorpb.PlanStatus{
 		Problem:          plan.Problem,
@@ -18,7 +18,7 @@
 		OldCapacity:      plan.Capacity.Old,
 		NewCapacity:      plan.Capacity.New,
 		PromisedCapacity: plan.Capacity.Promised,
-		Generation:       generationProto(plan.Routing.Generation),
+		Generation:       generationToProto(plan.Routing.Generation),
 		Routers:          plan.Routers,
 	}
 	if record := plan.Record; record != nil {
@@ -52,25 +52,25 @@
 	return reply, nil
 }
 
-// routeReply gives a routing on the wire.
+// routeReply converts the core's response to a reply message.
 func routeReply(response core.Response) (*operatorpb.RouteReply, error) {
 	grant, ok := response.Body.(core.RoutingGrant)
 	if !ok {
-		return nil, errUnexpectedResponse
+		return nil, errUnexpectedResponseBody
 	}
 	return &operatorpb.RouteReply{
-		Generation: generationProto(grant.Routing.Generation),
-		Weights:    weightsProto(grant.Routing.Weights),
-		Fallback:   weightsProto(grant.Routing.Fallback),
+		Generation: generationToProto(grant.Routing.Generation),
+		Weights:    weightsToProto(grant.Routing.Weights),
+		Fallback:   weightsToProto(grant.Routing.Fallback),
 		LeaseMs:    grant.LeaseMS,
 	}, nil
 }
 
-func generationProto(generation rollout.Generation) *operatorpb.Generation {
+func generationToProto(generation rollout.Generation) *operatorpb.Generation {
 	return &operatorpb.Generation{Term: generation.Term, Revision: generation.Revision}
 }
 
-func weightsProto(weights []rollout.Weight) []*operatorpb.Weight {
+func weightsToProto(weights []rollout.Weight) []*operatorpb.Weight {
 	var messages []*operatorpb.Weight
 	for _, w := range weights {
 		messages = append(messages, &operatorpb.Weight{Task: w.Task, Attempt: w.Attempt, Address: w.Address, Version: string(w.Version), Share: w.Share})
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,6 +1,7 @@
-// Package adminapi is the gRPC interface on a controller's internal address for operators, routers and other regions: rollouts,
-// placements and quota transfers, with its client. Any controller takes a request; where another one leads, the request is
-// relayed to it, once. The package converts messages and decides nothing.
+// Package adminapi implements the gRPC API on a controller's internal address, and a client for it. Operators and
+// routers use it for rollouts and placements, and other regions for quota transfers. Any controller accepts a request;
+// one that is not the leader relays the request to the leader. A request is relayed at most once. The package only
+// converts messages: the core makes all decisions.
 package adminapi
 
 import (
@@ -18,73 +19,76 @@
 	"bitternwing/internal/wire"
 )
 
-// Core handles requests; it is the one of server.Core.
+// Core handles requests, as server.Core does.
 type Core interface {
-	// Handle hands over the input that belongs to a request id, and waits for the response. It returns false if there is
-	// none before the context ends.
+	// Handle passes the input for a new request id to the core, and waits for the response. It returns false if the
+	// context ends before.
 	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
 }
 
-// requestTimeout is how long a request waits for the core's response.
+// requestTimeout is how long a request waits for the response of the core or the leader.
 const requestTimeout = 3 * time.Second
 
-// MaxPlanBytes bounds a submitted plan. What is stored has to fit into a value of the key-value store too.
+// MaxPlanBytes is the maximum size of a submitted plan. The stored record must also fit into a value of the key-value
+// store, which is checked separately.
 const MaxPlanBytes = 32 << 10
 
-// largeReplies lets the leader's reply be as long as the plan's replicas make it; how many there are is bounded by the team's
-// quota.
-var largeReplies = grpc.MaxCallRecvMsgSize(64 << 20)
+// allowLargeReplies raises gRPC's limit on the size of a reply: a reply grows with the number of replicas, which only
+// the team's quota bounds.
+var allowLargeReplies = grpc.MaxCallRecvMsgSize(64 << 20)
 
-// Server implements the services.
+// Server implements the Rollouts service, and handles the requests of the other services.
 type Server struct {
 	operatorpb.UnimplementedRolloutsServer
 	core Core
-	// peer gives the connection to another controller; nil where there is none of the name.
+	// peer returns the connection to another controller, or nil if there is no controller with that name.
 	peer func(node string) grpc.ClientConnInterface
 }
 
-// Register registers the services of a node.
-func Register(registrar grpc.ServiceRegistrar, c Core, peer func(node string) grpc.ClientConnInterface) {
-	server := &Server{core: c, peer: peer}
+// Register registers all services with a gRPC server.
+func Register(registrar grpc.ServiceRegistrar, core Core, peer func(node string) grpc.ClientConnInterface) {
+	server := &Server{core: core, peer: peer}
 	operatorpb.RegisterRolloutsServer(registrar, server)
-	operatorpb.RegisterPlacementsServer(registrar, &placements{server: server})
-	operatorpb.RegisterRegionsServer(registrar, &regions{server: server})
+	operatorpb.RegisterPlacementsServer(registrar, &placementsServer{server: server})
+	operatorpb.RegisterRegionsServer(registrar, &regionsServer{server: server})
 }
 
-// relayable is a request as all services handle it.
-type relayable[Reply any] struct {
-	relayed bool // by another controller: it is not relayed again
-	input   func(requestID uint64) core.Input
+// relayableRequest is a request that the local core handles, or that is relayed to the leader.
+type relayableRequest[Reply any] struct {
+	// relayed reports whether another controller relayed the request. It is not relayed again then.
+	relayed bool
+	// input returns the core's input for the request.
+	input func(requestID uint64) core.Input
 	// relay sends the request to the leader.
 	relay func(ctx context.Context, leader grpc.ClientConnInterface) (Reply, error)
-	// convert gives the reply for a response of the core.
+	// convert converts the core's response to a reply message.
 	convert func(core.Response) (Reply, error)
 }
 
-// handle has the core handle a request, or the leader where the core names it.
-func handle[Reply any](ctx context.Context, server *Server, request relayable[Reply]) (Reply, error) {
-	var none Reply
+// handle passes a request to the core. If the core redirects it to the leader, handle relays it to the leader.
+func handle[Reply any](ctx context.Context, server *Server, request relayableRequest[Reply]) (Reply, error) {
+	var zero Reply
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, ok := server.core.Handle(ctx, request.input)
 	if !ok {
-		return none, status.Error(codes.Unavailable, "no answer in time")
+		return zero, status.Error(codes.Unavailable, "no answer in time")
 	}
 	if response.Status == http.StatusOK {
 		return request.convert(response)
 	}
 	redirect, isRedirect := response.Body.(wire.Redirect)
 	if !isRedirect {
-		return none, statusError(response)
+		return zero, statusError(response)
 	}
 	leader := server.peer(redirect.Leader)
 	if leader == nil || request.relayed {
-		return none, status.Error(codes.Unavailable, "no controller leads")
+		return zero, status.Error(codes.Unavailable, "no controller leads")
 	}
 	return request.relay(ctx, leader)
 }
 
-// statusError gives the error for a response that is no success.
+// statusError converts an error response of the core to a gRPC status error.
 func statusError(response core.Response) error {
 	reason := "no reason is given"
 	if body, ok := response.Body.(wire.ErrorBody); ok {
@@ -101,5 +105,5 @@
 	return status.Error(codes.Unavailable, reason)
 }
 
-// errUnexpectedResponse says that the core gave a response of another kind.
-var errUnexpectedResponse = errors.New("an answer of an unexpected kind")
+// errUnexpectedResponseBody is returned if the body of the core's response has an unexpected type.
+var errUnexpectedResponseBody = errors.New("an answer of an unexpected kind")
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -1,5 +1,6 @@
-// Package apiclient is a client of the controllers' public API for jobs: it submits, shows and cancels them. Requests that can't
-// be answered now are retried until the context ends, as the protocol has users do it; it never retries what was refused.
+// Package apiclient is a client of the controllers' public API for jobs: it submits, shows and cancels them. As the
+// protocol requires, it retries requests that can't be served now until the context ends. It does not retry refused
+// requests.
 package apiclient
 
 import (
@@ -17,10 +18,10 @@
 	"bitternwing/internal/wire"
 )
 
-// ErrNotFound is returned for a job that was never accepted.
+// ErrNotFound is returned for the id of a job that was never accepted.
 var ErrNotFound = errors.New("no such job")
 
-// RefusedError is returned for a request that no retry changes, with its reason.
+// RefusedError is returned for a request that is invalid or can never be served. It is not retried.
 type RefusedError struct {
 	Status int
 	Reason string
@@ -29,51 +30,53 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", e.Status, e.Reason) }
 
-// UnavailableError is returned if there is no response before the context ends. The request may have been applied.
+// UnavailableError is returned if there is no final response before the context ends. The request may have been
+// applied.
 type UnavailableError struct{ LastError error }
 
 // Error implements error.
 func (e *UnavailableError) Error() string { return fmt.Sprintf("no answer in time: %v", e.LastError) }
 
-// Unwrap gives the error of the last attempt.
+// Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.LastError }
 
-// errUndecodable is the error for a success without a job state.
-var errUndecodable = errors.New("an answer that can't be read")
+// errNoJobState is returned for a successful response whose body is not a job state.
+var errNoJobState = errors.New("an answer that can't be read")
 
-// The delays between attempts, within which a Retry-After counts, and the time that one attempt may take.
+// The bounds of the delay between attempts, which also apply to a Retry-After header, and the time limit of an attempt.
 const (
 	minRetryDelay  = time.Second
 	maxRetryDelay  = 30 * time.Second
 	attemptTimeout = 5 * time.Second
 )
 
-// maxResponseBytes bounds what is read of a response.
+// maxResponseBytes bounds how much of a response's body is read.
 const maxResponseBytes = 64 << 10
 
-// Client calls one controller, or a load balancer before several, or several in turn.
+// Client calls a controller, a load balancer, or several controllers in turn.
 type Client struct {
 	addresses []string
 	attempts  atomic.Uint64
 	http      *http.Client
 }
 
-// New makes a client for an address of the form host:port.
-func New(address string) *Client { return NewBalanced([]string{address}, nil) }
+// New returns a client for an address of the form host:port.
+func New(address string) *Client { return NewRoundRobin([]string{address}, nil) }
 
-// NewBalanced makes a client that takes the next one of some addresses at each attempt. A nil transport is the
-// default one.
-func NewBalanced(addresses []string, transport http.RoundTripper) *Client {
+// NewRoundRobin returns a client that uses the next of the addresses for each attempt. If transport is nil, it uses
+// http.DefaultTransport.
+func NewRoundRobin(addresses []string, transport http.RoundTripper) *Client {
 	return &Client{addresses: addresses, http: &http.Client{Timeout: attemptTimeout, Transport: transport}}
 }
 
-// nextAddress gives the address for the next attempt.
+// nextAddress returns the address for the next attempt.
 func (c *Client) nextAddress() string {
 	number := c.attempts.Add(1) - 1
 	return c.addresses[number%uint64(len(c.addresses))]
 }
 
-// Submit submits a job, given in the protocol's form, and returns its state. Submissions of the same job are idempotent.
+// Submit submits a job in the protocol's JSON format, and returns its state. It is idempotent: submitting the same job
+// again changes nothing.
 func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobState, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath, job)
 }
@@ -83,12 +86,12 @@
 	return c.doWithRetries(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
 }
 
-// Cancel cancels a job, and returns its final state: cancelled, or done before.
+// Cancel cancels a job, and returns its final state: cancelled, or finished before.
 func (c *Client) Cancel(ctx context.Context, id string) (wire.JobState, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath+"/"+id+wire.CancelSuffix, nil)
 }
 
-// doWithRetries repeats a request until there is a final response or the context ends.
+// doWithRetries repeats a request until it gets a final response or the context ends.
 func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobState, error) {
 	for {
 		state, delay, err := c.attempt(ctx, method, path, body)
@@ -103,7 +106,7 @@
 	}
 }
 
-// attempt makes a request once. A delay above 0 says when to retry.
+// attempt sends a request once. A positive delay means that the request should be retried after that time.
 func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (state wire.JobState, delay time.Duration, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.nextAddress()+path, bytes.NewReader(body))
 	if err != nil {
@@ -121,23 +124,25 @@
 	return decodeResponse(response, data)
 }
 
-// decodeResponse decodes a response with its body.
+// decodeResponse converts a response with its body to a job state or an error. A positive delay means that the request
+// should be retried after that time.
 func decodeResponse(response *http.Response, data []byte) (state wire.JobState, delay time.Duration, err error) {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		if err := json.Unmarshal(data, &state); err != nil || state.ID == "" {
-			return wire.JobState{}, minRetryDelay, errUndecodable
+			return wire.JobState{}, minRetryDelay, errNoJobState
 		}
 		return state, 0, nil
 	case http.StatusNotFound:
 		return wire.JobState{}, 0, ErrNotFound
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return wire.JobState{}, 0, &RefusedError{response.StatusCode, reason(data)}
+		return wire.JobState{}, 0, &RefusedError{response.StatusCode, errorReason(data)}
 	}
-	return wire.JobState{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, reason(data))
+	return wire.JobState{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, errorReason(data))
 }
 
-// retryDelay gives the delay that a response asks for, within the bounds.
+// retryDelay returns the delay in a response's Retry-After header, limited to the range from minRetryDelay to
+// maxRetryDelay.
 func retryDelay(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil {
@@ -146,8 +151,8 @@
 	return min(max(time.Duration(seconds)*time.Second, minRetryDelay), maxRetryDelay)
 }
 
-// reason gives the reason in a response's body.
-func reason(data []byte) string {
+// errorReason returns the error text in a response's body.
+func errorReason(data []byte) string {
 	var body wire.ErrorBody
 	if json.Unmarshal(data, &body) != nil || body.Error == "" {
 		return "no reason given"
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func good(t *testing.T) string {
+func validSettings(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/good.toml")
 	if err != nil {
@@ -16,12 +16,13 @@
 	return string(b)
 }
 
-// Bad settings give one line that names the field; unknown fields are ignored.
+// An invalid setting gives a one-line error that names the field. Unknown fields are ignored: testdata/good.toml has
+// one.
 func TestSettings(t *testing.T) {
-	if _, err := Parse([]byte(good(t))); err != nil {
+	if _, err := Parse([]byte(validSettings(t))); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ from, to, names string }{
+	for _, c := range []struct{ from, to, field string }{
 		{`host_name = "n-0"`, ``, "host_name"},
 		{`bind = "127.0.0.1:8080"`, `bind = "nowhere"`, "bind"},
 		{`bind = "127.0.0.1:8080"`, `bind = 8080`, "bind"},
@@ -49,60 +50,61 @@
 		{`core_share = 0.06`, `core_share = 3000.0`, "params.limits.core_share"},
 		{`core_share = 0.06`, `core_share = inf`, "params.limits.core_share"},
 	} {
-		text := strings.Replace(good(t), c.from, c.to, 1)
-		if text == good(t) {
-			t.Fatalf("%q is not in the file", c.from)
+		text := strings.Replace(validSettings(t), c.from, c.to, 1)
+		if text == validSettings(t) {
+			t.Fatalf("%q is not in testdata/good.toml", c.from)
 		}
 		_, err := Parse([]byte(text))
-		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", c.to, c.from, err)
 		}
 	}
 }
 
-// Each of the limits to come stands by itself, and the tighter of the two counts.
-func TestNextLimits(t *testing.T) {
-	for next, want := range map[string]StoreLimits{
+// Each upcoming limit is optional. For each limit, the lower of the current and the upcoming value applies.
+func TestUpcomingLimits(t *testing.T) {
+	for table, want := range map[string]StoreLimits{
 		"":                      {RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		"[params.state.next]\n": {RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		"[params.state.next]\nvalue_kb=2.0\ntxn_ops=4\n":   {RPS: 150, WriteRPS: 60, ValueKB: 2, TxnOps: 4},
 		"[params.state.next]\nwrite_rps=42.0\nrps=900.0\n": {RPS: 150, WriteRPS: 42, ValueKB: 16, TxnOps: 12},
 	} {
-		s, err := Parse([]byte(strings.Replace(good(t), "txn_ops = 12\n", "txn_ops = 12\n"+next, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings(t), "txn_ops = 12\n", "txn_ops = 12\n"+table, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Params.Store.Next.Within(s.Params.Store); got != want {
-			t.Errorf("%q gives %+v", next, got)
+		if got := s.Params.Store.Next.Effective(s.Params.Store); got != want {
+			t.Errorf("%q: effective limits are %+v", table, got)
 		}
 	}
 }
 
-// One node and seven are as good as three.
-func TestNodes(t *testing.T) {
-	alone, sibling, _ := strings.Cut(good(t), "[[siblings]]")
-	sibling, rest, _ := strings.Cut(sibling, "[")
-	for _, n := range []int{0, 1, 6} {
-		text := alone
-		for i := 1; i <= n; i++ {
-			text += "[[siblings]]" + strings.NewReplacer("n-1", fmt.Sprint("n-", i), "127.0.0.2", fmt.Sprint("127.0.0.", i+1)).Replace(sibling)
+// Settings with no peers, one peer and six peers are valid.
+func TestPeerCounts(t *testing.T) {
+	withoutPeers, peerTable, _ := strings.Cut(validSettings(t), "[[siblings]]")
+	peerTable, afterPeers, _ := strings.Cut(peerTable, "[")
+	for _, peers := range []int{0, 1, 6} {
+		text := withoutPeers
+		for i := 1; i <= peers; i++ {
+			text += "[[siblings]]" + strings.NewReplacer("n-1", fmt.Sprint("n-", i), "127.0.0.2", fmt.Sprint("127.0.0.", i+1)).Replace(peerTable)
 		}
-		s, err := Parse([]byte(text + "[" + rest))
-		if err != nil || len(s.Peers) != n {
-			t.Errorf("%d siblings: %v", n, err)
+		s, err := Parse([]byte(text + "[" + afterPeers))
+		if err != nil || len(s.Peers) != peers {
+			t.Errorf("%d siblings: %v", peers, err)
 		}
 	}
 }
 
-func TestOperator(t *testing.T) {
-	o, err := ParseOperator([]byte(`{"round_s": 2}`))
+// Given fields override the defaults. An invalid field gives a one-line error with its path.
+func TestOperatorSettings(t *testing.T) {
+	settings, err := ParseOperatorSettings([]byte(`{"round_s": 2}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.CycleIntervalS != 2 || o.IdleBoots != DefaultOperator().IdleBoots {
-		t.Errorf("the given field did not go over the defaults: %+v", o)
+	if settings.CycleIntervalS != 2 || settings.IdleTimeoutBoots != DefaultOperatorSettings().IdleTimeoutBoots {
+		t.Errorf("round_s did not override its default, or idle_boots lost its default: %+v", settings)
 	}
-	for text, names := range map[string]string{
+	for text, field := range map[string]string{
 		`{"round_s": "fast"}`: "/round_s",
 		`{"round_s": 0}`:      "/round_s",
 		`{"no_such": 1}`:      "no_such",
@@ -125,7 +127,7 @@
 		`{"metrics": {"listen": "127.0.0.1:9090", "pprof": 1}}`:                                                                                       "/metrics/pprof",
 		`{"metrics": {"listen": "127.0.0.1:9090", "labels": 1}}`:                                                                                      "labels",
 	} {
-		if _, err := ParseOperator([]byte(text)); err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
+		if _, err := ParseOperatorSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads and validates the platform's file.
+// Load reads and validates the platform's settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -22,21 +22,21 @@
 	return s, nil
 }
 
-// Parse decodes and validates the text of the platform's file.
+// Parse decodes and validates the content of the platform's settings file.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(data, s); err != nil {
-		return nil, withPosition(err)
+		return nil, withLineAndField(err)
 	}
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	s.Operator = DefaultOperator()
+	s.Operator = DefaultOperatorSettings()
 	return s, nil
 }
 
-// withPosition adds the line and the field to an error of the TOML decoder.
-func withPosition(err error) error {
+// withLineAndField adds the line number and the field's key to an error of the TOML decoder.
+func withLineAndField(err error) error {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) {
 		return err
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,40 +12,49 @@
 	"bitternwing/internal/schema"
 )
 
-// Operator is the operators' own settings.
-type Operator struct {
-	CycleIntervalS    float64 `json:"round_s"`
-	EventDrivenCycles bool    `json:"event_rounds"`
-	DirectStarts      bool    `json:"direct_starts"`
-	CycleBudget       float64 `json:"round_budget"`
-	// PaceHeartbeats says that responses to heartbeats without news may be held back, so that workers send fewer.
-	PaceHeartbeats     bool    `json:"pace_reports"`
-	SpareShare         float64 `json:"spare_share"`
-	IdleBoots          float64 `json:"idle_boots"`
-	StuckBoots         float64 `json:"stuck_boots"`
-	UnreachableLeases  float64 `json:"silent_leases"`
-	PartitionLeases    float64 `json:"cut_leases"`
-	LeaderTTLLeases    float64 `json:"leader_ttl_leases"`
-	MaxPendingRequests int     `json:"max_pending_requests"`
-	// ExpectedMachines is the size of the fleet that the settings are checked for; 0: the present one.
-	ExpectedMachines int `json:"expected_machines"`
-	// Rollouts are the settings of stepwise rollouts.
-	Rollouts Rollouts `json:"rollouts"`
-	// Spread says by what the placements of replicas are scored.
-	Spread Spread `json:"spread"`
-	// Metrics says where a node serves its metrics.
-	Metrics Metrics `json:"metrics"`
-	// Regions are those that share the teams' quotas.
-	Regions Regions `json:"regions"`
+// OperatorSettings are the settings that the operators choose. The schema describes and bounds each field.
+type OperatorSettings struct {
+	// CycleIntervalS is the time between regular scheduling cycles.
+	CycleIntervalS float64 `json:"round_s"`
+	// EventDrivenCycles enables additional cycles soon after a change.
+	EventDrivenCycles bool `json:"event_rounds"`
+	// DirectStarts enables sending starts to workers directly, instead of in the response to their next heartbeat.
+	DirectStarts bool `json:"direct_starts"`
+	// CycleBudget is the share of the node's CPU time over one cycle interval that a cycle may use before it yields.
+	CycleBudget float64 `json:"round_budget"`
+	// PaceHeartbeats allows delaying responses to heartbeats that report no change, so that workers send fewer.
+	PaceHeartbeats bool `json:"pace_reports"`
+	// SpareShare is the free capacity kept on ordinary machines, as a share of what services use.
+	SpareShare float64 `json:"spare_share"`
+	// IdleTimeoutBoots is how long an idle machine is kept before it is returned, in boot times of its type.
+	IdleTimeoutBoots float64 `json:"idle_boots"`
+	// BootTimeoutFactor is how long a machine may take to come up before it is returned, in boot times of its type.
+	BootTimeoutFactor float64 `json:"stuck_boots"`
+	// UnreachableLeases is how long a machine may be silent before it is released, in worker leases.
+	UnreachableLeases float64 `json:"silent_leases"`
+	// PartitionLeases is the same for a machine whose whole zone, including its nodes, is partitioned.
+	PartitionLeases float64 `json:"cut_leases"`
+	// LeaderTTLLeases is the TTL of the leader lease, in worker leases.
+	LeaderTTLLeases float64 `json:"leader_ttl_leases"`
+	// MaxPendingRequests is how many user requests may wait at a node before it responds with status 429.
+	MaxPendingRequests int `json:"max_pending_requests"`
+	// ExpectedMachines is the fleet size that the settings are checked against. 0 means the current size.
+	ExpectedMachines int      `json:"expected_machines"`
+	Rollouts         Rollouts `json:"rollouts"`
+	Spread           Spread   `json:"spread"`
+	Metrics          Metrics  `json:"metrics"`
+	Regions          Regions  `json:"regions"`
 }
 
-// Metrics says where a node serves metrics, and whether it serves profiles there.
+// Metrics configures the address at which a node serves its metrics.
 type Metrics struct {
-	Listen string `json:"listen"` // host:port; empty: nowhere
-	Pprof  bool   `json:"pprof"`
+	// Listen has the form host:port. If it is empty, no metrics are served.
+	Listen string `json:"listen"`
+	// Pprof enables profiles of the process at the same address.
+	Pprof bool `json:"pprof"`
 }
 
-// Rollouts are the settings of stepwise rollouts.
+// Rollouts configures stepwise rollouts of a model's new version.
 type Rollouts struct {
 	Enabled        bool    `json:"enabled"`
 	ModelPort      int     `json:"model_port"`
@@ -56,87 +65,91 @@
 	MaxRouters     int     `json:"most_routers"`
 }
 
-// Spread says by what the placements of replicas are scored: the expected losses, and for how long a replica stays.
+// Spread configures the scoring of replica placements: the rates at which zones and machines are lost, and how long a
+// replica stays on its machine.
 type Spread struct {
 	Enabled             bool    `json:"enabled"`
 	ZoneLossesPerDay    float64 `json:"zone_losses_per_day"`
 	MachineLossesPerDay float64 `json:"machine_losses_per_day"`
 	ReplicaDays         float64 `json:"replica_days"`
-	MovesPerHour        float64 `json:"moves_per_hour"` // of replicas, to bring them back into balance
-	// PrefetchGBPerHour bounds prefetches, for workers that support them, which the protocol does not have; 0: none.
+	// MovesPerHour limits how many replicas are moved to restore the balance between zones. 0 disables moves.
+	MovesPerHour float64 `json:"moves_per_hour"`
+	// PrefetchGBPerHour limits image prefetches. The worker protocol has no prefetch request, so this is only for
+	// workers that support it. 0 disables prefetches.
 	PrefetchGBPerHour float64 `json:"prefetch_gb_per_hour"`
 }
 
-// DefaultOperator gives the built-in settings.
-func DefaultOperator() *Operator {
-	return &Operator{
+// DefaultOperatorSettings returns the built-in settings.
+func DefaultOperatorSettings() *OperatorSettings {
+	return &OperatorSettings{
 		CycleIntervalS:     5,
 		EventDrivenCycles:  true,
 		DirectStarts:       true,
 		PaceHeartbeats:     true,
 		CycleBudget:        0.25,
 		SpareShare:         0.1,
-		IdleBoots:          1.5,
-		StuckBoots:         3,
+		IdleTimeoutBoots:   1.5,
+		BootTimeoutFactor:  3,
 		UnreachableLeases:  0.8,
 		PartitionLeases:    12,
 		LeaderTTLLeases:    0.2,
 		MaxPendingRequests: 256,
 		Rollouts: Rollouts{ModelPort: 8000, RouterLeaseS: 15, CheckIntervalS: 2, CheckTimeoutS: 5,
 			MaxPlans: 100, MaxRouters: 100},
-		// A zone is lost twice a year and 57 machines of 8,800 a day; a replica is placed anew after a month.
+		// Each zone is lost twice a year, and 57 of 8,800 machines are lost each day. A replica is placed again after a
+		// month.
 		Spread: Spread{ZoneLossesPerDay: 2.0 / 365, MachineLossesPerDay: 57.0 / 8800, ReplicaDays: 30, MovesPerHour: 60},
 	}
 }
 
 //go:embed operator.schema.json
-var operatorSchema []byte
+var operatorSettingsSchema []byte
 
-// OperatorSchema is the published schema of the operators' settings.
-func OperatorSchema() []byte { return operatorSchema }
+// OperatorSettingsSchema returns the published JSON schema of the operator settings.
+func OperatorSettingsSchema() []byte { return operatorSettingsSchema }
 
-// LoadOperator reads the operators' settings over the defaults.
-func LoadOperator(path string) (*Operator, error) {
+// LoadOperatorSettings reads and validates a file of operator settings. Absent fields keep their defaults.
+func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator settings: %w", err)
 	}
-	o, err := ParseOperator(data)
+	o, err := ParseOperatorSettings(data)
 	if err != nil {
 		return nil, fmt.Errorf("operator settings %s: %w", path, err)
 	}
 	return o, nil
 }
 
-// ParseOperator reads the text of the operators' settings over the defaults.
-func ParseOperator(data []byte) (*Operator, error) {
-	if err := schema.Check("operator.schema.json", operatorSchema, data); err != nil {
+// ParseOperatorSettings decodes and validates operator settings. Absent fields keep their defaults.
+func ParseOperatorSettings(data []byte) (*OperatorSettings, error) {
+	if err := schema.Validate("operator.schema.json", operatorSettingsSchema, data); err != nil {
 		return nil, err
 	}
-	o := DefaultOperator()
+	o := DefaultOperatorSettings()
 	if err := json.Unmarshal(data, o); err != nil {
 		return nil, err
 	}
 	return o, errors.Join(o.Metrics.validate(), o.Regions.validate())
 }
 
-// validate checks what the schema can't express.
+// validate checks the rules that the schema can't express.
 func (m *Metrics) validate() error {
 	if m.Listen == "" {
 		if m.Pprof {
-			return errors.New("/metrics/pprof: profiles need an address in /metrics/listen")
+			return errors.New("/metrics/pprof: must be false while /metrics/listen is empty, is true")
 		}
 		return nil
 	}
 	host, port, err := net.SplitHostPort(m.Listen)
 	if err == nil && host != "" && host != "localhost" && net.ParseIP(host) == nil {
-		err = errors.New("the host is no IP address")
+		err = errors.New("the host must be empty, localhost or an IP address")
 	}
 	if number, portErr := strconv.ParseUint(port, 10, 16); err == nil && (portErr != nil || number == 0) {
-		err = errors.New("the port is no number from 1 to 65535")
+		err = errors.New("the port must be a number from 1 to 65535")
 	}
 	if err != nil {
-		return fmt.Errorf("/metrics/listen: %q is no address of the form host:port: %w", m.Listen, err)
+		return fmt.Errorf("/metrics/listen: must be an address of the form host:port, is %q: %w", m.Listen, err)
 	}
 	return nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,20 +1,23 @@
-// Package config holds the settings of a node: the file that the platform hands over (TOML) and the operators' own settings
-// (JSON, checked against a published schema). It reads and validates them, and has no defaults for the platform's file. Tags
-// hold the names of the platform's fields; the Go names are those of the field.
+// Package config reads and validates the settings of a node. They come from two files: the platform's settings file
+// (TOML), which has no defaults, and the optional operator settings (JSON), which are checked against a published
+// schema. Some Go fields have other names than their keys in the files; the keys are in the struct tags.
 package config
 
 import "time"
 
-// Settings is the platform's settings file. Fields that have no Go field here are ignored.
+// Settings are the settings of a node. Keys of the platform's settings file that have no Go field are ignored.
 type Settings struct {
-	Node       string    `toml:"host_name"`
-	Zone       string    `toml:"domain"`
-	Listen     string    `toml:"bind"`
-	PeerListen string    `toml:"internal_addr"`
-	Peers      []Peer    `toml:"siblings"`
-	Services   Services  `toml:"outside"`
-	Params     Params    `toml:"params"`
-	Operator   *Operator `toml:"-"`
+	Node string `toml:"host_name"`
+	Zone string `toml:"domain"`
+	// Listen is the public address, for users and workers.
+	Listen string `toml:"bind"`
+	// PeerListen is the internal address, for other controllers, operators and routers.
+	PeerListen string   `toml:"internal_addr"`
+	Peers      []Peer   `toml:"siblings"`
+	Services   Services `toml:"outside"`
+	Params     Params   `toml:"params"`
+	// Operator comes from the file of operator settings, or has the defaults.
+	Operator *OperatorSettings `toml:"-"`
 }
 
 // Peer is another controller node.
@@ -30,20 +33,20 @@
 	Store string `toml:"state"`
 }
 
-// Params describe the deployment.
+// Params describes the deployment that the node is part of.
 type Params struct {
-	Nodes        int         `toml:"initial_size"`
-	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"`
-	Teams        []Team      `toml:"teams"`
-	Objectives   []Objective `toml:"objectives"`
-	Workers      Workers     `toml:"workers"`
-	Store        Store       `toml:"state"`
-	Cloud        Cloud       `toml:"cloud"`
-	Limits       Limits      `toml:"limits"`
+	Nodes        int           `toml:"initial_size"`
+	Zones        []string      `toml:"zones"`
+	ClockErrorMS float64       `toml:"clock_error_ms"`
+	Teams        []Team        `toml:"teams"`
+	Objectives   []Objective   `toml:"objectives"`
+	Workers      Workers       `toml:"workers"`
+	Store        Store         `toml:"state"`
+	Cloud        Cloud         `toml:"cloud"`
+	Limits       ProcessLimits `toml:"limits"`
 }
 
-// Team has a guaranteed quota and a limit; a limit of 0 means there is none.
+// Team is a team with its guaranteed quota and its limit. A limit of 0 means that there is no limit.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -60,32 +63,32 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers has the times of the workers' protocol.
+// Workers has the intervals and time limits of the worker protocol.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
 	LeaseS             float64 `toml:"lease_s"`
-	CancelS            float64 `toml:"cancel_s"`
+	CancelDeadlineS    float64 `toml:"cancel_s"`
 }
 
 // Store has the limits of the key-value store.
 type Store struct {
-	RPS      float64     `toml:"rps"`
-	WriteRPS float64     `toml:"write_rps"`
-	ValueKB  float64     `toml:"value_kb"`
-	TxnOps   int         `toml:"txn_ops"`
-	Next     *NextLimits `toml:"next"`
+	RPS      float64         `toml:"rps"`
+	WriteRPS float64         `toml:"write_rps"`
+	ValueKB  float64         `toml:"value_kb"`
+	TxnOps   int             `toml:"txn_ops"`
+	Next     *UpcomingLimits `toml:"next"`
 }
 
-// NextLimits are limits that the key-value store will have from some moment on. Those that are absent
-// stay as they are.
-type NextLimits struct {
+// UpcomingLimits are the limits that the key-value store will have from an unknown time on. A limit that is nil does
+// not change.
+type UpcomingLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// StoreLimits are the limits of the key-value store, without those to come.
+// StoreLimits are limits of the key-value store, either the current or the effective ones.
 type StoreLimits struct {
 	RPS      float64
 	WriteRPS float64
@@ -93,42 +96,43 @@
 	TxnOps   int
 }
 
-// Within gives the tighter of the present limits and those to come, each by itself.
-func (n *NextLimits) Within(store Store) StoreLimits {
-	l := StoreLimits{RPS: store.RPS, WriteRPS: store.WriteRPS, ValueKB: store.ValueKB, TxnOps: store.TxnOps}
+// Effective returns, for each limit, the lower of the current and the upcoming value. It is valid before and after the
+// change.
+func (n *UpcomingLimits) Effective(current Store) StoreLimits {
+	effective := StoreLimits{RPS: current.RPS, WriteRPS: current.WriteRPS, ValueKB: current.ValueKB, TxnOps: current.TxnOps}
 	if n == nil {
-		return l
+		return effective
 	}
-	l.RPS = tighter(l.RPS, n.RPS)
-	l.WriteRPS = tighter(l.WriteRPS, n.WriteRPS)
-	l.ValueKB = tighter(l.ValueKB, n.ValueKB)
-	l.TxnOps = tighter(l.TxnOps, n.TxnOps)
-	return l
+	effective.RPS = lower(effective.RPS, n.RPS)
+	effective.WriteRPS = lower(effective.WriteRPS, n.WriteRPS)
+	effective.ValueKB = lower(effective.ValueKB, n.ValueKB)
+	effective.TxnOps = lower(effective.TxnOps, n.TxnOps)
+	return effective
 }
 
-func tighter[T int | float64](present T, next *T) T {
-	if next == nil {
-		return present
+func lower[T int | float64](current T, upcoming *T) T {
+	if upcoming == nil {
+		return current
 	}
-	return min(present, *next)
+	return min(current, *upcoming)
 }
 
-// Cloud has the limits of the cloud's interface.
+// Cloud has the limits of the cloud provider's API.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits bound the resources that the node itself may use.
-type Limits struct {
+// ProcessLimits are the limits on the resources that the node itself may use.
+type ProcessLimits struct {
 	CPUShare       float64 `toml:"core_share"`
 	MemoryMB       float64 `toml:"memory_mb"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// FailureCheckInterval is how often nodes check for failures, and how long a call may take: a tenth
-// of the workers' lease.
+// FailureCheckInterval returns the interval at which nodes check for failures, which is also the time limit of a call:
+// a tenth of the workers' lease.
 func FailureCheckInterval(workers Workers) time.Duration { return Seconds(workers.LeaseS / 10) }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// minTxnOps is the smallest limit of changes in a transaction that the program can work with.
+// minTxnOps is the smallest limit on the operations of a transaction that the controllers can work with.
 const minTxnOps = 4
 
-// positiveField is a setting that must be above 0.
+// positiveField is a setting that must be positive.
 type positiveField struct {
 	field string
 	value float64
 }
 
-// positiveFields gives the limits to come that are set.
-func (n *NextLimits) positiveFields() []positiveField {
+// positiveFields returns the upcoming limits that are set.
+func (n *UpcomingLimits) positiveFields() []positiveField {
 	if n == nil {
 		return nil
 	}
@@ -37,10 +37,10 @@
 	return fields
 }
 
-// validate names the field that is wrong, by its key in the file.
+// validate returns an error for the first invalid field, with its key in the file.
 func (s *Settings) validate() error {
 	if s.Node == "" {
-		return errors.New("host_name: is missing")
+		return errors.New("host_name: must not be empty")
 	}
 	for _, check := range []func() error{s.checkNames, s.checkAddresses, s.Params.checkPositive, s.Params.checkLimits, s.Params.checkTeams} {
 		if err := check(); err != nil {
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// checkNames checks that the nodes have names, each its own.
+// checkNames checks that each node has a unique name.
 func (s *Settings) checkNames() error {
 	seen := map[string]bool{s.Node: true}
 	for i, peer := range s.Peers {
 		if peer.Node == "" || seen[peer.Node] {
-			return fmt.Errorf("siblings[%d].host_name: is missing or used twice", i)
+			return fmt.Errorf("siblings[%d].host_name: must be unique and not empty", i)
 		}
 		seen[peer.Node] = true
 	}
@@ -65,19 +65,19 @@
 // checkAddress checks that an address has the form host:port.
 func checkAddress(addr string) error {
 	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		return fmt.Errorf("%q is no address of the form host:port", addr)
+		return fmt.Errorf("must be an address of the form host:port, is %q", addr)
 	}
 	return nil
 }
 
-// servicesTable is the table of the addresses of other services, of which two may be the same.
-const servicesTable = "outside."
+// servicesPrefix is the TOML table of the external services. Two of these may have the same address.
+const servicesPrefix = "outside."
 
-// checkAddresses checks that no address is missing and that no two nodes share one.
+// checkAddresses checks that no address is missing and that each address of a node is unique.
 func (s *Settings) checkAddresses() error {
 	addresses := []struct{ field, value string }{
 		{"bind", s.Listen}, {"internal_addr", s.PeerListen},
-		{servicesTable + "cloud", s.Services.Cloud}, {servicesTable + "state", s.Services.Store},
+		{servicesPrefix + "cloud", s.Services.Cloud}, {servicesPrefix + "state", s.Services.Store},
 	}
 	for i, peer := range s.Peers {
 		addresses = append(addresses, struct{ field, value string }{fmt.Sprintf("siblings[%d].address", i), peer.Addr})
@@ -85,10 +85,10 @@
 	used := map[string]string{}
 	for _, a := range addresses {
 		if a.value == "" {
-			return fmt.Errorf("%s: is missing", a.field)
+			return fmt.Errorf("%s: must not be empty", a.field)
 		}
-		if other := used[a.value]; other != "" && !strings.HasPrefix(a.field, servicesTable) {
-			return fmt.Errorf("%s: %q is %s already", a.field, a.value, other)
+		if other := used[a.value]; other != "" && !strings.HasPrefix(a.field, servicesPrefix) {
+			return fmt.Errorf("%s: must be unique, %q is also the value of %s", a.field, a.value, other)
 		}
 		used[a.value] = a.field
 		if err := checkAddress(a.value); err != nil {
@@ -98,21 +98,21 @@
 	return nil
 }
 
-// maxSetting bounds the settings that must be above 0.
-const maxSetting = 1e9
+// maxPositiveSetting is the upper bound of the settings that must be positive.
+const maxPositiveSetting = 1e9
 
-// What a node may be allowed: with less no process runs, more is a typing error.
+// Bounds of the node's own resource limits: no process runs with less, and a larger value is a typing error.
 const (
 	minCPUShare, maxCPUShare = 0.001, 1024
 	minMemoryMB, maxMemoryMB = 8, 16 << 20
 )
 
-// checkPositive checks the settings that must be above 0.
+// checkPositive checks the settings that must be positive.
 func (p *Params) checkPositive() error {
 	fields := []positiveField{
 		{"params.workers.report_s", p.Workers.HeartbeatIntervalS},
 		{"params.workers.lease_s", p.Workers.LeaseS},
-		{"params.workers.cancel_s", p.Workers.CancelS},
+		{"params.workers.cancel_s", p.Workers.CancelDeadlineS},
 		{"params.state.rps", p.Store.RPS},
 		{"params.state.write_rps", p.Store.WriteRPS},
 		{"params.state.value_kb", p.Store.ValueKB},
@@ -122,14 +122,14 @@
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections)},
 	}
 	for _, f := range append(fields, p.Store.Next.positiveFields()...) {
-		if !(f.value > 0) || f.value > maxSetting {
-			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", f.field, float64(maxSetting), f.value)
+		if !(f.value > 0) || f.value > maxPositiveSetting {
+			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", f.field, float64(maxPositiveSetting), f.value)
 		}
 	}
 	return nil
 }
 
-// checkLimits checks what is bounded otherwise.
+// checkLimits checks the settings that have other bounds.
 func (p *Params) checkLimits() error {
 	if p.Store.TxnOps < minTxnOps {
 		return fmt.Errorf("params.state.txn_ops: must be at least %d, is %d", minTxnOps, p.Store.TxnOps)
@@ -154,16 +154,16 @@
 	return nil
 }
 
-// checkTeams checks the teams' names and amounts.
+// checkTeams checks the teams' names, guaranteed quotas and limits.
 func (p *Params) checkTeams() error {
 	teams := map[string]bool{}
 	for i, team := range p.Teams {
 		if team.Name == "" || teams[team.Name] {
-			return fmt.Errorf("params.teams[%d].name: is missing or used twice", i)
+			return fmt.Errorf("params.teams[%d].name: must be unique and not empty", i)
 		}
 		teams[team.Name] = true
 		if team.GuaranteedCPUs < 0 || team.MaxCPUs < 0 || team.GuaranteedGPUs < 0 || team.MaxGPUs < 0 {
-			return fmt.Errorf("params.teams[%d]: amounts must not be negative", i)
+			return fmt.Errorf("params.teams[%d]: cpus, cpus_max, gpus and gpus_max must not be negative", i)
 		}
 	}
 	return nil
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -32,66 +32,67 @@
 	"bitternwing/internal/rollout"
 )
 
-var update = flag.Bool("update", false, "write the lists in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-const repository = "../.."
+const repositoryRoot = "../.."
 
-// TestNames compares the names that others read with the kept lists.
+// TestNames compares the names that other programs and earlier versions depend on, and the schemas, with the golden
+// files.
 func TestNames(t *testing.T) {
 	sources := parseSources(t)
 	for name, list := range map[string][]string{
 		"fields.txt":  structTags(sources),
 		"strings.txt": contractStrings(t, sources),
 		"grpc.txt":    append(grpcNames(peerpb.File_internal_peer_peerpb_peer_proto), grpcNames(operatorpb.File_internal_operators_operatorpb_operators_proto)...),
-		"metrics.txt": metricNames(t),
+		"metrics.txt": metricSeries(t),
 	} {
-		compare(t, name, strings.Join(list, "\n")+"\n")
+		compareWithFile(t, name, strings.Join(list, "\n")+"\n")
 	}
-	compare(t, "operator.schema.json", string(config.OperatorSchema()))
-	compare(t, "plan.schema.json", string(rollout.PlanSchema()))
-	compare(t, "scenario.schema.json", string(fleetsim.ScenarioSchema()))
+	compareWithFile(t, "operator.schema.json", string(config.OperatorSettingsSchema()))
+	compareWithFile(t, "plan.schema.json", string(rollout.PlanSchema()))
+	compareWithFile(t, "scenario.schema.json", string(fleetsim.ScenarioSchema()))
 }
 
-// compare compares a list with the kept one.
-func compare(t *testing.T, name, got string) {
+// compareWithFile compares a list with a golden file. With -update, it writes the file first.
+func compareWithFile(t *testing.T, name, got string) {
 	t.Helper()
-	file := filepath.Join("testdata", name)
+	path := filepath.Join("testdata", name)
 	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(file)
+	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
 	for _, line := range wantLines {
 		if !slices.Contains(gotLines, line) {
-			t.Errorf("%s: no longer there: %s", name, line)
+			t.Errorf("%s: missing from the sources: %s", name, line)
 		}
 	}
 	for _, line := range gotLines {
 		if !slices.Contains(wantLines, line) {
-			t.Errorf("%s: new: %s", name, line)
+			t.Errorf("%s: missing from the file: %s", name, line)
 		}
 	}
 	if !t.Failed() && got != string(want) {
-		t.Errorf("%s: in another order or number", name)
+		t.Errorf("%s: the lines have another order or number", name)
 	}
 }
 
-// parseSources reads all Go files but tests and generated ones.
+// parseSources parses all Go files except tests and generated files.
 func parseSources(t *testing.T) []*ast.File {
 	t.Helper()
 	var sources []*ast.File
-	files := token.NewFileSet()
-	for _, part := range []string{"internal", "cmd"} {
-		err := filepath.WalkDir(filepath.Join(repository, part), func(path string, _ fs.DirEntry, err error) error {
+	fileSet := token.NewFileSet()
+	for _, root := range []string{"internal", "cmd"} {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, root), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 				return err
 			}
-			file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+			file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 			sources = append(sources, file)
 			return err
 		})
@@ -102,13 +103,15 @@
 	return sources
 }
 
-// fieldTag finds the tags by which fields are named outside of Go; and in Go, flags and arguments of commands.
-var fieldTag = regexp.MustCompile(`\b(json|toml|cmd|arg|name|env|default|enum|placeholder):"`)
+// externalNameTag matches a struct tag that gives a field its name outside the process: in JSON, in TOML or on the
+// command line.
+var externalNameTag = regexp.MustCompile(`\b(json|toml|cmd|arg|name|env|default|enum|placeholder):"`)
 
-// helpText finds texts for people, which are no contract.
-var helpText = regexp.MustCompile(` ?help:"[^"]*"`)
+// helpTag matches a help text. Help texts are not part of the contract.
+var helpTag = regexp.MustCompile(` ?help:"[^"]*"`)
 
-// structTags gives the tags of each struct with any, in the order of its fields. The same ones stand once.
+// structTags returns a line for each struct that has such tags, with the tags in the order of its fields. Equal lines
+// are listed once.
 func structTags(sources []*ast.File) []string {
 	found := map[string]bool{}
 	for _, file := range sources {
@@ -119,9 +122,9 @@
 			}
 			var tags []string
 			for _, field := range structure.Fields.List {
-				if field.Tag != nil && fieldTag.MatchString(field.Tag.Value) {
+				if field.Tag != nil && externalNameTag.MatchString(field.Tag.Value) {
 					text, _ := strconv.Unquote(field.Tag.Value)
-					tags = append(tags, helpText.ReplaceAllString(text, ""))
+					tags = append(tags, helpTag.ReplaceAllString(text, ""))
 				}
 			}
 			if len(tags) > 0 {
@@ -130,13 +133,14 @@
 			return true
 		})
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
-// contractString finds string literals that are keys of the state service, paths of requests, names of metrics' labels and
-// variables of the environment.
-var contractString = regexp.MustCompile(`^([wfr]/[a-z/]*|/[a-z0-9_/{}]+|[A-Z]+(_[A-Z]+)+)$`)
+// contractPattern matches string literals that are keys of the key-value store, URL paths and names of environment
+// variables.
+var contractPattern = regexp.MustCompile(`^([wfr]/[a-z/]*|/[a-z0-9_/{}]+|[A-Z]+(_[A-Z]+)+)$`)
 
+// contractStrings lists the string literals that match contractPattern, and the exit statuses.
 func contractStrings(t *testing.T, sources []*ast.File) []string {
 	t.Helper()
 	found := map[string]bool{}
@@ -144,7 +148,7 @@
 		ast.Inspect(file, func(node ast.Node) bool {
 			switch n := node.(type) {
 			case *ast.BasicLit:
-				if text, err := strconv.Unquote(n.Value); n.Kind == token.STRING && err == nil && contractString.MatchString(text) {
+				if text, err := strconv.Unquote(n.Value); n.Kind == token.STRING && err == nil && contractPattern.MatchString(text) {
 					found[text] = true
 				}
 			case *ast.ValueSpec:
@@ -160,12 +164,12 @@
 		})
 	}
 	if len(found) == 0 {
-		t.Fatal("nothing was found")
+		t.Fatal("no contract strings found in the sources")
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
-// grpcNames lists the services and messages of a file with their methods, and fields with numbers and types.
+// grpcNames lists the methods, the message fields with their numbers and types, and the enum values of a proto file.
 func grpcNames(file protoreflect.FileDescriptor) []string {
 	var lines []string
 	for i := range file.Services().Len() {
@@ -201,9 +205,8 @@
 	return lines
 }
 
-// metricNames lists the metrics of a node that has counted one of each, with types and labels, but not those of the Go
-// runtime and the process.
-func metricNames(t *testing.T) []string {
+// metricSeries lists the types and series of bitternwing's own metrics, after one event of each kind has been recorded.
+func metricSeries(t *testing.T) []string {
 	t.Helper()
 	recorder := metrics.New(func() core.Status { return core.Status{} })
 	recorder.Input("tick", time.Second)
@@ -215,10 +218,10 @@
 			found[withoutValue(line)] = true
 		}
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
-// withoutValue cuts the value off a line of a sample.
+// withoutValue removes the value from a sample line. It returns comment lines unchanged.
 func withoutValue(line string) string {
 	if strings.HasPrefix(line, "#") {
 		return line
@@ -226,7 +229,7 @@
 	return line[:strings.LastIndex(line, " ")]
 }
 
-// scrape gets a recorder's metrics as a scraper does.
+// scrape returns a recorder's metrics, fetched by HTTP as Prometheus does.
 func scrape(t *testing.T, recorder *metrics.Recorder) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -252,7 +255,7 @@
 	return string(text)
 }
 
-func sorted(set map[string]bool) []string {
+func sortedKeys(set map[string]bool) []string {
 	var list []string
 	for text := range set {
 		list = append(list, text)
--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -1,4 +1,5 @@
-// Package contract holds a test alone: everything that other programs, earlier versions and operators read of bitternwing
-// (field names on the wire and in stored values, keys, gRPC messages, metrics, commands, exit statuses, schemas) is compared
-// with a list that is kept beside it. The list changes only where one of these is meant to change.
+// Package contract has only tests. They compare the names and texts that other programs, earlier versions and operators
+// depend on with golden files in testdata: field names on the wire and in stored values, keys, gRPC messages, metrics,
+// commands, exit statuses, schemas and response texts. A golden file changes only with an intended change of one of
+// these.
 package contract
--- a/internal/contract/values_test.go
+++ b/internal/contract/values_test.go
@@ -12,38 +12,38 @@
 	"testing"
 )
 
-// TestValues compares the values and texts that others read, the flags of the programs and the keys of the deploy file
-// with the kept lists.
+// TestValues compares string values and response texts, the commands and flags of the programs and the keys of
+// deploy/service.toml with the golden files.
 func TestValues(t *testing.T) {
 	sources := parseSources(t)
 	for name, list := range map[string][]string{
-		"values.txt": outerValues(sources),
+		"values.txt": externalValues(sources),
 		"texts.txt":  responseTexts(t),
 		"flags.txt":  programFlags(sources),
 		"deploy.txt": deployKeys(t),
 	} {
 		if len(list) == 0 {
-			t.Fatalf("%s: nothing was found", name)
+			t.Fatalf("%s: no entries found in the sources", name)
 		}
-		compare(t, name, strings.Join(list, "\n")+"\n")
+		compareWithFile(t, name, strings.Join(list, "\n")+"\n")
 	}
 }
 
 // logFunction matches the names of functions that write log lines, whose texts are not part of the contract.
 var logFunction = regexp.MustCompile(`^(?i:log)|^(Debug|Info|Warn|Error)$`)
 
-// outerValues lists the string literals without white space outside of log calls: values of messages and stored records,
-// keys, paths, file names and label values.
-func outerValues(sources []*ast.File) []string {
+// externalValues lists the string literals without white space that are not arguments of log calls. They include the
+// values of messages and stored records, keys, paths, file names and label values.
+func externalValues(sources []*ast.File) []string {
 	found := map[string]bool{}
 	for _, file := range sources {
-		for _, text := range literals(file) {
+		for _, text := range stringLiterals(file) {
 			if !strings.ContainsAny(text, " \n\t") && text != "" {
 				found[strconv.Quote(text)] = true
 			}
 		}
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
 // responseSources are the files whose texts reach users, operators or stored records.
@@ -53,12 +53,12 @@
 	"internal/core/*_requests.go", "internal/core/submission*.go", "internal/core/rollout_routers.go",
 }
 
-// responseTexts lists the string literals with white space outside of log calls in the files whose texts are read outside.
+// responseTexts lists the string literals with white space in responseSources that are not arguments of log calls.
 func responseTexts(t *testing.T) []string {
 	t.Helper()
 	found := map[string]bool{}
 	for _, pattern := range responseSources {
-		paths, err := filepath.Glob(filepath.Join(repository, pattern))
+		paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
 		if err != nil || len(paths) == 0 {
 			t.Fatalf("%s: %d files, %v", pattern, len(paths), err)
 		}
@@ -70,18 +70,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, text := range literals(file) {
+			for _, text := range stringLiterals(file) {
 				if strings.ContainsAny(text, " \n\t") {
 					found[strconv.Quote(text)] = true
 				}
 			}
 		}
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
-// literals returns the string literals of a file, except those in imports, struct tags and calls of log functions.
-func literals(file *ast.File) []string {
+// stringLiterals returns the string literals of a file, except imports, struct tags and arguments of log calls.
+func stringLiterals(file *ast.File) []string {
 	var found []string
 	skipped := map[ast.Node]bool{}
 	for _, spec := range file.Imports {
@@ -94,7 +94,7 @@
 				skipped[n.Tag] = true
 			}
 		case *ast.CallExpr:
-			if logFunction.MatchString(calledName(n)) {
+			if logFunction.MatchString(calledFunction(n)) {
 				for _, argument := range n.Args {
 					skipped[argument] = true
 				}
@@ -109,8 +109,8 @@
 	return found
 }
 
-// calledName returns the name of the function or method that is called; empty if it has none.
-func calledName(call *ast.CallExpr) string {
+// calledFunction returns the name of the called function or method, or an empty string if it has no name.
+func calledFunction(call *ast.CallExpr) string {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
 		return function.Name
@@ -120,10 +120,11 @@
 	return ""
 }
 
-// flagTag matches the tags of fields that are flags, arguments or commands of the programs; their names follow the fields'.
+// flagTag matches the struct tags of flags, arguments and commands of the programs. Kong derives their names from the
+// fields.
 var flagTag = regexp.MustCompile(`\b(cmd|arg|help|required|placeholder):"`)
 
-// programFlags lists the fields that are flags, arguments and commands of the programs.
+// programFlags lists the flags, arguments and commands of the programs, by field name and struct tag.
 func programFlags(sources []*ast.File) []string {
 	found := map[string]bool{}
 	for _, file := range sources {
@@ -134,21 +135,21 @@
 			}
 			text, _ := strconv.Unquote(field.Tag.Value)
 			for _, name := range field.Names {
-				found[strings.TrimSpace(name.Name+" "+helpText.ReplaceAllString(text, ""))] = true
+				found[strings.TrimSpace(name.Name+" "+helpTag.ReplaceAllString(text, ""))] = true
 			}
 			return true
 		})
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
 
-// deployKey matches a key of the deploy file.
+// deployKey matches a key in deploy/service.toml.
 var deployKey = regexp.MustCompile(`(?m)^(\w+) *=`)
 
-// deployKeys lists the keys of the deploy file.
+// deployKeys lists the keys in deploy/service.toml.
 func deployKeys(t *testing.T) []string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(repository, "deploy", "service.toml"))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "service.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,5 +157,5 @@
 	for _, match := range deployKey.FindAllStringSubmatch(string(text), -1) {
 		found[match[1]] = true
 	}
-	return sorted(found)
+	return sortedKeys(found)
 }
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -71,7 +71,7 @@
 		unavailable: t.unavailable,
 		overloaded:  l.core.overloaded(),
 		spareShare:  l.core.operator.SpareShare,
-		idleBoots:   l.core.operator.IdleBoots,
+		idleBoots:   l.core.operator.IdleTimeoutBoots,
 	})
 	t.apply(planner.plan())
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,7 +17,7 @@
 // Core is the state machine of one controller node.
 type Core struct {
 	settings *config.Settings
-	operator *config.Operator
+	operator *config.OperatorSettings
 	// incarnation tells this process from earlier ones of the same node.
 	incarnation string
 	times       times
@@ -62,7 +62,7 @@
 func New(settings *config.Settings, incarnation string) *Core {
 	operator := settings.Operator
 	if operator == nil {
-		operator = config.DefaultOperator()
+		operator = config.DefaultOperatorSettings()
 	}
 	c := &Core{settings: settings, operator: operator, incarnation: incarnation, times: newTimes(settings, operator),
 		pendingCalls: map[uint64]resultHandler{}, lastHeartbeat: -1}
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -21,11 +21,11 @@
 func newFleetOf(t *testing.T, nodes, machines int) *scaleCluster {
 	t.Helper()
 	cluster := newLargeScaleCluster(t, nodes, 0)
-	cluster.operator.IdleBoots = 100
+	cluster.operator.IdleTimeoutBoots = 100
 	cluster.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 2000, WriteRPS: 1000, ValueKB: 16, TxnOps: 48}
 		p.Cloud.RPS = 8
-		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 3 * machines}
+		p.Limits = config.ProcessLimits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 3 * machines}
 		for i := range p.Teams {
 			p.Teams[i].MaxGPUs = 0
 		}
@@ -97,7 +97,7 @@
 // is read all the same, and what is missing is rented.
 func TestListOfManyPages(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 1, 0)
-	cluster.operator.IdleBoots = 100
+	cluster.operator.IdleTimeoutBoots = 100
 	cluster.adjustParams = func(p *config.Params) { p.Cloud.RPS = 2 }
 	cluster.cloudRate = 2
 	cluster.restart()
--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -13,10 +13,10 @@
 
 // newIdleCore makes a core that has done nothing yet.
 func newIdleCore() *Core {
-	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator()}
-	set.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}
+	set := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperatorSettings()}
+	set.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30}
 	set.Params.Store = config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
-	set.Params.Limits = config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
+	set.Params.Limits = config.ProcessLimits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
 	return New(set, "first")
 }
 
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -273,7 +273,7 @@
 		if m.reported || m.everReported || m.machineType == nil || m.releasing {
 			continue
 		}
-		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
+		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.BootTimeoutFactor)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
 			// Known from before this term: it may be up and not have found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -24,11 +24,11 @@
 func timeWithTeams(b *testing.B, teams int) float64 {
 	b.Helper()
 	cluster := newScaleCluster(b, 1, 0)
-	cluster.large, cluster.operator.IdleBoots = true, 100
+	cluster.large, cluster.operator.IdleTimeoutBoots = true, 100
 	if teams > 0 {
 		cluster.operator.Regions = config.Regions{Name: regionName(0)}
 		for i := range 4 {
-			cluster.operator.Regions.All = append(cluster.operator.Regions.All, config.Region{Name: regionName(i), Share: 0.25})
+			cluster.operator.Regions.All = append(cluster.operator.Regions.All, config.Region{Name: regionName(i), InitialShare: 0.25})
 		}
 	}
 	cluster.adjustParams = func(p *config.Params) {
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -58,7 +58,7 @@
 	switch {
 	case !c.operator.Regions.Enabled():
 		c.respondRefused(req, reasonNoRegions)
-	case !c.operator.Regions.Other(from):
+	case !c.operator.Regions.HasOther(from):
 		c.respondRefused(req, reasonNoSuchRegion)
 	case t == nil:
 		c.respond(req, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -220,7 +220,7 @@
 	world := newRegionWorld(t, 2)
 	region := world.regions[0]
 	with := region.operator
-	region.operator = config.DefaultOperator()
+	region.operator = config.DefaultOperatorSettings()
 	region.startNode(1)
 	region.step(region.nodes[1], core.Tick{})
 	region.operator = with
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -80,7 +80,7 @@
 func (c *Core) regionShares() []quota.Region {
 	var regions []quota.Region
 	for _, r := range c.operator.Regions.All {
-		regions = append(regions, quota.Region{Name: r.Name, Share: r.Share})
+		regions = append(regions, quota.Region{Name: r.Name, Share: r.InitialShare})
 	}
 	return regions
 }
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -26,8 +26,8 @@
 func newRandomFleet(t *rapid.T) *randomFleet {
 	set := &config.Settings{Node: "a", Zone: "z1", Params: config.Params{Zones: randomZones[1:],
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 2, MaxGPUs: 64}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 64}, {Name: "guest"}},
-		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
-		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
+		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.ProcessLimits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
 	c := New(set, "test")
 	c.now = Time{Steady: time.Hour, WallMS: 3_600_000}
 	l := newLeader(c, 1, 1)
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -66,10 +66,10 @@
 func (world *regionWorld) newRegion(number, regions int) *worldRegion {
 	region := &worldRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, pending: map[uint64]func(core.Response){}}
 	region.digest = newOutputDigest()
-	region.operator.IdleBoots = 100
+	region.operator.IdleTimeoutBoots = 100
 	region.operator.Regions = config.Regions{Name: regionName(number)}
 	for i := range regions {
-		region.operator.Regions.All = append(region.operator.Regions.All, config.Region{Name: regionName(i), Share: 1 / float64(regions)})
+		region.operator.Regions.All = append(region.operator.Regions.All, config.Region{Name: regionName(i), InitialShare: 1 / float64(regions)})
 	}
 	region.adjustParams = func(p *config.Params) {
 		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}}
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -27,11 +27,11 @@
 func leaderTime(b *testing.B, plans int) float64 {
 	b.Helper()
 	world := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
-	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleBoots = true, 1, 100
+	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleTimeoutBoots = true, 1, 100
 	world.intercept = world.interceptCall
 	world.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 10_000, WriteRPS: 10_000, ValueKB: 64, TxnOps: 128}
-		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 10_000}
+		p.Limits = config.ProcessLimits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 10_000}
 		p.Teams = []config.Team{{Name: "t1"}}
 	}
 	world.restart()
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -69,7 +69,7 @@
 	world := &rolloutWorld{scaleCluster: cluster}
 	cluster.digest = newOutputDigest()
 	cluster.operator.Rollouts.Enabled, cluster.operator.Rollouts.CheckIntervalS, cluster.operator.Rollouts.CheckTimeoutS, cluster.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
-	cluster.operator.IdleBoots = 100
+	cluster.operator.IdleTimeoutBoots = 100
 	cluster.intercept = world.interceptCall
 	cluster.restart()
 	cluster.addMachines(8, "z1", "z2")
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -24,7 +24,7 @@
 	cluster := newLargeScaleCluster(b, 1, 0)
 	cluster.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 100_000, WriteRPS: 100_000, ValueKB: 64, TxnOps: 128}
-		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 4000, MaxConnections: 3 * targetMachines}
+		p.Limits = config.ProcessLimits{CPUShare: 1, MemoryMB: 4000, MaxConnections: 3 * targetMachines}
 		share := float64(machines) / targetMachines
 		p.Teams = nil
 		for i := range 12 {
@@ -33,7 +33,7 @@
 		}
 	}
 	cluster.startNode(0)
-	cluster.operator.IdleBoots = 100
+	cluster.operator.IdleTimeoutBoots = 100
 	cluster.runFor(3 * time.Second)
 	cluster.addMachines(machines)
 	cluster.runFor(10 * time.Second)
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -30,7 +30,7 @@
 	random                *rand.Rand
 	store                 *emulator.Store
 	lastSettings          *config.Settings
-	operator              *config.Operator
+	operator              *config.OperatorSettings
 	memoryMB              float64              // MB a node may use
 	evaluationCost        time.Duration        // what an evaluation takes a node; 0: nobody measures it
 	large                 bool                 // settings of a fleet of about 1,000 machines, not of 200
@@ -98,7 +98,7 @@
 
 func newScaleCluster(t reporter, nodes, machines int) *scaleCluster {
 	cluster := &scaleCluster{test: t, now: time.Second, random: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
-		workerByAddr: map[string]*scaleWorker{}, workerByName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, workerByTask: map[string]*scaleWorker{}, machineLimit: machines, operator: config.DefaultOperator(), memoryMB: 98}
+		workerByAddr: map[string]*scaleWorker{}, workerByName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, workerByTask: map[string]*scaleWorker{}, machineLimit: machines, operator: config.DefaultOperatorSettings(), memoryMB: 98}
 	for i := 0; i < nodes; i++ {
 		cluster.nodes = append(cluster.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
 	}
@@ -131,16 +131,16 @@
 		}
 	}
 	s.Params = config.Params{Nodes: len(cluster.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
-		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 5},
-		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: cluster.memoryMB, MaxConnections: 600}}
+		Limits:  config.ProcessLimits{CPUShare: 0.06, MemoryMB: cluster.memoryMB, MaxConnections: 600}}
 	share := 1.0
 	if cluster.large {
 		share = 5
-		s.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelS: 35}
+		s.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelDeadlineS: 35}
 		s.Params.Store.RPS, s.Params.Store.WriteRPS, s.Params.Cloud.RPS = 600, 220, 4
-		s.Params.Limits = config.Limits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}
+		s.Params.Limits = config.ProcessLimits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}
 	}
 	for k := 0; k < 12; k++ {
 		s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", k), GuaranteedGPUs: 100 * share, MaxGPUs: 300 * share})
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -40,7 +40,7 @@
 
 // startNode starts a node's process.
 func (s *simulation) startNode(node *simulatedNode) {
-	settings := &config.Settings{Node: node.name, Zone: node.zone, Operator: config.DefaultOperator(), Params: s.params}
+	settings := &config.Settings{Node: node.name, Zone: node.zone, Operator: config.DefaultOperatorSettings(), Params: s.params}
 	settings.Operator.SpareShare = 0
 	if node.oldVersion {
 		settings.Params.Store.Next = nil
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -93,10 +93,10 @@
 	s.ruleChecker = newRuleChecker(limits, cancellationLimit)
 	s.params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 16, MaxGPUs: 48}, {Name: "guest", MaxGPUs: 32}},
-		Workers: config.Workers{HeartbeatIntervalS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancellationLimit.Seconds()},
+		Workers: config.Workers{HeartbeatIntervalS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelDeadlineS: cancellationLimit.Seconds()},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 2},
-		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
+		Limits:  config.ProcessLimits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
 	for _, name := range []string{"a", "b", "c"} {
 		s.nodes = append(s.nodes, &simulatedNode{name: name, zone: zones[name]})
 	}
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -21,7 +21,7 @@
 func newSpreadWorld(t reporter, spread config.Spread, perZone map[string]int) *spreadWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &spreadWorld{scaleCluster: cluster, running: map[string]string{}}
-	cluster.operator.IdleBoots = 100
+	cluster.operator.IdleTimeoutBoots = 100
 	cluster.operator.Spread = spread
 	cluster.adjustParams = func(p *config.Params) {
 		p.Store.RPS, p.Store.WriteRPS = 1000, 1000
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -19,7 +19,7 @@
 }
 
 func newStoreLimits(s config.Store) *storeLimits {
-	return &storeLimits{present: s, next: s.Next.Within(s)}
+	return &storeLimits{present: s, next: s.Next.Effective(s)}
 }
 
 const bytesPerKB = 1024
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -25,12 +25,12 @@
 }
 
 // newTimes derives the durations from the settings.
-func newTimes(settings *config.Settings, operator *config.Operator) times {
+func newTimes(settings *config.Settings, operator *config.OperatorSettings) times {
 	params := settings.Params
 	t := times{
 		heartbeatInterval: config.Seconds(params.Workers.HeartbeatIntervalS),
 		lease:             config.Seconds(params.Workers.LeaseS),
-		cancelDeadline:    config.Seconds(params.Workers.CancelS),
+		cancelDeadline:    config.Seconds(params.Workers.CancelDeadlineS),
 		listLag:           config.Seconds(params.Cloud.ListLagS),
 		cycleInterval:     config.Seconds(operator.CycleIntervalS),
 	}
@@ -44,7 +44,7 @@
 	t.minCycleGap = t.cycleInterval / 40
 	t.heartbeatTimeout = max(3*t.heartbeatInterval/2, 3*t.checkInterval)
 	// A node's comparisons use at most a sixth of its share of the requests, its watches at most a fifth.
-	t.minCompareGap = config.Seconds(6 * nodes / params.Store.Next.Within(params.Store).RPS / 3)
-	t.minWatchGap = config.Seconds(5 * nodes / params.Store.Next.Within(params.Store).RPS / 2)
+	t.minCompareGap = config.Seconds(6 * nodes / params.Store.Next.Effective(params.Store).RPS / 3)
+	t.minWatchGap = config.Seconds(5 * nodes / params.Store.Next.Effective(params.Store).RPS / 2)
 	return t
 }
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -29,7 +29,7 @@
 	hiddenMachine    string                     // a machine that lists lack
 	workerHeartbeats map[string]*wire.Heartbeat // of workers that are asked directly, by address
 	commandFault     string                     // what becomes of direct orders; "": carried out
-	nextLimits       *config.NextLimits         // in the settings of nodes that start after
+	nextLimits       *config.UpcomingLimits     // in the settings of nodes that start after
 
 	cloudDown, cloudExhausted bool
 	machines                  map[string]*wire.Machine
@@ -53,7 +53,7 @@
 		}
 		return "z1"
 	}
-	s := &config.Settings{Node: name, Zone: zone(name), Operator: config.DefaultOperator()}
+	s := &config.Settings{Node: name, Zone: zone(name), Operator: config.DefaultOperatorSettings()}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != name {
 			s.Peers = append(s.Peers, config.Peer{Node: p, Zone: zone(p), Addr: "127.0.0.1:1"})
@@ -62,10 +62,10 @@
 	s.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Teams:      []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 40, MaxGPUs: 80}},
 		Objectives: []config.Objective{{Kind: "finished", Class: "rush", WithinS: 150, Share: 0.9}},
-		Workers:    config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
+		Workers:    config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30},
 		Store:      config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 2, ListLagS: 5},
-		Limits:     config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
+		Limits:     config.ProcessLimits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
 	s.Params.Store.Next = harness.nextLimits
 	s.Operator.SpareShare = harness.spareShare
 	s.Operator.PaceHeartbeats = harness.paceHeartbeats
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -204,9 +204,9 @@
 }
 
 // nextLimits reads the limits to come.
-func nextLimits(tb testing.TB, words []string) *config.NextLimits {
+func nextLimits(tb testing.TB, words []string) *config.UpcomingLimits {
 	tb.Helper()
-	next := &config.NextLimits{}
+	next := &config.UpcomingLimits{}
 	for _, kv := range words {
 		k, v, _ := strings.Cut(kv, "=")
 		num, err := strconv.ParseFloat(v, 64)
--- a/internal/fleetsim/controller_settings.go
+++ b/internal/fleetsim/controller_settings.go
@@ -92,7 +92,7 @@
 	if err := os.WriteFile(c.operatorFile, operator, settingsMode); err != nil {
 		return err
 	}
-	_, err = config.LoadOperator(c.operatorFile)
+	_, err = config.LoadOperatorSettings(c.operatorFile)
 	return err
 }
 
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -60,7 +60,7 @@
 func NewUsers(addresses []string, ledger Ledger, traffic Traffic, names map[string]string) *Users {
 	transport := &countingTransport{traffic: traffic, names: names, next: &http.Transport{
 		MaxIdleConnsPerHost: maxConcurrentRequests, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), slots: make(chan struct{}, maxConcurrentRequests),
+	return &Users{ledger: ledger, client: apiclient.NewRoundRobin(addresses, transport), slots: make(chan struct{}, maxConcurrentRequests),
 		SubmitTimes: measure.NewHistogram()}
 }
 
--- a/internal/fleetsim/params.go
+++ b/internal/fleetsim/params.go
@@ -41,11 +41,11 @@
 		Workers: config.Workers{
 			HeartbeatIntervalS: s.Workers.HeartbeatIntervalS,
 			LeaseS:             s.Workers.LeaseS,
-			CancelS:            s.Workers.CancelS,
+			CancelDeadlineS:    s.Workers.CancelS,
 		},
 		Store: config.Store{RPS: s.Store.RPS, WriteRPS: s.Store.WriteRPS, ValueKB: s.Store.ValueKB, TxnOps: s.Store.TxnOps},
 		Cloud: config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
-		Limits: config.Limits{
+		Limits: config.ProcessLimits{
 			CPUShare:       s.Controllers.Cores,
 			MemoryMB:       s.Controllers.MemoryMB,
 			MaxConnections: s.Controllers.MaxConnections,
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -126,7 +126,7 @@
 
 // ParseScenario decodes and validates a scenario.
 func ParseScenario(data []byte) (*Scenario, error) {
-	if err := schema.Check("scenario.schema.json", scenarioSchema, data); err != nil {
+	if err := schema.Validate("scenario.schema.json", scenarioSchema, data); err != nil {
 		return nil, err
 	}
 	s := &Scenario{}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -50,7 +50,7 @@
 	params := settings.Params
 	connections := params.Limits.MaxConnections
 	nodes := float64(len(settings.Peers) + 1)
-	storeRate := params.Store.Next.Within(params.Store).RPS * math.Min(1, leaderRateShare/nodes)
+	storeRate := params.Store.Next.Effective(params.Store).RPS * math.Min(1, leaderRateShare/nodes)
 	c := &clients{
 		store: kvstore.New(settings.Services.Store, storeRate, max(minConnections, connections/connectionsPerStoreConnection),
 			int64(params.Limits.MemoryMB*bytesPerMB*storeMemoryShare)),
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -71,7 +71,7 @@
 	defer func() { _ = taken.Close() }()
 	addrs := map[string]string{"a": emulator.FreeAddr(), "b": taken.Addr().String()}
 	log := &lockedBuffer{}
-	s := newSiteWith(t, siteOptions{log: log, operator: func(node string, o *config.Operator) { o.Metrics.Listen = addrs[node] }})
+	s := newSiteWith(t, siteOptions{log: log, operator: func(node string, o *config.OperatorSettings) { o.Metrics.Listen = addrs[node] }})
 	s.runJob("a", "run-000001")
 	s.runJob("b", "run-000002")
 
@@ -106,7 +106,7 @@
 // TestStuckScrapers has hundreds of scrapers that never read or never finish their request. Jobs run as ever.
 func TestStuckScrapers(t *testing.T) {
 	addr := emulator.FreeAddr()
-	s := newSiteWith(t, siteOptions{operator: func(node string, o *config.Operator) {
+	s := newSiteWith(t, siteOptions{operator: func(node string, o *config.OperatorSettings) {
 		if node == "a" {
 			o.Metrics = config.Metrics{Listen: addr, Pprof: true}
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -89,11 +89,11 @@
 
 // siteOptions is what a site may have beyond the usual.
 type siteOptions struct {
-	next     *config.NextLimits                    // limits of the key-value store to come, in the nodes' settings
-	rollouts bool                                  // are switched on
-	operator func(node string, o *config.Operator) // changes a node's operators' settings; nil: none
-	log      io.Writer                             // what the nodes log; nil: it is lost
-	internal map[string]string                     // the nodes' internal addresses; nil: any
+	next     *config.UpcomingLimits                        // limits of the key-value store to come, in the nodes' settings
+	rollouts bool                                          // are switched on
+	operator func(node string, o *config.OperatorSettings) // changes a node's operators' settings; nil: none
+	log      io.Writer                                     // what the nodes log; nil: it is lost
+	internal map[string]string                             // the nodes' internal addresses; nil: any
 }
 
 func newSite(t *testing.T) *site {
@@ -157,7 +157,7 @@
 		s.t.Fatal(err)
 	}
 	settings := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
-		Services: config.Services{Cloud: cloudAddr, Store: storeAddr}, Operator: config.DefaultOperator()}
+		Services: config.Services{Cloud: cloudAddr, Store: storeAddr}, Operator: config.DefaultOperatorSettings()}
 	for _, p := range []string{"a", "b", "c"} {
 		if p != name {
 			settings.Peers = append(settings.Peers, config.Peer{Node: p, Addr: s.peers[p]})
@@ -165,10 +165,10 @@
 	}
 	settings.Params = config.Params{Nodes: 3, Zones: []string{"z1"},
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 8, MaxGPUs: 16}},
-		Workers: config.Workers{HeartbeatIntervalS: 0.2, LeaseS: 2, CancelS: 10},
+		Workers: config.Workers{HeartbeatIntervalS: 0.2, LeaseS: 2, CancelDeadlineS: 10},
 		Store:   config.Store{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: s.next},
 		Cloud:   config.Cloud{RPS: 20, ListLagS: 0.2},
-		Limits:  config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
+		Limits:  config.ProcessLimits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
 	if s.model != nil {
 		settings.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: s.model.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
 			CheckTimeoutS: 1, MaxPlans: 4, MaxRouters: 4}
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -16,9 +16,9 @@
 // TestProcessPause: a process that was paused while its clocks ran on serves nobody who has gone,
 // and sends nothing that was decided on what was known before.
 func TestProcessPause(t *testing.T) {
-	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator(), Params: config.Params{Nodes: 1,
-		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
-		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
+	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperatorSettings(), Params: config.Params{Nodes: 1,
+		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
+		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.ProcessLimits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
 	settings.Services.Store, settings.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
 	n, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -23,7 +23,7 @@
 // they know the second layout of records, and write it. Of a second one the first job is cancelled.
 func TestPipeline(t *testing.T) {
 	valueKB, changes := 2.0, 4
-	s := newSiteWith(t, siteOptions{next: &config.NextLimits{ValueKB: &valueKB, TxnOps: &changes}})
+	s := newSiteWith(t, siteOptions{next: &config.UpcomingLimits{ValueKB: &valueKB, TxnOps: &changes}})
 	s.eventually("the layout changes", func() bool { return len(s.keys("w/layout")) == 1 })
 	s.store.SetLimits(int(1024*valueKB), changes)
 
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -16,7 +16,7 @@
 	var regions []config.Region
 	for _, name := range []string{"north", "south"} {
 		internal[name] = map[string]string{}
-		region := config.Region{Name: name, Share: 0.5}
+		region := config.Region{Name: name, InitialShare: 0.5}
 		for _, n := range []string{"a", "b", "c"} {
 			internal[name][n] = emulator.FreeAddr()
 			region.Controllers = append(region.Controllers, internal[name][n])
@@ -24,7 +24,7 @@
 		regions = append(regions, region)
 	}
 	of := func(name string) *site {
-		return newSiteWith(t, siteOptions{internal: internal[name], operator: func(_ string, o *config.Operator) {
+		return newSiteWith(t, siteOptions{internal: internal[name], operator: func(_ string, o *config.OperatorSettings) {
 			o.Regions = config.Regions{Name: name, All: regions}
 		}})
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -84,7 +84,7 @@
 	if len(data) > maxBytes {
 		return nil, fieldError(fmt.Sprintf("the plan has %d bytes, at most %d are taken", len(data), maxBytes), "/")
 	}
-	if err := schema.Check("plan.schema.json", planSchema, data); err != nil {
+	if err := schema.Validate("plan.schema.json", planSchema, data); err != nil {
 		return nil, err
 	}
 	plan := &Plan{}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,5 @@
-// Package schema validates JSON documents against published JSON schemas. Its errors are one line that names the field.
+// Package schema validates JSON documents against the project's JSON schemas. Its errors are one line that names the
+// field.
 package schema
 
 import (
@@ -10,8 +11,9 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Check validates a document against a schema with a name. The error names the field.
-func Check(name string, schemaText, document []byte) error {
+// Validate validates a document against a schema. The error names the field; name stands for the schema in errors about
+// the schema itself.
+func Validate(name string, schemaText, document []byte) error {
 	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return fmt.Errorf("not JSON: %w", err)
@@ -28,11 +30,11 @@
 	if err != nil {
 		return fmt.Errorf("schema %s: %w", name, err)
 	}
-	return singleLineError(compiled.Validate(parsed))
+	return innermostError(compiled.Validate(parsed))
 }
 
-// singleLineError gives the innermost cause of a validation error, with the path of the field.
-func singleLineError(err error) error {
+// innermostError returns the innermost cause of a validation error, with the path of the field.
+func innermostError(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
@@ -40,11 +42,11 @@
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
-	return fmt.Errorf("/%s: %s", strings.Join(invalid.InstanceLocation, "/"), lastLine(invalid.Error()))
+	return fmt.Errorf("/%s: %s", strings.Join(invalid.InstanceLocation, "/"), problemOf(invalid.Error()))
 }
 
-// lastLine keeps the part of a validation error that names the problem.
-func lastLine(text string) string {
+// problemOf returns the last line of a validation error, without the location in the document that it begins with.
+func problemOf(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	last := strings.TrimSpace(lines[len(lines)-1])
 	if _, problem, found := strings.Cut(last, "': "); found {
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -10,7 +10,7 @@
 func TestCheck(t *testing.T) {
 	small := func() *config.Params {
 		return &config.Params{Cloud: config.Cloud{RPS: 2, ListLagS: 5},
-			Limits: config.Limits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}}
+			Limits: config.ProcessLimits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}}
 	}
 	raise := map[string]func(*config.Params, float64){
 		"params.limits.max_connections": func(p *config.Params, v float64) { p.Limits.MaxConnections = int(v) },
