--- a/cmd/bitternwing/controller.go
+++ b/cmd/bitternwing/controller.go
@@ -19,10 +19,10 @@
 }
 
 // callController sends a request to a controller, and retries it for the time of --wait.
-func callController[Reply any](f *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
+func callController[Reply any](flags *controllerFlags, request func(context.Context, *adminapi.Client) (*Reply, error)) (*Reply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), flags.Wait)
 	defer cancel()
-	client, err := adminapi.NewClient(f.Controller)
+	client, err := adminapi.NewClient(flags.Controller)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/bitternwing/rollout.go
+++ b/cmd/bitternwing/rollout.go
@@ -113,7 +113,7 @@
 		if err != nil {
 			return err
 		}
-		if line := summary(status); line != lastSummary {
+		if line := planSummary(status); line != lastSummary {
 			lastSummary = line
 			if err := c.printPlan(os.Stdout, status); err != nil {
 				return err
--- a/cmd/bitternwing/rollout_output.go
+++ b/cmd/bitternwing/rollout_output.go
@@ -12,7 +12,7 @@
 	if f.JSON {
 		return printJSON(w, status)
 	}
-	if _, err := fmt.Fprintln(w, summary(status)); err != nil {
+	if _, err := fmt.Fprintln(w, planSummary(status)); err != nil {
 		return err
 	}
 	for _, replica := range status.GetReplicas() {
@@ -33,8 +33,8 @@
 	return err
 }
 
-// summary returns the status of a plan as one line.
-func summary(status *operatorpb.PlanStatus) string {
+// planSummary returns the status of a plan as one line.
+func planSummary(status *operatorpb.PlanStatus) string {
 	if status.GetProblem() != "" {
 		return fmt.Sprintf("%s: left alone: %s", status.GetName(), status.GetProblem())
 	}
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// permanentErrors makes the errors for the status codes that are not retried.
+// permanentErrors has a constructor for the error of each status code that is not retried.
 var permanentErrors = map[codes.Code]func(message string) error{
 	codes.NotFound:           func(string) error { return ErrNotFound },
 	codes.InvalidArgument:    func(message string) error { return &InvalidError{message} },
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -11,7 +11,8 @@
 	"bitternwing/internal/quota"
 )
 
-// regionsServer implements the Regions service, which the controllers of other regions call.
+// regionsServer implements the Regions service, which the controllers of other regions call. Its messages call a team's
+// quota an allowance.
 type regionsServer struct {
 	operatorpb.UnimplementedRegionsServer
 	server *Server
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -46,8 +46,8 @@
 }
 
 // Register registers all services with a gRPC server.
-func Register(registrar grpc.ServiceRegistrar, core Core, peer func(node string) grpc.ClientConnInterface) {
-	server := &Server{core: core, peer: peer}
+func Register(registrar grpc.ServiceRegistrar, handler Core, peer func(node string) grpc.ClientConnInterface) {
+	server := &Server{core: handler, peer: peer}
 	operatorpb.RegisterRolloutsServer(registrar, server)
 	operatorpb.RegisterPlacementsServer(registrar, &placementsServer{server: server})
 	operatorpb.RegisterRegionsServer(registrar, &regionsServer{server: server})
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -22,7 +22,7 @@
 	return s, nil
 }
 
-// Parse decodes and validates the content of the platform's settings file.
+// Parse decodes and validates the content of the platform's settings file. The operator settings have their defaults.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(data, s); err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -56,13 +56,18 @@
 
 // Rollouts configures stepwise rollouts of a model's new version.
 type Rollouts struct {
-	Enabled        bool    `json:"enabled"`
-	ModelPort      int     `json:"model_port"`
+	// Enabled allows new plans. Existing plans are carried out in any case.
+	Enabled bool `json:"enabled"`
+	// ModelPort is the port of the model servers on the workers' machines.
+	ModelPort int `json:"model_port"`
+	// RouterLeaseS is how long a router may use a routing without renewing it.
 	RouterLeaseS   float64 `json:"router_lease_s"`
 	CheckIntervalS float64 `json:"check_interval_s"`
 	CheckTimeoutS  float64 `json:"check_timeout_s"`
-	MaxPlans       int     `json:"most_plans"`
-	MaxRouters     int     `json:"most_routers"`
+	// MaxPlans is the maximum number of stored plans, including those that have ended.
+	MaxPlans int `json:"most_plans"`
+	// MaxRouters is the maximum number of routers of a plan.
+	MaxRouters int `json:"most_routers"`
 }
 
 // Spread configures the scoring of replica placements: the rates at which zones and machines are lost, and how long a
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -55,7 +55,7 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective.
+// Objective is a service-level objective for the jobs of a class.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -79,8 +79,8 @@
 	Next     *UpcomingLimits `toml:"next"`
 }
 
-// UpcomingLimits are the limits that the key-value store will have from an unknown time on. A limit that is nil does
-// not change.
+// UpcomingLimits are limits of the key-value store that will take effect at a later time. A limit that is nil does not
+// change.
 type UpcomingLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -88,7 +88,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// StoreLimits are limits of the key-value store, either the current or the effective ones.
+// StoreLimits are the effective limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64
 	WriteRPS float64
@@ -96,8 +96,8 @@
 	TxnOps   int
 }
 
-// Effective returns, for each limit, the lower of the current and the upcoming value. It is valid before and after the
-// change.
+// Effective returns, for each limit, the lower of the current and the upcoming value, which may be used before and
+// after the change.
 func (n *UpcomingLimits) Effective(current Store) StoreLimits {
 	effective := StoreLimits{RPS: current.RPS, WriteRPS: current.WriteRPS, ValueKB: current.ValueKB, TxnOps: current.TxnOps}
 	if n == nil {
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -40,13 +40,13 @@
 // files.
 func TestNames(t *testing.T) {
 	sources := parseSources(t)
-	for name, list := range map[string][]string{
+	for name, lines := range map[string][]string{
 		"fields.txt":  structTags(sources),
 		"strings.txt": contractStrings(t, sources),
 		"grpc.txt":    append(grpcNames(peerpb.File_internal_peer_peerpb_peer_proto), grpcNames(operatorpb.File_internal_operators_operatorpb_operators_proto)...),
 		"metrics.txt": metricSeries(t),
 	} {
-		compareWithFile(t, name, strings.Join(list, "\n")+"\n")
+		compareWithFile(t, name, strings.Join(lines, "\n")+"\n")
 	}
 	compareWithFile(t, "operator.schema.json", string(config.OperatorSettingsSchema()))
 	compareWithFile(t, "plan.schema.json", string(rollout.PlanSchema()))
@@ -78,7 +78,7 @@
 		}
 	}
 	if !t.Failed() && got != string(want) {
-		t.Errorf("%s: the lines have another order or number", name)
+		t.Errorf("%s: the lines differ in order or number", name)
 	}
 }
 
@@ -110,18 +110,18 @@
 // helpTag matches a help text. Help texts are not part of the contract.
 var helpTag = regexp.MustCompile(` ?help:"[^"]*"`)
 
-// structTags returns a line for each struct that has such tags, with the tags in the order of its fields. Equal lines
-// are listed once.
+// structTags returns a line for each struct with tags that match externalNameTag: these tags, in the order of the
+// fields. Equal lines are listed once.
 func structTags(sources []*ast.File) []string {
 	found := map[string]bool{}
 	for _, file := range sources {
 		ast.Inspect(file, func(node ast.Node) bool {
-			structure, ok := node.(*ast.StructType)
+			structType, ok := node.(*ast.StructType)
 			if !ok {
 				return true
 			}
 			var tags []string
-			for _, field := range structure.Fields.List {
+			for _, field := range structType.Fields.List {
 				if field.Tag != nil && externalNameTag.MatchString(field.Tag.Value) {
 					text, _ := strconv.Unquote(field.Tag.Value)
 					tags = append(tags, helpTag.ReplaceAllString(text, ""))
--- a/internal/contract/values_test.go
+++ b/internal/contract/values_test.go
@@ -16,16 +16,16 @@
 // deploy/service.toml with the golden files.
 func TestValues(t *testing.T) {
 	sources := parseSources(t)
-	for name, list := range map[string][]string{
+	for name, entries := range map[string][]string{
 		"values.txt": externalValues(sources),
 		"texts.txt":  responseTexts(t),
 		"flags.txt":  programFlags(sources),
 		"deploy.txt": deployKeys(t),
 	} {
-		if len(list) == 0 {
+		if len(entries) == 0 {
 			t.Fatalf("%s: no entries found in the sources", name)
 		}
-		compareWithFile(t, name, strings.Join(list, "\n")+"\n")
+		compareWithFile(t, name, strings.Join(entries, "\n")+"\n")
 	}
 }
 
