--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -13,10 +13,10 @@
 
 // newIdleCore returns a core that has not handled any input yet.
 func newIdleCore() *Core {
-	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator()}
-	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}
+	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperatorSettings()}
+	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 30}
 	settings.Params.Store = config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
-	settings.Params.Limits = config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
+	settings.Params.Limits = config.ProcessLimits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}
 	return New(settings, "first")
 }
 
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -278,7 +278,7 @@
 		if m.reported || m.everReported || m.machineType == nil || m.releasing {
 			continue
 		}
-		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.StuckBoots)
+		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.BootTimeoutFactor)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
 			// The machine is older than this term: it may be running but not have found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -59,7 +59,7 @@
 	switch {
 	case !c.operator.Regions.Enabled():
 		c.respondRefused(requestID, reasonNoRegions)
-	case !c.operator.Regions.Other(from):
+	case !c.operator.Regions.HasOther(from):
 		c.respondRefused(requestID, reasonNoSuchRegion)
 	case t == nil:
 		c.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -20,7 +20,7 @@
 }
 
 func newStoreLimits(s config.Store) *storeLimits {
-	return &storeLimits{current: s, next: s.Next.Within(s)}
+	return &storeLimits{current: s, next: s.Next.Effective(s)}
 }
 
 const bytesPerKB = 1024
