--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud's interface: its catalog of machine types, scale-out, scale-in, and the list of
-// machines. It retries nothing: the caller learns the outcome of each request.
+// Package cloud is the client of the cloud's interface: its catalog of machine types, scale-out, scale-in, and the list
+// of machines. It retries nothing: the caller learns the outcome of each request.
 package cloud
 
 import (
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -61,8 +61,8 @@
 	return c
 }
 
-// Do sends a request and decodes the response into out where the status is a success, or 409 or 404, whose bodies matter as
-// well. body and out may be nil.
+// Do sends a request and decodes the response into out where the status is a success, or 409 or 404, whose bodies
+// matter as well. body and out may be nil.
 func (c *Client) Do(ctx context.Context, method, path string, body, out any) outcome.Outcome {
 	if !c.limiter.Allow() {
 		return outcome.Dropped
@@ -105,8 +105,8 @@
 	return request, nil
 }
 
-// outcomeOfError gives the outcome of a request without a response. Only a connection that was never established proves that
-// nothing was sent.
+// outcomeOfError gives the outcome of a request without a response. Only a connection that was never established proves
+// that nothing was sent.
 func outcomeOfError(err error) outcome.Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -115,8 +115,8 @@
 	return outcome.Unknown
 }
 
-// outcomeWithoutBody gives the outcome of a request whose response has a status, and a body that could not be read or, without
-// an error, was too large.
+// outcomeWithoutBody gives the outcome of a request whose response has a status, and a body that could not be read or,
+// without an error, was too large.
 func outcomeWithoutBody(status outcome.Outcome, err error) outcome.Outcome {
 	switch {
 	case status.CertainlyNotApplied():
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -1,6 +1,6 @@
-// Package metrics counts the inputs, requests and calls of a node and serves the counts in Prometheus' text form, with profiles
-// of the process behind a setting of their own. It may not change what the node does. Labels name kinds of messages, services and outcomes; nothing in them tells of teams,
-// jobs, images or users.
+// Package metrics counts the inputs, requests and calls of a node and serves the counts in Prometheus' text form, with
+// profiles of the process behind a setting of their own. It may not change what the node does. Labels name kinds of
+// messages, services and outcomes; nothing in them tells of teams, jobs, images or users.
 package metrics
 
 import (
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -19,7 +19,8 @@
 	idleTimeout = 10 * time.Second
 	// maxProfileDuration bounds how long a profile or an execution trace may take.
 	maxProfileDuration = 60 * time.Second
-	// defaultCPUProfile and defaultTrace are how long these take where the request does not say: the defaults of net/http/pprof.
+	// defaultCPUProfile and defaultTrace are how long these take where the request does not say: the defaults of
+	// net/http/pprof.
 	defaultCPUProfile = 30 * time.Second
 	defaultTrace      = time.Second
 	// maxHeaderBytes bounds the header of a request.
@@ -109,7 +110,8 @@
 	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
 }
 
-// withProfileDeadline gives a request as much time as its parameter seconds says; defaultTime is what it takes without one.
+// withProfileDeadline gives a request as much time as its parameter seconds says; defaultTime is what it takes without
+// one.
 func (s *Server) withProfileDeadline(defaultTime time.Duration, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		duration := defaultTime
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -12,48 +12,51 @@
 	"bitternwing/internal/wire"
 )
 
-// How long calls may take, in call timeouts of the node: reading many keys or calling the cloud takes longer than one
-// request to the key-value store, and a message to another region is forwarded to the leader there, which commits it.
+// The timeouts of slow calls, as multiples of the node's call timeout. Listing keys or calling the cloud takes longer
+// than a single request to the key-value store. A message to another region is forwarded to the leader there, which
+// commits it.
 const (
-	listTimeouts   = 3
-	cloudTimeouts  = 4
-	watchTimeouts  = 2 // beyond the time that the watch blocks
-	regionTimeouts = 3
+	listTimeoutFactor   = 3
+	cloudTimeoutFactor  = 4
+	watchTimeoutFactor  = 2 // in addition to the time that the watch blocks
+	regionTimeoutFactor = 3
 )
 
-// pageItems is how many keys are read at a time.
-const pageItems = 500
+// listPageSize is the maximum number of keys in a page of a list call.
+const listPageSize = 500
 
-// operation names a kind of call in the metrics.
+// operation is a kind of call, as labelled in the metrics.
 type operation struct {
 	service metrics.Service
 	name    string
 }
 
-// call is a call to another process, as the core asked for it.
+// call is a call to another process that the core requested.
 type call struct {
 	operation operation
-	id        uint64
+	id        uint64 // the core's id of the call
 	timeout   time.Duration
 }
 
-// storeCall, cloudCall and workerCall are calls to the named services with their usual timeouts.
+// storeCall returns a call to the key-value store with the usual timeout.
 func (n *Node) storeCall(name string, id uint64) call {
 	return call{operation{metrics.Store, name}, id, n.clients.callTimeout}
 }
 
+// cloudCall returns a call to the cloud with the usual timeout.
 func (n *Node) cloudCall(name string, id uint64) call {
-	return call{operation{metrics.Cloud, name}, id, cloudTimeouts * n.clients.callTimeout}
+	return call{operation{metrics.Cloud, name}, id, cloudTimeoutFactor * n.clients.callTimeout}
 }
 
+// workerCall returns a call to a worker with the usual timeout.
 func (n *Node) workerCall(name string, id uint64) call {
 	return call{operation{metrics.Worker, name}, id, n.clients.callTimeout}
 }
 
-// startCall makes a call in the background and feeds its result back.
+// startCall makes a call in the background and queues its result for the core.
 //
-// Its time counts from the decision: what a pause of the process has held up until after that is not sent
-// any more, since it was decided on what was known before.
+// The timeout starts when the core decides on the call. If a pause of the process delays the call beyond its deadline,
+// the call is not sent, because the decision was based on state that is now outdated.
 func (n *Node) startCall(ctx context.Context, c call, send func(context.Context, *core.Result)) {
 	sentAt := n.steadyTime()
 	deadline := time.Now().Add(c.timeout)
@@ -67,13 +70,13 @@
 		}
 		n.metrics.Call(c.operation.service, c.operation.name, result.Outcome.String())
 		select {
-		case n.results <- result: // the loop may be behind; it still has to learn of this
+		case n.results <- result: // waits if the queue is full: the core needs the result of every call
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// callStore makes a call to the key-value store.
+// callStore executes an effect that calls the key-value store.
 func (n *Node) callStore(ctx context.Context, effect core.Effect) {
 	store := n.clients.store
 	switch effect := effect.(type) {
@@ -83,9 +86,9 @@
 		})
 	case core.StoreList:
 		list := n.storeCall("list", effect.CallID)
-		list.timeout = listTimeouts * n.clients.callTimeout
+		list.timeout = listTimeoutFactor * n.clients.callTimeout
 		n.startCall(ctx, list, func(ctx context.Context, r *core.Result) {
-			r.Page, r.Outcome = store.List(ctx, effect.Prefix, effect.After, pageItems)
+			r.Page, r.Outcome = store.List(ctx, effect.Prefix, effect.After, listPageSize)
 		})
 	case core.StoreTxn:
 		n.startCall(ctx, n.storeCall("txn", effect.CallID), func(ctx context.Context, r *core.Result) {
@@ -105,14 +108,14 @@
 		})
 	case core.StoreWatch:
 		watch := n.storeCall("watch", effect.CallID)
-		watch.timeout = effect.Wait + watchTimeouts*n.clients.callTimeout
+		watch.timeout = effect.Wait + watchTimeoutFactor*n.clients.callTimeout
 		n.startCall(ctx, watch, func(ctx context.Context, r *core.Result) {
 			r.Changes, r.Outcome = store.Watch(ctx, effect.Prefix, effect.After, effect.Wait)
 		})
 	}
 }
 
-// callCloud makes a call to the cloud.
+// callCloud executes an effect that calls the cloud.
 func (n *Node) callCloud(ctx context.Context, effect core.Effect) {
 	cloud := n.clients.cloud
 	switch effect := effect.(type) {
@@ -122,8 +125,8 @@
 		})
 	case core.CloudScaleOut:
 		n.startCall(ctx, n.cloudCall("rent", effect.CallID), func(ctx context.Context, r *core.Result) {
-			names, o := cloud.ScaleOut(ctx, effect.Request)
-			r.MachineNames, r.Outcome = names.Machines, o
+			names, result := cloud.ScaleOut(ctx, effect.Request)
+			r.MachineNames, r.Outcome = names.Machines, result
 		})
 	case core.CloudScaleIn:
 		n.startCall(ctx, n.cloudCall("release", effect.CallID), func(ctx context.Context, r *core.Result) {
@@ -136,7 +139,7 @@
 	}
 }
 
-// callWorker sends a worker commands or a query directly.
+// callWorker executes an effect that calls a worker directly: commands, a prefetch or a status query.
 func (n *Node) callWorker(ctx context.Context, effect core.Effect) {
 	workers := n.clients.workers
 	switch effect := effect.(type) {
@@ -177,9 +180,9 @@
 	})
 }
 
-// callRegion sends a message to a controller of another region, to another one with each attempt.
+// callRegion sends a message to a controller of another region. Successive attempts go to different controllers.
 func (n *Node) callRegion(ctx context.Context, effect core.CallRegion) {
-	c := call{operation{metrics.Region, "allowance"}, effect.CallID, regionTimeouts * n.clients.callTimeout}
+	c := call{operation{metrics.Region, "allowance"}, effect.CallID, regionTimeoutFactor * n.clients.callTimeout}
 	n.startCall(ctx, c, func(ctx context.Context, r *core.Result) {
 		if controllers := n.clients.regions[effect.Region]; len(controllers) > 0 {
 			r.Outcome = adminapi.CallRegion(ctx, controllers[effect.Attempt%len(controllers)].Conn(), effect)
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -13,56 +13,57 @@
 	"bitternwing/internal/probe"
 )
 
-// clients are the clients of all that a node calls.
+// clients are the clients for all services that a node calls.
 type clients struct {
 	store       *kvstore.Client
 	cloud       *cloud.Client
 	workers     *httpclient.Client
-	peers       map[string]*peer.Client
-	regions     map[string][]*peer.Client // the controllers of other regions
+	peers       map[string]*peer.Client   // the other nodes, by name
+	regions     map[string][]*peer.Client // the controllers of other regions, by region
 	prober      *probe.Prober
 	callTimeout time.Duration
 }
 
 const (
-	// connectionsPerStoreConnection, connectionsPerWorkerConnection and connectionsPerProbe divide the connections that
-	// a node may hold among its clients.
+	// connectionsPerStoreConnection, connectionsPerWorkerConnection and connectionsPerProbeConnection are the divisors
+	// that give each client its share of the connections that a node may hold.
 	connectionsPerStoreConnection  = 40
 	connectionsPerWorkerConnection = 12
-	connectionsPerProbe            = 40
-	// minConnections is what a client has at least.
-	minConnections = 4
-	// cloudConnections suffice for the few calls to the cloud.
+	connectionsPerProbeConnection  = 40
+	// minClientConnections is how many connections each of these clients may hold at least.
+	minClientConnections = 4
+	// cloudConnections is how many connections the cloud client may hold. A node makes few calls to the cloud.
 	cloudConnections = 4
-	// storeMemoryShare is the part of the node's memory that a response of the key-value store may take.
+	// storeMemoryShare is the share of the node's memory that a response of the key-value store may take.
 	storeMemoryShare = 1.0 / 32
-	// maxWorkerResponseBytes bounds the response of a worker.
+	// maxWorkerResponseBytes is the maximum size of a worker's response.
 	maxWorkerResponseBytes = 1 << 20
-	// leaderRateShare is the rate of a node's calls to the key-value store, in even shares of its limit: the leader needs
-	// more than the others; all of them never need all.
-	leaderRateShare = 2
+	// storeRateShares is the rate limit of a node's calls to the key-value store, in even shares of the store's limit
+	// among the controllers. The leader needs more than an even share, and the controllers never all reach their limit
+	// at once.
+	storeRateShares = 2
 )
 
 const bytesPerMB = 1 << 20
 
-// newClients makes the clients. They connect when they are needed.
+// newClients creates the clients. They connect on their first calls.
 func newClients(settings *config.Settings) (*clients, error) {
 	params := settings.Params
 	connections := params.Limits.MaxConnections
 	nodes := float64(len(settings.Peers) + 1)
-	storeRate := params.Store.Next.Within(params.Store).RPS * math.Min(1, leaderRateShare/nodes)
+	storeRate := params.Store.Next.Within(params.Store).RPS * math.Min(1, storeRateShares/nodes)
 	c := &clients{
-		store: kvstore.New(settings.Services.Store, storeRate, max(minConnections, connections/connectionsPerStoreConnection),
+		store: kvstore.New(settings.Services.Store, storeRate, max(minClientConnections, connections/connectionsPerStoreConnection),
 			int64(params.Limits.MemoryMB*bytesPerMB*storeMemoryShare)),
 		cloud: cloud.New(settings.Services.Cloud, params.Cloud.RPS, cloudConnections),
-		// One connection a worker; the core bounds how many are in use at once.
-		// As many calls a second as it may hold sockets, which follows the number of workers.
-		workers: httpclient.NewMultiHost(float64(connections), 1, max(minConnections, connections/connectionsPerWorkerConnection), maxWorkerResponseBytes),
+		// One connection per worker; the core bounds how many are in use at once. The node's connection limit grows
+		// with the number of workers, so it also serves as the limit of calls per second.
+		workers: httpclient.NewMultiHost(float64(connections), 1, max(minClientConnections, connections/connectionsPerWorkerConnection), maxWorkerResponseBytes),
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
-		prober:  probe.New(max(minConnections, connections/connectionsPerProbe)),
-		// Workers wait four seconds at the most, users two for a poll, and a leader's lease
-		// is twice as long.
+		prober:  probe.New(max(minClientConnections, connections/connectionsPerProbeConnection)),
+		// Workers wait at most four seconds for a response, users two seconds for that to a poll, and a leader's lease
+		// lasts twice this timeout.
 		callTimeout: config.FailureCheckInterval(params.Workers),
 	}
 	for _, p := range settings.Peers {
@@ -78,7 +79,7 @@
 	return c, nil
 }
 
-// addRegions makes clients of the controllers of other regions.
+// addRegions creates the clients for the controllers of other regions.
 func (c *clients) addRegions(settings *config.Settings) error {
 	for _, region := range settings.Operator.Regions.All {
 		for _, address := range region.Controllers {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// close ends the connections to other controllers.
+// close closes the connections to other controllers.
 func (c *clients) close() {
 	for _, client := range c.peers {
 		_ = client.Close()
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -7,44 +7,45 @@
 	"bitternwing/internal/core"
 )
 
-// maxQueuedResults is how many results of calls may wait for the core before the calls themselves do.
+// maxQueuedResults is the capacity of the queue of call results. While it is full, finished calls wait.
 const maxQueuedResults = 64
 
-// queuedInput is an input that waits for the core. A request is of no use to anybody after its
-// deadline: it is not handed to the core then, so that after a pause of the process the newest requests come first.
+// queuedInput is a request that waits for the core. Its client is gone after the deadline: the request is then skipped,
+// so that after a pause of the process the core handles only requests whose clients still wait.
 type queuedInput struct {
 	input      core.Input
 	receivedAt time.Time
-	deadline   time.Time // zero: none
+	deadline   time.Time // zero if there is none
 }
 
-// expired tells whether the deadline has passed: no client waits for the response any more.
+// expired reports whether the deadline has passed, so that no client waits for the response any more.
 func (q queuedInput) expired() bool { return !q.deadline.IsZero() && !time.Now().Before(q.deadline) }
 
-// runCore steps the core until the context ends. It is the one place where the core is stepped.
+// runCore passes inputs to the core, one at a time, until the context ends. The core is stepped nowhere else.
 func (n *Node) runCore(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var input core.Input = core.Tick{}
-	var took, waited time.Duration
+	var stepTime, queueTime time.Duration
 	for {
 		var wakeAt time.Duration
-		took, wakeAt = n.step(ctx, input, took, waited)
+		stepTime, wakeAt = n.step(ctx, input, stepTime, queueTime)
 		timer.Reset(max(time.Millisecond, wakeAt-n.steadyTime()))
 		var ended bool
-		if input, waited, ended = n.nextInput(ctx, timer.C); ended {
+		if input, queueTime, ended = n.nextInput(ctx, timer.C); ended {
 			return
 		}
 	}
 }
 
-// step hands the core an input and executes its effects. It gives how long the core took, and when it wants to be woken.
-// took and waited are how long the step before took, and how long the input waited.
-func (n *Node) step(ctx context.Context, input core.Input, took, waited time.Duration) (stepTime, wakeAt time.Duration) {
+// step passes an input to the core and executes the effects that it returns. previousStepTime is how long the previous
+// step took, queueTime how long the input was queued. It returns how long this step took, and when the core wants the
+// next tick.
+func (n *Node) step(ctx context.Context, input core.Input, previousStepTime, queueTime time.Duration) (stepTime, wakeAt time.Duration) {
 	n.coreMu.Lock()
 	defer n.coreMu.Unlock()
 	now := n.now()
-	now.Took, now.Waited = took, waited
+	now.Took, now.Waited = previousStepTime, queueTime
 	effects := n.core.Step(now, input)
 	stepTime = n.steadyTime() - now.Steady
 	n.metrics.Input(inputKind(input), stepTime)
@@ -56,9 +57,9 @@
 	return stepTime, wakeAt
 }
 
-// nextInput waits for the next input, and tells how long a request has waited; ended if the context did. Results of calls
-// come before requests.
-func (n *Node) nextInput(ctx context.Context, timer <-chan time.Time) (input core.Input, waited time.Duration, ended bool) {
+// nextInput waits for the next input. It returns results of calls before requests. queueTime is how long a request was
+// queued; ended reports whether the context ended.
+func (n *Node) nextInput(ctx context.Context, timer <-chan time.Time) (input core.Input, queueTime time.Duration, ended bool) {
 	select {
 	case result := <-n.results:
 		return result, 0, false
@@ -70,29 +71,30 @@
 	case result := <-n.results:
 		return result, 0, false
 	case queued := <-n.inputs:
-		waited = time.Since(queued.receivedAt)
+		queueTime = time.Since(queued.receivedAt)
 		if queued.expired() {
-			return core.Tick{}, waited, false
+			return core.Tick{}, queueTime, false
 		}
-		return queued.input, waited, false
+		return queued.input, queueTime, false
 	case <-timer:
 		return core.Tick{}, 0, false
 	}
 }
 
-// now gives the time as the core takes it.
+// now returns the current time in the form that the core expects.
 func (n *Node) now() core.Time {
 	now := time.Now()
 	return core.Time{Steady: n.steadyAt(now), WallMS: now.UnixMilli()}
 }
 
-// steadyTime is the time since the node's start. It never goes back, and is never 0.
+// steadyTime returns the monotonic time since the node's start, plus one second so that it is never 0.
 func (n *Node) steadyTime() time.Duration { return n.steadyAt(time.Now()) }
 
-func (n *Node) steadyAt(moment time.Time) time.Duration { return moment.Sub(n.startedAt) + time.Second }
+// steadyAt returns the steadyTime of t.
+func (n *Node) steadyAt(t time.Time) time.Duration { return t.Sub(n.startedAt) + time.Second }
 
-// Handle hands the core a request and waits for its response. It returns false if there is
-// none in time, or too many requests wait already.
+// Handle passes a request to the core and waits for its response. It returns false if there is no response before the
+// context ends, or if the request queue is full.
 func (n *Node) Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool) {
 	requestID, responses := n.register()
 	defer n.unregister(requestID)
@@ -105,8 +107,8 @@
 	}
 	select {
 	case response := <-responses:
-		// After a pause of the process both may be there, and the timer may come last. What was true then
-		// may not be returned any more.
+		// After a pause of the process, the response may be ready although the deadline has passed and the context's
+		// timer has not fired yet. Such a response may be outdated and must not be returned.
 		if ctx.Err() != nil || queued.expired() {
 			return core.Response{}, false
 		}
@@ -116,7 +118,7 @@
 	}
 }
 
-// register makes a request id, and the channel on which its response comes.
+// register allocates a request id and the channel on which its response will be delivered.
 func (n *Node) register() (requestID uint64, responses <-chan core.Response) {
 	channel := make(chan core.Response, 1)
 	n.requestsMu.Lock()
@@ -126,13 +128,14 @@
 	return n.lastRequestID, channel
 }
 
+// unregister discards a request's channel. A later response to the request is dropped.
 func (n *Node) unregister(requestID uint64) {
 	n.requestsMu.Lock()
 	defer n.requestsMu.Unlock()
 	delete(n.pendingResponses, requestID)
 }
 
-// deliver gives a response to the request that waits for it, if it still does.
+// deliver passes a response to the request that waits for it. It drops the response if none does.
 func (n *Node) deliver(response core.Response) {
 	n.requestsMu.Lock()
 	responses := n.pendingResponses[response.RequestID]
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -29,5 +29,5 @@
 	}
 }
 
-// logLevels are the levels of the log by those of the core.
+// logLevels maps the core's log levels to those of slog.
 var logLevels = map[core.Level]slog.Level{core.Debug: slog.LevelDebug, core.Info: slog.LevelInfo, core.Error: slog.LevelError}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,16 +10,18 @@
 	"bitternwing/internal/server"
 )
 
-// scrapeTimeout is how long a scrape may take. Scrapers wait ten seconds by default.
+// scrapeTimeout is how long a scrape may take. Prometheus waits ten seconds by default.
 const scrapeTimeout = 5 * time.Second
 
-// Scrapers may have one connection for so many sockets that the process may hold, and a few at least.
 const (
-	socketsPerScraper     = 100
+	// connectionsPerScraperConnection is how many connections of the process's limit allow one connection of a scraper.
+	connectionsPerScraperConnection = 100
+	// minScraperConnections is how many connections scrapers have at least.
 	minScraperConnections = 2
 )
 
-// newRecorder makes the recorder of a node's metrics; nil if the operators' settings name no address for them.
+// newRecorder returns the recorder of the node's metrics. It returns nil if the operator's settings name no address to
+// serve them on.
 func (n *Node) newRecorder() *metrics.Recorder {
 	if n.settings.Operator.Metrics.Listen == "" {
 		return nil
@@ -31,37 +33,37 @@
 	})
 }
 
-// serveMetrics serves the metrics until the context ends. If the address is not available, that is logged, and the
-// node runs without: a fleet must not stop for its metrics.
+// serveMetrics serves the metrics in the background until the context ends. If it can't listen on the address, it logs
+// the error and returns: the node must run even without its metrics.
 func (n *Node) serveMetrics(ctx context.Context) {
 	if n.metrics == nil {
 		return
 	}
-	setting := n.settings.Operator.Metrics
-	failed := func(err error) {
-		n.log.Error("metrics not served", "setting", "metrics.listen", "address", setting.Listen, "error", err.Error())
+	metricsSettings := n.settings.Operator.Metrics
+	logFailure := func(err error) {
+		n.log.Error("metrics not served", "setting", "metrics.listen", "address", metricsSettings.Listen, "error", err.Error())
 	}
 	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(ctx, "tcp4", setting.Listen)
+	listener, err := listenConfig.Listen(ctx, "tcp4", metricsSettings.Listen)
 	if err != nil {
-		failed(err)
+		logFailure(err)
 		return
 	}
 	metricsServer := metrics.NewServer(n.metrics, metrics.Options{
-		MaxConnections: max(minScraperConnections, n.settings.Params.Limits.MaxConnections/socketsPerScraper),
+		MaxConnections: max(minScraperConnections, n.settings.Params.Limits.MaxConnections/connectionsPerScraperConnection),
 		RequestTimeout: scrapeTimeout,
-		Profiles:       setting.Pprof,
+		Profiles:       metricsSettings.Pprof,
 	}, n.log)
 	context.AfterFunc(ctx, func() { _ = metricsServer.Close() })
-	n.log.Info("serving metrics", "address", setting.Listen, "profiles", setting.Pprof)
+	n.log.Info("serving metrics", "address", metricsSettings.Listen, "profiles", metricsSettings.Pprof)
 	go func() {
 		if err := metricsServer.Serve(listener); err != nil && ctx.Err() == nil {
-			failed(err)
+			logFailure(err)
 		}
 	}()
 }
 
-// observer gives what counts responses; nil if nothing does.
+// observer returns the function that counts responses in the metrics, or nil if metrics are off.
 func (n *Node) observer() server.Observer {
 	if n.metrics == nil {
 		return nil
@@ -69,7 +71,7 @@
 	return n.metrics.Request
 }
 
-// inputKind names an input of the core in the metrics.
+// inputKind returns the label of an input's kind in the metrics.
 func inputKind(input core.Input) string {
 	switch input.(type) {
 	case core.Tick:
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -14,7 +14,7 @@
 	"bitternwing/internal/wire"
 )
 
-// lockedBuffer takes what several nodes log.
+// lockedBuffer is a buffer to which several nodes may log concurrently.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -32,7 +32,7 @@
 	return l.b.String()
 }
 
-// scrape gives the status and the body of a response; status 0: there was none.
+// scrape returns the status and the body of a response. The status is 0 if there was no response.
 func scrape(t *testing.T, addr, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+path, http.NoBody)
@@ -51,33 +51,33 @@
 	return resp.StatusCode, string(data)
 }
 
-// runJob has a job done at a node.
-func (s *site) runJob(node, id string) {
-	s.t.Helper()
-	s.submit(node, id, wire.KindArray, 2, 1)
-	s.eventually(id+" is done", func() bool {
-		_, st := s.call(http.MethodGet, node, wire.JobsPath+"/"+id, "")
-		return st.State == wire.JobDone
+// runJob submits a job to a node and waits until it is done.
+func (c *testCluster) runJob(node, id string) {
+	c.t.Helper()
+	c.submit(node, id, wire.KindArray, 2, 1)
+	c.eventually(id+" is done", func() bool {
+		_, response := c.request(http.MethodGet, node, wire.JobsPath+"/"+id, "")
+		return response.State == wire.JobDone
 	})
 }
 
-// TestMetrics has a node show what it does, with nothing of jobs and teams in it; another one, whose address for metrics
-// is taken, says so and does its work without.
+// TestMetrics checks the metrics that a node serves, and that they contain no names of jobs, teams or images. Another
+// node, whose metrics address is in use, must log an error and work without metrics.
 func TestMetrics(t *testing.T) {
-	taken, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	occupied, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
-	addrs := map[string]string{"a": emulator.FreeAddr(), "b": taken.Addr().String()}
-	log := &lockedBuffer{}
-	s := newSiteWith(t, siteOptions{log: log, operator: func(node string, o *config.Operator) { o.Metrics.Listen = addrs[node] }})
-	s.runJob("a", "run-000001")
-	s.runJob("b", "run-000002")
+	defer func() { _ = occupied.Close() }()
+	metricsAddrs := map[string]string{"a": emulator.FreeAddr(), "b": occupied.Addr().String()}
+	logs := &lockedBuffer{}
+	cluster := newTestClusterWith(t, clusterOptions{log: logs, operator: func(node string, o *config.Operator) { o.Metrics.Listen = metricsAddrs[node] }})
+	cluster.runJob("a", "run-000001")
+	cluster.runJob("b", "run-000002")
 
 	var text string
-	s.eventually("node a shows its metrics", func() bool {
-		status, body := scrape(t, addrs["a"], "/metrics")
+	cluster.eventually("node a serves its metrics", func() bool {
+		status, body := scrape(t, metricsAddrs["a"], "/metrics")
 		text = body
 		return status == http.StatusOK
 	})
@@ -87,41 +87,42 @@
 		"bitternwing_leader_unread_seconds ", "bitternwing_read_revision ", "bitternwing_state_served 1", `bitternwing_lease_renewals_total{basis="unread_leader"} `,
 		`bitternwing_cancelled_stops_total{basis="leader"} `, "go_goroutines ", "process_cpu_seconds_total "} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%s is missing", want)
+			t.Errorf("metrics lack %s", want)
 		}
 	}
 	for _, private := range []string{"run-0", `"red"`, `"i"`} {
 		if strings.Contains(text, private) {
-			t.Errorf("the metrics tell of %s", private)
+			t.Errorf("metrics contain %s", private)
 		}
 	}
-	if status, _ := scrape(t, addrs["a"], "/debug/pprof/"); status != http.StatusNotFound {
-		t.Errorf("profiles get %d without their setting", status)
+	if status, _ := scrape(t, metricsAddrs["a"], "/debug/pprof/"); status != http.StatusNotFound {
+		t.Errorf("status of profiles while they are off: %d, want 404", status)
 	}
-	if !strings.Contains(log.String(), `msg="metrics not served" setting=metrics.listen address=`+addrs["b"]) {
-		t.Error("that the address is taken is not logged")
+	if !strings.Contains(logs.String(), `msg="metrics not served" setting=metrics.listen address=`+metricsAddrs["b"]) {
+		t.Error("the failure to serve metrics is not logged")
 	}
 }
 
-// TestStuckScrapers has hundreds of scrapers that never read or never finish their request. Jobs run as ever.
+// TestStuckScrapers opens hundreds of connections to the metrics address that never send a complete request or never
+// read the response. Jobs must run nevertheless, and scrapers must be served again once the connections time out.
 func TestStuckScrapers(t *testing.T) {
-	addr := emulator.FreeAddr()
-	s := newSiteWith(t, siteOptions{operator: func(node string, o *config.Operator) {
+	metricsAddr := emulator.FreeAddr()
+	cluster := newTestClusterWith(t, clusterOptions{operator: func(node string, o *config.Operator) {
 		if node == "a" {
-			o.Metrics = config.Metrics{Listen: addr, Pprof: true}
+			o.Metrics = config.Metrics{Listen: metricsAddr, Pprof: true}
 		}
 	}})
-	s.runJob("a", "run-000001")
-	s.eventually("profiles are served", func() bool { status, _ := scrape(t, addr, "/debug/pprof/"); return status == http.StatusOK })
+	cluster.runJob("a", "run-000001")
+	cluster.eventually("profiles are served", func() bool { status, _ := scrape(t, metricsAddr, "/debug/pprof/"); return status == http.StatusOK })
 	for i := range 300 {
-		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", addr)
+		connection, err := new(net.Dialer).DialContext(t.Context(), "tcp4", metricsAddr)
 		if err != nil {
-			continue // the system's own queue of connections is full
+			continue // the kernel's accept queue is full
 		}
-		defer func() { _ = c.Close() }()
+		defer func() { _ = connection.Close() }()
 		request := "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
-		_, _ = io.WriteString(c, request[:i%(len(request)+1)]) // none, a part, or all of it; the response is not read
+		_, _ = io.WriteString(connection, request[:i%(len(request)+1)]) // none, a part or all of the request
 	}
-	s.runJob("a", "run-000002")
-	s.eventually("a scraper is served again", func() bool { status, _ := scrape(t, addr, "/metrics"); return status == http.StatusOK })
+	cluster.runJob("a", "run-000002")
+	cluster.eventually("a scraper is served again", func() bool { status, _ := scrape(t, metricsAddr, "/metrics"); return status == http.StatusOK })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a core as a process: it hands it inputs with the time, executes the effects that it returns, and feeds the
-// results of calls back. It decides nothing itself: all decisions are the core's.
+// Package node runs the core as a controller process. It passes inputs and the current time to the core, executes the
+// effects that the core returns, and passes the results of calls back. All decisions are the core's.
 package node
 
 import (
@@ -33,19 +33,19 @@
 	coreMu sync.Mutex // guards core
 	core   *core.Core
 
-	inputs  chan queuedInput // requests
-	results chan core.Result // of calls; the core gets them before requests
-	healthy atomic.Bool
+	inputs  chan queuedInput // requests that wait for the core
+	results chan core.Result // results of calls, which take precedence over requests
+	healthy atomic.Bool      // as of the last step of the core
 
-	requestsMu       sync.Mutex
+	requestsMu       sync.Mutex // guards lastRequestID and pendingResponses
 	lastRequestID    uint64
-	pendingResponses map[uint64]chan core.Response
+	pendingResponses map[uint64]chan core.Response // by request id
 
 	clients *clients
-	metrics *metrics.Recorder
+	metrics *metrics.Recorder // nil if metrics are off
 }
 
-// New makes a node.
+// New creates a node. Run starts it.
 func New(settings *config.Settings, log *slog.Logger) (*Node, error) {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -60,7 +60,7 @@
 		log:              log,
 		startedAt:        time.Now(),
 		core:             core.New(settings, incarnation),
-		inputs:           make(chan queuedInput, max(4*settings.Operator.MaxPendingRequests, publicSockets(settings))),
+		inputs:           make(chan queuedInput, max(4*settings.Operator.MaxPendingRequests, maxPublicConnections(settings))),
 		results:          make(chan core.Result, maxQueuedResults),
 		pendingResponses: map[uint64]chan core.Response{},
 		clients:          clients,
@@ -72,9 +72,10 @@
 	return n, nil
 }
 
-// incarnationBytes is how many random bytes tell two processes of a node apart.
+// incarnationBytes is the size of the random id that distinguishes the successive processes of a node.
 const incarnationBytes = 8
 
+// newIncarnation returns a random incarnation id in hexadecimal.
 func newIncarnation() (string, error) {
 	var random [incarnationBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -83,13 +84,14 @@
 	return hex.EncodeToString(random[:]), nil
 }
 
-// publicSockets is how many sockets users and workers may have open. Each holds one request at most, and
-// finds room for it among the inputs: after a failover all workers send heartbeats at once.
-func publicSockets(settings *config.Settings) int {
+// maxPublicConnections returns how many connections users and workers may have open. Each connection has at most one
+// request in progress, and the queue of inputs has room for all of them: after a failover, all workers send heartbeats
+// at once.
+func maxPublicConnections(settings *config.Settings) int {
 	return settings.Params.Limits.MaxConnections * 3 / 4
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends or a listener fails.
 func (n *Node) Run(ctx context.Context) error {
 	var listenConfig net.ListenConfig
 	public, err := listenConfig.Listen(ctx, "tcp4", n.settings.Listen)
@@ -105,7 +107,7 @@
 	defer cancel()
 	peerServer := peer.NewServer(n.settings.Node, n.receiveCancellations, n.peerStatus)
 	adminapi.Register(peerServer.Registrar(), n, n.connectionTo)
-	httpServer := server.New(n, publicSockets(n.settings), n.observer())
+	httpServer := server.New(n, maxPublicConnections(n.settings), n.observer())
 	n.serveMetrics(ctx)
 	serveErrors := make(chan error, 2)
 	go func() { serveErrors <- peerServer.Serve(internal) }()
@@ -117,17 +119,17 @@
 		err = nil
 	case err = <-serveErrors:
 	}
-	// The process ends: connections that can't be closed end with it.
+	// The process is about to exit, which closes any connection that Close fails to close.
 	_ = httpServer.Close()
 	peerServer.Stop()
 	n.clients.close()
 	return err
 }
 
-// Healthy tells whether this node can take requests.
+// Healthy reports whether this node can take requests.
 func (n *Node) Healthy() bool { return n.healthy.Load() }
 
-// connectionTo gives the connection to another node's internal address; nil if there is no such node.
+// connectionTo returns the connection to another node's internal address. It returns nil if there is no such node.
 func (n *Node) connectionTo(node string) grpc.ClientConnInterface {
 	if client := n.clients.peers[node]; client != nil {
 		return client.Conn()
@@ -135,7 +137,8 @@
 	return nil
 }
 
-// receiveCancellations hands the core the cancellations that another node replicates; false if it did not take them in.
+// receiveCancellations passes the core the cancellations that another node replicates. It reports whether the core
+// processed them in time.
 func (n *Node) receiveCancellations(ctx context.Context, cancellations []core.Cancellation) bool {
 	_, ok := n.Handle(ctx, func(requestID uint64) core.Input {
 		return core.ReplicateCancellations{RequestID: requestID, Cancellations: cancellations}
@@ -143,6 +146,7 @@
 	return ok
 }
 
+// peerStatus returns the status that this node reports to other nodes.
 func (n *Node) peerStatus() membership.Status {
 	n.coreMu.Lock()
 	defer n.coreMu.Unlock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,186 +24,188 @@
 )
 
 // The end-to-end tests run real nodes on loopback against the emulated services, with all
-// intervals shortened. They wait for things to happen, up to a generous bound, and
-// assert no timing.
+// intervals shortened. They wait for conditions up to testTimeout and assert no other timing.
 
 const testTimeout = 60 * time.Second
 
-type site struct {
-	t      *testing.T
-	store  *emulator.StoreServer
-	cloud  *emulator.Cloud
-	fleet  *simworker.Fleet
-	addrs  map[string]string
-	peers  map[string]string
-	cancel map[string]context.CancelFunc
-	done   map[string]chan struct{}
-	model  *simmodelserver.Server // nil: rollouts are off
-	siteOptions
+// testCluster is three controller nodes in one zone with emulated services and simulated workers. Maps are by the name
+// of the node, unless noted otherwise.
+type testCluster struct {
+	t             *testing.T
+	store         *emulator.StoreServer
+	cloud         *emulator.Cloud
+	fleet         *simworker.Fleet
+	addrs         map[string]string
+	internalAddrs map[string]string
+	cancel        map[string]context.CancelFunc
+	done          map[string]chan struct{}
+	modelServer   *simmodelserver.Server // nil: rollouts are off
+	clusterOptions
 
 	mu     sync.Mutex
 	jobs   map[string]*wire.Job
 	starts map[string]int // by task and attempt
 }
 
-// upload has the workers know a job, as users do.
-func (s *site) upload(body string) {
-	s.t.Helper()
+// addJob makes a submitted job known to the simulated workers, which look up its run time.
+func (c *testCluster) addJob(body string) {
+	c.t.Helper()
 	job, err := wire.ParseJob([]byte(body))
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.jobs[job.ID] = job
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[job.ID] = job
 }
 
-// Job gives a job that was uploaded.
-func (s *site) Job(id string) *wire.Job {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.jobs[id]
+// Job implements simworker.Jobs: it returns a job that was added.
+func (c *testCluster) Job(id string) *wire.Job {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.jobs[id]
 }
 
-// RunTime has tasks of arrays end soon, and replicas not at all.
-func (s *site) RunTime(job *wire.Job, _ int) time.Duration {
+// RunTime implements simworker.Jobs: tasks of arrays end soon, and replicas never.
+func (c *testCluster) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
 		return simworker.Never
 	}
 	return 300 * time.Millisecond
 }
 
-// StartReceived counts the starts of each attempt.
-func (s *site) StartReceived(start simworker.Start) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.starts[fmt.Sprint(start.Task, "#", start.Attempt)]++
+// StartReceived implements simworker.Observer: it counts the starts of each attempt.
+func (c *testCluster) StartReceived(start simworker.Start) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.starts[fmt.Sprint(start.Task, "#", start.Attempt)]++
 }
 
-// TaskRuns and TaskEnds tell the site nothing.
-func (s *site) TaskRuns(_, _ string)         {}
-func (s *site) TaskEnds(_, _ string, _ bool) {}
+// TaskRuns and TaskEnds implement simworker.Observer.
+func (c *testCluster) TaskRuns(_, _ string)         {}
+func (c *testCluster) TaskEnds(_, _ string, _ bool) {}
 
-// Count counts no messages.
-func (s *site) Count(string, simworker.MessageKind, int, int) {}
+// Count implements simworker.Traffic.
+func (c *testCluster) Count(string, simworker.MessageKind, int, int) {}
 
-// siteOptions is what a site may have beyond the usual.
-type siteOptions struct {
-	next     *config.NextLimits                    // limits of the key-value store to come, in the nodes' settings
-	rollouts bool                                  // are switched on
-	operator func(node string, o *config.Operator) // changes a node's operators' settings; nil: none
-	log      io.Writer                             // what the nodes log; nil: it is lost
-	internal map[string]string                     // the nodes' internal addresses; nil: any
+// clusterOptions are the options of a test cluster. The zero value is the default.
+type clusterOptions struct {
+	next               *config.NextLimits                    // the announced limits of the key-value store
+	rollouts           bool                                  // enables rollouts
+	operator           func(node string, o *config.Operator) // modifies a node's operator settings, unless nil
+	log                io.Writer                             // receives the nodes' logs, unless nil
+	fixedInternalAddrs map[string]string                     // the nodes' internal addresses; free ones are used if nil
 }
 
-func newSite(t *testing.T) *site {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	return newSiteWith(t, siteOptions{})
+	return newTestClusterWith(t, clusterOptions{})
 }
 
-func newSiteWith(t *testing.T, options siteOptions) *site {
+func newTestClusterWith(t *testing.T, options clusterOptions) *testCluster {
 	t.Helper()
 	if options.log == nil {
 		options.log = io.Discard
 	}
-	s := &site{t: t, siteOptions: options, store: emulator.NewStoreServer(), addrs: map[string]string{}, peers: map[string]string{},
+	c := &testCluster{t: t, clusterOptions: options, store: emulator.NewStoreServer(), addrs: map[string]string{}, internalAddrs: map[string]string{},
 		cancel: map[string]context.CancelFunc{}, done: map[string]chan struct{}{}, jobs: map[string]*wire.Job{}, starts: map[string]int{}}
 	types := []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300, FetchGBPerS: 4,
 		Price: 16, SpotPrice: 5, BootS: 5, Zones: []string{"z1"}}}
 	var controllers []simworker.Controller
 	for _, n := range []string{"a", "b", "c"} {
-		s.addrs[n], s.peers[n] = emulator.FreeAddr(), s.internal[n]
-		if s.peers[n] == "" {
-			s.peers[n] = emulator.FreeAddr()
+		c.addrs[n], c.internalAddrs[n] = emulator.FreeAddr(), c.fixedInternalAddrs[n]
+		if c.internalAddrs[n] == "" {
+			c.internalAddrs[n] = emulator.FreeAddr()
 		}
-		controllers = append(controllers, simworker.Controller{Name: n, Zone: "z1", Addr: s.addrs[n]})
+		controllers = append(controllers, simworker.Controller{Name: n, Zone: "z1", Addr: c.addrs[n]})
 	}
 	var err error
-	s.fleet, err = simworker.NewFleet(simworker.Config{Seed: 1, HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 2 * time.Second,
-		Controllers: controllers, Jobs: s, Observer: s, Traffic: s})
+	c.fleet, err = simworker.NewFleet(simworker.Config{Seed: 1, HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 2 * time.Second,
+		Controllers: controllers, Jobs: c, Observer: c, Traffic: c})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.rollouts {
+	if c.rollouts {
 		listener, err := simworker.ListenLoopback()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.model = simmodelserver.New(listener, s.fleet)
-		t.Cleanup(s.model.Close)
+		c.modelServer = simmodelserver.New(listener, c.fleet)
+		t.Cleanup(c.modelServer.Close)
 	}
-	s.cloud = emulator.NewCloud(types, s.fleet.LaunchMachine)
+	c.cloud = emulator.NewCloud(types, c.fleet.LaunchMachine)
 	for _, n := range []string{"a", "b", "c"} {
-		s.run(n)
+		c.startNode(n)
 	}
 	t.Cleanup(func() {
-		for n := range s.cancel {
-			s.kill(n)
+		for n := range c.cancel {
+			c.stopNode(n)
 		}
-		s.cloud.Close()
-		s.fleet.Close()
-		s.store.Close()
+		c.cloud.Close()
+		c.fleet.Close()
+		c.store.Close()
 	})
-	return s
+	return c
 }
 
-func (s *site) run(name string) {
-	storeAddr, err := s.store.AddClient(name)
+// startNode starts a node.
+func (c *testCluster) startNode(name string) {
+	storeAddr, err := c.store.AddClient(name)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	cloudAddr, err := s.cloud.AddClient(name)
+	cloudAddr, err := c.cloud.AddClient(name)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	settings := &config.Settings{Node: name, Zone: "z1", Listen: s.addrs[name], PeerListen: s.peers[name],
+	settings := &config.Settings{Node: name, Zone: "z1", Listen: c.addrs[name], PeerListen: c.internalAddrs[name],
 		Services: config.Services{Cloud: cloudAddr, Store: storeAddr}, Operator: config.DefaultOperator()}
-	for _, p := range []string{"a", "b", "c"} {
-		if p != name {
-			settings.Peers = append(settings.Peers, config.Peer{Node: p, Addr: s.peers[p]})
+	for _, peer := range []string{"a", "b", "c"} {
+		if peer != name {
+			settings.Peers = append(settings.Peers, config.Peer{Node: peer, Addr: c.internalAddrs[peer]})
 		}
 	}
 	settings.Params = config.Params{Nodes: 3, Zones: []string{"z1"},
 		Teams:   []config.Team{{Name: "red", GuaranteedGPUs: 8, MaxGPUs: 16}},
 		Workers: config.Workers{HeartbeatIntervalS: 0.2, LeaseS: 2, CancelS: 10},
-		Store:   config.Store{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: s.next},
+		Store:   config.Store{RPS: 1000, WriteRPS: 500, ValueKB: 16, TxnOps: 12, Next: c.next},
 		Cloud:   config.Cloud{RPS: 20, ListLagS: 0.2},
 		Limits:  config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 400}}
-	if s.model != nil {
-		settings.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: s.model.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
+	if c.modelServer != nil {
+		settings.Operator.Rollouts = config.Rollouts{Enabled: true, ModelPort: c.modelServer.Port(), RouterLeaseS: 2, CheckIntervalS: 0.2,
 			CheckTimeoutS: 1, MaxPlans: 4, MaxRouters: 4}
 	}
-	if s.operator != nil {
-		s.operator(name, settings.Operator)
+	if c.operator != nil {
+		c.operator(name, settings.Operator)
 	}
-	n, err := node.New(settings, slog.New(slog.NewTextHandler(s.log, nil)))
+	n, err := node.New(settings, slog.New(slog.NewTextHandler(c.log, nil)))
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	s.cancel[name], s.done[name] = cancel, done
+	c.cancel[name], c.done[name] = cancel, done
 	go func() {
 		defer close(done)
 		if err := n.Run(ctx); err != nil {
-			s.t.Errorf("node %s: %v", name, err)
+			c.t.Errorf("node %s: %v", name, err)
 		}
 	}()
 }
 
-// keys gives the keys below a prefix in the key-value store.
-func (s *site) keys(prefix string) []string {
-	s.t.Helper()
-	addr, err := s.store.AddClient("test")
+// keys returns the keys with a prefix in the key-value store.
+func (c *testCluster) keys(prefix string) []string {
+	c.t.Helper()
+	addr, err := c.store.AddClient("test")
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	client := kvstore.New(addr, 1000, 1, 1<<20)
 	var keys []string
 	for after := ""; ; after = keys[len(keys)-1] {
-		page, o := client.List(s.t.Context(), prefix, after, wire.MaxItems)
-		if o != outcome.OK {
-			s.t.Fatalf("list of %s: %v", prefix, o)
+		page, result := client.List(c.t.Context(), prefix, after, wire.MaxItems)
+		if result != outcome.OK {
+			c.t.Fatalf("list of prefix %q: %v", prefix, result)
 		}
 		for _, item := range page.Items {
 			keys = append(keys, item.Key)
@@ -214,71 +216,76 @@
 	}
 }
 
-func (s *site) kill(name string) {
-	s.cancel[name]()
-	<-s.done[name]
-	delete(s.cancel, name)
+// stopNode stops a node and waits until it has ended.
+func (c *testCluster) stopNode(name string) {
+	c.cancel[name]()
+	<-c.done[name]
+	delete(c.cancel, name)
 }
 
-// call makes a request and decodes the response; status 0: there was none.
-func (s *site) call(method, node, path, body string) (int, wire.JobState) {
-	req, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.addrs[node]+path, strings.NewReader(body))
+// request sends a request to a node and decodes the response. The status is 0 if there was no response.
+func (c *testCluster) request(method, node, path, body string) (int, wire.JobState) {
+	req, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.addrs[node]+path, strings.NewReader(body))
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, wire.JobState{}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var st wire.JobState
+	var response wire.JobState
 	data, _ := io.ReadAll(resp.Body)
-	_ = json.NewDecoder(bytes.NewReader(data)).Decode(&st) // a response without a body has no state
-	return resp.StatusCode, st
+	_ = json.NewDecoder(bytes.NewReader(data)).Decode(&response) // a response without a body leaves it empty
+	return resp.StatusCode, response
 }
 
-func (s *site) eventually(what string, condition func() bool) {
-	s.t.Helper()
+// eventually waits until a condition holds. It fails the test after testTimeout.
+func (c *testCluster) eventually(what string, condition func() bool) {
+	c.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	s.t.Fatalf("never: %s", what)
+	c.t.Fatalf("timed out waiting for: %s", what)
 }
 
-func (s *site) submit(node, id string, kind wire.JobKind, tasks, gpus int) {
-	s.t.Helper()
+// submit adds a job and submits it to a node until it is accepted.
+func (c *testCluster) submit(node, id string, kind wire.JobKind, tasks, gpus int) {
+	c.t.Helper()
 	body := fmt.Sprintf(`{"ref":%q,"lane":"x","broker":"red","shape":%q,"urgency":"prod","parcels":%d,
 		"vcpus":1.0,"gpus":%d,"memory_gb":1.0,"bundle":"i","image_gb":1.0,"rigs":null,"hall":null,
 		"one_zone":false,"apart":false,"loaner":false,"expect_s":1.0,"stamp_s":0.0,"stow_s":0.0,"cutoff_s":null}`,
 		id, kind, tasks, gpus)
-	s.upload(body)
-	s.eventually("accepted "+id, func() bool {
-		code, _ := s.call("POST", node, "/v2/runs", body)
+	c.addJob(body)
+	c.eventually("acceptance of "+id, func() bool {
+		code, _ := c.request("POST", node, "/v2/runs", body)
 		return code == 201 || code == 200
 	})
 }
 
-func (s *site) state3(id string, want wire.JobStatus) {
-	s.t.Helper()
+// waitForStatus waits until each running node returns the wanted status of a job.
+func (c *testCluster) waitForStatus(id string, want wire.JobStatus) {
+	c.t.Helper()
 	for _, n := range []string{"a", "b", "c"} {
-		if s.cancel[n] == nil {
+		if c.cancel[n] == nil {
 			continue
 		}
-		s.eventually(fmt.Sprintf("%s is %s at %s", id, want, n), func() bool {
-			code, st := s.call("GET", n, "/v2/runs/"+id, "")
-			return code == 200 && st.State == want
+		c.eventually(fmt.Sprintf("job %s is %s at node %s", id, want, n), func() bool {
+			code, response := c.request("GET", n, "/v2/runs/"+id, "")
+			return code == 200 && response.State == want
 		})
 	}
 }
 
-func (s *site) leader() string {
+// leader waits until a node responds to heartbeats, and returns it.
+func (c *testCluster) leader() string {
 	leader := ""
-	s.eventually("a leader", func() bool {
-		for n := range s.cancel {
+	c.eventually("a node responds to heartbeats as the leader", func() bool {
+		for n := range c.cancel {
 			req := `{"host":"host-probe","shift":1,"tally":1,"baton":0,"rig":"none","hall":"z1","parcels":[]}`
-			code, _ := s.call("POST", n, "/checkin", req)
+			code, _ := c.request("POST", n, "/checkin", req)
 			if code == 200 {
 				leader = n
 				return true
@@ -289,76 +296,77 @@
 	return leader
 }
 
-func (s *site) onceEach() {
-	s.t.Helper()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for k, n := range s.starts {
-		if n != 1 {
-			s.t.Errorf("%s was started %d times", k, n)
+// checkStartedOnce checks that no attempt of a task was started more than once.
+func (c *testCluster) checkStartedOnce() {
+	c.t.Helper()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for attempt, starts := range c.starts {
+		if starts != 1 {
+			c.t.Errorf("%s was started %d times, want once", attempt, starts)
 		}
 	}
 }
 
-// TestLifeOfJobs submits, runs and cancels, kills the leader, and sees the next one
-// carry on: what runs goes on running, and new work gets done.
+// TestLifeOfJobs submits, runs and cancels jobs and stops the leader in between. The new leader must leave running
+// tasks alone, run new jobs, and delete the records of finished ones.
 func TestLifeOfJobs(t *testing.T) {
-	s := newSite(t)
-	s.submit("a", "run-000001", wire.KindService, 2, 4)
-	s.submit("b", "run-000002", wire.KindArray, 5, 1)
-	s.eventually("two replicas run", func() bool { return s.fleet.Running("run-000001") == 2 })
-	s.state3("run-000001", wire.JobRunning)
-	s.state3("run-000002", wire.JobDone)
+	cluster := newTestCluster(t)
+	cluster.submit("a", "run-000001", wire.KindService, 2, 4)
+	cluster.submit("b", "run-000002", wire.KindArray, 5, 1)
+	cluster.eventually("both replicas run", func() bool { return cluster.fleet.Running("run-000001") == 2 })
+	cluster.waitForStatus("run-000001", wire.JobRunning)
+	cluster.waitForStatus("run-000002", wire.JobDone)
 
-	s.kill(s.leader())
-	next := s.leader()
-	s.submit(next, "run-000004", wire.KindArray, 3, 1)
-	s.state3("run-000004", wire.JobDone)
-	s.state3("run-000002", wire.JobDone)
-	s.mu.Lock()
+	cluster.stopNode(cluster.leader())
+	newLeader := cluster.leader()
+	cluster.submit(newLeader, "run-000004", wire.KindArray, 3, 1)
+	cluster.waitForStatus("run-000004", wire.JobDone)
+	cluster.waitForStatus("run-000002", wire.JobDone)
+	cluster.mu.Lock()
 	replicas := 0
-	for k := range s.starts {
-		if strings.HasPrefix(k, "run-000001/") {
+	for attempt := range cluster.starts {
+		if strings.HasPrefix(attempt, "run-000001/") {
 			replicas++
 		}
 	}
-	s.mu.Unlock()
+	cluster.mu.Unlock()
 	if replicas != 2 {
-		t.Errorf("the service was started %d times over a failover, not once for each replica", replicas)
+		t.Errorf("service: %d replica starts after a failover, want 2", replicas)
 	}
 
-	s.eventually("cancelled", func() bool {
-		code, st := s.call("POST", next, "/v2/runs/run-000001/cancel", "")
-		return code == 200 && st.State == wire.JobCancelled
+	cluster.eventually("the cancellation is accepted", func() bool {
+		code, response := cluster.request("POST", newLeader, "/v2/runs/run-000001/cancel", "")
+		return code == 200 && response.State == wire.JobCancelled
 	})
-	s.eventually("replicas gone", func() bool { return s.fleet.Running("run-000001") == 0 })
-	s.state3("run-000001", wire.JobCancelled)
-	s.eventually("records swept", func() bool { return len(s.keys("r/")) == 0 && len(s.keys("w/a/")) == 0 })
-	if code, _ := s.call("GET", next, "/v2/runs/run-000999", ""); code != 404 {
-		t.Errorf("an unknown job got %d", code)
+	cluster.eventually("the replicas are stopped", func() bool { return cluster.fleet.Running("run-000001") == 0 })
+	cluster.waitForStatus("run-000001", wire.JobCancelled)
+	cluster.eventually("the records are deleted", func() bool { return len(cluster.keys("r/")) == 0 && len(cluster.keys("w/a/")) == 0 })
+	if code, _ := cluster.request("GET", newLeader, "/v2/runs/run-000999", ""); code != 404 {
+		t.Errorf("status of an unknown job: %d, want 404", code)
 	}
-	s.onceEach()
+	cluster.checkStartedOnce()
 }
 
-// TestOutage has an outage of the key-value store: users get 503 at once, what runs keeps
-// its leases, and afterwards all goes on.
+// TestOutage checks an outage of the key-value store that outlasts the workers' leases. Users get 503, running tasks
+// keep running, and new jobs run after the outage.
 func TestOutage(t *testing.T) {
-	s := newSite(t)
-	s.submit("a", "run-000001", wire.KindService, 1, 4)
-	s.eventually("it runs", func() bool { return s.fleet.Running("run-000001") == 1 })
-	s.store.SetDown(true)
-	s.eventually("503", func() bool {
-		code, _ := s.call("GET", "b", "/v2/runs/run-000001", "")
+	cluster := newTestCluster(t)
+	cluster.submit("a", "run-000001", wire.KindService, 1, 4)
+	cluster.eventually("the replica runs", func() bool { return cluster.fleet.Running("run-000001") == 1 })
+	cluster.store.SetDown(true)
+	cluster.eventually("users get 503", func() bool {
+		code, _ := cluster.request("GET", "b", "/v2/runs/run-000001", "")
 		return code == 503
 	})
-	// Longer than the workers' lease: without responses the replica would be killed.
+	// Longer than the workers' lease of 2 s: without responses to its heartbeats, the worker would stop the replica.
 	time.Sleep(5 * time.Second)
-	s.store.SetDown(false)
-	s.submit("c", "run-000002", wire.KindArray, 2, 1)
-	s.state3("run-000002", wire.JobDone)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.starts["run-000001/0#1"] != 1 || s.starts["run-000001/0#2"] != 0 {
-		t.Errorf("the replica did not live through the outage: %v", s.starts)
+	cluster.store.SetDown(false)
+	cluster.submit("c", "run-000002", wire.KindArray, 2, 1)
+	cluster.waitForStatus("run-000002", wire.JobDone)
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	if cluster.starts["run-000001/0#1"] != 1 || cluster.starts["run-000001/0#2"] != 0 {
+		t.Errorf("the replica was restarted during the outage; starts by attempt: %v", cluster.starts)
 	}
 }
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -13,45 +13,46 @@
 	"bitternwing/internal/outcome"
 )
 
-// TestProcessPause: a process that was paused while its clocks ran on serves nobody who has gone,
-// and sends nothing that was decided on what was known before.
+// TestProcessPause guards against work that a pause of the process has made obsolete. While the process is paused,
+// deadlines pass: calls that were decided before the pause must not be sent, and requests whose clients are gone must
+// not be handled.
 func TestProcessPause(t *testing.T) {
 	settings := &config.Settings{Node: "a", Zone: "z1", Operator: config.DefaultOperator(), Params: config.Params{Nodes: 1,
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30}, Store: config.Store{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 12},
 		Cloud: config.Cloud{RPS: 1, ListLagS: 1}, Limits: config.Limits{CPUShare: 1, MemoryMB: 98, MaxConnections: 100}}}
 	settings.Services.Store, settings.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	n, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	// A call whose time was over before it went out.
-	n.startCall(ctx, call{operation{metrics.Store, "get"}, 7, -time.Second}, func(context.Context, *core.Result) { t.Error("it was sent after its time") })
-	if r := <-n.results; r.CallID != 7 || r.Outcome != outcome.Dropped {
-		t.Errorf("the result is %v", r)
+	// A call whose deadline passes before it is sent.
+	node.startCall(ctx, call{operation{metrics.Store, "get"}, 7, -time.Second}, func(context.Context, *core.Result) { t.Error("the call was sent after its deadline") })
+	if result := <-node.results; result.CallID != 7 || result.Outcome != outcome.Dropped {
+		t.Errorf("result of an expired call: %v, want call 7 dropped", result)
 	}
 
-	// Two requests that are answered at once; the first one's user has gone.
-	late, now := make(chan core.Response, 1), make(chan core.Response, 1)
-	n.pendingResponses[1], n.pendingResponses[2] = late, now
-	n.inputs <- queuedInput{core.GetJob{RequestID: 1, ID: "x"}, time.Now(), time.Now().Add(-time.Second)}
-	n.inputs <- queuedInput{core.GetJob{RequestID: 2, ID: "x"}, time.Now(), time.Now().Add(time.Hour)}
-	go n.runCore(ctx)
-	if a := <-now; a.Status != 404 {
-		t.Errorf("the second one gets %d", a.Status)
+	// Two queued requests, the first of which has expired.
+	expired, pending := make(chan core.Response, 1), make(chan core.Response, 1)
+	node.pendingResponses[1], node.pendingResponses[2] = expired, pending
+	node.inputs <- queuedInput{core.GetJob{RequestID: 1, ID: "x"}, time.Now(), time.Now().Add(-time.Second)}
+	node.inputs <- queuedInput{core.GetJob{RequestID: 2, ID: "x"}, time.Now(), time.Now().Add(time.Hour)}
+	go node.runCore(ctx)
+	if response := <-pending; response.Status != 404 {
+		t.Errorf("status of the second request: %d, want 404", response.Status)
 	}
 	select {
-	case <-late:
-		t.Error("a request was served after its time")
+	case <-expired:
+		t.Error("an expired request was handled")
 	default:
 	}
 
-	// A response that comes together with its deadline.
-	gone, end := context.WithDeadline(ctx, time.Now().Add(-time.Second))
-	defer end()
-	if _, ok := n.Handle(gone, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: "x"} }); ok {
+	// A request whose response may be ready when its deadline has already passed.
+	expiredCtx, cancelExpired := context.WithDeadline(ctx, time.Now().Add(-time.Second))
+	defer cancelExpired()
+	if _, ok := node.Handle(expiredCtx, func(requestID uint64) core.Input { return core.GetJob{RequestID: requestID, ID: "x"} }); ok {
 		t.Error("a response was returned after its deadline")
 	}
 }
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -18,8 +18,8 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutPlan has two old and two new jobs of a replica each. Responses are compared with the right one and with the old
-// version's.
+// rolloutPlan is a plan with two old and two new jobs of one replica each. One check compares responses with the
+// expected response, the other with the old version's.
 const rolloutPlan = `{"name":"reader","team":"red","old":{"jobs":["run-000001","run-000002"],"replica_capacity":1},
  "new":{"jobs":["run-000011","run-000012"],"replica_capacity":1},"promised_capacity":2,
  "steps":[{"jobs":["run-000011"],"share":0.5,"bake_s":0.5},{"jobs":["run-000012"],"share":1,"bake_s":0.5}],
@@ -27,15 +27,15 @@
   {"name":"as before","request":{"prompt":"xyz"},"compare_with_old":true,"script":"def check(request, answer, expected):\n  return answer['choices'] == expected['choices']"}],
  "limits":{"wait_s":60,"unreachable_s":30,"router_gone_s":10,"keep_s":60}}`
 
-// rolloutSite has the old version serve, a plan applied through a node, and a router.
-func rolloutSite(t *testing.T, plan string) (*site, *adminapi.Client, *simrouter.Router) {
+// startRollout starts the old version, applies the plan through node b, starts a router, and submits the new jobs.
+func startRollout(t *testing.T, plan string) (*testCluster, *adminapi.Client, *simrouter.Router) {
 	t.Helper()
-	s := newSiteWith(t, siteOptions{rollouts: true})
+	cluster := newTestClusterWith(t, clusterOptions{rollouts: true})
 	for _, id := range []string{"run-000001", "run-000002"} {
-		s.submit("a", id, wire.KindService, 1, 4)
-		s.eventually(id+" runs", func() bool { return s.fleet.Running(id) == 1 })
+		cluster.submit("a", id, wire.KindService, 1, 4)
+		cluster.eventually(id+" runs", func() bool { return cluster.fleet.Running(id) == 1 })
 	}
-	client, err := adminapi.NewClient(s.peers["b"])
+	client, err := adminapi.NewClient(cluster.internalAddrs["b"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	if status, err := client.Apply(ctx, []byte(plan)); err != nil || status.GetPhase() != string(rollout.Pending) {
 		t.Fatal(status, err)
 	}
-	router, err := simrouter.New("north", "reader", []string{s.peers["a"], s.peers["b"], s.peers["c"]}, 200*time.Millisecond)
+	router, err := simrouter.New("north", "reader", []string{cluster.internalAddrs["a"], cluster.internalAddrs["b"], cluster.internalAddrs["c"]}, 200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,20 +53,20 @@
 	go func() { defer close(ended); router.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended; router.Close(); _ = client.Close() })
 	for _, id := range []string{"run-000011", "run-000012"} {
-		s.submit("a", id, wire.KindService, 1, 4)
+		cluster.submit("a", id, wire.KindService, 1, 4)
 	}
-	return s, client, router
+	return cluster, client, router
 }
 
-// planState gives the status of the plan; nil while it is not available.
-func planState(client *adminapi.Client) *operatorpb.PlanStatus {
+// planStatus returns the status of the plan, or nil if no node returns it in time.
+func planStatus(client *adminapi.Client) *operatorpb.PlanStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	status, _ := client.Show(ctx, "reader") // the caller tries again
+	status, _ := client.Show(ctx, "reader") // callers retry
 	return status
 }
 
-// requestCompletion sends a request through the router and tells whether the response is right.
+// requestCompletion sends a request through the router and reports whether the response is correct.
 func requestCompletion(router *simrouter.Router, prompt string) (bool, error) {
 	body, err := json.Marshal(simmodelserver.Request{Model: "reader", Prompt: prompt})
 	if err != nil {
@@ -81,60 +81,62 @@
 	return err == nil && len(completion.Choices) == 1 && completion.Choices[0].Text == simmodelserver.ExpectedText(prompt), err
 }
 
-// TestRolloutOverFailover brings a new version into service, with a failover on the way. Each request gets its response.
+// TestRolloutOverFailover completes a rollout although the leader is stopped in the first step. Every request through
+// the router must get the correct response.
 func TestRolloutOverFailover(t *testing.T) {
-	s, client, router := rolloutSite(t, rolloutPlan)
-	s.eventually("the first step bakes", func() bool { return planState(client).GetPhase() == string(rollout.Baking) })
-	if leader := s.leader(); leader != "b" {
-		s.kill(leader)
+	cluster, client, router := startRollout(t, rolloutPlan)
+	cluster.eventually("the first step bakes", func() bool { return planStatus(client).GetPhase() == string(rollout.Baking) })
+	if leader := cluster.leader(); leader != "b" {
+		cluster.stopNode(leader)
 	}
 	number := 0
-	s.eventually("it completes", func() bool {
+	cluster.eventually("the rollout completes", func() bool {
 		right, err := requestCompletion(router, fmt.Sprint("request ", number))
 		number++
 		if !right || err != nil {
-			t.Fatalf("request %d: %v, %v", number, right, err)
+			t.Fatalf("request %d: correct %v, error %v", number, right, err)
 		}
-		return planState(client).GetPhase() == string(rollout.Completed)
+		return planStatus(client).GetPhase() == string(rollout.Completed)
 	})
-	s.eventually("the old version is gone", func() bool { return s.fleet.Running("run-000001")+s.fleet.Running("run-000002") == 0 })
-	if n := s.fleet.Running("run-000011") + s.fleet.Running("run-000012"); n != 2 {
-		t.Errorf("%d new replicas run", n)
+	cluster.eventually("the old version is stopped", func() bool { return cluster.fleet.Running("run-000001")+cluster.fleet.Running("run-000002") == 0 })
+	if n := cluster.fleet.Running("run-000011") + cluster.fleet.Running("run-000012"); n != 2 {
+		t.Errorf("%d new replicas run, want 2", n)
 	}
 	for _, w := range router.Weights() {
 		if w.GetVersion() != string(rollout.NewVersion) {
-			t.Errorf("the router sends traffic to %s", w.GetTask())
+			t.Errorf("the router still sends traffic to %s", w.GetTask())
 		}
 	}
 }
 
-// TestWrongVersionIsRolledBack has a new version respond wrongly to each third request, once it serves. The steps bake
-// for long enough that checks meet such a response.
+// TestWrongVersionIsRolledBack makes the new version respond wrongly to every third request once it serves traffic. The
+// bake time is long enough for the checks to see such a response.
 func TestWrongVersionIsRolledBack(t *testing.T) {
-	s, client, router := rolloutSite(t, strings.ReplaceAll(rolloutPlan, `"bake_s":0.5`, `"bake_s":10`))
-	s.eventually("the first step bakes", func() bool { return planState(client).GetPhase() == string(rollout.Baking) })
-	// Counted for the new version alone: among all requests each third one may always be for the same replica.
+	cluster, client, router := startRollout(t, strings.ReplaceAll(rolloutPlan, `"bake_s":0.5`, `"bake_s":10`))
+	cluster.eventually("the first step bakes", func() bool { return planStatus(client).GetPhase() == string(rollout.Baking) })
+	// Only requests to the new version are counted: of all requests, every third one might always go to the same
+	// replica.
 	var requests atomic.Int64
-	s.model.SetWrong(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
-	s.eventually("it is rolled back", func() bool { return planState(client).GetPhase() == string(rollout.RolledBack) })
-	if status := planState(client); status.GetReason() != string(rollout.WrongAnswer) {
-		t.Errorf("rolled back for %s", status.GetReason())
+	cluster.modelServer.SetWrong(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
+	cluster.eventually("the plan is rolled back", func() bool { return planStatus(client).GetPhase() == string(rollout.RolledBack) })
+	if status := planStatus(client); status.GetReason() != string(rollout.WrongAnswer) {
+		t.Errorf("reason of the rollback: %s", status.GetReason())
 	}
 	for i := range 20 {
 		if right, err := requestCompletion(router, fmt.Sprint("request ", i)); !right || err != nil {
-			t.Errorf("after it request %d: %v, %v", i, right, err)
+			t.Errorf("request %d after the rollback: correct %v, error %v", i, right, err)
 		}
 	}
-	if n := s.fleet.Running("run-000001") + s.fleet.Running("run-000002"); n != 2 {
-		t.Errorf("%d old replicas run", n)
+	if n := cluster.fleet.Running("run-000001") + cluster.fleet.Running("run-000002"); n != 2 {
+		t.Errorf("%d old replicas run, want 2", n)
 	}
 }
 
-// TestAdminErrors gets each type of error of the admin API.
+// TestAdminErrors checks that the client returns each type of error of the admin API.
 func TestAdminErrors(t *testing.T) {
-	s := newSiteWith(t, siteOptions{rollouts: true})
-	s.leader()
-	client, err := adminapi.NewClient(s.peers["c"])
+	cluster := newTestClusterWith(t, clusterOptions{rollouts: true})
+	cluster.leader()
+	client, err := adminapi.NewClient(cluster.internalAddrs["c"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,24 +147,24 @@
 	var refused *adminapi.RefusedError
 	var unavailable *adminapi.UnavailableError
 	if _, err := client.Show(ctx, "writer"); !errors.Is(err, adminapi.ErrNotFound) {
-		t.Errorf("an unknown plan: %v", err)
+		t.Errorf("show an unknown plan: %v, want ErrNotFound", err)
 	}
 	if _, err := client.Placements(ctx, "run-000077"); !errors.Is(err, adminapi.ErrNotFound) {
-		t.Errorf("the places of an unknown job: %v", err)
+		t.Errorf("placements of an unknown job: %v, want ErrNotFound", err)
 	}
-	s.submit("a", "run-000078", wire.KindService, 2, 4)
-	s.eventually("both replicas have a place", func() bool {
+	cluster.submit("a", "run-000078", wire.KindService, 2, 4)
+	cluster.eventually("both replicas are placed", func() bool {
 		reply, err := client.Placements(ctx, "run-000078")
 		return err == nil && len(reply.GetReplicas()) == 2 && reply.GetReplicas()[0].GetMachine() != ""
 	})
 	if _, err := client.Apply(ctx, []byte(`{"name":"x"}`)); !errors.As(err, &invalid) {
-		t.Errorf("no plan: %v", err)
+		t.Errorf("apply an incomplete plan: %v, want InvalidError", err)
 	}
 	if _, err := client.Apply(ctx, []byte(rolloutPlan)); !errors.As(err, &refused) {
-		t.Errorf("a plan of unknown jobs: %v", err)
+		t.Errorf("apply a plan with unknown jobs: %v, want RefusedError", err)
 	}
-	s.store.SetDown(true)
-	s.eventually("no controller is available", func() bool {
+	cluster.store.SetDown(true)
+	cluster.eventually("no controller is available", func() bool {
 		short, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := client.Apply(short, []byte(rolloutPlan))
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server is the HTTP interface of a controller node on its public address: requests of users, heartbeats of workers and
-// the health check.
+// Package server is the HTTP interface of a controller node on its public address: requests of users, heartbeats of
+// workers and the health check.
 //
 // It decodes and validates requests, hands them to the core and encodes its responses. It decides nothing about jobs or
 // machines, and keeps no state beside the count of its connections.
@@ -19,15 +19,15 @@
 
 // Core handles requests.
 type Core interface {
-	// Handle hands over the input that belongs to a request id, and waits for the response. It returns false if there is
-	// none before the context ends.
+	// Handle hands over the input that belongs to a request id, and waits for the response. It returns false if there
+	// is none before the context ends.
 	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
 	// Healthy tells whether the node can take requests.
 	Healthy() bool
 }
 
-// Users wait five seconds for the response to a submission and two for that to a poll, workers four for that to a heartbeat.
-// Each gets a response before.
+// Users wait five seconds for the response to a submission and two for that to a poll, workers four for that to a
+// heartbeat. Each gets a response before.
 const (
 	userTimeout   = 1800 * time.Millisecond
 	workerTimeout = 3 * time.Second
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -1,6 +1,7 @@
-// Package wire holds the messages of the protocol with users, workers, the key-value store and the cloud, with their paths and
-// limits. It is the only place where the protocol's own names appear, in field tags; the rest of the program uses the names of
-// the Go fields. It encodes, decodes and checks the form of messages, and knows nothing of their meaning.
+// Package wire holds the messages of the protocol with users, workers, the key-value store and the cloud, with their
+// paths and limits. It is the only place where the protocol's own names appear, in field tags; the rest of the program
+// uses the names of the Go fields. It encodes, decodes and checks the form of messages, and knows nothing of their
+// meaning.
 package wire
 
 import (
@@ -139,5 +140,6 @@
 // maxDependencyBytes bounds what one dependency takes in a stored job: the longest job id with its quotes and a comma.
 const maxDependencyBytes = len(`"run-01234567890123456789",`)
 
-// MaxDependencies bounds the dependencies of a job for a value size of the key-value store: they take at most half of a value.
+// MaxDependencies bounds the dependencies of a job for a value size of the key-value store: they take at most half of a
+// value.
 func MaxDependencies(valueBytes int) int { return max(1, valueBytes/2/maxDependencyBytes) }
