--- a/cmd/bitternwing/input.go
+++ b/cmd/bitternwing/input.go
@@ -24,5 +24,5 @@
 }
 
 func readLimited(reader io.Reader) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(reader, wire.MaxBody+1))
+	return io.ReadAll(io.LimitReader(reader, wire.MaxBodyBytes+1))
 }
--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -32,7 +32,7 @@
 }
 
 // run makes a request, and prints the response with the dependencies of a submitted job.
-func (f *serverFlags) run(dependencies []string, request func(context.Context, *apiclient.Client) (wire.JobState, error)) error {
+func (f *serverFlags) run(dependencies []string, request func(context.Context, *apiclient.Client) (wire.JobResponse, error)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Wait)
 	defer cancel()
 	state, err := request(ctx, apiclient.New(f.Server))
@@ -42,11 +42,11 @@
 	return f.print(os.Stdout, state, dependencies)
 }
 
-func (f *serverFlags) print(w io.Writer, state wire.JobState, dependencies []string) error {
+func (f *serverFlags) print(w io.Writer, state wire.JobResponse, dependencies []string) error {
 	if f.JSON {
 		return json.NewEncoder(w).Encode(state)
 	}
-	line := fmt.Sprintf("%s: %s", state.ID, state.State)
+	line := fmt.Sprintf("%s: %s", state.ID, state.Status)
 	if state.Done != nil && state.Running != nil {
 		line += fmt.Sprintf(", %d tasks running, %d done", *state.Running, *state.Done)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return c.run(job.Dependencies, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+	return c.run(job.Dependencies, func(ctx context.Context, client *apiclient.Client) (wire.JobResponse, error) {
 		return client.Submit(ctx, body)
 	})
 }
@@ -91,7 +91,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobResponse, error) {
 		return client.Show(ctx, c.ID)
 	})
 }
@@ -106,7 +106,7 @@
 	if err := checkID(c.ID); err != nil {
 		return err
 	}
-	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobState, error) {
+	return c.run(nil, func(ctx context.Context, client *apiclient.Client) (wire.JobResponse, error) {
 		return client.Cancel(ctx, c.ID)
 	})
 }
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -74,22 +74,22 @@
 }
 
 // Submit submits a job, given in the protocol's form, and returns its state. Submissions of the same job are idempotent.
-func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobState, error) {
+func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath, job)
 }
 
 // Show returns a job's state.
-func (c *Client) Show(ctx context.Context, id string) (wire.JobState, error) {
+func (c *Client) Show(ctx context.Context, id string) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
 }
 
 // Cancel cancels a job, and returns its final state: cancelled, or done before.
-func (c *Client) Cancel(ctx context.Context, id string) (wire.JobState, error) {
+func (c *Client) Cancel(ctx context.Context, id string) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath+"/"+id+wire.CancelSuffix, nil)
 }
 
 // doWithRetries repeats a request until there is a final response or the context ends.
-func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobState, error) {
+func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobResponse, error) {
 	for {
 		state, delay, err := c.attempt(ctx, method, path, body)
 		if err == nil || delay == 0 {
@@ -97,44 +97,44 @@
 		}
 		select {
 		case <-ctx.Done():
-			return wire.JobState{}, &UnavailableError{err}
+			return wire.JobResponse{}, &UnavailableError{err}
 		case <-time.After(delay):
 		}
 	}
 }
 
 // attempt makes a request once. A delay above 0 says when to retry.
-func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (state wire.JobState, delay time.Duration, err error) {
+func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (state wire.JobResponse, delay time.Duration, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.nextAddress()+path, bytes.NewReader(body))
 	if err != nil {
-		return wire.JobState{}, 0, err
+		return wire.JobResponse{}, 0, err
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return wire.JobState{}, minRetryDelay, err
+		return wire.JobResponse{}, minRetryDelay, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return wire.JobState{}, minRetryDelay, err
+		return wire.JobResponse{}, minRetryDelay, err
 	}
 	return decodeResponse(response, data)
 }
 
 // decodeResponse decodes a response with its body.
-func decodeResponse(response *http.Response, data []byte) (state wire.JobState, delay time.Duration, err error) {
+func decodeResponse(response *http.Response, data []byte) (state wire.JobResponse, delay time.Duration, err error) {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		if err := json.Unmarshal(data, &state); err != nil || state.ID == "" {
-			return wire.JobState{}, minRetryDelay, errUndecodable
+			return wire.JobResponse{}, minRetryDelay, errUndecodable
 		}
 		return state, 0, nil
 	case http.StatusNotFound:
-		return wire.JobState{}, 0, ErrNotFound
+		return wire.JobResponse{}, 0, ErrNotFound
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return wire.JobState{}, 0, &RefusedError{response.StatusCode, reason(data)}
+		return wire.JobResponse{}, 0, &RefusedError{response.StatusCode, reason(data)}
 	}
-	return wire.JobState{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, reason(data))
+	return wire.JobResponse{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, reason(data))
 }
 
 // retryDelay gives the delay that a response asks for, within the bounds.
--- a/internal/apiclient/client_test.go
+++ b/internal/apiclient/client_test.go
@@ -37,7 +37,7 @@
 func TestResponses(t *testing.T) {
 	busy := status(503, `{"error":"can't be confirmed now"}`)
 	state, err := respondInTurn(t, busy, status(200, runningJob)).Show(context.Background(), "run-000412")
-	if err != nil || state.State != wire.JobRunning || *state.Done != 3 {
+	if err != nil || state.Status != wire.JobRunning || *state.Done != 3 {
 		t.Errorf("%+v, %v", state, err)
 	}
 	_, err = respondInTurn(t, status(404, `{"error":"no such job"}`)).Show(context.Background(), "run-000412")
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud's interface: its catalog of machine types, scale-out, scale-in, and the list
-// of machines. It retries nothing: the caller learns the outcome of each request.
+// Package cloud is a client of the cloud provider's API: the catalog of machine types, scale-out, scale-in and the list
+// of machines. It does not retry requests: the caller gets the outcome of each one.
 package cloud
 
 import (
@@ -13,39 +13,39 @@
 	"bitternwing/internal/wire"
 )
 
-// The paths of the cloud's interface.
+// The paths of the cloud's API.
 const (
 	catalogPath  = "/catalog"
 	machinesPath = "/rentals"
 	scaleInPath  = "/rentals/release"
 )
 
-// maxResponseBytes bounds a response: a page of the list of machines is the largest.
+// maxResponseBytes is the maximum size of a response. The largest responses are pages of the machine list.
 const maxResponseBytes = 4 << 20
 
-// Client calls the cloud.
+// Client sends requests to the cloud.
 type Client struct{ http *httpclient.Client }
 
-// New makes a client that sends at most perSecond requests a second.
-func New(addr string, perSecond float64, connections int) *Client {
-	return &Client{httpclient.New(addr, perSecond, connections, maxResponseBytes)}
+// New creates a client that sends at most requestsPerSecond requests per second over at most maxConnections connections.
+func New(addr string, requestsPerSecond float64, maxConnections int) *Client {
+	return &Client{httpclient.New(addr, requestsPerSecond, maxConnections, maxResponseBytes)}
 }
 
-// Catalog reads the machine types.
+// Catalog returns the catalog of machine types. A catalog without types has an unknown outcome.
 func (c *Client) Catalog(ctx context.Context) (wire.Catalog, outcome.Outcome) {
 	var catalog wire.Catalog
-	o := c.http.Do(ctx, http.MethodGet, catalogPath, nil, &catalog)
-	if o == outcome.OK && len(catalog.Types) == 0 {
-		o = outcome.Unknown
+	result := c.http.Do(ctx, http.MethodGet, catalogPath, nil, &catalog)
+	if result == outcome.OK && len(catalog.Types) == 0 {
+		result = outcome.Unknown
 	}
-	return catalog, o
+	return catalog, result
 }
 
-// ScaleOut requests machines. Unless the outcome is OK or unknown, none were created.
+// ScaleOut requests machines. If the outcome is neither OK nor Unknown, no machines were created.
 func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (wire.MachineNames, outcome.Outcome) {
 	var names wire.MachineNames
-	o := c.http.Do(ctx, http.MethodPost, machinesPath, request, &names)
-	return names, o
+	result := c.http.Do(ctx, http.MethodPost, machinesPath, request, &names)
+	return names, result
 }
 
 // ScaleIn returns machines to the cloud.
@@ -53,13 +53,13 @@
 	return c.http.Do(ctx, http.MethodPost, scaleInPath, wire.MachineNames{Machines: names}, nil)
 }
 
-// List reads the page of the machine list that begins after a name.
+// List returns the page of the machine list that begins after a machine name, or the first page if the name is empty.
 func (c *Client) List(ctx context.Context, after string) (wire.MachineList, outcome.Outcome) {
-	query := url.Values{"limit": {strconv.Itoa(wire.MaxList)}}
+	query := url.Values{"limit": {strconv.Itoa(wire.MaxPageMachines)}}
 	if after != "" {
 		query.Set("after", after)
 	}
 	var page wire.MachineList
-	o := c.http.Do(ctx, http.MethodGet, machinesPath+"?"+query.Encode(), nil, &page)
-	return page, o
+	result := c.http.Do(ctx, http.MethodGet, machinesPath+"?"+query.Encode(), nil, &page)
+	return page, result
 }
--- a/internal/core/cancel_requests.go
+++ b/internal/core/cancel_requests.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if final, ok := c.cache.FinalState(in.ID); ok {
-		c.respond(in.RequestID, http.StatusOK, wire.JobState{ID: in.ID, State: final.State})
+		c.respond(in.RequestID, http.StatusOK, wire.JobResponse{ID: in.ID, Status: final.State})
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
@@ -79,7 +79,7 @@
 }
 
 func (p *pendingCancel) respondState(state wire.JobStatus) {
-	p.requests.respond(p.request.RequestID, http.StatusOK, wire.JobState{ID: p.request.ID, State: state})
+	p.requests.respond(p.request.RequestID, http.StatusOK, wire.JobResponse{ID: p.request.ID, Status: state})
 }
 
 // cancelResult is what became of the write of a cancellation.
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -51,7 +51,7 @@
 func (r lookupResult) found() bool { return r.state == lookupActive || r.state == lookupEnded }
 
 // jobStateOf is what users are told of a job that was found.
-func (c *Core) jobStateOf(id string, result lookupResult) wire.JobState {
+func (c *Core) jobStateOf(id string, result lookupResult) wire.JobResponse {
 	if result.state == lookupEnded {
 		return finalJobState(id, result.final)
 	}
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -167,7 +167,7 @@
 		cluster.lastRequest++
 		cluster.step(node, core.GetJob{RequestID: cluster.lastRequest << 16, ID: id})
 		cluster.runFor(100 * time.Millisecond)
-		if s, ok := cluster.lastAnswer.(wire.JobState); !ok || s.State != wire.JobRunning {
+		if s, ok := cluster.lastAnswer.(wire.JobResponse); !ok || s.Status != wire.JobRunning {
 			pending++
 		}
 	}
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -33,7 +33,7 @@
 	switch {
 	case chunk.inFlight || chunk.rereadInFlight:
 		return false // its version is not known
-	case !b.hasRoom(1) || b.size > wire.MaxBody/2:
+	case !b.hasRoom(1) || b.size > wire.MaxBodyBytes/2:
 		return false
 	case len(b.txn.If)+2 > w.leader.core.limits.maxConditions():
 		return false
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -44,7 +44,7 @@
 	ops := r.shardOps(values)
 	write := &relayWrite{relay: r, shards: len(values), pendingOps: len(ops)}
 	r.shards = max(r.shards, len(values))
-	opsPerTxn := min(r.core.limits.maxChanges(), wire.MaxBody*9/10/packer.MaxBytes)
+	opsPerTxn := min(r.core.limits.maxChanges(), wire.MaxBodyBytes*9/10/packer.MaxBytes)
 	for txnOps := range slices.Chunk(ops, opsPerTxn) {
 		write.send(txnOps)
 	}
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -255,7 +255,7 @@
 	world.advance(10 * time.Second)
 	for i := range newJobs {
 		response := world.ask(world.nodes[i], func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: newJob(i)} })
-		if s, ok := response.Body.(wire.JobState); !ok || s.State != wire.JobPending {
+		if s, ok := response.Body.(wire.JobResponse); !ok || s.Status != wire.JobPending {
 			t.Errorf("%s: %+v", newJob(i), response)
 		}
 	}
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -115,7 +115,7 @@
 		c.bytes += len(op.Value)
 	}
 	body, err := json.Marshal(effect.Txn)
-	if err != nil || len(body) > wire.MaxBody || len(effect.Txn.If) > 4*cluster.lastSettings.Params.Store.TxnOps {
+	if err != nil || len(body) > wire.MaxBodyBytes || len(effect.Txn.If) > 4*cluster.lastSettings.Params.Store.TxnOps {
 		cluster.test.Errorf("a transaction of %d bytes, %d conditions: %v", len(body), len(effect.Txn.If), err)
 	}
 	c.largestBody = max(c.largestBody, len(body))
@@ -178,7 +178,7 @@
 		if worker.dead || worker.name <= effect.After {
 			continue
 		}
-		if len(result.Machines.Machines) == wire.MaxList {
+		if len(result.Machines.Machines) == wire.MaxPageMachines {
 			result.Machines.More = true
 			break
 		}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -167,7 +167,7 @@
 	cluster.lastAnswer = nil
 	cluster.step(cluster.nodes[1], core.GetJob{RequestID: cluster.lastRequest << 16, ID: cluster.liveServices[0]})
 	cluster.runFor(time.Second)
-	if s, ok := cluster.lastAnswer.(wire.JobState); !ok || s.State != wire.JobCancelled || cluster.counts.gets == gets {
+	if s, ok := cluster.lastAnswer.(wire.JobResponse); !ok || s.Status != wire.JobCancelled || cluster.counts.gets == gets {
 		t.Errorf("the first job is answered %+v after %d reads", cluster.lastAnswer, cluster.counts.gets-gets)
 	}
 }
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -62,8 +62,8 @@
 			// What a standstill has made late is not told any more: see node.Ask.
 			s.after(s.latency(), func() {
 				st := wire.JobStatus("")
-				if js, ok := response.Body.(wire.JobState); ok {
-					st = js.State
+				if js, ok := response.Body.(wire.JobResponse); ok {
+					st = js.Status
 				}
 				give(response.Status, st)
 			})
--- a/internal/core/store_keys_test.go
+++ b/internal/core/store_keys_test.go
@@ -9,7 +9,7 @@
 func storedKeys(store *emulator.Store, prefix string) []string {
 	var keys []string
 	for after := ""; ; after = keys[len(keys)-1] {
-		page := store.List(prefix, after, wire.MaxItems)
+		page := store.List(prefix, after, wire.MaxPageItems)
 		for _, item := range page.Items {
 			keys = append(keys, item.Key)
 		}
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -74,5 +74,5 @@
 
 // maxValuesPerTxn is how many values of maxValueBytes a transaction holds.
 func (c *Core) maxValuesPerTxn() int {
-	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.maxValueBytes())
+	return min(c.limits.maxChanges(), wire.MaxBodyBytes*9/10/c.maxValueBytes())
 }
--- a/internal/core/submission_batches.go
+++ b/internal/core/submission_batches.go
@@ -14,7 +14,7 @@
 	// submissionOverheadBytes is what a submission takes in a transaction beside its value.
 	submissionOverheadBytes = 256
 	// maxSubmissionBatchBytes bounds a transaction of several submissions.
-	maxSubmissionBatchBytes = wire.MaxBody * 3 / 4
+	maxSubmissionBatchBytes = wire.MaxBodyBytes * 3 / 4
 )
 
 // submissionBatch is the submissions that one transaction commits.
@@ -81,7 +81,7 @@
 func (u *userRequests) acceptSubmission(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	for _, requestID := range s.requestIDs {
-		u.respond(requestID, http.StatusCreated, wire.JobState{ID: s.job.ID, State: wire.JobPending})
+		u.respond(requestID, http.StatusCreated, wire.JobResponse{ID: s.job.ID, Status: wire.JobPending})
 	}
 }
 
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -221,7 +221,7 @@
 func (harness *traceHarness) checkTransactionLimits(t wire.Txn) {
 	p := harness.settings("a").Params.Store
 	body, err := json.Marshal(t)
-	if err != nil || len(body) > wire.MaxBody || len(t.Then) > p.TxnOps || len(t.If) > 4*p.TxnOps {
+	if err != nil || len(body) > wire.MaxBodyBytes || len(t.Then) > p.TxnOps || len(t.If) > 4*p.TxnOps {
 		harness.tb.Errorf("a transaction of %d changes, %d conditions, %d bytes: %v", len(t.Then), len(t.If), len(body), err)
 	}
 	for _, op := range t.Then {
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -70,20 +70,20 @@
 var noSuchJob = wire.ErrorBody{Error: "no such job"}
 
 // finalJobState is what users are told of a job that has ended.
-func finalJobState(id string, final stored.FinalState) wire.JobState {
+func finalJobState(id string, final stored.FinalState) wire.JobResponse {
 	running := 0
-	return wire.JobState{ID: id, State: final.State, Done: &final.Done, Running: &running}
+	return wire.JobResponse{ID: id, Status: final.State, Done: &final.Done, Running: &running}
 }
 
 // activeJobState is what users are told of a job that has not ended.
-func (c *Core) activeJobState(id string, job *watchcache.Job) wire.JobState {
+func (c *Core) activeJobState(id string, job *watchcache.Job) wire.JobResponse {
 	counts := c.countsOf(id)
-	state := wire.JobState{ID: id, State: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
+	state := wire.JobResponse{ID: id, Status: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
 	switch {
 	case job.Cancelled():
-		state.State = wire.JobCancelled
+		state.Status = wire.JobCancelled
 	case counts.Running > 0:
-		state.State = wire.JobRunning
+		state.Status = wire.JobRunning
 	}
 	return state
 }
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -176,8 +176,8 @@
 
 // list gives a page of the machines, in order of their names.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
-	if limit <= 0 || limit > wire.MaxList {
-		limit = wire.MaxList
+	if limit <= 0 || limit > wire.MaxPageMachines {
+		limit = wire.MaxPageMachines
 	}
 	var rest []*instance
 	for name, machine := range c.machines {
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -44,10 +44,10 @@
 		t.Errorf("more than there are: %v", o)
 	}
 	first, _ := client.List(ctx, "")
-	if len(first.Machines) != wire.MaxList || !first.More {
+	if len(first.Machines) != wire.MaxPageMachines || !first.More {
 		t.Fatalf("%d machines in the first page", len(first.Machines))
 	}
-	last := first.Machines[wire.MaxList-1].Name
+	last := first.Machines[wire.MaxPageMachines-1].Name
 	if rest, _ := client.List(ctx, last); len(rest.Machines) != 2 || rest.More || rest.Machines[0].Name != fmt.Sprintf("host-%06d", 501) {
 		t.Errorf("%+v after %s", rest, last)
 	}
--- a/internal/emulator/store_server.go
+++ b/internal/emulator/store_server.go
@@ -176,8 +176,8 @@
 }
 
 func (s *StoreServer) serve(client string, w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
-	if err != nil || len(body) > wire.MaxBody {
+	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBodyBytes+1))
+	if err != nil || len(body) > wire.MaxBodyBytes {
 		respond(w, http.StatusBadRequest, nil)
 		return
 	}
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -111,7 +111,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	_, err = u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Submit(ctx, body) })
+	_, err = u.withSlot(ctx, func() (wire.JobResponse, error) { return u.client.Submit(ctx, body) })
 	var refused *apiclient.RefusedError
 	switch {
 	case err == nil:
@@ -131,25 +131,25 @@
 func (u *Users) poll(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
-	state, err := u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Show(ctx, id) })
+	state, err := u.withSlot(ctx, func() (wire.JobResponse, error) { return u.client.Show(ctx, id) })
 	if errors.Is(err, apiclient.ErrNotFound) {
 		u.ledger.RecordNotFound(id)
 	}
 	if err != nil {
 		return false
 	}
-	u.ledger.RecordStatus(id, state.State)
-	return u.countFinal(state.State)
+	u.ledger.RecordStatus(id, state.Status)
+	return u.countFinal(state.Status)
 }
 
 // Cancel has a user cancel a job.
 func (u *Users) Cancel(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	state, err := u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Cancel(ctx, id) })
+	state, err := u.withSlot(ctx, func() (wire.JobResponse, error) { return u.client.Cancel(ctx, id) })
 	if err == nil {
-		u.ledger.RecordStatus(id, state.State)
-		u.countFinal(state.State)
+		u.ledger.RecordStatus(id, state.Status)
+		u.countFinal(state.Status)
 	}
 }
 
@@ -168,11 +168,11 @@
 }
 
 // withSlot makes a request once fewer than maxConcurrentRequests are under way.
-func (u *Users) withSlot(ctx context.Context, request func() (wire.JobState, error)) (wire.JobState, error) {
+func (u *Users) withSlot(ctx context.Context, request func() (wire.JobResponse, error)) (wire.JobResponse, error) {
 	select {
 	case u.slots <- struct{}{}:
 	case <-ctx.Done():
-		return wire.JobState{}, ctx.Err()
+		return wire.JobResponse{}, ctx.Err()
 	}
 	defer func() { <-u.slots }()
 	return request()
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
-// Package httpclient makes JSON requests over HTTP and reports their outcome without guessing: a request whose response
-// is lost has an unknown outcome, never a failed one.
+// Package httpclient sends JSON requests over HTTP and classifies their outcomes. A request whose response is lost has
+// an unknown outcome, never a failed one, since the service may have applied it.
 package httpclient
 
 import (
@@ -17,13 +17,13 @@
 	"bitternwing/internal/outcome"
 )
 
-// Client calls one service, or several at addresses of their own.
+// Client sends requests to one service, or to many hosts.
 type Client struct {
-	http      *http.Client
-	transport *http.Transport
-	base      string // the scheme and the address; empty: paths are whole URLs
-	limiter   *rate.Limiter
-	maxBody   int64
+	http             *http.Client
+	transport        *http.Transport
+	baseURL          string // scheme and address of the service; empty if paths are complete URLs
+	limiter          *rate.Limiter
+	maxResponseBytes int64
 }
 
 // The limits of a connection.
@@ -32,42 +32,42 @@
 	idleTimeout = 30 * time.Second
 )
 
-// New makes a client for a service at an address. perSecond bounds the requests
-// sent; a request over it is dropped here, at once. connections bounds the sockets, maxBody the bytes of a response.
-func New(addr string, perSecond float64, connections int, maxBody int64) *Client {
+// New creates a client for the service at an address. Requests beyond requestsPerSecond are dropped immediately,
+// without being sent. maxConnections bounds the connections, and maxResponseBytes the size of a response.
+func New(addr string, requestsPerSecond float64, maxConnections int, maxResponseBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxConnsPerHost:     connections,
-		MaxIdleConnsPerHost: connections,
-		MaxIdleConns:        connections,
+		MaxConnsPerHost:     maxConnections,
+		MaxIdleConnsPerHost: maxConnections,
+		MaxIdleConns:        maxConnections,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 	return &Client{
-		http:      &http.Client{Transport: transport},
-		transport: transport,
-		base:      "http://" + addr,
-		limiter:   rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))),
-		maxBody:   maxBody,
+		http:             &http.Client{Transport: transport},
+		transport:        transport,
+		baseURL:          "http://" + addr,
+		limiter:          rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
+		maxResponseBytes: maxResponseBytes,
 	}
 }
 
-// NewMultiHost makes a client for many addresses; Do then takes whole URLs as paths.
-func NewMultiHost(perSecond float64, connectionsPerHost, idleConnections int, maxBody int64) *Client {
-	c := New("", perSecond, connectionsPerHost, maxBody)
-	c.base = ""
-	c.transport.MaxIdleConns = idleConnections
+// NewMultiHost creates a client for many hosts. The path argument of Do is then a complete URL.
+func NewMultiHost(requestsPerSecond float64, maxConnectionsPerHost, maxIdleConnections int, maxResponseBytes int64) *Client {
+	c := New("", requestsPerSecond, maxConnectionsPerHost, maxResponseBytes)
+	c.baseURL = ""
+	c.transport.MaxIdleConns = maxIdleConnections
 	return c
 }
 
-// Do sends a request and decodes the response into out where the status is a success, or 409 or 404, whose bodies
-// matter as well. body and out may be nil.
+// Do sends a request with an optional JSON body. It decodes the response into out, unless out is nil, if the status is
+// a success, 404 or 409; other responses have no body of interest. A request above the rate limit is dropped.
 func (c *Client) Do(ctx context.Context, method, path string, body, out any) outcome.Outcome {
 	if !c.limiter.Allow() {
 		return outcome.Dropped
 	}
-	request, err := newRequest(ctx, method, c.base+path, body)
+	request, err := newRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return outcome.Invalid
 	}
@@ -76,19 +76,19 @@
 		return outcomeOfError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, c.maxBody+1))
-	o := outcomeOfStatus(response.StatusCode)
-	if err != nil || int64(len(data)) > c.maxBody {
-		return outcomeWithoutBody(o, err)
+	data, err := io.ReadAll(io.LimitReader(response.Body, c.maxResponseBytes+1))
+	result := outcomeOfStatus(response.StatusCode)
+	if err != nil || int64(len(data)) > c.maxResponseBytes {
+		return outcomeWithoutBody(result, err)
 	}
-	hasBody := o == outcome.OK || o == outcome.Conflict || o == outcome.NotFound
+	hasBody := result == outcome.OK || result == outcome.Conflict || result == outcome.NotFound
 	if out != nil && len(data) > 0 && hasBody && json.Unmarshal(data, out) != nil {
-		return outcome.Unknown // a response that can't be decoded proves nothing
+		return outcome.Unknown // a response that can't be decoded does not show what was applied
 	}
-	return o
+	return result
 }
 
-// newRequest makes a request with a JSON body, or without one.
+// newRequest creates a request. If body is not nil, the request has it as a JSON body.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	if body == nil {
 		return http.NewRequestWithContext(ctx, method, url, http.NoBody)
@@ -105,8 +105,8 @@
 	return request, nil
 }
 
-// outcomeOfError gives the outcome of a request without a response. Only a connection that was never established proves
-// that nothing was sent.
+// outcomeOfError returns the outcome of a request that got no response. Only a failure to connect proves that nothing
+// was sent.
 func outcomeOfError(err error) outcome.Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -115,8 +115,8 @@
 	return outcome.Unknown
 }
 
-// outcomeWithoutBody gives the outcome of a request whose response has a status, and a body that could not be read or,
-// without an error, was too large.
+// outcomeWithoutBody returns the outcome of a request whose response has a status but no usable body: reading the body
+// failed with err or, if err is nil, the body was too large.
 func outcomeWithoutBody(status outcome.Outcome, err error) outcome.Outcome {
 	switch {
 	case status.CertainlyNotApplied():
@@ -127,6 +127,7 @@
 	return outcome.Unknown
 }
 
+// outcomeOfStatus returns the outcome that a response's status stands for.
 func outcomeOfStatus(status int) outcome.Outcome {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -12,33 +12,33 @@
 	"bitternwing/internal/outcome"
 )
 
-// An unknown outcome is never taken for a refusal or a success.
+// TestOutcomes checks that a request which may have been applied has an unknown outcome, never a refusal or a success.
 func TestOutcomes(t *testing.T) {
-	var next atomic.Value // the response of the service
+	var nextReply atomic.Value // the service's next response
 	type reply struct {
-		status int
+		status int // 0 if the service does not respond
 		body   string
 	}
-	end := make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a := next.Load().(reply)
-		if a.status == 0 {
-			<-end // no response
+	release := make(chan struct{})
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		current := nextReply.Load().(reply)
+		if current.status == 0 {
+			<-release // no response
 			return
 		}
-		w.WriteHeader(a.status)
-		_, _ = w.Write([]byte(a.body))
+		w.WriteHeader(current.status)
+		_, _ = w.Write([]byte(current.body))
 	}))
-	defer s.Close()
-	defer close(end)
-	c := New(s.Listener.Addr().String(), 1000, 2, 100)
+	defer server.Close()
+	defer close(release)
+	c := New(server.Listener.Addr().String(), 1000, 2, 100)
 	do := func(c *Client) outcome.Outcome {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		var out struct{ X int }
 		return c.Do(ctx, "POST", "/x", struct{}{}, &out)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		status int
 		body   string
 		want   outcome.Outcome
@@ -56,22 +56,22 @@
 		{302, `{}`, outcome.Unknown},
 		{0, ``, outcome.Unknown},
 	} {
-		next.Store(reply{x.status, x.body})
-		if got := do(c); got != x.want {
-			t.Errorf("%d %.10q: %v, not %v", x.status, x.body, got, x.want)
+		nextReply.Store(reply{test.status, test.body})
+		if got := do(c); got != test.want {
+			t.Errorf("%d %.10q: %v, not %v", test.status, test.body, got, test.want)
 		}
 	}
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = l.Close()
-	if got := do(New(l.Addr().String(), 1000, 2, 100)); got != outcome.Unavailable {
-		t.Errorf("a connection that never stood: %v", got)
+	_ = listener.Close()
+	if got := do(New(listener.Addr().String(), 1000, 2, 100)); got != outcome.Unavailable {
+		t.Errorf("refused connection: %v, want Unavailable", got)
 	}
-	slow := New(s.Listener.Addr().String(), 1, 2, 100)
-	next.Store(reply{200, `{}`})
-	if a, b := do(slow), do(slow); a != outcome.OK || b != outcome.Dropped {
-		t.Errorf("over the rate: %v, %v", a, b)
+	limited := New(server.Listener.Addr().String(), 1, 2, 100)
+	nextReply.Store(reply{200, `{}`})
+	if first, second := do(limited), do(limited); first != outcome.OK || second != outcome.Dropped {
+		t.Errorf("two requests at a limit of 1/s: %v, %v, want OK, Dropped", first, second)
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,7 +14,7 @@
 	"bitternwing/internal/core"
 )
 
-// countingListener counts the connections that are open at the same time.
+// countingListener counts the open connections and records their maximum.
 type countingListener struct {
 	net.Listener
 	mu            sync.Mutex
@@ -48,7 +48,7 @@
 	return c.Conn.Close()
 }
 
-// serve serves metrics on loopback and gives the address and the listener.
+// serve serves metrics on loopback and returns the address and the listener.
 func serve(t *testing.T, options Options) (string, *countingListener) {
 	t.Helper()
 	inner, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	return inner.Addr().String(), l
 }
 
-// get makes a request and gives the status of the response and its Retry-After.
+// get sends a request and returns the response's status and Retry-After header.
 func get(t *testing.T, addr, path string) (status int, retryAfter string, err error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+path, http.NoBody)
@@ -77,7 +77,7 @@
 	return response.StatusCode, response.Header.Get("Retry-After"), nil
 }
 
-// Names and help texts follow Prometheus' conventions.
+// TestNames checks that names and help texts follow the conventions of Prometheus.
 func TestNames(t *testing.T) {
 	r := New(func() core.Status { return core.Status{} })
 	r.Input("report", time.Millisecond)
@@ -92,16 +92,16 @@
 	}
 }
 
-// A recorder that is off counts nothing and harms nothing.
-func TestOff(t *testing.T) {
+// TestNilRecorder checks that the methods of a nil recorder do nothing.
+func TestNilRecorder(t *testing.T) {
 	var r *Recorder
 	r.Input("report", time.Millisecond)
 	r.Request("poll", http.StatusOK)
 	r.Call(Store, "txn", "ok")
 }
 
-// However many scrapers come and get stuck, no more connections are open than are allowed, and a scraper is served once
-// the others have had their time.
+// TestMaxConnections checks that stuck scrapers never exceed the maximum number of connections, and that another
+// scraper is served once their connections time out.
 func TestMaxConnections(t *testing.T) {
 	addr, l := serve(t, Options{MaxConnections: 2, RequestTimeout: 200 * time.Millisecond})
 	for range 40 {
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		_, _ = io.WriteString(c, "GET /metrics HTTP/1.1\r\n") // it never ends its header
+		_, _ = io.WriteString(c, "GET /metrics HTTP/1.1\r\n") // the header is never completed
 	}
 	for served := false; !served; {
 		status, _, err := get(t, addr, "/metrics")
@@ -123,8 +123,9 @@
 	}
 }
 
-// Scrapes above the rate are told to come back, and profiles last as long as is allowed at most.
-func TestRefusals(t *testing.T) {
+// TestRateAndDurationLimits checks that scrapes above the rate limit get 503 with a Retry-After header, and that
+// profiles with an invalid duration or one above the maximum are refused.
+func TestRateAndDurationLimits(t *testing.T) {
 	addr, _ := serve(t, Options{MaxConnections: 8, RequestTimeout: time.Second, Profiles: true})
 	refused := false
 	for range 10 * scrapeBurst {
@@ -135,7 +136,7 @@
 		refused = refused || status == http.StatusServiceUnavailable && retryAfter != ""
 	}
 	if !refused {
-		t.Error("no scrape is refused")
+		t.Error("no scrape above the rate limit is refused")
 	}
 	for path, want := range map[string]int{
 		"/debug/pprof/heap":                 http.StatusOK,
@@ -146,12 +147,12 @@
 		"/debug/pprof/trace?seconds=0.0001": http.StatusOK,
 	} {
 		if got, _, err := get(t, addr, path); err != nil || got != want {
-			t.Errorf("%s gets %d, %v", path, got, err)
+			t.Errorf("%s: wrong status %d, error %v", path, got, err)
 		}
 	}
 }
 
-// BenchmarkRecorder takes what a report costs the recorder, off and on: an input, a request and a call.
+// BenchmarkRecorder measures what the recorder costs for a heartbeat, off and on: an input, a request and a call.
 func BenchmarkRecorder(b *testing.B) {
 	for name, r := range map[string]*Recorder{"off": nil, "on": New(func() core.Status { return core.Status{} })} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -1,6 +1,6 @@
-// Package metrics counts the inputs, requests and calls of a node and serves the counts in Prometheus' text form, with
-// profiles of the process behind a setting of their own. It may not change what the node does. Labels name kinds of
-// messages, services and outcomes; nothing in them tells of teams, jobs, images or users.
+// Package metrics counts the inputs, requests and calls of a node and serves the counts in the Prometheus text format.
+// A setting of its own adds profiles of the process. The package must not change what the node does. Labels are kinds
+// of messages, services and outcomes; they never contain teams, jobs, images or users.
 package metrics
 
 import (
@@ -13,10 +13,10 @@
 	"bitternwing/internal/core"
 )
 
-// namespace begins the names of all metrics of a node.
+// namespace is the prefix of the names of a node's metrics.
 const namespace = "bitternwing"
 
-// Service names what a node makes calls to.
+// Service is the label of a service that a node calls.
 type Service string
 
 // The services.
@@ -29,42 +29,42 @@
 	Region  Service = "region"
 )
 
-// Recorder counts what a node does. A nil Recorder counts nothing.
+// Recorder counts the inputs, requests and calls of a node. A nil Recorder counts nothing.
 type Recorder struct {
-	registry *prometheus.Registry
-	inputs   *prometheus.CounterVec
-	steps    *prometheus.CounterVec
-	requests *prometheus.CounterVec
-	calls    *prometheus.CounterVec
+	registry    *prometheus.Registry
+	inputs      *prometheus.CounterVec
+	stepSeconds *prometheus.CounterVec
+	requests    *prometheus.CounterVec
+	calls       *prometheus.CounterVec
 }
 
-// New makes a recorder; status is read at each scrape.
-func New(status func() core.Status) *Recorder {
+// New creates a recorder. It calls readStatus at each scrape.
+func New(readStatus func() core.Status) *Recorder {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	}
 	r := &Recorder{
-		registry: prometheus.NewRegistry(),
-		inputs:   counter("core_inputs_total", "Inputs that the core took, by kind.", "kind"),
-		steps:    counter("core_step_seconds_total", "Time in which the core took inputs, by kind.", "kind"),
-		requests: counter("http_requests_total", "Requests that were answered, by endpoint and status.", "endpoint", "code"),
-		calls:    counter("calls_total", "Calls to other services, by operation and outcome.", "service", "operation", "outcome"),
+		registry:    prometheus.NewRegistry(),
+		inputs:      counter("core_inputs_total", "Inputs that the core handled, by kind.", "kind"),
+		stepSeconds: counter("core_step_seconds_total", "Time that the core spent handling inputs, by kind.", "kind"),
+		requests:    counter("http_requests_total", "HTTP requests that got a response, by endpoint and status code.", "endpoint", "code"),
+		calls:       counter("calls_total", "Calls to other services, by service, operation and outcome.", "service", "operation", "outcome"),
 	}
-	r.registry.MustRegister(r.inputs, r.steps, r.requests, r.calls, newStatusCollector(status),
+	r.registry.MustRegister(r.inputs, r.stepSeconds, r.requests, r.calls, newStatusCollector(readStatus),
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return r
 }
 
-// Input counts an input of the core and how long the step took.
-func (r *Recorder) Input(kind string, took time.Duration) {
+// Input counts an input of the core and the duration of its step.
+func (r *Recorder) Input(kind string, stepTime time.Duration) {
 	if r == nil {
 		return
 	}
 	r.inputs.WithLabelValues(kind).Inc()
-	r.steps.WithLabelValues(kind).Add(took.Seconds())
+	r.stepSeconds.WithLabelValues(kind).Add(stepTime.Seconds())
 }
 
-// Request counts a request with its status.
+// Request counts a request by endpoint and response status.
 func (r *Recorder) Request(endpoint string, status int) {
 	if r == nil {
 		return
@@ -72,7 +72,7 @@
 	r.requests.WithLabelValues(endpoint, strconv.Itoa(status)).Inc()
 }
 
-// Call counts a call that has ended.
+// Call counts a completed call.
 func (r *Recorder) Call(service Service, operation, outcome string) {
 	if r == nil {
 		return
@@ -80,53 +80,54 @@
 	r.calls.WithLabelValues(string(service), operation, outcome).Inc()
 }
 
-// statusMetric is a metric that is read off a node's status.
+// statusMetric is a metric whose value is read from a node's status.
 type statusMetric struct {
 	desc  *prometheus.Desc
 	kind  prometheus.ValueType
 	value func(core.Status) float64
 }
 
-// basisCounter is a counter in a node's status for each basis on which leases are renewed.
-type basisCounter struct {
+// leaseBasisCounter is a counter in a node's status, with a value for each basis on which leases are renewed.
+type leaseBasisCounter struct {
 	desc   *prometheus.Desc
 	values func(core.Status) [core.LeaseBasisCount]uint64
 }
 
-// statusCollector gives a node's status as metrics.
+// statusCollector exports a node's status as metrics.
 type statusCollector struct {
-	status   func() core.Status
-	metrics  []statusMetric
-	counters []basisCounter
+	readStatus    func() core.Status
+	metrics       []statusMetric
+	leaseCounters []leaseBasisCounter
 }
 
+// newStatusCollector creates a collector that calls readStatus at each scrape.
 func newStatusCollector(readStatus func() core.Status) *statusCollector {
-	c := &statusCollector{status: readStatus}
+	c := &statusCollector{readStatus: readStatus}
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil)
 	}
 	gauge := func(name, help string, value func(core.Status) float64) {
 		c.metrics = append(c.metrics, statusMetric{desc(name, help), prometheus.GaugeValue, value})
 	}
-	byBasis := func(name, help string, values func(core.Status) [core.LeaseBasisCount]uint64) {
-		c.counters = append(c.counters, basisCounter{desc(name, help, "basis"), values})
+	counterByBasis := func(name, help string, values func(core.Status) [core.LeaseBasisCount]uint64) {
+		c.leaseCounters = append(c.leaseCounters, leaseBasisCounter{desc(name, help, "basis"), values})
 	}
-	gauge("leading", "1 while this node leads.", func(status core.Status) float64 { return oneIf(status.Leading) })
-	gauge("load_ratio", "How short of processor time this node is: 0 it keeps up, 1 it is overloaded.", func(status core.Status) float64 { return status.Load })
-	gauge("held_answers", "Answers to reports that are held back now.", func(status core.Status) float64 { return float64(status.HeldResponses) })
-	gauge("machines", "Machines that this node looks after; 0 while it does not lead.", func(status core.Status) float64 { return float64(status.Machines) })
-	gauge("term", "Newest term that this node knows.", func(status core.Status) float64 { return float64(status.Term) })
-	gauge("leader_entitled", "1 while this node leads and may act for the controllers.", func(status core.Status) float64 { return oneIf(status.HasAuthority) })
-	gauge("leader_unread_seconds", "How long this node has led without the records; 0 once it has read them.",
+	gauge("leading", "1 while this node leads.", func(status core.Status) float64 { return boolToFloat(status.Leading) })
+	gauge("load_ratio", "How short of CPU time this node is, from 0 (it keeps up) to 1 (overloaded).", func(status core.Status) float64 { return status.Load })
+	gauge("held_answers", "Responses to heartbeats that are currently held back.", func(status core.Status) float64 { return float64(status.HeldResponses) })
+	gauge("machines", "Machines that this node manages as the leader; 0 while it does not lead.", func(status core.Status) float64 { return float64(status.Machines) })
+	gauge("term", "Newest leadership term that this node knows.", func(status core.Status) float64 { return float64(status.Term) })
+	gauge("leader_entitled", "1 while this node leads and has the authority to act as the leader.", func(status core.Status) float64 { return boolToFloat(status.HasAuthority) })
+	gauge("leader_unread_seconds", "How long this node has led without having recovered the stored state; 0 once it has, or while it does not lead.",
 		func(status core.Status) float64 { return status.Recovering.Seconds() })
-	gauge("read_revision", "Revision of the state service up to which this node has read the changes of jobs.",
+	gauge("read_revision", "Revision of the key-value store up to which this node has read the changes of jobs.",
 		func(status core.Status) float64 { return float64(status.Revision) })
-	gauge("state_served", "1 while the state service serves this node.", func(status core.Status) float64 { return oneIf(!status.StoreDown) })
-	c.metrics = append(c.metrics, statusMetric{desc("terms_led_total", "Terms that this process has led."), prometheus.CounterValue,
+	gauge("state_served", "1 while the key-value store serves this node.", func(status core.Status) float64 { return boolToFloat(!status.StoreDown) })
+	c.metrics = append(c.metrics, statusMetric{desc("terms_led_total", "Terms in which this process has led."), prometheus.CounterValue,
 		func(status core.Status) float64 { return float64(status.TermsLed) }})
-	byBasis("lease_renewals_total", "Answers to reports that renewed a worker's lease, by why this node may answer.",
+	counterByBasis("lease_renewals_total", "Responses to heartbeats that renewed a worker's lease, by the basis on which this node may respond.",
 		func(status core.Status) [core.LeaseBasisCount]uint64 { return status.LeaseRenewals })
-	byBasis("cancelled_stops_total", "Stops of tasks of cancelled jobs in such answers, by the same.",
+	counterByBasis("cancelled_stops_total", "Stop commands for tasks of cancelled jobs in responses that renewed a worker's lease, by the same basis.",
 		func(status core.Status) [core.LeaseBasisCount]uint64 { return status.CancelledStops })
 	return c
 }
@@ -138,19 +139,19 @@
 
 // Collect implements prometheus.Collector.
 func (c *statusCollector) Collect(metrics chan<- prometheus.Metric) {
-	s := c.status()
+	s := c.readStatus()
 	for _, m := range c.metrics {
 		metrics <- prometheus.MustNewConstMetric(m.desc, m.kind, m.value(s))
 	}
-	for _, counter := range c.counters {
+	for _, counter := range c.leaseCounters {
 		for basis, value := range counter.values(s) {
 			metrics <- prometheus.MustNewConstMetric(counter.desc, prometheus.CounterValue, float64(value), core.LeaseBasis(basis).String())
 		}
 	}
 }
 
-// oneIf gives 1 for true, and 0 for false.
-func oneIf(condition bool) float64 {
+// boolToFloat returns 1 for true and 0 for false.
+func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// idleTimeout is how long a connection may wait for the next request.
+	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 10 * time.Second
-	// maxProfileDuration bounds how long a profile or an execution trace may take.
+	// maxProfileDuration is the maximum duration of a profile or an execution trace.
 	maxProfileDuration = 60 * time.Second
-	// defaultCPUProfile and defaultTrace are how long these take where the request does not say: the defaults of
-	// net/http/pprof.
-	defaultCPUProfile = 30 * time.Second
-	defaultTrace      = time.Second
-	// maxHeaderBytes bounds the header of a request.
+	// defaultCPUProfileDuration and defaultTraceDuration are the durations of profiles and traces if the request does
+	// not set them. They are the defaults of net/http/pprof.
+	defaultCPUProfileDuration = 30 * time.Second
+	defaultTraceDuration      = time.Second
+	// maxHeaderBytes is the maximum size of a request header.
 	maxHeaderBytes = 8 << 10
 )
 
-// A scrape takes processor time that a small controller hardly has: beyond these, scrapers are told to come back.
+// The rate limit of scrapes. A scrape takes CPU time, which is scarce on a small controller. Scrapes above the limit
+// get 503 with a Retry-After header.
 const (
 	scrapesPerSecond = 1
 	scrapeBurst      = 4
 )
 
-// Options bound what scrapers may use.
+// Options are the options of a metrics server.
 type Options struct {
 	MaxConnections int
-	RequestTimeout time.Duration // in which a scraper gets its response, or loses its connection, whatever it does
-	Profiles       bool          // are served as well
+	RequestTimeout time.Duration // for the whole response, after which the connection is closed even if the scraper stalls
+	Profiles       bool          // serves the profiles of net/http/pprof, too
 }
 
 // Server serves the metrics of a recorder.
@@ -46,7 +47,7 @@
 	options Options
 }
 
-// NewServer makes a server.
+// NewServer creates a server. It logs the errors of connections at the debug level.
 func NewServer(recorder *Recorder, options Options, log *slog.Logger) *Server {
 	s := &Server{options: options}
 	mux := http.NewServeMux()
@@ -64,15 +65,15 @@
 	return s
 }
 
-// Serve serves a listener until Close.
+// Serve accepts connections from a listener until Close.
 func (s *Server) Serve(listener net.Listener) error {
 	return s.http.Serve(netutil.LimitListener(listener, s.options.MaxConnections))
 }
 
-// Close ends the server at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// withDeadline bounds the time that a request may take. A body is not read: none of these requests has one.
+// withDeadline wraps a handler with the request timeout. It does not read the body: none of these requests has one.
 func (s *Server) withDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if setDeadline(w, s.options.RequestTimeout) == nil {
@@ -81,14 +82,14 @@
 	})
 }
 
-// setDeadline gives a request so much time from now on.
+// setDeadline sets the read and write deadlines of a request's connection to the timeout from now.
 func setDeadline(w http.ResponseWriter, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	control := http.NewResponseController(w)
 	return errors.Join(control.SetReadDeadline(deadline), control.SetWriteDeadline(deadline))
 }
 
-// limitScrapes refuses scrapes above a rate.
+// limitScrapes wraps a handler with the rate limit of scrapes.
 func limitScrapes(next http.Handler) http.Handler {
 	limiter := rate.NewLimiter(scrapesPerSecond, scrapeBurst)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -101,20 +102,20 @@
 	})
 }
 
-// handleProfiles serves the profiles of net/http/pprof.
+// handleProfiles registers the handlers of net/http/pprof.
 func (s *Server) handleProfiles(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/cmdline", pprof.Cmdline)
-	mux.HandleFunc("GET /debug/pprof/profile", s.withProfileDeadline(defaultCPUProfile, pprof.Profile))
-	mux.HandleFunc("GET /debug/pprof/trace", s.withProfileDeadline(defaultTrace, pprof.Trace))
+	mux.HandleFunc("GET /debug/pprof/profile", s.withProfileDeadline(defaultCPUProfileDuration, pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", s.withProfileDeadline(defaultTraceDuration, pprof.Trace))
 	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
 }
 
-// withProfileDeadline gives a request as much time as its parameter seconds says; defaultTime is what it takes without
-// one.
-func (s *Server) withProfileDeadline(defaultTime time.Duration, next http.HandlerFunc) http.HandlerFunc {
+// withProfileDeadline wraps a handler with a timeout that allows for the duration of the profile. The parameter seconds
+// of the request sets the duration; without it, the profile takes defaultDuration.
+func (s *Server) withProfileDeadline(defaultDuration time.Duration, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		duration := defaultTime
+		duration := defaultDuration
 		if text := r.FormValue("seconds"); text != "" {
 			seconds, err := strconv.ParseFloat(text, 64)
 			if err != nil || !(seconds > 0) || seconds > maxProfileDuration.Seconds() {
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -57,7 +57,7 @@
 	c.submit(node, id, wire.KindArray, 2, 1)
 	c.eventually(id+" is done", func() bool {
 		_, response := c.request(http.MethodGet, node, wire.JobsPath+"/"+id, "")
-		return response.State == wire.JobDone
+		return response.Status == wire.JobDone
 	})
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,8 +43,8 @@
 	clusterOptions
 
 	mu     sync.Mutex
-	jobs   map[string]*wire.Job
-	starts map[string]int // by task and attempt
+	jobs   map[string]*wire.Job // by id
+	starts map[string]int       // by task and attempt
 }
 
 // addJob makes a submitted job known to the simulated workers, which look up its run time.
@@ -203,7 +203,7 @@
 	client := kvstore.New(addr, 1000, 1, 1<<20)
 	var keys []string
 	for after := ""; ; after = keys[len(keys)-1] {
-		page, result := client.List(c.t.Context(), prefix, after, wire.MaxItems)
+		page, result := client.List(c.t.Context(), prefix, after, wire.MaxPageItems)
 		if result != outcome.OK {
 			c.t.Fatalf("list of prefix %q: %v", prefix, result)
 		}
@@ -224,17 +224,17 @@
 }
 
 // request sends a request to a node and decodes the response. The status is 0 if there was no response.
-func (c *testCluster) request(method, node, path, body string) (int, wire.JobState) {
+func (c *testCluster) request(method, node, path, body string) (int, wire.JobResponse) {
 	req, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.addrs[node]+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, wire.JobState{}
+		return 0, wire.JobResponse{}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var response wire.JobState
+	var response wire.JobResponse
 	data, _ := io.ReadAll(resp.Body)
 	_ = json.NewDecoder(bytes.NewReader(data)).Decode(&response) // a response without a body leaves it empty
 	return resp.StatusCode, response
@@ -274,7 +274,7 @@
 		}
 		c.eventually(fmt.Sprintf("job %s is %s at node %s", id, want, n), func() bool {
 			code, response := c.request("GET", n, "/v2/runs/"+id, "")
-			return code == 200 && response.State == want
+			return code == 200 && response.Status == want
 		})
 	}
 }
@@ -337,7 +337,7 @@
 
 	cluster.eventually("the cancellation is accepted", func() bool {
 		code, response := cluster.request("POST", newLeader, "/v2/runs/run-000001/cancel", "")
-		return code == 200 && response.State == wire.JobCancelled
+		return code == 200 && response.Status == wire.JobCancelled
 	})
 	cluster.eventually("the replicas are stopped", func() bool { return cluster.fleet.Running("run-000001") == 0 })
 	cluster.waitForStatus("run-000001", wire.JobCancelled)
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -51,11 +51,11 @@
 	}
 	submit("a", "run-000018", 1, `["run-000006"]`)
 	submit("b", "run-000020", 2, `["run-000018"]`)
-	state, err := apiclient.New(cluster.addrs["c"]).Cancel(ctx, "run-000018")
+	response, err := apiclient.New(cluster.addrs["c"]).Cancel(ctx, "run-000018")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitForStatus("run-000020", state.State) // done instead of cancelled if the cancellation came too late
+	cluster.waitForStatus("run-000020", response.Status) // done instead of cancelled if the cancellation came too late
 	cluster.eventually("the records are deleted", func() bool { return len(cluster.keys("r/")) == 0 && len(cluster.keys("w/a/")) == 0 })
 	cluster.checkStartedOnce()
 }
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -7,50 +7,54 @@
 	"sync/atomic"
 )
 
-// connectionTracker counts the open connections, and has users and workers share them.
+// connectionTracker counts the open connections and divides them between users and workers.
 type connectionTracker struct {
-	maxOpen int
+	maxConnections int
 
-	// Connections that users keep open beyond their share are closed with the response, so
-	// that workers, which keep theirs, always find one.
-	maxUser int64
-	user    atomic.Int64
+	// maxUserConnections is how many connections users may keep open. Further connections are closed after the
+	// response, so that workers, which keep their connections, always find a free one.
+	maxUserConnections int64
+	userConnections    atomic.Int64
 
-	// Workers keep theirs while there are some to spare. Beyond that each connection is closed with its
-	// response, so that all of a fleet with more workers than sockets are served in turn.
-	keepAliveLimit int64
-	open           atomic.Int64
+	// keepAliveLimit is the number of open connections above which workers' connections are closed after the response.
+	// Thus all workers of a fleet that has more workers than this node has connections are served in turn.
+	keepAliveLimit  int64
+	openConnections atomic.Int64
 }
 
-func newConnectionTracker(maxOpen int) connectionTracker {
-	return connectionTracker{maxOpen: maxOpen, maxUser: int64(max(1, maxOpen/3)), keepAliveLimit: int64(maxOpen - maxOpen/10)}
+// newConnectionTracker returns a tracker that lets users keep a third of the connections open, and workers keep theirs
+// until nine tenths are in use.
+func newConnectionTracker(maxConnections int) connectionTracker {
+	return connectionTracker{maxConnections: maxConnections, maxUserConnections: int64(max(1, maxConnections/3)), keepAliveLimit: int64(maxConnections - maxConnections/10)}
 }
 
-// countUser counts the connections of a handler's requests as users', and closes those beyond the users' share.
-func (t *connectionTracker) countUser(handler http.HandlerFunc) http.HandlerFunc {
+// limitUserConnections wraps a handler of users' requests. It counts their connections as users', and closes
+// connections beyond maxUserConnections after the response.
+func (t *connectionTracker) limitUserConnections(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		connection, ok := r.Context().Value(connectionKey{}).(*trackedConnection)
 		if ok && !connection.countedAsUser.Swap(true) {
-			t.user.Add(1)
+			t.userConnections.Add(1)
 		}
-		if t.user.Load() > t.maxUser {
+		if t.userConnections.Load() > t.maxUserConnections {
 			closeAfterResponse(w)
 		}
 		handler(w, r)
 	}
 }
 
-// spareWhenFull closes the connections of a handler's requests while nearly all are in use.
-func (t *connectionTracker) spareWhenFull(handler http.HandlerFunc) http.HandlerFunc {
+// closeWhenNearlyFull wraps a handler. It closes connections after the response while more than keepAliveLimit are
+// open.
+func (t *connectionTracker) closeWhenNearlyFull(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if t.open.Load() > t.keepAliveLimit {
+		if t.openConnections.Load() > t.keepAliveLimit {
 			closeAfterResponse(w)
 		}
 		handler(w, r)
 	}
 }
 
-// closeAfterResponse has a connection closed with its response.
+// closeAfterResponse makes the server close the connection after the response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
 // trackedListener counts the connections that it accepts.
@@ -65,11 +69,11 @@
 	if err != nil {
 		return nil, err
 	}
-	l.tracker.open.Add(1)
+	l.tracker.openConnections.Add(1)
 	return &trackedConnection{Conn: connection, tracker: l.tracker}, nil
 }
 
-// trackedConnection is a connection that is counted until it is closed.
+// trackedConnection is a connection that the tracker counts until it is closed.
 type trackedConnection struct {
 	net.Conn
 	tracker       *connectionTracker
@@ -80,18 +84,18 @@
 // Close implements net.Conn.
 func (c *trackedConnection) Close() error {
 	if !c.closed.Swap(true) {
-		c.tracker.open.Add(-1)
+		c.tracker.openConnections.Add(-1)
 	}
 	if c.countedAsUser.Swap(false) {
-		c.tracker.user.Add(-1)
+		c.tracker.userConnections.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// withConnection puts a connection into the context of its requests.
+// withConnection adds a connection to the context of its requests.
 func withConnection(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,8 @@
-// Package server is the HTTP interface of a controller node on its public address: requests of users, heartbeats of
-// workers and the health check.
+// Package server is the HTTP server of a controller node's public address. It serves the requests of users, the
+// heartbeats of workers and the health check.
 //
-// It decodes and validates requests, hands them to the core and encodes its responses. It decides nothing about jobs or
-// machines, and keeps no state beside the count of its connections.
+// It decodes and validates requests, passes them to the core and encodes the core's responses. It decides nothing about
+// jobs or machines, and its only state is the count of its connections.
 package server
 
 import (
@@ -19,21 +19,21 @@
 
 // Core handles requests.
 type Core interface {
-	// Handle hands over the input that belongs to a request id, and waits for the response. It returns false if there
-	// is none before the context ends.
+	// Handle passes the input for a request id to the core and waits for the response. It returns false if there is no
+	// response before the context ends.
 	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
-	// Healthy tells whether the node can take requests.
+	// Healthy reports whether the node can take requests.
 	Healthy() bool
 }
 
-// Users wait five seconds for the response to a submission and two for that to a poll, workers four for that to a
-// heartbeat. Each gets a response before.
+// Users wait five seconds for the response to a submission and two for the response to a poll. Workers wait four
+// seconds for the response to a heartbeat. These timeouts are shorter, so that each client gets a response in time.
 const (
-	userTimeout   = 1800 * time.Millisecond
-	workerTimeout = 3 * time.Second
+	userResponseTimeout   = 1800 * time.Millisecond
+	workerResponseTimeout = 3 * time.Second
 )
 
-// The limits of a connection.
+// The timeouts and limits of a connection.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 20 * time.Second
@@ -51,18 +51,18 @@
 	connections connectionTracker
 }
 
-// New makes a server that holds at most maxConnections open, a third of them for users. observe may be nil.
+// New creates a server that holds at most maxConnections open, a third of them for users. observe may be nil.
 func New(c Core, maxConnections int, observe Observer) *Server {
 	s := &Server{core: c, connections: newConnectionTracker(maxConnections)}
 	mux := http.NewServeMux()
 	handle := func(pattern, endpoint string, handler http.HandlerFunc) {
-		mux.HandleFunc(pattern, observed(observe, endpoint, handler))
+		mux.HandleFunc(pattern, withObserver(observe, endpoint, handler))
 	}
 	handle("GET /healthz", "health", s.health)
-	handle("POST "+wire.JobsPath, "submit", s.connections.countUser(s.submit))
-	handle("GET "+wire.JobsPath+"/{id}", "poll", s.connections.countUser(s.poll))
-	handle("POST "+wire.JobsPath+"/{id}"+wire.CancelSuffix, "cancel", s.connections.countUser(s.cancel))
-	handle("POST "+wire.HeartbeatPath, "report", s.connections.spareWhenFull(s.heartbeat))
+	handle("POST "+wire.JobsPath, "submit", s.connections.limitUserConnections(s.submit))
+	handle("GET "+wire.JobsPath+"/{id}", "poll", s.connections.limitUserConnections(s.poll))
+	handle("POST "+wire.JobsPath+"/{id}"+wire.CancelSuffix, "cancel", s.connections.limitUserConnections(s.cancel))
+	handle("POST "+wire.HeartbeatPath, "report", s.connections.closeWhenNearlyFull(s.heartbeat))
 	s.http = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -74,17 +74,18 @@
 	return s
 }
 
-// Serve serves a listener until Close.
+// Serve accepts connections from a listener until Close.
 func (s *Server) Serve(listener net.Listener) error {
-	limited := netutil.LimitListener(listener, s.connections.maxOpen)
+	limited := netutil.LimitListener(listener, s.connections.maxConnections)
 	return s.http.Serve(&trackedListener{limited, &s.connections})
 }
 
-// Close ends the server at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// observed calls an observer after each response of a handler.
-func observed(observe Observer, endpoint string, handler http.HandlerFunc) http.HandlerFunc {
+// withObserver wraps a handler so that the observer is called after each response. It returns the handler itself if
+// observe is nil.
+func withObserver(observe Observer, endpoint string, handler http.HandlerFunc) http.HandlerFunc {
 	if observe == nil {
 		return handler
 	}
@@ -95,7 +96,7 @@
 	}
 }
 
-// statusRecorder keeps the status of a response.
+// statusRecorder records the status of a response.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,14 +13,15 @@
 	"bitternwing/internal/wire"
 )
 
-type fixedCore struct{}
+// stubCore is a core that responds to every request with 200.
+type stubCore struct{}
 
-func (fixedCore) Handle(context.Context, func(uint64) core.Input) (core.Response, bool) {
+func (stubCore) Handle(context.Context, func(uint64) core.Input) (core.Response, bool) {
 	return core.Response{Status: 200, Body: struct{}{}}, true
 }
-func (fixedCore) Healthy() bool { return true }
+func (stubCore) Healthy() bool { return true }
 
-// connectionCloses makes a request and tells whether the server closes the connection with its response.
+// connectionCloses sends a request and reports whether the server closes the connection after the response.
 func connectionCloses(t *testing.T, client *http.Client, method, url, body string) bool {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -36,20 +37,20 @@
 	return response.Close
 }
 
-// TestUsersLeaveRoomForWorkers has users keep as many connections as they can. Those beyond
-// their share are closed with the response, and workers still find free connections.
-func TestUsersLeaveRoomForWorkers(t *testing.T) {
+// TestUserConnectionLimit opens more user connections than the users' share, each kept alive by its client. The server
+// must close those beyond the share after the response, so that workers still find free connections.
+func TestUserConnectionLimit(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(fixedCore{}, 9, nil)
+	s := New(stubCore{}, 9, nil)
 	go func() { _ = s.Serve(l) }()
 	defer func() { _ = s.Close() }()
 	url := "http://" + l.Addr().String()
 	closes := func(method, path, body string) bool {
 		t.Helper()
-		// A client of its own: each keeps its connection.
+		// A new client opens a new connection and keeps it alive.
 		return connectionCloses(t, &http.Client{Transport: &http.Transport{}}, method, url+path, body)
 	}
 	closed := 0
@@ -59,7 +60,7 @@
 		}
 	}
 	if closed != 17 {
-		t.Errorf("%d connections of users were closed, not 17 of 20", closed)
+		t.Errorf("%d of 20 user connections were closed, want 17", closed)
 	}
 	for i := 0; i < 6; i++ {
 		if closes(http.MethodPost, wire.HeartbeatPath, `{"host":"h","shift":1,"tally":1}`) {
@@ -68,14 +69,14 @@
 	}
 }
 
-// TestMoreWorkersThanSockets has more workers, each of which keeps its connection, than the server has sockets.
-// All of them are answered, again and again.
-func TestMoreWorkersThanSockets(t *testing.T) {
+// TestMoreWorkersThanConnections has more workers, each of which keeps its connection alive, than the server accepts
+// connections. Every worker must get a response in each of several rounds. The server may close only some connections.
+func TestMoreWorkersThanConnections(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(fixedCore{}, 20, nil)
+	s := New(stubCore{}, 20, nil)
 	go func() { _ = s.Serve(l) }()
 	defer func() { _ = s.Close() }()
 	workers := make([]*http.Client, 40)
@@ -91,6 +92,6 @@
 		}
 	}
 	if closed == 0 || closed == 3*len(workers) {
-		t.Errorf("%d connections were closed, of %d", closed, 3*len(workers))
+		t.Errorf("%d of %d connections were closed, want some but not all", closed, 3*len(workers))
 	}
 }
--- a/internal/simmodelserver/server.go
+++ b/internal/simmodelserver/server.go
@@ -107,7 +107,7 @@
 // complete completes the prompt of a request.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, task string) {
 	var request Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxBody)).Decode(&request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)).Decode(&request); err != nil {
 		http.Error(w, "no request", http.StatusBadRequest)
 		return
 	}
--- a/internal/simworker/direct_commands.go
+++ b/internal/simworker/direct_commands.go
@@ -17,7 +17,7 @@
 
 // serve handles direct commands, status queries and prefetches.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBodyBytes+1))
 	if err != nil || w.dropsCommands() {
 		<-r.Context().Done() // nothing comes back
 		return
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -36,7 +36,7 @@
 // Check gives the settings that are too small for a number of machines.
 func Check(p *config.Params, machines int) []Shortfall {
 	n := float64(machines)
-	pages := math.Ceil(n / wire.MaxList)
+	pages := math.Ceil(n / wire.MaxPageMachines)
 	needs := []Shortfall{
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections), socketsPerMachine * n,
 			"workers connect anew for each report"},
--- a/internal/stored/relayed_heartbeats.go
+++ b/internal/stored/relayed_heartbeats.go
@@ -15,7 +15,7 @@
 // has ended. So once all nodes are known to read it, the list is compressed: heartbeats repeat the same words.
 
 // maxRelayedBytes bounds what is read of a compressed list.
-const maxRelayedBytes = 4 * wire.MaxBody
+const maxRelayedBytes = 4 * wire.MaxBodyBytes
 
 // RelayedHeartbeatPacker puts heartbeats into values.
 type RelayedHeartbeatPacker struct {
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -10,5 +10,5 @@
 
 // UsableValueBytes returns how much of the store's limit of a value is used.
 func UsableValueBytes(limit int) int {
-	return min(limit, wire.MaxBody/valuesPerMaxBody) * usableTenths / 10
+	return min(limit, wire.MaxBodyBytes/valuesPerMaxBody) * usableTenths / 10
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,7 +19,7 @@
 	Types []MachineType `json:"rigs"`
 }
 
-// ScaleOutRequest requests machines (POST /rentals). Requests of the same id are idempotent.
+// ScaleOutRequest requests machines (POST /rentals). Requests with the same id are idempotent.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"rig"`
@@ -28,20 +28,20 @@
 	Count     int    `json:"number"`
 }
 
-// MaxScaleOut is the most machines in one request, MaxScaleIn the most
-// names in one return, MaxList the most machines in one page.
+// The cloud's limits: MaxScaleOut machines in a scale-out request, MaxScaleIn names in a scale-in request, and
+// MaxPageMachines machines in a page of the list.
 const (
-	MaxScaleOut = 50
-	MaxScaleIn  = 100
-	MaxList     = 500
+	MaxScaleOut     = 50
+	MaxScaleIn      = 100
+	MaxPageMachines = 500
 )
 
-// MachineNames is a list of machine names: the response to a scale-out and the request of a scale-in.
+// MachineNames is a list of machine names: the response to a scale-out and the body of a scale-in request.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
 
-// Machine states in the cloud's list.
+// The states of a machine in the cloud's list.
 const (
 	MachineBooting = "starting"
 	MachineRunning = "running"
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -1,7 +1,6 @@
-// Package wire holds the messages of the protocol with users, workers, the key-value store and the cloud, with their
-// paths and limits. It is the only place where the protocol's own names appear, in field tags; the rest of the program
-// uses the names of the Go fields. It encodes, decodes and checks the form of messages, and knows nothing of their
-// meaning.
+// Package wire defines the messages of the protocol with users, workers, the key-value store and the cloud, with their
+// paths and limits. The protocol's own names appear only here, in field tags; the rest of the program uses the names of
+// the Go fields. The package encodes, decodes and validates the form of messages. It does not interpret them.
 package wire
 
 import (
@@ -11,32 +10,31 @@
 	"strings"
 )
 
-// MaxBody is the protocol's limit on a request body.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the protocol's limit on a request body.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the protocol's limit on the number of tasks of a job.
 const MaxTasks = 100_000
 
-// maxName bounds the names in a job, so that a job always fits a value of the
-// key-value store.
-const maxName = 256
+// maxNameBytes is the maximum length of a name in a job. It ensures that a job fits in a value of the key-value store.
+const maxNameBytes = 256
 
-// maxTypes bounds the list of allowed machine types for the same reason.
-const maxTypes = 32
+// maxMachineTypes is the maximum length of a job's list of allowed machine types, for the same reason.
+const maxMachineTypes = 32
 
-// JobKind tells whether a job's tasks end by themselves.
+// JobKind is the kind of a job: whether its tasks end by themselves.
 type JobKind string
 
 // The kinds of jobs.
 const (
-	KindArray   JobKind = "batch"
-	KindService JobKind = "standing"
+	KindArray   JobKind = "batch"    // tasks end by themselves
+	KindService JobKind = "standing" // tasks are replicas that run until they are stopped
 )
 
-// JobStatus is the state of a job in responses to users.
+// JobStatus is the status of a job in responses to users.
 type JobStatus string
 
-// The states of a job.
+// The statuses of a job.
 const (
 	JobPending   JobStatus = "pending"
 	JobRunning   JobStatus = "running"
@@ -55,10 +53,10 @@
 	PriorityIdle       Priority = "idle"
 )
 
-// ranks orders the priorities.
+// ranks are the ranks of the priorities.
 var ranks = map[Priority]int{PriorityProduction: 3, PriorityHigh: 2, PriorityStandard: 1, PriorityIdle: 0}
 
-// Rank orders priorities; a larger one goes first.
+// Rank returns the rank of a priority. Jobs of a higher rank come first.
 func (p Priority) Rank() int { return ranks[p] }
 
 // The paths of users' requests.
@@ -67,12 +65,12 @@
 	CancelSuffix = "/cancel"
 )
 
-// ErrorBody is the body of responses that are no success.
+// ErrorBody is the body of error responses.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// Job is a submission (POST /v2/runs). It is stored in this form as well.
+// Job is the submission of a job (POST /v2/runs). Jobs are also stored in this form.
 type Job struct {
 	ID                  string   `json:"ref"`
 	Class               string   `json:"lane"`
@@ -94,11 +92,12 @@
 	CheckpointIntervalS float64  `json:"stamp_s"`
 	CheckpointTimeS     float64  `json:"stow_s"`
 	DeadlineS           *float64 `json:"cutoff_s,omitempty"`
-	// Dependencies are the jobs that have to be done before a task of this one starts: the edges of the DAG.
+	// Dependencies are the jobs that must be done before a task of this job starts: the edges of the dependency graph.
 	Dependencies []string `json:"awaits,omitempty"`
 }
 
-// Submission encodes a job as users submit it: flags are never absent.
+// Submission encodes a job as users submit it. The fields beside Job override its flags, which Job omits if they are
+// false: the protocol requires them.
 func (j *Job) Submission() ([]byte, error) {
 	return json.Marshal(struct {
 		*Job
@@ -108,23 +107,24 @@
 	}{j, j.SingleZone, j.SpreadZones, j.Spot})
 }
 
-// JobState is the response to users about a job.
-type JobState struct {
+// JobResponse is the response to a user's request about a job.
+type JobResponse struct {
 	ID      string    `json:"ref"`
-	State   JobStatus `json:"status"`
+	Status  JobStatus `json:"status"`
 	Done    *int      `json:"done,omitempty"`
 	Running *int      `json:"running,omitempty"`
 }
 
-var jobID = regexp.MustCompile(`^run-[0-9]{6,20}$`)
+// jobIDPattern is the protocol's form of a job id.
+var jobIDPattern = regexp.MustCompile(`^run-[0-9]{6,20}$`)
 
-// ValidJobID tells whether a job id has the protocol's form.
-func ValidJobID(id string) bool { return jobID.MatchString(id) }
+// ValidJobID reports whether a job id has the protocol's form.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// TaskName is the protocol's name of a task.
+// TaskName returns the protocol's name of a task.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskName splits a task's name; false if it has not the protocol's form.
+// ParseTaskName splits the protocol's name of a task. It returns false if the name does not have the protocol's form.
 func ParseTaskName(name string) (job string, task int, ok bool) {
 	job, index, found := strings.Cut(name, "/")
 	if !found {
@@ -137,9 +137,10 @@
 	return job, task, true
 }
 
-// maxDependencyBytes bounds what one dependency takes in a stored job: the longest job id with its quotes and a comma.
+// maxDependencyBytes is the maximum size of a dependency in a stored job: the longest job id with its quotes and a
+// comma.
 const maxDependencyBytes = len(`"run-01234567890123456789",`)
 
-// MaxDependencies bounds the dependencies of a job for a value size of the key-value store: they take at most half of a
-// value.
+// MaxDependencies returns the maximum number of dependencies of a job for a value size of the key-value store. They
+// take at most half of a value.
 func MaxDependencies(valueBytes int) int { return max(1, valueBytes/2/maxDependencyBytes) }
--- a/internal/wire/job_test.go
+++ b/internal/wire/job_test.go
@@ -8,19 +8,20 @@
 	"testing"
 )
 
-const goodJob = `{"ref":"run-000412","lane":"train","broker":"vision","shape":"batch","urgency":"high","parcels":16,
+const validJob = `{"ref":"run-000412","lane":"train","broker":"vision","shape":"batch","urgency":"high","parcels":16,
 "vcpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,"rigs":["g8"],"hall":null,"one_zone":true,
 "apart":false,"loaner":true,"expect_s":240.0,"stamp_s":30.0,"stow_s":4.0,"cutoff_s":900.0,"new":[1]}`
 
-// Everything malformed is refused, whatever the kind of malformation.
+// TestParseJob checks that submissions with a missing, malformed or out-of-range field, and bodies that are no JSON
+// object, are refused.
 func TestParseJob(t *testing.T) {
-	j, err := ParseJob([]byte(goodJob))
-	if err != nil || j.Tasks != 16 || j.MachineTypes[0] != "g8" || *j.DeadlineS != 900 {
-		t.Fatalf("%+v %v", j, err)
+	job, err := ParseJob([]byte(validJob))
+	if err != nil || job.Tasks != 16 || job.MachineTypes[0] != "g8" || *job.DeadlineS != 900 {
+		t.Fatalf("%+v %v", job, err)
 	}
-	for _, c := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"ref":"run-000412"`, `"ref":"run-x"`},
-		{`"ref":"run-000412"`, `"REF":"run-000412"`}, // names are matched to the letter
+		{`"ref":"run-000412"`, `"REF":"run-000412"`}, // names are case-sensitive
 		{`"ref":"run-000412",`, ``},
 		{`"parcels":16`, `"parcels":0`},
 		{`"parcels":16`, `"parcels":1.5`},
@@ -44,41 +45,41 @@
 		{`"new":[1]}`, `"new":[1]`},
 		{`"new":[1]}`, `"new":[1]} x`},
 	} {
-		text := strings.Replace(goodJob, c[0], c[1], 1)
-		if text == goodJob {
-			t.Fatalf("%q is not in the job", c[0])
+		text := strings.Replace(validJob, replacement[0], replacement[1], 1)
+		if text == validJob {
+			t.Fatalf("%q is not in the job", replacement[0])
 		}
 		if _, err := ParseJob([]byte(text)); err == nil {
-			t.Errorf("%s was taken", c[1])
+			t.Errorf("%s was accepted", replacement[1])
 		}
 	}
-	for _, text := range []string{"", "null", "[]", "7", `"x"`, strings.Repeat(" ", MaxBody) + goodJob} {
+	for _, text := range []string{"", "null", "[]", "7", `"x"`, strings.Repeat(" ", MaxBodyBytes) + validJob} {
 		if _, err := ParseJob([]byte(text)); err == nil {
-			t.Errorf("%.20q was taken", text)
+			t.Errorf("%.20q was accepted", text)
 		}
 	}
 }
 
-// A list of needed jobs may be absent, null or empty alike, and names each once. Whether a name is that
-// of an accepted job is not a matter of form.
-func TestParseNeeds(t *testing.T) {
+// TestParseDependencies checks that a null or empty list means no dependencies, and that repeated ids are removed.
+// Whether the jobs exist is not checked here.
+func TestParseDependencies(t *testing.T) {
 	for list, want := range map[string][]string{
 		`null`: nil,
 		`[]`:   nil,
 		`["run-000398","run-000405","run-000398"]`: {"run-000398", "run-000405"},
 		`["nobody",""]`: {"nobody", ""},
 	} {
-		j, err := ParseJob([]byte(strings.Replace(goodJob, `"new":[1]`, `"awaits":`+list, 1)))
-		if err != nil || !slices.Equal(j.Dependencies, want) {
-			t.Errorf("%s gives %+v, %v", list, j, err)
+		job, err := ParseJob([]byte(strings.Replace(validJob, `"new":[1]`, `"awaits":`+list, 1)))
+		if err != nil || !slices.Equal(job.Dependencies, want) {
+			t.Errorf("%s gives %+v, %v", list, job, err)
 		}
 	}
-	if n := MaxDependencies(2048); n*maxDependencyBytes > 1024 || n < 32 {
-		t.Errorf("%d needed jobs for a value of 2 KiB", n)
+	if limit := MaxDependencies(2048); limit*maxDependencyBytes > 1024 || limit < 32 {
+		t.Errorf("maximum of %d dependencies for a value of 2 KiB", limit)
 	}
 }
 
-// TestFieldNames has the names in errors be those of the tags.
+// TestFieldNames checks that error messages use the names of the field tags.
 func TestFieldNames(t *testing.T) {
 	job := reflect.TypeFor[Job]()
 	tags := map[string]string{}
@@ -91,6 +92,6 @@
 		"Spot": fieldSpot, "EstimatedRunS": fieldEstimatedRunS, "CheckpointIntervalS": fieldCheckpointIntervalS,
 		"CheckpointTimeS": fieldCheckpointTimeS, "DeadlineS": fieldDeadlineS, "Dependencies": FieldDependencies}
 	if !maps.Equal(tags, names) {
-		t.Errorf("the tags are %v, the names in errors %v", tags, names)
+		t.Errorf("field tags: %v, names in errors: %v", tags, names)
 	}
 }
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -9,10 +9,10 @@
 	"slices"
 )
 
-// FieldDependencies is the protocol's name of a job's dependencies, for messages to users.
+// FieldDependencies is the protocol's name of a job's dependencies, for error messages to users.
 const FieldDependencies = "awaits"
 
-// The protocol's names of a job's other fields, as in the tags of Job: errors to users name them.
+// The protocol's names of a job's other fields, as in the tags of Job, for error messages to users.
 const (
 	fieldID                  = "ref"
 	fieldClass               = "lane"
@@ -36,16 +36,16 @@
 	fieldMachineTypes        = "rigs"
 )
 
-// maxAmount bounds all amounts.
+// maxAmount is the maximum of all amounts.
 const maxAmount = 1e9
 
-// fields are the undecoded fields of a submission, and the first error among those that were decoded.
+// fields are the undecoded fields of a submission, with the first error found while decoding them.
 type fields struct {
 	raw map[string]json.RawMessage
 	err error
 }
 
-// get returns a field; null counts as absent.
+// get returns an undecoded field. It returns false if the field is absent or null.
 func (f *fields) get(name string) (json.RawMessage, bool) {
 	raw, ok := f.raw[name]
 	if !ok || string(raw) == "null" {
@@ -54,14 +54,14 @@
 	return raw, true
 }
 
-// fail keeps the first error.
+// fail records an error of a field unless there is one already.
 func (f *fields) fail(name, problem string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, problem)
 	}
 }
 
-// text decodes a string.
+// text decodes a name: a string of 1 to maxNameBytes bytes. An absent field gives an empty string.
 func (f *fields) text(name string, required bool) string {
 	raw, ok := f.get(name)
 	if !ok {
@@ -75,13 +75,13 @@
 		f.fail(name, "must be a string")
 		return ""
 	}
-	if text == "" || len(text) > maxName {
-		f.fail(name, fmt.Sprintf("must have 1 to %d bytes", maxName))
+	if text == "" || len(text) > maxNameBytes {
+		f.fail(name, fmt.Sprintf("must have 1 to %d bytes", maxNameBytes))
 	}
 	return text
 }
 
-// amount decodes a number that is not negative.
+// amount decodes a number from 0 to maxAmount. An absent field gives nil.
 func (f *fields) amount(name string, required bool) *float64 {
 	raw, ok := f.get(name)
 	if !ok {
@@ -101,8 +101,8 @@
 	return &amount
 }
 
-// ids decodes a list of job ids without repeats. What is no job id stays in it: such a job was never
-// accepted, which is not for the form of the message to say. An empty list counts as absent.
+// ids decodes a list of job ids and removes repeated ones. It keeps strings that are no valid job id, because whether a
+// job exists is checked elsewhere. An empty list counts as absent.
 func (f *fields) ids(name string) []string {
 	raw, ok := f.get(name)
 	if !ok {
@@ -133,7 +133,7 @@
 	return int(count)
 }
 
-// machineTypes decodes the allowed machine types; nil for any.
+// machineTypes decodes the list of allowed machine types. An absent field gives nil, which allows any type.
 func (f *fields) machineTypes(name string) []string {
 	raw, ok := f.get(name)
 	if !ok {
@@ -143,15 +143,15 @@
 	if json.Unmarshal(raw, &entries) != nil {
 		f.fail(name, "must be a list of names or null")
 	}
-	if len(entries) > maxTypes {
-		f.fail(name, fmt.Sprintf("must have at most %d names", maxTypes))
+	if len(entries) > maxMachineTypes {
+		f.fail(name, fmt.Sprintf("must have at most %d names", maxMachineTypes))
 	}
 	if len(entries) == 0 {
 		f.fail(name, "must name a machine type or be null")
 	}
 	types := make([]string, 0, len(entries))
 	for _, t := range entries {
-		if t == nil || *t == "" || len(*t) > maxName {
+		if t == nil || *t == "" || len(*t) > maxNameBytes {
 			f.fail(name, "must be a list of names or null")
 			break
 		}
@@ -160,7 +160,7 @@
 	return types
 }
 
-// requiredAmount decodes an amount that may not be absent.
+// requiredAmount decodes an amount that must be present.
 func (f *fields) requiredAmount(name string) float64 {
 	if amount := f.amount(name, true); amount != nil {
 		return *amount
@@ -168,7 +168,7 @@
 	return 0
 }
 
-// flag decodes a flag, which may not be absent.
+// flag decodes a boolean that must be present.
 func (f *fields) flag(name string) bool {
 	raw, ok := f.get(name)
 	if !ok {
@@ -182,11 +182,10 @@
 	return flag
 }
 
-// ParseJob decodes and checks a submission. Names are matched to the letter and a
-// wrong type in any field is an error, which a plain decode into a struct would
-// not give (it folds case).
+// ParseJob decodes and validates a submission. Field names are case-sensitive, unlike when decoding into a struct with
+// encoding/json. A wrong type in any field is an error.
 func ParseJob(body []byte) (*Job, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, errors.New("body: is too large")
 	}
 	f := &fields{}
@@ -196,7 +195,7 @@
 	if err := json.Unmarshal(body, &f.raw); err != nil {
 		return nil, errors.New("body: must be a JSON object")
 	}
-	j := &Job{
+	job := &Job{
 		ID:                  f.text(fieldID, true),
 		Class:               f.text(fieldClass, true),
 		Team:                f.text(fieldTeam, true),
@@ -222,10 +221,10 @@
 	if f.err != nil {
 		return nil, f.err
 	}
-	return j, j.checkValues()
+	return job, job.checkValues()
 }
 
-// checkValues checks the fields that have a few values or a form of their own.
+// checkValues validates the job id, the kind and the priority.
 func (j *Job) checkValues() error {
 	switch {
 	case !ValidJobID(j.ID):
--- a/internal/wire/prefetch.go
+++ b/internal/wire/prefetch.go
@@ -1,16 +1,16 @@
 package wire
 
-// PrefetchPath is the path on which workers that support it take prefetches of images. It is no part of the
-// workers' protocol: simulated workers alone have it.
+// PrefetchPath is the path of requests to a worker to prefetch an image. It is not part of the workers' protocol: only
+// simulated workers support it.
 const PrefetchPath = "/prefetch"
 
-// PrefetchRequest requests an image.
+// PrefetchRequest requests that a worker caches an image.
 type PrefetchRequest struct {
 	Image string  `json:"image"`
 	GB    float64 `json:"gb"`
 }
 
-// PrefetchResponse says after how many seconds the image is cached.
+// PrefetchResponse is the response to a prefetch. ReadyS is the time in seconds until the image is cached.
 type PrefetchResponse struct {
 	ReadyS float64 `json:"ready_s"`
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -10,23 +10,23 @@
 	Lease   uint64          `json:"permit,omitempty"`
 }
 
-// Page is a page of items, in order of their keys.
+// Page is a page of a list of items, ordered by key.
 type Page struct {
 	Items    []Item `json:"items"`
 	More     bool   `json:"truncated"`
 	Revision uint64 `json:"epoch"`
 }
 
-// MaxItems is the most items in a page.
-const MaxItems = 1000
+// MaxPageItems is the maximum number of items in a page.
+const MaxPageItems = 1000
 
-// Condition is a condition of a compare-and-swap: the version of a key; 0: the key does not exist.
+// Condition is a condition of a transaction: the key has this version, or does not exist if Version is 0.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
 
-// Op is an operation of a transaction: a put or a delete.
+// Op is an operation of a transaction. Put is the key of a put, Delete the key of a delete; one of them is set.
 type Op struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -34,29 +34,29 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is a compare-and-swap transaction: all operations are applied if all conditions hold, or none.
+// Txn is a compare-and-swap transaction. If all conditions hold, all operations are applied; otherwise none is.
 type Txn struct {
 	If   []Condition `json:"when"`
 	Then []Op        `json:"apply,omitempty"`
 }
 
-// TxnResponse is the response to a transaction, with the keys whose conditions failed.
+// TxnResponse is the response to a transaction. Failed are the keys whose conditions did not hold.
 type TxnResponse struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
 }
 
-// LeaseRequest requests a lease.
+// LeaseRequest requests a lease with a time to live.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// LeaseResponse names the granted lease.
+// LeaseResponse is the id of a granted lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
 
-// Event is a change that a watch returns.
+// Event is a change that a watch returns. Put is the key of a put, Delete the key of a delete; one of them is set.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -30,7 +30,7 @@
 // ExitCause is why a task exited.
 type ExitCause string
 
-// The causes of exits.
+// The exit causes.
 const (
 	CauseDone        ExitCause = "done"
 	CauseStopped     ExitCause = "stopped"
@@ -43,7 +43,7 @@
 // CommandOp is the operation of a command on a task.
 type CommandOp string
 
-// The commands.
+// The command operations.
 const (
 	OpStart  CommandOp = "start"
 	OpStop   CommandOp = "stop"
@@ -59,7 +59,7 @@
 	Checkpointed bool      `json:"kept,omitempty"`
 }
 
-// Heartbeat is a worker's heartbeat, with the status of all its tasks (POST /checkin).
+// Heartbeat is a worker's heartbeat with the status of all its tasks (POST /checkin).
 type Heartbeat struct {
 	Machine        string       `json:"host"`
 	Addr           string       `json:"addr"`
@@ -73,7 +73,7 @@
 	Tasks          []TaskStatus `json:"parcels"`
 }
 
-// Command is a command to a worker.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Op           CommandOp `json:"verb"`
 	Task         string    `json:"parcel"`
@@ -94,12 +94,12 @@
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the 421 response to a heartbeat: another controller leads.
+// Redirect is the 421 response to a heartbeat: the controller does not lead. Leader names the leader, if it is known.
 type Redirect struct {
 	Leader string `json:"steward,omitempty"`
 }
 
-// ParseHeartbeat decodes a heartbeat.
+// ParseHeartbeat decodes a heartbeat, which must name a machine and its incarnation.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
