--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -62,8 +62,9 @@
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
 		prober:  probe.New(max(minClientConnections, connections/connectionsPerProbeConnection)),
-		// Workers wait at most four seconds for a response, users two seconds for that to a poll, and a leader's lease
-		// lasts twice this timeout.
+		// A tenth of the workers' lease. Calls must end well before their results are needed: workers wait at most four
+		// seconds for a response, users two seconds for the response to a poll, and a leader's lease lasts twice this
+		// timeout by default.
 		callTimeout: config.FailureCheckInterval(params.Workers),
 	}
 	for _, p := range settings.Peers {
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -120,12 +120,12 @@
 
 // register allocates a request id and the channel on which its response will be delivered.
 func (n *Node) register() (requestID uint64, responses <-chan core.Response) {
-	channel := make(chan core.Response, 1)
+	responseCh := make(chan core.Response, 1)
 	n.requestsMu.Lock()
 	defer n.requestsMu.Unlock()
 	n.lastRequestID++
-	n.pendingResponses[n.lastRequestID] = channel
-	return n.lastRequestID, channel
+	n.pendingResponses[n.lastRequestID] = responseCh
+	return n.lastRequestID, responseCh
 }
 
 // unregister discards a request's channel. A later response to the request is dropped.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,7 +14,8 @@
 const scrapeTimeout = 5 * time.Second
 
 const (
-	// connectionsPerScraperConnection is how many connections of the process's limit allow one connection of a scraper.
+	// connectionsPerScraperConnection is the divisor that gives scrapers their share of the connections that a node may
+	// hold.
 	connectionsPerScraperConnection = 100
 	// minScraperConnections is how many connections scrapers have at least.
 	minScraperConnections = 2
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,6 +26,7 @@
 // The end-to-end tests run real nodes on loopback against the emulated services, with all
 // intervals shortened. They wait for conditions up to testTimeout and assert no other timing.
 
+// testTimeout is how long the tests wait for a condition.
 const testTimeout = 60 * time.Second
 
 // testCluster is three controller nodes in one zone with emulated services and simulated workers. Maps are by the name
@@ -97,11 +98,13 @@
 	fixedInternalAddrs map[string]string                     // the nodes' internal addresses; free ones are used if nil
 }
 
+// newTestCluster starts a cluster with the default options. It is stopped when the test ends.
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	return newTestClusterWith(t, clusterOptions{})
 }
 
+// newTestClusterWith starts a cluster. It is stopped when the test ends.
 func newTestClusterWith(t *testing.T, options clusterOptions) *testCluster {
 	t.Helper()
 	if options.log == nil {
@@ -308,9 +311,9 @@
 	}
 }
 
-// TestLifeOfJobs submits, runs and cancels jobs and stops the leader in between. The new leader must leave running
+// TestJobLifecycle submits, runs and cancels jobs and stops the leader in between. The new leader must leave running
 // tasks alone, run new jobs, and delete the records of finished ones.
-func TestLifeOfJobs(t *testing.T) {
+func TestJobLifecycle(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.submit("a", "run-000001", wire.KindService, 2, 4)
 	cluster.submit("b", "run-000002", wire.KindArray, 5, 1)
@@ -348,9 +351,9 @@
 	cluster.checkStartedOnce()
 }
 
-// TestOutage checks an outage of the key-value store that outlasts the workers' leases. Users get 503, running tasks
-// keep running, and new jobs run after the outage.
-func TestOutage(t *testing.T) {
+// TestStoreOutage checks an outage of the key-value store that outlasts the workers' leases. Users get 503, running
+// tasks keep running, and new jobs run after the outage.
+func TestStoreOutage(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.submit("a", "run-000001", wire.KindService, 1, 4)
 	cluster.eventually("the replica runs", func() bool { return cluster.fleet.Running("run-000001") == 1 })
--- a/internal/node/pipeline_test.go
+++ b/internal/node/pipeline_test.go
@@ -23,16 +23,16 @@
 // nodes tell each other that they support the second layout of records, and switch to it. In a second pipeline, the
 // first job is cancelled, and the job that depends on it must end in the same state.
 func TestPipeline(t *testing.T) {
-	valueKB, changes := 2.0, 4
-	cluster := newTestClusterWith(t, clusterOptions{next: &config.NextLimits{ValueKB: &valueKB, TxnOps: &changes}})
+	valueKB, txnOps := 2.0, 4
+	cluster := newTestClusterWith(t, clusterOptions{next: &config.NextLimits{ValueKB: &valueKB, TxnOps: &txnOps}})
 	cluster.eventually("the record layout changes", func() bool { return len(cluster.keys("w/layout")) == 1 })
-	cluster.store.SetLimits(int(1024*valueKB), changes)
+	cluster.store.SetLimits(int(1024*valueKB), txnOps)
 
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	submit := func(node, id string, tasks int, needs string) {
+	submit := func(node, id string, tasks int, dependencies string) {
 		t.Helper()
-		body := arrayJobBody(id, tasks, needs)
+		body := arrayJobBody(id, tasks, dependencies)
 		cluster.addJob(string(body))
 		if _, err := apiclient.New(cluster.addrs[node]).Submit(ctx, body); err != nil {
 			t.Fatal(err)
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -9,8 +9,8 @@
 	"bitternwing/internal/wire"
 )
 
-// twoRegions starts the clusters of two regions. Each holds half of the shared limit of a team.
-func twoRegions(t *testing.T) (north, south *testCluster) {
+// startTwoRegions starts the clusters of two regions. Each holds half of the shared limit of a team.
+func startTwoRegions(t *testing.T) (north, south *testCluster) {
 	t.Helper()
 	internalAddrs := map[string]map[string]string{}
 	var regions []config.Region
@@ -38,10 +38,10 @@
 }
 
 // TestRegions shares a team's limit between the controllers of two regions. A job that needs all of the limit runs in
-// one region. After its cancellation, another job of the same size runs in the other region. One controller of each
-// region has been stopped.
+// one region. After its cancellation, another job of the same size runs in the other region, although one controller of
+// each region has been stopped in between.
 func TestRegions(t *testing.T) {
-	north, south := twoRegions(t)
+	north, south := startTwoRegions(t)
 	north.submit("a", "run-000001", wire.KindService, 2, 8)
 	north.eventually("the whole limit is used in the north", func() bool { return north.runsTasks("a", "run-000001", 2) })
 	south.submit("b", "run-000002", wire.KindService, 2, 8)
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -91,10 +91,10 @@
 	}
 	number := 0
 	cluster.eventually("the rollout completes", func() bool {
-		right, err := requestCompletion(router, fmt.Sprint("request ", number))
+		correct, err := requestCompletion(router, fmt.Sprint("request ", number))
 		number++
-		if !right || err != nil {
-			t.Fatalf("request %d: correct %v, error %v", number, right, err)
+		if !correct || err != nil {
+			t.Fatalf("request %d: correct %v, error %v", number, correct, err)
 		}
 		return planStatus(client).GetPhase() == string(rollout.Completed)
 	})
@@ -123,8 +123,8 @@
 		t.Errorf("reason of the rollback: %s", status.GetReason())
 	}
 	for i := range 20 {
-		if right, err := requestCompletion(router, fmt.Sprint("request ", i)); !right || err != nil {
-			t.Errorf("request %d after the rollback: correct %v, error %v", i, right, err)
+		if correct, err := requestCompletion(router, fmt.Sprint("request ", i)); !correct || err != nil {
+			t.Errorf("request %d after the rollback: correct %v, error %v", i, correct, err)
 		}
 	}
 	if n := cluster.fleet.Running("run-000001") + cluster.fleet.Running("run-000002"); n != 2 {
@@ -165,9 +165,9 @@
 	}
 	cluster.store.SetDown(true)
 	cluster.eventually("no controller is available", func() bool {
-		short, cancel := context.WithTimeout(context.Background(), time.Second)
+		shortCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := client.Apply(short, []byte(rolloutPlan))
+		_, err := client.Apply(shortCtx, []byte(rolloutPlan))
 		return errors.As(err, &unavailable)
 	})
 }
