--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -77,22 +77,22 @@
 
 // Submit submits a job in the protocol's JSON format, and returns its state. It is idempotent: submitting the same job
 // again changes nothing.
-func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobState, error) {
+func (c *Client) Submit(ctx context.Context, job []byte) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath, job)
 }
 
 // Show returns a job's state.
-func (c *Client) Show(ctx context.Context, id string) (wire.JobState, error) {
+func (c *Client) Show(ctx context.Context, id string) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodGet, wire.JobsPath+"/"+id, nil)
 }
 
 // Cancel cancels a job, and returns its final state: cancelled, or finished before.
-func (c *Client) Cancel(ctx context.Context, id string) (wire.JobState, error) {
+func (c *Client) Cancel(ctx context.Context, id string) (wire.JobResponse, error) {
 	return c.doWithRetries(ctx, http.MethodPost, wire.JobsPath+"/"+id+wire.CancelSuffix, nil)
 }
 
 // doWithRetries repeats a request until it gets a final response or the context ends.
-func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobState, error) {
+func (c *Client) doWithRetries(ctx context.Context, method, path string, body []byte) (wire.JobResponse, error) {
 	for {
 		state, delay, err := c.attempt(ctx, method, path, body)
 		if err == nil || delay == 0 {
@@ -100,45 +100,45 @@
 		}
 		select {
 		case <-ctx.Done():
-			return wire.JobState{}, &UnavailableError{err}
+			return wire.JobResponse{}, &UnavailableError{err}
 		case <-time.After(delay):
 		}
 	}
 }
 
 // attempt sends a request once. A positive delay means that the request should be retried after that time.
-func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (state wire.JobState, delay time.Duration, err error) {
+func (c *Client) attempt(ctx context.Context, method, path string, body []byte) (state wire.JobResponse, delay time.Duration, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.nextAddress()+path, bytes.NewReader(body))
 	if err != nil {
-		return wire.JobState{}, 0, err
+		return wire.JobResponse{}, 0, err
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return wire.JobState{}, minRetryDelay, err
+		return wire.JobResponse{}, minRetryDelay, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return wire.JobState{}, minRetryDelay, err
+		return wire.JobResponse{}, minRetryDelay, err
 	}
 	return decodeResponse(response, data)
 }
 
 // decodeResponse converts a response with its body to a job state or an error. A positive delay means that the request
 // should be retried after that time.
-func decodeResponse(response *http.Response, data []byte) (state wire.JobState, delay time.Duration, err error) {
+func decodeResponse(response *http.Response, data []byte) (state wire.JobResponse, delay time.Duration, err error) {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		if err := json.Unmarshal(data, &state); err != nil || state.ID == "" {
-			return wire.JobState{}, minRetryDelay, errNoJobState
+			return wire.JobResponse{}, minRetryDelay, errNoJobState
 		}
 		return state, 0, nil
 	case http.StatusNotFound:
-		return wire.JobState{}, 0, ErrNotFound
+		return wire.JobResponse{}, 0, ErrNotFound
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return wire.JobState{}, 0, &RefusedError{response.StatusCode, errorReason(data)}
+		return wire.JobResponse{}, 0, &RefusedError{response.StatusCode, errorReason(data)}
 	}
-	return wire.JobState{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, errorReason(data))
+	return wire.JobResponse{}, retryDelay(response), fmt.Errorf("%s: %s", response.Status, errorReason(data))
 }
 
 // retryDelay returns the delay in a response's Retry-After header, limited to the range from minRetryDelay to
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -52,7 +52,7 @@
 func (r lookupResult) found() bool { return r.state == lookupActive || r.state == lookupEnded }
 
 // jobStateOf returns the state of a job that was found, as users see it.
-func (c *Core) jobStateOf(id string, result lookupResult) wire.JobState {
+func (c *Core) jobStateOf(id string, result lookupResult) wire.JobResponse {
 	if result.state == lookupEnded {
 		return finalJobState(id, result.final)
 	}
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -34,7 +34,7 @@
 	switch {
 	case chunk.inFlight || chunk.rereadInFlight:
 		return false // the version of its key is not known
-	case !b.hasRoom(1) || b.bodyBytes > wire.MaxBody/2:
+	case !b.hasRoom(1) || b.bodyBytes > wire.MaxBodyBytes/2:
 		return false
 	case len(b.txn.If)+2 > w.leader.core.limits.maxConditions():
 		return false
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -78,5 +78,5 @@
 
 // maxValuesPerTxn returns how many values of usableValueBytes fit into a transaction.
 func (c *Core) maxValuesPerTxn() int {
-	return min(c.limits.maxChanges(), wire.MaxBody*9/10/c.usableValueBytes())
+	return min(c.limits.maxChanges(), wire.MaxBodyBytes*9/10/c.usableValueBytes())
 }
--- a/internal/core/submission_batches.go
+++ b/internal/core/submission_batches.go
@@ -14,7 +14,7 @@
 	// submissionOverheadBytes is the size of a submission in a transaction without its value.
 	submissionOverheadBytes = 256
 	// maxSubmissionBatchBytes bounds the size of a transaction with several submissions.
-	maxSubmissionBatchBytes = wire.MaxBody * 3 / 4
+	maxSubmissionBatchBytes = wire.MaxBodyBytes * 3 / 4
 )
 
 // submissionBatch is a set of submissions that are committed in one transaction.
@@ -83,7 +83,7 @@
 func (u *userRequests) acceptSubmission(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	for _, requestID := range s.requestIDs {
-		u.respond(requestID, http.StatusCreated, wire.JobState{ID: s.job.ID, State: wire.JobPending})
+		u.respond(requestID, http.StatusCreated, wire.JobResponse{ID: s.job.ID, Status: wire.JobPending})
 	}
 }
 
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -38,7 +38,7 @@
 // Check returns the settings that are too small for the given number of machines.
 func Check(p *config.Params, machines int) []Shortfall {
 	n := float64(machines)
-	pages := math.Ceil(n / wire.MaxList)
+	pages := math.Ceil(n / wire.MaxPageMachines)
 	requirements := []Shortfall{
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections), connectionsPerMachine * n,
 			"workers open a new connection for each report"},
--- a/internal/stored/relayed_heartbeats.go
+++ b/internal/stored/relayed_heartbeats.go
@@ -16,7 +16,7 @@
 // be able to read them. Heartbeats compress well because they are repetitive.
 
 // maxRelayedBytes limits the decompressed size of a list.
-const maxRelayedBytes = 4 * wire.MaxBody
+const maxRelayedBytes = 4 * wire.MaxBodyBytes
 
 // RelayedHeartbeatPacker encodes heartbeats into values.
 type RelayedHeartbeatPacker struct {
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -10,5 +10,5 @@
 
 // UsableValueBytes returns how many bytes of the store's value size limit are used.
 func UsableValueBytes(limit int) int {
-	return min(limit, wire.MaxBody/minValuesPerTxn) * usableTenths / 10
+	return min(limit, wire.MaxBodyBytes/minValuesPerTxn) * usableTenths / 10
 }
