--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -61,7 +61,7 @@
 					script = append(script, line)
 				}
 			}
-			s, broken := playDay(t, strings.Join(script, "\n"))
+			s, broken := runScript(t, strings.Join(script, "\n"))
 			for _, b := range broken {
 				t.Errorf("a rule is broken: %s", b)
 			}
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -132,7 +132,7 @@
 // digestOfDay plays a day of TestSearch.
 func digestOfDay(t *testing.T, seed uint64) string {
 	t.Helper()
-	s, _ := playDay(t, randomDay(seed))
+	s, _ := runScript(t, randomDay(seed))
 	return s.digest.String()
 }
 
--- a/internal/core/rule_breaks_test.go
+++ b/internal/core/rule_breaks_test.go
@@ -13,7 +13,7 @@
 
 // checkedSpec is the job that TestRuleChecker submits. Its words are constant, so nothing fails in reading them.
 func checkedSpec() *wire.Job {
-	return (&simulation{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
+	return (&simulation{}).parseJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
 }
 
 // seconds gives a time in seconds.
--- a/internal/core/script_faults_test.go
+++ b/internal/core/script_faults_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// fault is a line of a script that injects a fault: the word that names it, and its arguments.
+// fault is a line of a script that injects a fault: its name and its arguments. Arguments count from 1.
 type fault struct {
 	simulation *simulation
 	words      []string
 }
 
-// seconds gives an argument that is a time in seconds.
+// seconds returns an argument that is a duration in seconds.
 func (f fault) seconds(i int) time.Duration { return parseSeconds(f.simulation.tb, f.words[i]) }
 
-// until gives the end of a fault that lasts as long as an argument says.
-func (f fault) until(i int) time.Duration { return f.simulation.now + f.seconds(i) }
+// endAt returns the end of a fault whose duration is an argument.
+func (f fault) endAt(i int) time.Duration { return f.simulation.now + f.seconds(i) }
 
-// nodes gives the nodes that the first argument names.
+// nodes returns the nodes that the first argument names.
 func (f fault) nodes() []*simulatedNode {
 	switch f.words[1] {
 	case "all":
@@ -36,7 +36,8 @@
 	return []*simulatedNode{f.simulation.nodeNamed(f.words[1])}
 }
 
-// worker gives the worker that the first argument names: by machine, or by number among those that are up.
+// worker returns the worker that the first argument names, by machine or by an index into the workers that are up; nil
+// if there is none.
 func (f fault) worker() *simulatedWorker {
 	number, err := strconv.Atoi(f.words[1])
 	if err != nil {
@@ -54,97 +55,98 @@
 	return up[number%len(up)]
 }
 
-// faultHandlers carry out the faults that a script names, but for those of workers.
+// faultHandlers maps the name of a fault to its handler, for all faults but those of one worker.
 var faultHandlers = map[string]func(f fault){
 	"refuse":       fault.refuseNode,
-	"cut":          fault.cutNode,
+	"cut":          fault.isolateNode,
 	"limits":       fault.applyNextLimits,
 	"kill":         fault.killNode,
 	"upgrade":      fault.killNode,
 	"freeze":       fault.freezeNode,
 	"short":        fault.slowNode,
-	"outage":       func(f fault) { f.simulation.storeOutageUntil = max(f.simulation.storeOutageUntil, f.until(1)) },
-	"slow":         func(f fault) { f.simulation.storeDelay, f.simulation.storeDelayUntil = f.seconds(1), f.until(2) },
-	"cloud":        func(f fault) { f.simulation.cloudOutageUntil = max(f.simulation.cloudOutageUntil, f.until(1)) },
+	"outage":       func(f fault) { f.simulation.storeOutageUntil = max(f.simulation.storeOutageUntil, f.endAt(1)) },
+	"slow":         func(f fault) { f.simulation.storeDelay, f.simulation.storeDelayUntil = f.seconds(1), f.endAt(2) },
+	"cloud":        func(f fault) { f.simulation.cloudOutageUntil = max(f.simulation.cloudOutageUntil, f.endAt(1)) },
 	"cancel_now":   func(f fault) { f.simulation.cancelRunningJob() },
-	"late_writes":  func(f fault) { f.setShare(&f.simulation.lateTransactionShare) },
-	"late_reports": func(f fault) { f.setShare(&f.simulation.lateHeartbeatShare) },
-	"late_orders":  func(f fault) { f.setShare(&f.simulation.lateCommandShare) },
-	"boots":        fault.changeBoots,
-	"polls":        fault.poll,
+	"late_writes":  func(f fault) { f.setShareFor(&f.simulation.lateTransactionShare) },
+	"late_reports": func(f fault) { f.setShareFor(&f.simulation.lateHeartbeatShare) },
+	"late_orders":  func(f fault) { f.setShareFor(&f.simulation.lateCommandShare) },
+	"boots":        fault.setBootFaults,
+	"polls":        fault.startPolling,
 	"partition":    fault.partition,
-	"zone_cut":     fault.cutZone,
+	"zone_cut":     fault.isolateZone,
 	"odd":          func(f fault) { f.simulation.sendOddRequests() },
 }
 
-// workerFaultHandlers carry out the faults of one worker.
+// workerFaultHandlers maps the name of a fault of one worker to its handler.
 var workerFaultHandlers = map[string]func(f fault, worker *simulatedWorker){
-	"hang":   func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.until(2)) },
-	"deaf":   func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.until(2)) },
-	"mute":   func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.until(2)) },
+	"hang":   func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.endAt(2)) },
+	"deaf":   func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.endAt(2)) },
+	"mute":   func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.endAt(2)) },
 	"sick":   fault.makeFaulty,
 	"die":    fault.stopMachine,
 	"take":   func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
 	"recall": fault.reclaim,
 }
 
-// inject carries out a fault.
+// inject injects a fault.
 func (s *simulation) inject(f fault) {
-	s.record("trouble: %s", strings.Join(f.words, " "))
+	s.record("fault: %s", strings.Join(f.words, " "))
 	if handle := faultHandlers[f.words[0]]; handle != nil {
 		handle(f)
 		return
 	}
 	handle := workerFaultHandlers[f.words[0]]
 	if handle == nil {
-		s.tb.Fatalf("unknown: %v", f.words)
+		s.tb.Fatalf("unknown fault: %v", f.words)
 	}
 	worker := f.worker()
 	if worker == nil || worker.gone {
 		return
 	}
-	s.record("it is %s", worker.name)
+	s.record("faulted worker: %s", worker.name)
 	handle(f, worker)
 }
 
-// refuseNode has the key-value store refuse a node.
+// refuseNode has the key-value store refuse a node's requests.
 func (f fault) refuseNode() {
 	for _, node := range f.nodes() {
-		node.storeRefusedUntil = max(node.storeRefusedUntil, f.until(2))
+		node.storeRefusedUntil = max(node.storeRefusedUntil, f.endAt(2))
 	}
 }
 
-// cutNode cuts a node off from the services that the second argument lists.
-func (f fault) cutNode() {
+// isolateNode cuts a node off from what the second argument lists: the key-value store, peers, workers or users.
+func (f fault) isolateNode() {
 	for _, node := range f.nodes() {
 		for _, service := range strings.Split(f.words[2], ",") {
 			switch service {
 			case "state":
-				node.storeCutUntil = max(node.storeCutUntil, f.until(3))
+				node.storeCutUntil = max(node.storeCutUntil, f.endAt(3))
 			case "peers":
-				node.peersCutUntil = max(node.peersCutUntil, f.until(3))
+				node.peersCutUntil = max(node.peersCutUntil, f.endAt(3))
 			case "workers":
-				node.workersCutUntil = max(node.workersCutUntil, f.until(3))
+				node.workersCutUntil = max(node.workersCutUntil, f.endAt(3))
 			case "users":
-				node.usersCutUntil = max(node.usersCutUntil, f.until(3))
+				node.usersCutUntil = max(node.usersCutUntil, f.endAt(3))
 			}
 		}
 	}
 }
 
-// applyNextLimits has the limits to come take effect in the key-value store.
+// applyNextLimits has the key-value store enforce the announced limits.
 func (f fault) applyNextLimits() {
 	next := f.simulation.params.Store.Next
 	f.simulation.store.SetLimits(int(1024**next.ValueKB), *next.TxnOps)
 }
 
-// killNode ends a node's process and starts it again; an upgrade starts the new version.
+// killNode ends a node's process, and starts it again after the time in the second argument. An upgrade starts the new
+// version.
 func (f fault) killNode() {
 	for _, node := range f.nodes() {
 		node.oldVersion = node.oldVersion && f.words[0] == "kill"
 		f.simulation.killNode(node)
 		incarnation := node.incarnation
-		f.simulation.at(f.until(2), func() {
+		f.simulation.at(f.endAt(2), func() {
 			if node.incarnation == incarnation {
 				f.simulation.startNode(node)
 			}
@@ -152,63 +154,63 @@
 	}
 }
 
-// freezeNode has a node's process stand still.
+// freezeNode suspends a node's process.
 func (f fault) freezeNode() {
 	for _, node := range f.nodes() {
-		node.frozenUntil = max(node.frozenUntil, f.until(2))
+		node.frozenUntil = max(node.frozenUntil, f.endAt(2))
 	}
 }
 
-// slowNode has each step of a node take some milliseconds.
+// slowNode has each step of a node take as many milliseconds as the second argument.
 func (f fault) slowNode() {
 	for _, node := range f.nodes() {
-		node.stepTime, node.slowUntil = f.seconds(2)/1000, f.until(3)
+		node.stepTime, node.slowUntil = f.seconds(2)/1000, f.endAt(3)
 	}
 }
 
-// setShare sets a share of messages to the first argument, for as long as the second one says.
-func (f fault) setShare(share *float64) {
+// setShareFor sets a share of messages to the first argument, for the duration in the second one.
+func (f fault) setShareFor(share *float64) {
 	*share = f.seconds(1).Seconds()
-	f.simulation.at(f.until(2), func() { *share = 0 })
+	f.simulation.at(f.endAt(2), func() { *share = 0 })
 }
 
-// changeBoots changes how new machines come up.
-func (f fault) changeBoots() {
+// setBootFaults sets the share of new machines that never boot, and the factor for the boot times of the others.
+func (f fault) setBootFaults() {
 	f.simulation.bootFailureShare, f.simulation.bootFactor = f.seconds(1).Seconds(), f.seconds(2).Seconds()
-	f.simulation.at(f.until(3), func() { f.simulation.bootFailureShare, f.simulation.bootFactor = 0, 0 })
+	f.simulation.at(f.endAt(3), func() { f.simulation.bootFailureShare, f.simulation.bootFactor = 0, 0 })
 }
 
-// poll has users ask about jobs at a rate, and shows the statuses that they got.
-func (f fault) poll() {
-	end := f.until(2)
+// startPolling has users poll jobs at a rate, and shows how many responses had each status.
+func (f fault) startPolling() {
+	end := f.endAt(2)
 	interval := time.Duration(float64(time.Second) / f.seconds(1).Seconds())
-	var ask func()
-	ask = func() {
+	var poll func()
+	poll = func() {
 		if f.simulation.now < end {
 			f.simulation.pollOnce()
-			f.simulation.after(interval, ask)
+			f.simulation.after(interval, poll)
 		}
 	}
-	ask()
+	poll()
 	f.simulation.at(end+2*time.Second, func() { f.simulation.show("polls: %v", f.simulation.pollStatuses) })
 }
 
-// partition cuts the zones off from each other.
+// partition partitions the zones from each other.
 func (f fault) partition() {
 	f.simulation.partitioned = true
-	f.simulation.at(f.until(1), func() { f.simulation.partitioned = false })
+	f.simulation.at(f.endAt(1), func() { f.simulation.partitioned = false })
 }
 
-// cutZone cuts a zone off from everything.
-func (f fault) cutZone() {
+// isolateZone cuts a zone off from everything outside it: the other zones, the key-value store, the cloud and users.
+func (f fault) isolateZone() {
 	f.simulation.isolatedZone = f.words[1]
-	f.simulation.at(f.until(2), func() { f.simulation.isolatedZone = "" })
+	f.simulation.at(f.endAt(2), func() { f.simulation.isolatedZone = "" })
 }
 
-// makeFaulty has all tasks on a machine fail.
+// makeFaulty has all tasks on a machine fail while the fault lasts.
 func (f fault) makeFaulty(worker *simulatedWorker) {
 	worker.faulty = true
-	f.simulation.at(f.until(2), func() { worker.faulty = false })
+	f.simulation.at(f.endAt(2), func() { worker.faulty = false })
 }
 
 // stopMachine stops a machine without notice.
@@ -217,7 +219,7 @@
 	f.simulation.killTasks(worker)
 }
 
-// reclaim has the cloud take a machine back after a notice.
+// reclaim has the cloud reclaim a machine 5 s after the reclaim notice.
 func (f fault) reclaim(worker *simulatedWorker) {
 	worker.reclaimNotice = true
 	f.simulation.sendHeartbeatSoon(worker)
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -9,77 +9,77 @@
 	"bitternwing/internal/wire"
 )
 
-// scriptPlayer reads the lines of a script in order and sets a simulation up as they say.
-type scriptPlayer struct {
+// scriptRunner reads the lines of a script in order and configures a simulation by them.
+type scriptRunner struct {
 	tb         testing.TB
-	zones      map[string]string // of nodes
+	zoneByNode map[string]string // zone of each node
 	seed       uint64
 	simulation *simulation // nil until the first line that needs it
 }
 
-// playDay plays a script. It returns the simulation as it is in the end, and the rules that were broken.
-func playDay(tb testing.TB, script string) (*simulation, []string) {
+// runScript runs the simulation that a script describes. It returns the simulation at its end, and the rule violations.
+func runScript(tb testing.TB, script string) (*simulation, []string) {
 	tb.Helper()
-	player := &scriptPlayer{tb: tb, zones: map[string]string{}, seed: 1}
+	runner := &scriptRunner{tb: tb, zoneByNode: map[string]string{}, seed: 1}
 	for _, line := range strings.Split(script, "\n") {
 		words := strings.Fields(line)
 		if len(words) == 0 || words[0][0] == '#' || words[0] == "|" {
 			continue
 		}
-		player.read(words)
+		runner.handleLine(words)
 	}
-	player.simulation.run()
-	return player.simulation, player.simulation.brokenRules()
+	runner.simulation.run()
+	return runner.simulation, runner.simulation.brokenRules()
 }
 
-// read takes a line of a script. Zones and seed are in effect only before all other lines.
-func (p *scriptPlayer) read(words []string) {
+// handleLine handles a line of a script. Zones and seed have an effect only before all other lines.
+func (r *scriptRunner) handleLine(words []string) {
 	switch words[0] {
 	case "zones":
 		for _, word := range words[1:] {
 			node, zone, _ := strings.Cut(word, "=")
-			p.zones[node] = zone
+			r.zoneByNode[node] = zone
 		}
 		return
 	case "seed":
-		p.seed, _ = strconv.ParseUint(words[1], 10, 64)
+		r.seed, _ = strconv.ParseUint(words[1], 10, 64)
 		return
 	}
-	if p.simulation == nil {
-		p.simulation = newSimulation(p.tb, p.seed, p.zones)
+	if r.simulation == nil {
+		r.simulation = newSimulation(r.tb, r.seed, r.zoneByNode)
 	}
-	p.configure(words)
+	r.configure(words)
 }
 
-// configure takes a line that sets the simulation up, or plans what happens at a time.
-func (p *scriptPlayer) configure(words []string) {
+// configure handles a line that configures the simulation, or schedules an event.
+func (r *scriptRunner) configure(words []string) {
 	switch words[0] {
 	case "old", "next":
-		p.simulation.prepare(words)
+		r.simulation.restartNodesForUpgrade(words)
 	case "machines":
 		for i, word := range words[1:] {
 			zone, spot := strings.CutSuffix(word, "-spot")
-			p.simulation.addMachine(zone, spot, time.Duration(100*i)*time.Millisecond)
+			r.simulation.addMachine(zone, spot, time.Duration(100*i)*time.Millisecond)
 		}
 	case "room":
 		machines, err := strconv.Atoi(words[1])
 		if err != nil {
-			p.tb.Fatalf("not a number: %s", words[1])
+			r.tb.Fatalf("invalid number: %s", words[1])
 		}
-		p.simulation.machinesPerZone = machines
+		r.simulation.machinesPerZone = machines
 	case "calm":
-		p.simulation.faultsEnd = parseSeconds(p.tb, words[1])
+		r.simulation.faultsEnd = parseSeconds(r.tb, words[1])
 	case "end":
-		p.simulation.end = parseSeconds(p.tb, words[1])
+		r.simulation.end = parseSeconds(r.tb, words[1])
 	default:
-		p.simulation.plan(parseSeconds(p.tb, words[0]), words[1:])
+		r.simulation.scheduleLine(parseSeconds(r.tb, words[0]), words[1:])
 	}
 }
 
-// prepare begins the day with nodes of the old version, or with limits to come in the settings.
-func (s *simulation) prepare(words []string) {
+// restartNodesForUpgrade restarts the nodes, with the old version or with announced limits in the settings.
+func (s *simulation) restartNodesForUpgrade(words []string) {
 	if words[0] == "next" {
-		s.params.Store.Next = nextLimits(s.tb, words[1:])
+		s.params.Store.Next = parseNextLimits(s.tb, words[1:])
 	}
 	for _, node := range s.nodes {
 		node.oldVersion = node.oldVersion || words[0] == "old"
@@ -88,48 +88,49 @@
 	}
 }
 
+// parseSeconds parses a duration in seconds.
 func parseSeconds(tb testing.TB, text string) time.Duration {
 	tb.Helper()
-	x, err := strconv.ParseFloat(text, 64)
+	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		tb.Fatalf("not a number: %s", text)
+		tb.Fatalf("invalid number: %s", text)
 	}
-	return time.Duration(x * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// plan takes a line of a script that says what happens at a time.
-func (s *simulation) plan(at time.Duration, words []string) {
+// scheduleLine schedules the event that a line of a script names: a request of a user, or a fault.
+func (s *simulation) scheduleLine(at time.Duration, words []string) {
 	switch words[0] {
 	case "submit":
-		job := s.newJob(words[1:])
+		job := s.parseJob(words[1:])
 		job.submitAt = at
 		s.jobs = append(s.jobs, job)
 		s.at(at, func() { s.submitJob(job) })
 	case "cancel":
-		job := s.plannedJob(words[1])
+		job := s.submittedJob(words[1])
 		s.at(at, func() { s.cancelJob(job) })
 	case "cancel_at_end":
-		job := s.plannedJob(words[1])
+		job := s.submittedJob(words[1])
 		job.cancelAt = -1
-		s.at(at, func() { s.cancelOnceComplete(job) })
+		s.at(at, func() { s.cancelAndResubmitOnceComplete(job) })
 	default:
 		s.at(at, func() { s.inject(fault{s, words}) })
 	}
 }
 
-// plannedJob gives the job that an earlier line of the script submits.
-func (s *simulation) plannedJob(id string) *simulatedJob {
+// submittedJob returns the job that an earlier line of the script submits.
+func (s *simulation) submittedJob(id string) *simulatedJob {
 	for _, job := range s.jobs {
 		if job.spec.ID == id {
 			return job
 		}
 	}
-	s.tb.Fatalf("no job %s", id)
+	s.tb.Fatalf("no earlier line submits job %s", id)
 	return nil
 }
 
-// cancelOnceComplete cancels a job, and submits it again, as soon as its last task has completed.
-func (s *simulation) cancelOnceComplete(job *simulatedJob) {
+// cancelAndResubmitOnceComplete cancels a job and submits it again as soon as all its tasks have completed.
+func (s *simulation) cancelAndResubmitOnceComplete(job *simulatedJob) {
 	completed := 0
 	for i := range job.spec.Tasks {
 		if s.completedTasks[wire.TaskName(job.spec.ID, i)] {
@@ -137,31 +138,31 @@
 		}
 	}
 	if completed < job.spec.Tasks {
-		s.after(10*time.Millisecond, func() { s.cancelOnceComplete(job) })
+		s.after(10*time.Millisecond, func() { s.cancelAndResubmitOnceComplete(job) })
 		return
 	}
 	s.cancelJob(job)
 	s.submitJob(job)
 }
 
-// newJob takes a job as in the other traces, and what the world has to know of it.
-func (s *simulation) newJob(words []string) *simulatedJob {
+// parseJob parses a job as in traces, with the run time of its tasks and whether they fail.
+func (s *simulation) parseJob(words []string) *simulatedJob {
 	job := &simulatedJob{runSeconds: 20}
-	plain, team := []string{words[0]}, "green"
-	for _, kv := range words[1:] {
-		k, v, _ := strings.Cut(kv, "=")
-		switch k {
+	jobWords, team := []string{words[0]}, "green"
+	for _, word := range words[1:] {
+		name, value, _ := strings.Cut(word, "=")
+		switch name {
 		case "run":
-			job.runSeconds = parseSeconds(s.tb, v).Seconds()
+			job.runSeconds = parseSeconds(s.tb, value).Seconds()
 		case "faulty":
 			job.faulty = true
 		case "team":
-			team = v
+			team = value
 		default:
-			plain = append(plain, kv)
+			jobWords = append(jobWords, word)
 		}
 	}
-	job.spec = (&traceHarness{tb: s.tb}).job(append(plain, "team="+team))
+	job.spec = (&traceHarness{tb: s.tb}).parseJob(append(jobWords, "team="+team))
 	if job.spec.Kind == wire.KindArray {
 		job.spec.EstimatedRunS = job.runSeconds
 	}
--- a/internal/core/search_test.go
+++ b/internal/core/search_test.go
@@ -12,7 +12,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			script := randomDay(seed)
-			s, broken := playDay(t, script)
+			s, broken := runScript(t, script)
 			if len(broken) == 0 {
 				return
 			}
@@ -27,8 +27,8 @@
 
 // TestSearchRepeats plays a day twice: the same comes of it, to the byte.
 func TestSearchRepeats(t *testing.T) {
-	a, _ := playDay(t, randomDay(5))
-	b, _ := playDay(t, randomDay(5))
+	a, _ := runScript(t, randomDay(5))
+	b, _ := runScript(t, randomDay(5))
 	if a.journal.String() != b.journal.String() {
 		t.Error(firstDifference(a.journal.String(), b.journal.String()))
 	}
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -189,7 +189,7 @@
 // sendOddRequests sends requests that must be refused, and idempotent repeats.
 func (s *simulation) sendOddRequests() {
 	sent := s.now
-	big := &simulatedJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
+	big := &simulatedJob{spec: s.parseJob([]string{"run-999001", "gpus=9"}).spec}
 	s.ruleChecker.recordSubmission(big.spec)
 	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: big.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -10,8 +10,8 @@
 	"bitternwing/internal/wire"
 )
 
-// carryOut carries out an effect of a node; true if it has a result.
-func (harness *traceHarness) carryOut(node *traceNode, effect core.Effect) (core.Result, bool) {
+// executeEffect executes an effect of a node. The bool reports whether the effect has a result.
+func (harness *traceHarness) executeEffect(node *traceNode, effect core.Effect) (core.Result, bool) {
 	switch e := effect.(type) {
 	case core.Response:
 		harness.showResponse(node, e)
@@ -40,14 +40,16 @@
 	return core.Result{}, false
 }
 
-func (harness *traceHarness) refused(node *traceNode) bool {
-	return harness.outage || node.storeMode == "refuse"
+// storeUnavailable reports whether the key-value store refuses a node's requests.
+func (harness *traceHarness) storeUnavailable(node *traceNode) bool {
+	return harness.storeOutage || node.storeMode == "refuse"
 }
 
-// received gives what a node gets of the result of a request other than a transaction: it may be refused, dropped, or lost.
-func (harness *traceHarness) received(node *traceNode, result core.Result) core.Result {
+// applyStoreMode returns the result that a node receives for a request other than a transaction: the node's store mode
+// may have it refused, dropped or lost.
+func (harness *traceHarness) applyStoreMode(node *traceNode, result core.Result) core.Result {
 	switch {
-	case harness.refused(node):
+	case harness.storeUnavailable(node):
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unavailable}
 	case node.storeMode == "hold" || node.storeMode == "lose":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unknown}
@@ -57,12 +59,12 @@
 	return result
 }
 
-// transact carries out a transaction, unless the node's mode prevents that.
+// transact commits a transaction, unless the node's store mode prevents it.
 func (harness *traceHarness) transact(node *traceNode, effect core.StoreTxn) core.Result {
 	harness.checkTransactionLimits(effect.Txn)
 	result := core.Result{CallID: effect.CallID}
 	switch {
-	case harness.refused(node):
+	case harness.storeUnavailable(node):
 		result.Outcome = outcome.Unavailable
 	case node.storeMode == "limit":
 		result.Outcome = outcome.Dropped
@@ -81,42 +83,42 @@
 	return result
 }
 
-// readStore reads one key, or a page of keys.
+// readStore executes a read of one key or of a page of keys.
 func (harness *traceHarness) readStore(node *traceNode, effect core.Effect) core.Result {
 	switch e := effect.(type) {
 	case core.StoreGet:
 		item, result := harness.store.Get(e.Key)
-		return harness.received(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
+		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
 	case core.StoreList:
 		if node.storeMode == "nolist" {
 			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 		}
-		return harness.received(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
+		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
 	}
 	return core.Result{}
 }
 
-// callLease grants, renews or revokes a lease. A request that does not reach the key-value store changes nothing there.
+// callLease grants, renews or revokes a lease, unless the request does not reach the key-value store.
 func (harness *traceHarness) callLease(node *traceNode, effect core.Effect) core.Result {
-	unreached := harness.refused(node) || node.storeMode == "limit"
+	notReceived := harness.storeUnavailable(node) || node.storeMode == "limit"
 	if _, grant := effect.(core.StoreGrantLease); !grant {
-		unreached = unreached || node.storeMode == "hold"
+		notReceived = notReceived || node.storeMode == "hold"
 	}
-	if unreached {
-		return harness.received(node, core.Result{CallID: callID(effect)})
+	if notReceived {
+		return harness.applyStoreMode(node, core.Result{CallID: callID(effect)})
 	}
 	switch e := effect.(type) {
 	case core.StoreGrantLease:
-		return harness.received(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: harness.store.GrantLease(e.TTL)})
+		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: harness.store.GrantLease(e.TTL)})
 	case core.StoreRenewLease:
-		return harness.received(node, core.Result{CallID: e.CallID, Outcome: harness.store.RenewLease(e.Lease)})
+		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: harness.store.RenewLease(e.Lease)})
 	case core.StoreRevokeLease:
-		return harness.received(node, core.Result{CallID: e.CallID, Outcome: harness.store.RevokeLease(e.Lease)})
+		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: harness.store.RevokeLease(e.Lease)})
 	}
 	return core.Result{}
 }
 
-// callCloud carries out a call to the cloud.
+// callCloud executes a call to the cloud.
 func (harness *traceHarness) callCloud(node *traceNode, effect core.Effect) core.Result {
 	if harness.cloudDown {
 		return core.Result{CallID: callID(effect), Outcome: outcome.Unavailable}
@@ -138,6 +140,7 @@
 	return core.Result{}
 }
 
+// scaleOut creates the requested machines, which run at once.
 func (harness *traceHarness) scaleOut(node *traceNode, effect core.CloudScaleOut) core.Result {
 	if harness.cloudExhausted {
 		return core.Result{CallID: effect.CallID, Outcome: outcome.Unavailable}
@@ -145,8 +148,8 @@
 	request := effect.Request
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
 	for range request.Count {
-		harness.rented++
-		name := fmt.Sprintf("m%d", harness.rented)
+		harness.machinesCreated++
+		name := fmt.Sprintf("m%d", harness.machinesCreated)
 		harness.machines[name] = &wire.Machine{Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineRunning}
 		result.MachineNames = append(result.MachineNames, name)
 	}
@@ -154,6 +157,7 @@
 	return result
 }
 
+// listMachines returns all machines in one page, without the hidden one.
 func (harness *traceHarness) listMachines(effect core.CloudList) core.Result {
 	var machines []wire.Machine
 	for _, machine := range harness.machines {
@@ -167,7 +171,7 @@
 	return result
 }
 
-// commandOutcomes gives what becomes of direct commands by the word of a trace; "" is carried out.
+// commandOutcomes maps the argument of an orders line to the outcome of direct commands; "": no fault.
 var commandOutcomes = map[string]outcome.Outcome{
 	"":         outcome.OK,
 	"lost":     outcome.Unknown,
@@ -175,12 +179,14 @@
 	"conflict": outcome.Conflict,
 }
 
+// sendCommands shows direct commands and returns their outcome. No worker executes them.
 func (harness *traceHarness) sendCommands(node *traceNode, effect core.SendCommands) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: commandOutcomes[harness.commandFault]}
 	harness.show(node, "orders %s token %s%s: %s", effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands), result.Outcome)
 	return result
 }
 
+// queryWorker returns the heartbeat that the trace has set for the worker at an address.
 func (harness *traceHarness) queryWorker(node *traceNode, effect core.QueryWorker) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
 	if node.storeMode == "limit" {
@@ -192,18 +198,18 @@
 	return result
 }
 
-// queryPeer asks another node for its status, and hands it cancellations.
+// queryPeer returns the status of another node, and delivers cancellations to it.
 func (harness *traceHarness) queryPeer(node *traceNode, effect core.QueryPeer) core.Result {
 	peer := harness.nodes[effect.Node]
-	if peer == nil || harness.separated(node.name, effect.Node) {
+	if peer == nil || harness.partitioned(node.name, effect.Node) {
 		return core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
 	}
 	if len(effect.Cancellations) > 0 {
-		harness.lastRequest++
+		harness.lastRequestID++
 		for _, cancellation := range effect.Cancellations {
 			harness.show(peer, "hears that %s is cancelled", cancellation.Job)
 		}
-		harness.step(peer, core.ReplicateCancellations{RequestID: harness.lastRequest, Cancellations: effect.Cancellations})
+		harness.step(peer, core.ReplicateCancellations{RequestID: harness.lastRequestID, Cancellations: effect.Cancellations})
 	}
 	status := peer.core.PeerStatus()
 	if peer.oldVersion {
@@ -212,33 +218,33 @@
 	return core.Result{CallID: effect.CallID, Outcome: outcome.OK, Peer: status}
 }
 
-// separated tells whether two nodes can't reach each other.
-func (harness *traceHarness) separated(a, b string) bool {
-	return harness.peerCut == "cut" || harness.peerCut == a || harness.peerCut == b || harness.peerCut == "zones" && harness.zones[a] != harness.zones[b]
+// partitioned reports whether two nodes can't reach each other.
+func (harness *traceHarness) partitioned(a, b string) bool {
+	return harness.peerPartition == "cut" || harness.peerPartition == a || harness.peerPartition == b || harness.peerPartition == "zones" && harness.zoneByNode[a] != harness.zoneByNode[b]
 }
 
-// checkTransactionLimits checks a transaction against the protocol's limits.
-func (harness *traceHarness) checkTransactionLimits(t wire.Txn) {
-	p := harness.settings("a").Params.Store
-	body, err := json.Marshal(t)
-	if err != nil || len(body) > wire.MaxBody || len(t.Then) > p.TxnOps || len(t.If) > 4*p.TxnOps {
-		harness.tb.Errorf("a transaction of %d changes, %d conditions, %d bytes: %v", len(t.Then), len(t.If), len(body), err)
+// checkTransactionLimits checks that a transaction keeps to the protocol's limits.
+func (harness *traceHarness) checkTransactionLimits(txn wire.Txn) {
+	store := harness.settings("a").Params.Store
+	body, err := json.Marshal(txn)
+	if err != nil || len(body) > wire.MaxBody || len(txn.Then) > store.TxnOps || len(txn.If) > 4*store.TxnOps {
+		harness.tb.Errorf("transaction exceeds the limits or can't be encoded: %d changes, %d conditions, %d bytes, err %v", len(txn.Then), len(txn.If), len(body), err)
 	}
-	for _, op := range t.Then {
-		if float64(len(op.Value)) > 1024*p.ValueKB {
-			harness.tb.Errorf("a value of %d bytes for %s", len(op.Value), op.Put)
+	for _, op := range txn.Then {
+		if float64(len(op.Value)) > 1024*store.ValueKB {
+			harness.tb.Errorf("value of %d bytes for %s is above the limit", len(op.Value), op.Put)
 		}
 	}
 }
 
-// showResponse shows a response.
+// showResponse shows a response to a user or a worker.
 func (harness *traceHarness) showResponse(node *traceNode, response core.Response) {
-	if ra, ok := response.Body.(wire.HeartbeatResponse); ok {
-		harness.show(node, "%d token %s%s", response.Status, showToken(ra.FencingToken), showCommands(ra.Commands))
+	if heartbeat, ok := response.Body.(wire.HeartbeatResponse); ok {
+		harness.show(node, "%d token %s%s", response.Status, showToken(heartbeat.FencingToken), showCommands(heartbeat.Commands))
 		return
 	}
 	if response.Body == nil {
-		return // a node that it heard
+		return // acknowledges the cancellations of a peer
 	}
 	body, err := json.Marshal(response.Body)
 	if err != nil {
--- a/internal/core/trace_format_test.go
+++ b/internal/core/trace_format_test.go
@@ -7,25 +7,27 @@
 	"bitternwing/internal/wire"
 )
 
-// showChangedKeys shows the changes of a transaction, without the counts for display.
-func showChangedKeys(t wire.Txn) string {
-	var ks []string
-	for _, op := range t.Then {
+// showChangedKeys formats the keys that a transaction changes, with the short values below r/ and f/. It omits the task
+// counts for display, image hints and the catalog.
+func showChangedKeys(txn wire.Txn) string {
+	var changes []string
+	for _, op := range txn.Then {
 		switch {
 		case len(op.Value) > 400:
-			ks = append(ks, op.Put+" (long)")
+			changes = append(changes, op.Put+" (long)")
 		case strings.HasPrefix(op.Put, "w/n/"), strings.HasPrefix(op.Put, "w/i/"), op.Put == "w/catalog":
 		case op.Delete != "":
-			ks = append(ks, "-"+op.Delete)
+			changes = append(changes, "-"+op.Delete)
 		case strings.HasPrefix(op.Put, "r/") || strings.HasPrefix(op.Put, "f/"):
-			ks = append(ks, op.Put+"="+string(op.Value))
+			changes = append(changes, op.Put+"="+string(op.Value))
 		default:
-			ks = append(ks, op.Put)
+			changes = append(changes, op.Put)
 		}
 	}
-	return strings.Join(ks, " ")
+	return strings.Join(changes, " ")
 }
 
+// showToken formats a fencing token as the term and, unless it is 0, the count within the term.
 func showToken(token uint64) string {
 	if token%1_000_000 == 0 {
 		return fmt.Sprint(token / 1_000_000)
@@ -33,6 +35,7 @@
 	return fmt.Sprintf("%d.%d", token/1_000_000, token%1_000_000)
 }
 
+// showCommands formats commands to a worker.
 func showCommands(commands []wire.Command) string {
 	var b strings.Builder
 	for _, command := range commands {
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -11,74 +11,77 @@
 	"bitternwing/internal/wire"
 )
 
-// traceHarness is what surrounds the nodes in a trace: a state service, a cloud, links.
+// traceHarness runs the nodes of a trace with a simulated key-value store, cloud and network. Calls take no time; time
+// advances only where the trace says so.
 type traceHarness struct {
 	tb               testing.TB
-	out              strings.Builder
+	output           strings.Builder
 	now              time.Duration
 	store            *emulator.Store
-	outage           bool
+	storeOutage      bool
 	nodes            map[string]*traceNode
 	nodeNames        []string
-	lastRequest      uint64
-	peerCut          string                     // "cut": no node reaches another, "zones": none in another zone
-	cycleBudget      float64                    // the operators' round_budget, for nodes that start after
-	spareShare       float64                    // the same for spare_share
-	paceHeartbeats   bool                       // the same for pace_reports
-	zones            map[string]string          // of nodes; "": z1
-	hiddenMachine    string                     // a machine that lists lack
-	workerHeartbeats map[string]*wire.Heartbeat // of workers that are asked directly, by address
-	commandFault     string                     // what becomes of direct orders; "": carried out
-	nextLimits       *config.NextLimits         // in the settings of nodes that start after
+	lastRequestID    uint64
+	peerPartition    string                     // "cut", "zones" or the name of a node; "": none
+	cycleBudget      float64                    // round_budget of nodes that start from now on; 0: the default
+	spareShare       float64                    // spare_share of nodes that start from now on
+	paceHeartbeats   bool                       // pace_reports of nodes that start from now on
+	zoneByNode       map[string]string          // zone of each node; "": z1
+	hiddenMachine    string                     // machine that is missing from the cloud's list; "": none
+	workerHeartbeats map[string]*wire.Heartbeat // responses to status queries, by worker address
+	commandFault     string                     // key of commandOutcomes
+	nextLimits       *config.NextLimits         // announced limits, for nodes that start from now on
 
 	cloudDown, cloudExhausted bool
 	machines                  map[string]*wire.Machine
-	rented                    int
+	machinesCreated           int
 }
 
+// traceNode is a running node of a trace.
 type traceNode struct {
 	name             string
-	oldVersion       bool // of the version before the second layout
+	oldVersion       bool // runs the version before the second record layout
 	core             *core.Core
-	storeMode        string // of its requests to the state service
+	storeMode        string // fault of its requests to the key-value store, or "serve"
 	heldTransactions []core.StoreTxn
 	watches          []core.StoreWatch
 	watchesOpenedAt  time.Duration
 }
 
+// settings returns the settings of a node that starts now.
 func (harness *traceHarness) settings(name string) *config.Settings {
 	zone := func(node string) string {
-		if z := harness.zones[node]; z != "" {
+		if z := harness.zoneByNode[node]; z != "" {
 			return z
 		}
 		return "z1"
 	}
-	s := &config.Settings{Node: name, Zone: zone(name), Operator: config.DefaultOperator()}
-	for _, p := range []string{"a", "b", "c"} {
-		if p != name {
-			s.Peers = append(s.Peers, config.Peer{Node: p, Zone: zone(p), Addr: "127.0.0.1:1"})
+	settings := &config.Settings{Node: name, Zone: zone(name), Operator: config.DefaultOperator()}
+	for _, peer := range []string{"a", "b", "c"} {
+		if peer != name {
+			settings.Peers = append(settings.Peers, config.Peer{Node: peer, Zone: zone(peer), Addr: "127.0.0.1:1"})
 		}
 	}
-	s.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
+	settings.Params = config.Params{Nodes: 3, Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Teams:      []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 16}, {Name: "green", GuaranteedGPUs: 40, MaxGPUs: 80}},
 		Objectives: []config.Objective{{Kind: "finished", Class: "rush", WithinS: 150, Share: 0.9}},
 		Workers:    config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
 		Store:      config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:     config.Limits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
-	s.Params.Store.Next = harness.nextLimits
-	s.Operator.SpareShare = harness.spareShare
-	s.Operator.PaceHeartbeats = harness.paceHeartbeats
+	settings.Params.Store.Next = harness.nextLimits
+	settings.Operator.SpareShare = harness.spareShare
+	settings.Operator.PaceHeartbeats = harness.paceHeartbeats
 	if harness.cycleBudget > 0 {
-		s.Operator.CycleBudget = harness.cycleBudget
+		settings.Operator.CycleBudget = harness.cycleBudget
 	}
-	return s
+	return settings
 }
 
 var testCatalog = wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300,
 	FetchGBPerS: 4, Price: 16, SpotPrice: 5, BootS: 40, Zones: []string{"z1", "z2"}}}}
 
-// advance lets time pass: nodes are woken when they want to be.
+// advance advances the time, and wakes each node at the times it requests.
 func (harness *traceHarness) advance(d time.Duration) {
 	end := harness.now + d
 	for harness.now < end {
@@ -87,7 +90,7 @@
 			next = min(next, max(harness.now+time.Millisecond, harness.nodes[name].core.Wake()))
 		}
 		harness.now = next
-		if !harness.outage {
+		if !harness.storeOutage {
 			harness.store.AdvanceTo(harness.now)
 		}
 		for _, name := range append([]string(nil), harness.nodeNames...) {
@@ -99,37 +102,37 @@
 	}
 }
 
-// answerWatches answers watches until nothing new comes.
+// answerWatches responds to watches that have changes or have timed out, until no more do.
 func (harness *traceHarness) answerWatches() {
-	for again := true; again; {
-		again = false
+	for progressed := true; progressed; {
+		progressed = false
 		for _, name := range append([]string(nil), harness.nodeNames...) {
 			node := harness.nodes[name]
-			ws := node.watches
+			watches := node.watches
 			node.watches = nil
-			for _, effect := range ws {
-				if harness.outage || node.storeMode != "serve" && node.storeMode != "slow" && node.storeMode != "nolist" {
+			for _, effect := range watches {
+				if harness.storeOutage || node.storeMode != "serve" && node.storeMode != "slow" && node.storeMode != "nolist" {
 					node.watches = append(node.watches, effect)
 					continue
 				}
-				ch, got := harness.store.Changes(effect.Prefix, effect.After)
-				if len(ch.Events) == 0 && harness.now-node.watchesOpenedAt < effect.Wait {
+				changes, result := harness.store.Changes(effect.Prefix, effect.After)
+				if len(changes.Events) == 0 && harness.now-node.watchesOpenedAt < effect.Wait {
 					node.watches = append(node.watches, effect)
 					continue
 				}
-				again = true
-				harness.step(node, core.Result{CallID: effect.CallID, Outcome: got, Changes: ch, SentAt: node.watchesOpenedAt})
+				progressed = true
+				harness.step(node, core.Result{CallID: effect.CallID, Outcome: result, Changes: changes, SentAt: node.watchesOpenedAt})
 			}
 		}
 	}
 }
 
-// step hands a node an input and carries out what it returns.
+// step passes an input to a node and executes the effects it returns.
 func (harness *traceHarness) step(node *traceNode, input core.Input) {
 	effects := append([]core.Effect(nil), node.core.Step(core.Time{Steady: harness.now, WallMS: int64(harness.now / time.Millisecond)}, input)...)
 	var results []core.Result
 	for _, effect := range effects {
-		if result, ok := harness.carryOut(node, effect); ok {
+		if result, ok := harness.executeEffect(node, effect); ok {
 			result.SentAt = harness.now
 			results = append(results, result)
 		}
--- a/internal/core/trace_jobs_test.go
+++ b/internal/core/trace_jobs_test.go
@@ -7,8 +7,9 @@
 	"bitternwing/internal/wire"
 )
 
-// jobWords set a field of a job to the value of a word in a trace; number is the value as a number.
-var jobWords = map[string]func(job *wire.Job, value string, number float64){
+// jobFieldSetters maps the name in a NAME=VALUE word to the function that sets the job's field. The value is also
+// passed as a number, 0 if it is none.
+var jobFieldSetters = map[string]func(job *wire.Job, value string, number float64){
 	"tasks":    func(job *wire.Job, _ string, number float64) { job.Tasks = int(number) },
 	"gpus":     func(job *wire.Job, _ string, number float64) { job.GPUs = number },
 	"cpus":     func(job *wire.Job, _ string, number float64) { job.CPUs = number },
@@ -34,59 +35,60 @@
 	},
 }
 
-// job reads a job: its ID and the words that differ from an array of one task.
-func (harness *traceHarness) job(words []string) *wire.Job {
-	j := &wire.Job{ID: words[0], Class: "c", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 1,
+// parseJob parses a job: its ID, then the fields that differ from the defaults, an array of one task.
+func (harness *traceHarness) parseJob(words []string) *wire.Job {
+	job := &wire.Job{ID: words[0], Class: "c", Team: "red", Kind: wire.KindArray, Priority: "standard", Tasks: 1,
 		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 10, EstimatedRunS: 60}
 	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
-		set := jobWords[name]
+		set := jobFieldSetters[name]
 		if set == nil {
-			harness.tb.Fatalf("unknown: %s", word)
+			harness.tb.Fatalf("unknown job field: %s", word)
 		}
 		number, _ := strconv.ParseFloat(value, 64)
-		set(j, value, number)
+		set(job, value, number)
 	}
-	return j
+	return job
 }
 
-// heartbeat reads a heartbeat.
-func (harness *traceHarness) heartbeat(words []string) *wire.Heartbeat {
-	r := &wire.Heartbeat{Machine: words[0], Type: "g8", Zone: "z1"}
-	if machine := harness.machines[r.Machine]; machine != nil {
-		r.Zone, r.Spot = machine.Zone, machine.Spot
+// parseHeartbeat parses a heartbeat: the machine, then the heartbeat's fields and task statuses. Zone and spot default
+// to those of the cloud's machine.
+func (harness *traceHarness) parseHeartbeat(words []string) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{Machine: words[0], Type: "g8", Zone: "z1"}
+	if machine := harness.machines[heartbeat.Machine]; machine != nil {
+		heartbeat.Zone, heartbeat.Spot = machine.Zone, machine.Spot
 	}
-	for _, kv := range words[1:] {
-		k, v, _ := strings.Cut(kv, "=")
-		num, _ := strconv.ParseFloat(v, 64)
-		switch k {
+	for _, word := range words[1:] {
+		name, value, _ := strings.Cut(word, "=")
+		number, _ := strconv.ParseFloat(value, 64)
+		switch name {
 		case "session":
-			r.Incarnation = uint64(num)
+			heartbeat.Incarnation = uint64(number)
 		case "seq":
-			r.Sequence = uint64(num)
+			heartbeat.Sequence = uint64(number)
 		case "token":
-			// term, or term.count within the term
-			term, count, _ := strings.Cut(v, ".")
-			a, _ := strconv.ParseUint(term, 10, 64)
+			// TERM, or TERM.COUNT with the count within the term
+			term, count, _ := strings.Cut(value, ".")
+			attempt, _ := strconv.ParseUint(term, 10, 64)
 			b, _ := strconv.ParseUint(count, 10, 64)
-			r.FencingToken = a*1_000_000 + b
+			heartbeat.FencingToken = attempt*1_000_000 + b
 		case "notice":
-			r.ReclaimNoticeS = &num
+			heartbeat.ReclaimNoticeS = &number
 		case "spot":
-			r.Spot = true
+			heartbeat.Spot = true
 		case "zone":
-			r.Zone = v
+			heartbeat.Zone = value
 		case "addr":
-			r.Addr = v
+			heartbeat.Addr = value
 		default:
-			task, att, ok := strings.Cut(k, "#")
-			a, err := strconv.ParseUint(att, 10, 64)
+			task, attemptText, ok := strings.Cut(name, "#")
+			attempt, err := strconv.ParseUint(attemptText, 10, 64)
 			if !ok || err != nil {
-				harness.tb.Fatalf("unknown: %s", kv)
+				harness.tb.Fatalf("invalid heartbeat field or task status: %s", word)
 			}
-			state, why, _ := strings.Cut(v, ":")
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: task, Attempt: a, State: wire.TaskState(state), Cause: wire.ExitCause(why)})
+			state, cause, _ := strings.Cut(value, ":")
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskState(state), Cause: wire.ExitCause(cause)})
 		}
 	}
-	return r
+	return heartbeat
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -13,53 +13,54 @@
 	"bitternwing/internal/wire"
 )
 
-// The tests of the core are kept traces in testdata, written to be read: a line is
-// something that happens, the lines below it that begin with "|" are what the
-// nodes do about it. The test plays what happens and compares the whole; after a
-// wanted change `go test ./internal/core -update` writes the traces anew, and the
-// difference is reviewed like code.
+// The golden traces in testdata test the core. A line without "|" is an input; the lines below it that begin with "|"
+// are what the nodes do in response. TestTraces replays the inputs and compares the whole file. After an intended
+// change `go test ./internal/core -update` rewrites the traces, and the difference is reviewed like code.
 //
-//	node a                 node a starts (again)
-//	node a old             the same, of the version before the second layout of records, for what
-//	                       it says of itself and knows of the settings
-//	next value_kb=2 ...    limits to come, in the settings of nodes that start from here on
-//	limits fall            they come
-//	kill a                 node a ends
-//	+2s                    time passes
+// The lines of a trace:
+//
+//	node a                 starts or restarts the process of node a
+//	node a old             the same, as the version before the second record layout: it does not report
+//	                       the layout to its peers, and its settings have no announced limits
+//	next value_kb=2 ...    announced limits, in the settings of nodes that start from here on
+//	limits fall            the key-value store enforces the announced limits
+//	kill a                 ends the process of node a
+//	+2s                    advances the time
 //	submit a run-000001 kind=service tasks=2 gpus=4 team=red ...
 //	poll a run-000001      cancel a run-000001
 //	report a m1 session=1 seq=4 token=1 [addr=m1:1] [spot] [zone=z2] [notice=20] [TASK#ATTEMPT=STATE[:why]] ...
-//	state a refuse         its requests to the state service get 503
-//	state a lose           they are carried out, but the answers get lost
-//	state a hold           they get lost on the way, and come late: state a late
-//	state a slow           like hold, but for its transactions alone
-//	state a limit          they are above the service's rate
-//	state a nolist         the answers to its readings of many keys get lost
-//	state a serve          all is well again
-//	outage / outage over   the state service refuses all; leases start anew after
-//	peers cut / peers join / peers NODE   none reaches another; all do; none reaches NODE, nor it them
-//	peers zones            nodes reach those of their own zone only
-//	zones b=z2             where nodes are; z1 unless named
-//	budget 1e-9            nodes that start from here on have this round_budget
-//	spare 0.1              the same for spare_share
-//	paced                  the same for pace_reports
-//	orders lost / orders refused / orders conflict / orders ok
-//	cloud down / cloud up  cloud none (no capacity)
-//	cloud fails m1         the list shows m1 as failed
-//	cloud hides m1         the list lacks m1, until cloud shows m1
-//	cloud drops m1         m1 is gone without notice
-//	cloud has m9 [z2]      a machine nobody here asked for
-//	store KEY VALUE        a value as it was written before
-//	keys PREFIX            shows keys of the state service with their values
-//	healthy a
-//	answers a m1 addr=m1:1 session=...  what worker m1 answers when it is asked directly
+//	state a refuse         the key-value store responds to node a with 503
+//	state a lose           requests of node a are executed, but the responses are lost
+//	state a hold           requests of node a get no response; held transactions are committed by: state a late
+//	state a slow           like hold, but only for transactions
+//	state a limit          requests of node a are dropped by its rate limit
+//	state a nolist         responses to list requests are lost
+//	state a serve          ends the fault
+//	outage / outage over   the key-value store refuses all requests; leases are renewed when it is over
+//	peers cut / peers join / peers NODE   partitions all nodes; ends the partition; partitions NODE from the others
+//	peers zones            nodes reach only the nodes of their own zone
+//	zones b=z2             zones of nodes; default z1
+//	budget 1e-9            round_budget of nodes that start from here on
+//	spare 0.1              spare_share of nodes that start from here on
+//	paced                  enables pace_reports for nodes that start from here on
+//	orders lost / orders refused / orders conflict / orders ok   outcome of direct commands
+//	cloud down / cloud up  begins or ends an outage of the cloud; cloud none: no capacity
+//	cloud fails m1         the cloud lists m1 as failed
+//	cloud hides m1         the cloud's list lacks m1, until cloud shows m1
+//	cloud drops m1         removes m1 without notice
+//	cloud has m9 [z2]      adds a machine that no node requested
+//	store KEY VALUE        writes a value directly to the key-value store
+//	keys PREFIX            shows keys of the key-value store with their values
+//	healthy a              shows whether node a is healthy
+//	answers a m1 addr=m1:1 session=...  sets the response of worker m1 to status queries
 
-var updateTraces = flag.Bool("update", false, "write the traces anew")
+var updateTraces = flag.Bool("update", false, "rewrite the golden traces")
 
+// TestTraces replays the golden traces and compares what the nodes do.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no traces", err)
+		t.Fatal("no files testdata/*.trace", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
@@ -67,7 +68,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := playTrace(t, string(data))
+			got := runTrace(t, string(data))
 			if *updateTraces {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
@@ -75,37 +76,40 @@
 				return
 			}
 			if got != string(data) {
-				t.Errorf("%s: the nodes did something else:\n%s", file, firstDifference(string(data), got))
+				t.Errorf("%s: trace differs:\n%s", file, firstDifference(string(data), got))
 			}
 		})
 	}
 }
 
+// firstDifference describes the first line in which two traces differ, followed by the whole trace that was produced.
 func firstDifference(want, got string) string {
 	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for i := 0; i < len(w) && i < len(g); i++ {
 		if w[i] != g[i] {
-			return fmt.Sprintf("line %d\n kept: %s\n  now: %s\nwhole:\n%s", i+1, w[i], g[i], got)
+			return fmt.Sprintf("line %d\nwant: %s\n got: %s\nfull trace:\n%s", i+1, w[i], g[i], got)
 		}
 	}
 	return got
 }
 
-func playTrace(t *testing.T, text string) string {
+// runTrace executes the inputs of a trace and returns the trace with the effects that they have now.
+func runTrace(t *testing.T, text string) string {
 	t.Helper()
 	harness := &traceHarness{tb: t, now: time.Second, store: emulator.NewStore(), nodes: map[string]*traceNode{}, workerHeartbeats: map[string]*wire.Heartbeat{}, machines: map[string]*wire.Machine{}}
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if strings.HasPrefix(line, "|") {
 			continue
 		}
-		harness.out.WriteString(line + "\n")
+		harness.output.WriteString(line + "\n")
 		if words := strings.Fields(line); len(words) > 0 && !strings.HasPrefix(line, "#") {
-			harness.carryOutLine(words)
+			harness.executeLine(words)
 		}
 	}
-	return harness.out.String()
+	return harness.output.String()
 }
 
+// show adds an effect on a node to the output.
 func (harness *traceHarness) show(node *traceNode, format string, args ...any) {
-	fmt.Fprintf(&harness.out, "| %s: %s\n", node.name, fmt.Sprintf(format, args...))
+	fmt.Fprintf(&harness.output, "| %s: %s\n", node.name, fmt.Sprintf(format, args...))
 }
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -15,12 +15,14 @@
 	"bitternwing/internal/wire"
 )
 
-// traceWords carry out the lines of a trace that are about what surrounds the nodes, or a node's start and end, by
-// their first word.
-var traceWords = map[string]func(harness *traceHarness, words []string){
+// harnessDirectives maps the first word of a line to its handler, for lines that change the environment of the nodes,
+// or start or kill a node.
+var harnessDirectives = map[string]func(harness *traceHarness, words []string){
 	"node": (*traceHarness).startNode,
 	"kill": (*traceHarness).killNode,
-	"next": func(harness *traceHarness, words []string) { harness.nextLimits = nextLimits(harness.tb, words[1:]) },
+	"next": func(harness *traceHarness, words []string) {
+		harness.nextLimits = parseNextLimits(harness.tb, words[1:])
+	},
 	"limits": func(harness *traceHarness, _ []string) {
 		harness.store.SetLimits(int(1024**harness.nextLimits.ValueKB), *harness.nextLimits.TxnOps)
 	},
@@ -39,27 +41,27 @@
 		harness.commandFault = strings.TrimPrefix(harness.argument(words, 1), "ok")
 	},
 	"peers": func(harness *traceHarness, words []string) {
-		harness.peerCut = strings.TrimPrefix(harness.argument(words, 1), "join")
+		harness.peerPartition = strings.TrimPrefix(harness.argument(words, 1), "join")
 	},
 	"cloud": (*traceHarness).changeCloud,
 }
 
-// nodeWords carry out the lines of a trace that are about a node that runs, by their first word.
-var nodeWords = map[string]func(harness *traceHarness, node *traceNode, words []string){
+// nodeDirectives maps the first word of a line to its handler, for lines that apply to a running node.
+var nodeDirectives = map[string]func(harness *traceHarness, node *traceNode, words []string){
 	"submit": func(harness *traceHarness, node *traceNode, words []string) {
-		harness.step(node, core.SubmitJob{RequestID: harness.lastRequest, Job: harness.job(words[2:])})
+		harness.step(node, core.SubmitJob{RequestID: harness.lastRequestID, Job: harness.parseJob(words[2:])})
 	},
 	"poll": func(harness *traceHarness, node *traceNode, words []string) {
-		harness.step(node, core.GetJob{RequestID: harness.lastRequest, ID: harness.argument(words, 2)})
+		harness.step(node, core.GetJob{RequestID: harness.lastRequestID, ID: harness.argument(words, 2)})
 	},
 	"cancel": func(harness *traceHarness, node *traceNode, words []string) {
-		harness.step(node, core.CancelJob{RequestID: harness.lastRequest, ID: harness.argument(words, 2)})
+		harness.step(node, core.CancelJob{RequestID: harness.lastRequestID, ID: harness.argument(words, 2)})
 	},
 	"report": func(harness *traceHarness, node *traceNode, words []string) {
-		harness.step(node, core.WorkerHeartbeat{RequestID: harness.lastRequest, Heartbeat: harness.heartbeat(words[2:])})
+		harness.step(node, core.WorkerHeartbeat{RequestID: harness.lastRequestID, Heartbeat: harness.parseHeartbeat(words[2:])})
 	},
 	"answers": func(harness *traceHarness, _ *traceNode, words []string) {
-		heartbeat := harness.heartbeat(words[2:])
+		heartbeat := harness.parseHeartbeat(words[2:])
 		harness.workerHeartbeats[heartbeat.Addr] = heartbeat
 	},
 	"healthy": func(harness *traceHarness, node *traceNode, _ []string) {
@@ -70,8 +72,8 @@
 	},
 }
 
-// carryOutLine carries out a line of a trace.
-func (harness *traceHarness) carryOutLine(words []string) {
+// executeLine executes a line of a trace.
+func (harness *traceHarness) executeLine(words []string) {
 	if duration, ok := strings.CutPrefix(words[0], "+"); ok {
 		d, err := time.ParseDuration(duration)
 		if err != nil {
@@ -80,36 +82,36 @@
 		harness.advance(d)
 		return
 	}
-	if handle := traceWords[words[0]]; handle != nil {
+	if handle := harnessDirectives[words[0]]; handle != nil {
 		handle(harness, words)
 		return
 	}
 	node := harness.nodes[harness.argument(words, 1)]
 	if node == nil {
-		harness.tb.Fatalf("no such node: %v", words)
+		harness.tb.Fatalf("node is not running: %v", words)
 	}
-	harness.lastRequest++
-	handle := nodeWords[words[0]]
+	harness.lastRequestID++
+	handle := nodeDirectives[words[0]]
 	if handle == nil {
-		harness.tb.Fatalf("unknown: %v", words)
+		harness.tb.Fatalf("unknown directive: %v", words)
 	}
 	if words[0] == "state" && harness.argument(words, 2) == "late" {
-		harness.commitHeld(node)
+		harness.commitHeldTransactions(node)
 		return
 	}
 	handle(harness, node, words)
 	harness.answerWatches()
 }
 
-// argument gives a word of a line that must have it.
+// argument returns a required word of a line.
 func (harness *traceHarness) argument(words []string, i int) string {
 	if i >= len(words) {
-		harness.tb.Fatalf("too few words: %v", words)
+		harness.tb.Fatalf("missing argument: %v", words)
 	}
 	return words[i]
 }
 
-// startNode starts a node's process anew.
+// startNode starts or restarts a node's process.
 func (harness *traceHarness) startNode(words []string) {
 	node := &traceNode{name: harness.argument(words, 1), storeMode: "serve", oldVersion: len(words) > 2}
 	settings := harness.settings(node.name)
@@ -127,6 +129,7 @@
 	harness.answerWatches()
 }
 
+// killNode ends a node's process.
 func (harness *traceHarness) killNode(words []string) {
 	killed := harness.argument(words, 1)
 	delete(harness.nodes, killed)
@@ -138,37 +141,40 @@
 	}
 }
 
-// storeValue writes a value past the nodes, as an earlier version may have left it.
+// storeValue writes a value directly to the key-value store, as an earlier version may have left it.
 func (harness *traceHarness) storeValue(words []string) {
 	value := json.RawMessage(strings.Join(words[2:], " "))
-	if _, result := harness.store.Txn(wire.Txn{Then: []wire.Op{{Put: harness.argument(words, 1), Value: value}}}); result != outcome.OK {
-		harness.tb.Fatalf("not stored: %v", words)
+	if _, got := harness.store.Txn(wire.Txn{Then: []wire.Op{{Put: harness.argument(words, 1), Value: value}}}); got != outcome.OK {
+		harness.tb.Fatalf("transaction was not committed: %v", words)
 	}
 }
 
+// showKeys shows the keys with a prefix, and the beginning of their values.
 func (harness *traceHarness) showKeys(words []string) {
 	for _, key := range storedKeys(harness.store, harness.argument(words, 1)) {
 		item, _ := harness.store.Get(key)
-		fmt.Fprintf(&harness.out, "| %s = %.200s\n", key, item.Value)
+		fmt.Fprintf(&harness.output, "| %s = %.200s\n", key, item.Value)
 	}
 }
 
-// setOutage begins or ends an outage of the key-value store. Leases start anew after it.
+// setOutage begins or ends an outage of the key-value store. All leases are renewed when it ends.
 func (harness *traceHarness) setOutage(words []string) {
-	harness.outage = len(words) == 1
-	if !harness.outage {
+	harness.storeOutage = len(words) == 1
+	if !harness.storeOutage {
 		harness.store.RefreshLeases(harness.now)
 	}
 }
 
+// setZones sets the zones of nodes.
 func (harness *traceHarness) setZones(words []string) {
-	harness.zones = map[string]string{}
+	harness.zoneByNode = map[string]string{}
 	for _, word := range words[1:] {
 		node, zone, _ := strings.Cut(word, "=")
-		harness.zones[node] = zone
+		harness.zoneByNode[node] = zone
 	}
 }
 
+// changeCloud changes the state of the cloud or of one machine.
 func (harness *traceHarness) changeCloud(words []string) {
 	switch harness.argument(words, 1) {
 	case "down":
@@ -194,8 +200,8 @@
 	}
 }
 
-// commitHeld carries out the transactions that were held up on their way.
-func (harness *traceHarness) commitHeld(node *traceNode) {
+// commitHeldTransactions commits a node's delayed transactions, which it believes to have timed out.
+func (harness *traceHarness) commitHeldTransactions(node *traceNode) {
 	for _, effect := range node.heldTransactions {
 		result, got := harness.store.Txn(effect.Txn)
 		harness.show(node, "late transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
@@ -203,27 +209,27 @@
 	node.heldTransactions = nil
 }
 
-// nextLimits reads the limits to come.
-func nextLimits(tb testing.TB, words []string) *config.NextLimits {
+// parseNextLimits parses the announced limits, as NAME=NUMBER.
+func parseNextLimits(tb testing.TB, words []string) *config.NextLimits {
 	tb.Helper()
-	next := &config.NextLimits{}
-	for _, kv := range words {
-		k, v, _ := strings.Cut(kv, "=")
-		num, err := strconv.ParseFloat(v, 64)
+	limits := &config.NextLimits{}
+	for _, word := range words {
+		name, value, _ := strings.Cut(word, "=")
+		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			tb.Fatalf("not a number: %s", kv)
+			tb.Fatalf("invalid number: %s", word)
 		}
-		switch k {
+		switch name {
 		case "value_kb":
-			next.ValueKB = &num
+			limits.ValueKB = &number
 		case "write_rps":
-			next.WriteRPS = &num
+			limits.WriteRPS = &number
 		case "txn_ops":
-			ops := int(num)
-			next.TxnOps = &ops
+			ops := int(number)
+			limits.TxnOps = &ops
 		default:
-			tb.Fatalf("unknown: %s", kv)
+			tb.Fatalf("unknown limit: %s", word)
 		}
 	}
-	return next
+	return limits
 }
--- a/internal/emulator/client_servers.go
+++ b/internal/emulator/client_servers.go
@@ -40,9 +40,9 @@
 		return "", fmt.Errorf("client %s: %w", name, err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		counted := &observedWriter{ResponseWriter: w}
-		c.handle(name, counted, r)
-		c.count(name, r, counted.sent)
+		observed := &observedWriter{ResponseWriter: w}
+		c.handle(name, observed, r)
+		c.notifyObserver(name, r, observed.sent)
 	})}
 	go func() { _ = server.Serve(listener) }() // ends with close
 	c.mu.Lock()
@@ -51,8 +51,8 @@
 	return listener.Addr().String(), nil
 }
 
-// count tells the observer of a request.
-func (c *clientServers) count(client string, r *http.Request, sent int) {
+// notifyObserver tells the observer of a request.
+func (c *clientServers) notifyObserver(client string, r *http.Request, sent int) {
 	c.mu.Lock()
 	observer := c.observer
 	c.mu.Unlock()
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -38,16 +38,16 @@
 // does not lag.
 type Cloud struct {
 	clientServers
-	mu            sync.Mutex
-	types         []wire.MachineType
-	capacity      map[string]int // by type; a type that is not in it has no bound
-	bootsTakeTime bool
-	launch        Launch
-	machines      map[string]*instance
-	responses     map[string]wire.MachineNames
-	created       int
-	closed        bool
-	partitioned   map[string]bool // clients that get no response
+	mu               sync.Mutex
+	types            []wire.MachineType
+	capacity         map[string]int // by type; a type that is not in it has no bound
+	bootTimesEnabled bool
+	launch           Launch
+	machines         map[string]*instance
+	namesByRequest   map[string]wire.MachineNames
+	created          int
+	closed           bool
+	partitioned      map[string]bool // clients that get no response
 
 	limiter *rate.Limiter // nil: no limit
 }
@@ -63,7 +63,7 @@
 // NewCloud makes a cloud on loopback, without clients. Its machines run at once.
 func NewCloud(types []wire.MachineType, launch Launch) *Cloud {
 	c := &Cloud{types: types, capacity: map[string]int{}, launch: launch,
-		machines: map[string]*instance{}, responses: map[string]wire.MachineNames{}, partitioned: map[string]bool{}}
+		machines: map[string]*instance{}, namesByRequest: map[string]wire.MachineNames{}, partitioned: map[string]bool{}}
 	c.handle = c.serve
 	return c
 }
@@ -72,7 +72,7 @@
 func (c *Cloud) EnableBootTimes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bootsTakeTime = true
+	c.bootTimesEnabled = true
 }
 
 // SetRateLimit bounds the requests a second, with bursts worth two seconds.
@@ -106,9 +106,9 @@
 func (c *Cloud) AddRunning(machineType, zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.typeOf(machineType)
+	spec := c.machineType(machineType)
 	for range count {
-		c.bringUp(c.add(*t, zone, false))
+		c.startWorker(c.createInstance(*spec, zone, false))
 	}
 }
 
@@ -116,29 +116,29 @@
 func (c *Cloud) Close() {
 	c.mu.Lock()
 	c.closed = true
-	var ended []Machine
+	var toStop []Machine
 	for _, machine := range c.machines {
-		if running := machine.end(); running != nil {
-			ended = append(ended, running)
+		if running := machine.terminate(); running != nil {
+			toStop = append(toStop, running)
 		}
 	}
 	c.mu.Unlock()
-	for _, machine := range ended {
+	for _, machine := range toStop {
 		machine.Stop()
 	}
 	c.close()
 }
 
-// end stops a boot and gives the machine, if it runs.
-func (i *instance) end() Machine {
+// terminate stops a boot and gives the machine, if it runs.
+func (i *instance) terminate() Machine {
 	if i.bootTimer != nil {
 		i.bootTimer.Stop()
 	}
 	return i.machine
 }
 
-// typeOf gives a machine type; nil if there is none of the name.
-func (c *Cloud) typeOf(name string) *wire.MachineType {
+// machineType gives a machine type; nil if there is none of the name.
+func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
 			return &c.types[i]
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// add adds a machine that does not run yet.
-func (c *Cloud) add(machineType wire.MachineType, zone string, spot bool) *instance {
+// createInstance adds a machine that does not run yet.
+func (c *Cloud) createInstance(machineType wire.MachineType, zone string, spot bool) *instance {
 	c.created++
 	name := fmt.Sprintf("host-%06d", c.created)
 	created := &instance{spec: MachineSpec{Name: name, Type: machineType, Zone: zone, Spot: spot}, createdAt: time.Now()}
@@ -156,20 +156,20 @@
 	return created
 }
 
-// bringUp starts the worker of a machine.
-func (c *Cloud) bringUp(machine *instance) { machine.machine = c.launch(machine.spec) }
+// startWorker starts the worker of a machine.
+func (c *Cloud) startWorker(i *instance) { i.machine = c.launch(i.spec) }
 
 // boot starts a machine after its boot time.
-func (c *Cloud) boot(machine *instance) {
-	if !c.bootsTakeTime {
-		c.bringUp(machine)
+func (c *Cloud) boot(i *instance) {
+	if !c.bootTimesEnabled {
+		c.startWorker(i)
 		return
 	}
-	machine.bootTimer = time.AfterFunc(config.Seconds(machine.spec.Type.BootS), func() {
+	i.bootTimer = time.AfterFunc(config.Seconds(i.spec.Type.BootS), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.closed && c.machines[machine.spec.Name] == machine {
-			c.bringUp(machine)
+		if !c.closed && c.machines[i.spec.Name] == i {
+			c.startWorker(i)
 		}
 	})
 }
@@ -179,23 +179,23 @@
 	if limit <= 0 || limit > wire.MaxList {
 		limit = wire.MaxList
 	}
-	var rest []*instance
+	var remaining []*instance
 	for name, machine := range c.machines {
 		if name > after {
-			rest = append(rest, machine)
+			remaining = append(remaining, machine)
 		}
 	}
-	slices.SortFunc(rest, func(a, b *instance) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
-	page := wire.MachineList{Machines: []wire.Machine{}, More: len(rest) > limit}
-	for _, machine := range rest[:min(limit, len(rest))] {
-		page.Machines = append(page.Machines, machine.listed())
+	slices.SortFunc(remaining, func(a, b *instance) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
+	page := wire.MachineList{Machines: []wire.Machine{}, More: len(remaining) > limit}
+	for _, machine := range remaining[:min(limit, len(remaining))] {
+		page.Machines = append(page.Machines, machine.listEntry())
 	}
 	return page
 }
 
-// listed gives the machine as the cloud lists it.
-func (i *instance) listed() wire.Machine {
-	listed := wire.Machine{
+// listEntry gives the machine as the cloud lists it.
+func (i *instance) listEntry() wire.Machine {
+	entry := wire.Machine{
 		Name:  i.spec.Name,
 		Type:  i.spec.Type.Name,
 		Zone:  i.spec.Zone,
@@ -204,16 +204,16 @@
 		AgeS:  time.Since(i.createdAt).Seconds(),
 	}
 	if i.machine != nil {
-		listed.Addr, listed.State = i.machine.Addr(), i.machine.State()
+		entry.Addr, entry.State = i.machine.Addr(), i.machine.State()
 	}
-	return listed
+	return entry
 }
 
 // failed tells whether the machine has failed: it no longer takes capacity.
 func (i *instance) failed() bool { return i.machine != nil && i.machine.State() == wire.MachineFailed }
 
-// free is how many more machines of a type can be created.
-func (c *Cloud) free(machineType string) int {
+// freeCapacity is how many more machines of a type can be created.
+func (c *Cloud) freeCapacity(machineType string) int {
 	free, bounded := c.capacity[machineType]
 	if !bounded {
 		return wire.MaxScaleOut
@@ -234,7 +234,7 @@
 			continue
 		}
 		delete(c.machines, name)
-		if running := machine.end(); running != nil {
+		if running := machine.terminate(); running != nil {
 			running.Stop()
 		}
 	}
--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -37,7 +37,7 @@
 		respond(w, http.StatusOK, c.list(query.Get("after"), limit))
 	case scaleOutRequest:
 		var request wire.ScaleOutRequest
-		if json.NewDecoder(r.Body).Decode(&request) != nil || !c.valid(request) {
+		if json.NewDecoder(r.Body).Decode(&request) != nil || !c.isValid(request) {
 			respond(w, http.StatusBadRequest, nil)
 			return
 		}
@@ -55,28 +55,28 @@
 	}
 }
 
-// valid tells whether a scale-out can be tried.
-func (c *Cloud) valid(request wire.ScaleOutRequest) bool {
-	return c.typeOf(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
+// isValid tells whether a scale-out can be tried.
+func (c *Cloud) isValid(request wire.ScaleOutRequest) bool {
+	return c.machineType(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
 }
 
 // scaleOut creates machines, once for each request id.
 func (c *Cloud) scaleOut(w http.ResponseWriter, request wire.ScaleOutRequest) {
-	if names, ok := c.responses[request.RequestID]; ok {
+	if names, ok := c.namesByRequest[request.RequestID]; ok {
 		respond(w, http.StatusOK, names)
 		return
 	}
-	count := min(request.Count, c.free(request.Type))
+	count := min(request.Count, c.freeCapacity(request.Type))
 	if count <= 0 {
 		respond(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 		return
 	}
 	var names wire.MachineNames
 	for range count {
-		machine := c.add(*c.typeOf(request.Type), request.Zone, request.Spot)
+		machine := c.createInstance(*c.machineType(request.Type), request.Zone, request.Spot)
 		c.boot(machine)
 		names.Machines = append(names.Machines, machine.spec.Name)
 	}
-	c.responses[request.RequestID] = names
+	c.namesByRequest[request.RequestID] = names
 	respond(w, http.StatusOK, names)
 }
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -33,14 +33,14 @@
 		t.Fatal(err)
 	}
 	client, ctx := cloud.New(addr, 1000, 4), context.Background()
-	want := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
+	request := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
 	for range 2 {
-		if names, o := client.ScaleOut(ctx, want); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
+		if names, o := client.ScaleOut(ctx, request); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
 			t.Errorf("%v, %v", names, o)
 		}
 	}
-	want.RequestID = "r-2"
-	if _, o := client.ScaleOut(ctx, want); o != outcome.Unavailable {
+	request.RequestID = "r-2"
+	if _, o := client.ScaleOut(ctx, request); o != outcome.Unavailable {
 		t.Errorf("more than there are: %v", o)
 	}
 	first, _ := client.List(ctx, "")
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -34,15 +34,15 @@
 	ttl, expiresAt time.Duration
 }
 
-// keptChanges is how many changes a watch can go back.
-const keptChanges = 10_000
+// maxLoggedChanges is how many changes a watch can go back.
+const maxLoggedChanges = 10_000
 
-// itemDegree is the degree of the tree of items.
-const itemDegree = 32
+// btreeDegree is the degree of the tree of items.
+const btreeDegree = 32
 
 // NewStore makes an empty store.
 func NewStore() *Store {
-	return &Store{items: btree.NewG(itemDegree, func(a, b wire.Item) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}, revision: 1}
+	return &Store{items: btree.NewG(btreeDegree, func(a, b wire.Item) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}, revision: 1}
 }
 
 // AdvanceTo advances the time, and expires leases.
@@ -136,7 +136,7 @@
 
 // Txn applies a transaction if all its conditions hold.
 func (s *Store) Txn(txn wire.Txn) (wire.TxnResponse, outcome.Outcome) {
-	if s.exceedsLimits(txn) || s.namesExpiredLease(txn) {
+	if s.exceedsLimits(txn) || s.referencesUnknownLease(txn) {
 		return wire.TxnResponse{}, outcome.Invalid
 	}
 	if failed := s.failedConditions(txn.If); failed != nil {
@@ -151,7 +151,7 @@
 	return wire.TxnResponse{Revision: s.revision}, outcome.OK
 }
 
-func (s *Store) namesExpiredLease(txn wire.Txn) bool {
+func (s *Store) referencesUnknownLease(txn wire.Txn) bool {
 	return slices.ContainsFunc(txn.Then, func(op wire.Op) bool { return op.Lease != 0 && s.leases[op.Lease] == nil })
 }
 
@@ -185,13 +185,13 @@
 
 func (s *Store) appendChange(event wire.Event) {
 	s.log = append(s.log, change{s.revision, event})
-	if len(s.log) >= 2*keptChanges {
-		s.log = append([]change(nil), s.keptLog()...)
+	if len(s.log) >= 2*maxLoggedChanges {
+		s.log = append([]change(nil), s.retainedLog()...)
 	}
 }
 
-// keptLog is the part of the log that a watch can still read.
-func (s *Store) keptLog() []change { return s.log[max(0, len(s.log)-keptChanges):] }
+// retainedLog is the part of the log that a watch can still read.
+func (s *Store) retainedLog() []change { return s.log[max(0, len(s.log)-maxLoggedChanges):] }
 
 // GrantLease creates a lease.
 func (s *Store) GrantLease(ttl time.Duration) uint64 {
@@ -216,17 +216,17 @@
 		return outcome.NotFound
 	}
 	delete(s.leases, id)
-	var keys []string
+	var attached []string
 	s.items.Ascend(func(item wire.Item) bool {
 		if item.Lease == id {
-			keys = append(keys, item.Key)
+			attached = append(attached, item.Key)
 		}
 		return true
 	})
-	if len(keys) > 0 {
+	if len(attached) > 0 {
 		s.revision++
 	}
-	for _, key := range keys {
+	for _, key := range attached {
 		s.remove(key)
 	}
 	return outcome.OK
@@ -234,13 +234,13 @@
 
 // Changes gives what changed below a prefix after a revision.
 func (s *Store) Changes(prefix string, after uint64) (wire.WatchResponse, outcome.Outcome) {
-	kept := s.keptLog()
-	if len(kept) == keptChanges && kept[0].revision > after+1 {
+	retained := s.retainedLog()
+	if len(retained) == maxLoggedChanges && retained[0].revision > after+1 {
 		return wire.WatchResponse{}, outcome.TooOld
 	}
 	response := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
-	from := sort.Search(len(kept), func(index int) bool { return kept[index].revision > after })
-	for _, c := range kept[from:] {
+	first := sort.Search(len(retained), func(index int) bool { return retained[index].revision > after })
+	for _, c := range retained[first:] {
 		if strings.HasPrefix(c.event.Put+c.event.Delete, prefix) {
 			response.Events = append(response.Events, c.event)
 		}
--- a/internal/emulator/store_server.go
+++ b/internal/emulator/store_server.go
@@ -67,7 +67,7 @@
 	if !down {
 		s.store.RefreshLeases(time.Since(s.start))
 	}
-	s.notify()
+	s.wakeWaiters()
 }
 
 // SetPartitioned begins or ends a partition of a client: its requests get no response while it lasts.
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.partitioned[client] = partitioned
-	s.notify()
+	s.wakeWaiters()
 }
 
 // SetLimits has the server refuse larger values and transactions, as Store.SetLimits.
@@ -100,8 +100,8 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// statusOf gives the statuses of outcomes.
-var statusOf = map[outcome.Outcome]int{
+// statusByOutcome gives the statuses of outcomes.
+var statusByOutcome = map[outcome.Outcome]int{
 	outcome.OK:       http.StatusOK,
 	outcome.Conflict: http.StatusConflict,
 	outcome.NotFound: http.StatusNotFound,
@@ -109,18 +109,18 @@
 	outcome.TooOld:   http.StatusGone,
 }
 
-// catchUp advances the store to the present time; the expiry of a lease is a change like any other. The caller
+// advanceClock advances the store to the present time; the expiry of a lease is a change like any other. The caller
 // holds the lock.
-func (s *StoreServer) catchUp() {
+func (s *StoreServer) advanceClock() {
 	before := s.store.Revision()
 	s.store.AdvanceTo(time.Since(s.start))
 	if s.store.Revision() != before {
-		s.notify()
+		s.wakeWaiters()
 	}
 }
 
-// notify wakes the watches. The caller holds the lock.
-func (s *StoreServer) notify() {
+// wakeWaiters wakes the watches. The caller holds the lock.
+func (s *StoreServer) wakeWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -138,7 +138,7 @@
 	case s.requestLimiter != nil && !s.requestLimiter.Allow():
 		status = http.StatusTooManyRequests
 	default:
-		s.catchUp()
+		s.advanceClock()
 		return http.StatusOK
 	}
 	s.mu.Unlock()
@@ -196,7 +196,7 @@
 	before := s.store.Revision()
 	s.serveStore(w, r, body)
 	if s.store.Revision() != before {
-		s.notify()
+		s.wakeWaiters()
 	}
 }
 
@@ -221,8 +221,8 @@
 }
 
 func (s *StoreServer) get(w http.ResponseWriter, key string) {
-	item, found := s.store.Get(key)
-	if found == outcome.NotFound {
+	item, result := s.store.Get(key)
+	if result == outcome.NotFound {
 		respond(w, http.StatusNotFound, wire.TxnResponse{Revision: s.store.Revision()})
 		return
 	}
@@ -247,7 +247,7 @@
 	if renew {
 		change = s.store.RenewLease
 	}
-	respond(w, statusOf[change(lease)], struct{}{})
+	respond(w, statusByOutcome[change(lease)], struct{}{})
 }
 
 // transaction applies a transaction. The caller holds the lock.
@@ -262,7 +262,7 @@
 		return
 	}
 	response, result := s.store.Txn(txn)
-	respond(w, statusOf[result], response)
+	respond(w, statusByOutcome[result], response)
 }
 
 // watch waits for changes; in an outage an open watch just waits.
@@ -275,7 +275,7 @@
 		response, result, changed := s.changesFor(client, query.Get("under"), after)
 		served := response != nil
 		if served && (result != outcome.OK || len(response.Events) > 0 || time.Now().After(end)) {
-			respond(w, statusOf[result], *response)
+			respond(w, statusByOutcome[result], *response)
 			return
 		}
 		if !s.wait(r, changed, leaseCheckInterval) {
@@ -291,7 +291,7 @@
 	if s.down || s.partitioned[client] {
 		return nil, outcome.OK, s.changed
 	}
-	s.catchUp()
+	s.advanceClock()
 	response, result := s.store.Changes(prefix, after)
 	return &response, result, s.changed
 }
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -129,7 +129,7 @@
 
 func killWorkers(workers []*simworker.Worker) error {
 	for _, w := range workers {
-		w.Die()
+		w.Kill()
 	}
 	return nil
 }
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -36,7 +36,7 @@
 		}
 		sim.rollouts.models = append(sim.rollouts.models, simulated)
 	}
-	sim.rollouts.servers.SetWrong(sim.rollouts.isWrong)
+	sim.rollouts.servers.SetWrongResponses(sim.rollouts.isWrong)
 	return nil
 }
 
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -115,7 +115,7 @@
 	s.eventually("the first step bakes", func() bool { return planState(client).GetPhase() == string(rollout.Baking) })
 	// Counted for the new version alone: among all requests each third one may always be for the same replica.
 	var requests atomic.Int64
-	s.model.SetWrong(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
+	s.model.SetWrongResponses(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
 	s.eventually("it is rolled back", func() bool { return planState(client).GetPhase() == string(rollout.RolledBack) })
 	if status := planState(client); status.GetReason() != string(rollout.WrongAnswer) {
 		t.Errorf("rolled back for %s", status.GetReason())
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -59,7 +59,7 @@
 		{"no check", rollout.Probe{Replica: fresh}, []rollout.Check{broken}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
 		{"wrong counts more", rollout.Probe{Replica: fresh}, []rollout.Check{fails, given}, fresh.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
 	} {
-		server.SetWrong(func(task string, _ int64) bool { return task == x.wrong })
+		server.SetWrongResponses(func(task string, _ int64) bool { return task == x.wrong })
 		if got := probe.New(4).Probe(context.Background(), x.probe, x.checks); got != x.want {
 			t.Errorf("%s: %+v, not %+v", x.name, got, x.want)
 		}
--- a/internal/simmodelserver/server.go
+++ b/internal/simmodelserver/server.go
@@ -66,8 +66,8 @@
 // Close ends the server.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetWrong says which tasks respond wrongly from now on, by the number of the request; nil: none.
-func (s *Server) SetWrong(wrong func(task string, request int64) bool) {
+// SetWrongResponses says which tasks respond wrongly from now on, by the number of the request; nil: none.
+func (s *Server) SetWrongResponses(wrong func(task string, request int64) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wrong = wrong
@@ -113,7 +113,7 @@
 	}
 	number := s.requests.Add(1)
 	text := ExpectedText(request.Prompt)
-	if s.isWrong(task, number) {
+	if s.respondsWrongly(task, number) {
 		text = WrongText(request.Prompt)
 	}
 	completion := Completion{ID: "cmpl-" + strconv.FormatInt(number, 10), Object: "text_completion", Choices: []Choice{{Text: text}}}
@@ -126,8 +126,8 @@
 	_, _ = w.Write(data) // the client may have closed the connection
 }
 
-// isWrong tells whether a task responds wrongly to a request.
-func (s *Server) isWrong(task string, request int64) bool {
+// respondsWrongly tells whether a task responds wrongly to a request.
+func (s *Server) respondsWrongly(task string, request int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.wrong != nil && s.wrong(task, request)
--- a/internal/simworker/direct_commands.go
+++ b/internal/simworker/direct_commands.go
@@ -88,5 +88,5 @@
 func (w *Worker) dropsCommands() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.dead || w.isolated || w.fleet.isPartitioned(w.machine.info.Zone)
+	return w.dead || w.unreachable || w.fleet.isPartitioned(w.machine.info.Zone)
 }
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -50,20 +50,20 @@
 // Fleet is all simulated workers of a process. They share one listening socket, on which each has a loopback
 // address of its own.
 type Fleet struct {
-	config    Config
-	startedAt time.Time
-	ctx       context.Context
-	cancel    context.CancelFunc
-	listener  net.Listener
-	port      string
-	server    *http.Server
-	running   sync.WaitGroup
+	config      Config
+	startedAt   time.Time
+	ctx         context.Context
+	cancel      context.CancelFunc
+	listener    net.Listener
+	port        string
+	server      *http.Server
+	workerLoops sync.WaitGroup
 
 	mu               sync.Mutex
-	launched         int
-	workers          map[string]*Worker // by name
-	byAddress        map[string]*Worker
-	everLaunched     []*Worker
+	launchCount      int
+	workersByName    map[string]*Worker // by name
+	workersByAddress map[string]*Worker
+	launchedWorkers  []*Worker
 	zoneByMachine    map[string]string // of all that were ever launched
 	partitionedZones map[string]bool
 }
@@ -85,8 +85,8 @@
 		startedAt:        time.Now(),
 		listener:         listener,
 		port:             port,
-		workers:          map[string]*Worker{},
-		byAddress:        map[string]*Worker{},
+		workersByName:    map[string]*Worker{},
+		workersByAddress: map[string]*Worker{},
 		zoneByMachine:    map[string]string{},
 		partitionedZones: map[string]bool{},
 	}
@@ -103,16 +103,16 @@
 func (f *Fleet) Launch(info MachineInfo) *Worker {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
-	w := newWorker(f, info, f.launched, stop)
-	f.launched++
-	f.workers[info.Name] = w
-	f.everLaunched = append(f.everLaunched, w)
+	w := newWorker(f, info, f.launchCount, stop)
+	f.launchCount++
+	f.workersByName[info.Name] = w
+	f.launchedWorkers = append(f.launchedWorkers, w)
 	f.zoneByMachine[info.Name] = info.Zone
-	f.byAddress[w.address.String()] = w
+	f.workersByAddress[w.address.String()] = w
 	f.mu.Unlock()
-	f.running.Add(1)
+	f.workerLoops.Add(1)
 	go func() {
-		defer f.running.Done()
+		defer f.workerLoops.Done()
 		w.run(ctx)
 	}()
 	return w
@@ -127,23 +127,23 @@
 func (f *Fleet) workerAt(host string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byAddress[host]
+	return f.workersByAddress[host]
 }
 
 // remove takes a worker off the list whose machine was returned.
 func (f *Fleet) remove(worker *Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.workers, worker.machine.info.Name)
-	delete(f.byAddress, worker.address.String())
+	delete(f.workersByName, worker.machine.info.Name)
+	delete(f.workersByAddress, worker.address.String())
 }
 
 // Workers gives the present workers, in no order.
 func (f *Fleet) Workers() []*Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := make([]*Worker, 0, len(f.workers))
-	for _, w := range f.workers {
+	all := make([]*Worker, 0, len(f.workersByName))
+	for _, w := range f.workersByName {
 		all = append(all, w)
 	}
 	return all
@@ -174,7 +174,7 @@
 // Fetches gives how many images all workers have fetched, former ones included, and how long it took together.
 func (f *Fleet) Fetches() (count int64, took time.Duration) {
 	f.mu.Lock()
-	all := append([]*Worker{}, f.everLaunched...)
+	all := append([]*Worker{}, f.launchedWorkers...)
 	f.mu.Unlock()
 	for _, w := range all {
 		w.mu.Lock()
@@ -211,8 +211,8 @@
 	return f.partitionedZones[zone]
 }
 
-// separated tells whether a partition lies between two zones.
-func (f *Fleet) separated(a, b string) bool {
+// partitioned tells whether a partition lies between two zones.
+func (f *Fleet) partitioned(a, b string) bool {
 	return a != b && (f.isPartitioned(a) || f.isPartitioned(b))
 }
 
@@ -220,5 +220,5 @@
 func (f *Fleet) Close() {
 	f.cancel()
 	_ = f.server.Close()
-	f.running.Wait()
+	f.workerLoops.Wait()
 }
--- a/internal/simworker/heartbeat.go
+++ b/internal/simworker/heartbeat.go
@@ -33,7 +33,7 @@
 	w.lastSentAt = now
 	controller := w.fleet.config.Controllers[w.controllerIndex]
 	heartbeat := w.machine.Heartbeat(now)
-	lost := w.isolated || w.fleet.separated(heartbeat.Zone, controller.Zone)
+	lost := w.unreachable || w.fleet.partitioned(heartbeat.Zone, controller.Zone)
 	go func() {
 		result := heartbeatResult{sentAt: now, incarnation: heartbeat.Incarnation}
 		if lost {
@@ -95,7 +95,7 @@
 	w.nextHeartbeatAt = now + w.heartbeatInterval()
 	switch {
 	case w.dead:
-	case result.status == http.StatusOK && !w.isolated:
+	case result.status == http.StatusOK && !w.unreachable:
 		if w.machine.ApplyHeartbeatResponse(now, result.incarnation, result.response) {
 			w.leaseRenewedAt = result.sentAt
 			w.lastController = w.fleet.config.Controllers[w.controllerIndex].Name
--- a/internal/simworker/listener.go
+++ b/internal/simworker/listener.go
@@ -60,7 +60,7 @@
 		}
 		host, _, _ := net.SplitHostPort(connection.LocalAddr().String())
 		if worker := l.fleet.workerAt(host); worker != nil {
-			return workerConn{countedConn{connection, &worker.bytes}, worker}, nil
+			return workerConn{countedConn{connection, &worker.byteCounter}, worker}, nil
 		}
 		_ = connection.Close()
 	}
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -144,13 +144,13 @@
 
 // Running counts the tasks of a job that run.
 func (m *Machine) Running(job string) int {
-	n := 0
+	count := 0
 	for _, t := range m.tasks {
 		if t.job != nil && t.job.ID == job && t.State == wire.TaskRunning {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // RunsTask tells whether a task runs here: its image is cached, and it has not ended.
@@ -186,12 +186,12 @@
 	m.Advance(now)
 	m.sequence++
 	m.changed = false
-	r := &wire.Heartbeat{Machine: m.info.Name, Addr: m.address, Type: m.info.Type.Name, Zone: m.info.Zone, Spot: m.info.Spot,
+	heartbeat := &wire.Heartbeat{Machine: m.info.Name, Addr: m.address, Type: m.info.Type.Name, Zone: m.info.Zone, Spot: m.info.Spot,
 		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: make([]wire.TaskStatus, 0, len(m.tasks))}
 	for _, t := range m.sortedTasks() {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
 	}
-	return r
+	return heartbeat
 }
 
 // TaskCount counts the tasks in its heartbeats.
--- a/internal/simworker/machine_test.go
+++ b/internal/simworker/machine_test.go
@@ -9,31 +9,31 @@
 	"bitternwing/internal/wire"
 )
 
-// testWorld is the jobs and the events of a machine under test.
-type testWorld struct {
+// testEnvironment is the jobs and the events of a machine under test.
+type testEnvironment struct {
 	jobs   map[string]*wire.Job
 	events []string
 }
 
-func (w *testWorld) Job(id string) *wire.Job { return w.jobs[id] }
-func (w *testWorld) RunTime(job *wire.Job, _ int) time.Duration {
+func (w *testEnvironment) Job(id string) *wire.Job { return w.jobs[id] }
+func (w *testEnvironment) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
 		return Never
 	}
 	return 10 * time.Second
 }
-func (w *testWorld) StartReceived(s Start)        { w.record("start", s.Task, s.Attempt) }
-func (w *testWorld) TaskRuns(_, task string)      { w.record("runs", task) }
-func (w *testWorld) record(what ...any)           { w.events = append(w.events, fmt.Sprintln(what...)) }
-func (w *testWorld) TaskEnds(_, t string, d bool) { w.record("ends", t, d) }
+func (w *testEnvironment) StartReceived(s Start)        { w.record("start", s.Task, s.Attempt) }
+func (w *testEnvironment) TaskRuns(_, task string)      { w.record("runs", task) }
+func (w *testEnvironment) record(what ...any)           { w.events = append(w.events, fmt.Sprintln(what...)) }
+func (w *testEnvironment) TaskEnds(_, t string, d bool) { w.record("ends", t, d) }
 
-func newTestMachine() (*Machine, *testWorld) {
-	w := &testWorld{jobs: map[string]*wire.Job{
+func newTestMachine() (*Machine, *testEnvironment) {
+	w := &testEnvironment{jobs: map[string]*wire.Job{
 		"run-000001": {ID: "run-000001", Kind: wire.KindArray, Tasks: 9, GPUs: 1, Image: "a", ImageGB: 4, CheckpointIntervalS: 5, CheckpointTimeS: 2},
 		"run-000002": {ID: "run-000002", Kind: wire.KindService, Tasks: 1, GPUs: 1, Image: "a", ImageGB: 4},
 	}}
-	about := MachineInfo{Name: "host-1", Zone: "z1", Type: wire.MachineType{Name: "g2", GPUs: 2, CPUs: 8, MemoryGB: 64, FetchGBPerS: 2}}
-	return NewMachine(about, "127.16.0.1:1", w, w), w
+	info := MachineInfo{Name: "host-1", Zone: "z1", Type: wire.MachineType{Name: "g2", GPUs: 2, CPUs: 8, MemoryGB: 64, FetchGBPerS: 2}}
+	return NewMachine(info, "127.16.0.1:1", w, w), w
 }
 
 func start(task string, attempt uint64) wire.Command {
@@ -64,28 +64,28 @@
 // effect, what can't run is refused with its cause, and a forgotten attempt may start again.
 func TestCommands(t *testing.T) {
 	m, _ := newTestMachine()
-	order := func(now time.Duration, commands ...wire.Command) {
+	apply := func(now time.Duration, commands ...wire.Command) {
 		t.Helper()
 		if !m.ApplyDirectCommands(now*time.Second, wire.DirectCommands{FencingToken: 5, Incarnation: 1, Commands: commands}) {
 			t.Errorf("the commands of second %d were dropped", now)
 		}
 	}
-	order(0, start("run-000001/0", 1), start("run-000002/0", 1), start("run-000001/0", 1))
+	apply(0, start("run-000001/0", 1), start("run-000002/0", 1), start("run-000001/0", 1))
 	expect(t, m, 1, "run-000001/0#1 pulling", "run-000002/0#1 pulling")
 	expect(t, m, 2, "run-000001/0#1 running", "run-000002/0#1 running")
-	order(3, start("run-000001/0", 2), start("run-000001/1", 1), start("run-000009/0", 1))
+	apply(3, start("run-000001/0", 2), start("run-000001/1", 1), start("run-000009/0", 1))
 	expect(t, m, 4, "run-000001/0#1 running", "run-000001/0#2 exitedbusy", "run-000001/1#1 exitedno_room",
 		"run-000002/0#1 running", "run-000009/0#1 exitedno_such")
 	forget := wire.Command{Op: wire.OpForget, Task: "run-000001/1", Attempt: 1}
-	order(5, forget, stop("run-000002/0", 1, 9), start("run-000001/1", 1))
+	apply(5, forget, stop("run-000002/0", 1, 9), start("run-000001/1", 1))
 	expect(t, m, 5, "run-000001/0#1 running", "run-000001/0#2 exitedbusy", "run-000001/1#1 running",
 		"run-000002/0#1 exitedstopped", "run-000009/0#1 exitedno_such")
-	order(6, stop("run-000001/0", 1, 2), stop("run-000001/1", 1, 1))
+	apply(6, stop("run-000001/0", 1, 2), stop("run-000001/1", 1, 1))
 	expect(t, m, 7, "run-000001/0#1 saving", "run-000001/0#2 exitedbusy", "run-000001/1#1 exitedstopped",
 		"run-000002/0#1 exitedstopped", "run-000009/0#1 exitedno_such")
 	m.Advance(8 * time.Second)
-	if r := m.Heartbeat(8 * time.Second); r.Tasks[0].State != wire.TaskExited || !r.Tasks[0].Checkpointed {
-		t.Errorf("what has saved is %+v", r.Tasks[0])
+	if heartbeat := m.Heartbeat(8 * time.Second); heartbeat.Tasks[0].State != wire.TaskExited || !heartbeat.Tasks[0].Checkpointed {
+		t.Errorf("what has saved is %+v", heartbeat.Tasks[0])
 	}
 }
 
--- a/internal/simworker/worker.go
+++ b/internal/simworker/worker.go
@@ -25,17 +25,17 @@
 // Worker runs a machine on the clock and on the network: it sends heartbeats to one controller at a time, executes
 // direct commands, and keeps its lease.
 type Worker struct {
-	fleet   *Fleet
-	random  *rand.Rand
-	http    *http.Client
-	address net.IP
-	stop    context.CancelFunc
-	wake    chan struct{}
-	bytes   Counter
+	fleet       *Fleet
+	random      *rand.Rand
+	http        *http.Client
+	address     net.IP
+	stop        context.CancelFunc
+	wake        chan struct{}
+	byteCounter Counter
 
 	mu              sync.Mutex
 	machine         *Machine
-	isolated        bool // nothing that it sends or is sent arrives
+	unreachable     bool // nothing that it sends or is sent arrives
 	dead            bool
 	diedAt          time.Duration
 	leaseRenewedAt  time.Duration // when the last heartbeat with a response was sent
@@ -70,7 +70,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return countedConn{connection, &w.bytes}, nil
+		return countedConn{connection, &w.byteCounter}, nil
 	}
 	transport := &http.Transport{MaxConnsPerHost: 1, MaxIdleConns: 1, DisableCompression: true, DialContext: dial}
 	return &http.Client{Timeout: responseTimeout, Transport: transport}
@@ -141,18 +141,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.machine.Advance(w.fleet.now())
-	return !w.dead && !w.isolated && w.machine.RunsTask(task)
+	return !w.dead && !w.unreachable && w.machine.RunsTask(task)
 }
 
 // SetUnreachable has all that the worker sends or is sent be lost, or ends that.
 func (w *Worker) SetUnreachable(unreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.isolated = unreachable
+	w.unreachable = unreachable
 }
 
-// Die ends the machine and all that is on it, without notice to anybody.
-func (w *Worker) Die() {
+// Kill ends the machine and all that is on it, without notice to anybody.
+func (w *Worker) Kill() {
 	w.mu.Lock()
 	w.dead, w.diedAt = true, w.fleet.now()
 	w.machine.KillAll()
@@ -172,7 +172,7 @@
 
 // Stop ends the worker: its machine was returned to the cloud.
 func (w *Worker) Stop() {
-	w.Die()
+	w.Kill()
 	w.fleet.remove(w)
 }
 
@@ -186,4 +186,4 @@
 func (w *Worker) Zone() string { return w.machine.info.Zone }
 
 // Bytes counts the bytes through the worker's sockets, both ways.
-func (w *Worker) Bytes() int64 { return w.bytes.Total() }
+func (w *Worker) Bytes() int64 { return w.byteCounter.Total() }
