--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -11,8 +11,8 @@
 	"bitternwing/internal/wire"
 )
 
-// traceHarness runs the nodes of a trace with a simulated key-value store, cloud and network. Calls take no time; time
-// advances only where the trace says so.
+// traceHarness runs the nodes of a trace with a simulated key-value store, cloud and network. Calls return at once, and
+// time advances only on the lines that say so.
 type traceHarness struct {
 	tb               testing.TB
 	output           strings.Builder
--- a/internal/emulator/client_servers.go
+++ b/internal/emulator/client_servers.go
@@ -10,14 +10,15 @@
 	"sync/atomic"
 )
 
-// RequestObserver is called after each request to an emulated service, with the client and the sizes of the bodies.
+// RequestObserver is called after each request to an emulated service, with the client and the sizes of the request and
+// response bodies.
 type RequestObserver func(client, method, path string, received, sent int)
 
-// clientHandler handles a request of a client.
+// clientHandler handles a request from a client.
 type clientHandler func(client string, w http.ResponseWriter, r *http.Request)
 
-// clientServers serves an emulated service at an address for each client, so that the requests of each can be counted, and
-// each can be partitioned by itself.
+// clientServers serves an emulated service at a separate address for each client, so that requests can be counted by
+// client and each client can be partitioned by itself.
 type clientServers struct {
 	handle clientHandler
 
@@ -26,18 +27,18 @@
 	servers  []*http.Server
 }
 
-// SetObserver has an observer called from now on.
+// SetObserver sets the observer of requests.
 func (c *clientServers) SetObserver(observer RequestObserver) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observer = observer
 }
 
-// AddClient serves a client at an address of its own, until close, and gives the address.
+// AddClient starts a server for a client and returns its address. The server runs until close.
 func (c *clientServers) AddClient(name string) (string, error) {
 	listener, err := listen(anyLoopbackPort)
 	if err != nil {
-		return "", fmt.Errorf("client %s: %w", name, err)
+		return "", fmt.Errorf("listen for client %s: %w", name, err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		observed := &observedWriter{ResponseWriter: w}
@@ -51,7 +52,7 @@
 	return listener.Addr().String(), nil
 }
 
-// notifyObserver tells the observer of a request.
+// notifyObserver calls the observer, if there is one, for a request.
 func (c *clientServers) notifyObserver(client string, r *http.Request, sent int) {
 	c.mu.Lock()
 	observer := c.observer
@@ -61,7 +62,7 @@
 	}
 }
 
-// close ends all servers.
+// close closes all servers.
 func (c *clientServers) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,17 +83,17 @@
 	return n, err
 }
 
-// The ports that FreeAddr gives are below those that the system gives to outgoing connections: else another connection could
-// take a port before the caller listens there. Processes begin at different ones.
+// FreeAddr returns ports below the ephemeral range, since an outgoing connection could otherwise take a port before the
+// caller listens on it. Each process starts at a different port.
 const (
 	firstFreePort   = 10_000
 	lastFreePort    = 20_000
-	portsPerProcess = 50 // ports of two processes that are started one after the other
+	portsPerProcess = 50 // distance between the first ports of processes with consecutive process IDs
 )
 
 var freePorts atomic.Uint32
 
-// FreeAddr finds a free address on loopback, a different one each time.
+// FreeAddr returns a free loopback address, a different one on each call.
 func FreeAddr() string {
 	for {
 		offset := os.Getpid()*portsPerProcess + int(freePorts.Add(1))
@@ -104,7 +105,7 @@
 	}
 }
 
-// anyLoopbackPort is a free port on loopback, as the system chooses it.
+// anyLoopbackPort has the system choose a free loopback port.
 const anyLoopbackPort = "127.0.0.1:0"
 
 func listen(address string) (net.Listener, error) {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -13,7 +13,7 @@
 	"bitternwing/internal/wire"
 )
 
-// MachineSpec describes a machine that a cloud starts.
+// MachineSpec describes a machine that the cloud starts.
 type MachineSpec struct {
 	Name string
 	Type wire.MachineType
@@ -21,38 +21,37 @@
 	Spot bool
 }
 
-// Machine is a machine that is up, with a worker on it.
+// Machine is a running machine with a worker on it.
 type Machine interface {
-	// Addr is the address of its worker for direct commands.
+	// Addr returns the worker's address for direct commands.
 	Addr() string
-	// State is the state in the cloud's list.
+	// State returns the machine's state in the cloud's list.
 	State() string
-	// Stop ends the machine: it was returned.
+	// Stop terminates the machine after a scale-in.
 	Stop()
 }
 
-// Launch starts a machine.
+// Launch starts the worker of a machine that has booted.
 type Launch func(MachineSpec) Machine
 
-// Cloud emulates a cloud. Each machine type has a capacity, and a machine runs after its type's boot time. Its list
-// does not lag.
+// Cloud emulates a cloud over HTTP, with a capacity and a boot time for each machine type. Its list does not lag.
 type Cloud struct {
 	clientServers
 	mu               sync.Mutex
 	types            []wire.MachineType
-	capacity         map[string]int // by type; a type that is not in it has no bound
+	capacity         map[string]int // machines by type; a missing type is unbounded
 	bootTimesEnabled bool
 	launch           Launch
 	machines         map[string]*instance
-	namesByRequest   map[string]wire.MachineNames
+	namesByRequest   map[string]wire.MachineNames // names of machines by scale-out request ID
 	created          int
 	closed           bool
-	partitioned      map[string]bool // clients that get no response
+	partitioned      map[string]bool // clients whose requests are lost
 
 	limiter *rate.Limiter // nil: no limit
 }
 
-// instance is a machine of the cloud. It has no worker until it runs.
+// instance is a machine of the cloud. Its worker starts when it has booted.
 type instance struct {
 	spec      MachineSpec
 	createdAt time.Time
@@ -60,7 +59,7 @@
 	bootTimer *time.Timer
 }
 
-// NewCloud makes a cloud on loopback, without clients. Its machines run at once.
+// NewCloud returns a cloud on loopback without clients. Its machines boot at once unless EnableBootTimes is called.
 func NewCloud(types []wire.MachineType, launch Launch) *Cloud {
 	c := &Cloud{types: types, capacity: map[string]int{}, launch: launch,
 		machines: map[string]*instance{}, namesByRequest: map[string]wire.MachineNames{}, partitioned: map[string]bool{}}
@@ -68,28 +67,28 @@
 	return c
 }
 
-// EnableBootTimes has machines take their type's boot time to start from now on.
+// EnableBootTimes has machines that are scaled out from now on take the boot time of their type.
 func (c *Cloud) EnableBootTimes() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bootTimesEnabled = true
 }
 
-// SetRateLimit bounds the requests a second, with bursts worth two seconds.
+// SetRateLimit limits the requests per second of all clients, with bursts of two seconds' worth.
 func (c *Cloud) SetRateLimit(requests float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limiter = rate.NewLimiter(rate.Limit(requests), max(1, int(2*requests)))
 }
 
-// SetCapacity bounds the machines of a type.
-func (c *Cloud) SetCapacity(machineType string, machines int) {
+// SetCapacity limits the number of machines of a type.
+func (c *Cloud) SetCapacity(typeName string, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.capacity[machineType] = machines
+	c.capacity[typeName] = machines
 }
 
-// SetPartitioned begins or ends a partition of a client: its requests are lost while it lasts.
+// SetPartitioned begins or ends a partition of a client, whose requests are lost while it lasts.
 func (c *Cloud) SetPartitioned(client string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,17 +101,17 @@
 	return c.partitioned[client]
 }
 
-// AddRunning adds running machines, as if they had been requested before.
-func (c *Cloud) AddRunning(machineType, zone string, count int) {
+// AddRunning adds machines that already run, without a scale-out.
+func (c *Cloud) AddRunning(typeName, zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	spec := c.machineType(machineType)
+	machineType := c.machineType(typeName)
 	for range count {
-		c.startWorker(c.createInstance(*spec, zone, false))
+		c.startWorker(c.createInstance(*machineType, zone, false))
 	}
 }
 
-// Close ends the cloud and its machines.
+// Close stops the cloud's servers and machines.
 func (c *Cloud) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -129,7 +128,7 @@
 	c.close()
 }
 
-// terminate stops a boot and gives the machine, if it runs.
+// terminate cancels the boot and returns the running machine; nil if it has not booted.
 func (i *instance) terminate() Machine {
 	if i.bootTimer != nil {
 		i.bootTimer.Stop()
@@ -137,7 +136,7 @@
 	return i.machine
 }
 
-// machineType gives a machine type; nil if there is none of the name.
+// machineType returns the machine type with a name, or nil.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -147,19 +146,19 @@
 	return nil
 }
 
-// createInstance adds a machine that does not run yet.
+// createInstance adds a machine that has not booted.
 func (c *Cloud) createInstance(machineType wire.MachineType, zone string, spot bool) *instance {
 	c.created++
 	name := fmt.Sprintf("host-%06d", c.created)
-	created := &instance{spec: MachineSpec{Name: name, Type: machineType, Zone: zone, Spot: spot}, createdAt: time.Now()}
-	c.machines[name] = created
-	return created
+	i := &instance{spec: MachineSpec{Name: name, Type: machineType, Zone: zone, Spot: spot}, createdAt: time.Now()}
+	c.machines[name] = i
+	return i
 }
 
-// startWorker starts the worker of a machine.
+// startWorker starts the worker of a machine that has booted.
 func (c *Cloud) startWorker(i *instance) { i.machine = c.launch(i.spec) }
 
-// boot starts a machine after its boot time.
+// boot starts the worker of a machine after the boot time.
 func (c *Cloud) boot(i *instance) {
 	if !c.bootTimesEnabled {
 		c.startWorker(i)
@@ -174,7 +173,7 @@
 	})
 }
 
-// list gives a page of the machines, in order of their names.
+// list returns a page of the machines in order of name.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
 	if limit <= 0 || limit > wire.MaxList {
 		limit = wire.MaxList
@@ -193,7 +192,7 @@
 	return page
 }
 
-// listEntry gives the machine as the cloud lists it.
+// listEntry returns the machine's entry in the cloud's list.
 func (i *instance) listEntry() wire.Machine {
 	entry := wire.Machine{
 		Name:  i.spec.Name,
@@ -209,24 +208,24 @@
 	return entry
 }
 
-// failed tells whether the machine has failed: it no longer takes capacity.
+// failed reports whether the machine has failed. Failed machines use no capacity.
 func (i *instance) failed() bool { return i.machine != nil && i.machine.State() == wire.MachineFailed }
 
-// freeCapacity is how many more machines of a type can be created.
-func (c *Cloud) freeCapacity(machineType string) int {
-	free, bounded := c.capacity[machineType]
+// freeCapacity returns how many more machines of a type can be created.
+func (c *Cloud) freeCapacity(typeName string) int {
+	free, bounded := c.capacity[typeName]
 	if !bounded {
 		return wire.MaxScaleOut
 	}
-	for _, instance := range c.machines {
-		if instance.spec.Type.Name == machineType && !instance.failed() {
+	for _, machine := range c.machines {
+		if machine.spec.Type.Name == typeName && !machine.failed() {
 			free--
 		}
 	}
 	return free
 }
 
-// scaleIn ends machines; names of others are ignored.
+// scaleIn terminates machines. Unknown names are ignored.
 func (c *Cloud) scaleIn(names []string) {
 	for _, name := range names {
 		machine := c.machines[name]
--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/wire"
 )
 
-// The requests that the cloud serves.
+// Requests that the cloud serves.
 const (
 	catalogRequest  = "GET /catalog"
 	listRequest     = "GET /rentals"
@@ -16,10 +16,10 @@
 	scaleInRequest  = "POST /rentals/release"
 )
 
-// serve handles a request of a client.
+// serve handles a request from a client.
 func (c *Cloud) serve(client string, w http.ResponseWriter, r *http.Request) {
 	if c.isPartitioned(client) {
-		<-r.Context().Done() // nothing comes back
+		<-r.Context().Done() // a partitioned client gets no response
 		return
 	}
 	c.mu.Lock()
@@ -55,12 +55,12 @@
 	}
 }
 
-// isValid tells whether a scale-out can be tried.
+// isValid reports whether a scale-out request names a known type and an allowed count.
 func (c *Cloud) isValid(request wire.ScaleOutRequest) bool {
 	return c.machineType(request.Type) != nil && request.Count >= 1 && request.Count <= wire.MaxScaleOut
 }
 
-// scaleOut creates machines, once for each request id.
+// scaleOut creates machines, as many as the capacity allows. A repeated request ID gets the first response again.
 func (c *Cloud) scaleOut(w http.ResponseWriter, request wire.ScaleOutRequest) {
 	if names, ok := c.namesByRequest[request.RequestID]; ok {
 		respond(w, http.StatusOK, names)
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -10,25 +10,25 @@
 	"bitternwing/internal/wire"
 )
 
-// testMachine is a machine without a worker.
+// testMachine is a running machine without a worker.
 type testMachine struct{ stopped bool }
 
 func (m *testMachine) Addr() string  { return "127.0.0.1:1" }
 func (m *testMachine) State() string { return wire.MachineRunning }
 func (m *testMachine) Stop()         { m.stopped = true }
 
-// TestCloud scales out up to the capacity, takes requests as idempotent, lists pages in order, and stops what
-// is returned.
+// TestCloud checks that scale-out stops at the capacity and is idempotent, that the list is paged in order, and that
+// scale-in stops only the named machines.
 func TestCloud(t *testing.T) {
 	machines := map[string]*testMachine{}
-	c := NewCloud([]wire.MachineType{{Name: "g8", Zones: []string{"z1"}}}, func(s MachineSpec) Machine {
+	emulated := NewCloud([]wire.MachineType{{Name: "g8", Zones: []string{"z1"}}}, func(s MachineSpec) Machine {
 		machines[s.Name] = &testMachine{}
 		return machines[s.Name]
 	})
-	defer c.Close()
-	c.AddRunning("g8", "z1", 498)
-	c.SetCapacity("g8", 502)
-	addr, err := c.AddClient("test")
+	defer emulated.Close()
+	emulated.AddRunning("g8", "z1", 498)
+	emulated.SetCapacity("g8", 502)
+	addr, err := emulated.AddClient("test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,22 +36,22 @@
 	request := wire.ScaleOutRequest{RequestID: "r-1", Type: "g8", Zone: "z1", Count: 9}
 	for range 2 {
 		if names, o := client.ScaleOut(ctx, request); o != outcome.OK || len(names.Machines) != 4 || names.Machines[0] != "host-000499" {
-			t.Errorf("%v, %v", names, o)
+			t.Errorf("scale-out up to the capacity: got %v, %v", names, o)
 		}
 	}
 	request.RequestID = "r-2"
 	if _, o := client.ScaleOut(ctx, request); o != outcome.Unavailable {
-		t.Errorf("more than there are: %v", o)
+		t.Errorf("scale-out above the capacity: got %v, want unavailable", o)
 	}
 	first, _ := client.List(ctx, "")
 	if len(first.Machines) != wire.MaxList || !first.More {
-		t.Fatalf("%d machines in the first page", len(first.Machines))
+		t.Fatalf("first page: got %d machines, want a full page and more to come", len(first.Machines))
 	}
 	last := first.Machines[wire.MaxList-1].Name
 	if rest, _ := client.List(ctx, last); len(rest.Machines) != 2 || rest.More || rest.Machines[0].Name != fmt.Sprintf("host-%06d", 501) {
-		t.Errorf("%+v after %s", rest, last)
+		t.Errorf("second page: got %+v after %s, want the last two machines", rest, last)
 	}
 	if o := client.ScaleIn(ctx, []string{"host-000001", "host-999999"}); o != outcome.OK || !machines["host-000001"].stopped || machines["host-000002"].stopped {
-		t.Errorf("%v", o)
+		t.Errorf("scale-in: got %v, want ok and only host-000001 stopped", o)
 	}
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,4 +1,4 @@
-// Package emulator emulates the services that controllers call, for tests and fleet simulations: the key-value store and the cloud.
-// They keep to the protocol, with its limits and faults on demand, and store nothing beyond the process; they are no products.
-// The workers are those of package simworker.
+// Package emulator emulates the services that controllers call, for tests and fleet simulations: the key-value store
+// and the cloud. They implement the protocol with its limits, inject faults on demand, and keep all data in memory.
+// They are not meant for production. Package simworker simulates the workers.
 package emulator
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -13,7 +13,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Store is a key-value store without a clock or a network: the caller gives the time.
+// Store is an in-memory key-value store without a clock or a network. The caller passes the time.
 type Store struct {
 	now       time.Duration
 	revision  uint64
@@ -22,7 +22,7 @@
 	leases    map[uint64]*lease
 	lastLease uint64
 
-	maxValueBytes, maxChanges int // limits of a transaction; 0: none
+	maxValueBytes, maxChanges int // transaction limits; 0: none
 }
 
 type change struct {
@@ -34,18 +34,18 @@
 	ttl, expiresAt time.Duration
 }
 
-// maxLoggedChanges is how many changes a watch can go back.
+// maxLoggedChanges is how many of the latest changes a watch can read.
 const maxLoggedChanges = 10_000
 
-// btreeDegree is the degree of the tree of items.
+// btreeDegree is the degree of the B-tree of items.
 const btreeDegree = 32
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{items: btree.NewG(btreeDegree, func(a, b wire.Item) bool { return a.Key < b.Key }), leases: map[uint64]*lease{}, revision: 1}
 }
 
-// AdvanceTo advances the time, and expires leases.
+// AdvanceTo advances the time and expires leases.
 func (s *Store) AdvanceTo(now time.Duration) {
 	s.now = now
 	var expired []uint64
@@ -60,16 +60,16 @@
 	}
 }
 
-// SetLimits has the store refuse larger values, and more changes in a transaction, as malformed. What
-// is stored stays readable.
+// SetLimits has the store refuse transactions with larger values or more changes as invalid. Stored values stay
+// readable.
 func (s *Store) SetLimits(valueBytes, changes int) {
 	s.maxValueBytes, s.maxChanges = valueBytes, changes
 }
 
-// conditionsPerChange is how many conditions a transaction may have for each change that it may have.
+// conditionsPerChange is the limit on conditions as a multiple of the limit on changes.
 const conditionsPerChange = 4
 
-// exceedsLimits tells whether a transaction is refused for its size.
+// exceedsLimits reports whether a transaction has too many changes or conditions, or too large a value.
 func (s *Store) exceedsLimits(txn wire.Txn) bool {
 	if s.maxChanges > 0 && (len(txn.Then) > s.maxChanges || len(txn.If) > conditionsPerChange*s.maxChanges) {
 		return true
@@ -82,7 +82,7 @@
 	return false
 }
 
-// RefreshLeases renews every lease, as after an outage.
+// RefreshLeases renews every lease, as the key-value store does after an outage.
 func (s *Store) RefreshLeases(now time.Duration) {
 	s.now = now
 	for _, l := range s.leases {
@@ -90,10 +90,10 @@
 	}
 }
 
-// Revision is the number of the last change.
+// Revision returns the revision of the last change.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Get reads a key.
+// Get returns the item with a key.
 func (s *Store) Get(key string) (wire.Item, outcome.Outcome) {
 	item, ok := s.items.Get(wire.Item{Key: key})
 	if !ok {
@@ -102,7 +102,8 @@
 	return item, outcome.OK
 }
 
-// visitPrefix visits the items with a prefix and a key after another one, in order, until visit returns false.
+// visitPrefix calls visit, in order of key, for the items below a prefix whose keys are greater than after. It stops
+// when visit returns false.
 func (s *Store) visitPrefix(prefix, after string, visit func(wire.Item) bool) {
 	s.items.AscendGreaterOrEqual(wire.Item{Key: max(prefix, after)}, func(item wire.Item) bool {
 		if !strings.HasPrefix(item.Key, prefix) {
@@ -112,7 +113,7 @@
 	})
 }
 
-// List reads a page.
+// List returns a page of at most limit items below a prefix, from the first key greater than after.
 func (s *Store) List(prefix, after string, limit int) wire.Page {
 	page := wire.Page{Items: []wire.Item{}, Revision: s.revision}
 	size := 0
@@ -128,13 +129,13 @@
 	return page
 }
 
-// maxPageBytes is the most that a page holds, itemOverhead what the form of an item takes of it.
+// maxPageBytes bounds the size of a page; itemOverhead estimates the encoded size of an item without its key and value.
 const (
 	maxPageBytes = 512 << 10
 	itemOverhead = 64
 )
 
-// Txn applies a transaction if all its conditions hold.
+// Txn commits a transaction if all its conditions hold.
 func (s *Store) Txn(txn wire.Txn) (wire.TxnResponse, outcome.Outcome) {
 	if s.exceedsLimits(txn) || s.referencesUnknownLease(txn) {
 		return wire.TxnResponse{}, outcome.Invalid
@@ -151,11 +152,12 @@
 	return wire.TxnResponse{Revision: s.revision}, outcome.OK
 }
 
+// referencesUnknownLease reports whether a transaction attaches a key to a lease that does not exist or has expired.
 func (s *Store) referencesUnknownLease(txn wire.Txn) bool {
 	return slices.ContainsFunc(txn.Then, func(op wire.Op) bool { return op.Lease != 0 && s.leases[op.Lease] == nil })
 }
 
-// failedConditions gives the keys whose conditions do not hold; nil: none.
+// failedConditions returns the keys whose conditions do not hold; nil: none.
 func (s *Store) failedConditions(conditions []wire.Condition) []string {
 	var failed []string
 	for _, condition := range conditions {
@@ -166,7 +168,7 @@
 	return failed
 }
 
-// apply applies an operation of a transaction at the present revision.
+// apply applies an operation of a transaction at the current revision.
 func (s *Store) apply(op wire.Op) {
 	if op.Delete != "" {
 		s.remove(op.Delete)
@@ -190,7 +192,7 @@
 	}
 }
 
-// retainedLog is the part of the log that a watch can still read.
+// retainedLog returns the part of the change log that a watch can still read.
 func (s *Store) retainedLog() []change { return s.log[max(0, len(s.log)-maxLoggedChanges):] }
 
 // GrantLease creates a lease.
@@ -210,7 +212,7 @@
 	return outcome.OK
 }
 
-// RevokeLease ends a lease and its keys.
+// RevokeLease removes a lease and deletes the keys attached to it.
 func (s *Store) RevokeLease(id uint64) outcome.Outcome {
 	if s.leases[id] == nil {
 		return outcome.NotFound
@@ -232,7 +234,7 @@
 	return outcome.OK
 }
 
-// Changes gives what changed below a prefix after a revision.
+// Changes returns the changes below a prefix after a revision. The outcome is TooOld if the log no longer has them all.
 func (s *Store) Changes(prefix string, after uint64) (wire.WatchResponse, outcome.Outcome) {
 	retained := s.retainedLog()
 	if len(retained) == maxLoggedChanges && retained[0].revision > after+1 {
--- a/internal/emulator/store_server.go
+++ b/internal/emulator/store_server.go
@@ -15,7 +15,7 @@
 	"bitternwing/internal/wire"
 )
 
-// The paths of the key-value store.
+// Paths of the key-value store.
 const (
 	listPath        = "/kv"
 	keyPrefix       = "/kv/"
@@ -26,13 +26,14 @@
 	watchPath       = "/changes"
 )
 
-// minTTLMillis is the shortest time to live of a lease.
+// minTTLMillis is the minimum time to live of a lease, in milliseconds.
 const minTTLMillis = 100
 
-// partitionCheckInterval is how often a request of a partitioned client looks whether that has ended, beside being woken.
+// partitionCheckInterval is how often a request from a partitioned client checks whether the partition has ended, in
+// addition to being woken when it does.
 const partitionCheckInterval = time.Hour
 
-// StoreServer serves a Store over HTTP, each client at an address of its own.
+// StoreServer serves a Store over HTTP, at a separate address for each client.
 type StoreServer struct {
 	clientServers
 	mu          sync.Mutex
@@ -40,26 +41,26 @@
 	start       time.Time
 	down        bool
 	partitioned map[string]bool
-	changed     chan struct{} // closed at the next change
+	changed     chan struct{} // closed and replaced at each change
 	closed      chan struct{}
 
 	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
 }
 
-// NewStoreServer makes a server on loopback, without clients.
+// NewStoreServer returns a server on loopback without clients.
 func NewStoreServer() *StoreServer {
 	s := &StoreServer{store: NewStore(), start: time.Now(), partitioned: map[string]bool{}, changed: make(chan struct{}), closed: make(chan struct{})}
 	s.handle = s.serve
 	return s
 }
 
-// Close ends the server.
+// Close closes the server.
 func (s *StoreServer) Close() {
 	close(s.closed)
 	s.close()
 }
 
-// SetDown begins or ends an outage.
+// SetDown begins or ends an outage. All leases are renewed when it ends.
 func (s *StoreServer) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	s.wakeWaiters()
 }
 
-// SetPartitioned begins or ends a partition of a client: its requests get no response while it lasts.
+// SetPartitioned begins or ends a partition of a client, whose requests get no response while it lasts.
 func (s *StoreServer) SetPartitioned(client string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,14 +79,14 @@
 	s.wakeWaiters()
 }
 
-// SetLimits has the server refuse larger values and transactions, as Store.SetLimits.
+// SetLimits sets the limits of transactions; see Store.SetLimits.
 func (s *StoreServer) SetLimits(valueBytes, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.SetLimits(valueBytes, changes)
 }
 
-// SetRateLimits bounds the requests and the writes a second, with bursts of one second's worth.
+// SetRateLimits limits the requests and the writes per second of all clients, with bursts of one second's worth.
 func (s *StoreServer) SetRateLimits(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// statusByOutcome gives the statuses of outcomes.
+// statusByOutcome maps outcomes to HTTP statuses.
 var statusByOutcome = map[outcome.Outcome]int{
 	outcome.OK:       http.StatusOK,
 	outcome.Conflict: http.StatusConflict,
@@ -109,8 +110,8 @@
 	outcome.TooOld:   http.StatusGone,
 }
 
-// advanceClock advances the store to the present time; the expiry of a lease is a change like any other. The caller
-// holds the lock.
+// advanceClock advances the store to the current time, which may expire leases, and wakes the waiting requests if that
+// changes anything. The caller holds the lock.
 func (s *StoreServer) advanceClock() {
 	before := s.store.Revision()
 	s.store.AdvanceTo(time.Since(s.start))
@@ -119,14 +120,15 @@
 	}
 }
 
-// wakeWaiters wakes the watches. The caller holds the lock.
+// wakeWaiters wakes open watches and requests from partitioned clients. The caller holds the lock.
 func (s *StoreServer) wakeWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// admit waits until a client is not partitioned, and takes the lock at the present time. Otherwise it gives the
-// status of the refusal; 0 if the client has disconnected.
+// admit waits until the client is not partitioned. If it returns http.StatusOK the caller holds the lock, and the store
+// has the current time. Otherwise it returns the status of the refusal, or 0 if the client has disconnected or the
+// server is closed.
 func (s *StoreServer) admit(client string, r *http.Request) (status int) {
 	if !s.reachable(client, r) {
 		return 0
@@ -145,7 +147,7 @@
 	return status
 }
 
-// reachable waits while a client is partitioned; false if it has disconnected or this server is closed meanwhile.
+// reachable waits while a client is partitioned. It reports false if the client disconnects or the server is closed.
 func (s *StoreServer) reachable(client string, r *http.Request) bool {
 	for {
 		s.mu.Lock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// wait waits for a change, or a timeout; false if the client has disconnected or this server is closed.
+// wait waits for a change or a timeout. It reports false if the client disconnects or the server is closed.
 func (s *StoreServer) wait(r *http.Request, changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -200,7 +202,7 @@
 	}
 }
 
-// serveStore handles all requests but watches. The caller holds the lock.
+// serveStore handles all requests except watches. The caller holds the lock.
 func (s *StoreServer) serveStore(w http.ResponseWriter, r *http.Request, body []byte) {
 	switch path := r.URL.Path; {
 	case path == listPath:
@@ -239,7 +241,7 @@
 	respond(w, http.StatusOK, wire.LeaseResponse{Lease: s.store.GrantLease(ttl)})
 }
 
-// changeLease renews a lease, or revokes it.
+// changeLease renews or revokes a lease.
 func (s *StoreServer) changeLease(w http.ResponseWriter, name string) {
 	id, renew := strings.CutSuffix(name, renewSuffix)
 	lease, _ := strconv.ParseUint(id, 10, 64)
@@ -250,7 +252,7 @@
 	respond(w, statusByOutcome[change(lease)], struct{}{})
 }
 
-// transaction applies a transaction. The caller holds the lock.
+// transaction commits a transaction within the rate limit of writes. The caller holds the lock.
 func (s *StoreServer) transaction(w http.ResponseWriter, body []byte) {
 	var txn wire.Txn
 	if json.Unmarshal(body, &txn) != nil {
@@ -265,7 +267,7 @@
 	respond(w, statusByOutcome[result], response)
 }
 
-// watch waits for changes; in an outage an open watch just waits.
+// watch responds when there are changes or the watch times out. During an outage an open watch keeps waiting.
 func (s *StoreServer) watch(client string, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -284,7 +286,8 @@
 	}
 }
 
-// changesFor gives the changes for a client, nil while it is not served, and a channel that is closed at the next change.
+// changesFor returns the changes for a client, or nil during an outage or a partition, and a channel that is closed at
+// the next change.
 func (s *StoreServer) changesFor(client, prefix string, after uint64) (*wire.WatchResponse, outcome.Outcome, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,6 +299,6 @@
 	return &response, result, s.changed
 }
 
-// leaseCheckInterval is how often an open watch looks for what only time changes: expiries of leases, and its own end. The protocol
-// lets the expiry of a lease come up to 100 ms late.
+// leaseCheckInterval is how often an open watch checks for expired leases and for its own timeout. The protocol allows
+// a lease to expire up to 100 ms late.
 const leaseCheckInterval = 50 * time.Millisecond
--- a/internal/emulator/store_server_test.go
+++ b/internal/emulator/store_server_test.go
@@ -10,15 +10,15 @@
 	"bitternwing/internal/wire"
 )
 
-// testTimeout bounds how long a test waits for what has to happen.
+// testTimeout bounds how long a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
-// TestWatchSeesLeaseExpiry has a lease expire while nothing else happens: an open watch returns that its key is deleted, and does
-// not wait for its own time.
+// TestWatchSeesLeaseExpiry checks that an open watch reports the deletion of a key whose lease expires while no request
+// arrives, rather than when the watch times out.
 func TestWatchSeesLeaseExpiry(t *testing.T) {
-	s := NewStoreServer()
-	defer s.Close()
-	addr, err := s.AddClient("test")
+	server := NewStoreServer()
+	defer server.Close()
+	addr, err := server.AddClient("test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,6 +35,6 @@
 	}
 	changes, o := client.Watch(ctx, "w/", put.Revision, 3*testTimeout)
 	if o != outcome.OK || len(changes.Events) != 1 || changes.Events[0].Delete != "w/lead" {
-		t.Errorf("%+v, %v", changes, o)
+		t.Errorf("watch: got %+v, %v; want the deletion of w/lead", changes, o)
 	}
 }
--- a/internal/fleetsim/summary.go
+++ b/internal/fleetsim/summary.go
@@ -25,7 +25,7 @@
 		StartTimes:     map[string]measure.Summary{},
 		Failovers:      sim.recorder.failovers,
 		Seconds:        sim.seconds,
-		Direct:         sim.traffic.Of(simworker.AnyController),
+		Direct:         sim.traffic.Of(simworker.UnknownController),
 		Jobs:           sim.jobCounts(),
 		Spread:         sim.recorder.placements.summary(sim.fleet),
 		Workers:        WorkerResult{sim.scenario.workers(), sim.workers.windows.Summary(), sim.workers.peak},
--- a/internal/simmodelserver/server.go
+++ b/internal/simmodelserver/server.go
@@ -1,6 +1,6 @@
-// Package simmodelserver simulates the model servers on the workers' machines, for tests and fleet simulations: it serves the
-// tasks that run there with the usual form of completions, and responds wrongly on demand. It runs no model: the completion of a
-// prompt is the prompt in capitals.
+// Package simmodelserver simulates the model servers on the workers' machines, for tests and fleet simulations. It
+// serves completion requests for the tasks that run there, and gives wrong responses on demand. It runs no model: the
+// completion of a prompt is the prompt in upper case.
 package simmodelserver
 
 import (
@@ -16,13 +16,13 @@
 	"bitternwing/internal/wire"
 )
 
-// Machines tells which tasks run on which machines.
+// Machines knows which tasks run on which machines.
 type Machines interface {
-	// Serves tells whether a task runs on the machine with an address.
+	// Serves reports whether a task runs on the machine with an address.
 	Serves(host, task string) bool
 }
 
-// Server serves all machines of a process: each has a loopback address of its own, and all share a port.
+// Server serves all simulated machines. Each has its own loopback address, and all share a port.
 type Server struct {
 	machines Machines
 	listener net.Listener
@@ -33,26 +33,26 @@
 	requests atomic.Int64
 }
 
-// Completion is the response to a request.
+// Completion is the response to a completion request.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Choices []Choice `json:"choices"`
 }
 
-// Choice is a text that completes a prompt.
+// Choice is one completion of a prompt.
 type Choice struct {
 	Index int    `json:"index"`
 	Text  string `json:"text"`
 }
 
-// Request is the request of a completion.
+// Request is a completion request.
 type Request struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 }
 
-// New serves machines on a listener until Close.
+// New starts a server for machines on a listener. It runs until Close.
 func New(listener net.Listener, machines Machines) *Server {
 	s := &Server{machines: machines, listener: listener}
 	s.http = &http.Server{Handler: http.HandlerFunc(s.serve)}
@@ -60,26 +60,27 @@
 	return s
 }
 
-// Port is where all machines serve.
+// Port returns the port of all machines.
 func (s *Server) Port() int { return s.listener.Addr().(*net.TCPAddr).Port }
 
-// Close ends the server.
+// Close closes the server.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetWrongResponses says which tasks respond wrongly from now on, by the number of the request; nil: none.
+// SetWrongResponses sets the function that selects the requests with a wrong response, by task and number of the
+// request. Nil selects none.
 func (s *Server) SetWrongResponses(wrong func(task string, request int64) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wrong = wrong
 }
 
-// ExpectedText is the right completion of a prompt.
+// ExpectedText returns the correct completion of a prompt.
 func ExpectedText(prompt string) string { return strings.ToUpper(prompt) }
 
-// WrongText is the completion of a prompt by a task that responds wrongly.
+// WrongText returns the completion of a prompt in a wrong response.
 func WrongText(prompt string) string { return "?" + ExpectedText(prompt) }
 
-// serve serves the health and the completions of a task.
+// serve handles health checks and completion requests for a task.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
@@ -104,7 +105,7 @@
 	}
 }
 
-// complete completes the prompt of a request.
+// complete responds to a completion request.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, task string) {
 	var request Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxBody)).Decode(&request); err != nil {
@@ -126,7 +127,7 @@
 	_, _ = w.Write(data) // the client may have closed the connection
 }
 
-// respondsWrongly tells whether a task responds wrongly to a request.
+// respondsWrongly reports whether a task gives a wrong response to a request.
 func (s *Server) respondsWrongly(task string, request int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simrouter/router.go
+++ b/internal/simrouter/router.go
@@ -1,5 +1,5 @@
-// Package simrouter simulates the routers that divide a model's traffic, for tests and fleet simulations: it keeps to the protocol
-// of routings and leases, and sends requests to the replicas that its routing names.
+// Package simrouter simulates the routers that distribute a model's traffic, for tests and fleet simulations. A router
+// implements the protocol of routings and leases, and sends requests to the replicas in its routing.
 package simrouter
 
 import (
@@ -19,7 +19,7 @@
 	"bitternwing/internal/probe"
 )
 
-// Router is a router of one plan.
+// Router routes the traffic of one rollout plan.
 type Router struct {
 	name, plan  string
 	controllers []*adminapi.Client
@@ -28,38 +28,39 @@
 
 	mu             sync.Mutex
 	partitioned    bool
-	routing        *operatorpb.RouteReply // nil: it has never had one
+	routing        *operatorpb.RouteReply // nil: none received yet
 	leaseExpiresAt time.Time
 }
 
-// maxResponseBytes bounds what is read of a response, and maxAttempts is how many replicas a request is sent to in turn.
+// Limits of a request: maxResponseBytes bounds what is read of a response, maxAttempts is how many replicas are tried
+// in turn, and attemptTimeout bounds each attempt.
 const (
 	maxResponseBytes = 64 << 10
 	maxAttempts      = 3
 	attemptTimeout   = 2 * time.Second
 )
 
-// The connections to replicas that are kept.
+// Limits of idle connections to replicas.
 const (
 	idleConnectionsPerReplica = 16
 	idleTimeout               = 10 * time.Second
 )
 
-// New makes a router that calls controllers in turn, at their internal addresses.
+// New returns a router that requests its routing from the controllers in turn, at their internal addresses.
 func New(name, plan string, controllers []string, interval time.Duration) (*Router, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerReplica, IdleConnTimeout: idleTimeout}
 	r := &Router{name: name, plan: plan, interval: interval, http: &http.Client{Timeout: attemptTimeout, Transport: transport}}
 	for _, address := range controllers {
 		client, err := adminapi.NewClient(address)
 		if err != nil {
-			return nil, fmt.Errorf("controller %s: %w", address, err)
+			return nil, fmt.Errorf("create client for controller %s: %w", address, err)
 		}
 		r.controllers = append(r.controllers, client)
 	}
 	return r, nil
 }
 
-// Run keeps the routing up to date until the context ends.
+// Run keeps the routing up to date until the context is cancelled.
 func (r *Router) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
@@ -73,7 +74,7 @@
 	}
 }
 
-// refresh requests the routing from a controller, once. The lease counts from when the request was sent.
+// refresh requests the routing from a controller once. The lease begins when the request is sent.
 func (r *Router) refresh(ctx context.Context, controller *adminapi.Client) {
 	r.mu.Lock()
 	partitioned := r.partitioned
@@ -98,7 +99,7 @@
 	r.leaseExpiresAt = sentAt.Add(time.Duration(reply.GetLeaseMs()) * time.Millisecond)
 }
 
-// isOlder tells whether a generation is older than another.
+// isOlder reports whether generation a is older than generation b.
 func isOlder(a, b *operatorpb.Generation) bool {
 	if a.GetTerm() != b.GetTerm() {
 		return a.GetTerm() < b.GetTerm()
@@ -113,7 +114,7 @@
 	r.partitioned = partitioned
 }
 
-// Weights gives the present weights: those of the routing, or its fallback once the lease has expired.
+// Weights returns the current weights: those of the routing, or its fallback once the lease has expired.
 func (r *Router) Weights() []*operatorpb.Weight {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +124,7 @@
 	return r.routing.GetFallback()
 }
 
-// Generation gives the generation of the routing; nil: it never had one.
+// Generation returns the generation of the routing; nil if none was received yet.
 func (r *Router) Generation() *operatorpb.Generation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,17 +138,17 @@
 	}
 }
 
-// ErrNotServed is returned if no replica responded to a request.
-var ErrNotServed = errors.New("no replica has answered")
+// ErrNotServed is returned if no replica served a request.
+var ErrNotServed = errors.New("no replica served the request")
 
-// Response is the response to a request, with its replica.
+// Response is the response to a request, the replica that sent it, and the number of attempts.
 type Response struct {
 	Body     json.RawMessage
 	Replica  *operatorpb.Weight
 	Attempts int
 }
 
-// Do sends a request to a replica, and to others where one does not respond.
+// Do sends a request to a replica, and to other replicas if it fails.
 func (r *Router) Do(ctx context.Context, body []byte) (Response, error) {
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		replica := pickReplica(r.Weights())
@@ -161,7 +162,7 @@
 	return Response{}, ErrNotServed
 }
 
-// pickReplica draws a replica by the shares; nil: there is none.
+// pickReplica picks a replica at random in proportion to the shares; nil if there is none.
 func pickReplica(weights []*operatorpb.Weight) *operatorpb.Weight {
 	remaining := rand.Float64()
 	for _, weight := range weights {
@@ -189,7 +190,7 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %d", response.StatusCode)
+		err = fmt.Errorf("replica responded with status %d", response.StatusCode)
 	}
 	return data, err
 }
--- a/internal/simworker/direct_commands.go
+++ b/internal/simworker/direct_commands.go
@@ -8,18 +8,18 @@
 	"bitternwing/internal/wire"
 )
 
-// The requests that a worker serves.
+// Requests that a worker serves.
 const (
 	statusRequest   = http.MethodGet + " " + wire.StatusPath
 	commandsRequest = http.MethodPost + " " + wire.CommandsPath
 	prefetchRequest = http.MethodPost + " " + wire.PrefetchPath
 )
 
-// serve handles direct commands, status queries and prefetches.
+// serve handles direct commands, status queries and prefetch requests.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil || w.dropsCommands() {
-		<-r.Context().Done() // nothing comes back
+		<-r.Context().Done() // the request is lost
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -34,27 +34,27 @@
 	}
 }
 
-// respondWithStatus sends a response, which carries the status of all tasks unless the request was not understood.
+// respondWithStatus sends a response with the status of all tasks, or without a body if the request was invalid.
 func (w *Worker) respondWithStatus(rw http.ResponseWriter, kind MessageKind, status, receivedBytes int) {
 	var data []byte
 	if status == http.StatusOK || status == http.StatusConflict {
 		w.mu.Lock()
-		data, _ = json.Marshal(w.machine.Heartbeat(w.fleet.now())) // plain values: it can't fail
+		data, _ = json.Marshal(w.machine.Heartbeat(w.fleet.now())) // never fails for plain values
 		w.mu.Unlock()
 	}
 	w.respond(rw, kind, status, data, receivedBytes)
 	w.wakeUp()
 }
 
-// respond sends a response and counts the exchange. The caller may have closed the connection.
+// respond sends a response and counts the request and the response. The client may have closed the connection.
 func (w *Worker) respond(rw http.ResponseWriter, kind MessageKind, status int, data []byte, receivedBytes int) {
-	w.fleet.config.Traffic.Count(AnyController, kind, len(data), receivedBytes)
+	w.fleet.config.Traffic.Count(UnknownController, kind, len(data), receivedBytes)
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	_, _ = rw.Write(data)
 }
 
-// prefetch begins to fetch an image before a task needs it.
+// prefetch starts to fetch an image before a task needs it.
 func (w *Worker) prefetch(rw http.ResponseWriter, body []byte) {
 	var request wire.PrefetchRequest
 	if json.Unmarshal(body, &request) != nil || request.Image == "" || request.GB < 0 {
@@ -65,11 +65,11 @@
 	now := w.fleet.now()
 	ready := w.machine.Prefetch(now, request.Image, request.GB) - now
 	w.mu.Unlock()
-	data, _ := json.Marshal(wire.PrefetchResponse{ReadyS: ready.Seconds()}) // plain values: it can't fail
+	data, _ := json.Marshal(wire.PrefetchResponse{ReadyS: ready.Seconds()}) // never fails for plain values
 	w.respond(rw, KindPrefetch, http.StatusOK, data, len(body))
 }
 
-// executeCommands executes direct commands and gives the status of the response.
+// executeCommands executes direct commands and returns the HTTP status of the response.
 func (w *Worker) executeCommands(body []byte) int {
 	var commands wire.DirectCommands
 	if json.Unmarshal(body, &commands) != nil || commands.Incarnation == 0 {
@@ -83,8 +83,8 @@
 	return http.StatusOK
 }
 
-// dropsCommands tells whether direct commands don't get through. Who sends them is not known here: in a
-// partitioned zone, none do.
+// dropsCommands reports whether the worker does not receive direct commands. The sender is not known here, so a worker
+// in a partitioned zone receives none.
 func (w *Worker) dropsCommands() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simworker/doc.go
+++ b/internal/simworker/doc.go
@@ -1,10 +1,13 @@
-// Package simworker simulates workers of the protocol, thousands in one process: each has its own address,
-// connection, lease and incarnation, holds tasks, fetches images and runs tasks on a clock, and computes nothing.
-// It is for tests and fleet simulations, and makes no claim to be a worker for production.
+// Package simworker simulates thousands of workers of the protocol in one process, for tests and fleet simulations.
+// Each worker has its own address, connection, lease and incarnation. It fetches images and runs tasks by the clock
+// only, without executing anything, and is not meant for production.
 //
-// The package simplifies the protocol's worker: images that are fetched at the same time do not share the rate, take
-// exactly as long as their size says, and are never evicted from the cache; machines do not differ in
-// speed, tasks do not fail, and there are no preemption notices; a checkpoint keeps no progress, a task that
-// starts anew begins anew, unless it had completed before. An unreachable worker loses what is sent to it
-// instead of receiving it late. Direct commands to a partitioned zone do not arrive, whoever sends them.
+// The simulation is simpler than the protocol's worker:
+//
+//   - Images that are fetched at the same time do not share the fetch rate. A fetch takes exactly the time that follows
+//     from the size, and images are never evicted from the cache.
+//   - All machines have the same speed, tasks do not fail, and there are no reclaim notices.
+//   - A checkpoint keeps no progress: a task that is started again runs from the beginning, unless it had completed.
+//   - Messages to an unreachable worker are lost instead of delayed.
+//   - Direct commands to a partitioned zone do not arrive, whichever controller sends them.
 package simworker
--- a/internal/simworker/fleet.go
+++ b/internal/simworker/fleet.go
@@ -11,27 +11,27 @@
 	"bitternwing/internal/emulator"
 )
 
-// MessageKind is a kind of message.
+// MessageKind is the kind of a message between a worker and a controller.
 type MessageKind string
 
-// The kinds of messages that workers exchange.
+// Kinds of messages.
 const (
 	KindHeartbeat   MessageKind = "report"
 	KindCommands    MessageKind = "orders"
 	KindStatusQuery MessageKind = "inspect"
-	// KindPrefetch is no part of the protocol.
+	// KindPrefetch is an extension of the protocol.
 	KindPrefetch MessageKind = "prefetch"
 )
 
-// AnyController stands for a controller that is not known.
-const AnyController = ""
+// UnknownController is the name passed to Traffic for messages whose controller is not known.
+const UnknownController = ""
 
-// Traffic counts messages. Sizes are those of the bodies, seen from the controller.
+// Traffic counts messages. Received and sent are the sizes of the bodies that the controller receives and sends.
 type Traffic interface {
 	Count(controller string, kind MessageKind, received, sent int)
 }
 
-// Controller is a controller that workers may send heartbeats to.
+// Controller is a controller that workers can send heartbeats to.
 type Controller struct {
 	Name, Zone, Addr string
 }
@@ -47,8 +47,7 @@
 	Traffic           Traffic
 }
 
-// Fleet is all simulated workers of a process. They share one listening socket, on which each has a loopback
-// address of its own.
+// Fleet is a set of simulated workers. They share one listening socket, and each has its own loopback address.
 type Fleet struct {
 	config      Config
 	startedAt   time.Time
@@ -61,24 +60,23 @@
 
 	mu               sync.Mutex
 	launchCount      int
-	workersByName    map[string]*Worker // by name
+	workersByName    map[string]*Worker // by machine name
 	workersByAddress map[string]*Worker
 	launchedWorkers  []*Worker
-	zoneByMachine    map[string]string // of all that were ever launched
+	zoneByMachine    map[string]string // includes removed machines
 	partitionedZones map[string]bool
 }
 
-// NewFleet makes a fleet without workers.
+// NewFleet returns a fleet without workers.
 func NewFleet(config Config) (*Fleet, error) {
-	// The socket takes the connections to all loopback addresses, and to no others: it is bound to the
-	// loopback interface.
+	// The socket accepts connections to all loopback addresses and to no others: it is bound to the loopback interface.
 	listener, err := ListenLoopback()
 	if err != nil {
-		return nil, fmt.Errorf("workers' address: %w", err)
+		return nil, fmt.Errorf("listen for workers: %w", err)
 	}
 	_, port, err := net.SplitHostPort(listener.Addr().String())
 	if err != nil {
-		return nil, fmt.Errorf("workers' address: %w", err)
+		return nil, fmt.Errorf("parse listen address of workers: %w", err)
 	}
 	f := &Fleet{
 		config:           config,
@@ -96,10 +94,10 @@
 	return f, nil
 }
 
-// now is the fleet's steady clock.
+// now returns the time on the fleet's monotonic clock.
 func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
-// Launch starts a worker; the cloud calls it when a machine is up.
+// Launch starts a worker on a machine that has booted.
 func (f *Fleet) Launch(info MachineInfo) *Worker {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
@@ -118,19 +116,19 @@
 	return w
 }
 
-// LaunchMachine starts a worker for a machine of a cloud.
+// LaunchMachine starts a worker on a machine of an emulated cloud. It is an emulator.Launch.
 func (f *Fleet) LaunchMachine(spec emulator.MachineSpec) emulator.Machine {
 	return f.Launch(MachineInfo{Name: spec.Name, Zone: spec.Zone, Spot: spec.Spot, Type: spec.Type})
 }
 
-// workerAt gives the worker at an address; nil if there is none.
+// workerAt returns the worker at an address, or nil.
 func (f *Fleet) workerAt(host string) *Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workersByAddress[host]
 }
 
-// remove takes a worker off the list whose machine was returned.
+// remove removes a worker whose machine was scaled in.
 func (f *Fleet) remove(worker *Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +136,7 @@
 	delete(f.workersByAddress, worker.address.String())
 }
 
-// Workers gives the present workers, in no order.
+// Workers returns the current workers in no particular order.
 func (f *Fleet) Workers() []*Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +147,7 @@
 	return all
 }
 
-// Running counts the tasks of a job that run on all machines.
+// Running returns how many tasks of a job run on all machines.
 func (f *Fleet) Running(job string) int {
 	count := 0
 	for _, w := range f.Workers() {
@@ -158,20 +156,20 @@
 	return count
 }
 
-// Serves tells whether a task runs on the worker with an address, and the worker can be reached.
+// Serves reports whether a task runs on the worker at an address and the worker is reachable.
 func (f *Fleet) Serves(host, task string) bool {
 	w := f.workerAt(host)
 	return w != nil && w.serves(task)
 }
 
-// ZoneOf gives the zone of a machine, also of a former one; "" if there never was one of the name.
+// ZoneOf returns the zone of a machine, which may have been removed; "" if there never was a machine with the name.
 func (f *Fleet) ZoneOf(machine string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.zoneByMachine[machine]
 }
 
-// Fetches gives how many images all workers have fetched, former ones included, and how long it took together.
+// Fetches returns how many images all workers have fetched, including removed workers, and the sum of the fetch times.
 func (f *Fleet) Fetches() (count int64, took time.Duration) {
 	f.mu.Lock()
 	all := append([]*Worker{}, f.launchedWorkers...)
@@ -185,7 +183,7 @@
 	return count, took
 }
 
-// WorkersByController counts the workers by the controller whose response they accepted last.
+// WorkersByController returns how many workers accepted their last heartbeat response from each controller.
 func (f *Fleet) WorkersByController() map[string]int {
 	counts := map[string]int{}
 	for _, w := range f.Workers() {
@@ -198,7 +196,7 @@
 	return counts
 }
 
-// SetZonePartitioned begins or ends a partition between a zone's workers and the controllers of other zones.
+// SetZonePartitioned begins or ends a partition between a zone's workers and the controllers in other zones.
 func (f *Fleet) SetZonePartitioned(zone string, partitioned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,12 +209,12 @@
 	return f.partitionedZones[zone]
 }
 
-// partitioned tells whether a partition lies between two zones.
+// partitioned reports whether two zones are partitioned from each other.
 func (f *Fleet) partitioned(a, b string) bool {
 	return a != b && (f.isPartitioned(a) || f.isPartitioned(b))
 }
 
-// Close ends all workers.
+// Close stops all workers and waits for them.
 func (f *Fleet) Close() {
 	f.cancel()
 	_ = f.server.Close()
--- a/internal/simworker/heartbeat.go
+++ b/internal/simworker/heartbeat.go
@@ -12,16 +12,16 @@
 	"bitternwing/internal/wire"
 )
 
-// heartbeatResult is the result of a heartbeat.
+// heartbeatResult is the result of sending a heartbeat.
 type heartbeatResult struct {
 	sentAt      time.Duration
 	incarnation uint64
 	status      int // 0: no response
 	response    wire.HeartbeatResponse
-	leader      string // named by a redirect; "": none
+	leader      string // controller named by a redirect; "": none
 }
 
-// heartbeatInterval is the time to the next regular heartbeat: that of the settings, give or take a quarter.
+// heartbeatInterval returns the time to the next regular heartbeat: the configured interval with a jitter of a quarter.
 func (w *Worker) heartbeatInterval() time.Duration {
 	interval := w.fleet.config.HeartbeatInterval
 	return interval*3/4 + time.Duration(w.random.Int64N(int64(interval/2)))
@@ -37,7 +37,7 @@
 	go func() {
 		result := heartbeatResult{sentAt: now, incarnation: heartbeat.Incarnation}
 		if lost {
-			// Nothing that it sends arrives, and nothing comes back.
+			// The heartbeat is lost, and there is no response.
 			select {
 			case <-ctx.Done():
 			case <-time.After(responseTimeout):
@@ -49,8 +49,8 @@
 	}()
 }
 
-// errUndecodable is returned for a heartbeat whose response can't be decoded.
-var errUndecodable = errors.New("the response can't be decoded")
+// errUndecodable is returned for a heartbeat response that can't be decoded.
+var errUndecodable = errors.New("undecodable heartbeat response")
 
 // exchange sends a heartbeat and reads the response.
 func (w *Worker) exchange(ctx context.Context, controller Controller, heartbeat *wire.Heartbeat, result *heartbeatResult) error {
@@ -79,14 +79,14 @@
 		}
 	case http.StatusMisdirectedRequest:
 		var redirect wire.Redirect
-		_ = json.Unmarshal(data, &redirect) // without a body it names nobody
+		_ = json.Unmarshal(data, &redirect) // a redirect without a valid body names no leader
 		result.leader = redirect.Leader
 	}
 	result.status = response.StatusCode
 	return nil
 }
 
-// handleResult applies the result of a heartbeat.
+// handleResult applies the result of a heartbeat and schedules the next one.
 func (w *Worker) handleResult(result heartbeatResult) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,7 +103,7 @@
 	case result.status == http.StatusMisdirectedRequest && w.redirect(result.leader):
 		w.http.CloseIdleConnections()
 		w.nextHeartbeatAt = now + time.Duration(w.random.Int64N(int64(minHeartbeatInterval)))
-		w.lastSentAt = 0 // a change need not wait for the interval either
+		w.lastSentAt = 0 // changed tasks do not wait for minHeartbeatInterval either
 	default:
 		w.controllerIndex = (w.controllerIndex + 1) % len(w.fleet.config.Controllers)
 		w.http.CloseIdleConnections()
@@ -112,7 +112,8 @@
 	}
 }
 
-// redirect turns to the controller that another one has named; false if that is no other one.
+// redirect switches to the leader that a controller has named. It reports false if that is not a different, known
+// controller.
 func (w *Worker) redirect(leader string) bool {
 	for i, controller := range w.fleet.config.Controllers {
 		if controller.Name == leader && i != w.controllerIndex {
--- a/internal/simworker/listener.go
+++ b/internal/simworker/listener.go
@@ -9,19 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// The loopback addresses of workers begin at 127.16.0.1, and a third byte has so many of them.
+// The loopback addresses of workers begin at 127.16.0.1, with workersPerThirdByte addresses for each value of the third
+// byte.
 const (
 	firstSecondByte     = 16
 	workersPerThirdByte = 250
 )
 
-// addressOf gives the address of the worker with an index.
+// addressOf returns the address of the worker with an index.
 func addressOf(index int) net.IP {
 	third := index / workersPerThirdByte
 	return net.IPv4(127, byte(firstSecondByte+third/256), byte(third%256), byte(1+index%workersPerThirdByte))
 }
 
-// ListenLoopback listens at a free port of all loopback addresses, and of no others.
+// ListenLoopback listens on a free port on all loopback addresses, and on no others.
 func ListenLoopback() (net.Listener, error) {
 	listenConfig := net.ListenConfig{Control: bindToLoopback}
 	return listenConfig.Listen(context.Background(), "tcp4", "0.0.0.0:0")
@@ -45,13 +46,13 @@
 	worker *Worker
 }
 
-// workerListener finds the worker that a connection goes to.
+// workerListener accepts connections to the workers of a fleet.
 type workerListener struct {
 	net.Listener
 	fleet *Fleet
 }
 
-// Accept gives the next connection to a worker; others are closed.
+// Accept returns the next connection to a worker. It closes connections to addresses without a worker.
 func (l *workerListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
@@ -66,17 +67,17 @@
 	}
 }
 
-// serve passes a request on to the worker that its connection goes to.
+// serve passes a request to the worker at the local end of its connection.
 func serve(rw http.ResponseWriter, r *http.Request) {
 	if w, ok := r.Context().Value(workerKey{}).(*Worker); ok {
 		w.serve(rw, r)
 	}
 }
 
-// workerKey is the key of the worker that a connection goes to, in a request's context.
+// workerKey is the context key of the worker at the local end of a request's connection.
 type workerKey struct{}
 
-// withWorker puts the worker that a connection goes to into the context of its requests.
+// withWorker adds the worker at the local end of a connection to the context of its requests.
 func withWorker(ctx context.Context, connection net.Conn) context.Context {
 	if counted, ok := connection.(workerConn); ok {
 		return context.WithValue(ctx, workerKey{}, counted.worker)
--- a/internal/simworker/machine.go
+++ b/internal/simworker/machine.go
@@ -12,25 +12,24 @@
 	"bitternwing/internal/wire"
 )
 
-// Never is the time of what does not happen by itself.
+// Never is the time of an event that is not scheduled.
 const Never = time.Duration(math.MaxInt64)
 
-// Jobs gives the jobs that users have uploaded, and how long their tasks run.
+// Jobs looks up submitted jobs and how long their tasks run.
 type Jobs interface {
-	// Job gives a submitted job; nil if there is none.
+	// Job returns a submitted job, or nil.
 	Job(id string) *wire.Job
-	// RunTime is how long a task runs; Never if it runs until it is stopped.
+	// RunTime returns how long a task runs; Never if it runs until it is stopped.
 	RunTime(job *wire.Job, task int) time.Duration
 }
 
-// Observer observes the machines. It is called while the machine is locked, and must not
-// call back.
+// Observer is notified of events on machines. It is called while the machine's worker is locked and must not call back.
 type Observer interface {
-	// StartReceived is called for a start command of an attempt that the worker does not hold.
+	// StartReceived is called for a start command for an attempt that the worker does not hold.
 	StartReceived(Start)
-	// TaskRuns is called when a task's image is cached: the task is on its machine from now on.
+	// TaskRuns is called when a task starts to run because its image is cached.
 	TaskRuns(machine, task string)
-	// TaskEnds is called when a task that was on its machine no longer is; done if it completed.
+	// TaskEnds is called when a task that has started to run ends. Done reports whether it completed.
 	TaskEnds(machine, task string, done bool)
 }
 
@@ -48,8 +47,8 @@
 	Type wire.MachineType
 }
 
-// Machine is a worker's state without its clock and its network: its tasks, its incarnation, and how it
-// executes commands. Times are those of any steady clock.
+// Machine is the state of a worker without clock and network: its incarnation, its tasks and its image cache. The
+// caller passes the time of a monotonic clock.
 type Machine struct {
 	info     MachineInfo
 	address  string
@@ -60,14 +59,14 @@
 	sequence     uint64
 	fencingToken uint64
 	tasks        map[attempt]*task
-	imageReadyAt map[string]time.Duration // when each is, or will be, there
-	fetches      int64                    // so far; fetchTime is how long they take together
-	fetchTime    time.Duration
-	nextEventAt  time.Duration // when something changes by itself
-	changed      bool          // since the last heartbeat
+	imageReadyAt map[string]time.Duration // when each image is cached; may be in the future
+	fetches      int64                    // number of fetches
+	fetchTime    time.Duration            // sum over all fetches
+	nextEventAt  time.Duration            // earliest transitionAt of all tasks
+	changed      bool                     // tasks or incarnation have changed since the last heartbeat
 }
 
-// attempt names an attempt of a task.
+// attempt identifies an attempt of a task.
 type attempt struct {
 	task   string
 	number uint64
@@ -76,22 +75,22 @@
 // task is an attempt of a task on a machine.
 type task struct {
 	wire.TaskStatus
-	job          *wire.Job // nil: it was refused
-	transitionAt time.Duration
+	job          *wire.Job     // nil: the start was refused
+	transitionAt time.Duration // time of the next state; Never: none is scheduled
 }
 
-// onMachine tells whether the task's image is cached and it has not ended.
+// onMachine reports whether the task has started to run and not ended.
 func (t *task) onMachine() bool {
 	return t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing
 }
 
-// NewMachine makes a machine without tasks, in its first incarnation.
+// NewMachine returns a machine without tasks, in its first incarnation.
 func NewMachine(info MachineInfo, address string, jobs Jobs, observer Observer) *Machine {
 	return &Machine{info: info, address: address, jobs: jobs, observer: observer, incarnation: 1, nextEventAt: Never,
 		tasks: map[attempt]*task{}, imageReadyAt: map[string]time.Duration{}}
 }
 
-// Advance advances the time: fetches end, tasks run, complete and finish their checkpoints.
+// Advance advances the time and performs the state transitions that are due: completed fetches, runs and checkpoints.
 func (m *Machine) Advance(now time.Duration) {
 	if now < m.nextEventAt {
 		return
@@ -105,7 +104,7 @@
 	}
 }
 
-// transition takes a task to its next state at the time that was set for it.
+// transition moves a task to its next state at the scheduled time.
 func (m *Machine) transition(t *task) {
 	at := t.transitionAt
 	t.transitionAt = Never
@@ -127,7 +126,7 @@
 	}
 }
 
-// exit ends a task; it stays in the heartbeats until it is forgotten.
+// exit ends a task. It stays in the heartbeats until a forget command.
 func (m *Machine) exit(t *task, cause wire.ExitCause) {
 	if t.onMachine() {
 		m.observer.TaskEnds(m.info.Name, t.Task, cause == wire.CauseDone)
@@ -136,13 +135,13 @@
 	m.changed = true
 }
 
-// NextEventAt is when something changes by itself.
+// NextEventAt returns when the next state transition is due; Never if none is scheduled.
 func (m *Machine) NextEventAt() time.Duration { return m.nextEventAt }
 
-// Changed tells whether tasks have changed since the last heartbeat.
+// Changed reports whether tasks or the incarnation have changed since the last heartbeat.
 func (m *Machine) Changed() bool { return m.changed }
 
-// Running counts the tasks of a job that run.
+// Running returns how many tasks of a job run on the machine.
 func (m *Machine) Running(job string) int {
 	count := 0
 	for _, t := range m.tasks {
@@ -153,7 +152,7 @@
 	return count
 }
 
-// RunsTask tells whether a task runs here: its image is cached, and it has not ended.
+// RunsTask reports whether a task runs on the machine.
 func (m *Machine) RunsTask(name string) bool {
 	for _, t := range m.tasks {
 		if t.Task == name && t.State == wire.TaskRunning {
@@ -163,14 +162,14 @@
 	return false
 }
 
-// ExpireLease ends the incarnation: the lease has expired, and all tasks are killed and forgotten.
+// ExpireLease kills and forgets all tasks after the lease has expired, and begins a new incarnation.
 func (m *Machine) ExpireLease() {
 	m.KillAll()
 	m.incarnation++
 	m.changed = true
 }
 
-// KillAll kills and forgets all tasks, as when the machine ends.
+// KillAll kills and forgets all tasks.
 func (m *Machine) KillAll() {
 	for _, t := range m.sortedTasks() {
 		if t.onMachine() {
@@ -181,7 +180,7 @@
 	m.nextEventAt = Never
 }
 
-// Heartbeat gives the next heartbeat.
+// Heartbeat returns the next heartbeat.
 func (m *Machine) Heartbeat(now time.Duration) *wire.Heartbeat {
 	m.Advance(now)
 	m.sequence++
@@ -194,13 +193,13 @@
 	return heartbeat
 }
 
-// TaskCount counts the tasks in its heartbeats.
+// TaskCount returns the number of tasks that a heartbeat has.
 func (m *Machine) TaskCount() int { return len(m.tasks) }
 
-// Info describes the machine.
+// Info returns the description of the machine.
 func (m *Machine) Info() MachineInfo { return m.info }
 
-// Holds tells whether an attempt of a task is here that has not exited.
+// Holds reports whether the machine has an attempt of a task that has not exited.
 func (m *Machine) Holds(name string) bool {
 	for _, t := range m.tasks {
 		if t.Task == name && t.State != wire.TaskExited {
@@ -210,7 +209,7 @@
 	return false
 }
 
-// free is the free capacity of the machine.
+// free returns the free capacity of the machine.
 func (m *Machine) free() resource.Amount {
 	free := resource.OfMachine(&m.info.Type)
 	for _, t := range m.tasks {
@@ -221,7 +220,7 @@
 	return free
 }
 
-// sortedTasks gives the tasks in order of their names and attempts.
+// sortedTasks returns the tasks in order of name and attempt.
 func (m *Machine) sortedTasks() []*task {
 	return slices.SortedFunc(maps.Values(m.tasks), func(a, b *task) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
--- a/internal/simworker/machine_commands.go
+++ b/internal/simworker/machine_commands.go
@@ -8,7 +8,8 @@
 	"bitternwing/internal/wire"
 )
 
-// ApplyHeartbeatResponse executes the response to a heartbeat of an incarnation. False: it was dropped, and renews no lease.
+// ApplyHeartbeatResponse executes the commands in the response to a heartbeat of an incarnation. It reports false if
+// the response has an older fencing token or is for an earlier incarnation: it is dropped and does not renew the lease.
 func (m *Machine) ApplyHeartbeatResponse(now time.Duration, incarnation uint64, response wire.HeartbeatResponse) bool {
 	if response.FencingToken < m.fencingToken || incarnation != m.incarnation {
 		return false
@@ -18,7 +19,8 @@
 	return true
 }
 
-// ApplyDirectCommands executes direct commands. False: none were executed.
+// ApplyDirectCommands executes direct commands. It reports false if they have an older fencing token or are for an
+// earlier incarnation: none is executed.
 func (m *Machine) ApplyDirectCommands(now time.Duration, direct wire.DirectCommands) bool {
 	if direct.FencingToken < m.fencingToken || direct.Incarnation != m.incarnation {
 		return false
@@ -32,36 +34,36 @@
 func (m *Machine) execute(now time.Duration, commands []wire.Command) {
 	m.Advance(now)
 	for _, c := range commands {
-		name := attempt{c.Task, c.Attempt}
-		t := m.tasks[name]
+		id := attempt{c.Task, c.Attempt}
+		t := m.tasks[id]
 		switch {
 		case c.Op == wire.OpStart && t == nil:
-			m.start(now, name)
+			m.start(now, id)
 		case c.Op == wire.OpStop && t != nil:
 			m.stop(now, t, c.GracePeriodS)
 		case c.Op == wire.OpForget && t != nil && t.State == wire.TaskExited:
-			delete(m.tasks, name)
+			delete(m.tasks, id)
 		}
 	}
 }
 
-// start starts an attempt, or has it exit with the cause of its refusal.
-func (m *Machine) start(now time.Duration, name attempt) {
-	m.observer.StartReceived(Start{m.info.Name, name.task, name.number, m.fencingToken})
-	t := &task{TaskStatus: wire.TaskStatus{Task: name.task, Attempt: name.number, State: wire.TaskFetching}, transitionAt: Never}
-	id, index, ok := wire.ParseTaskName(name.task)
-	job := m.jobs.Job(id)
+// start starts an attempt, or has it exit with the reason why it can't start.
+func (m *Machine) start(now time.Duration, id attempt) {
+	m.observer.StartReceived(Start{m.info.Name, id.task, id.number, m.fencingToken})
+	t := &task{TaskStatus: wire.TaskStatus{Task: id.task, Attempt: id.number, State: wire.TaskFetching}, transitionAt: Never}
+	jobID, index, ok := wire.ParseTaskName(id.task)
+	job := m.jobs.Job(jobID)
 	known := ok && job != nil && index < job.Tasks
 	var refusal wire.ExitCause
 	switch {
 	case !known:
 		refusal = wire.CauseUnknownTask
-	case m.Holds(name.task):
+	case m.Holds(id.task):
 		refusal = wire.CauseBusy
 	case !m.free().Covers(resource.OfTask(job)):
 		refusal = wire.CauseNoCapacity
 	}
-	m.tasks[name] = t
+	m.tasks[id] = t
 	m.changed = true
 	if refusal != "" {
 		m.exit(t, refusal)
@@ -72,12 +74,12 @@
 	m.nextEventAt = min(m.nextEventAt, t.transitionAt)
 }
 
-// fetch gives the time at which a job's image is cached.
+// fetch starts to fetch a job's image unless it is cached, and returns when it is cached.
 func (m *Machine) fetch(now time.Duration, job *wire.Job) time.Duration {
 	return m.Prefetch(now, job.Image, job.ImageGB)
 }
 
-// Prefetch begins to fetch an image, if it is not there, and gives the time at which it will be.
+// Prefetch starts to fetch an image unless it is cached or being fetched, and returns when it is cached.
 func (m *Machine) Prefetch(now time.Duration, image string, sizeGB float64) time.Duration {
 	readyAt, known := m.imageReadyAt[image]
 	if !known {
@@ -90,7 +92,7 @@
 	return max(now, readyAt)
 }
 
-// stop ends a task, after a checkpoint if it can make one and the grace period allows it.
+// stop ends a task, after a checkpoint if the job has checkpoints and the grace period is long enough for one.
 func (m *Machine) stop(now time.Duration, t *task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
--- a/internal/simworker/traffic.go
+++ b/internal/simworker/traffic.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// Counter counts the bytes through sockets, seen from the worker.
+// Counter counts the bytes that a worker receives and sends through its sockets.
 type Counter struct {
 	Received atomic.Int64
 	Sent     atomic.Int64
 }
 
-// Total is the sum of both directions.
+// Total returns the sum of both directions.
 func (c *Counter) Total() int64 { return c.Received.Load() + c.Sent.Load() }
 
-// countedConn is a connection whose bytes are counted.
+// countedConn is a connection that counts its bytes.
 type countedConn struct {
 	net.Conn
 	counter *Counter
--- a/internal/simworker/worker.go
+++ b/internal/simworker/worker.go
@@ -11,19 +11,19 @@
 	"bitternwing/internal/wire"
 )
 
-// The protocol's times of a worker.
+// Times that the protocol sets for workers.
 const (
-	responseTimeout      = 4 * time.Second        // without a response to a heartbeat for so long, it fails over to another controller
-	failoverDelay        = time.Second            // before the heartbeat to that one
-	minHeartbeatInterval = 500 * time.Millisecond // between heartbeats with changes
-	failedListingDelay   = 30 * time.Second       // a machine that has failed is still listed as running for so long
+	responseTimeout      = 4 * time.Second        // a worker without a heartbeat response fails over to another controller
+	failoverDelay        = time.Second            // from the failover to the heartbeat to the other controller
+	minHeartbeatInterval = 500 * time.Millisecond // between heartbeats that are sent because of changed tasks
+	failedListingDelay   = 30 * time.Second       // until a dead machine is listed as failed rather than running
 )
 
-// dialTimeout bounds the time to connect to a controller.
+// dialTimeout limits the time to connect to a controller.
 const dialTimeout = time.Second
 
-// Worker runs a machine on the clock and on the network: it sends heartbeats to one controller at a time, executes
-// direct commands, and keeps its lease.
+// Worker runs a Machine with a clock and a network: it sends heartbeats to one controller at a time, executes direct
+// commands, and expires the machine's lease.
 type Worker struct {
 	fleet       *Fleet
 	random      *rand.Rand
@@ -35,15 +35,15 @@
 
 	mu              sync.Mutex
 	machine         *Machine
-	unreachable     bool // nothing that it sends or is sent arrives
+	unreachable     bool // all messages to and from the worker are lost
 	dead            bool
 	diedAt          time.Duration
-	leaseRenewedAt  time.Duration // when the last heartbeat with a response was sent
+	leaseRenewedAt  time.Duration // when the last heartbeat with an accepted response was sent
 	nextHeartbeatAt time.Duration
 	lastSentAt      time.Duration
-	inFlight        bool   // a heartbeat has no response yet
-	controllerIndex int    // of the controller that it sends heartbeats to
-	lastController  string // the controller whose response it accepted last
+	inFlight        bool   // a heartbeat is waiting for its response
+	controllerIndex int    // index of the controller that receives the heartbeats
+	lastController  string // name of the controller whose response was accepted last
 }
 
 func newWorker(fleet *Fleet, info MachineInfo, index int, stop context.CancelFunc) *Worker {
@@ -62,7 +62,7 @@
 	return w
 }
 
-// newHTTPClient makes a client that connects from the worker's address, and counts its bytes.
+// newHTTPClient returns a client that connects from the worker's address and counts the bytes.
 func (w *Worker) newHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: w.address}}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -76,7 +76,7 @@
 	return &http.Client{Timeout: responseTimeout, Transport: transport}
 }
 
-// run runs the worker until the context ends.
+// run runs the worker until the context is cancelled.
 func (w *Worker) run(ctx context.Context) {
 	results := make(chan heartbeatResult, 1)
 	timer := time.NewTimer(0)
@@ -95,7 +95,7 @@
 	}
 }
 
-// runDue does what is due and gives the time until something is due again.
+// runDue expires the lease and sends a heartbeat if they are due. It returns the time until something is due again.
 func (w *Worker) runDue(ctx context.Context, results chan<- heartbeatResult) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,7 +120,7 @@
 	return max(time.Millisecond, next-now)
 }
 
-// wakeUp has the worker do what is due.
+// wakeUp has the worker call runDue now.
 func (w *Worker) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
@@ -128,7 +128,7 @@
 	}
 }
 
-// Running counts the tasks of a job that run here.
+// Running returns how many tasks of a job run on the worker.
 func (w *Worker) Running(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,7 +136,7 @@
 	return w.machine.Running(job)
 }
 
-// serves tells whether a task runs here and the machine can be reached.
+// serves reports whether a task runs on the worker and the worker is reachable.
 func (w *Worker) serves(task string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,14 +144,14 @@
 	return !w.dead && !w.unreachable && w.machine.RunsTask(task)
 }
 
-// SetUnreachable has all that the worker sends or is sent be lost, or ends that.
+// SetUnreachable begins or ends a fault in which all messages to and from the worker are lost.
 func (w *Worker) SetUnreachable(unreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unreachable = unreachable
 }
 
-// Kill ends the machine and all that is on it, without notice to anybody.
+// Kill stops the machine with all its tasks, without notice.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	w.dead, w.diedAt = true, w.fleet.now()
@@ -160,7 +160,7 @@
 	w.stop()
 }
 
-// State is the state in the cloud's list of machines.
+// State returns the state in the cloud's list of machines.
 func (w *Worker) State() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,20 +170,20 @@
 	return wire.MachineRunning
 }
 
-// Stop ends the worker: its machine was returned to the cloud.
+// Stop stops the worker after its machine was scaled in.
 func (w *Worker) Stop() {
 	w.Kill()
 	w.fleet.remove(w)
 }
 
-// Addr is the address for direct commands.
+// Addr returns the address for direct commands.
 func (w *Worker) Addr() string { return w.machine.address }
 
-// Name is the machine's name.
+// Name returns the machine's name.
 func (w *Worker) Name() string { return w.machine.info.Name }
 
-// Zone is the machine's zone.
+// Zone returns the machine's zone.
 func (w *Worker) Zone() string { return w.machine.info.Zone }
 
-// Bytes counts the bytes through the worker's sockets, both ways.
+// Bytes returns how many bytes the worker has received and sent through its sockets.
 func (w *Worker) Bytes() int64 { return w.byteCounter.Total() }
