--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -9,7 +9,7 @@
 	"bitternwing/internal/wire"
 )
 
-// scriptRunner reads the lines of a script in order and configures a simulation by them.
+// scriptRunner configures a simulation by the lines of a script.
 type scriptRunner struct {
 	tb         testing.TB
 	zoneByNode map[string]string // zone of each node
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -20,7 +20,7 @@
 	store            *emulator.Store
 	storeOutage      bool
 	nodes            map[string]*traceNode
-	nodeNames        []string
+	nodeNames        []string // sorted
 	lastRequestID    uint64
 	peerPartition    string                     // "cut", "zones" or the name of a node; "": none
 	cycleBudget      float64                    // round_budget of nodes that start from now on; 0: the default
--- a/internal/core/trace_jobs_test.go
+++ b/internal/core/trace_jobs_test.go
@@ -69,9 +69,9 @@
 		case "token":
 			// TERM, or TERM.COUNT with the count within the term
 			term, count, _ := strings.Cut(value, ".")
-			attempt, _ := strconv.ParseUint(term, 10, 64)
-			b, _ := strconv.ParseUint(count, 10, 64)
-			heartbeat.FencingToken = attempt*1_000_000 + b
+			termNumber, _ := strconv.ParseUint(term, 10, 64)
+			countNumber, _ := strconv.ParseUint(count, 10, 64)
+			heartbeat.FencingToken = termNumber*1_000_000 + countNumber
 		case "notice":
 			heartbeat.ReclaimNoticeS = &number
 		case "spot":
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -31,9 +31,9 @@
 //	report a m1 session=1 seq=4 token=1 [addr=m1:1] [spot] [zone=z2] [notice=20] [TASK#ATTEMPT=STATE[:why]] ...
 //	state a refuse         the key-value store responds to node a with 503
 //	state a lose           requests of node a are executed, but the responses are lost
-//	state a hold           requests of node a get no response; held transactions are committed by: state a late
+//	state a hold           requests of node a get no response, and its transactions are held until: state a late
 //	state a slow           like hold, but only for transactions
-//	state a limit          requests of node a are dropped by its rate limit
+//	state a limit          requests of node a exceed the rate limit and are dropped
 //	state a nolist         responses to list requests are lost
 //	state a serve          ends the fault
 //	outage / outage over   the key-value store refuses all requests; leases are renewed when it is over
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// commitHeldTransactions commits a node's delayed transactions, which it believes to have timed out.
+// commitHeldTransactions commits a node's held transactions. Their outcome is unknown to the node.
 func (harness *traceHarness) commitHeldTransactions(node *traceNode) {
 	for _, effect := range node.heldTransactions {
 		result, got := harness.store.Txn(effect.Txn)
@@ -209,7 +209,7 @@
 	node.heldTransactions = nil
 }
 
-// parseNextLimits parses the announced limits, as NAME=NUMBER.
+// parseNextLimits parses announced limits from words NAME=NUMBER.
 func parseNextLimits(tb testing.TB, words []string) *config.NextLimits {
 	tb.Helper()
 	limits := &config.NextLimits{}
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -41,7 +41,7 @@
 	}
 	request.RequestID = "r-2"
 	if _, o := client.ScaleOut(ctx, request); o != outcome.Unavailable {
-		t.Errorf("scale-out above the capacity: got %v, want unavailable", o)
+		t.Errorf("scale-out above the capacity: got %v, want a refusal", o)
 	}
 	first, _ := client.List(ctx, "")
 	if len(first.Machines) != wire.MaxList || !first.More {
