--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -117,7 +117,7 @@
 	// Only requests to the new version are counted: of all requests, every third one might always go to the same
 	// replica.
 	var requests atomic.Int64
-	cluster.modelServer.SetWrong(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
+	cluster.modelServer.SetWrongResponses(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
 	cluster.eventually("the plan is rolled back", func() bool { return planStatus(client).GetPhase() == string(rollout.RolledBack) })
 	if status := planStatus(client); status.GetReason() != string(rollout.WrongAnswer) {
 		t.Errorf("reason of the rollback: %s", status.GetReason())
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -59,7 +59,7 @@
 		{"check does not compile", rollout.Probe{Replica: newReplica}, []rollout.Check{doesNotCompile}, "", rollout.ProbeResult{Verdict: rollout.NotValidated, Check: "broken"}},
 		{"failed check takes precedence", rollout.Probe{Replica: newReplica}, []rollout.Check{raisesError, matchesExpected}, newReplica.Task, rollout.ProbeResult{Verdict: rollout.Failed, Check: "given"}},
 	} {
-		server.SetWrong(func(task string, _ int64) bool { return task == tt.wrongTask })
+		server.SetWrongResponses(func(task string, _ int64) bool { return task == tt.wrongTask })
 		if got := probe.New(4).Probe(context.Background(), tt.probe, tt.checks); got != tt.want {
 			t.Errorf("%s: result is %+v, want %+v", tt.name, got, tt.want)
 		}
