--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -11,10 +11,10 @@
 
 // checkCapacityIndex checks that each node's capacity index is what it would be if it were built anew.
 func (cluster *scaleCluster) checkCapacityIndex() {
-	cluster.test.Helper()
+	cluster.t.Helper()
 	for _, node := range cluster.nodes {
 		if err := node.core.CheckCapacityIndex(); err != nil {
-			cluster.test.Errorf("%s at %v: %v", node.name, cluster.now, err)
+			cluster.t.Errorf("%s at %v: %v", node.name, cluster.now, err)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 func TestCapacityOfSilentZone(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 3, 0)
 	cluster.addMachines(100, "z1", "z2")
-	cluster.playLoad(20, 0, 10)
+	cluster.runLoad(20, 0, 10)
 	cluster.checkCapacityIndex()
 	cluster.isolatedZone = "z2"
 	cluster.runFor(40 * time.Second)
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -12,13 +12,14 @@
 	"bitternwing/internal/wire"
 )
 
-// These tests play fleets that are larger than what one value, page or message holds.
+// These tests run fleets whose data exceeds the size of one value of the key-value store, one page or one message.
 
-// largeFleet is the number of machines that no fixed limit may stand below, and some more.
-const largeFleet = 4400
+// largeFleetSize is a number of machines that must not hit any fixed limit.
+const largeFleetSize = 4400
 
-// newFleetOf has so many machines up in three zones, one of which has no nodes, with settings that carry them.
-func newFleetOf(t *testing.T, nodes, machines int) *scaleCluster {
+// newLargeFleet returns a cluster with a number of running machines in three zones, one of which has no nodes, and
+// settings that are sufficient for them.
+func newLargeFleet(t *testing.T, nodes, machines int) *scaleCluster {
 	t.Helper()
 	cluster := newLargeScaleCluster(t, nodes, 0)
 	cluster.operator.IdleBoots = 100
@@ -30,21 +31,21 @@
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	cluster.restart()
+	cluster.restartNodes()
 	cluster.addMachines(machines, "z1", "z2", "z3")
 	cluster.runFor(10 * time.Second)
 	return cluster
 }
 
-// restart starts all nodes anew.
-func (cluster *scaleCluster) restart() {
+// restartNodes restarts the processes of all nodes.
+func (cluster *scaleCluster) restartNodes() {
 	for i := range cluster.nodes {
 		cluster.startNode(i)
 	}
 	cluster.runFor(3 * time.Second)
 }
 
-// submitServices hands in services of one task, as many at a time as the nodes take.
+// submitServices submits n services of one task, with a pause after every 100 so that the nodes accept all of them.
 func (cluster *scaleCluster) submitServices(n int, gpus float64) {
 	for i := range n {
 		cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: gpus})
@@ -54,7 +55,7 @@
 	}
 }
 
-// leaderNode gives the node that leads; nil if none does.
+// leaderNode returns the leading node; nil if there is none.
 func (cluster *scaleCluster) leaderNode() *scaleNode {
 	for _, node := range cluster.nodes {
 		if node.core.PeerStatus().Leading {
@@ -64,124 +65,125 @@
 	return nil
 }
 
-// follower gives a node that does not lead.
-func (cluster *scaleCluster) follower() *scaleNode {
+// followerNode returns a node that does not lead.
+func (cluster *scaleCluster) followerNode() *scaleNode {
 	for _, node := range cluster.nodes {
 		if !node.core.PeerStatus().Leading {
 			return node
 		}
 	}
-	cluster.test.Fatal("all nodes lead")
+	cluster.t.Fatal("all nodes lead")
 	return nil
 }
 
-// TestLargeFleet plays 4,400 machines through a leader's end. The next one goes on starting, and gives back
-// nothing that works.
+// TestLargeFleet restarts the leader of a fleet of 4,400 machines under load. The next leader must continue to start
+// tasks, and must not release any machine with tasks.
 func TestLargeFleet(t *testing.T) {
-	cluster := newFleetOf(t, 3, largeFleet)
+	cluster := newLargeFleet(t, 3, largeFleetSize)
 	cluster.submitServices(1500, 1)
-	cluster.playLoad(0, 60, 10)
+	cluster.runLoad(0, 60, 10)
 	before := cluster.startedTasks
 	cluster.restartLeader()
-	cluster.playLoad(0, 60, 12)
-	t.Logf("%d machines, %d starts before and %d after the leader's end, %+v", cluster.rented, before, cluster.startedTasks-before, cluster.counts)
-	if cluster.rented < largeFleet || cluster.counts.releasedWithWork > 0 {
-		t.Errorf("%d machines are up, %d with work were released", cluster.rented, cluster.counts.releasedWithWork)
+	cluster.runLoad(0, 60, 12)
+	t.Logf("%d machines, %d starts before and %d after the restart of the leader, %+v", cluster.rented, before, cluster.startedTasks-before, cluster.counts)
+	if cluster.rented < largeFleetSize || cluster.counts.releasedWithWork > 0 {
+		t.Errorf("%d machines are up, want at least the whole fleet; %d with tasks were released, want 0", cluster.rented, cluster.counts.releasedWithWork)
 	}
 	if before < 5000 || cluster.startedTasks-before < 1000 {
-		t.Errorf("%d starts before the leader's end, %d after it", before, cluster.startedTasks-before)
+		t.Errorf("got %d starts before the restart of the leader, want at least 5000; got %d after it, want at least 1000", before, cluster.startedTasks-before)
 	}
 }
 
-// TestListOfManyPages has a cloud that lists 4,400 machines in nine pages and answers two requests a second. The list
-// is read all the same, and what is missing is rented.
-func TestListOfManyPages(t *testing.T) {
+// TestPagedMachineList has a cloud that lists 4,400 machines in nine pages and allows two calls per second. The leader
+// must still read the whole list, rent the machine that a new service needs, and stay within the cloud's rate.
+func TestPagedMachineList(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 1, 0)
 	cluster.operator.IdleBoots = 100
 	cluster.adjustParams = func(p *config.Params) { p.Cloud.RPS = 2 }
 	cluster.cloudRate = 2
-	cluster.restart()
-	cluster.addMachines(largeFleet)
+	cluster.restartNodes()
+	cluster.addMachines(largeFleetSize)
 	cluster.machineLimit += 10
 	cluster.runFor(10 * time.Second)
 	cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 1, Zone: "z2"})
 	cluster.runFor(60 * time.Second)
-	if pages := cluster.counts.pages; cluster.rented <= largeFleet || pages < 40 {
-		t.Errorf("%d machines after %d pages of the list", cluster.rented, pages)
+	if pages := cluster.counts.pages; cluster.rented <= largeFleetSize || pages < 40 {
+		t.Errorf("got %d machines after %d pages of the list, want more than before and at least 40 pages", cluster.rented, pages)
 	}
 	if cluster.droppedCloudCalls > 0 {
-		t.Errorf("%d requests were above the cloud's rate", cluster.droppedCloudCalls)
+		t.Errorf("%d calls exceeded the cloud's rate, want 0", cluster.droppedCloudCalls)
 	}
 }
 
-// TestManyUnreachableMachines silences a zone of 1,200 machines, and ends the leader. The next one knows of all of them
-// since when they are silent, and gives them back as soon as the last one would have.
+// TestManyUnreachableMachines cuts off a zone of 1,200 machines, and then restarts the leader. From the stored hints
+// the next leader must know since when each machine is unreachable, and release it as early as the previous leader
+// would have.
 func TestManyUnreachableMachines(t *testing.T) {
 	const machines = 3600
-	cluster := newFleetOf(t, 3, machines)
+	cluster := newLargeFleet(t, 3, machines)
 	cluster.submitServices(machines, 5) // one on each machine
 	cluster.runFor(10 * time.Second)
 	if len(cluster.workerByTask) != machines {
-		t.Fatalf("%d of %d machines have work", len(cluster.workerByTask), machines)
+		t.Fatalf("%d of %d machines have a task", len(cluster.workerByTask), machines)
 	}
 	cluster.isolatedZone = "z3"
 	cluster.runFor(9 * time.Second)
-	told := map[string]int64{}
+	silentMachines := map[string]int64{}
 	for _, key := range storedKeys(cluster.store, "w/s") {
 		item, _ := cluster.store.Get(key)
-		if err := json.Unmarshal(item.Value, &told); err != nil {
+		if err := json.Unmarshal(item.Value, &silentMachines); err != nil {
 			t.Fatal(key, err)
 		}
 	}
 	cluster.restartLeader()
 	cluster.runFor(15 * time.Second)
-	left := 0
+	remaining := 0
 	for _, worker := range cluster.workers {
-		if worker.zone == "z3" && !worker.dead {
-			left++
+		if worker.zone == "z3" && !worker.stopped {
+			remaining++
 		}
 	}
-	if len(told) != 1200 || left > 0 {
-		t.Errorf("%d machines are in the hints, %d are kept after 24 s, of 1200", len(told), left)
+	if len(silentMachines) != 1200 || remaining > 0 {
+		t.Errorf("got %d machines in the hints, want 1200; %d have not been released after 24 s, want 0", len(silentMachines), remaining)
 	}
 	cluster.isolatedZone = ""
 	cluster.runFor(10 * time.Second)
 	if keys := storedKeys(cluster.store, "w/s"); len(keys) > 0 {
-		t.Errorf("%v are left when nothing is silent", keys)
+		t.Errorf("hints %v remain although all machines are reachable", keys)
 	}
 }
 
-// TestCountsOfManyJobs has more jobs running than eight values hold counts of. Each is shown as running at a node that
-// does not lead.
-func TestCountsOfManyJobs(t *testing.T) {
+// TestTaskCountsOfManyJobs runs more jobs than eight values of the key-value store can contain task counts of. A node
+// that does not lead must still report each job as running.
+func TestTaskCountsOfManyJobs(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 2, 0)
 	cluster.adjustParams = func(p *config.Params) { p.Store.ValueKB = 2 }
-	cluster.restart()
+	cluster.restartNodes()
 	cluster.addMachines(120)
 	cluster.runFor(10 * time.Second)
 	const jobs = 800
 	cluster.submitServices(jobs, 1)
 	cluster.runFor(90 * time.Second)
-	node, pending := cluster.follower(), 0
+	node, notRunning := cluster.followerNode(), 0
 	for _, id := range cluster.liveServices {
 		cluster.lastRequest++
 		cluster.step(node, core.GetJob{RequestID: cluster.lastRequest << 16, ID: id})
 		cluster.runFor(100 * time.Millisecond)
-		if s, ok := cluster.lastAnswer.(wire.JobState); !ok || s.State != wire.JobRunning {
-			pending++
+		if response, ok := cluster.lastResponse.(wire.JobState); !ok || response.State != wire.JobRunning {
+			notRunning++
 		}
 	}
-	if len(cluster.liveServices) != jobs || len(cluster.workerByTask) != jobs || pending > 0 {
-		t.Errorf("%d jobs with %d tasks, %d are not shown as running", len(cluster.liveServices), len(cluster.workerByTask), pending)
+	if len(cluster.liveServices) != jobs || len(cluster.workerByTask) != jobs || notRunning > 0 {
+		t.Errorf("got %d jobs with %d tasks, %d of them not reported as running", len(cluster.liveServices), len(cluster.workerByTask), notRunning)
 	}
 }
 
-// TestManyUnsettledCancellations cancels more jobs at once, whose tasks wait for their image on machines that don't
-// answer any more, than a node's status can list. No user is told of any of them.
-func TestManyUnsettledCancellations(t *testing.T) {
+// TestManyUnresolvedCancellations cancels more jobs at once than a node's status can list as unresolved. Their tasks
+// wait for an image on machines that no longer respond. No user may be told that one of these jobs is cancelled.
+func TestManyUnresolvedCancellations(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 2, 0)
 	cluster.adjustParams = func(p *config.Params) { p.Store.WriteRPS = 1000 }
-	cluster.restart()
+	cluster.restartNodes()
 	cluster.addMachines(200)
 	cluster.runFor(10 * time.Second)
 	const jobs = 1300
@@ -197,13 +199,13 @@
 	}
 	cluster.runFor(3 * time.Second)
 	if len(cluster.workerByTask) != jobs {
-		t.Fatalf("%d tasks of %d wait for their image", len(cluster.workerByTask), jobs)
+		t.Fatalf("%d of %d tasks wait for their image", len(cluster.workerByTask), jobs)
 	}
 	for _, worker := range cluster.workers {
-		worker.dead = true
+		worker.stopped = true
 	}
-	node := cluster.follower()
-	cluster.answerStatuses = map[uint64]int{}
+	node := cluster.followerNode()
+	cluster.responseStatuses = map[uint64]int{}
 	for i, id := range ids {
 		cluster.lastRequest++
 		cluster.step(node, core.CancelJob{RequestID: cluster.lastRequest << 16, ID: id})
@@ -213,39 +215,40 @@
 	}
 	cluster.runFor(time.Second)
 	statuses := map[int]int{}
-	for _, status := range cluster.answerStatuses {
+	for _, status := range cluster.responseStatuses {
 		statuses[status]++
 	}
 	if statuses[503] != jobs {
-		t.Errorf("answers by status: %v", statuses)
+		t.Errorf("got responses by status %v, want all 503", statuses)
 	}
-	for _, x := range cluster.nodes {
-		s := x.core.PeerStatus()
-		listed := len(strings.Join(s.UnresolvedCancellations, ",,"))
-		if s.Leading && (!s.MoreUnresolved || listed > 32<<10) {
-			t.Errorf("%d unsettled jobs in %d bytes, more: %v", len(s.UnresolvedCancellations), listed, s.MoreUnresolved)
+	for _, peer := range cluster.nodes {
+		status := peer.core.PeerStatus()
+		listed := len(strings.Join(status.UnresolvedCancellations, ",,"))
+		if status.Leading && (!status.MoreUnresolved || listed > 32<<10) {
+			t.Errorf("got %d unresolved cancellations in %d bytes, more: %v; want at most 32 KiB and more", len(status.UnresolvedCancellations), listed, status.MoreUnresolved)
 		}
 	}
 }
 
-// TestSmallSettingsAreLoggedOnce grows a fleet beyond what the settings carry. Each field is named in one line, once.
-func TestSmallSettingsAreLoggedOnce(t *testing.T) {
+// TestInsufficientSettingsAreLoggedOnce grows a fleet beyond what the settings are sufficient for. Each insufficient
+// field must be logged exactly once.
+func TestInsufficientSettingsAreLoggedOnce(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 1, 0)
 	cluster.addMachines(900)
 	cluster.runFor(10 * time.Second)
-	if len(cluster.logged) > 0 {
-		t.Errorf("logged for 900 machines: %v", cluster.logged)
+	if len(cluster.loggedFields) > 0 {
+		t.Errorf("900 machines: got warnings %v, want none", cluster.loggedFields)
 	}
 	for range 3 {
 		cluster.addMachines(200)
 		cluster.runFor(6 * time.Second)
 	}
-	if n := cluster.logged["params.limits.max_connections"]; n != 1 {
-		t.Errorf("1,500 machines: %v", cluster.logged)
+	if count := cluster.loggedFields["params.limits.max_connections"]; count != 1 {
+		t.Errorf("1,500 machines: got warnings %v, want one for params.limits.max_connections", cluster.loggedFields)
 	}
-	for field, n := range cluster.logged {
-		if n != 1 {
-			t.Errorf("%s was logged %d times", field, n)
+	for field, count := range cluster.loggedFields {
+		if count != 1 {
+			t.Errorf("%s was logged %d times, want once", field, count)
 		}
 	}
 }
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -20,41 +20,41 @@
 	"bitternwing/internal/core"
 )
 
-// The digests of seeded days and where they are kept. They were made by the code before it was renamed and split:
-// a change of structure leaves each of them as it is. A change of behaviour makes the file anew with -digests.
+// Digests of the output of seeded simulations. A refactoring must leave each of them unchanged. After an intended
+// change of behaviour, regenerate the file with -digests.
 const (
 	digestFile = "testdata/digests.txt"
-	// digestDays is how many days are played where -digest_days does not say.
-	digestDays = 24
+	// defaultDigestSeeds is the default of -digest_days.
+	defaultDigestSeeds = 24
 )
 
 var (
-	writeDigests = flag.Bool("digests", false, "write testdata/digests.txt anew, with all days in it")
-	daysToDigest = flag.Int("digest_days", digestDays, "how many of the days in testdata/digests.txt are played")
+	writeDigests = flag.Bool("digests", false, "regenerate testdata/digests.txt for all simulations in it")
+	digestSeeds  = flag.Int("digest_days", defaultDigestSeeds, "how many simulations of each kind in testdata/digests.txt are run")
 )
 
-// outputDigest sums up all that leaves the cores of a day in wire or stored form, in order, with when and from which node.
-// Log lines and names of Go types and fields are not in it, and neither are the numbers by which results find their calls.
-type outputDigest struct{ sum hash.Hash }
+// outputDigest is a hash of everything that the cores of a simulation send or store, in order, with its time and node.
+// It excludes log lines, names of Go types and fields, and call IDs.
+type outputDigest struct{ hash hash.Hash }
 
-func newOutputDigest() *outputDigest { return &outputDigest{sum: sha256.New()} }
+func newOutputDigest() *outputDigest { return &outputDigest{hash: sha256.New()} }
 
-// add takes in an effect of a node.
-func (d *outputDigest) add(t reporter, now time.Duration, node string, effect core.Effect) {
+// add adds an effect of a node to the digest.
+func (d *outputDigest) add(t testReporter, now time.Duration, node string, effect core.Effect) {
 	t.Helper()
 	if content, ok := wireContent(t, effect); ok {
 		encoded, err := json.Marshal(content)
 		if err != nil {
-			t.Fatalf("an effect can't be digested: %v", err)
+			t.Fatalf("encoding effect for the digest: %v", err)
 		}
-		d.sum.Write(fmt.Appendf(nil, "%d %s %s\n", now, node, encoded))
+		d.hash.Write(fmt.Appendf(nil, "%d %s %s\n", now, node, encoded))
 	}
 }
 
-func (d *outputDigest) String() string { return hex.EncodeToString(d.sum.Sum(nil)[:16]) }
+func (d *outputDigest) String() string { return hex.EncodeToString(d.hash.Sum(nil)[:16]) }
 
-// wireContent gives what of an effect is sent or stored, by position; false for what only this process sees.
-func wireContent(t reporter, effect core.Effect) ([]any, bool) {
+// wireContent returns the parts of an effect that are sent or stored; false for an effect that stays in the process.
+func wireContent(t testReporter, effect core.Effect) ([]any, bool) {
 	t.Helper()
 	switch e := effect.(type) {
 	case core.Log:
@@ -89,25 +89,25 @@
 	return storeContent(t, effect), true
 }
 
-// bodyContent gives the body of an answer: as it is for the protocol's messages, and without the names of fields for what
-// another package turns into a message.
-func bodyContent(t reporter, body any) any {
+// bodyContent returns the body of a response. Protocol messages are returned as they are. Other bodies, which another
+// package converts to messages, are returned without their Go field names.
+func bodyContent(t testReporter, body any) any {
 	t.Helper()
 	if body == nil || strings.HasSuffix(reflect.TypeOf(body).PkgPath(), "/wire") {
 		return body
 	}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		t.Fatalf("a body can't be digested: %v", err)
+		t.Fatalf("encoding response body for the digest: %v", err)
 	}
 	return fieldNames.ReplaceAllString(string(encoded), "")
 }
 
-// fieldNames finds the names of exported fields in JSON.
+// fieldNames matches the names of exported Go fields in JSON.
 var fieldNames = regexp.MustCompile(`"[A-Z][A-Za-z]*":`)
 
-// storeContent gives what is sent to the state service.
-func storeContent(t reporter, effect core.Effect) []any {
+// storeContent returns the parts of an effect that are sent to the key-value store.
+func storeContent(t testReporter, effect core.Effect) []any {
 	t.Helper()
 	switch e := effect.(type) {
 	case core.StoreGet:
@@ -125,19 +125,19 @@
 	case core.StoreWatch:
 		return []any{"state watch", e.Prefix, e.After, e.Wait}
 	}
-	t.Fatalf("an effect %T is not digested", effect)
+	t.Fatalf("effect %T is not supported by the digest", effect)
 	return nil
 }
 
-// digestOfDay plays a day of TestSearch.
-func digestOfDay(t *testing.T, seed uint64) string {
+// digestScript returns the digest of a script of TestSearch.
+func digestScript(t *testing.T, seed uint64) string {
 	t.Helper()
-	s, _ := playDay(t, randomDay(seed))
+	s, _ := playDay(t, generateScript(seed))
 	return s.digest.String()
 }
 
-// digestOfRegions plays a day of three regions with random troubles, as TestAnyRegionTroubles does.
-func digestOfRegions(t *testing.T, seed uint64) string {
+// digestRegions returns the digests of three regions with random faults like those in quota_test.go.
+func digestRegions(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 6))
 	world := newRegionWorld(t, 3)
@@ -154,8 +154,8 @@
 	return strings.Join(digests, ",")
 }
 
-// digestOfRollout plays a rollout in which something goes wrong.
-func digestOfRollout(t *testing.T, seed uint64) string {
+// digestRollout returns the digest of a rollout with random faults.
+func digestRollout(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 7))
 	world := newRolloutWorld(t)
@@ -181,23 +181,23 @@
 	return world.digest.String()
 }
 
-// digestKinds are the kinds of seeded days.
+// digestKinds are the kinds of simulations in digestFile.
 var digestKinds = map[string]func(*testing.T, uint64) string{
-	"day": digestOfDay, "regions": digestOfRegions, "rollout": digestOfRollout,
+	"day": digestScript, "regions": digestRegions, "rollout": digestRollout,
 }
 
-// TestOutputStaysTheSame plays seeded days and compares all that left the nodes with what left them before the last
+// TestOutputStaysTheSame runs seeded simulations and compares the output of the nodes with that after the last intended
 // change of behaviour.
 func TestOutputStaysTheSame(t *testing.T) {
-	kept, order := readDigests(t)
+	want, order := readDigests(t)
 	if *writeDigests {
 		writeAllDigests(t, order)
 		return
 	}
-	played := map[string]int{}
+	runs := map[string]int{}
 	for _, name := range order {
 		kind, seedText, _ := strings.Cut(name, " ")
-		if played[kind]++; played[kind] > *daysToDigest {
+		if runs[kind]++; runs[kind] > *digestSeeds {
 			continue
 		}
 		seed, err := strconv.ParseUint(seedText, 10, 64)
@@ -206,17 +206,17 @@
 		}
 		t.Run(strings.ReplaceAll(name, " ", "/"), func(t *testing.T) {
 			t.Parallel()
-			if got := digestKinds[kind](t, seed); got != kept[name] {
-				t.Errorf("what left the nodes has the digest %s, before it had %s", got, kept[name])
+			if got := digestKinds[kind](t, seed); got != want[name] {
+				t.Errorf("got output digest %s, want %s", got, want[name])
 			}
 		})
 	}
-	if len(played) != len(digestKinds) {
-		t.Errorf("%s has days of %d kinds, of %d", digestFile, len(played), len(digestKinds))
+	if len(runs) != len(digestKinds) {
+		t.Errorf("%s: got %d kinds of simulations, want %d", digestFile, len(runs), len(digestKinds))
 	}
 }
 
-// readDigests gives the kept digests by kind and seed, and the order in which they stand in the file.
+// readDigests returns the stored digests by kind and seed, and these keys in the order of the file.
 func readDigests(t *testing.T) (map[string]string, []string) {
 	t.Helper()
 	file, err := os.Open(digestFile)
@@ -228,28 +228,28 @@
 			t.Error(err)
 		}
 	}()
-	kept, order := map[string]string{}, []string(nil)
+	digests, order := map[string]string{}, []string(nil)
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
 		if len(fields) != 3 || digestKinds[fields[0]] == nil {
-			t.Fatalf("%s: %q", digestFile, lines.Text())
+			t.Fatalf("%s: invalid line %q", digestFile, lines.Text())
 		}
 		name := fields[0] + " " + fields[1]
-		kept[name] = fields[2]
+		digests[name] = fields[2]
 		order = append(order, name)
 	}
 	if err := lines.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return kept, order
+	return digests, order
 }
 
-// writeAllDigests plays all days that the file names and writes what comes of them.
+// writeAllDigests runs all simulations that the file lists and rewrites it with their digests.
 func writeAllDigests(t *testing.T, order []string) {
 	t.Helper()
 	digests := make([]string, len(order))
-	t.Run("days", func(t *testing.T) {
+	t.Run("simulations", func(t *testing.T) {
 		for i, name := range order {
 			kind, seedText, _ := strings.Cut(name, " ")
 			seed, err := strconv.ParseUint(seedText, 10, 64)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -116,11 +116,11 @@
 
 // runCycle compares what index and scan choose for some jobs, and does that.
 func (f *randomFleet) runCycle() {
-	l := f.l
+	l := f.leader
 	l.refreshCapacityIndex()
 	cycle := newSchedulingCycle(l, l.cycleParams(math.MaxInt32))
-	for range f.number("decisions", 1, 30) {
-		j := f.anyJob()
+	for range f.intBetween("decisions", 1, 30) {
+		j := f.randomJob()
 		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
@@ -131,7 +131,7 @@
 		switch {
 		case want != nil:
 			p := cycle.place(j, l.nextTask(j, 0), want)
-			if f.chance("taken back", 5) {
+			if f.oneIn("taken back", 5) {
 				cycle.revertPlacement(p)
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
@@ -145,7 +145,7 @@
 func (f *randomFleet) preempt(cycle *schedulingCycle, j *job) {
 	// A cycle looks for the jobs that can be shrunk once; here the next decision may follow any other.
 	cycle.preemptible = nil
-	idleOnly := f.chance("idle work only", 3)
+	idleOnly := f.oneIn("idle work only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
 	want := scanCheapest(cycle, j, rule.mayStop)
 	got := cycle.cheapestPreemption(j, &rule)
@@ -184,12 +184,12 @@
 		for range rapid.SampledFrom([]int{1, 4, 10, 40}).Draw(t, "jobs") {
 			f.addJob()
 		}
-		for range f.number("cycles", 1, 6) {
+		for range f.intBetween("cycles", 1, 6) {
 			f.runCycle()
-			for range f.number("events", 0, 12) {
+			for range f.intBetween("events", 0, 12) {
 				f.randomEvent()
 			}
-			if err := f.l.core.CheckCapacityIndex(); err != nil {
+			if err := f.leader.core.CheckCapacityIndex(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/quota_bench_test.go
+++ b/internal/core/quota_bench_test.go
@@ -24,7 +24,7 @@
 func timeWithTeams(b *testing.B, teams int) float64 {
 	b.Helper()
 	cluster := newScaleCluster(b, 1, 0)
-	cluster.large, cluster.operator.IdleBoots = true, 100
+	cluster.largeSettings, cluster.operator.IdleBoots = true, 100
 	if teams > 0 {
 		cluster.operator.Regions = config.Regions{Name: regionName(0)}
 		for i := range 4 {
@@ -37,12 +37,12 @@
 			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprint("t", i), GuaranteedGPUs: 1000, MaxGPUs: 3000})
 		}
 	}
-	cluster.restart()
+	cluster.restartNodes()
 	cluster.addMachines(400)
 	cluster.runFor(10 * time.Second)
 	cluster.submitServices(400, 1)
 	cluster.runFor(60 * time.Second)
-	cluster.measured, cluster.stepTime = true, 0
+	cluster.measureSteps, cluster.stepTime = true, 0
 	const seconds = 20
 	cluster.runFor(seconds * time.Second)
 	return float64(cluster.stepTime.Microseconds()) / seconds
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -82,7 +82,7 @@
 		"answer lost, ends":     func(r *worldRegion) { r.lostResponses = 2; r.restartLeaderIfAny() },
 		"write late, then ends": func(r *worldRegion) { r.delayedTransactions = 2; r.restartLeaderIfAny() },
 		"write late":            func(r *worldRegion) { r.delayedTransactions = 2 },
-		"frozen":                func(r *worldRegion) { r.frozen = r.leaderNode().name },
+		"frozen":                func(r *worldRegion) { r.frozenNode = r.leaderNode().name },
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 		r.restartLeaderIfAny()
 	case 4:
 		if leader != nil {
-			r.frozen = leader.name
+			r.frozenNode = leader.name
 		}
 	case 5:
 		r.lostResponses = 2
@@ -224,7 +224,7 @@
 	region.startNode(1)
 	region.step(region.nodes[1], core.Tick{})
 	region.operator = with
-	region.frozen, region.refusedNode = region.nodes[0].name, region.nodes[2].name
+	region.frozenNode, region.refusedNode = region.nodes[0].name, region.nodes[2].name
 	world.advance(20 * time.Second)
 	if region.nodes[1].core.PeerStatus().Leading {
 		t.Fatal("a node that knows no regions leads")
--- a/internal/core/random_script_test.go
+++ b/internal/core/random_script_test.go
@@ -7,224 +7,239 @@
 	"time"
 )
 
-// randomScript is a script that is made up from a source of random numbers. The order of the draws is part of what a
-// seed means: it stays as it is, so that the seeds that once found a fault go on playing the same days.
+// randomScript is a script that is generated from a seed. The order in which random numbers are drawn must not change,
+// so that seeds that once exposed a bug keep producing the same scripts.
 type randomScript struct {
-	text      strings.Builder
-	random    *rand.Rand
-	moments   []float64 // at which faults meet, in seconds
-	greenGPUs int       // of team green's services that are not cancelled
+	text       strings.Builder
+	random     *rand.Rand
+	faultTimes []float64 // times around which faults coincide, in seconds
+	greenGPUs  int       // GPUs of those services of team green that are not cancelled
 }
 
-// add adds a line.
-func (d *randomScript) add(format string, args ...any) { fmt.Fprintf(&d.text, format+"\n", args...) }
+// addLine formats and appends a line.
+func (script *randomScript) addLine(format string, args ...any) {
+	fmt.Fprintf(&script.text, format+"\n", args...)
+}
 
-// pick draws one of some words.
-func (d *randomScript) pick(words ...string) string { return words[d.random.IntN(len(words))] }
+// pick returns a random one of words.
+func (script *randomScript) pick(words ...string) string {
+	return words[script.random.IntN(len(words))]
+}
 
-// between draws a number with one decimal.
-func (d *randomScript) between(low, high float64) float64 {
-	return float64(int(10*(low+(high-low)*d.random.Float64()))) / 10
+// between returns a random number from low to high with one decimal.
+func (script *randomScript) between(low, high float64) float64 {
+	return float64(int(10*(low+(high-low)*script.random.Float64()))) / 10
 }
 
-// near draws a time about one of the moments.
-func (d *randomScript) near(low, high float64) float64 {
-	return max(0.5, d.moments[d.random.IntN(len(d.moments))]+d.between(low, high))
+// nearFault returns a random time between low and high seconds after a random fault time, but at least 0.5 s.
+func (script *randomScript) nearFault(low, high float64) float64 {
+	return max(0.5, script.faultTimes[script.random.IntN(len(script.faultTimes))]+script.between(low, high))
 }
 
-// showTime shows a time in seconds as scripts have it.
-func showTime(at float64) string { return fmt.Sprintf("%.1f", at) }
+// formatTime formats a time in seconds as scripts contain it.
+func formatTime(seconds float64) string { return fmt.Sprintf("%.1f", seconds) }
 
-// randomDay makes up a script: two to four moments, at each of which a few faults meet, with
-// jobs that begin, end and are cancelled about then.
-func randomDay(seed uint64) string {
-	d := &randomScript{random: rand.New(rand.NewPCG(seed, 2))}
-	d.add("zones %s", d.pick("a=z1 b=z1 c=z1", "a=z1 b=z1 c=z2", "a=z1 b=z2 c=z2"))
-	d.add("seed %d", seed)
+// generateScript returns the random script of a seed. It has two to four times around which one to four faults
+// coincide, and jobs that start, end and are cancelled around those times.
+func generateScript(seed uint64) string {
+	script := &randomScript{random: rand.New(rand.NewPCG(seed, 2))}
+	script.addLine("zones %s", script.pick("a=z1 b=z1 c=z1", "a=z1 b=z1 c=z2", "a=z1 b=z2 c=z2"))
+	script.addLine("seed %d", seed)
 	upgrade := rand.New(rand.NewPCG(seed, 4))
-	d.add("next value_kb=1 txn_ops=4 write_rps=42")
+	script.addLine("next value_kb=1 txn_ops=4 write_rps=42")
 	if upgraded := upgrade.IntN(2) == 0; upgraded {
-		d.add("old")
-		randomUpgrade(&d.text, upgrade)
+		script.addLine("old")
+		writeUpgrade(&script.text, upgrade)
 	}
-	d.add("%.1f limits", 10+100*upgrade.Float64())
-	d.add("machines z1 z1 z2 z2%s", d.pick("", " z1-spot", " z2-spot"))
-	for range 2 + d.random.IntN(3) {
-		d.moments = append(d.moments, d.between(15, 85))
+	script.addLine("%.1f limits", 10+100*upgrade.Float64())
+	script.addLine("machines z1 z1 z2 z2%s", script.pick("", " z1-spot", " z2-spot"))
+	for range 2 + script.random.IntN(3) {
+		script.faultTimes = append(script.faultTimes, script.between(15, 85))
 	}
 	for i := range 14 {
-		d.addJob(fmt.Sprintf("run-%06d", i+1))
+		script.addJob(fmt.Sprintf("run-%06d", i+1))
 	}
-	for _, moment := range d.moments {
-		for range 1 + d.random.IntN(4) {
-			d.addFault(moment)
+	for _, faultTime := range script.faultTimes {
+		for range 1 + script.random.IntN(4) {
+			script.addFault(faultTime)
 		}
 	}
-	randomPipelines(&d.text, seed, d.moments)
-	randomShortages(&d.text, seed, d.moments)
-	randomSuccessions(&d.text, seed)
-	// The longest fault begins at 88 s and lasts 45 s; ten leaders may follow each other.
-	d.add("calm 150")
-	d.add("end 270")
-	return d.text.String()
+	writePipelines(&script.text, seed, script.faultTimes)
+	writeCPUShortages(&script.text, seed, script.faultTimes)
+	writeFailovers(&script.text, seed)
+	// The longest fault begins at 88 s and lasts 45 s, and up to ten leaders may be killed in succession.
+	script.addLine("calm 150")
+	script.addLine("end 270")
+	return script.text.String()
 }
 
-// addJob adds a job that is submitted about one of the moments, and perhaps cancelled.
-func (d *randomScript) addJob(id string) {
-	begin := d.near(-25, -0.5)
-	if d.random.IntN(4) == 0 {
-		begin = d.near(-0.5, 3)
+// addJob adds a job that is submitted around a fault time and may be cancelled.
+func (script *randomScript) addJob(id string) {
+	submitAt := script.nearFault(-25, -0.5)
+	if script.random.IntN(4) == 0 {
+		submitAt = script.nearFault(-0.5, 3)
 	}
-	cancelled := d.random.IntN(2) == 0
-	spec := d.jobSpec(cancelled)
-	d.add("%s submit %s %s", showTime(begin), id, spec)
+	cancelled := script.random.IntN(2) == 0
+	spec := script.randomJobSpec(cancelled)
+	script.addLine("%s submit %s %s", formatTime(submitAt), id, spec)
 	switch {
 	case cancelled:
-		at := d.near(-1, 4)
-		if at < begin {
-			at = begin + d.between(0.1, 30)
+		at := script.nearFault(-1, 4)
+		if at < submitAt {
+			at = submitAt + script.between(0.1, 30)
 		}
-		d.add("%s cancel %s", showTime(at), id)
-	case !strings.Contains(spec, "service") && d.random.IntN(3) == 0:
-		d.add("%s cancel_at_end %s", showTime(begin), id)
+		script.addLine("%s cancel %s", formatTime(at), id)
+	case !strings.Contains(spec, "service") && script.random.IntN(3) == 0:
+		script.addLine("%s cancel_at_end %s", formatTime(submitAt), id)
 	}
 }
 
-// jobSpec makes up the words of a job: services of team green, or job arrays.
-func (d *randomScript) jobSpec(cancelled bool) string {
-	switch d.random.IntN(7) {
+// randomJobSpec returns the arguments of a job: a service of team green or a job array.
+func (script *randomScript) randomJobSpec(cancelled bool) string {
+	switch script.random.IntN(7) {
 	case 0, 1:
-		return d.serviceSpec(cancelled)
+		return script.randomServiceSpec(cancelled)
 	case 2:
-		return fmt.Sprintf("tasks=%d gpus=1 team=green one_zone run=%g", 2+d.random.IntN(4), d.between(3, 60))
+		return fmt.Sprintf("tasks=%d gpus=1 team=green one_zone run=%g", 2+script.random.IntN(4), script.between(3, 60))
 	case 3:
-		return fmt.Sprintf("tasks=%d gpus=1 team=green spread run=%g", 2+d.random.IntN(4), d.between(3, 40))
+		return fmt.Sprintf("tasks=%d gpus=1 team=green spread run=%g", 2+script.random.IntN(4), script.between(3, 40))
 	case 4:
-		return fmt.Sprintf("tasks=%d gpus=2 team=red run=%g", 2+d.random.IntN(5), d.between(2, 25))
+		return fmt.Sprintf("tasks=%d gpus=2 team=red run=%g", 2+script.random.IntN(5), script.between(2, 25))
 	case 5:
-		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot save=1 run=%g zone=%s", 1+d.random.IntN(6), d.between(3, 40), d.pick("z1", "z2"))
+		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot save=1 run=%g zone=%s", 1+script.random.IntN(6), script.between(3, 40), script.pick("z1", "z2"))
 	default:
-		return fmt.Sprintf("tasks=%d gpus=2 team=blue run=%g", 2+d.random.IntN(3), d.between(5, 60))
+		return fmt.Sprintf("tasks=%d gpus=2 team=blue run=%g", 2+script.random.IntN(3), script.between(5, 60))
 	}
 }
 
-// maxGreenGPUs is how many GPUs the services of team green that are not cancelled use at most, but for small ones: the
-// day can end with all of them up.
+// maxGreenGPUs bounds the GPUs of those services of team green that are not cancelled, so that all of them can run at
+// the end of the simulation. Services of one replica with one GPU are still added above it.
 const maxGreenGPUs = 14
 
-// serviceSpec makes up the words of a service.
-func (d *randomScript) serviceSpec(cancelled bool) string {
-	replicas, gpus := 1+d.random.IntN(3), 1+d.random.IntN(3)
+// randomServiceSpec returns the arguments of a service.
+func (script *randomScript) randomServiceSpec(cancelled bool) string {
+	replicas, gpus := 1+script.random.IntN(3), 1+script.random.IntN(3)
 	if !cancelled {
-		if d.greenGPUs+replicas*gpus > maxGreenGPUs {
+		if script.greenGPUs+replicas*gpus > maxGreenGPUs {
 			replicas, gpus = 1, 1
 		}
-		d.greenGPUs += replicas * gpus
+		script.greenGPUs += replicas * gpus
 	}
-	spec := fmt.Sprintf("kind=service tasks=%d gpus=%d team=green priority=%s", replicas, gpus, d.pick("prod", "high"))
+	spec := fmt.Sprintf("kind=service tasks=%d gpus=%d team=green priority=%s", replicas, gpus, script.pick("prod", "high"))
 	if replicas > 1 {
-		spec += d.pick("", "", " spread")
+		spec += script.pick("", "", " spread")
 	}
 	return spec
 }
 
-// randomFault is what the faults of a moment have in common.
+// randomFault contains the parameters that all kinds of faults share.
 type randomFault struct {
-	moment float64
-	at     string // shortly after the moment
-	node   string
-	worker int // by number among those that are up
+	faultTime float64
+	start     string // formatted, up to 3 s after faultTime
+	node      string
+	worker    int // index among the workers that are up
 }
 
-// randomFaults make up the lines of a fault. One that is listed twice is as likely as two others.
-var randomFaults = []func(d *randomScript, f randomFault){
-	func(d *randomScript, f randomFault) { d.add("%s refuse %s %g", f.at, f.node, d.between(2, 25)) },
-	(*randomScript).addOutageOfStore,
-	(*randomScript).addCut,
-	(*randomScript).addCut,
-	func(d *randomScript, f randomFault) { d.add("%s kill %s %g", f.at, f.node, d.between(0.1, 6)) },
-	func(d *randomScript, f randomFault) { d.add("%s kill all %g", f.at, d.between(0.1, 14)) },
-	func(d *randomScript, f randomFault) { d.add("%s freeze %s %g", f.at, f.node, d.between(1, 12)) },
-	func(d *randomScript, f randomFault) { d.add("%s outage %g", f.at, d.between(1, 45)) },
-	func(d *randomScript, f randomFault) {
-		d.add("%s slow %g %g", f.at, d.between(0.2, 3), d.between(5, 30))
+// randomFaults are functions that add the lines of a fault. Listing one twice doubles its probability.
+var randomFaults = []func(script *randomScript, f randomFault){
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s refuse %s %g", f.start, f.node, script.between(2, 25))
+	},
+	(*randomScript).addStoreOutage,
+	(*randomScript).addNodeCut,
+	(*randomScript).addNodeCut,
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s kill %s %g", f.start, f.node, script.between(0.1, 6))
+	},
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s kill all %g", f.start, script.between(0.1, 14))
 	},
-	func(d *randomScript, f randomFault) {
-		d.add("%s late_writes %g %g", f.at, d.between(0.1, 0.6), d.between(5, 30))
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s freeze %s %g", f.start, f.node, script.between(1, 12))
 	},
-	func(d *randomScript, f randomFault) {
-		d.add("%s late_reports %g %g", f.at, d.between(0.1, 0.8), d.between(5, 40))
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s outage %g", f.start, script.between(1, 45))
+	},
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s slow %g %g", f.start, script.between(0.2, 3), script.between(5, 30))
+	},
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s late_writes %g %g", f.start, script.between(0.1, 0.6), script.between(5, 30))
+	},
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s late_reports %g %g", f.start, script.between(0.1, 0.8), script.between(5, 40))
 	},
 	(*randomScript).addLateCommands,
 	(*randomScript).addLateCommands,
-	func(d *randomScript, f randomFault) { d.add("%s partition %g", f.at, d.between(5, 40)) },
-	func(d *randomScript, f randomFault) {
-		d.add("%s zone_cut %s %g", f.at, d.pick("z1", "z2"), d.between(5, 40))
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s partition %g", f.start, script.between(5, 40))
+	},
+	func(script *randomScript, f randomFault) {
+		script.addLine("%s zone_cut %s %g", f.start, script.pick("z1", "z2"), script.between(5, 40))
 	},
-	(*randomScript).addHangs,
+	(*randomScript).addHungWorkers,
 	(*randomScript).addLostMachine,
-	(*randomScript).addSuccession,
+	(*randomScript).addLeaderKills,
 	(*randomScript).addCloudOutage,
 }
 
-// addFault adds a fault about a moment.
-func (d *randomScript) addFault(moment float64) {
-	at := showTime(moment + d.between(0, 3))
-	node := d.pick("leader", "leader", "leader", "other", "a", "b", "c")
-	worker := d.random.IntN(8)
-	add := randomFaults[d.random.IntN(len(randomFaults))]
-	add(d, randomFault{moment, at, node, worker})
+// addFault adds a random fault within 3 s of a fault time.
+func (script *randomScript) addFault(faultTime float64) {
+	start := formatTime(faultTime + script.between(0, 3))
+	node := script.pick("leader", "leader", "leader", "other", "a", "b", "c")
+	worker := script.random.IntN(8)
+	addLines := randomFaults[script.random.IntN(len(randomFaults))]
+	addLines(script, randomFault{faultTime, start, node, worker})
 }
 
-// addOutageOfStore has the key-value store refuse the leader, and soon after all nodes.
-func (d *randomScript) addOutageOfStore(f randomFault) {
-	d.add("%s refuse leader %g", showTime(f.moment), d.between(4, 14))
-	d.add("%s outage %g", showTime(f.moment+d.between(0.5, 2.5)), d.between(5, 45))
+// addStoreOutage makes the key-value store refuse the leader's calls, and soon afterwards those of all nodes.
+func (script *randomScript) addStoreOutage(f randomFault) {
+	script.addLine("%s refuse leader %g", formatTime(f.faultTime), script.between(4, 14))
+	script.addLine("%s outage %g", formatTime(f.faultTime+script.between(0.5, 2.5)), script.between(5, 45))
 }
 
-// addCut cuts a node off from some services.
-func (d *randomScript) addCut(f randomFault) {
-	services := d.pick("state", "state,peers", "state,peers", "peers", "workers", "state,peers,workers,users")
-	d.add("%s cut %s %s %g", f.at, f.node, services, d.between(3, 40))
+// addNodeCut cuts a node off from a random set of services.
+func (script *randomScript) addNodeCut(f randomFault) {
+	services := script.pick("state", "state,peers", "state,peers", "peers", "workers", "state,peers,workers,users")
+	script.addLine("%s cut %s %s %g", f.start, f.node, services, script.between(3, 40))
 }
 
-// addLateCommands has direct commands come late.
-func (d *randomScript) addLateCommands(f randomFault) {
-	d.add("%s late_orders %g %g", f.at, d.between(0.2, 1), d.between(5, 40))
+// addLateCommands delays direct commands.
+func (script *randomScript) addLateCommands(f randomFault) {
+	script.addLine("%s late_orders %g %g", f.start, script.between(0.2, 1), script.between(5, 40))
 }
 
-// addHangs has two workers hang.
-func (d *randomScript) addHangs(f randomFault) {
-	d.add("%s hang %d %g", f.at, f.worker, d.between(2, 14))
-	d.add("%s hang %d %g", f.at, f.worker+1, d.between(2, 14))
+// addHungWorkers makes two workers hang.
+func (script *randomScript) addHungWorkers(f randomFault) {
+	script.addLine("%s hang %d %g", f.start, f.worker, script.between(2, 14))
+	script.addLine("%s hang %d %g", f.start, f.worker+1, script.between(2, 14))
 }
 
-// addLostMachine cuts a worker off in one direction, and ends another one's machine.
-func (d *randomScript) addLostMachine(f randomFault) {
-	d.add("%s %s %d %g", f.at, d.pick("deaf", "mute"), f.worker, d.between(2, 25))
-	d.add("%s %s %d", f.at, d.pick("die", "take", "recall"), f.worker+1)
+// addLostMachine cuts a worker off in one direction, and ends the machine of another worker.
+func (script *randomScript) addLostMachine(f randomFault) {
+	script.addLine("%s %s %d %g", f.start, script.pick("deaf", "mute"), f.worker, script.between(2, 25))
+	script.addLine("%s %s %d", f.start, script.pick("die", "take", "recall"), f.worker+1)
 }
 
-// addSuccession kills one leader after the other.
-func (d *randomScript) addSuccession(f randomFault) {
-	interval := d.between(0.5, 12)
-	for i := range 3 + d.random.IntN(8) {
-		d.add("%s kill leader %g", showTime(f.moment+float64(i)*interval), d.between(0.1, 4))
+// addLeaderKills kills 3 to 10 leaders one after the other.
+func (script *randomScript) addLeaderKills(f randomFault) {
+	interval := script.between(0.5, 12)
+	for i := range 3 + script.random.IntN(8) {
+		script.addLine("%s kill leader %g", formatTime(f.faultTime+float64(i)*interval), script.between(0.1, 4))
 	}
 }
 
-// addCloudOutage has the cloud refuse all requests, and users send odd ones.
-func (d *randomScript) addCloudOutage(f randomFault) {
-	d.add("%s cloud %g", f.at, d.between(3, 25))
-	d.add("%s odd", f.at)
+// addCloudOutage makes the cloud refuse all calls, and adds a line of edge-case requests.
+func (script *randomScript) addCloudOutage(f randomFault) {
+	script.addLine("%s cloud %g", f.start, script.between(3, 25))
+	script.addLine("%s odd", f.start)
 }
 
-// randomUpgrade has the nodes come back with the new version, one after the other; on some days one of
-// them late.
-func randomUpgrade(b *strings.Builder, random *rand.Rand) {
+// writeUpgrade upgrades the nodes to the new version one after the other, sometimes with a delay of 30 s after a node.
+func writeUpgrade(text *strings.Builder, random *rand.Rand) {
 	at := 5 + 40*random.Float64()
 	for _, node := range []string{"a", "b", "c"} {
-		fmt.Fprintf(b, "%.1f upgrade %s %.1f\n", at, node, 0.2+4*random.Float64())
+		fmt.Fprintf(text, "%.1f upgrade %s %.1f\n", at, node, 0.2+4*random.Float64())
 		at += 1 + 10*random.Float64()
 		if random.IntN(4) == 0 {
 			at += 30
@@ -232,71 +247,71 @@
 	}
 }
 
-// randomShortages has nodes run short of processor time on every third day, around the moments of the other troubles.
-// They draw from chance of their own, so that the rest of a day stays as it was.
-func randomShortages(b *strings.Builder, seed uint64, moments []float64) {
+// writeCPUShortages makes nodes run short of CPU time around the fault times, in a third of the scripts. It uses its
+// own random source, so that the rest of a seed's script does not change.
+func writeCPUShortages(text *strings.Builder, seed uint64, faultTimes []float64) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	if random.IntN(3) > 0 {
 		return
 	}
-	for _, moment := range moments {
+	for _, faultTime := range faultTimes {
 		node := []string{"leader", "other", "a", "b", "c", "all"}[random.IntN(6)]
-		begin := max(0.5, moment-10*random.Float64())
-		fmt.Fprintf(b, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
+		begin := max(0.5, faultTime-10*random.Float64())
+		fmt.Fprintf(text, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
 	}
 }
 
-// successionTime is about how long it takes until the next leader knows all jobs: the old one's lease ends, others notice
-// it, one wins and reads.
-const successionTime = workerLease / 2
+// failoverTime is about how long it takes until the next leader has loaded all jobs: the old leader's lease expires,
+// the other nodes notice, one wins the election and reads the stored records.
+const failoverTime = workerLease / 2
 
-// randomSuccessions has the leader lose its term on every second day, in one of the ways in which that happens, while users
-// cancel jobs that run and other troubles begin: all of it at any time until the next leader should know all jobs. The
-// troubles last for less than a lease, less than a cancelled job may stay, or longer. They draw from chance of their own, so
-// that the rest of a day stays as it was.
-func randomSuccessions(b *strings.Builder, seed uint64) {
+// writeFailovers makes the leader lose its term in half of the scripts, in one of several ways. Until the next leader
+// should have loaded all jobs, users cancel running jobs and other faults begin. These faults last for less than a
+// worker lease, less than the cancellation limit, or up to 1.5 times that limit. It uses its own random source, so that
+// the rest of a seed's script does not change.
+func writeFailovers(text *strings.Builder, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	if random.IntN(2) > 0 {
 		return
 	}
-	pick := func(xs ...string) string { return xs[random.IntN(len(xs))] }
+	pick := func(choices ...string) string { return choices[random.IntN(len(choices))] }
 	begin := 12 + 75*random.Float64()
-	during := func() float64 { return begin + successionTime.Seconds()*random.Float64() }
-	span := func() float64 {
+	duringFailover := func() float64 { return begin + failoverTime.Seconds()*random.Float64() }
+	faultDuration := func() float64 {
 		longest := []time.Duration{workerLease, cancellationLimit, cancellationLimit * 3 / 2}[random.IntN(3)]
 		return longest.Seconds() * (0.5 + 0.5*random.Float64())
 	}
-	fmt.Fprintf(b, "%.2f %s\n", begin, pick("refuse leader 14", "cut leader state 14", "cut leader state,peers 14", "kill leader 3", "freeze leader 6"))
+	fmt.Fprintf(text, "%.2f %s\n", begin, pick("refuse leader 14", "cut leader state 14", "cut leader state,peers 14", "kill leader 3", "freeze leader 6"))
 	for range 1 + random.IntN(6) {
-		fmt.Fprintf(b, "%.2f cancel_now\n", during())
+		fmt.Fprintf(text, "%.2f cancel_now\n", duringFailover())
 	}
 	for range 1 + random.IntN(2) {
-		trouble := pick("outage", "outage", "refuse other", "cut other state,peers", "slow 2", "late_writes 0.5", "partition", "zone_cut z1")
-		fmt.Fprintf(b, "%.2f %s %.1f\n", during(), trouble, span())
+		fault := pick("outage", "outage", "refuse other", "cut other state,peers", "slow 2", "late_writes 0.5", "partition", "zone_cut z1")
+		fmt.Fprintf(text, "%.2f %s %.1f\n", duringFailover(), fault, faultDuration())
 	}
 }
 
-// randomPipelines makes up chains of jobs, each of which needs the one before it; of some a job is
-// cancelled. They draw from chance of their own, so that the rest of a day stays as it was.
-func randomPipelines(b *strings.Builder, seed uint64, moments []float64) {
+// writePipelines adds chains of jobs in which each job depends on the one before it. In some chains a job is cancelled.
+// It uses its own random source, so that the rest of a seed's script does not change.
+func writePipelines(text *strings.Builder, seed uint64, faultTimes []float64) {
 	random := rand.New(rand.NewPCG(seed, 3))
 	priorities := []string{"idle", "idle", "standard", "high"}
 	for chain := 0; chain < 1+random.IntN(3); chain++ {
-		begin := max(0.5, moments[random.IntN(len(moments))]-20*random.Float64())
-		last := ""
+		submitAt := max(0.5, faultTimes[random.IntN(len(faultTimes))]-20*random.Float64())
+		previousID := ""
 		cancelled := random.IntN(2 * len(priorities))
 		for stage, priority := range priorities {
 			id := fmt.Sprintf("run-8%02d%03d", chain, stage)
-			needs := ""
-			if last != "" {
-				needs = " needs=" + last
+			dependency := ""
+			if previousID != "" {
+				dependency = " needs=" + previousID
 			}
-			fmt.Fprintf(b, "%.1f submit %s tasks=%d gpus=0 team=green spot run=%.1f priority=%s%s\n",
-				begin+0.3*float64(stage), id, 1+random.IntN(30), 1+10*random.Float64(), priority, needs)
+			fmt.Fprintf(text, "%.1f submit %s tasks=%d gpus=0 team=green spot run=%.1f priority=%s%s\n",
+				submitAt+0.3*float64(stage), id, 1+random.IntN(30), 1+10*random.Float64(), priority, dependency)
 			if stage == cancelled {
-				fmt.Fprintf(b, "%.1f cancel %s\n", begin+2+30*random.Float64(), id)
+				fmt.Fprintf(text, "%.1f cancel %s\n", submitAt+2+30*random.Float64(), id)
 			}
-			last = id
+			previousID = id
 		}
 	}
 }
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -12,7 +12,7 @@
 	sum := 0.0
 	for task, holder := range region.workerByTask {
 		job := region.specs[task[:len("run-000000")]]
-		if job.Team == team && !holder.dead && holder.machine.Holds(task) {
+		if job.Team == team && !holder.stopped && holder.machine.Holds(task) {
 			sum += job.GPUs
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 	a, err := quota.Decode(item.Value)
 	if err != nil {
-		region.test.Fatal(err)
+		region.t.Fatal(err)
 	}
 	return a
 }
--- a/internal/core/region_messages_test.go
+++ b/internal/core/region_messages_test.go
@@ -76,7 +76,7 @@
 
 // hear hands a message to a node, which names the leader if it is not the one.
 func (region *worldRegion) hear(node *scaleNode, m regionMessage, relayed bool) {
-	if node.name == region.frozen {
+	if node.name == region.frozenNode {
 		m.answered(outcome.Unknown)
 		return
 	}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -15,7 +15,7 @@
 // limits of two teams. At each step it checks that no team uses more than its limit in all regions together, and that
 // what the regions hold of it and what is on its way add up to the whole.
 type regionWorld struct {
-	test    reporter
+	test    testReporter
 	regions []*worldRegion
 	// cutLinks tells whether messages from one region to another are lost.
 	cutLinks       map[[2]int]bool
@@ -49,12 +49,12 @@
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
 // newRegionWorld has regions with equal parts of two teams' limits, and room for both limits in each.
-func newRegionWorld(t reporter, regions int) *regionWorld {
+func newRegionWorld(t testReporter, regions int) *regionWorld {
 	return newRegionWorldOf(t, regions, regionMachines)
 }
 
 // newRegionWorldOf has so many machines in each region.
-func newRegionWorldOf(t reporter, regions, machines int) *regionWorld {
+func newRegionWorldOf(t testReporter, regions, machines int) *regionWorld {
 	world := &regionWorld{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
 		world.regions = append(world.regions, world.newRegion(i, regions))
@@ -74,14 +74,14 @@
 	region.adjustParams = func(p *config.Params) {
 		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}}
 	}
-	region.intercept = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
+	region.interceptEffect = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
 		if e, ok := effect.(core.CallRegion); ok {
 			world.send(region, node, e)
 			return core.Result{}, false
 		}
 		return region.interceptStoreCall(node.name, region.store, effect)
 	}
-	region.onAnswer = func(response core.Response) bool {
+	region.onResponse = func(response core.Response) bool {
 		answered := region.pending[response.RequestID]
 		delete(region.pending, response.RequestID)
 		if answered != nil {
@@ -89,7 +89,7 @@
 		}
 		return answered != nil
 	}
-	region.restart()
+	region.restartNodes()
 	region.addMachines(world.machines, "z1", "z2")
 	return region
 }
@@ -204,6 +204,6 @@
 	for _, region := range world.regions {
 		region.endStoreFaults()
 		region.commitHeld(region.store)
-		region.frozen = ""
+		region.frozenNode = ""
 	}
 }
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -12,14 +12,14 @@
 // whose job the node knows to be cancelled, up to the bound of commands. Whether any other node leads, is served, or has
 // told a user does not matter.
 func (s *simulation) checkRenewal(node *simulatedNode, r core.Response) {
-	heartbeat := node.heartbeats[r.RequestID]
-	delete(node.heartbeats, r.RequestID)
+	heartbeat := node.pendingHeartbeats[r.RequestID]
+	delete(node.pendingHeartbeats, r.RequestID)
 	response, renews := r.Body.(wire.HeartbeatResponse)
 	if heartbeat == nil || !renews {
 		return
 	}
 	for _, task := range leftRunning(heartbeat, response, node.core.KnowsCancelled) {
-		s.ruleChecker.report(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
+		s.ruleChecker.addViolation(s.now, "left_running", "%s renews the lease of %s and leaves %s, which it knows to be cancelled (leads without records: %v)",
 			node.name, heartbeat.Machine, task, node.core.Status(node.steadyTime(s.now)).Recovering > 0)
 	}
 }
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -103,7 +103,7 @@
 	}
 	world.operator.Spread = losses
 	world.operator.Spread.MovesPerHour = 0 // as it is when weighing is switched on
-	world.restart()
+	world.restartNodes()
 	world.runFor(10 * time.Second)
 	world.loseZone(zone)
 	world.runFor(90 * time.Second)
@@ -147,7 +147,7 @@
 	world.service("run-000001", 1, "img-a", 8)
 	for range 3 {
 		holder := world.workerByTask["run-000001/0"]
-		holder.dead = true
+		holder.stopped = true
 		holder.machine.KillAll()
 		world.runFor(60 * time.Second)
 		if next := world.workerByTask["run-000001/0"]; len(world.running) != 1 || next == holder {
@@ -198,9 +198,9 @@
 	world.service("run-000003", 3, "img-a", 8)
 	ask := func(id string) core.Response {
 		var got core.Response
-		world.onAnswer = func(response core.Response) bool { got = response; return true }
+		world.onResponse = func(response core.Response) bool { got = response; return true }
 		world.step(world.leaderNode(), core.GetPlacements{RequestID: 1 << 40, Job: id})
-		world.onAnswer = nil
+		world.onResponse = nil
 		return got
 	}
 	places, ok := ask("run-000003").Body.([]core.ReplicaPlacement)
@@ -270,9 +270,9 @@
 	holder := world.workerByTask["run-000001/0"]
 	world.starts = 0
 	for range 5 {
-		holder.dead = true
+		holder.stopped = true
 		world.runFor(3 * time.Second)
-		holder.dead = false
+		holder.stopped = false
 		world.runFor(5 * time.Second)
 	}
 	if world.workerByTask["run-000001/0"] != holder || world.starts != 0 || len(world.running) != 1 {
@@ -296,8 +296,8 @@
 	waited := time.Duration(0)
 	started := map[string]time.Duration{}
 	world.onStart = func(task string) { started[task] = world.now }
-	follow := world.onRuns
-	world.onRuns = func(machine, task string) {
+	follow := world.onRunning
+	world.onRunning = func(machine, task string) {
 		follow(machine, task)
 		if strings.HasPrefix(task, "run-000001/") {
 			waited = max(waited, world.now-started[task])
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -28,20 +28,20 @@
 	b.Helper()
 	world := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
 	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleBoots = true, 1, 100
-	world.intercept = world.interceptCall
+	world.interceptEffect = world.interceptCall
 	world.adjustParams = func(p *config.Params) {
 		p.Store = config.Store{RPS: 10_000, WriteRPS: 10_000, ValueKB: 64, TxnOps: 128}
 		p.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, MaxConnections: 10_000}
 		p.Teams = []config.Team{{Name: "t1"}}
 	}
-	world.restart()
+	world.restartNodes()
 	world.addMachines(400)
 	world.runFor(10 * time.Second)
 	for i := range plans {
 		world.beginPlan(i)
 	}
 	world.runFor(30 * time.Second)
-	world.measured, world.stepTime = true, 0
+	world.measureSteps, world.stepTime = true, 0
 	const seconds = 20
 	for range seconds {
 		world.routeAll(plans)
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -42,8 +42,8 @@
 // checkJobs checks that nothing was started before its step, and nothing of the old version cancelled before its time.
 func (world *rolloutWorld) checkJobs(r *rollout.Record) {
 	for i := range newJobs {
-		if world.runsOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
-			world.test.Fatalf("%s runs in %s of step %d", newJob(i), r.Phase, r.Step)
+		if world.hasTaskOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
+			world.t.Fatalf("%s runs in %s of step %d", newJob(i), r.Phase, r.Step)
 		}
 	}
 	if world.machinesTaken || r.Phase == rollout.Retiring || r.Phase == rollout.Completed {
@@ -51,7 +51,7 @@
 	}
 	for i := range oldJobs {
 		if world.cancelled(oldJob(i)) {
-			world.test.Fatalf("%s is cancelled in %s", oldJob(i), r.Phase)
+			world.t.Fatalf("%s is cancelled in %s", oldJob(i), r.Phase)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		}
 	}
 	if capacity < world.plan.PromisedCapacity {
-		world.test.Fatalf("%v: router %s reaches a capacity of %g in %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
+		world.t.Fatalf("%v: router %s reaches a capacity of %g in %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
 			r.Step, weights, router.grantExpiresAt)
 	}
 }
@@ -79,7 +79,7 @@
 // checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns of it.
 func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
 	if !r.Phase.Over() && !slices.Contains(r.Routers, router.name) {
-		world.test.Fatalf("%v: router %s has a routing and is not recorded in %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
+		world.t.Fatalf("%v: router %s has a routing and is not recorded in %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
 
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -80,9 +80,9 @@
 		world := newRolloutWorld(t)
 		world.start()
 		world.waitForPhase(phase)
-		world.frozen = world.leaderNode().name
+		world.frozenNode = world.leaderNode().name
 		world.advance(9 * time.Second)
-		world.frozen = ""
+		world.frozenNode = ""
 		world.waitForPhase(rollout.Completed)
 	}
 }
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -20,12 +20,12 @@
 		t.Errorf("phases %s", got)
 	}
 	for i := range newJobs {
-		if !world.runsOnWorker(newJob(i)) || world.cancelled(newJob(i)) {
+		if !world.hasTaskOnWorker(newJob(i)) || world.cancelled(newJob(i)) {
 			t.Errorf("%s does not serve", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if world.runsOnWorker(oldJob(i)) || !world.cancelled(oldJob(i)) {
+		if world.hasTaskOnWorker(oldJob(i)) || !world.cancelled(oldJob(i)) {
 			t.Errorf("%s still serves", oldJob(i))
 		}
 	}
@@ -42,26 +42,26 @@
 
 // checkRolledBack checks that the old version serves alone, and why.
 func (world *rolloutWorld) checkRolledBack(reason rollout.Reason) {
-	world.test.Helper()
+	world.t.Helper()
 	world.waitForPhase(rollout.RolledBack)
 	world.advance(5 * time.Second)
 	if r := world.record(); r.Reason != reason {
-		world.test.Errorf("rolled back for %q %s, not %q", r.Reason, r.Detail, reason)
+		world.t.Errorf("rolled back for %q %s, not %q", r.Reason, r.Detail, reason)
 	}
 	for i := range newJobs {
-		if world.runsOnWorker(newJob(i)) {
-			world.test.Errorf("%s still runs", newJob(i))
+		if world.hasTaskOnWorker(newJob(i)) {
+			world.t.Errorf("%s still runs", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if !world.machinesTaken && (world.cancelled(oldJob(i)) || !world.runsOnWorker(oldJob(i))) {
-			world.test.Errorf("%s does not serve", oldJob(i))
+		if !world.machinesTaken && (world.cancelled(oldJob(i)) || !world.hasTaskOnWorker(oldJob(i))) {
+			world.t.Errorf("%s does not serve", oldJob(i))
 		}
 	}
 	for _, r := range world.routers {
 		for _, x := range r.weights(world.now) {
 			if x.Version == rollout.NewVersion {
-				world.test.Errorf("router %s sends traffic to %s", r.name, x.Task)
+				world.t.Errorf("router %s sends traffic to %s", r.name, x.Task)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	world.waitForPhase(rollout.Baking)
 	for _, x := range world.workers {
 		if x.machine.Holds("run-000011/0") && !x.machine.Holds("run-000001/0") && !x.machine.Holds("run-000002/0") {
-			x.dead = true
+			x.stopped = true
 		}
 	}
 	world.machinesTaken = true
@@ -138,7 +138,7 @@
 	world.submitNew()
 	world.waitForPhase(rollout.Starting)
 	world.advance(15 * time.Second)
-	if r := world.record(); r.Phase != rollout.Starting || world.runsOnWorker(newJob(0)) {
+	if r := world.record(); r.Phase != rollout.Starting || world.hasTaskOnWorker(newJob(0)) {
 		t.Errorf("the step does not wait: %+v", r)
 	}
 	world.checkRolledBack(rollout.TimedOut)
@@ -160,7 +160,7 @@
 	world.answerWrongly(func(task string) bool { return task == "run-000111/0" })
 	world.waitForPhase(rollout.Completed)
 	world.advance(10 * time.Second)
-	if !world.cancelled("run-000111") || world.cancelled("run-000101") || !world.runsOnWorker("run-000101") {
+	if !world.cancelled("run-000111") || world.cancelled("run-000101") || !world.hasTaskOnWorker("run-000101") {
 		t.Error("the plan whose new version is wrong does not go back to its old one")
 	}
 }
@@ -169,8 +169,8 @@
 // been replaced.
 func TestOutdatedController(t *testing.T) {
 	world := newRolloutWorld(t)
-	world.outdatedNode = world.follower().name
-	world.restart()
+	world.outdatedNode = world.followerNode().name
+	world.restartNodes()
 	world.advance(8 * time.Second)
 	for world.leaderNode().name == world.outdatedNode {
 		world.restartLeader()
@@ -259,7 +259,7 @@
 			t.Errorf("%s: %+v", newJob(i), response)
 		}
 	}
-	if !world.runsOnWorker("run-000050") {
+	if !world.hasTaskOnWorker("run-000050") {
 		t.Error("a job of no plan waits")
 	}
 	world.restartLeaderIfAny()
@@ -335,7 +335,7 @@
 func TestSwitchedOff(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.operator.Rollouts.Enabled = false
-	world.restart()
+	world.restartNodes()
 	world.advance(10 * time.Second)
 	if response := world.apply(); response.Status != 422 || len(storedKeys(world.store, "w/p/")) > 0 {
 		t.Errorf("%+v", response)
@@ -349,7 +349,7 @@
 	world.waitForPhase(rollout.Baking)
 	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/p/reader", Value: []byte(`"spoiled"`)}}})
 	world.runFor(20 * time.Second)
-	if world.runsOnWorker(newJob(1)) || !world.runsOnWorker(newJob(0)) || !world.runsOnWorker(oldJob(0)) {
+	if world.hasTaskOnWorker(newJob(1)) || !world.hasTaskOnWorker(newJob(0)) || !world.hasTaskOnWorker(oldJob(0)) {
 		t.Error("jobs of a plan that can't be read don't stay as they are")
 	}
 	if response := world.change(rollout.Abort); response.Status != 422 {
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -64,14 +64,14 @@
 func newJob(i int) string { return fmt.Sprintf("run-0000%02d", 11+i) }
 
 // newRolloutWorld has the old version whole, and the nodes ready to take a plan.
-func newRolloutWorld(t reporter) *rolloutWorld {
+func newRolloutWorld(t testReporter) *rolloutWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &rolloutWorld{scaleCluster: cluster}
 	cluster.digest = newOutputDigest()
 	cluster.operator.Rollouts.Enabled, cluster.operator.Rollouts.CheckIntervalS, cluster.operator.Rollouts.CheckTimeoutS, cluster.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
 	cluster.operator.IdleBoots = 100
-	cluster.intercept = world.interceptCall
-	cluster.restart()
+	cluster.interceptEffect = world.interceptCall
+	cluster.restartNodes()
 	cluster.addMachines(8, "z1", "z2")
 	cluster.runFor(4 * time.Second)
 	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.Fleet{ReplicaCapacity: 10}, New: rollout.Fleet{ReplicaCapacity: 10}, PromisedCapacity: 30,
@@ -157,7 +157,7 @@
 func (world *rolloutWorld) probe(r rollout.Replica) rollout.ProbeResult {
 	machine := world.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
-	case machine == nil || machine.dead || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
+	case machine == nil || machine.stopped || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
 	case r.Version == rollout.NewVersion && world.answersWrongly != nil && world.answersWrongly(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.Failed, Check: "sum"}
@@ -170,13 +170,13 @@
 	world.lastRequest++
 	request := world.lastRequest << 16
 	var got *core.Response
-	world.onAnswer = func(response core.Response) bool {
+	world.onResponse = func(response core.Response) bool {
 		if response.RequestID == request {
 			got = &response
 		}
 		return response.RequestID == request
 	}
-	if node.name == world.frozen {
+	if node.name == world.frozenNode {
 		return nil
 	}
 	world.step(node, input(request))
@@ -201,7 +201,7 @@
 		}
 		world.advance(200 * time.Millisecond)
 	}
-	world.test.Fatal("a request is not answered")
+	world.t.Fatal("a request is not answered")
 	return nil
 }
 
@@ -211,9 +211,9 @@
 
 // start has the owner apply the plan and submit the new jobs.
 func (world *rolloutWorld) start() {
-	world.test.Helper()
+	world.t.Helper()
 	if response := world.apply(); response.Status != 200 {
-		world.test.Fatalf("the plan is refused: %+v", response)
+		world.t.Fatalf("the plan is refused: %+v", response)
 	}
 	world.submitNew()
 }
@@ -232,7 +232,7 @@
 	}
 	r, err := rollout.Decode(item.Value)
 	if err != nil {
-		world.test.Fatal(err)
+		world.t.Fatal(err)
 	}
 	return r
 }
@@ -274,19 +274,19 @@
 
 // waitForPhase lets time pass until the plan is in a phase.
 func (world *rolloutWorld) waitForPhase(phase rollout.Phase) {
-	world.test.Helper()
+	world.t.Helper()
 	for range 3000 {
 		if r := world.record(); r != nil && r.Phase == phase {
 			return
 		}
 		world.advance(100 * time.Millisecond)
 	}
-	world.test.Fatalf("%s is not reached: %v, %+v", phase, world.phases, world.record())
+	world.t.Fatalf("%s is not reached: %v, %+v", phase, world.phases, world.record())
 }
 
 // params gives the teams their limits.
 func (world *rolloutWorld) limitTeam(gpus float64) {
 	world.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
-	world.restart()
+	world.restartNodes()
 	world.advance(10 * time.Second)
 }
--- a/internal/core/rule_breaks_test.go
+++ b/internal/core/rule_breaks_test.go
@@ -8,19 +8,20 @@
 	"bitternwing/internal/wire"
 )
 
-// Jobs of TestRuleChecker.
+// Job IDs of TestRuleChecker.
 const checkedID, otherID = "run-000001", "run-000002"
 
-// checkedSpec is the job that TestRuleChecker submits. Its words are constant, so nothing fails in reading them.
+// checkedSpec returns the job that TestRuleChecker submits. Its arguments are valid constants, so the simulation that
+// parses them needs no testing.TB.
 func checkedSpec() *wire.Job {
 	return (&simulation{}).newJob([]string{checkedID, "tasks=4", "gpus=3", "team=red"}).spec
 }
 
-// seconds gives a time in seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// ruleBreakingDays break one rule each, which the first word of their name tells.
-var ruleBreakingDays = map[string]func(checker *ruleChecker){
+// ruleViolations are sequences of events that violate one rule each: the first word of the key.
+var ruleViolations = map[string]func(checker *ruleChecker){
 	"ran_twice": func(checker *ruleChecker) {
 		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 		checker.recordStart(seconds(2), taskStart{checkedID + "/0", "m2", "g8", "z1", false})
@@ -55,17 +56,17 @@
 	"ran_cancelled stays": func(checker *ruleChecker) {
 		checker.jobs[checkedID].cancelRequested = true
 		checker.recordStart(seconds(1), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
-		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(2), userResponse{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
 		checker.checkCancelledJobs(seconds(2) + cancellationLimit + 1)
 	},
 	"ran_cancelled starts": func(checker *ruleChecker) {
 		checker.jobs[checkedID].cancelRequested = true
-		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(2), userResponse{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
 		checker.recordStart(seconds(2)+cancellationLimit+1, taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
 	"started_cancelled": func(checker *ruleChecker) {
 		checker.jobs[checkedID].cancelRequested = true
-		checker.recordAnswer(seconds(2), userAnswer{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(2), userResponse{seconds(2), requestCancel, checkedID, 200, wire.JobCancelled})
 		checker.recordStart(seconds(3), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
 	"too_early": func(checker *ruleChecker) {
@@ -79,45 +80,45 @@
 		needing.ID, needing.Dependencies = otherID, []string{checkedID}
 		checker.recordSubmission(needing)
 		checker.jobs[checkedID].cancelRequested = true
-		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
-		checker.recordAnswer(seconds(5), userAnswer{seconds(4), requestPoll, otherID, 200, wire.JobPending})
+		checker.recordResponse(seconds(2), userResponse{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(5), userResponse{seconds(4), requestPoll, otherID, 200, wire.JobPending})
 		late := seconds(2) + cancellationLimit + 1
-		checker.recordAnswer(late, userAnswer{late, requestPoll, otherID, 200, wire.JobPending})
+		checker.recordResponse(late, userResponse{late, requestPoll, otherID, 200, wire.JobPending})
 	},
 	"forgotten poll": func(checker *ruleChecker) {
-		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
-		checker.recordAnswer(seconds(3), userAnswer{seconds(2), requestPoll, checkedID, 404, ""})
+		checker.recordResponse(seconds(1), userResponse{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
+		checker.recordResponse(seconds(3), userResponse{seconds(2), requestPoll, checkedID, 404, ""})
 	},
 	"forgotten submit": func(checker *ruleChecker) {
-		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
-		checker.recordAnswer(seconds(3), userAnswer{seconds(2), requestSubmit, checkedID, 422, ""})
+		checker.recordResponse(seconds(1), userResponse{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
+		checker.recordResponse(seconds(3), userResponse{seconds(2), requestSubmit, checkedID, 422, ""})
 	},
 	"invented answer": func(checker *ruleChecker) {
-		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestPoll, otherID, 200, wire.JobPending})
+		checker.recordResponse(seconds(1), userResponse{seconds(1), requestPoll, otherID, 200, wire.JobPending})
 	},
 	"invented start": func(checker *ruleChecker) {
 		checker.recordStart(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false})
 	},
 	"not_done": func(checker *ruleChecker) {
-		checker.recordAnswer(seconds(1), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobDone})
+		checker.recordResponse(seconds(1), userResponse{seconds(1), requestPoll, checkedID, 200, wire.JobDone})
 	},
 	"went_back": func(checker *ruleChecker) {
 		checker.jobs[checkedID].cancelRequested = true
-		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
-		checker.recordAnswer(seconds(4), userAnswer{seconds(3), requestPoll, checkedID, 200, wire.JobRunning})
+		checker.recordResponse(seconds(2), userResponse{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(4), userResponse{seconds(3), requestPoll, checkedID, 200, wire.JobRunning})
 	},
 	"went_back unasked": func(checker *ruleChecker) {
-		checker.recordAnswer(seconds(2), userAnswer{seconds(1), requestPoll, checkedID, 200, wire.JobCancelled})
+		checker.recordResponse(seconds(2), userResponse{seconds(1), requestPoll, checkedID, 200, wire.JobCancelled})
 	},
 }
 
-// TestRuleChecker shows that each check can fail.
+// TestRuleChecker checks that each check reports its violation, once and under the right rule.
 func TestRuleChecker(t *testing.T) {
-	for rule, day := range ruleBreakingDays {
+	for rule, violate := range ruleViolations {
 		checker := newRuleChecker(map[string]float64{"red": 8}, cancellationLimit)
 		checker.recordSubmission(checkedSpec())
-		if day(checker); len(checker.broken) != 1 || !strings.Contains(checker.broken[0], strings.Fields(rule)[0]) {
-			t.Errorf("%s: the checker says %v", rule, checker.broken)
+		if violate(checker); len(checker.violations) != 1 || !strings.Contains(checker.violations[0], strings.Fields(rule)[0]) {
+			t.Errorf("%s: got violations %v, want exactly one of this rule", rule, checker.violations)
 		}
 	}
 }
--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -9,38 +9,38 @@
 	"bitternwing/internal/wire"
 )
 
-// ruleChecker checks the rules of the protocol during a simulated day. It knows what is on the machines and what users
-// were told, and nothing of the nodes' state. A task is on its machine from the moment its image is there until it
-// exits, is killed or the machine is gone.
+// ruleChecker checks the rules of the protocol during a simulation. It observes what is on the machines and what users
+// are told, and nothing of the nodes' state. A task is on its machine from the moment its image has been fetched until
+// it exits, it is killed or the machine is gone.
 type ruleChecker struct {
 	gpuLimits         map[string]float64 // by team
-	cancellationLimit time.Duration      // within which the tasks of a cancelled job must be gone
+	cancellationLimit time.Duration      // within which the tasks of a cancelled job must have ended
 
 	jobs           map[string]*checkedJob
-	machinesByTask map[string]map[string]onMachine // by task, by machine
-	broken         []string
+	machinesByTask map[string]map[string]taskLocation // by task name and machine name
+	violations     []string
 }
 
 type checkedJob struct {
 	spec            *wire.Job
 	submitted       bool
-	acceptedAt      time.Duration // when its user was first told so; 0: not yet
-	cancelRequested bool          // its user asked for it to be cancelled
+	acceptedAt      time.Duration // when a user was first told that it is accepted; 0: not yet
+	cancelRequested bool          // its user requested its cancellation
 	finalState      wire.JobStatus
 	finalAt         time.Duration // when a user was first told of a final state
-	cancelledAt     time.Duration // when a user was first told of its cancellation
+	cancelledAt     time.Duration // when a user was first told that it is cancelled; 0: not yet
 	doneTasks       map[int]bool
 }
 
-type onMachine struct{ zone string }
+type taskLocation struct{ zone string }
 
-func newRuleChecker(limits map[string]float64, cancel time.Duration) *ruleChecker {
-	return &ruleChecker{gpuLimits: limits, cancellationLimit: cancel,
-		jobs: map[string]*checkedJob{}, machinesByTask: map[string]map[string]onMachine{}}
+func newRuleChecker(gpuLimits map[string]float64, cancellationLimit time.Duration) *ruleChecker {
+	return &ruleChecker{gpuLimits: gpuLimits, cancellationLimit: cancellationLimit,
+		jobs: map[string]*checkedJob{}, machinesByTask: map[string]map[string]taskLocation{}}
 }
 
-func (checker *ruleChecker) report(now time.Duration, rule, format string, args ...any) {
-	checker.broken = append(checker.broken, fmt.Sprintf("%.3f %s: %s", now.Seconds(), rule, fmt.Sprintf(format, args...)))
+func (checker *ruleChecker) addViolation(now time.Duration, rule, format string, args ...any) {
+	checker.violations = append(checker.violations, fmt.Sprintf("%.3f %s: %s", now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
 func (checker *ruleChecker) recordSubmission(spec *wire.Job) *checkedJob {
@@ -59,28 +59,28 @@
 	spot                             bool
 }
 
-// recordStart takes note of a task that is on a machine from now on.
+// recordStart records that a task is on a machine from now on, and checks the rules for the start.
 func (checker *ruleChecker) recordStart(now time.Duration, start taskStart) {
 	id, _, _ := wire.ParseTaskName(start.task)
 	job := checker.jobs[id]
 	if job == nil {
-		checker.report(now, "invented", "%s starts on %s, which nobody submitted", start.task, start.machine)
+		checker.addViolation(now, "invented", "%s of a job that was never submitted starts on %s", start.task, start.machine)
 		return
 	}
 	for other := range checker.machinesByTask[start.task] {
-		checker.report(now, "ran_twice", "%s starts on %s while it is on %s", start.task, start.machine, other)
+		checker.addViolation(now, "ran_twice", "%s starts on %s while it is on %s", start.task, start.machine, other)
 	}
 	if checker.machinesByTask[start.task] == nil {
-		checker.machinesByTask[start.task] = map[string]onMachine{}
+		checker.machinesByTask[start.task] = map[string]taskLocation{}
 	}
-	checker.machinesByTask[start.task][start.machine] = onMachine{start.zone}
+	checker.machinesByTask[start.task][start.machine] = taskLocation{start.zone}
 	checker.checkQuota(now, job, start)
 	checker.checkDependencies(now, job, start)
-	checker.checkPlace(now, job, start)
+	checker.checkPlacement(now, job, start)
 	checker.checkNotCancelled(now, job, start)
 }
 
-// checkQuota checks that a team uses no more than its limit with a task that has started.
+// checkQuota checks that a started task does not take its team over its GPU limit.
 func (checker *ruleChecker) checkQuota(now time.Duration, job *checkedJob, start taskStart) {
 	team, used := job.spec.Team, 0.0
 	for task, machines := range checker.machinesByTask {
@@ -90,32 +90,32 @@
 		}
 	}
 	if limit := checker.gpuLimits[team]; limit > 0 && used > limit+1e-9 {
-		checker.report(now, "quota", "%s uses %g of %g with %s", team, used, limit, start.task)
+		checker.addViolation(now, "quota", "%s uses %g GPUs, limit %g, after the start of %s", team, used, limit, start.task)
 	}
 }
 
-// checkDependencies checks that all jobs that a started task's job needs are done.
+// checkDependencies checks that all dependencies of a started task's job are done.
 func (checker *ruleChecker) checkDependencies(now time.Duration, job *checkedJob, start taskStart) {
 	for _, id := range job.spec.Dependencies {
 		if dependency := checker.jobs[id]; dependency == nil || len(dependency.doneTasks) < dependency.spec.Tasks {
-			checker.report(now, "too_early", "%s starts on %s before %s is done", start.task, start.machine, id)
+			checker.addViolation(now, "too_early", "%s starts on %s before %s is done", start.task, start.machine, id)
 		}
 	}
 }
 
-// checkPlace checks that a task may be on the machine that it has started on.
-func (checker *ruleChecker) checkPlace(now time.Duration, job *checkedJob, start taskStart) {
+// checkPlacement checks that a started task's machine satisfies the constraints of its job.
+func (checker *ruleChecker) checkPlacement(now time.Duration, job *checkedJob, start taskStart) {
 	spec := job.spec
 	inZone, elsewhere := checker.tasksByZone(spec.ID, start.zone)
 	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, start.machineType)
 	wrongZone := spec.Zone != "" && spec.Zone != start.zone
-	crowded := spec.SpreadZones && inZone > (spec.Tasks+1)/2
-	if wrongType || wrongZone || crowded || start.spot && !spec.Spot || spec.SingleZone && elsewhere > 0 {
-		checker.report(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", start.task, start.machine, start.machineType, start.zone, start.spot)
+	unbalanced := spec.SpreadZones && inZone > (spec.Tasks+1)/2
+	if wrongType || wrongZone || unbalanced || start.spot && !spec.Spot || spec.SingleZone && elsewhere > 0 {
+		checker.addViolation(now, "wrong_place", "%s starts on %s (%s, %s, spot %v)", start.task, start.machine, start.machineType, start.zone, start.spot)
 	}
 }
 
-// tasksByZone counts the tasks of a job that are on machines, in a zone and in all others.
+// tasksByZone returns how many tasks of a job are on machines in a zone, and in all other zones.
 func (checker *ruleChecker) tasksByZone(id, zone string) (inZone, elsewhere int) {
 	for task, machines := range checker.machinesByTask {
 		if owner, _, _ := wire.ParseTaskName(task); owner != id {
@@ -132,7 +132,7 @@
 	return inZone, elsewhere
 }
 
-// checkNotCancelled checks that no user was told of the cancellation of a started task's job.
+// checkNotCancelled checks that no user has been told that a started task's job is cancelled.
 func (checker *ruleChecker) checkNotCancelled(now time.Duration, job *checkedJob, start taskStart) {
 	if job.cancelledAt == 0 {
 		return
@@ -141,10 +141,10 @@
 	if now <= job.cancelledAt+checker.cancellationLimit {
 		rule = "started_cancelled"
 	}
-	checker.report(now, rule, "%s starts on %s, its user was told at %.3f", start.task, start.machine, job.cancelledAt.Seconds())
+	checker.addViolation(now, rule, "%s starts on %s, its user was told of the cancellation at %.3f", start.task, start.machine, job.cancelledAt.Seconds())
 }
 
-// recordEnd takes note of a task that is on a machine no more; done if it completed there.
+// recordEnd records that a task is no longer on a machine; done if it completed there.
 func (checker *ruleChecker) recordEnd(task, machine string, done bool) {
 	delete(checker.machinesByTask[task], machine)
 	if id, n, ok := wire.ParseTaskName(task); ok && done && checker.jobs[id] != nil {
@@ -152,147 +152,150 @@
 	}
 }
 
-// checkCancelledJobs looks for cancelled jobs whose time is over.
+// checkCancelledJobs checks that no task of a cancelled job is on a machine after the cancellation limit.
 func (checker *ruleChecker) checkCancelledJobs(now time.Duration) {
-	for _, t := range sortedKeys(checker.machinesByTask) {
-		id, _, _ := wire.ParseTaskName(t)
+	for _, task := range sortedKeys(checker.machinesByTask) {
+		id, _, _ := wire.ParseTaskName(task)
 		job := checker.jobs[id]
 		if job == nil || job.cancelledAt == 0 || now <= job.cancelledAt+checker.cancellationLimit {
 			continue
 		}
-		for _, m := range sortedKeys(checker.machinesByTask[t]) {
-			checker.report(now, "ran_cancelled", "%s is on %s, its user was told at %.3f", t, m, job.cancelledAt.Seconds())
-			delete(checker.machinesByTask[t], m) // once is enough
+		for _, machine := range sortedKeys(checker.machinesByTask[task]) {
+			checker.addViolation(now, "ran_cancelled", "%s is still on %s, its user was told of the cancellation at %.3f", task, machine, job.cancelledAt.Seconds())
+			delete(checker.machinesByTask[task], machine) // avoids reporting it again
 		}
 	}
 }
 
-// userRequest is what a user may ask about a job.
-type userRequest string
+// userRequestKind is the kind of a user's request about a job.
+type userRequestKind string
 
 const (
-	requestSubmit userRequest = "submit"
-	requestPoll   userRequest = "poll"
-	requestCancel userRequest = "cancel"
+	requestSubmit userRequestKind = "submit"
+	requestPoll   userRequestKind = "poll"
+	requestCancel userRequestKind = "cancel"
 )
 
-// userAnswer is the answer to a user's request about a job.
-type userAnswer struct {
+// userResponse is the response to a user's request about a job.
+type userResponse struct {
 	sentAt  time.Duration // when the request was sent
-	request userRequest
+	request userRequestKind
 	job     string
 	status  int
 	state   wire.JobStatus
 }
 
-// accepts tells whether an answer says that the job is known.
-func (a userAnswer) accepts() bool { return a.status == 200 || a.status == 201 }
+// confirmsJob reports whether the response says that the job is known.
+func (a userResponse) confirmsJob() bool { return a.status == 200 || a.status == 201 }
 
-// denies tells whether an answer says that the job is not known, or will not be.
-func (a userAnswer) denies() bool {
+// deniesJob reports whether the response says that the job is not known or is rejected.
+func (a userResponse) deniesJob() bool {
 	return a.status == 404 || a.request == requestSubmit && (a.status == 400 || a.status == 422)
 }
 
-// recordAnswer takes note of an answer to a user. Requests that cross on their way may be answered in any order.
-func (checker *ruleChecker) recordAnswer(now time.Duration, answer userAnswer) {
-	job := checker.jobs[answer.job]
+// recordResponse records a response to a user and checks the rules for it. Concurrent requests may be handled in any
+// order, so a response is compared only with responses that arrived before its request was sent.
+func (checker *ruleChecker) recordResponse(now time.Duration, response userResponse) {
+	job := checker.jobs[response.job]
 	if job == nil || !job.submitted {
-		if answer.accepts() {
-			checker.report(now, "invented", "%s of %s, which nobody submitted, gets %d", answer.request, answer.job, answer.status)
+		if response.confirmsJob() {
+			checker.addViolation(now, "invented", "%s of %s, which was never submitted, gets %d", response.request, response.job, response.status)
 		}
 		return
 	}
-	if !answer.accepts() {
-		if job.acceptedAt != 0 && answer.sentAt > job.acceptedAt && answer.denies() {
-			checker.report(now, "forgotten", "%s of %s gets %d", answer.request, answer.job, answer.status)
+	if !response.confirmsJob() {
+		if job.acceptedAt != 0 && response.sentAt > job.acceptedAt && response.deniesJob() {
+			checker.addViolation(now, "forgotten", "%s of %s gets %d", response.request, response.job, response.status)
 		}
 		return
 	}
 	if job.acceptedAt == 0 {
 		job.acceptedAt = now
 	}
-	checker.checkState(now, job, answer)
-	checker.checkOrphaned(now, job, answer)
-	checker.recordState(now, job, answer)
+	checker.checkState(now, job, response)
+	checker.checkOrphaned(now, job, response)
+	checker.recordState(now, job, response)
 }
 
-// checkState checks that a job does not leave a final state, and is cancelled only if a user asked for that.
-func (checker *ruleChecker) checkState(now time.Duration, job *checkedJob, answer userAnswer) {
+// checkState checks that a job does not leave a final state, and is cancelled only if a user requested that.
+func (checker *ruleChecker) checkState(now time.Duration, job *checkedJob, response userResponse) {
 	switch {
-	case job.finalState != "" && answer.state != job.finalState && answer.sentAt > job.finalAt:
-		checker.report(now, "went_back", "%s of %s says %s after %s", answer.request, answer.job, answer.state, job.finalState)
-	case answer.state == wire.JobCancelled && !checker.cancellationRequested(job):
-		checker.report(now, "went_back", "%s of %s says %s, which nobody asked for", answer.request, answer.job, answer.state)
+	case job.finalState != "" && response.state != job.finalState && response.sentAt > job.finalAt:
+		checker.addViolation(now, "went_back", "%s of %s says %s after %s", response.request, response.job, response.state, job.finalState)
+	case response.state == wire.JobCancelled && !checker.cancellationRequested(job):
+		checker.addViolation(now, "went_back", "%s of %s says %s without a cancel request", response.request, response.job, response.state)
 	}
 }
 
-// checkOrphaned checks that a job is cancelled soon after one that it needs.
-func (checker *ruleChecker) checkOrphaned(now time.Duration, job *checkedJob, answer userAnswer) {
-	if answer.state == wire.JobCancelled {
+// checkOrphaned checks that a job is cancelled within the cancellation limit of one of its dependencies.
+func (checker *ruleChecker) checkOrphaned(now time.Duration, job *checkedJob, response userResponse) {
+	if response.state == wire.JobCancelled {
 		return
 	}
-	if told := checker.dependencyCancelledAt(job); told != 0 && answer.sentAt > told+checker.cancellationLimit {
-		checker.report(now, "orphaned", "%s of %s says %s, a job that it needs was called cancelled at %.3f", answer.request, answer.job, answer.state, told.Seconds())
+	if cancelledAt := checker.dependencyCancelledAt(job); cancelledAt != 0 && response.sentAt > cancelledAt+checker.cancellationLimit {
+		checker.addViolation(now, "orphaned", "%s of %s says %s, a dependency was reported as cancelled at %.3f", response.request, response.job, response.state, cancelledAt.Seconds())
 	}
 }
 
-// recordState takes note of the state that a user was told. A job is called done only after all of its tasks.
-func (checker *ruleChecker) recordState(now time.Duration, job *checkedJob, answer userAnswer) {
+// recordState records the state that a user was told, and checks that a job is reported as done only after all its
+// tasks.
+func (checker *ruleChecker) recordState(now time.Duration, job *checkedJob, response userResponse) {
 	if job.finalState == "" {
 		job.finalAt = now
 	}
-	switch answer.state {
+	switch response.state {
 	case wire.JobPending, wire.JobRunning:
 	case wire.JobDone:
-		job.finalState = answer.state
+		job.finalState = response.state
 		if len(job.doneTasks) < job.spec.Tasks {
-			checker.report(now, "not_done", "%s of %s says done with %d of %d tasks", answer.request, answer.job, len(job.doneTasks), job.spec.Tasks)
+			checker.addViolation(now, "not_done", "%s of %s says done with %d of %d tasks", response.request, response.job, len(job.doneTasks), job.spec.Tasks)
 		}
 	case wire.JobCancelled:
 		if job.cancelledAt == 0 {
 			job.cancelledAt = now
 		}
-		job.finalState = answer.state
+		job.finalState = response.state
 	}
 }
 
-// cancellationRequested tells whether a job's user asked for it, or for a job that it needs, to be cancelled; a
-// request that was answered with done counts for nothing.
+// cancellationRequested reports whether the cancellation of a job or of one of its dependencies was requested. A
+// request for a job that is done doesn't count.
 func (checker *ruleChecker) cancellationRequested(job *checkedJob) bool {
 	if job.cancelRequested && job.finalState != wire.JobDone {
 		return true
 	}
-	for _, need := range job.spec.Dependencies {
-		if dependency := checker.jobs[need]; dependency != nil && dependency.finalState != wire.JobDone && checker.cancellationRequested(dependency) {
+	for _, id := range job.spec.Dependencies {
+		if dependency := checker.jobs[id]; dependency != nil && dependency.finalState != wire.JobDone && checker.cancellationRequested(dependency) {
 			return true
 		}
 	}
 	return false
 }
 
-// dependencyCancelledAt gives when a user was first told that a job which this one needs, directly or through
-// others, is cancelled; 0 if none was.
+// dependencyCancelledAt returns when a user was first told that a direct or indirect dependency of a job is cancelled;
+// 0 if none is.
 func (checker *ruleChecker) dependencyCancelledAt(job *checkedJob) time.Duration {
-	first := time.Duration(0)
-	for _, need := range job.spec.Dependencies {
-		dependency := checker.jobs[need]
+	earliest := time.Duration(0)
+	for _, id := range job.spec.Dependencies {
+		dependency := checker.jobs[id]
 		if dependency == nil {
 			continue
 		}
 		for _, at := range []time.Duration{dependency.cancelledAt, checker.dependencyCancelledAt(dependency)} {
-			if at != 0 && (first == 0 || at < first) {
-				first = at
+			if at != 0 && (earliest == 0 || at < earliest) {
+				earliest = at
 			}
 		}
 	}
-	return first
+	return earliest
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
-	ks := make([]string, 0, len(m))
-	for k := range m {
-		ks = append(ks, k)
+	keys := make([]string, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
 	}
-	sort.Strings(ks)
-	return ks
+	sort.Strings(keys)
+	return keys
 }
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -9,16 +9,16 @@
 	"bitternwing/internal/wire"
 )
 
-// The target that the benchmarks are for, of a whole fleet.
+// Target load of a whole fleet, to which the benchmarks are scaled.
 const (
 	targetMachines = 8800
 	targetTasks    = 83_000
-	targetStarts   = 6100 // a second
-	tasksOfArray   = 60
+	targetStarts   = 6100 // per second
+	tasksPerArray  = 60
 )
 
-// newTargetCluster has one node with a core of its own that leads so many machines, all up, with a state service
-// that is not the limit. What its steps take is what they really take.
+// newTargetCluster returns a cluster of one node, which may use a whole CPU core, and a number of running machines. The
+// limits of the key-value store are so high that they don't matter. The durations of steps are measured.
 func newTargetCluster(b *testing.B, machines int) *scaleCluster {
 	b.Helper()
 	cluster := newLargeScaleCluster(b, 1, 0)
@@ -28,7 +28,7 @@
 		share := float64(machines) / targetMachines
 		p.Teams = nil
 		for i := range 12 {
-			// Every other team runs beyond its guarantee on a full fleet, the rest within it.
+			// On a full fleet, half of the teams run beyond their guarantee and the others within it.
 			p.Teams = append(p.Teams, config.Team{Name: fmt.Sprintf("t%d", i), GuaranteedGPUs: []float64{1000, 9000}[i%2] * share})
 		}
 	}
@@ -37,33 +37,33 @@
 	cluster.runFor(3 * time.Second)
 	cluster.addMachines(machines)
 	cluster.runFor(10 * time.Second)
-	cluster.measured = true
+	cluster.measureSteps = true
 	return cluster
 }
 
-// submitArrays hands in arrays of tasks that together fill a machine of the fleet to 95%.
+// submitArrays submits n arrays of tasks of such a size that the target number of tasks fills the fleet to 95%.
 func (cluster *scaleCluster) submitArrays(n int) {
 	for range n {
-		cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: tasksOfArray, GPUs: 0.8})
+		cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: tasksPerArray, GPUs: 0.8})
 	}
 }
 
-// perSecond is how many arrays come a second where a tenth more tasks than the target's are asked for.
-func perSecond(machines int) int {
-	return targetStarts * machines / targetMachines / tasksOfArray * 11 / 10
+// arraysPerSecond returns how many arrays to submit per second for 110% of the target's starts on a fleet of this size.
+func arraysPerSecond(machines int) int {
+	return targetStarts * machines / targetMachines / tasksPerArray * 11 / 10
 }
 
-// fill has a quarter more tasks come than there is room for.
-func (cluster *scaleCluster) fill(machines int) {
-	for asked := 0; asked < targetTasks*machines/targetMachines*5/4; asked += perSecond(machines) * tasksOfArray {
-		cluster.submitArrays(perSecond(machines))
+// fillFleet submits 125% of the tasks that the fleet has capacity for.
+func (cluster *scaleCluster) fillFleet(machines int) {
+	for submittedTasks := 0; submittedTasks < targetTasks*machines/targetMachines*5/4; submittedTasks += arraysPerSecond(machines) * tasksPerArray {
+		cluster.submitArrays(arraysPerSecond(machines))
 		cluster.runFor(time.Second)
 	}
 	cluster.runFor(5 * time.Second)
 }
 
-// BenchmarkFill fills an empty fleet to 95%, as quickly as the budget of rounds allows, and gives the starts a second,
-// the least of a second, and the processor time of the leader for each.
+// BenchmarkFill fills an empty fleet to 95% as fast as the cycle budget allows. It reports the mean and the minimum of
+// starts per second, and the leader's CPU time per start.
 func BenchmarkFill(b *testing.B) {
 	for _, machines := range []int{targetMachines / 16, targetMachines / 8, targetMachines / 4, targetMachines / 2, targetMachines} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -73,7 +73,7 @@
 				seconds, least := 0, targetTasks
 				for cluster.startedTasks < tasks*95/100 && seconds < 300 {
 					before := cluster.startedTasks
-					cluster.submitArrays(perSecond(machines))
+					cluster.submitArrays(arraysPerSecond(machines))
 					cluster.runFor(time.Second)
 					if seconds++; seconds > 1 && cluster.startedTasks < tasks*95/100 {
 						least = min(least, cluster.startedTasks-before)
@@ -89,14 +89,14 @@
 	}
 }
 
-// BenchmarkFull has arrays, and some services, come to a full fleet that has room for few of them, and gives the longest
-// step and the share of a core that the leader takes.
+// BenchmarkFull submits arrays and some services to a full fleet that has capacity for few of them. It reports the
+// longest step and the number of CPU cores that the leader uses.
 func BenchmarkFull(b *testing.B) {
 	for _, machines := range []int{targetMachines / 8, targetMachines / 2, targetMachines} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for range b.N {
 				cluster := newTargetCluster(b, machines)
-				cluster.fill(machines)
+				cluster.fillFleet(machines)
 				cluster.stepTime, cluster.longestStep = 0, 0
 				before := cluster.startedTasks
 				const seconds = 20
@@ -116,15 +116,15 @@
 	}
 }
 
-// BenchmarkFillReplicas fills half of an empty fleet with services, with their places weighed and not, and gives the processor
-// time of the leader for each start.
+// BenchmarkFillReplicas fills half of an empty fleet with services, with topology spread disabled and enabled. It
+// reports the leader's CPU time per start.
 func BenchmarkFillReplicas(b *testing.B) {
 	const replicas = 20
-	for _, weighed := range []bool{false, true} {
-		b.Run(fmt.Sprintf("weighed-%v", weighed), func(b *testing.B) {
+	for _, spread := range []bool{false, true} {
+		b.Run(fmt.Sprintf("weighed-%v", spread), func(b *testing.B) {
 			for range b.N {
 				cluster := newTargetCluster(b, targetMachines)
-				cluster.operator.Spread.Enabled = weighed
+				cluster.operator.Spread.Enabled = spread
 				for seconds := 0; cluster.startedTasks < targetTasks/2 && seconds < 300; seconds++ {
 					for range targetStarts / replicas / 2 {
 						cluster.submit(wire.Job{Kind: wire.KindService, Tasks: replicas, GPUs: 0.8})
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -9,16 +9,16 @@
 	"bitternwing/internal/wire"
 )
 
-// carryOut does an effect of a node; true if it has a result.
-func (cluster *scaleCluster) carryOut(node *scaleNode, effect core.Effect) (core.Result, bool) {
-	if cluster.intercept != nil {
-		if result, ok := cluster.intercept(node, effect); ok {
+// handleEffect performs an effect of a node's core. It returns the result of a call, and whether there is one.
+func (cluster *scaleCluster) handleEffect(node *scaleNode, effect core.Effect) (core.Result, bool) {
+	if cluster.interceptEffect != nil {
+		if result, ok := cluster.interceptEffect(node, effect); ok {
 			return result, true
 		}
 	}
 	switch e := effect.(type) {
 	case core.Response:
-		if cluster.onAnswer == nil || !cluster.onAnswer(e) {
+		if cluster.onResponse == nil || !cluster.onResponse(e) {
 			cluster.deliverResponse(e)
 		}
 	case core.StoreWatch:
@@ -28,12 +28,12 @@
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
 		return cluster.callCloud(e), true
 	case core.SendCommands, core.QueryWorker, core.PrefetchImage:
-		node.workerCalls++
-		cluster.counts.mostConcurrentCalls = max(cluster.counts.mostConcurrentCalls, node.workerCalls)
+		node.concurrentWorkerCalls++
+		cluster.counts.mostConcurrentCalls = max(cluster.counts.mostConcurrentCalls, node.concurrentWorkerCalls)
 		return cluster.callWorker(node, e), true
 	case core.Log:
 		if len(e.Fields) > 1 && e.Fields[0] == "field" {
-			cluster.logged[e.Fields[1].(string)]++
+			cluster.loggedFields[e.Fields[1].(string)]++
 		}
 	case core.QueryPeer:
 		return cluster.queryPeer(e)
@@ -41,47 +41,47 @@
 	return core.Result{}, false
 }
 
-// queryPeer asks another node for its status. One that stands still does not answer.
-func (cluster *scaleCluster) queryPeer(effect core.QueryPeer) (core.Result, bool) {
+// queryPeer performs a node's status query to a peer. A frozen peer does not respond.
+func (cluster *scaleCluster) queryPeer(query core.QueryPeer) (core.Result, bool) {
 	for _, peer := range cluster.nodes {
-		if peer.name == effect.Node && peer.name != cluster.frozen {
-			if len(effect.Cancellations) > 0 {
-				// The answer says that they are known from now on.
+		if peer.name == query.Node && peer.name != cluster.frozenNode {
+			if len(query.Cancellations) > 0 {
+				// The peer replicates the cancellations before it responds with its status.
 				cluster.lastRequest++
-				cluster.step(peer, core.ReplicateCancellations{RequestID: cluster.lastRequest << 16, Cancellations: effect.Cancellations})
+				cluster.step(peer, core.ReplicateCancellations{RequestID: cluster.lastRequest << 16, Cancellations: query.Cancellations})
 			}
-			return core.Result{CallID: effect.CallID, Outcome: outcome.OK, Peer: peer.core.PeerStatus()}, true
+			return core.Result{CallID: query.CallID, Outcome: outcome.OK, Peer: peer.core.PeerStatus()}, true
 		}
 	}
-	return core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}, true
+	return core.Result{CallID: query.CallID, Outcome: outcome.Unknown}, true
 }
 
-// deliverResponse hands an answer to the worker or the user that waits for it.
-func (cluster *scaleCluster) deliverResponse(e core.Response) {
-	switch b := e.Body.(type) {
+// deliverResponse delivers a response to the worker that waits for it, or records it as a response to a user.
+func (cluster *scaleCluster) deliverResponse(response core.Response) {
+	switch body := response.Body.(type) {
 	case wire.HeartbeatResponse:
-		if worker := cluster.workers[e.RequestID&0xffff]; !worker.dead && worker.takeResponse(e.RequestID) {
-			worker.machine.ApplyHeartbeatResponse(cluster.now, 1, b)
+		if worker := cluster.workers[response.RequestID&0xffff]; !worker.stopped && worker.matchResponse(response.RequestID) {
+			worker.machine.ApplyHeartbeatResponse(cluster.now, 1, body)
 		}
 	case wire.Redirect:
-		worker := cluster.workers[e.RequestID&0xffff]
-		worker.takeResponse(e.RequestID)
+		worker := cluster.workers[response.RequestID&0xffff]
+		worker.matchResponse(response.RequestID)
 		worker.nodeIndex = (worker.nodeIndex + 1) % len(cluster.nodes)
-		for i, x := range cluster.nodes {
-			if x.name == b.Leader {
+		for i, node := range cluster.nodes {
+			if node.name == body.Leader {
 				worker.nodeIndex = i
 			}
 		}
-	case nil: // of cancellations that a node has taken in
+	case nil: // the response to core.ReplicateCancellations
 	default:
-		cluster.lastAnswer = e.Body
-		if cluster.answerStatuses != nil {
-			cluster.answerStatuses[e.RequestID] = e.Status
+		cluster.lastResponse = response.Body
+		if cluster.responseStatuses != nil {
+			cluster.responseStatuses[response.RequestID] = response.Status
 		}
 	}
 }
 
-// callStore makes a call to the state service.
+// callStore performs a call to the key-value store.
 func (cluster *scaleCluster) callStore(effect core.Effect) core.Result {
 	switch e := effect.(type) {
 	case core.StoreTxn:
@@ -91,8 +91,8 @@
 		return result
 	case core.StoreGet:
 		cluster.counts.gets++
-		item, got := cluster.store.Get(e.Key)
-		return core.Result{CallID: e.CallID, Outcome: got, Item: item}
+		item, result := cluster.store.Get(e.Key)
+		return core.Result{CallID: e.CallID, Outcome: result, Item: item}
 	case core.StoreList:
 		cluster.counts.lists++
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: cluster.store.List(e.Prefix, e.After, 500)}
@@ -106,22 +106,23 @@
 	return core.Result{}
 }
 
+// countTxn counts a transaction, and checks its size and number of conditions.
 func (cluster *scaleCluster) countTxn(effect core.StoreTxn) {
-	c := &cluster.counts
-	c.transactions++
-	c.writes += len(effect.Txn.Then)
-	c.largestTransaction = max(c.largestTransaction, len(effect.Txn.Then))
+	counts := &cluster.counts
+	counts.transactions++
+	counts.writes += len(effect.Txn.Then)
+	counts.largestTransaction = max(counts.largestTransaction, len(effect.Txn.Then))
 	for _, op := range effect.Txn.Then {
-		c.bytes += len(op.Value)
+		counts.bytes += len(op.Value)
 	}
 	body, err := json.Marshal(effect.Txn)
 	if err != nil || len(body) > wire.MaxBody || len(effect.Txn.If) > 4*cluster.lastSettings.Params.Store.TxnOps {
-		cluster.test.Errorf("a transaction of %d bytes, %d conditions: %v", len(body), len(effect.Txn.If), err)
+		cluster.t.Errorf("transaction with %d bytes and %d conditions exceeds the limits, or encoding failed: %v", len(body), len(effect.Txn.If), err)
 	}
-	c.largestBody = max(c.largestBody, len(body))
+	counts.largestBody = max(counts.largestBody, len(body))
 }
 
-// callCloud makes a call to the cloud.
+// callCloud performs a call to the cloud.
 func (cluster *scaleCluster) callCloud(effect core.Effect) core.Result {
 	if !cluster.withinCloudRate() {
 		cluster.droppedCloudCalls++
@@ -134,7 +135,7 @@
 		return cluster.scaleOut(e)
 	case core.CloudScaleIn:
 		for _, name := range e.Names {
-			cluster.release(cluster.workerByName[name])
+			cluster.releaseMachine(cluster.workerByName[name])
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK}
 	case core.CloudList:
@@ -144,7 +145,8 @@
 	return core.Result{}
 }
 
-// withinCloudRate tells whether a request is within the cloud's rate, with bursts of a second's worth.
+// withinCloudRate reports whether a call is within cloudRate. It is a token bucket that allows bursts of one second's
+// calls.
 func (cluster *scaleCluster) withinCloudRate() bool {
 	if cluster.cloudRate == 0 {
 		return true
@@ -158,38 +160,40 @@
 	return true
 }
 
-// callID gives the id of a call.
+// callID returns the CallID of an effect that is a call.
 func callID(effect core.Effect) uint64 { return reflect.ValueOf(effect).FieldByName("CallID").Uint() }
 
-func (cluster *scaleCluster) release(worker *scaleWorker) {
-	if worker == nil || worker.dead {
+// releaseMachine stops a worker's machine, and counts it if it has tasks.
+func (cluster *scaleCluster) releaseMachine(worker *scaleWorker) {
+	if worker == nil || worker.stopped {
 		return
 	}
-	worker.dead = true
+	worker.stopped = true
 	cluster.rented--
 	if worker.machine.TaskCount() > 0 {
 		cluster.counts.releasedWithWork++
 	}
 }
 
+// listMachines returns a page of the cloud's list of machines.
 func (cluster *scaleCluster) listMachines(effect core.CloudList) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
 	for _, worker := range cluster.workers {
-		if worker.dead || worker.name <= effect.After {
+		if worker.stopped || worker.name <= effect.After {
 			continue
 		}
 		if len(result.Machines.Machines) == wire.MaxList {
 			result.Machines.More = true
 			break
 		}
-		about := worker.machine.Info()
-		result.Machines.Machines = append(result.Machines.Machines, wire.Machine{Name: worker.name, Addr: worker.addr, Type: about.Type.Name,
-			Zone: worker.zone, Spot: about.Spot, State: wire.MachineRunning})
+		info := worker.machine.Info()
+		result.Machines.Machines = append(result.Machines.Machines, wire.Machine{Name: worker.name, Addr: worker.addr, Type: info.Type.Name,
+			Zone: worker.zone, Spot: info.Spot, State: wire.MachineRunning})
 	}
 	return result
 }
 
-// callWorker sends a worker commands or a question.
+// callWorker performs a node's call to a worker: direct commands, an image prefetch or a status query.
 func (cluster *scaleCluster) callWorker(node *scaleNode, effect core.Effect) core.Result {
 	switch e := effect.(type) {
 	case core.SendCommands:
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -13,92 +13,98 @@
 	"bitternwing/internal/wire"
 )
 
-// reporter is what the harnesses need of a test.
-type reporter interface {
+// testReporter is the part of testing.TB that the harnesses use. *rapid.T implements it as well.
+type testReporter interface {
 	Helper()
 	Errorf(format string, args ...any)
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// scaleCluster is a large deployment around pure cores: a state service, a cloud and workers
-// that report, fetch, run and obey. Time goes in steps; what is asked for in one is
-// answered in the next. It counts what the nodes ask for.
+// scaleCluster runs cores against an emulated key-value store, a simulated cloud and many simulated workers. Time
+// advances in steps of scaleStep: a call made in one step is answered in the next. It counts the calls that the nodes
+// make.
 type scaleCluster struct {
-	test                  reporter
+	t                     testReporter
 	now                   time.Duration
 	random                *rand.Rand
 	store                 *emulator.Store
 	lastSettings          *config.Settings
 	operator              *config.Operator
-	memoryMB              float64              // MB a node may use
-	evaluationCost        time.Duration        // what an evaluation takes a node; 0: nobody measures it
-	large                 bool                 // settings of a fleet of about 1,000 machines, not of 200
-	adjustParams          func(*config.Params) // changes the settings; nil: they stay
-	measured              bool                 // steps take what they really take, and are counted in spent and longest
-	stepTime, longestStep time.Duration
+	memoryMB              float64              // memory limit of a node
+	evaluationCost        time.Duration        // simulated CPU time of one placement evaluation; 0: not measured
+	largeSettings         bool                 // settings for a fleet of about 1,000 machines instead of 200
+	adjustParams          func(*config.Params) // modifies the settings; nil: no change
+	measureSteps          bool                 // the cores are given the real durations of steps
+	stepTime, longestStep time.Duration        // real durations: sum and maximum
 	specs                 map[string]*wire.Job
-	workerByTask          map[string]*scaleWorker // of tasks, from their start to their end
+	workerByTask          map[string]*scaleWorker // by task name, from the start of the task until its end
 	startedTasks          int
-	isolatedZone          string         // workers of this zone can't reach nodes of the first one, nor they them
-	lastAnswer            any            // the last answer to a user
-	answerStatuses        map[uint64]int // statuses of answers to users by request; nil: they are not kept
-	logged                map[string]int // settings that are too small, by field
-	cloudRate             float64        // requests a second that the cloud takes; 0: all
-	cloudTokens           float64
-	// intercept may give the result of a call in place of the world, and onAnswer take an answer.
-	intercept func(*scaleNode, core.Effect) (core.Result, bool)
-	onAnswer  func(core.Response) bool
-	frozen    string // a node whose process stands still
-	// prefetched counts the images that are asked for ahead of need, and prefetchOutcome is what becomes of that.
+	isolatedZone          string         // workers of this zone and nodes of other zones can't reach each other; empty: none
+	lastResponse          any            // body of the last response to a user
+	responseStatuses      map[uint64]int // statuses of responses to users, by request ID; nil: not recorded
+	loggedFields          map[string]int // number of warnings about settings that are too small, by field
+	cloudRate             float64        // maximum number of cloud calls per second; 0: unlimited
+	cloudTokens           float64        // of the token bucket for cloudRate
+	// interceptEffect may return the result of a call instead of the simulated services. onResponse may consume a
+	// response.
+	interceptEffect func(*scaleNode, core.Effect) (core.Result, bool)
+	onResponse      func(core.Response) bool
+	frozenNode      string // name of a node whose process is frozen; empty: none
+	// prefetched counts the image prefetch calls, and prefetchOutcome is their outcome.
 	prefetched      int
 	prefetchOutcome outcome.Outcome
-	// onStart, onRuns and onEnds are told of tasks' starts and ends.
+	// onStart, onRunning and onEnd are called when a worker receives a task, runs it and ends it; nil: not called.
 	onStart                    func(task string)
-	onRuns                     func(machine, task string)
-	onEnds                     func(task string)
+	onRunning                  func(machine, task string)
+	onEnd                      func(task string)
 	cloudTokensAt              time.Duration
-	droppedCloudCalls          int // requests above that
+	droppedCloudCalls          int // cloud calls above cloudRate
 	nodes                      []*scaleNode
 	workers                    []*scaleWorker
 	workerByAddr, workerByName map[string]*scaleWorker
-	rented                     int
-	machineLimit               int // machines that the cloud has
+	rented                     int // machines rented and not released
+	machineLimit               int // number of machines that the cloud offers
 	submittedJobs              int
-	liveServices               []string // services that are accepted, oldest first
+	liveServices               []string // IDs of submitted services that runLoad has not cancelled, oldest first
 	lastRequest                uint64
 
 	counts scaleCounts
-	digest *outputDigest // nil: none is made
+	digest *outputDigest // nil: not computed
 }
 
+// scaleCounts counts the calls of all nodes.
 type scaleCounts struct {
 	transactions, writes, bytes, gets, lists, pages, commands, heartbeats int
-	largestTransaction, largestBody                                       int // changes and bytes in a transaction, at most
-	mostConcurrentCalls                                                   int // calls to workers, at most
-	releasedWithWork                                                      int // machines with work on them
+	largestTransaction, largestBody                                       int // maximum changes and bytes of a transaction
+	mostConcurrentCalls                                                   int // maximum concurrent calls of a node to workers
+	releasedWithWork                                                      int // machines released with tasks on them
 }
 
+// scaleNode is a node of a scaleCluster.
 type scaleNode struct {
-	name         string
-	zone         string
-	core         *core.Core
-	results      []core.Result
-	watches      []scaleWatch
-	workerCalls  int           // workers, without an answer yet
-	lastStepTime time.Duration // the last step
+	name                  string
+	zone                  string
+	core                  *core.Core
+	results               []core.Result
+	watches               []scaleWatch
+	concurrentWorkerCalls int           // calls to workers without a response yet
+	lastStepTime          time.Duration // real duration of the last step
 }
 
+// scaleWatch is a watch that has no response yet.
 type scaleWatch struct {
 	core.StoreWatch
-	opened time.Duration
+	openedAt time.Duration
 }
 
+// scaleStep is the step in which simulated time advances.
 const scaleStep = 10 * time.Millisecond
 
-func newScaleCluster(t reporter, nodes, machines int) *scaleCluster {
-	cluster := &scaleCluster{test: t, now: time.Second, random: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
-		workerByAddr: map[string]*scaleWorker{}, workerByName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, logged: map[string]int{}, prefetchOutcome: outcome.OK, workerByTask: map[string]*scaleWorker{}, machineLimit: machines, operator: config.DefaultOperator(), memoryMB: 98}
+// newScaleCluster returns a cluster whose cloud offers a number of machines, with settings for a fleet of about 200.
+func newScaleCluster(t testReporter, nodes, machines int) *scaleCluster {
+	cluster := &scaleCluster{t: t, now: time.Second, random: rand.New(rand.NewSource(1)), store: emulator.NewStore(),
+		workerByAddr: map[string]*scaleWorker{}, workerByName: map[string]*scaleWorker{}, specs: map[string]*wire.Job{}, loggedFields: map[string]int{}, prefetchOutcome: outcome.OK, workerByTask: map[string]*scaleWorker{}, machineLimit: machines, operator: config.DefaultOperator(), memoryMB: 98}
 	for i := 0; i < nodes; i++ {
 		cluster.nodes = append(cluster.nodes, &scaleNode{name: fmt.Sprintf("n%d", i), zone: []string{"z1", "z2"}[i%2]})
 	}
@@ -111,11 +117,11 @@
 	return cluster
 }
 
-// newLargeScaleCluster has the settings of a fleet of about 1,000 machines.
+// newLargeScaleCluster returns a cluster with settings for a fleet of about 1,000 machines.
 func newLargeScaleCluster(tb testing.TB, nodes, machines int) *scaleCluster {
 	tb.Helper()
 	cluster := newScaleCluster(tb, nodes, machines)
-	cluster.large = true
+	cluster.largeSettings = true
 	for i := range cluster.nodes {
 		cluster.startNode(i)
 	}
@@ -123,100 +129,102 @@
 	return cluster
 }
 
+// settings returns the settings of a node by its index.
 func (cluster *scaleCluster) settings(i int) *config.Settings {
-	s := &config.Settings{Node: cluster.nodes[i].name, Zone: []string{"z1", "z2"}[i%2], Operator: cluster.operator}
-	for k, node := range cluster.nodes {
-		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Node: node.name, Zone: []string{"z1", "z2"}[k%2], Addr: "127.0.0.1:1"})
+	settings := &config.Settings{Node: cluster.nodes[i].name, Zone: []string{"z1", "z2"}[i%2], Operator: cluster.operator}
+	for peerIndex, node := range cluster.nodes {
+		if peerIndex != i {
+			settings.Peers = append(settings.Peers, config.Peer{Node: node.name, Zone: []string{"z1", "z2"}[peerIndex%2], Addr: "127.0.0.1:1"})
 		}
 	}
-	s.Params = config.Params{Nodes: len(cluster.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
+	settings.Params = config.Params{Nodes: len(cluster.nodes), Zones: []string{"z1", "z2"}, ClockErrorMS: 5,
 		Workers: config.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelS: 30},
 		Store:   config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:  config.Limits{CPUShare: 0.06, MemoryMB: cluster.memoryMB, MaxConnections: 600}}
-	share := 1.0
-	if cluster.large {
-		share = 5
-		s.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelS: 35}
-		s.Params.Store.RPS, s.Params.Store.WriteRPS, s.Params.Cloud.RPS = 600, 220, 4
-		s.Params.Limits = config.Limits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}
+	scale := 1.0
+	if cluster.largeSettings {
+		scale = 5
+		settings.Params.Workers = config.Workers{HeartbeatIntervalS: 2.5, LeaseS: 15, CancelS: 35}
+		settings.Params.Store.RPS, settings.Params.Store.WriteRPS, settings.Params.Cloud.RPS = 600, 220, 4
+		settings.Params.Limits = config.Limits{CPUShare: 0.2, MemoryMB: 320, MaxConnections: 2000}
 	}
-	for k := 0; k < 12; k++ {
-		s.Params.Teams = append(s.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", k), GuaranteedGPUs: 100 * share, MaxGPUs: 300 * share})
+	for peerIndex := 0; peerIndex < 12; peerIndex++ {
+		settings.Params.Teams = append(settings.Params.Teams, config.Team{Name: fmt.Sprintf("t%d", peerIndex), GuaranteedGPUs: 100 * scale, MaxGPUs: 300 * scale})
 	}
 	if cluster.adjustParams != nil {
-		cluster.adjustParams(&s.Params)
+		cluster.adjustParams(&settings.Params)
 	}
-	return s
+	return settings
 }
 
-// startNode makes a node's process anew.
-func (cluster *scaleCluster) startNode(i int) {
-	cluster.lastSettings = cluster.settings(i)
-	node := cluster.nodes[i]
+// startNode starts a node's process, replacing the one that runs.
+func (cluster *scaleCluster) startNode(index int) {
+	cluster.lastSettings = cluster.settings(index)
+	node := cluster.nodes[index]
 	node.results, node.watches = nil, nil
 	node.core = core.New(cluster.lastSettings, fmt.Sprint(node.name, cluster.now))
 }
 
+// step passes an input to a node's core and performs the effects.
 func (cluster *scaleCluster) step(node *scaleNode, input core.Input) {
 	took := time.Duration(node.core.LastEvaluations()) * cluster.evaluationCost
-	if cluster.measured {
+	if cluster.measureSteps {
 		took = node.lastStepTime
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	effects := node.core.Step(core.Time{Steady: cluster.now, WallMS: int64(cluster.now / time.Millisecond), Took: took}, input)
-	node.lastStepTime = time.Since(began)
+	node.lastStepTime = time.Since(startedAt)
 	cluster.stepTime += node.lastStepTime
 	cluster.longestStep = max(cluster.longestStep, node.lastStepTime)
 	for _, effect := range append([]core.Effect(nil), effects...) {
 		if cluster.digest != nil {
-			cluster.digest.add(cluster.test, cluster.now, node.name, effect)
+			cluster.digest.add(cluster.t, cluster.now, node.name, effect)
 		}
-		if result, ok := cluster.carryOut(node, effect); ok {
+		if result, ok := cluster.handleEffect(node, effect); ok {
 			result.SentAt = cluster.now
 			node.results = append(node.results, result)
 		}
 	}
 }
 
-// runFor lets time pass.
+// runFor advances the simulated time by d.
 func (cluster *scaleCluster) runFor(d time.Duration) {
 	for end := cluster.now + d; cluster.now < end; {
 		cluster.now += scaleStep
 		cluster.store.AdvanceTo(cluster.now)
 		for _, node := range cluster.nodes {
-			if node.name == cluster.frozen {
+			if node.name == cluster.frozenNode {
 				continue
 			}
 			results := node.results
-			node.results, node.workerCalls = nil, 0
+			node.results, node.concurrentWorkerCalls = nil, 0
 			for _, result := range results {
 				cluster.step(node, result)
 			}
 			watches := node.watches
 			node.watches = nil
-			for _, w := range watches {
-				ch, got := cluster.store.Changes(w.Prefix, w.After)
-				if len(ch.Events) == 0 && cluster.now-w.opened < w.Wait {
-					node.watches = append(node.watches, w)
+			for _, watch := range watches {
+				changes, result := cluster.store.Changes(watch.Prefix, watch.After)
+				if len(changes.Events) == 0 && cluster.now-watch.openedAt < watch.Wait {
+					node.watches = append(node.watches, watch)
 					continue
 				}
-				cluster.step(node, core.Result{CallID: w.CallID, Outcome: got, Changes: ch, SentAt: w.opened})
+				cluster.step(node, core.Result{CallID: watch.CallID, Outcome: result, Changes: changes, SentAt: watch.openedAt})
 			}
 			if node.core.Wake() <= cluster.now {
 				cluster.step(node, core.Tick{})
 			}
 		}
 		for _, worker := range cluster.workers {
-			if !worker.dead && worker.upAt <= cluster.now {
+			if !worker.stopped && worker.upAt <= cluster.now {
 				worker.advance(cluster)
 			}
 		}
 	}
 }
 
-// submit hands in a job. The first letter of its number tells what it is.
+// submit submits a job with a generated ID: run-a... for an array, run-0... for a service.
 func (cluster *scaleCluster) submit(job wire.Job) {
 	cluster.submittedJobs++
 	cluster.lastRequest++
@@ -232,14 +240,14 @@
 	cluster.submitAt(cluster.nodes[cluster.submittedJobs%len(cluster.nodes)], &job)
 }
 
-// submitAt has a user upload a job and submit it at a node.
+// submitAt registers a job's spec and submits the job at a node.
 func (cluster *scaleCluster) submitAt(node *scaleNode, job *wire.Job) {
 	cluster.lastRequest++
 	cluster.specs[job.ID] = job
 	cluster.step(node, core.SubmitJob{RequestID: cluster.lastRequest << 16, Job: job})
 }
 
-// addMachines brings machines up that were there before, in some zones in turn, or in the first one.
+// addMachines adds n running machines, in the given zones in turn, or in z1 if none is given.
 func (cluster *scaleCluster) addMachines(n int, zones ...string) {
 	if len(zones) == 0 {
 		zones = []string{"z1"}
@@ -253,7 +261,7 @@
 	}
 }
 
-// restartLeader ends the process of the node that leads, and starts it anew.
+// restartLeader restarts the process of the leading node.
 func (cluster *scaleCluster) restartLeader() {
 	for i, node := range cluster.nodes {
 		if node.core.PeerStatus().Leading {
@@ -262,18 +270,18 @@
 			return
 		}
 	}
-	cluster.test.Fatal("no node leads")
+	cluster.t.Fatal("no node leads")
 }
 
-// restartLeaderIfAny does the same, if a node leads.
+// restartLeaderIfAny is restartLeader if a node leads. Otherwise it does nothing.
 func (cluster *scaleCluster) restartLeaderIfAny() {
 	if cluster.leaderNode() != nil {
 		cluster.restartLeader()
 	}
 }
 
-// playLoad plays a fleet that fills up and stays full.
-func (cluster *scaleCluster) playLoad(services, arrays int, seconds int) {
+// runLoad submits services and arrays, and then for some seconds a steady load of new ones, which keeps the fleet full.
+func (cluster *scaleCluster) runLoad(services, arrays int, seconds int) {
 	for i := 0; i < services; i++ {
 		cluster.submit(wire.Job{Kind: wire.KindService, Tasks: []int{1, 2, 4, 8, 12}[i%5], GPUs: []float64{4, 2, 1, 1, 1}[i%5]})
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -9,136 +9,136 @@
 	"bitternwing/internal/wire"
 )
 
-// TestScale plays a full fleet of 1,000 machines with seven nodes through a minute of
-// work, a leader's end included, and counts what it asks of the state service and how many
-// workers it calls at once.
+// TestScale runs a full fleet of 1,000 machines with seven nodes for one minute after a restart of the leader. Calls to
+// the key-value store, concurrent calls to workers and the size of transactions must stay within the configured limits,
+// and no machine with tasks may be released.
 func TestScale(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 7, 1000)
-	cluster.playLoad(500, 60, 60)
+	cluster.runLoad(500, 60, 60)
 	if cluster.rented < 600 {
-		t.Fatalf("only %d machines are up: the day is too small to tell", cluster.rented)
+		t.Fatalf("%d machines are up, want at least 600 for a meaningful load", cluster.rented)
 	}
 	cluster.counts = scaleCounts{}
 	cluster.restartLeader()
 	const seconds = 60
-	cluster.playLoad(0, 0, seconds)
-	c, p := cluster.counts, cluster.lastSettings.Params.Store
-	t.Logf("%d machines, %d reports, %+v", cluster.rented, c.heartbeats, c)
-	if c.heartbeats < seconds*200 {
-		t.Errorf("%d reports: the workers do not report", c.heartbeats)
+	cluster.runLoad(0, 0, seconds)
+	counts, store := cluster.counts, cluster.lastSettings.Params.Store
+	t.Logf("%d machines, %d heartbeats, %+v", cluster.rented, counts.heartbeats, counts)
+	if counts.heartbeats < seconds*200 {
+		t.Errorf("got %d heartbeats, want at least 200 per second", counts.heartbeats)
 	}
-	if n := c.transactions + c.gets + c.lists; float64(n) > 0.9*seconds*p.RPS {
-		t.Errorf("%d requests to the state service in %d s, of %v a second", n, seconds, p.RPS)
+	if requests := counts.transactions + counts.gets + counts.lists; float64(requests) > 0.9*seconds*store.RPS {
+		t.Errorf("got %d requests to the key-value store in %d s, want at most 90%% of %v per second", requests, seconds, store.RPS)
 	}
-	if float64(c.writes) > 0.9*seconds*p.WriteRPS {
-		t.Errorf("%d writes in %d s, of %v a second", c.writes, seconds, p.WriteRPS)
+	if float64(counts.writes) > 0.9*seconds*store.WriteRPS {
+		t.Errorf("got %d writes in %d s, want at most 90%% of %v per second", counts.writes, seconds, store.WriteRPS)
 	}
-	if most := cluster.lastSettings.Params.Limits.MaxConnections / 8; c.mostConcurrentCalls > most || c.mostConcurrentCalls == 0 {
-		t.Errorf("%d calls to workers at once, of %d", c.mostConcurrentCalls, most)
+	if limit := cluster.lastSettings.Params.Limits.MaxConnections / 8; counts.mostConcurrentCalls > limit || counts.mostConcurrentCalls == 0 {
+		t.Errorf("got %d concurrent calls to workers, want 1 to %d", counts.mostConcurrentCalls, limit)
 	}
-	// The cloud's list has two pages, and it is read every list lag.
-	if lists := seconds / int(cluster.lastSettings.Params.Cloud.ListLagS); c.releasedWithWork > 0 || c.pages < 2*lists-2 {
-		t.Errorf("%d machines with work were released; %d pages of %d lists", c.releasedWithWork, c.pages, lists)
+	// The cloud's list has two pages and is read once per list lag.
+	if lists := seconds / int(cluster.lastSettings.Params.Cloud.ListLagS); counts.releasedWithWork > 0 || counts.pages < 2*lists-2 {
+		t.Errorf("%d machines with tasks were released, want 0; got %d pages, want 2 for each of %d lists", counts.releasedWithWork, counts.pages, lists)
 	}
-	if c.largestTransaction > p.TxnOps {
-		t.Errorf("a transaction with %d changes, of %d", c.largestTransaction, p.TxnOps)
+	if counts.largestTransaction > store.TxnOps {
+		t.Errorf("got a transaction with %d changes, want at most %d", counts.largestTransaction, store.TxnOps)
 	}
 }
 
-// TestZoneKept cuts the workers of a large zone off from the leader's. Nodes of their own
-// zone keep them, and pass on more reports than one transaction holds: the leader releases
-// none of them, however long it lasts.
-func TestZoneKept(t *testing.T) {
+// TestIsolatedZoneKeepsMachines cuts a zone of 200 workers off from the leader's zone for a minute. Nodes of the
+// isolated zone relay the workers' heartbeats through the key-value store, more of them than fit into one transaction.
+// The leader must not release any of these machines.
+func TestIsolatedZoneKeepsMachines(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 3, 0)
 	cluster.addMachines(400, "z1", "z2")
-	cluster.playLoad(400, 0, 20)
+	cluster.runLoad(400, 0, 20)
 	cluster.counts = scaleCounts{}
 	cluster.isolatedZone = "z2"
 	cluster.runFor(60 * time.Second)
-	if n := cluster.counts.releasedWithWork; n > 0 || len(storedKeys(cluster.store, "w/k/")) < 6 {
-		t.Errorf("%d machines of the zone were released, reports are in %v", n, storedKeys(cluster.store, "w/k/"))
+	if released := cluster.counts.releasedWithWork; released > 0 || len(storedKeys(cluster.store, "w/k/")) < 6 {
+		t.Errorf("%d machines with tasks were released, want 0; relayed heartbeats are in %v, want at least 6 keys", released, storedKeys(cluster.store, "w/k/"))
 	}
 	t.Logf("%+v", cluster.counts)
 }
 
-// TestWorkFollowsChange plays the same jobs on a fleet of 50 and of 200 machines. What is
-// asked of the state service and of the workers follows the jobs, not the fleet.
-func TestWorkFollowsChange(t *testing.T) {
-	play := func(machines int) scaleCounts {
+// TestCallsScaleWithJobs runs the same jobs on fleets of 50 and of 200 machines. The number of calls to the key-value
+// store and to workers must depend on the jobs, not on the size of the fleet.
+func TestCallsScaleWithJobs(t *testing.T) {
+	run := func(machines int) scaleCounts {
 		cluster := newScaleCluster(t, 3, 0)
 		cluster.addMachines(machines)
 		cluster.runFor(10 * time.Second)
 		cluster.counts = scaleCounts{}
-		cluster.playLoad(10, 2, 30)
+		cluster.runLoad(10, 2, 30)
 		return cluster.counts
 	}
-	few, many := play(50), play(200)
+	few, many := run(50), run(200)
 	t.Logf("50 machines %+v", few)
 	t.Logf("200 machines %+v", many)
-	more := func(what string, a, b int, times float64) {
-		if a == 0 || float64(b) > times*float64(a) {
-			t.Errorf("%s: %d on 50 machines, %d on 200", what, a, b)
+	checkGrowth := func(what string, small, large int, factor float64) {
+		if small == 0 || float64(large) > factor*float64(small) {
+			t.Errorf("%s: got %d on 50 machines and %d on 200, want about as many", what, small, large)
 		}
 	}
-	more("transactions", few.transactions, many.transactions, 1.2)
-	more("writes", few.writes, many.writes, 1.2)
-	more("bytes written", few.bytes, many.bytes, 1.2)
-	// With more machines the same tasks are on more of them.
-	more("orders", few.commands, many.commands, 1.5)
+	checkGrowth("transactions", few.transactions, many.transactions, 1.2)
+	checkGrowth("writes", few.writes, many.writes, 1.2)
+	checkGrowth("bytes written", few.bytes, many.bytes, 1.2)
+	// On the larger fleet the same tasks are spread over more machines.
+	checkGrowth("direct commands", few.commands, many.commands, 1.5)
 }
 
-// TestRoundBudget plays a full fleet, more jobs than it holds, under a budget of a few
-// evaluations a second. The rounds keep within it, and a service and an array that come
-// then get their turn all the same once there is room.
-func TestRoundBudget(t *testing.T) {
+// TestCycleBudget runs a fleet with more jobs than it has capacity for, on a budget of few evaluations per second. The
+// scheduling cycles must keep to the budget, and services and arrays that are submitted late must still be scheduled
+// once there is capacity.
+func TestCycleBudget(t *testing.T) {
 	cluster := newScaleCluster(t, 1, 0)
 	cluster.operator.CycleBudget = 0.0001
 	cluster.startNode(0)
 	cluster.addMachines(100)
 	const seconds = 120
-	cluster.playLoad(150, 20, seconds)
-	n := cluster.nodes[0].core
-	// A round that is out of budget, two a second at the most, still makes a step: a search that looks at a few
-	// machines.
-	most := n.EvaluationsPerSecond()*seconds + 2*seconds*20
-	t.Logf("%d evaluations of %.0f, %+v", n.Evaluations(), most, cluster.counts)
-	if evaluations := float64(n.Evaluations()); evaluations > most || evaluations < most/2 {
-		t.Errorf("%.0f evaluations in %d s, of %.0f", evaluations, seconds, most)
+	cluster.runLoad(150, 20, seconds)
+	node := cluster.nodes[0].core
+	// A cycle that is out of budget still makes one step, a search that evaluates a few machines. There are at most two
+	// such cycles per second.
+	limit := node.EvaluationsPerSecond()*seconds + 2*seconds*20
+	t.Logf("%d evaluations, limit %.0f, %+v", node.Evaluations(), limit, cluster.counts)
+	if evaluations := float64(node.Evaluations()); evaluations > limit || evaluations < limit/2 {
+		t.Errorf("got %.0f evaluations in %d s, want between half and all of %.0f", evaluations, seconds, limit)
 	}
 	for _, kind := range []string{"run-0", "run-a"} {
-		late := 0
+		count := 0
 		for task := range cluster.workerByTask {
 			if strings.HasPrefix(task, kind) && task[5:10] > "00175" {
-				late++
+				count++
 			}
 		}
-		if late == 0 {
-			t.Errorf("no task of a late job %s runs", kind)
+		if count == 0 {
+			t.Errorf("no task of a late job %s... runs, want at least one", kind)
 		}
 	}
 }
 
-// TestSlowProcessor plays rounds on a processor on which an evaluation takes fifty times what is
-// assumed at first. Once that is measured, rounds keep to their share of the time.
+// TestSlowProcessor runs scheduling cycles on a CPU on which an evaluation takes fifty times the initially assumed
+// time. Once the cost has been measured, the cycles must keep to their share of CPU time.
 func TestSlowProcessor(t *testing.T) {
 	cluster := newScaleCluster(t, 1, 0)
 	cluster.evaluationCost = 5 * time.Microsecond
 	cluster.addMachines(200)
-	cluster.playLoad(200, 40, 30)
-	n := cluster.nodes[0].core
-	before := n.Evaluations()
+	cluster.runLoad(200, 40, 30)
+	node := cluster.nodes[0].core
+	before := node.Evaluations()
 	const seconds = 60
-	cluster.playLoad(100, 40, seconds)
-	spent := time.Duration(n.Evaluations()-before) * cluster.evaluationCost
-	share := time.Duration(cluster.operator.CycleBudget * cluster.lastSettings.Params.Limits.CPUShare * seconds * float64(time.Second))
-	t.Logf("%v of %v", spent, share)
-	if spent > share*3/2 || spent < share/20 {
-		t.Errorf("rounds took %v, of %v", spent, share)
+	cluster.runLoad(100, 40, seconds)
+	spent := time.Duration(node.Evaluations()-before) * cluster.evaluationCost
+	allowed := time.Duration(cluster.operator.CycleBudget * cluster.lastSettings.Params.Limits.CPUShare * seconds * float64(time.Second))
+	t.Logf("%v of %v allowed", spent, allowed)
+	if spent > allowed*3/2 || spent < allowed/20 {
+		t.Errorf("scheduling cycles took %v, want between 5%% and 150%% of %v", spent, allowed)
 	}
 }
 
-// TestFinishedJobsAreBounded ends more jobs than a node remembers. What it remembers stays
-// within the bound, and a job that it forgot is answered from the state service.
+// TestFinishedJobsAreBounded ends more jobs than a node keeps final states of. The number kept must stay within the
+// bound, and a job whose final state was evicted must be read from the key-value store.
 func TestFinishedJobsAreBounded(t *testing.T) {
 	cluster := newScaleCluster(t, 2, 0)
 	cluster.memoryMB = 0.2 // 20 final states
@@ -154,20 +154,20 @@
 		cluster.step(cluster.nodes[0], core.CancelJob{RequestID: cluster.lastRequest << 16, ID: cluster.liveServices[i]})
 	}
 	cluster.runFor(40 * time.Second)
-	if n := len(storedKeys(cluster.store, "f/")); n != 60 {
-		t.Fatalf("%d jobs ended, of 60", n)
+	if stored := len(storedKeys(cluster.store, "f/")); stored != 60 {
+		t.Fatalf("got %d ended jobs, want 60", stored)
 	}
 	for _, node := range cluster.nodes {
-		if k := node.core.Finals(); k == 0 || k > 20 {
-			t.Errorf("%s remembers %d final states, of 20", node.name, k)
+		if remembered := node.core.Finals(); remembered == 0 || remembered > 20 {
+			t.Errorf("%s keeps %d final states, want 1 to 20", node.name, remembered)
 		}
 	}
 	gets := cluster.counts.gets
 	cluster.lastRequest++
-	cluster.lastAnswer = nil
+	cluster.lastResponse = nil
 	cluster.step(cluster.nodes[1], core.GetJob{RequestID: cluster.lastRequest << 16, ID: cluster.liveServices[0]})
 	cluster.runFor(time.Second)
-	if s, ok := cluster.lastAnswer.(wire.JobState); !ok || s.State != wire.JobCancelled || cluster.counts.gets == gets {
-		t.Errorf("the first job is answered %+v after %d reads", cluster.lastAnswer, cluster.counts.gets-gets)
+	if state, ok := cluster.lastResponse.(wire.JobState); !ok || state.State != wire.JobCancelled || cluster.counts.gets == gets {
+		t.Errorf("got response %+v for the first job after %d reads, want it cancelled after at least one read", cluster.lastResponse, cluster.counts.gets-gets)
 	}
 }
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -12,22 +12,22 @@
 	"bitternwing/internal/wire"
 )
 
-// scaleWorker is a worker of a scale cluster: a hollow machine that reports.
+// scaleWorker is a simulated worker of a scaleCluster, which sends heartbeats and runs no real processes.
 type scaleWorker struct {
 	index                        int
 	name, addr, zone             string
 	upAt                         time.Duration
-	nextHeartbeat, lastHeartbeat time.Duration // its next report, and its last one
+	nextHeartbeat, lastHeartbeat time.Duration // when the next one is due, and when the last one was sent
 	nodeIndex                    int
-	dead                         bool
-	inFlight                     uint64 // the request of a report without an answer; 0: none
+	stopped                      bool   // the machine is released or has failed
+	pendingRequest               uint64 // request ID of the heartbeat that has no response yet; 0: none
 	machine                      *simworker.Machine
 }
 
-// minHeartbeatInterval is the protocol's least time between two reports.
+// minHeartbeatInterval is the protocol's minimum interval between two heartbeats of a worker.
 const minHeartbeatInterval = 500 * time.Millisecond
 
-// scaleOut brings machines up.
+// scaleOut rents machines, up to machineLimit. They come up after 5 to 8 s.
 func (cluster *scaleCluster) scaleOut(effect core.CloudScaleOut) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
 	for i := 0; i < effect.Request.Count && cluster.rented < cluster.machineLimit; i++ {
@@ -47,61 +47,62 @@
 	return result
 }
 
-// advance lets a worker's tasks go on and has it report, regularly and when they have changed.
+// advance advances a worker's tasks, and sends a heartbeat when one is due: at intervals, and after tasks have changed.
 func (worker *scaleWorker) advance(cluster *scaleCluster) {
 	worker.machine.Advance(cluster.now)
-	if worker.inFlight != 0 && cluster.now < worker.lastHeartbeat+wire.HeartbeatTimeout {
-		return // a worker has one report in flight
+	if worker.pendingRequest != 0 && cluster.now < worker.lastHeartbeat+wire.HeartbeatTimeout {
+		return // a worker has at most one heartbeat in flight
 	}
-	due := worker.nextHeartbeat
+	dueAt := worker.nextHeartbeat
 	if worker.machine.Changed() {
-		due = min(due, worker.lastHeartbeat+minHeartbeatInterval)
+		dueAt = min(dueAt, worker.lastHeartbeat+minHeartbeatInterval)
 	}
-	if cluster.now < due {
+	if cluster.now < dueAt {
 		return
 	}
-	report := config.Seconds(cluster.lastSettings.Params.Workers.HeartbeatIntervalS)
+	interval := config.Seconds(cluster.lastSettings.Params.Workers.HeartbeatIntervalS)
 	worker.lastHeartbeat = cluster.now
-	worker.nextHeartbeat = cluster.now + report*3/4 + time.Duration(cluster.random.Int63n(int64(report/2)))
-	if cluster.separated(cluster.nodes[worker.nodeIndex], worker) {
-		// No answer in 4 s: the next node, after 1 s.
+	worker.nextHeartbeat = cluster.now + interval*3/4 + time.Duration(cluster.random.Int63n(int64(interval/2)))
+	if cluster.partitioned(cluster.nodes[worker.nodeIndex], worker) {
+		// Without a response within 4 s, the worker tries the next node after 1 s.
 		worker.nodeIndex = (worker.nodeIndex + 1) % len(cluster.nodes)
 		worker.nextHeartbeat, worker.lastHeartbeat = cluster.now+5*time.Second, cluster.now+5*time.Second
 		return
 	}
 	cluster.counts.heartbeats++
 	cluster.lastRequest++
-	worker.inFlight = cluster.lastRequest<<16 | uint64(worker.index)
-	cluster.step(cluster.nodes[worker.nodeIndex], core.WorkerHeartbeat{RequestID: worker.inFlight, Heartbeat: worker.machine.Heartbeat(cluster.now)})
+	worker.pendingRequest = cluster.lastRequest<<16 | uint64(worker.index)
+	cluster.step(cluster.nodes[worker.nodeIndex], core.WorkerHeartbeat{RequestID: worker.pendingRequest, Heartbeat: worker.machine.Heartbeat(cluster.now)})
 }
 
-// takeResponse takes the answer to a report; false if the worker does not wait for it any more.
-func (worker *scaleWorker) takeResponse(request uint64) bool {
-	waits := worker.inFlight == request
-	if waits {
-		worker.inFlight = 0
+// matchResponse reports whether a response is for the worker's pending heartbeat, and clears the pending request if so.
+func (worker *scaleWorker) matchResponse(request uint64) bool {
+	matches := worker.pendingRequest == request
+	if matches {
+		worker.pendingRequest = 0
 	}
-	return waits
+	return matches
 }
 
-// separated tells whether a node and a worker can't reach each other.
-func (cluster *scaleCluster) separated(node *scaleNode, worker *scaleWorker) bool {
+// partitioned reports whether a node and a worker can't reach each other.
+func (cluster *scaleCluster) partitioned(node *scaleNode, worker *scaleWorker) bool {
 	return cluster.isolatedZone != "" && worker.zone == cluster.isolatedZone && node.zone != cluster.isolatedZone
 }
 
-// reachableWorker gives a worker that a node reaches at an address; nil if there is none.
+// reachableWorker returns the worker at an address if a node can reach it, else nil.
 func (cluster *scaleCluster) reachableWorker(node *scaleNode, addr string) *scaleWorker {
 	worker := cluster.workerByAddr[addr]
-	if worker == nil || worker.dead || cluster.separated(node, worker) {
+	if worker == nil || worker.stopped || cluster.partitioned(node, worker) {
 		return nil
 	}
 	return worker
 }
 
-// Job gives a job that was uploaded.
+// Job returns the spec of a submitted job. Job and RunTime implement simworker.Jobs, the methods after them
+// simworker.Observer.
 func (cluster *scaleCluster) Job(id string) *wire.Job { return cluster.specs[id] }
 
-// RunTime has tasks of arrays run for half a minute to one and a half.
+// RunTime returns a random run time of 30 to 90 s for tasks of arrays. Services run forever.
 func (cluster *scaleCluster) RunTime(job *wire.Job, _ int) time.Duration {
 	if job.Kind == wire.KindService {
 		return simworker.Never
@@ -109,36 +110,36 @@
 	return time.Duration(30+cluster.random.Intn(60)) * time.Second
 }
 
-// StartReceived checks that no other machine holds the task.
-func (cluster *scaleCluster) StartReceived(s simworker.Start) {
-	worker := cluster.workerByName[s.Machine]
-	if x := cluster.workerByTask[s.Task]; x != nil && x != worker && !x.dead && x.machine.Holds(s.Task) {
-		cluster.test.Errorf("%s runs twice", s.Task)
+// StartReceived records a task's start, and checks that no other machine holds the task.
+func (cluster *scaleCluster) StartReceived(start simworker.Start) {
+	worker := cluster.workerByName[start.Machine]
+	if holder := cluster.workerByTask[start.Task]; holder != nil && holder != worker && !holder.stopped && holder.machine.Holds(start.Task) {
+		cluster.t.Errorf("%s is started on a second machine", start.Task)
 	}
-	cluster.workerByTask[s.Task] = worker
+	cluster.workerByTask[start.Task] = worker
 	cluster.startedTasks++
 	if cluster.onStart != nil {
-		cluster.onStart(s.Task)
+		cluster.onStart(start.Task)
 	}
 }
 
-// TaskRuns is known by its start.
+// TaskRuns records that a task runs on a machine.
 func (cluster *scaleCluster) TaskRuns(machine, task string) {
-	if cluster.onRuns != nil {
-		cluster.onRuns(machine, task)
+	if cluster.onRunning != nil {
+		cluster.onRunning(machine, task)
 	}
 }
 
-// TaskEnds notes that a machine holds a task no longer.
+// TaskEnds records that a machine no longer holds a task.
 func (cluster *scaleCluster) TaskEnds(_, task string, _ bool) {
 	delete(cluster.workerByTask, task)
-	if cluster.onEnds != nil {
-		cluster.onEnds(task)
+	if cluster.onEnd != nil {
+		cluster.onEnd(task)
 	}
 }
 
-// runsOnWorker tells whether a machine holds a task of a job.
-func (cluster *scaleCluster) runsOnWorker(id string) bool {
+// hasTaskOnWorker reports whether a machine holds a task of a job.
+func (cluster *scaleCluster) hasTaskOnWorker(id string) bool {
 	for task := range cluster.workerByTask {
 		if strings.HasPrefix(task, fmt.Sprint(id, "/")) {
 			return true
--- a/internal/core/script_faults_test.go
+++ b/internal/core/script_faults_test.go
@@ -74,14 +74,18 @@
 	"polls":        fault.poll,
 	"partition":    fault.partition,
 	"zone_cut":     fault.cutZone,
-	"odd":          func(f fault) { f.simulation.sendOddRequests() },
+	"odd":          func(f fault) { f.simulation.sendEdgeCaseRequests() },
 }
 
 // workerFaultHandlers carry out the faults of one worker.
 var workerFaultHandlers = map[string]func(f fault, worker *simulatedWorker){
-	"hang":   func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.until(2)) },
-	"deaf":   func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.until(2)) },
-	"mute":   func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.until(2)) },
+	"hang": func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.until(2)) },
+	"deaf": func(f fault, worker *simulatedWorker) {
+		worker.inboundCutUntil = max(worker.inboundCutUntil, f.until(2))
+	},
+	"mute": func(f fault, worker *simulatedWorker) {
+		worker.outboundCutUntil = max(worker.outboundCutUntil, f.until(2))
+	},
 	"sick":   fault.makeFaulty,
 	"die":    fault.stopMachine,
 	"take":   func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
@@ -90,7 +94,7 @@
 
 // inject carries out a fault.
 func (s *simulation) inject(f fault) {
-	s.record("trouble: %s", strings.Join(f.words, " "))
+	s.logf("trouble: %s", strings.Join(f.words, " "))
 	if handle := faultHandlers[f.words[0]]; handle != nil {
 		handle(f)
 		return
@@ -103,7 +107,7 @@
 	if worker == nil || worker.gone {
 		return
 	}
-	s.record("it is %s", worker.name)
+	s.logf("it is %s", worker.name)
 	handle(f, worker)
 }
 
@@ -190,7 +194,7 @@
 		}
 	}
 	ask()
-	f.simulation.at(end+2*time.Second, func() { f.simulation.show("polls: %v", f.simulation.pollStatuses) })
+	f.simulation.at(end+2*time.Second, func() { f.simulation.tracef("polls: %v", f.simulation.pollStatuses) })
 }
 
 // partition cuts the zones off from each other.
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -29,7 +29,7 @@
 		player.read(words)
 	}
 	player.simulation.run()
-	return player.simulation, player.simulation.brokenRules()
+	return player.simulation, player.simulation.violations()
 }
 
 // read takes a line of a script. Zones and seed are in effect only before all other lines.
--- a/internal/core/search_test.go
+++ b/internal/core/search_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// TestSearch plays days of random troubles. The list of seeds is fixed.
+// TestSearch runs generated scripts of random faults for a fixed range of seeds: see -first and -seeds.
 func TestSearch(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			script := randomDay(seed)
-			s, broken := playDay(t, script)
-			if len(broken) == 0 {
+			script := generateScript(seed)
+			s, violations := playDay(t, script)
+			if len(violations) == 0 {
 				return
 			}
-			t.Errorf("%s\n%s", strings.Join(broken, "\n"), script)
+			t.Errorf("%s\n%s", strings.Join(violations, "\n"), script)
 			if *showDirectory != "" {
-				writeShown(t, fmt.Sprintf("%d.trace", seed), script)
-				writeShown(t, fmt.Sprintf("%d.all", seed), s.journal.String())
+				writeLog(t, fmt.Sprintf("%d.trace", seed), script)
+				writeLog(t, fmt.Sprintf("%d.all", seed), s.log.String())
 			}
 		})
 	}
 }
 
-// TestSearchRepeats plays a day twice: the same comes of it, to the byte.
+// TestSearchRepeats checks that a simulation is deterministic: two runs of the same script give identical logs.
 func TestSearchRepeats(t *testing.T) {
-	a, _ := playDay(t, randomDay(5))
-	b, _ := playDay(t, randomDay(5))
-	if a.journal.String() != b.journal.String() {
-		t.Error(firstDifference(a.journal.String(), b.journal.String()))
+	first, _ := playDay(t, generateScript(5))
+	second, _ := playDay(t, generateScript(5))
+	if first.log.String() != second.log.String() {
+		t.Error(firstDifference(first.log.String(), second.log.String()))
 	}
 }
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -10,7 +10,7 @@
 	"bitternwing/internal/wire"
 )
 
-// machineList is the cloud's list of machines at a time.
+// machineList is a snapshot of the cloud's list of machines.
 type machineList struct {
 	at       time.Duration
 	machines []wire.Machine
@@ -20,14 +20,14 @@
 var simulatedCatalog = wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, CacheGB: 300,
 	FetchGBPerS: 4, Price: 16, SpotPrice: 5, BootS: bootSeconds, Zones: []string{"z1", "z2"}}}}
 
-// addMachine adds a machine that comes up after a boot time; negative: never.
-func (s *simulation) addMachine(zone string, spot bool, boot time.Duration) *simulatedWorker {
+// addMachine adds a machine whose worker comes up after bootTime; negative: never.
+func (s *simulation) addMachine(zone string, spot bool, bootTime time.Duration) *simulatedWorker {
 	worker := &simulatedWorker{name: fmt.Sprintf("m%02d", len(s.workers)+1), zone: zone, spot: spot, rentedAt: s.now, incarnation: 1,
 		tasks: map[string]*simulatedTask{}, images: map[string]bool{}, nodeIndex: s.random.IntN(3)}
 	s.workers = append(s.workers, worker)
 	s.workerByName[worker.name] = worker
-	if boot >= 0 {
-		s.after(boot, func() {
+	if bootTime >= 0 {
+		s.after(bootTime, func() {
 			if !worker.gone {
 				worker.up, worker.leaseRenewedAt = true, s.now
 				s.runWorker(worker)
@@ -37,8 +37,9 @@
 	return worker
 }
 
-// recordMachineList keeps the list of machines as it is now: nodes get older ones.
-func (s *simulation) recordMachineList() {
+// snapshotMachineList stores a snapshot of the current list of machines. Nodes receive older snapshots: see
+// listMachines.
+func (s *simulation) snapshotMachineList() {
 	list := machineList{at: s.now}
 	for _, worker := range s.workers {
 		machine := wire.Machine{Name: worker.name, Addr: worker.name + ":1", Type: "g8", Zone: worker.zone, Spot: worker.spot, AgeS: (s.now - worker.rentedAt).Seconds(), State: wire.MachineRunning}
@@ -55,7 +56,7 @@
 	s.machineLists = append(s.machineLists, list)
 }
 
-// removeMachine releases a machine.
+// removeMachine ends a machine and its tasks and removes it from the cloud's list.
 func (s *simulation) removeMachine(worker *simulatedWorker) {
 	if worker == nil {
 		return
@@ -71,8 +72,8 @@
 // cloudTimeout is the timeout of a node's calls to the cloud.
 const cloudTimeout = 4 * callTimeout
 
-// carryOutCloudCall carries out a node's call to the cloud.
-func (s *simulation) carryOutCloudCall(node *simulatedNode, effect core.Effect) {
+// handleCloudCall performs a node's call to the cloud.
+func (s *simulation) handleCloudCall(node *simulatedNode, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.CloudCatalog:
 		s.callCloud(node, e.CallID, func() core.Result { return core.Result{Outcome: outcome.OK, Catalog: simulatedCatalog} })
@@ -85,10 +86,10 @@
 	}
 }
 
-// callCloud makes a call to the cloud. One in a hundred is carried out late, without an answer.
-func (s *simulation) callCloud(node *simulatedNode, id uint64, do func() core.Result) {
+// callCloud makes a call to the cloud. One in 100 takes effect late, without a response.
+func (s *simulation) callCloud(node *simulatedNode, id uint64, handle func() core.Result) {
 	if s.now >= s.cloudOutageUntil && s.random.IntN(100) == 0 {
-		s.after(s.between(2*time.Second, 8*time.Second), func() { do() })
+		s.after(s.between(2*time.Second, 8*time.Second), func() { handle() })
 		incarnation := node.incarnation
 		s.after(cloudTimeout, func() {
 			if node.incarnation == incarnation {
@@ -97,43 +98,43 @@
 		})
 		return
 	}
-	reach := func() bool { return s.isolatedZone != node.zone }
-	s.call(node, id, cloudTimeout, reach, false, func() (core.Result, bool) {
+	reachable := func() bool { return s.isolatedZone != node.zone }
+	s.call(node, id, cloudTimeout, reachable, false, func() (core.Result, bool) {
 		if s.now < s.cloudOutageUntil {
 			return core.Result{Outcome: outcome.Unavailable}, true
 		}
-		return do(), true
+		return handle(), true
 	})
 }
 
-// scaleOut rents machines, as many as the zone has left. A repeated request gets the machines of the first one.
+// scaleOut rents the requested number of machines, or as many as the zone has left. It is idempotent by request ID.
 func (s *simulation) scaleOut(node *simulatedNode, request wire.ScaleOutRequest) core.Result {
 	names, repeated := s.rentedByRequest[request.RequestID]
 	if !repeated {
-		for range min(request.Count, s.freeMachines(request.Zone)) {
+		for range min(request.Count, s.availableMachines(request.Zone)) {
 			names = append(names, s.addMachine(request.Zone, request.Spot, s.bootTime()).name)
 		}
 		if len(names) == 0 {
 			return core.Result{Outcome: outcome.Unavailable}
 		}
 		s.rentedByRequest[request.RequestID] = names
-		s.show("%s rents %d in %s", node.name, len(names), request.Zone)
+		s.tracef("%s rents %d in %s", node.name, len(names), request.Zone)
 	}
 	return core.Result{Outcome: outcome.OK, MachineNames: append([]string(nil), names...)}
 }
 
-// freeMachines gives how many more machines the cloud has in a zone.
-func (s *simulation) freeMachines(zone string) int {
-	free := s.machinesPerZone
+// availableMachines returns how many more machines the cloud can provide in a zone.
+func (s *simulation) availableMachines(zone string) int {
+	available := s.machinesPerZone
 	for _, worker := range s.workers {
 		if !worker.gone && worker.zone == zone {
-			free--
+			available--
 		}
 	}
-	return free
+	return available
 }
 
-// bootTime gives how long a new machine takes to come up; negative if it never does.
+// bootTime returns a random boot time for a new machine; negative: it never boots.
 func (s *simulation) bootTime() time.Duration {
 	boot := time.Duration(bootSeconds * (0.6 + 0.9*s.random.Float64()) * float64(time.Second))
 	if s.bootFactor > 0 {
@@ -145,22 +146,22 @@
 	return boot
 }
 
-// scaleIn gives machines back.
+// scaleIn releases machines.
 func (s *simulation) scaleIn(node *simulatedNode, names []string) core.Result {
 	for _, name := range names {
 		worker := s.workerByName[name]
 		if worker != nil && !worker.gone {
-			s.show("%s releases %s", node.name, name)
+			s.tracef("%s releases %s", node.name, name)
 		}
 		s.removeMachine(worker)
 	}
 	return core.Result{Outcome: outcome.OK}
 }
 
-// listMachines gives the list of machines as it was some time ago: the cloud's lists lag.
+// listMachines returns the list of machines as it was 0.5 to 2 times the list lag ago.
 func (s *simulation) listMachines() core.Result {
-	seen := s.now - time.Duration(s.params.Cloud.ListLagS*(0.5+1.5*s.random.Float64())*float64(time.Second))
-	newer := sort.Search(len(s.machineLists), func(i int) bool { return s.machineLists[i].at > seen })
+	asOf := s.now - time.Duration(s.params.Cloud.ListLagS*(0.5+1.5*s.random.Float64())*float64(time.Second))
+	newer := sort.Search(len(s.machineLists), func(i int) bool { return s.machineLists[i].at > asOf })
 	result := core.Result{Outcome: outcome.OK}
 	if newer > 0 {
 		result.Machines.Machines = append(result.Machines.Machines, s.machineLists[newer-1].machines...)
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -11,19 +11,19 @@
 	"bitternwing/internal/wire"
 )
 
-// simulatedNode is a node of a simulation, from one process to the next.
+// simulatedNode is a node of a simulation. It outlives restarts of its process.
 type simulatedNode struct {
-	name, zone  string
-	core        *core.Core // nil while its process is down
-	incarnation int        // of its process
-	startedAt   time.Duration
-	nextTick    time.Duration
-	frozenUntil time.Duration
-	slowUntil   time.Duration // until then each step takes stepTime
-	stepTime    time.Duration
-	busyUntil   time.Duration // with the last step
-	results     []queuedInput // of calls; a node takes them before all other inputs
-	inputs      []queuedInput
+	name, zone    string
+	core          *core.Core // nil while its process is down
+	incarnation   int        // changes whenever the process starts or is killed
+	startedAt     time.Duration
+	nextTick      time.Duration
+	frozenUntil   time.Duration
+	slowUntil     time.Duration // until then each step takes stepTime
+	stepTime      time.Duration
+	busyUntil     time.Duration // when the last step completes
+	queuedResults []queuedInput // results of calls; a node handles them before all other inputs
+	queuedInputs  []queuedInput
 
 	storeRefusedUntil time.Duration
 	storeCutUntil     time.Duration
@@ -31,11 +31,11 @@
 	workersCutUntil   time.Duration
 	usersCutUntil     time.Duration
 
-	lastRequest uint64
-	waiting     map[uint64]func(core.Response) // what takes the response, by request
-	heartbeats  map[uint64]*wire.Heartbeat     // not answered yet, by request
-	wasLeading  bool
-	oldVersion  bool // of the version before the second layout of records
+	lastRequest       uint64
+	responseHandlers  map[uint64]func(core.Response) // by request ID
+	pendingHeartbeats map[uint64]*wire.Heartbeat     // heartbeats without a response yet, by request ID
+	leading           bool
+	oldVersion        bool // runs the version that predates the second record layout
 }
 
 // startNode starts a node's process.
@@ -45,21 +45,21 @@
 	if node.oldVersion {
 		settings.Params.Store.Next = nil
 	}
-	for _, p := range []string{"a", "b", "c"} {
-		if p != node.name {
-			settings.Peers = append(settings.Peers, config.Peer{Node: p, Zone: s.zones[p], Addr: "127.0.0.1:1"})
+	for _, peerName := range []string{"a", "b", "c"} {
+		if peerName != node.name {
+			settings.Peers = append(settings.Peers, config.Peer{Node: peerName, Zone: s.zones[peerName], Addr: "127.0.0.1:1"})
 		}
 	}
 	node.incarnation++
-	node.startedAt, node.nextTick, node.wasLeading, node.busyUntil = s.now, 0, false, 0
-	node.results, node.inputs = nil, nil
-	node.waiting = map[uint64]func(core.Response){}
-	node.heartbeats = map[uint64]*wire.Heartbeat{}
+	node.startedAt, node.nextTick, node.leading, node.busyUntil = s.now, 0, false, 0
+	node.queuedResults, node.queuedInputs = nil, nil
+	node.responseHandlers = map[uint64]func(core.Response){}
+	node.pendingHeartbeats = map[uint64]*wire.Heartbeat{}
 	node.core = core.New(settings, fmt.Sprint(node.name, node.incarnation))
 	s.deliverInput(node, core.Tick{})
 }
 
-// killNode ends a node's process.
+// killNode kills a node's process.
 func (s *simulation) killNode(node *simulatedNode) {
 	if node.core != nil {
 		node.core = nil
@@ -67,43 +67,43 @@
 	}
 }
 
-// steadyTime gives the monotonic clock of a node's process.
+// steadyTime returns the monotonic clock reading of a node's process.
 func (node *simulatedNode) steadyTime(now time.Duration) time.Duration {
 	return now - node.startedAt + time.Second
 }
 
-// queuedInput is an input that waits for a node.
+// queuedInput is an input that a node has not handled yet.
 type queuedInput struct {
 	input     core.Input
 	arrivedAt time.Duration
-	expiresAt time.Duration // when its sender gives it up; 0: never
+	expiresAt time.Duration // when its sender gives up; 0: never
 }
 
-// deliverInput hands a node an input. It is queued while the node is frozen or busy.
+// deliverInput delivers an input to a node, or queues it while the node is frozen or busy.
 func (s *simulation) deliverInput(node *simulatedNode, input core.Input) {
 	s.deliverInputUntil(node, input, 0)
 }
 
-// deliverInputUntil hands a node an input that its sender gives up at a time; 0: never.
-func (s *simulation) deliverInputUntil(node *simulatedNode, input core.Input, until time.Duration) {
+// deliverInputUntil is deliverInput for an input whose sender gives up at expiresAt; 0: never.
+func (s *simulation) deliverInputUntil(node *simulatedNode, input core.Input, expiresAt time.Duration) {
 	if node.core == nil {
 		return
 	}
-	if s.now >= max(node.frozenUntil, node.busyUntil) && len(node.results)+len(node.inputs) == 0 {
+	if s.now >= max(node.frozenUntil, node.busyUntil) && len(node.queuedResults)+len(node.queuedInputs) == 0 {
 		s.stepNode(node, input, 0)
 		return
 	}
-	if len(node.results)+len(node.inputs) == 0 {
+	if len(node.queuedResults)+len(node.queuedInputs) == 0 {
 		s.resumeNode(node)
 	}
 	if _, ok := input.(core.Result); ok {
-		node.results = append(node.results, queuedInput{input, s.now, until})
+		node.queuedResults = append(node.queuedResults, queuedInput{input, s.now, expiresAt})
 	} else {
-		node.inputs = append(node.inputs, queuedInput{input, s.now, until})
+		node.queuedInputs = append(node.queuedInputs, queuedInput{input, s.now, expiresAt})
 	}
 }
 
-// resumeNode has a node take the queued inputs as soon as it is neither frozen nor busy.
+// resumeNode schedules a node to handle its queued inputs as soon as it is neither frozen nor busy.
 func (s *simulation) resumeNode(node *simulatedNode) {
 	incarnation := node.incarnation
 	s.at(max(node.frozenUntil, node.busyUntil), func() {
@@ -111,20 +111,21 @@
 			return
 		}
 		if s.now >= max(node.frozenUntil, node.busyUntil) {
-			input, waited := node.nextWaiting(s.now)
+			input, waited := node.dequeueInput(s.now)
 			s.stepNode(node, input, waited)
 		}
-		if len(node.results)+len(node.inputs) > 0 {
+		if len(node.queuedResults)+len(node.queuedInputs) > 0 {
 			s.resumeNode(node)
 		}
 	})
 }
 
-// nextWaiting removes the next input from the queues. One that its sender has given up only wakes the node.
-func (node *simulatedNode) nextWaiting(now time.Duration) (core.Input, time.Duration) {
-	queue := &node.results
-	if len(node.results) == 0 {
-		queue = &node.inputs
+// dequeueInput removes and returns the next queued input and how long it waited. An expired input is replaced by a
+// Tick.
+func (node *simulatedNode) dequeueInput(now time.Duration) (core.Input, time.Duration) {
+	queue := &node.queuedResults
+	if len(node.queuedResults) == 0 {
+		queue = &node.queuedInputs
 	}
 	next := (*queue)[0]
 	*queue = (*queue)[1:]
@@ -134,14 +135,14 @@
 	return next.input, now - next.arrivedAt
 }
 
-// stepNode has a node take an input now, and carries out the effects.
+// stepNode passes an input to a node's core and performs the effects.
 func (s *simulation) stepNode(node *simulatedNode, input core.Input, waited time.Duration) {
 	effects := node.core.Step(core.Time{Steady: node.steadyTime(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), Waited: waited}, input)
 	if s.now < node.slowUntil {
 		node.busyUntil = s.now + node.stepTime
 	}
 	for _, effect := range effects {
-		s.carryOut(node, effect)
+		s.handleEffect(node, effect)
 	}
 	wake := max(node.core.Wake()-time.Second+node.startedAt, s.now+time.Millisecond)
 	if node.nextTick <= s.now || wake < node.nextTick {
@@ -153,36 +154,36 @@
 			}
 		})
 	}
-	if leads := node.core.PeerStatus().Leading; leads != node.wasLeading {
-		node.wasLeading = leads
-		if leads {
-			s.show("%s leads term %d", node.name, node.core.PeerStatus().Term)
+	if leading := node.core.PeerStatus().Leading; leading != node.leading {
+		node.leading = leading
+		if leading {
+			s.tracef("%s leads term %d", node.name, node.core.PeerStatus().Term)
 		} else {
-			s.show("%s leads no more", node.name)
+			s.tracef("%s leads no more", node.name)
 		}
 	}
 }
 
-// carryOut carries out an effect of a node.
-func (s *simulation) carryOut(node *simulatedNode, effect core.Effect) {
+// handleEffect performs an effect of a node's core.
+func (s *simulation) handleEffect(node *simulatedNode, effect core.Effect) {
 	s.digest.add(s.tb, s.now, node.name, effect)
 	switch e := effect.(type) {
 	case core.Response:
 		s.checkRenewal(node, e)
-		if receive := node.waiting[e.RequestID]; receive != nil {
-			delete(node.waiting, e.RequestID)
+		if receive := node.responseHandlers[e.RequestID]; receive != nil {
+			delete(node.responseHandlers, e.RequestID)
 			receive(e)
 		}
 	case core.Log:
 		s.recordLog(node, e)
 	case core.StoreTxn:
-		s.transact(node, e)
+		s.commitTxn(node, e)
 	case core.StoreWatch:
 		s.openWatch(node, e)
 	case core.StoreGet, core.StoreList, core.StoreGrantLease, core.StoreRenewLease, core.StoreRevokeLease:
-		s.carryOutStoreCall(node, e)
+		s.handleStoreCall(node, e)
 	case core.CloudCatalog, core.CloudScaleOut, core.CloudScaleIn, core.CloudList:
-		s.carryOutCloudCall(node, e)
+		s.handleCloudCall(node, e)
 	case core.SendCommands:
 		s.sendCommands(node, e)
 	case core.QueryWorker:
@@ -194,16 +195,16 @@
 	}
 }
 
-// recordLog records a line of a node's log. The kept traces show when a worker is quarantined.
+// recordLog records a line of a node's log. The trace contains only the line about a quarantined worker.
 func (s *simulation) recordLog(node *simulatedNode, effect core.Log) {
-	s.record("%s: %s%s", node.name, effect.Message, showFields(effect.Fields))
+	s.logf("%s: %s%s", node.name, effect.Message, formatFields(effect.Fields))
 	if effect.Message == "worker quarantined" {
-		s.show("%s: a machine is faulty", node.name)
+		s.tracef("%s: a machine is faulty", node.name)
 	}
 }
 
-// showFields shows the fields of a log line.
-func showFields(fields []any) string {
+// formatFields formats the fields of a log line as key=value pairs.
+func formatFields(fields []any) string {
 	var b strings.Builder
 	for i := 0; i+1 < len(fields); i += 2 {
 		fmt.Fprintf(&b, " %v=%v", fields[i], fields[i+1])
@@ -211,11 +212,11 @@
 	return b.String()
 }
 
-// queryPeer has a node ask another one for its status, and hand it cancellations.
+// queryPeer sends a node's status query to a peer, along with cancellations that the peer shall replicate.
 func (s *simulation) queryPeer(node *simulatedNode, effect core.QueryPeer) {
 	peer := s.nodeNamed(effect.Node)
-	reach := func() bool { return s.reachesPeer(node, peer) && s.now >= max(peer.frozenUntil, peer.busyUntil) }
-	s.call(node, effect.CallID, callTimeout, reach, true, func() (core.Result, bool) {
+	reachable := func() bool { return s.reachesPeer(node, peer) && s.now >= max(peer.frozenUntil, peer.busyUntil) }
+	s.call(node, effect.CallID, callTimeout, reachable, true, func() (core.Result, bool) {
 		if peer.core == nil {
 			return core.Result{Outcome: outcome.Unknown}, true
 		}
@@ -231,6 +232,7 @@
 	})
 }
 
+// nodeNamed returns the node with a name. It fails the test if there is none.
 func (s *simulation) nodeNamed(name string) *simulatedNode {
 	for _, node := range s.nodes {
 		if node.name == name {
@@ -241,13 +243,13 @@
 	return nil
 }
 
-// leader is the node that leads, by the newest term; the first one if none does.
+// leader returns the leading node with the newest term, or the first node if none leads.
 func (s *simulation) leader() *simulatedNode {
 	best, term := s.nodes[0], uint64(0)
 	for _, node := range s.nodes {
 		if node.core != nil {
-			if st := node.core.PeerStatus(); st.Leading && st.Term > term {
-				best, term = node, st.Term
+			if status := node.core.PeerStatus(); status.Leading && status.Term > term {
+				best, term = node, status.Term
 			}
 		}
 	}
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -7,16 +7,16 @@
 	"bitternwing/internal/outcome"
 )
 
-// storeWatch is a watch of a node that the key-value store has not answered yet.
-type storeWatch struct {
+// pendingWatch is a node's watch to which the key-value store has not responded yet.
+type pendingWatch struct {
 	node        *simulatedNode
 	incarnation int
 	request     core.StoreWatch
-	until       time.Duration
+	expiresAt   time.Duration
 }
 
-// carryOutStoreCall carries out a node's call to the key-value store, but for transactions and watches.
-func (s *simulation) carryOutStoreCall(node *simulatedNode, effect core.Effect) {
+// handleStoreCall performs a node's call to the key-value store, except for transactions and watches.
+func (s *simulation) handleStoreCall(node *simulatedNode, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.StoreGet:
 		s.callStore(node, e.CallID, func() core.Result {
@@ -36,7 +36,8 @@
 	}
 }
 
-// callStore makes a call to the key-value store. One response in 400 is lost.
+// callStore makes a call to the key-value store. One response in 400 is lost. handle runs when the call reaches the
+// store.
 func (s *simulation) callStore(node *simulatedNode, id uint64, handle func() core.Result) {
 	timeout := callTimeout
 	if s.now < node.storeRefusedUntil || s.now < s.storeOutageUntil {
@@ -44,41 +45,42 @@
 			func() (core.Result, bool) { return core.Result{Outcome: outcome.Unavailable}, true })
 		return
 	}
-	slow := time.Duration(0)
+	delay := time.Duration(0)
 	if s.now < s.storeDelayUntil {
-		slow = s.between(s.storeDelay/4, s.storeDelay)
+		delay = s.between(s.storeDelay/4, s.storeDelay)
 	}
-	do := func() (core.Result, bool) {
+	handleIfUp := func() (core.Result, bool) {
 		if s.now < node.storeRefusedUntil || s.now < s.storeOutageUntil {
 			return core.Result{Outcome: outcome.Unavailable}, true
 		}
 		return handle(), s.random.IntN(400) != 0
 	}
-	if slow == 0 {
-		s.call(node, id, timeout, func() bool { return s.reachesStore(node) }, true, do)
+	if delay == 0 {
+		s.call(node, id, timeout, func() bool { return s.reachesStore(node) }, true, handleIfUp)
 		return
 	}
-	incarnation, sent, over := node.incarnation, node.steadyTime(s.now), false
-	give := func(result core.Result) {
-		if !over && node.incarnation == incarnation {
-			over = true
-			result.CallID, result.SentAt = id, sent
+	incarnation, sentAt, done := node.incarnation, node.steadyTime(s.now), false
+	finish := func(result core.Result) {
+		if !done && node.incarnation == incarnation {
+			done = true
+			result.CallID, result.SentAt = id, sentAt
 			s.deliverInput(node, result)
 		}
 	}
-	s.after(timeout, func() { give(core.Result{Outcome: outcome.Unknown}) })
-	s.after(slow, func() {
-		result, ok := do()
-		if ok && s.reachesStore(node) {
-			s.after(slow, func() { give(result) })
+	s.after(timeout, func() { finish(core.Result{Outcome: outcome.Unknown}) })
+	s.after(delay, func() {
+		result, answered := handleIfUp()
+		if answered && s.reachesStore(node) {
+			s.after(delay, func() { finish(result) })
 		}
 	})
 }
 
-// transact commits a transaction. A share of transactions is committed late, after the node has given them up.
-func (s *simulation) transact(node *simulatedNode, effect core.StoreTxn) {
+// commitTxn commits a transaction. While lateTransactionShare is set, that fraction is committed only after the call
+// has timed out at the node.
+func (s *simulation) commitTxn(node *simulatedNode, effect core.StoreTxn) {
 	if len(effect.Txn.Then) > s.params.Store.TxnOps || len(effect.Txn.If) > 4*s.params.Store.TxnOps {
-		s.tb.Errorf("a transaction of %d changes, %d conditions", len(effect.Txn.Then), len(effect.Txn.If))
+		s.tb.Errorf("transaction with %d changes and %d conditions exceeds the limits", len(effect.Txn.Then), len(effect.Txn.If))
 	}
 	if s.lateTransactionShare > 0 && s.random.Float64() < s.lateTransactionShare && s.now >= node.storeRefusedUntil && s.now >= s.storeOutageUntil {
 		var apply func()
@@ -87,8 +89,8 @@
 				s.after(time.Second, apply)
 				return
 			}
-			_, got := s.store.Txn(effect.Txn)
-			s.record("late transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), got)
+			_, result := s.store.Txn(effect.Txn)
+			s.logf("late transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), result)
 		}
 		s.after(s.between(2*time.Second, 12*time.Second), apply)
 		incarnation := node.incarnation
@@ -100,20 +102,20 @@
 		return
 	}
 	s.callStore(node, effect.CallID, func() core.Result {
-		a, got := s.store.Txn(effect.Txn)
-		if k := showChangedKeys(effect.Txn); k != "" {
-			s.record("%s: writes %s: %s", node.name, k, got)
+		response, result := s.store.Txn(effect.Txn)
+		if keys := showChangedKeys(effect.Txn); keys != "" {
+			s.logf("%s: writes %s: %s", node.name, keys, result)
 		}
-		return core.Result{Outcome: got, Txn: a}
+		return core.Result{Outcome: result, Txn: response}
 	})
 }
 
-// openWatch opens a watch. Without an answer before the timeout its outcome is unknown.
+// openWatch opens a watch. Without a response before the timeout its outcome is unknown.
 func (s *simulation) openWatch(node *simulatedNode, effect core.StoreWatch) {
 	incarnation := node.incarnation
 	s.deliver(func() bool { return s.reachesStore(node) }, true, func() {
 		if node.incarnation == incarnation {
-			s.watches = append(s.watches, &storeWatch{node, incarnation, effect, s.now + effect.Wait})
+			s.watches = append(s.watches, &pendingWatch{node, incarnation, effect, s.now + effect.Wait})
 		}
 	})
 	s.after(effect.Wait+2*callTimeout, func() {
@@ -125,46 +127,46 @@
 			}
 		}
 		if node.incarnation == incarnation {
-			s.deliverInput(node, core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}) // ignored if it was answered
+			s.deliverInput(node, core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}) // ignored if the watch had a response
 		}
 	})
 }
 
-// answerWatches answers the watches that have a change, or have waited for as long as they asked to.
-func (s *simulation) answerWatches() {
+// respondToWatches responds to the watches for which there is a change or whose wait time is over.
+func (s *simulation) respondToWatches() {
 	if s.now < s.storeOutageUntil {
 		return
 	}
-	keep := s.watches[:0]
-	var ready []func()
+	pending := s.watches[:0]
+	var responses []func()
 	for _, watch := range s.watches {
 		if watch.node.incarnation != watch.incarnation {
 			continue
 		}
 		if s.now < watch.node.storeRefusedUntil || !s.reachesStore(watch.node) {
-			keep = append(keep, watch)
+			pending = append(pending, watch)
 			continue
 		}
-		ch, got := s.store.Changes(watch.request.Prefix, watch.request.After)
-		if len(ch.Events) == 0 && s.now < watch.until {
-			keep = append(keep, watch)
+		changes, result := s.store.Changes(watch.request.Prefix, watch.request.After)
+		if len(changes.Events) == 0 && s.now < watch.expiresAt {
+			pending = append(pending, watch)
 			continue
 		}
-		slow := time.Duration(0)
+		delay := time.Duration(0)
 		if s.now < s.storeDelayUntil {
-			slow = s.between(0, s.storeDelay)
+			delay = s.between(0, s.storeDelay)
 		}
-		ready = append(ready, func() {
-			s.after(slow+s.latency(), func() {
+		responses = append(responses, func() {
+			s.after(delay+s.latency(), func() {
 				if watch.node.incarnation == watch.incarnation {
-					s.deliverInput(watch.node, core.Result{CallID: watch.request.CallID, Outcome: got, Changes: ch})
+					s.deliverInput(watch.node, core.Result{CallID: watch.request.CallID, Outcome: result, Changes: changes})
 				}
 			})
 		})
 	}
-	clear(s.watches[len(keep):])
-	s.watches = keep
-	for _, f := range ready {
-		f()
+	clear(s.watches[len(pending):])
+	s.watches = pending
+	for _, respond := range responses {
+		respond()
 	}
 }
--- a/internal/core/sim_task_test.go
+++ b/internal/core/sim_task_test.go
@@ -7,23 +7,23 @@
 	"bitternwing/internal/wire"
 )
 
-// simulatedTask is an attempt of a task on a worker.
+// simulatedTask is one attempt of a task on a worker.
 type simulatedTask struct {
 	wire.TaskStatus
-	onMachine  bool // the rule checker knows it to be there
-	generation int  // of its state: timers of older ones do nothing
+	onMachine  bool // the rule checker counts the task as being on the machine
+	generation int  // incremented when the state changes; timers of older generations do nothing
 }
 
-// killTasks ends all tasks of a worker, and forgets them.
+// killTasks ends all tasks of a worker and removes their statuses.
 func (s *simulation) killTasks(worker *simulatedWorker) {
-	for _, k := range sortedKeys(worker.tasks) {
-		s.leaveMachine(worker, worker.tasks[k], false)
+	for _, key := range sortedKeys(worker.tasks) {
+		s.removeFromMachine(worker, worker.tasks[key], false)
 	}
 	clear(worker.tasks)
 }
 
-// leaveMachine tells the rule checker that a task is on its machine no more.
-func (s *simulation) leaveMachine(worker *simulatedWorker, task *simulatedTask, done bool) {
+// removeFromMachine invalidates a task's timers and tells the rule checker that the task is no longer on its machine.
+func (s *simulation) removeFromMachine(worker *simulatedWorker, task *simulatedTask, done bool) {
 	task.generation++
 	if task.onMachine {
 		task.onMachine = false
@@ -31,11 +31,11 @@
 	}
 }
 
-// attemptKey names an attempt of a task.
+// attemptKey returns the key of an attempt in simulatedWorker.tasks.
 func attemptKey(task string, attempt uint64) string { return fmt.Sprint(task, "#", attempt) }
 
-// execute carries out commands as the worker protocol says.
-func (s *simulation) execute(worker *simulatedWorker, commands []wire.Command) {
+// executeCommands executes commands as the worker protocol specifies.
+func (s *simulation) executeCommands(worker *simulatedWorker, commands []wire.Command) {
 	for _, command := range commands {
 		key := attemptKey(command.Task, command.Attempt)
 		task := worker.tasks[key]
@@ -69,6 +69,7 @@
 	s.sendHeartbeatSoon(worker)
 }
 
+// jobOf returns the job of a task; nil if there is none.
 func (s *simulation) jobOf(task string) *simulatedJob {
 	id, _, _ := wire.ParseTaskName(task)
 	for _, job := range s.jobs {
@@ -79,64 +80,65 @@
 	return nil
 }
 
-// startTask fetches the image and runs a task, or refuses it.
+// startTask fetches the image and runs a task. A task that the worker can't run exits at once with the cause.
 func (s *simulation) startTask(worker *simulatedWorker, key string, command wire.Command) {
 	task := &simulatedTask{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
 	worker.tasks[key] = task
 	job := s.jobOf(command.Task)
-	used := 0.0
-	for _, k := range sortedKeys(worker.tasks) {
-		o := worker.tasks[k]
-		if o == task || o.State == wire.TaskExited {
+	usedGPUs := 0.0
+	for _, otherKey := range sortedKeys(worker.tasks) {
+		other := worker.tasks[otherKey]
+		if other == task || other.State == wire.TaskExited {
 			continue
 		}
-		if o.Task == command.Task {
+		if other.Task == command.Task {
 			s.exitTask(worker, task, wire.CauseBusy)
 			return
 		}
-		if x := s.jobOf(o.Task); x != nil {
-			used += x.spec.GPUs
+		if otherJob := s.jobOf(other.Task); otherJob != nil {
+			usedGPUs += otherJob.spec.GPUs
 		}
 	}
 	switch {
 	case job == nil:
 		s.exitTask(worker, task, wire.CauseUnknownTask)
 		return
-	case used+job.spec.GPUs > 8:
+	case usedGPUs+job.spec.GPUs > 8:
 		s.exitTask(worker, task, wire.CauseNoCapacity)
 		return
 	}
-	fetch := 100 * time.Millisecond
+	fetchTime := 100 * time.Millisecond
 	if !worker.images[job.spec.Image] {
-		fetch = s.between(2*time.Second, 4*time.Second)
+		fetchTime = s.between(2*time.Second, 4*time.Second)
 	}
 	generation := task.generation
-	s.runLater(worker, task, generation, fetch, func() {
+	s.runOnMachineAfter(worker, task, generation, fetchTime, func() {
 		worker.images[job.spec.Image] = true
 		task.State, task.onMachine = wire.TaskRunning, true
-		s.show("%s starts %s#%d", worker.name, task.Task, task.Attempt)
+		s.tracef("%s starts %s#%d", worker.name, task.Task, task.Attempt)
 		s.ruleChecker.recordStart(s.now, taskStart{task.Task, worker.name, "g8", worker.zone, worker.spot})
 		s.sendHeartbeatSoon(worker)
-		run := time.Duration(job.runSeconds * (0.8 + 0.4*s.random.Float64()) * float64(time.Second))
+		runTime := time.Duration(job.runSeconds * (0.8 + 0.4*s.random.Float64()) * float64(time.Second))
 		switch {
 		case s.completedTasks[task.Task]:
 			s.exitTask(worker, task, wire.CauseDone)
 		case job.faulty || worker.faulty:
-			s.runLater(worker, task, task.generation, 300*time.Millisecond, func() { s.exitTask(worker, task, wire.CauseError) })
+			s.runOnMachineAfter(worker, task, task.generation, 300*time.Millisecond, func() { s.exitTask(worker, task, wire.CauseError) })
 		case job.spec.Kind == wire.KindArray:
-			s.runLater(worker, task, task.generation, run, func() { s.exitTask(worker, task, wire.CauseDone) })
+			s.runOnMachineAfter(worker, task, task.generation, runTime, func() { s.exitTask(worker, task, wire.CauseDone) })
 		}
 	})
 }
 
-// runLater does something on a machine after a delay, and not while the machine hangs.
-func (s *simulation) runLater(worker *simulatedWorker, task *simulatedTask, generation int, d time.Duration, action func()) {
-	s.after(d, func() {
+// runOnMachineAfter runs action for a task after a delay, postponed while the machine hangs. It does nothing if the
+// task's generation has changed by then.
+func (s *simulation) runOnMachineAfter(worker *simulatedWorker, task *simulatedTask, generation int, delay time.Duration, action func()) {
+	s.after(delay, func() {
 		if task.generation != generation || worker.gone {
 			return
 		}
 		if s.now < worker.hungUntil {
-			s.runLater(worker, task, generation, worker.hungUntil-s.now+time.Millisecond, action)
+			s.runOnMachineAfter(worker, task, generation, worker.hungUntil-s.now+time.Millisecond, action)
 			return
 		}
 		s.expireLease(worker)
@@ -146,7 +148,7 @@
 	})
 }
 
-// exitTask ends a task; the worker keeps its status until it is told to forget it.
+// exitTask ends a task. The worker keeps its status until it receives a forget command.
 func (s *simulation) exitTask(worker *simulatedWorker, task *simulatedTask, cause wire.ExitCause) {
 	if task.State == wire.TaskExited {
 		return
@@ -156,8 +158,8 @@
 		s.completedTasks[task.Task] = true
 	}
 	if cause == wire.CauseStopped && task.onMachine {
-		s.show("%s stops %s#%d", worker.name, task.Task, task.Attempt)
+		s.tracef("%s stops %s#%d", worker.name, task.Task, task.Attempt)
 	}
-	s.leaveMachine(worker, task, cause == wire.CauseDone)
+	s.removeFromMachine(worker, task, cause == wire.CauseDone)
 	s.sendHeartbeatSoon(worker)
 }
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -12,56 +12,58 @@
 	"bitternwing/internal/emulator"
 )
 
-// simulation is a cluster of pure cores with a simulated key-value store, cloud, users and workers, in which every
-// message takes time. Faults are those that operators meet. A ruleChecker observes what happens on the machines and what
-// users are told. All of it follows from the script and its seed, so a day plays the same way each time.
+// simulation runs a cluster of cores against a simulated key-value store, cloud, users and workers. Every message takes
+// time, and the injected faults are ones that occur in production. A ruleChecker observes what happens on the machines
+// and what users are told. A run is deterministic: it depends only on the script and its seed.
 type simulation struct {
 	tb          testing.TB
 	random      *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	sequence    uint64
+	sequence    uint64 // of the event that was scheduled last
 	ruleChecker *ruleChecker
 	params      config.Params
-	zones       map[string]string // of nodes
+	zones       map[string]string // by node name
 
 	store           *emulator.Store
-	watches         []*storeWatch
+	watches         []*pendingWatch
 	nodes           []*simulatedNode
-	workers         []*simulatedWorker // in the order in which they came
+	workers         []*simulatedWorker // in the order in which they were added
 	workerByName    map[string]*simulatedWorker
 	machineLists    []machineList
-	rentedByRequest map[string][]string // names of machines, by request ID
-	machinesPerZone int                 // machines that the cloud has in a zone
+	rentedByRequest map[string][]string // machine names, by scale-out request ID
+	machinesPerZone int                 // number of machines that the cloud offers in each zone
 	completedTasks  map[string]bool     // by task name
 	jobs            []*simulatedJob
 
-	storeOutageUntil, cloudOutageUntil time.Duration // both refuse all calls until then
-	storeDelay                         time.Duration // longest additional delay of a store call, each way
+	storeOutageUntil, cloudOutageUntil time.Duration // the store or the cloud refuses all calls until then
+	storeDelay                         time.Duration // maximum additional delay of a store call, in each direction
 	storeDelayUntil                    time.Duration
-	lateTransactionShare               float64 // share of transactions that are committed late, without a response
-	lateHeartbeatShare                 float64 // share of heartbeats of which a copy arrives late
-	bootFailureShare                   float64 // share of new machines that never boot
-	bootFactor                         float64 // by which the boot times of the others are multiplied
-	lateCommandShare                   float64 // share of direct commands that are delayed, or repeated late
+	lateTransactionShare               float64 // fraction of transactions that are committed late, without a response
+	lateHeartbeatShare                 float64 // fraction of heartbeats of which a second copy arrives late
+	bootFailureShare                   float64 // fraction of new machines that never boot
+	bootFactor                         float64 // multiplier of the boot times of the others; 0: none
+	lateCommandShare                   float64 // fraction of direct calls to workers that are delayed or repeated late
 	partitioned                        bool    // no zone reaches another
-	isolatedZone                       string  // cut off from all other zones, the store and the cloud; empty: none
+	isolatedZone                       string  // zone cut off from the other zones, the store and the cloud; empty: none
 
-	pollStatuses map[int]int // number of responses to polls of a script, by status
+	pollStatuses map[int]int // number of responses to the polls of a "polls" line, by status
 
-	faultsEnd time.Duration // when the last fault of the script has ended
+	faultsEnd time.Duration // when the last fault of the script ends
 	end       time.Duration
-	shown     strings.Builder // the part of the journal that a kept trace holds
+	trace     strings.Builder // the events that are compared with the recorded trace
 	digest    *outputDigest
-	journal   strings.Builder // all that happened, to diagnose a broken rule
+	log       strings.Builder // all events, for diagnosing a rule violation
 }
 
+// scheduledEvent is an action that runs at a simulated time.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence uint64
 	action   func()
 }
 
+// eventQueue is a heap of events, ordered by time and, at equal times, by when they were scheduled.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -81,9 +83,10 @@
 	heartbeatInterval = time.Second
 	workerLease       = 10 * time.Second
 	cancellationLimit = 30 * time.Second
-	bootSeconds       = 8.0
+	bootSeconds       = 8.0 // nominal: see bootTime
 )
 
+// newSimulation returns a simulation of three running nodes, without machines and jobs.
 func newSimulation(tb testing.TB, seed uint64, zones map[string]string) *simulation {
 	tb.Helper()
 	s := &simulation{tb: tb, random: rand.New(rand.NewPCG(seed, 1)), now: time.Second, zones: zones, store: emulator.NewStore(),
@@ -103,13 +106,13 @@
 	for _, node := range s.nodes {
 		s.startNode(node)
 	}
-	s.every(500*time.Millisecond, s.recordMachineList)
+	s.every(500*time.Millisecond, s.snapshotMachineList)
 	s.every(100*time.Millisecond, func() { s.ruleChecker.checkCancelledJobs(s.now) })
 	s.every(time.Second, s.checkCapacityIndex)
 	return s
 }
 
-// checkCapacityIndex checks that each leader's index of room is what it would be if it were built anew.
+// checkCapacityIndex checks that each leader's capacity index equals one rebuilt from scratch.
 func (s *simulation) checkCapacityIndex() {
 	for _, node := range s.nodes {
 		if node.core == nil {
@@ -121,43 +124,48 @@
 	}
 }
 
-func (s *simulation) at(t time.Duration, f func()) {
+// at schedules action for a time, or for now if that time has passed.
+func (s *simulation) at(when time.Duration, action func()) {
 	s.sequence++
-	heap.Push(&s.queue, scheduledEvent{max(t, s.now), s.sequence, f})
+	heap.Push(&s.queue, scheduledEvent{max(when, s.now), s.sequence, action})
 }
 
-func (s *simulation) after(d time.Duration, f func()) { s.at(s.now+d, f) }
+// after schedules action after a delay.
+func (s *simulation) after(delay time.Duration, action func()) { s.at(s.now+delay, action) }
 
-func (s *simulation) every(d time.Duration, f func()) {
-	f()
-	s.after(d, func() { s.every(d, f) })
+// every runs action at once, and again at a fixed interval.
+func (s *simulation) every(interval time.Duration, action func()) {
+	action()
+	s.after(interval, func() { s.every(interval, action) })
 }
 
+// between returns a random duration from lo to hi, both included.
 func (s *simulation) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.random.Int64N(int64(hi-lo)+1))
 }
 
+// latency returns a random one-way message delay.
 func (s *simulation) latency() time.Duration {
 	return s.between(200*time.Microsecond, 3*time.Millisecond)
 }
 
-// show adds a line to the kept trace and to the journal.
-func (s *simulation) show(format string, args ...any) {
+// tracef adds a line to the trace and to the log.
+func (s *simulation) tracef(format string, args ...any) {
 	line := fmt.Sprintf("%7.2f %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
-	s.shown.WriteString("| " + line)
-	s.journal.WriteString(line)
+	s.trace.WriteString("| " + line)
+	s.log.WriteString(line)
 }
 
-// record adds a line to the journal alone.
-func (s *simulation) record(format string, args ...any) {
-	fmt.Fprintf(&s.journal, "%9.4f     %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
+// logf adds a line to the log only.
+func (s *simulation) logf(format string, args ...any) {
+	fmt.Fprintf(&s.log, "%9.4f     %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
 }
 
-// run plays until the end.
+// run processes events until the end time.
 func (s *simulation) run() {
 	for len(s.queue) > 0 && s.queue[0].at <= s.end {
-		e := heap.Pop(&s.queue).(scheduledEvent)
-		s.now = e.at
+		event := heap.Pop(&s.queue).(scheduledEvent)
+		s.now = event.at
 		if s.now >= s.storeOutageUntil {
 			if s.storeOutageUntil != 0 {
 				s.storeOutageUntil = 0
@@ -165,8 +173,8 @@
 			}
 			s.store.AdvanceTo(s.now)
 		}
-		e.action()
-		s.answerWatches()
+		event.action()
+		s.respondToWatches()
 	}
 	s.now = s.end
 }
