--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -7,101 +7,102 @@
 	"bitternwing/internal/wire"
 )
 
-// simulatedJob is a job and what its user knows of it.
+// simulatedJob is a job and what its user knows about it.
 type simulatedJob struct {
-	spec          *wire.Job
-	submitAt      time.Duration
-	cancelAt      time.Duration // 0: never
-	runSeconds    float64
-	faulty        bool // it fails wherever it runs
-	accepted      bool
-	refusedStatus int // 0: not refused
-	toldState     wire.JobStatus
-	answeredAt    time.Duration // when a request about it was last answered
+	spec           *wire.Job
+	submitAt       time.Duration
+	cancelAt       time.Duration // not 0: a cancel_at_end line cancels the job once its tasks are complete
+	runSeconds     float64
+	faulty         bool // its tasks fail on every machine
+	accepted       bool
+	rejectedStatus int // HTTP status of the rejection; 0: not rejected
+	reportedState  wire.JobStatus
+	lastResponseAt time.Duration // when the last response to a request about the job arrived
 }
 
-// userTimeout is after how long a node drops a user's request that waits for it.
-const userTimeout = 1800 * time.Millisecond
+// userRequestTimeout is the time after which a user's request that has no response yet gets status 503.
+const userRequestTimeout = 1800 * time.Millisecond
 
-// askAnyNode sends a user's request to some healthy node; status 0 if there was no response.
-func (s *simulation) askAnyNode(in func(request uint64) core.Input, then func(status int, state wire.JobStatus)) {
-	s.askNode(nil, in, then)
+// sendToAnyNode sends a user's request to a random healthy node. The status is 0 if no node could be reached.
+func (s *simulation) sendToAnyNode(newInput func(request uint64) core.Input, onResponse func(status int, state wire.JobStatus)) {
+	s.sendToNode(nil, newInput, onResponse)
 }
 
-// askNode sends a user's request to a node; nil: to some healthy one.
-func (s *simulation) askNode(node *simulatedNode, in func(request uint64) core.Input, then func(status int, state wire.JobStatus)) {
-	over := false
-	give := func(status int, state wire.JobStatus) {
-		if !over {
-			over = true
-			then(status, state)
+// sendToNode sends a user's request to a node, or to a random healthy one if node is nil.
+func (s *simulation) sendToNode(node *simulatedNode, newInput func(request uint64) core.Input, onResponse func(status int, state wire.JobStatus)) {
+	done := false
+	finish := func(status int, state wire.JobStatus) {
+		if !done {
+			done = true
+			onResponse(status, state)
 		}
 	}
 	if node == nil {
-		var up []*simulatedNode
-		for _, x := range s.nodes {
-			if x.core != nil && s.isolatedZone != x.zone && s.now >= x.usersCutUntil && x.core.Healthy() {
-				up = append(up, x)
+		var healthy []*simulatedNode
+		for _, candidate := range s.nodes {
+			if candidate.core != nil && s.isolatedZone != candidate.zone && s.now >= candidate.usersCutUntil && candidate.core.Healthy() {
+				healthy = append(healthy, candidate)
 			}
 		}
-		if len(up) == 0 {
-			s.after(100*time.Millisecond, func() { give(0, "") })
+		if len(healthy) == 0 {
+			s.after(100*time.Millisecond, func() { finish(0, "") })
 			return
 		}
-		node = up[s.random.IntN(len(up))]
+		node = healthy[s.random.IntN(len(healthy))]
 	}
-	sent := s.now
-	s.after(userTimeout, func() { give(503, "") })
+	sentAt := s.now
+	s.after(userRequestTimeout, func() { finish(503, "") })
 	s.after(s.latency(), func() {
 		if node.core == nil {
-			give(0, "")
+			finish(0, "")
 			return
 		}
 		node.lastRequest++
-		node.waiting[node.lastRequest] = func(response core.Response) {
-			// What a standstill has made late is not told any more: see node.Ask.
+		node.responseHandlers[node.lastRequest] = func(response core.Response) {
+			// finish ignores a response that arrives after the timeout, for example because the node was frozen.
+			// node.Node.Handle drops such a response as well.
 			s.after(s.latency(), func() {
-				st := wire.JobStatus("")
-				if js, ok := response.Body.(wire.JobState); ok {
-					st = js.State
+				state := wire.JobStatus("")
+				if body, ok := response.Body.(wire.JobState); ok {
+					state = body.State
 				}
-				give(response.Status, st)
+				finish(response.Status, state)
 			})
 		}
-		s.deliverInputUntil(node, in(node.lastRequest), sent+userTimeout)
+		s.deliverInputUntil(node, newInput(node.lastRequest), sentAt+userRequestTimeout)
 	})
 }
 
-// submitJob has a user submit a job until there is a final response.
+// submitJob submits a job as its user, retrying until there is a final response.
 func (s *simulation) submitJob(job *simulatedJob) {
 	if !s.dependenciesAccepted(job) {
 		s.after(100*time.Millisecond, func() { s.submitJob(job) })
 		return
 	}
 	s.ruleChecker.recordSubmission(job.spec)
-	spec, sent := *job.spec, s.now
-	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestSubmit, job.spec.ID, status, state})
+	spec, sentAt := *job.spec, s.now
+	s.sendToAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestSubmit, job.spec.ID, status, state})
 		switch status {
 		case 200, 201:
 			if !job.accepted {
-				job.accepted, job.answeredAt = true, s.now
+				job.accepted, job.lastResponseAt = true, s.now
 				s.after(s.between(time.Second, 5*time.Second), func() { s.pollJob(job) })
 			}
-			job.toldState = state
+			job.reportedState = state
 		case 400, 422:
-			job.refusedStatus = status
+			job.rejectedStatus = status
 		default:
 			s.after(time.Second, func() { s.submitJob(job) })
 		}
 	})
 }
 
-// dependenciesAccepted tells whether all jobs that a job needs are accepted: its user waits for that.
+// dependenciesAccepted reports whether all dependencies of a job are accepted. A user submits a job only then.
 func (s *simulation) dependenciesAccepted(job *simulatedJob) bool {
-	for _, need := range job.spec.Dependencies {
+	for _, id := range job.spec.Dependencies {
 		for _, dependency := range s.jobs {
-			if dependency.spec.ID == need && !dependency.accepted {
+			if dependency.spec.ID == id && !dependency.accepted {
 				return false
 			}
 		}
@@ -109,37 +110,37 @@
 	return true
 }
 
-// pollJob has a user poll a job at intervals.
+// pollJob polls a job as its user every 3 to 6 s.
 func (s *simulation) pollJob(job *simulatedJob) {
-	sent := s.now
-	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, job.spec.ID, status, state})
+	sentAt := s.now
+	s.sendToAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestPoll, job.spec.ID, status, state})
 		if status == 200 {
-			if state != job.toldState && (state == wire.JobDone || state == wire.JobCancelled) {
-				s.show("poll of %s: %s", job.spec.ID, state)
+			if state != job.reportedState && (state == wire.JobDone || state == wire.JobCancelled) {
+				s.tracef("poll of %s: %s", job.spec.ID, state)
 			}
-			job.toldState, job.answeredAt = state, s.now
+			job.reportedState, job.lastResponseAt = state, s.now
 		}
-		if s.now > s.faultsEnd+75*time.Second && s.now-job.answeredAt > 75*time.Second && job.accepted {
-			s.ruleChecker.report(s.now, "forgotten", "no answer about %s since %.1f", job.spec.ID, job.answeredAt.Seconds())
+		if s.now > s.faultsEnd+75*time.Second && s.now-job.lastResponseAt > 75*time.Second && job.accepted {
+			s.ruleChecker.addViolation(s.now, "forgotten", "no response about %s since %.1f s", job.spec.ID, job.lastResponseAt.Seconds())
 		}
 		s.after(s.between(3*time.Second, 6*time.Second), func() { s.pollJob(job) })
 	})
 }
 
-// cancelJob has a user cancel a job, once it is accepted, until there is a final response.
+// cancelJob cancels a job as its user once it is accepted, retrying until there is a final response.
 func (s *simulation) cancelJob(job *simulatedJob) {
 	if !job.accepted {
 		s.after(500*time.Millisecond, func() { s.cancelJob(job) })
 		return
 	}
 	s.ruleChecker.recordSubmission(job.spec).cancelRequested = true
-	sent := s.now
-	s.askAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestCancel, job.spec.ID, status, state})
+	sentAt := s.now
+	s.sendToAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestCancel, job.spec.ID, status, state})
 		if status == 200 {
-			s.show("cancel of %s: %s", job.spec.ID, state)
-			job.toldState = state
+			s.tracef("cancel of %s: %s", job.spec.ID, state)
+			job.reportedState = state
 			return
 		}
 		if status != 404 && status != 400 {
@@ -148,11 +149,11 @@
 	})
 }
 
-// cancelRunningJob has the user of a job that runs, and of which no cancellation was asked yet, cancel it.
+// cancelRunningJob cancels a random running job for which no cancellation has been requested.
 func (s *simulation) cancelRunningJob() {
 	var running []*simulatedJob
 	for _, job := range s.jobs {
-		if known := s.ruleChecker.jobs[job.spec.ID]; job.accepted && !known.cancelRequested && job.cancelAt == 0 && s.isRunning(job) {
+		if checked := s.ruleChecker.jobs[job.spec.ID]; job.accepted && !checked.cancelRequested && job.cancelAt == 0 && s.isRunning(job) {
 			running = append(running, job)
 		}
 	}
@@ -161,7 +162,7 @@
 	}
 }
 
-// isRunning tells whether a task of a job is on a machine.
+// isRunning reports whether any task of a job is on a machine.
 func (s *simulation) isRunning(job *simulatedJob) bool {
 	for task := range job.spec.Tasks {
 		if len(s.ruleChecker.machinesByTask[wire.TaskName(job.spec.ID, task)]) > 0 {
@@ -171,74 +172,74 @@
 	return false
 }
 
-// pollOnce polls some job, and counts the responses by status.
+// pollOnce polls a random job and counts the response by status.
 func (s *simulation) pollOnce() {
-	job, sent := s.jobs[s.random.IntN(len(s.jobs))], s.now
+	job, sentAt := s.jobs[s.random.IntN(len(s.jobs))], s.now
 	if !job.accepted {
 		return
 	}
 	if s.pollStatuses == nil {
 		s.pollStatuses = map[int]int{}
 	}
-	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, job.spec.ID, status, state})
+	s.sendToAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestPoll, job.spec.ID, status, state})
 		s.pollStatuses[status]++
 	})
 }
 
-// sendOddRequests sends requests that must be refused, and idempotent repeats.
-func (s *simulation) sendOddRequests() {
-	sent := s.now
-	big := &simulatedJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
-	s.ruleChecker.recordSubmission(big.spec)
-	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: big.spec} }, func(status int, _ wire.JobStatus) {
+// sendEdgeCaseRequests sends requests that must be rejected, and repeats of requests, which are idempotent.
+func (s *simulation) sendEdgeCaseRequests() {
+	sentAt := s.now
+	tooLarge := &simulatedJob{spec: s.newJob([]string{"run-999001", "gpus=9"}).spec}
+	s.ruleChecker.recordSubmission(tooLarge.spec)
+	s.sendToAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: tooLarge.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
-			s.ruleChecker.report(s.now, "odd", "a job that fits no machine gets %d", status)
+			s.ruleChecker.addViolation(s.now, "odd", "submission of a job that fits no machine: got status %d, want none of 200, 201, 400 and 404", status)
 		}
 	})
-	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
-		s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestPoll, "run-999002", status, state})
+	s.sendToAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
+		s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestPoll, "run-999002", status, state})
 	})
 	for _, job := range s.jobs {
 		if !job.accepted {
 			continue
 		}
 		spec := *job.spec
-		s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
-			s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestSubmit, job.spec.ID, status, state})
+		s.sendToAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: &spec} }, func(status int, state wire.JobStatus) {
+			s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestSubmit, job.spec.ID, status, state})
 		})
-		if job.toldState == wire.JobDone {
+		if job.reportedState == wire.JobDone {
 			s.ruleChecker.jobs[job.spec.ID].cancelRequested = true
-			s.askAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
-				s.ruleChecker.recordAnswer(s.now, userAnswer{sent, requestCancel, job.spec.ID, status, state})
+			s.sendToAnyNode(func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: job.spec.ID} }, func(status int, state wire.JobStatus) {
+				s.ruleChecker.recordResponse(s.now, userResponse{sentAt, requestCancel, job.spec.ID, status, state})
 			})
 		}
 	}
 }
 
-// brokenRules gives the rules that were broken, with those of the end: no job is stuck, and none is forgotten.
-func (s *simulation) brokenRules() []string {
+// violations returns all rule violations, including those that are checked at the end: no job may be stuck.
+func (s *simulation) violations() []string {
 	checker := s.ruleChecker
 	for _, job := range s.jobs {
-		dependency := checker.jobs[job.spec.ID]
+		checked := checker.jobs[job.spec.ID]
 		switch {
-		case dependency == nil || job.refusedStatus != 0:
+		case checked == nil || job.rejectedStatus != 0:
 		case !job.accepted:
-			checker.report(s.now, "stuck", "%s is not accepted", job.spec.ID)
-		case checker.cancellationRequested(dependency) && dependency.finalState == "":
-			checker.report(s.now, "stuck", "%s is not cancelled", job.spec.ID)
-		case checker.cancellationRequested(dependency) || dependency.cancelRequested || job.faulty:
-		case job.spec.Kind == wire.KindArray && dependency.finalState != wire.JobDone:
-			checker.report(s.now, "stuck", "%s is not done: %d of %d tasks", job.spec.ID, len(dependency.doneTasks), job.spec.Tasks)
+			checker.addViolation(s.now, "stuck", "%s is not accepted", job.spec.ID)
+		case checker.cancellationRequested(checked) && checked.finalState == "":
+			checker.addViolation(s.now, "stuck", "%s is not cancelled", job.spec.ID)
+		case checker.cancellationRequested(checked) || checked.cancelRequested || job.faulty:
+		case job.spec.Kind == wire.KindArray && checked.finalState != wire.JobDone:
+			checker.addViolation(s.now, "stuck", "%s is not done: %d of %d tasks", job.spec.ID, len(checked.doneTasks), job.spec.Tasks)
 		case job.spec.Kind != wire.KindArray:
-			n := 0
-			for t := 0; t < job.spec.Tasks; t++ {
-				n += len(checker.machinesByTask[wire.TaskName(job.spec.ID, t)])
+			running := 0
+			for task := 0; task < job.spec.Tasks; task++ {
+				running += len(checker.machinesByTask[wire.TaskName(job.spec.ID, task)])
 			}
-			if n != job.spec.Tasks {
-				checker.report(s.now, "stuck", "%s has %d of %d replicas", job.spec.ID, n, job.spec.Tasks)
+			if running != job.spec.Tasks {
+				checker.addViolation(s.now, "stuck", "%s has %d of %d replicas", job.spec.ID, running, job.spec.Tasks)
 			}
 		}
 	}
-	return checker.broken
+	return checker.violations
 }
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -13,82 +13,83 @@
 	name, zone     string
 	spot           bool
 	rentedAt       time.Duration
-	up             bool // the worker runs
-	gone           bool // released, reclaimed or stopped
-	stoppedAt      time.Duration
+	up             bool          // the worker process runs
+	gone           bool          // released, reclaimed or stopped
+	stoppedAt      time.Duration // when a fault stopped the machine; 0: not stopped, or no longer in the cloud's list
 	incarnation    uint64
 	sequence       uint64 // of the last heartbeat
-	fencingToken   uint64 // the newest one that it has seen
+	fencingToken   uint64 // highest one received
 	leaseRenewedAt time.Duration
 	tasks          map[string]*simulatedTask // by attemptKey
 	images         map[string]bool
 
-	hungUntil     time.Duration
-	heldMessages  []func()      // that arrived while it hung
-	deafUntil     time.Duration // it receives nothing until then
-	muteUntil     time.Duration // its heartbeats reach nobody until then
-	reclaimNotice bool
-	faulty        bool // all tasks on it fail
+	hungUntil        time.Duration
+	deferredMessages []func()      // calls received while hung, handled afterwards
+	inboundCutUntil  time.Duration // the worker receives nothing until then
+	outboundCutUntil time.Duration // its heartbeats reach no node until then
+	reclaimNotice    bool
+	faulty           bool // all tasks on the machine fail
 
-	nodeIndex         int // of the node that gets its heartbeats
-	heartbeatInFlight bool
-	nextHeartbeat     time.Duration
-	lastHeartbeat     time.Duration
-	generation        int // of heartbeats: responses to older ones are dropped
+	nodeIndex           int // index of the node that receives its heartbeats
+	heartbeatInFlight   bool
+	nextHeartbeat       time.Duration
+	lastHeartbeat       time.Duration
+	heartbeatGeneration int // incremented per heartbeat; responses to earlier ones are dropped
 }
 
-// callWorker makes a direct call of a node to a worker. A share of these calls is carried out late, or twice.
-func (s *simulation) callWorker(node *simulatedNode, id uint64, addr string, there func(*simulatedWorker) core.Result) {
+// callWorker makes a node's direct call to a worker. While lateCommandShare is set, that fraction is handled late or
+// twice.
+func (s *simulation) callWorker(node *simulatedNode, id uint64, addr string, handle func(*simulatedWorker) core.Result) {
 	worker := s.workerByName[strings.TrimSuffix(addr, ":1")]
-	reach := func() bool { return worker != nil && s.reachesWorker(node, worker) && s.now >= worker.deafUntil }
-	s.call(node, id, callTimeout, reach, true, func() (core.Result, bool) {
+	reachable := func() bool { return worker != nil && s.reachesWorker(node, worker) && s.now >= worker.inboundCutUntil }
+	s.call(node, id, callTimeout, reachable, true, func() (core.Result, bool) {
 		if worker.gone || !worker.up {
 			return core.Result{}, false
 		}
 		if s.now < worker.hungUntil {
-			worker.heldMessages = append(worker.heldMessages, func() { there(worker) })
+			worker.deferredMessages = append(worker.deferredMessages, func() { handle(worker) })
 			return core.Result{}, false
 		}
 		s.expireLease(worker)
 		if s.lateCommandShare > 0 && s.random.Float64() < s.lateCommandShare {
-			// Held up on the way for seconds, or carried out and repeated later.
+			// Either the call is delayed in the network for seconds, or it is handled now and repeated later.
 			s.after(s.between(time.Second, 12*time.Second), func() {
 				if worker.up && s.now >= worker.hungUntil {
 					s.expireLease(worker)
-					s.record("late orders at %s", worker.name)
-					there(worker)
+					s.logf("late direct call handled by %s", worker.name)
+					handle(worker)
 				}
 			})
 			if s.random.IntN(2) == 0 {
 				return core.Result{}, false
 			}
 		}
-		return there(worker), true
+		return handle(worker), true
 	})
 }
 
-// sendCommands sends a worker direct commands. It carries them out if they are for its incarnation, and their fencing
-// token is not older than the newest one that it has seen.
+// sendCommands sends direct commands to a worker. The worker executes them if they name its current incarnation and
+// their fencing token is not lower than the highest one that it has received.
 func (s *simulation) sendCommands(node *simulatedNode, effect core.SendCommands) {
-	s.record("%s: orders %s token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
+	s.logf("%s: sends direct commands to %s, token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
 	s.callWorker(node, effect.CallID, effect.Addr, func(worker *simulatedWorker) core.Result {
 		if effect.FencingToken < worker.fencingToken || effect.Incarnation != worker.incarnation {
 			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.newHeartbeat(worker)}
 		}
 		worker.fencingToken = effect.FencingToken
-		s.execute(worker, effect.Commands)
+		s.executeCommands(worker, effect.Commands)
 		s.sendHeartbeatSoon(worker)
 		return core.Result{Outcome: outcome.OK, Heartbeat: *s.newHeartbeat(worker)}
 	})
 }
 
-// expireLease ends the incarnation of a worker whose lease has expired.
+// expireLease kills the tasks of a worker whose lease has expired, and starts its next incarnation.
 func (s *simulation) expireLease(worker *simulatedWorker) {
 	if s.now-worker.leaseRenewedAt <= workerLease {
 		return
 	}
 	if len(worker.tasks) > 0 {
-		s.show("%s loses its lease with %d tasks", worker.name, len(worker.tasks))
+		s.tracef("%s loses its lease with %d tasks", worker.name, len(worker.tasks))
 	}
 	s.killTasks(worker)
 	worker.incarnation++
@@ -96,7 +97,7 @@
 	s.sendHeartbeatSoon(worker)
 }
 
-// runWorker runs a worker's loop: it checks its lease and sends heartbeats when they are due.
+// runWorker runs a worker's loop, which checks the lease and sends heartbeats when they are due.
 func (s *simulation) runWorker(worker *simulatedWorker) {
 	if worker.gone {
 		return
@@ -106,10 +107,10 @@
 		return
 	}
 	s.expireLease(worker)
-	for _, f := range worker.heldMessages {
-		f()
+	for _, handle := range worker.deferredMessages {
+		handle()
 	}
-	worker.heldMessages = nil
+	worker.deferredMessages = nil
 	if !worker.heartbeatInFlight && s.now >= worker.nextHeartbeat {
 		s.sendHeartbeat(worker)
 	}
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -18,7 +18,7 @@
 var losses = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaDays: 30, MovesPerHour: 1200}
 
 // newSpreadWorld has so many machines in each zone; the first two zones have nodes.
-func newSpreadWorld(t reporter, spread config.Spread, perZone map[string]int) *spreadWorld {
+func newSpreadWorld(t testReporter, spread config.Spread, perZone map[string]int) *spreadWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &spreadWorld{scaleCluster: cluster, running: map[string]string{}}
 	cluster.operator.IdleBoots = 100
@@ -29,9 +29,9 @@
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	cluster.onRuns = func(machine, task string) { world.running[task] = cluster.workerByName[machine].zone; world.starts++ }
-	cluster.onEnds = func(task string) { delete(world.running, task) }
-	cluster.restart()
+	cluster.onRunning = func(machine, task string) { world.running[task] = cluster.workerByName[machine].zone; world.starts++ }
+	cluster.onEnd = func(task string) { delete(world.running, task) }
+	cluster.restartNodes()
 	for _, zone := range []string{"z1", "z2", "z3"} {
 		if perZone[zone] > 0 {
 			cluster.addMachines(perZone[zone], zone)
@@ -63,17 +63,17 @@
 
 // expect checks how many replicas are in each zone.
 func (world *spreadWorld) expect(what string, z1, z2, z3 int) {
-	world.test.Helper()
+	world.t.Helper()
 	if got := world.zones(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
-		world.test.Errorf("%s: %v, not %d, %d, %d", what, got, z1, z2, z3)
+		world.t.Errorf("%s: %v, not %d, %d, %d", what, got, z1, z2, z3)
 	}
 }
 
 // loseZone ends all machines of a zone.
 func (world *spreadWorld) loseZone(zone string) {
 	for _, x := range world.workers {
-		if x.zone == zone && !x.dead {
-			x.dead = true
+		if x.zone == zone && !x.stopped {
+			x.stopped = true
 			x.machine.KillAll()
 		}
 	}
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -6,43 +6,43 @@
 	"bitternwing/internal/outcome"
 )
 
-// storeFaults are what a state service may do to the nodes of a cluster.
+// storeFaults are the faults of a cluster's key-value store.
 type storeFaults struct {
-	refusedNode         string // a node that the state service refuses
-	storeDown           bool   // the state service refuses all
-	lostResponses       int    // transactions that are carried out without an answer
-	delayedTransactions int    // transactions without an answer that are carried out later
-	delayKey            string // only those that write this key are; empty: any
+	refusedNode         string // node whose calls the store refuses; empty: none
+	storeDown           bool   // the store refuses all calls
+	lostResponses       int    // number of next transactions that are committed without a response
+	delayedTransactions int    // number of next transactions that are held back without a response: see commitHeld
+	delayKey            string // only transactions whose first operation writes this key are held back; empty: all
 	heldTransactions    []core.StoreTxn
 }
 
-// interceptStoreCall gives what becomes of a call to the state service in its troubles; false if nothing is the matter.
+// interceptStoreCall returns the result of a call to the store that a fault affects; false if none does.
 func (s *storeFaults) interceptStoreCall(node string, store *emulator.Store, effect core.Effect) (core.Result, bool) {
-	id, ok := storeCallID(effect)
+	callID, ok := storeCallID(effect)
 	if !ok {
 		return core.Result{}, false
 	}
 	if s.storeDown || s.refusedNode == node {
-		return core.Result{CallID: id, Outcome: outcome.Unavailable}, true
+		return core.Result{CallID: callID, Outcome: outcome.Unavailable}, true
 	}
-	txn, ok := effect.(core.StoreTxn)
-	if !ok || len(txn.Txn.Then) == 0 {
+	effectTxn, ok := effect.(core.StoreTxn)
+	if !ok || len(effectTxn.Txn.Then) == 0 {
 		return core.Result{}, false
 	}
 	switch {
 	case s.lostResponses > 0:
 		s.lostResponses--
-		store.Txn(txn.Txn)
-	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == txn.Txn.Then[0].Put):
+		store.Txn(effectTxn.Txn)
+	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == effectTxn.Txn.Then[0].Put):
 		s.delayedTransactions--
-		s.heldTransactions = append(s.heldTransactions, txn)
+		s.heldTransactions = append(s.heldTransactions, effectTxn)
 	default:
 		return core.Result{}, false
 	}
-	return core.Result{CallID: id, Outcome: outcome.Unknown}, true
+	return core.Result{CallID: callID, Outcome: outcome.Unknown}, true
 }
 
-// commitHeld carries out the transactions that were held up.
+// commitHeld commits the transactions that were held back.
 func (s *storeFaults) commitHeld(store *emulator.Store) {
 	for _, effect := range s.heldTransactions {
 		store.Txn(effect.Txn)
@@ -50,7 +50,7 @@
 	s.heldTransactions = nil
 }
 
-// endStoreFaults ends them, but for the transactions that are held up.
+// endStoreFaults ends all faults, but does not commit the transactions that are held back.
 func (s *storeFaults) endStoreFaults() {
 	s.storeDown, s.refusedNode, s.lostResponses, s.delayedTransactions, s.delayKey = false, "", 0, 0, ""
 }
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -17,7 +17,7 @@
 		harness.showResponse(node, e)
 	case core.Log:
 		if e.Level > core.Debug {
-			harness.show(node, "log %s%s", e.Message, showFields(e.Fields))
+			harness.show(node, "log %s%s", e.Message, formatFields(e.Fields))
 		}
 	case core.StoreWatch:
 		node.watches = append(node.watches, e)
--- a/internal/core/write_rate_test.go
+++ b/internal/core/write_rate_test.go
@@ -32,7 +32,7 @@
 	cluster.liveServices = nil
 	cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 1})
 	cluster.runFor(700 * time.Millisecond)
-	if !cluster.runsOnWorker(cluster.liveServices[0]) {
+	if !cluster.hasTaskOnWorker(cluster.liveServices[0]) {
 		t.Errorf("%s has not been started", cluster.liveServices[0])
 	}
 	cluster.runFor(1300 * time.Millisecond)
