--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -43,8 +43,8 @@
 	cluster.checkCapacityIndex()
 	cluster.runFor(60 * time.Second)
 	cluster.checkCapacityIndex()
-	if running < 2900 || cluster.counts.releasedWithWork > 0 || cluster.startedTasks-started < 10 {
-		t.Errorf("%d tasks, %d machines with work released, %d starts after it", running, cluster.counts.releasedWithWork, cluster.startedTasks-started)
+	if running < 2900 || cluster.counts.releasedWithTasks > 0 || cluster.startedTasks-started < 10 {
+		t.Errorf("%d tasks, %d machines with work released, %d starts after it", running, cluster.counts.releasedWithTasks, cluster.startedTasks-started)
 	}
 }
 
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -85,7 +85,7 @@
 			}
 			got := strings.Join(script, "\n") + "\n" + s.trace.String()
 			if *showDirectory != "" {
-				writeLog(t, filepath.Base(file)+".all", s.log.String())
+				writeOutput(t, filepath.Base(file)+".all", s.log.String())
 			}
 			switch {
 			case *updateTraces:
@@ -99,8 +99,8 @@
 	}
 }
 
-// writeLog writes a file to the directory of -show.
-func writeLog(t *testing.T, name, text string) {
+// writeOutput writes a file to the directory of -show.
+func writeOutput(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(*showDirectory, name), []byte(text), 0o644); err != nil {
 		t.Fatal(err)
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -85,9 +85,9 @@
 	before := cluster.startedTasks
 	cluster.restartLeader()
 	cluster.runLoad(0, 60, 12)
-	t.Logf("%d machines, %d starts before and %d after the restart of the leader, %+v", cluster.rented, before, cluster.startedTasks-before, cluster.counts)
-	if cluster.rented < largeFleetSize || cluster.counts.releasedWithWork > 0 {
-		t.Errorf("%d machines are up, want at least the whole fleet; %d with tasks were released, want 0", cluster.rented, cluster.counts.releasedWithWork)
+	t.Logf("%d machines, %d starts before and %d after the restart of the leader, %+v", cluster.rentedMachines, before, cluster.startedTasks-before, cluster.counts)
+	if cluster.rentedMachines < largeFleetSize || cluster.counts.releasedWithTasks > 0 {
+		t.Errorf("%d machines are up, want at least the whole fleet; %d with tasks were released, want 0", cluster.rentedMachines, cluster.counts.releasedWithTasks)
 	}
 	if before < 5000 || cluster.startedTasks-before < 1000 {
 		t.Errorf("got %d starts before the restart of the leader, want at least 5000; got %d after it, want at least 1000", before, cluster.startedTasks-before)
@@ -107,8 +107,8 @@
 	cluster.runFor(10 * time.Second)
 	cluster.submit(wire.Job{Kind: wire.KindService, Tasks: 1, GPUs: 1, Zone: "z2"})
 	cluster.runFor(60 * time.Second)
-	if pages := cluster.counts.pages; cluster.rented <= largeFleetSize || pages < 40 {
-		t.Errorf("got %d machines after %d pages of the list, want more than before and at least 40 pages", cluster.rented, pages)
+	if pages := cluster.counts.pages; cluster.rentedMachines <= largeFleetSize || pages < 40 {
+		t.Errorf("got %d machines after %d pages of the list, want more than before and at least 40 pages", cluster.rentedMachines, pages)
 	}
 	if cluster.droppedCloudCalls > 0 {
 		t.Errorf("%d calls exceeded the cloud's rate, want 0", cluster.droppedCloudCalls)
--- a/internal/core/rule_breaks_test.go
+++ b/internal/core/rule_breaks_test.go
@@ -70,15 +70,15 @@
 		checker.recordStart(seconds(3), taskStart{checkedID + "/0", "m1", "g8", "z1", false})
 	},
 	"too_early": func(checker *ruleChecker) {
-		needing := checkedSpec()
-		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		checker.recordSubmission(needing)
+		dependent := checkedSpec()
+		dependent.ID, dependent.Dependencies = otherID, []string{checkedID}
+		checker.recordSubmission(dependent)
 		checker.recordStart(seconds(1), taskStart{otherID + "/0", "m1", "g8", "z1", false})
 	},
 	"orphaned": func(checker *ruleChecker) {
-		needing := checkedSpec()
-		needing.ID, needing.Dependencies = otherID, []string{checkedID}
-		checker.recordSubmission(needing)
+		dependent := checkedSpec()
+		dependent.ID, dependent.Dependencies = otherID, []string{checkedID}
+		checker.recordSubmission(dependent)
 		checker.jobs[checkedID].cancelRequested = true
 		checker.recordResponse(seconds(2), userResponse{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
 		checker.recordResponse(seconds(5), userResponse{seconds(4), requestPoll, otherID, 200, wire.JobPending})
--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -21,6 +21,7 @@
 	violations     []string
 }
 
+// checkedJob is what the checker knows about a job.
 type checkedJob struct {
 	spec            *wire.Job
 	submitted       bool
@@ -32,6 +33,7 @@
 	doneTasks       map[int]bool
 }
 
+// taskLocation is where a task is on a machine.
 type taskLocation struct{ zone string }
 
 func newRuleChecker(gpuLimits map[string]float64, cancellationLimit time.Duration) *ruleChecker {
@@ -39,10 +41,12 @@
 		jobs: map[string]*checkedJob{}, machinesByTask: map[string]map[string]taskLocation{}}
 }
 
+// addViolation adds a violation of a rule, which is reported at the end of the simulation.
 func (checker *ruleChecker) addViolation(now time.Duration, rule, format string, args ...any) {
 	checker.violations = append(checker.violations, fmt.Sprintf("%.3f %s: %s", now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
+// recordSubmission records that a user submits or cancels a job. It returns what the checker knows about the job.
 func (checker *ruleChecker) recordSubmission(spec *wire.Job) *checkedJob {
 	job := checker.jobs[spec.ID]
 	if job == nil {
@@ -186,11 +190,13 @@
 }
 
 // confirmsJob reports whether the response says that the job is known.
-func (a userResponse) confirmsJob() bool { return a.status == 200 || a.status == 201 }
+func (response userResponse) confirmsJob() bool {
+	return response.status == 200 || response.status == 201
+}
 
 // deniesJob reports whether the response says that the job is not known or is rejected.
-func (a userResponse) deniesJob() bool {
-	return a.status == 404 || a.request == requestSubmit && (a.status == 400 || a.status == 422)
+func (response userResponse) deniesJob() bool {
+	return response.status == 404 || response.request == requestSubmit && (response.status == 400 || response.status == 422)
 }
 
 // recordResponse records a response to a user and checks the rules for it. Concurrent requests may be handled in any
--- a/internal/core/scale_bench_test.go
+++ b/internal/core/scale_bench_test.go
@@ -53,7 +53,7 @@
 	return targetStarts * machines / targetMachines / tasksPerArray * 11 / 10
 }
 
-// fillFleet submits 125% of the tasks that the fleet has capacity for.
+// fillFleet submits 125% of the target number of tasks, which is more than the fleet has capacity for.
 func (cluster *scaleCluster) fillFleet(machines int) {
 	for submittedTasks := 0; submittedTasks < targetTasks*machines/targetMachines*5/4; submittedTasks += arraysPerSecond(machines) * tasksPerArray {
 		cluster.submitArrays(arraysPerSecond(machines))
@@ -70,17 +70,17 @@
 			for range b.N {
 				cluster := newTargetCluster(b, machines)
 				tasks := targetTasks * machines / targetMachines
-				seconds, least := 0, targetTasks
+				seconds, fewestStarts := 0, targetTasks
 				for cluster.startedTasks < tasks*95/100 && seconds < 300 {
 					before := cluster.startedTasks
 					cluster.submitArrays(arraysPerSecond(machines))
 					cluster.runFor(time.Second)
 					if seconds++; seconds > 1 && cluster.startedTasks < tasks*95/100 {
-						least = min(least, cluster.startedTasks-before)
+						fewestStarts = min(fewestStarts, cluster.startedTasks-before)
 					}
 				}
 				b.ReportMetric(float64(cluster.startedTasks)/float64(seconds), "starts/s")
-				b.ReportMetric(float64(least), "least/s")
+				b.ReportMetric(float64(fewestStarts), "least/s")
 				b.ReportMetric(float64(cluster.stepTime.Microseconds())/float64(cluster.startedTasks), "µs/start")
 				b.ReportMetric(float64(cluster.longestStep.Milliseconds()), "ms-longest")
 				b.ReportMetric(float64(cluster.startedTasks), "started")
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -169,9 +169,9 @@
 		return
 	}
 	worker.stopped = true
-	cluster.rented--
+	cluster.rentedMachines--
 	if worker.machine.TaskCount() > 0 {
-		cluster.counts.releasedWithWork++
+		cluster.counts.releasedWithTasks++
 	}
 }
 
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -63,7 +63,7 @@
 	nodes                      []*scaleNode
 	workers                    []*scaleWorker
 	workerByAddr, workerByName map[string]*scaleWorker
-	rented                     int // machines rented and not released
+	rentedMachines             int // machines rented and not released
 	machineLimit               int // number of machines that the cloud offers
 	submittedJobs              int
 	liveServices               []string // IDs of submitted services that runLoad has not cancelled, oldest first
@@ -78,7 +78,7 @@
 	transactions, writes, bytes, gets, lists, pages, commands, heartbeats int
 	largestTransaction, largestBody                                       int // maximum changes and bytes of a transaction
 	mostConcurrentCalls                                                   int // maximum concurrent calls of a node to workers
-	releasedWithWork                                                      int // machines released with tasks on them
+	releasedWithTasks                                                     int // machines released with tasks on them
 }
 
 // scaleNode is a node of a scaleCluster.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -15,15 +15,15 @@
 func TestScale(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 7, 1000)
 	cluster.runLoad(500, 60, 60)
-	if cluster.rented < 600 {
-		t.Fatalf("%d machines are up, want at least 600 for a meaningful load", cluster.rented)
+	if cluster.rentedMachines < 600 {
+		t.Fatalf("%d machines are up, want at least 600 for a meaningful load", cluster.rentedMachines)
 	}
 	cluster.counts = scaleCounts{}
 	cluster.restartLeader()
 	const seconds = 60
 	cluster.runLoad(0, 0, seconds)
 	counts, store := cluster.counts, cluster.lastSettings.Params.Store
-	t.Logf("%d machines, %d heartbeats, %+v", cluster.rented, counts.heartbeats, counts)
+	t.Logf("%d machines, %d heartbeats, %+v", cluster.rentedMachines, counts.heartbeats, counts)
 	if counts.heartbeats < seconds*200 {
 		t.Errorf("got %d heartbeats, want at least 200 per second", counts.heartbeats)
 	}
@@ -37,8 +37,8 @@
 		t.Errorf("got %d concurrent calls to workers, want 1 to %d", counts.mostConcurrentCalls, limit)
 	}
 	// The cloud's list has two pages and is read once per list lag.
-	if lists := seconds / int(cluster.lastSettings.Params.Cloud.ListLagS); counts.releasedWithWork > 0 || counts.pages < 2*lists-2 {
-		t.Errorf("%d machines with tasks were released, want 0; got %d pages, want 2 for each of %d lists", counts.releasedWithWork, counts.pages, lists)
+	if lists := seconds / int(cluster.lastSettings.Params.Cloud.ListLagS); counts.releasedWithTasks > 0 || counts.pages < 2*lists-2 {
+		t.Errorf("%d machines with tasks were released, want 0; got %d pages, want 2 for each of %d lists", counts.releasedWithTasks, counts.pages, lists)
 	}
 	if counts.largestTransaction > store.TxnOps {
 		t.Errorf("got a transaction with %d changes, want at most %d", counts.largestTransaction, store.TxnOps)
@@ -55,7 +55,7 @@
 	cluster.counts = scaleCounts{}
 	cluster.isolatedZone = "z2"
 	cluster.runFor(60 * time.Second)
-	if released := cluster.counts.releasedWithWork; released > 0 || len(storedKeys(cluster.store, "w/k/")) < 6 {
+	if released := cluster.counts.releasedWithTasks; released > 0 || len(storedKeys(cluster.store, "w/k/")) < 6 {
 		t.Errorf("%d machines with tasks were released, want 0; relayed heartbeats are in %v, want at least 6 keys", released, storedKeys(cluster.store, "w/k/"))
 	}
 	t.Logf("%+v", cluster.counts)
@@ -75,9 +75,9 @@
 	few, many := run(50), run(200)
 	t.Logf("50 machines %+v", few)
 	t.Logf("200 machines %+v", many)
-	checkGrowth := func(what string, small, large int, factor float64) {
+	checkGrowth := func(name string, small, large int, factor float64) {
 		if small == 0 || float64(large) > factor*float64(small) {
-			t.Errorf("%s: got %d on 50 machines and %d on 200, want about as many", what, small, large)
+			t.Errorf("%s: got %d on 50 machines and %d on 200, want about as many", name, small, large)
 		}
 	}
 	checkGrowth("transactions", few.transactions, many.transactions, 1.2)
@@ -106,13 +106,13 @@
 		t.Errorf("got %.0f evaluations in %d s, want between half and all of %.0f", evaluations, seconds, limit)
 	}
 	for _, kind := range []string{"run-0", "run-a"} {
-		count := 0
+		lateTasks := 0
 		for task := range cluster.workerByTask {
 			if strings.HasPrefix(task, kind) && task[5:10] > "00175" {
-				count++
+				lateTasks++
 			}
 		}
-		if count == 0 {
+		if lateTasks == 0 {
 			t.Errorf("no task of a late job %s... runs, want at least one", kind)
 		}
 	}
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -30,8 +30,8 @@
 // scaleOut rents machines, up to machineLimit. They come up after 5 to 8 s.
 func (cluster *scaleCluster) scaleOut(effect core.CloudScaleOut) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.OK}
-	for i := 0; i < effect.Request.Count && cluster.rented < cluster.machineLimit; i++ {
-		cluster.rented++
+	for i := 0; i < effect.Request.Count && cluster.rentedMachines < cluster.machineLimit; i++ {
+		cluster.rentedMachines++
 		worker := &scaleWorker{index: len(cluster.workers), name: fmt.Sprintf("m%04d", len(cluster.workers)+1), zone: effect.Request.Zone,
 			upAt: cluster.now + 5*time.Second + time.Duration(cluster.random.Intn(3000))*time.Millisecond}
 		worker.addr = worker.name + ":9000"
--- a/internal/core/search_test.go
+++ b/internal/core/search_test.go
@@ -18,8 +18,8 @@
 			}
 			t.Errorf("%s\n%s", strings.Join(violations, "\n"), script)
 			if *showDirectory != "" {
-				writeLog(t, fmt.Sprintf("%d.trace", seed), script)
-				writeLog(t, fmt.Sprintf("%d.all", seed), s.log.String())
+				writeOutput(t, fmt.Sprintf("%d.trace", seed), script)
+				writeOutput(t, fmt.Sprintf("%d.all", seed), s.log.String())
 			}
 		})
 	}
--- a/internal/core/sim_links_test.go
+++ b/internal/core/sim_links_test.go
@@ -57,8 +57,8 @@
 	}
 	s.after(timeout, func() { finish(core.Result{Outcome: outcome.Unknown}) })
 	s.deliver(reachable, queueWhileDown, func() {
-		result, answered := handle()
-		if answered {
+		result, responded := handle()
+		if responded {
 			s.deliver(reachable, false, func() { finish(result) })
 		}
 	})
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -69,8 +69,8 @@
 	}
 	s.after(timeout, func() { finish(core.Result{Outcome: outcome.Unknown}) })
 	s.after(delay, func() {
-		result, answered := handleIfUp()
-		if answered && s.reachesStore(node) {
+		result, responded := handleIfUp()
+		if responded && s.reachesStore(node) {
 			s.after(delay, func() { finish(result) })
 		}
 	})
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -25,17 +25,17 @@
 	if s.storeDown || s.refusedNode == node {
 		return core.Result{CallID: callID, Outcome: outcome.Unavailable}, true
 	}
-	effectTxn, ok := effect.(core.StoreTxn)
-	if !ok || len(effectTxn.Txn.Then) == 0 {
+	call, ok := effect.(core.StoreTxn)
+	if !ok || len(call.Txn.Then) == 0 {
 		return core.Result{}, false
 	}
 	switch {
 	case s.lostResponses > 0:
 		s.lostResponses--
-		store.Txn(effectTxn.Txn)
-	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == effectTxn.Txn.Then[0].Put):
+		store.Txn(call.Txn)
+	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == call.Txn.Then[0].Put):
 		s.delayedTransactions--
-		s.heldTransactions = append(s.heldTransactions, effectTxn)
+		s.heldTransactions = append(s.heldTransactions, call)
 	default:
 		return core.Result{}, false
 	}
