--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -54,6 +54,7 @@
 func (d *outputDigest) String() string { return hex.EncodeToString(d.hash.Sum(nil)[:16]) }
 
 // wireContent returns the parts of an effect that are sent or stored; false for an effect that stays in the process.
+// The stored digests depend on the labels here and in storeContent, so these must not change.
 func wireContent(t testReporter, effect core.Effect) ([]any, bool) {
 	t.Helper()
 	switch e := effect.(type) {
--- a/internal/core/scale_worker_test.go
+++ b/internal/core/scale_worker_test.go
@@ -98,7 +98,7 @@
 	return worker
 }
 
-// Job returns the spec of a submitted job. Job and RunTime implement simworker.Jobs, the methods after them
+// Job returns the spec of a submitted job. Job and RunTime implement simworker.Jobs, and the callbacks below implement
 // simworker.Observer.
 func (cluster *scaleCluster) Job(id string) *wire.Job { return cluster.specs[id] }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// TaskRuns records that a task runs on a machine.
+// TaskRuns calls onRunning when a task runs on a machine.
 func (cluster *scaleCluster) TaskRuns(machine, task string) {
 	if cluster.onRunning != nil {
 		cluster.onRunning(machine, task)
