--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -11,10 +11,10 @@
 
 // checkCapacityIndex checks that the capacity index of each node equals one that is rebuilt from scratch.
 func (cluster *scaleCluster) checkCapacityIndex() {
-	cluster.test.Helper()
+	cluster.t.Helper()
 	for _, node := range cluster.nodes {
 		if err := node.core.CheckCapacityIndex(); err != nil {
-			cluster.test.Errorf("%s at %v: %v", node.name, cluster.now, err)
+			cluster.t.Errorf("%s at %v: %v", node.name, cluster.now, err)
 		}
 	}
 }
@@ -44,9 +44,9 @@
 	cluster.checkCapacityIndex()
 	cluster.runFor(60 * time.Second)
 	cluster.checkCapacityIndex()
-	if running < 2900 || cluster.counts.releasedWithWork > 0 || cluster.startedTasks-started < 10 {
+	if running < 2900 || cluster.counts.releasedWithTasks > 0 || cluster.startedTasks-started < 10 {
 		t.Errorf("%d tasks ran before the change of leader, %d machines with work were released, %d tasks were started after it; want at least 2900, none, at least 10",
-			running, cluster.counts.releasedWithWork, cluster.startedTasks-started)
+			running, cluster.counts.releasedWithTasks, cluster.startedTasks-started)
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestCapacityOfSilentZone(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 3, 0)
 	cluster.addMachines(100, "z1", "z2")
-	cluster.playLoad(20, 0, 10)
+	cluster.runLoad(20, 0, 10)
 	cluster.checkCapacityIndex()
 	cluster.isolatedZone = "z2"
 	cluster.runFor(40 * time.Second)
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -116,11 +116,11 @@
 
 // runCycle compares the choices of the index with those of the scan for some jobs, and applies them.
 func (f *randomFleet) runCycle() {
-	l := f.l
+	l := f.leader
 	l.refreshCapacityIndex()
 	cycle := newSchedulingCycle(l, l.cycleParams(math.MaxInt32))
-	for range f.number("decisions", 1, 30) {
-		j := f.anyJob()
+	for range f.intBetween("decisions", 1, 30) {
+		j := f.randomJob()
 		if !cycle.schedulable(j) || j.unplaced() == 0 {
 			continue
 		}
@@ -131,7 +131,7 @@
 		switch {
 		case want != nil:
 			p := cycle.place(j, l.nextTask(j, 0), want)
-			if f.chance("revert placement", 5) {
+			if f.oneIn("revert placement", 5) {
 				cycle.revertPlacement(p)
 			}
 		case j.isArray() && j.activeInstances() >= j.minInstances():
@@ -146,7 +146,7 @@
 	// A real cycle looks up the jobs that can be shrunk only once. Here the decisions follow in random order, so the
 	// list is discarded.
 	cycle.preemptible = nil
-	idleOnly := f.chance("idle only", 3)
+	idleOnly := f.oneIn("idle only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
 	want := scanPreemption(cycle, j, rule.mayStop)
 	got := cycle.cheapestPreemption(j, &rule)
@@ -187,12 +187,12 @@
 		for range rapid.SampledFrom([]int{1, 4, 10, 40}).Draw(t, "jobs") {
 			f.addJob()
 		}
-		for range f.number("cycles", 1, 6) {
+		for range f.intBetween("cycles", 1, 6) {
 			f.runCycle()
-			for range f.number("events", 0, 12) {
+			for range f.intBetween("events", 0, 12) {
 				f.randomEvent()
 			}
-			if err := f.l.core.CheckCapacityIndex(); err != nil {
+			if err := f.leader.core.CheckCapacityIndex(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -83,7 +83,7 @@
 		"response lost, leader fails": func(r *simulatedRegion) { r.lostResponses = 2; r.restartLeaderIfAny() },
 		"write late, leader fails":    func(r *simulatedRegion) { r.delayedTransactions = 2; r.restartLeaderIfAny() },
 		"write late":                  func(r *simulatedRegion) { r.delayedTransactions = 2 },
-		"leader suspended":            func(r *simulatedRegion) { r.frozen = r.leaderNode().name },
+		"leader suspended":            func(r *simulatedRegion) { r.frozenNode = r.leaderNode().name },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 		r.restartLeaderIfAny()
 	case 4:
 		if leader != nil {
-			r.frozen = leader.name
+			r.frozenNode = leader.name
 		}
 	case 5:
 		r.lostResponses = 2
@@ -226,7 +226,7 @@
 	region.startNode(1)
 	region.step(region.nodes[1], core.Tick{})
 	region.operator = withRegions
-	region.frozen, region.refusedNode = region.nodes[0].name, region.nodes[2].name
+	region.frozenNode, region.refusedNode = region.nodes[0].name, region.nodes[2].name
 	world.advance(20 * time.Second)
 	if region.nodes[1].core.PeerStatus().Leading {
 		t.Fatal("a node without regions in its settings leads")
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -12,7 +12,7 @@
 	sum := 0.0
 	for task, worker := range region.workerByTask {
 		job := region.specs[task[:len("run-000000")]]
-		if job.Team == team && !worker.dead && worker.machine.Holds(task) {
+		if job.Team == team && !worker.stopped && worker.machine.Holds(task) {
 			sum += job.GPUs
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 	a, err := quota.Decode(item.Value)
 	if err != nil {
-		region.test.Fatal(err)
+		region.t.Fatal(err)
 	}
 	return a
 }
--- a/internal/core/region_messages_test.go
+++ b/internal/core/region_messages_test.go
@@ -76,7 +76,7 @@
 
 // receive delivers a message to a node, and follows one redirect to the leader.
 func (region *simulatedRegion) receive(node *scaleNode, m regionMessage, relayed bool) {
-	if node.name == region.frozen {
+	if node.name == region.frozenNode {
 		m.done(outcome.Unknown)
 		return
 	}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -15,7 +15,7 @@
 // a store and machines of its own. At each step it checks that no team exceeds its limit in all regions together, and
 // that the shares that the regions hold and those in transfer add up to the total.
 type regionWorld struct {
-	test    reporter
+	test    testReporter
 	regions []*simulatedRegion
 	// cutLinks holds the pairs of sender and receiver between which messages are lost.
 	cutLinks          map[[2]int]bool
@@ -51,12 +51,12 @@
 
 // newRegionWorld returns regions with equal shares of two teams' limits. Each region has enough machines
 // for the limits of both teams.
-func newRegionWorld(t reporter, regions int) *regionWorld {
+func newRegionWorld(t testReporter, regions int) *regionWorld {
 	return newRegionWorldOf(t, regions, regionMachines)
 }
 
 // newRegionWorldOf is like newRegionWorld with the given number of machines in each region.
-func newRegionWorldOf(t reporter, regions, machines int) *regionWorld {
+func newRegionWorldOf(t testReporter, regions, machines int) *regionWorld {
 	world := &regionWorld{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
 		world.regions = append(world.regions, world.newRegion(i, regions))
@@ -77,14 +77,14 @@
 	region.adjustParams = func(p *config.Params) {
 		p.Teams = []config.Team{{Name: "t1", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}, {Name: "t2", GuaranteedGPUs: regionGuarantee, MaxGPUs: region.limit}}
 	}
-	region.intercept = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
+	region.interceptEffect = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
 		if e, ok := effect.(core.CallRegion); ok {
 			world.send(region, node, e)
 			return core.Result{}, false
 		}
 		return region.interceptStoreCall(node.name, region.store, effect)
 	}
-	region.onAnswer = func(response core.Response) bool {
+	region.onResponse = func(response core.Response) bool {
 		answered := region.responseHandlers[response.RequestID]
 		delete(region.responseHandlers, response.RequestID)
 		if answered != nil {
@@ -92,7 +92,7 @@
 		}
 		return answered != nil
 	}
-	region.restart()
+	region.restartNodes()
 	region.addMachines(world.machines, "z1", "z2")
 	return region
 }
@@ -207,6 +207,6 @@
 	for _, region := range world.regions {
 		region.endStoreFaults()
 		region.commitHeld(region.store)
-		region.frozen = ""
+		region.frozenNode = ""
 	}
 }
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -13,14 +13,14 @@
 // of the heartbeat whose job the node knows to be cancelled, up to the maximum number of commands. This holds whichever
 // node leads, whether or not the key-value store is available, and whether or not a user was told of the cancellation.
 func (s *simulation) checkRenewal(node *simulatedNode, r core.Response) {
-	heartbeat := node.heartbeats[r.RequestID]
-	delete(node.heartbeats, r.RequestID)
+	heartbeat := node.pendingHeartbeats[r.RequestID]
+	delete(node.pendingHeartbeats, r.RequestID)
 	response, renews := r.Body.(wire.HeartbeatResponse)
 	if heartbeat == nil || !renews {
 		return
 	}
 	for _, task := range leftRunning(heartbeat, response, node.core.KnowsCancelled) {
-		s.ruleChecker.report(s.now, "left_running",
+		s.ruleChecker.addViolation(s.now, "left_running",
 			"%s renewed the lease of %s but did not stop %s, which it knows to be cancelled (leader without recovered state: %v)",
 			node.name, heartbeat.Machine, task, node.core.Status(node.steadyTime(s.now)).Recovering > 0)
 	}
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -106,7 +106,7 @@
 	}
 	world.operator.Spread = spreadSettings
 	world.operator.Spread.MovesPerHour = 0 // so that replicas stay in place when spreading is enabled
-	world.restart()
+	world.restartNodes()
 	world.runFor(10 * time.Second)
 	world.killZone(zone)
 	world.runFor(90 * time.Second)
@@ -150,7 +150,7 @@
 	world.runService("run-000001", 1, "img-a", 8)
 	for range 3 {
 		holder := world.workerByTask["run-000001/0"]
-		holder.dead = true
+		holder.stopped = true
 		holder.machine.KillAll()
 		world.runFor(60 * time.Second)
 		if next := world.workerByTask["run-000001/0"]; len(world.zoneOf) != 1 || next == holder {
@@ -202,9 +202,9 @@
 	world.runService("run-000003", 3, "img-a", 8)
 	getPlacements := func(id string) core.Response {
 		var got core.Response
-		world.onAnswer = func(response core.Response) bool { got = response; return true }
+		world.onResponse = func(response core.Response) bool { got = response; return true }
 		world.step(world.leaderNode(), core.GetPlacements{RequestID: 1 << 40, Job: id})
-		world.onAnswer = nil
+		world.onResponse = nil
 		return got
 	}
 	placements, ok := getPlacements("run-000003").Body.([]core.ReplicaPlacement)
@@ -275,9 +275,9 @@
 	holder := world.workerByTask["run-000001/0"]
 	world.starts = 0
 	for range 5 {
-		holder.dead = true
+		holder.stopped = true
 		world.runFor(3 * time.Second)
-		holder.dead = false
+		holder.stopped = false
 		world.runFor(5 * time.Second)
 	}
 	if world.workerByTask["run-000001/0"] != holder || world.starts != 0 || len(world.zoneOf) != 1 {
@@ -302,8 +302,8 @@
 	maxWait := time.Duration(0)
 	startedAt := map[string]time.Duration{}
 	world.onStart = func(task string) { startedAt[task] = world.now }
-	countRunning := world.onRuns
-	world.onRuns = func(machine, task string) {
+	countRunning := world.onRunning
+	world.onRunning = func(machine, task string) {
 		countRunning(machine, task)
 		if strings.HasPrefix(task, "run-000001/") {
 			maxWait = max(maxWait, world.now-startedAt[task])
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -42,8 +42,8 @@
 // checkJobs checks that no new job runs before its step, and that no old job is cancelled before the plan retires them.
 func (world *rolloutWorld) checkJobs(r *rollout.Record) {
 	for i := range newJobs {
-		if world.runsOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
-			world.test.Fatalf("new job %s runs in phase %s of step %d", newJob(i), r.Phase, r.Step)
+		if world.hasTaskOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
+			world.t.Fatalf("new job %s runs in phase %s of step %d", newJob(i), r.Phase, r.Step)
 		}
 	}
 	if world.capacityNotGuaranteed || r.Phase == rollout.Retiring || r.Phase == rollout.Completed {
@@ -51,7 +51,7 @@
 	}
 	for i := range oldJobs {
 		if world.cancelled(oldJob(i)) {
-			world.test.Fatalf("old job %s is cancelled in phase %s", oldJob(i), r.Phase)
+			world.t.Fatalf("old job %s is cancelled in phase %s", oldJob(i), r.Phase)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		}
 	}
 	if capacity < world.plan.PromisedCapacity {
-		world.test.Fatalf("%v: router %s has a capacity of %g in phase %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
+		world.t.Fatalf("%v: router %s has a capacity of %g in phase %s of step %d: %+v, lease until %v", world.now, router.name, capacity, r.Phase,
 			r.Step, weights, router.grantExpiresAt)
 	}
 }
@@ -80,7 +80,7 @@
 // it.
 func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
 	if !r.Phase.Terminal() && !slices.Contains(r.Routers, router.name) {
-		world.test.Fatalf("%v: router %s has a routing and is not recorded in phase %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
+		world.t.Fatalf("%v: router %s has a routing and is not recorded in phase %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
 
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -82,9 +82,9 @@
 		world := newRolloutWorld(t)
 		world.start()
 		world.waitForPhase(phase)
-		world.frozen = world.leaderNode().name
+		world.frozenNode = world.leaderNode().name
 		world.advance(9 * time.Second)
-		world.frozen = ""
+		world.frozenNode = ""
 		world.waitForPhase(rollout.Completed)
 	}
 }
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -21,12 +21,12 @@
 		t.Errorf("unexpected phases: %s", got)
 	}
 	for i := range newJobs {
-		if !world.runsOnWorker(newJob(i)) || world.cancelled(newJob(i)) {
+		if !world.hasTaskOnWorker(newJob(i)) || world.cancelled(newJob(i)) {
 			t.Errorf("new job %s does not run", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if world.runsOnWorker(oldJob(i)) || !world.cancelled(oldJob(i)) {
+		if world.hasTaskOnWorker(oldJob(i)) || !world.cancelled(oldJob(i)) {
 			t.Errorf("old job %s still runs or is not cancelled", oldJob(i))
 		}
 	}
@@ -44,26 +44,26 @@
 // checkRolledBack waits for the rollback and checks its reason, that only the old version runs, and that no router
 // sends traffic to the new one.
 func (world *rolloutWorld) checkRolledBack(reason rollout.Reason) {
-	world.test.Helper()
+	world.t.Helper()
 	world.waitForPhase(rollout.RolledBack)
 	world.advance(5 * time.Second)
 	if r := world.record(); r.Reason != reason {
-		world.test.Errorf("rolled back for reason %q, detail %q, want reason %q", r.Reason, r.Detail, reason)
+		world.t.Errorf("rolled back for reason %q, detail %q, want reason %q", r.Reason, r.Detail, reason)
 	}
 	for i := range newJobs {
-		if world.runsOnWorker(newJob(i)) {
-			world.test.Errorf("new job %s still runs", newJob(i))
+		if world.hasTaskOnWorker(newJob(i)) {
+			world.t.Errorf("new job %s still runs", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if !world.capacityNotGuaranteed && (world.cancelled(oldJob(i)) || !world.runsOnWorker(oldJob(i))) {
-			world.test.Errorf("old job %s does not run", oldJob(i))
+		if !world.capacityNotGuaranteed && (world.cancelled(oldJob(i)) || !world.hasTaskOnWorker(oldJob(i))) {
+			world.t.Errorf("old job %s does not run", oldJob(i))
 		}
 	}
 	for _, r := range world.routers {
 		for _, weight := range r.weights(world.now) {
 			if weight.Version == rollout.NewVersion {
-				world.test.Errorf("router %s sends traffic to %s", r.name, weight.Task)
+				world.t.Errorf("router %s sends traffic to %s", r.name, weight.Task)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 	world.waitForPhase(rollout.Baking)
 	for _, worker := range world.workers {
 		if worker.machine.Holds("run-000011/0") && !worker.machine.Holds("run-000001/0") && !worker.machine.Holds("run-000002/0") {
-			worker.dead = true
+			worker.stopped = true
 		}
 	}
 	world.capacityNotGuaranteed = true
@@ -143,7 +143,7 @@
 	world.submitNew()
 	world.waitForPhase(rollout.Starting)
 	world.advance(15 * time.Second)
-	if r := world.record(); r.Phase != rollout.Starting || world.runsOnWorker(newJob(0)) {
+	if r := world.record(); r.Phase != rollout.Starting || world.hasTaskOnWorker(newJob(0)) {
 		t.Errorf("the step does not wait for quota: %+v", r)
 	}
 	world.checkRolledBack(rollout.TimedOut)
@@ -165,7 +165,7 @@
 	world.setWrongAnswers(func(task string) bool { return task == "run-000111/0" })
 	world.waitForPhase(rollout.Completed)
 	world.advance(10 * time.Second)
-	if !world.cancelled("run-000111") || world.cancelled("run-000101") || !world.runsOnWorker("run-000101") {
+	if !world.cancelled("run-000111") || world.cancelled("run-000101") || !world.hasTaskOnWorker("run-000101") {
 		t.Error("the plan whose new version answers wrongly was not rolled back")
 	}
 }
@@ -173,8 +173,8 @@
 // TestOutdatedController runs one controller of a version without rollouts. No plan is accepted until it was replaced.
 func TestOutdatedController(t *testing.T) {
 	world := newRolloutWorld(t)
-	world.outdatedNode = world.follower().name
-	world.restart()
+	world.outdatedNode = world.followerNode().name
+	world.restartNodes()
 	world.advance(8 * time.Second)
 	for world.leaderNode().name == world.outdatedNode {
 		world.restartLeader()
@@ -265,7 +265,7 @@
 			t.Errorf("held job %s is not pending: %+v", newJob(i), response)
 		}
 	}
-	if !world.runsOnWorker("run-000050") {
+	if !world.hasTaskOnWorker("run-000050") {
 		t.Error("a job outside of the plan is held back")
 	}
 	world.restartLeaderIfAny()
@@ -342,7 +342,7 @@
 func TestRolloutsDisabled(t *testing.T) {
 	world := newRolloutWorld(t)
 	world.operator.Rollouts.Enabled = false
-	world.restart()
+	world.restartNodes()
 	world.advance(10 * time.Second)
 	if response := world.apply(); response.Status != 422 || len(storedKeys(world.store, "w/p/")) > 0 {
 		t.Errorf("plan with rollouts disabled: %+v", response)
@@ -356,7 +356,7 @@
 	world.waitForPhase(rollout.Baking)
 	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/p/reader", Value: []byte(`"corrupt"`)}}})
 	world.runFor(20 * time.Second)
-	if world.runsOnWorker(newJob(1)) || !world.runsOnWorker(newJob(0)) || !world.runsOnWorker(oldJob(0)) {
+	if world.hasTaskOnWorker(newJob(1)) || !world.hasTaskOnWorker(newJob(0)) || !world.hasTaskOnWorker(oldJob(0)) {
 		t.Error("jobs of an unreadable plan were started or cancelled")
 	}
 	if response := world.change(rollout.Abort); response.Status != 422 {
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -66,14 +66,14 @@
 func newJob(i int) string { return fmt.Sprintf("run-0000%02d", 11+i) }
 
 // newRolloutWorld returns a cluster in which the old version runs completely and the nodes are ready to accept a plan.
-func newRolloutWorld(t reporter) *rolloutWorld {
+func newRolloutWorld(t testReporter) *rolloutWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &rolloutWorld{scaleCluster: cluster}
 	cluster.digest = newOutputDigest()
 	cluster.operator.Rollouts.Enabled, cluster.operator.Rollouts.CheckIntervalS, cluster.operator.Rollouts.CheckTimeoutS, cluster.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
 	cluster.operator.IdleTimeoutBoots = 100
-	cluster.intercept = world.interceptCall
-	cluster.restart()
+	cluster.interceptEffect = world.interceptCall
+	cluster.restartNodes()
 	cluster.addMachines(8, "z1", "z2")
 	cluster.runFor(4 * time.Second)
 	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.VersionSpec{ReplicaCapacity: 10}, New: rollout.VersionSpec{ReplicaCapacity: 10}, PromisedCapacity: 30,
@@ -162,7 +162,7 @@
 func (world *rolloutWorld) probe(r rollout.Replica) rollout.ProbeResult {
 	machine := world.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
-	case machine == nil || machine.dead || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
+	case machine == nil || machine.stopped || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
 	case r.Version == rollout.NewVersion && world.wrongAnswers != nil && world.wrongAnswers(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.Failed, Check: "sum"}
@@ -176,13 +176,13 @@
 	world.lastRequest++
 	request := world.lastRequest << 16
 	var got *core.Response
-	world.onAnswer = func(response core.Response) bool {
+	world.onResponse = func(response core.Response) bool {
 		if response.RequestID == request {
 			got = &response
 		}
 		return response.RequestID == request
 	}
-	if node.name == world.frozen {
+	if node.name == world.frozenNode {
 		return nil
 	}
 	world.step(node, input(request))
@@ -207,7 +207,7 @@
 		}
 		world.advance(200 * time.Millisecond)
 	}
-	world.test.Fatal("request was not answered after 60 attempts")
+	world.t.Fatal("request was not answered after 60 attempts")
 	return nil
 }
 
@@ -218,9 +218,9 @@
 
 // start applies the plan and submits the new jobs.
 func (world *rolloutWorld) start() {
-	world.test.Helper()
+	world.t.Helper()
 	if response := world.apply(); response.Status != 200 {
-		world.test.Fatalf("the plan was refused: %+v", response)
+		world.t.Fatalf("the plan was refused: %+v", response)
 	}
 	world.submitNew()
 }
@@ -240,7 +240,7 @@
 	}
 	r, err := rollout.Decode(item.Value)
 	if err != nil {
-		world.test.Fatal(err)
+		world.t.Fatal(err)
 	}
 	return r
 }
@@ -283,19 +283,19 @@
 
 // waitForPhase runs the simulation until the plan is in a phase.
 func (world *rolloutWorld) waitForPhase(phase rollout.Phase) {
-	world.test.Helper()
+	world.t.Helper()
 	for range 3000 {
 		if r := world.record(); r != nil && r.Phase == phase {
 			return
 		}
 		world.advance(100 * time.Millisecond)
 	}
-	world.test.Fatalf("phase %s was not reached: %v, %+v", phase, world.phases, world.record())
+	world.t.Fatalf("phase %s was not reached: %v, %+v", phase, world.phases, world.record())
 }
 
 // limitTeam sets the limit of the plan's team and restarts the nodes.
 func (world *rolloutWorld) limitTeam(gpus float64) {
 	world.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
-	world.restart()
+	world.restartNodes()
 	world.advance(10 * time.Second)
 }
--- a/internal/core/script_faults_test.go
+++ b/internal/core/script_faults_test.go
@@ -75,14 +75,18 @@
 	"polls":        fault.startPolling,
 	"partition":    fault.partition,
 	"zone_cut":     fault.isolateZone,
-	"odd":          func(f fault) { f.simulation.sendOddRequests() },
+	"odd":          func(f fault) { f.simulation.sendEdgeCaseRequests() },
 }
 
 // workerFaultHandlers maps the name of a fault of one worker to its handler.
 var workerFaultHandlers = map[string]func(f fault, worker *simulatedWorker){
-	"hang":   func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.endAt(2)) },
-	"deaf":   func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.endAt(2)) },
-	"mute":   func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.endAt(2)) },
+	"hang": func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.endAt(2)) },
+	"deaf": func(f fault, worker *simulatedWorker) {
+		worker.inboundCutUntil = max(worker.inboundCutUntil, f.endAt(2))
+	},
+	"mute": func(f fault, worker *simulatedWorker) {
+		worker.outboundCutUntil = max(worker.outboundCutUntil, f.endAt(2))
+	},
 	"sick":   fault.makeFaulty,
 	"die":    fault.stopMachine,
 	"take":   func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
@@ -91,7 +95,7 @@
 
 // inject injects a fault.
 func (s *simulation) inject(f fault) {
-	s.record("fault: %s", strings.Join(f.words, " "))
+	s.logf("fault: %s", strings.Join(f.words, " "))
 	if handle := faultHandlers[f.words[0]]; handle != nil {
 		handle(f)
 		return
@@ -104,7 +108,7 @@
 	if worker == nil || worker.gone {
 		return
 	}
-	s.record("faulted worker: %s", worker.name)
+	s.logf("faulted worker: %s", worker.name)
 	handle(f, worker)
 }
 
@@ -192,7 +196,7 @@
 		}
 	}
 	poll()
-	f.simulation.at(end+2*time.Second, func() { f.simulation.show("polls: %v", f.simulation.pollStatuses) })
+	f.simulation.at(end+2*time.Second, func() { f.simulation.tracef("polls: %v", f.simulation.pollStatuses) })
 }
 
 // partition partitions the zones from each other.
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -29,7 +29,7 @@
 		runner.handleLine(words)
 	}
 	runner.simulation.run()
-	return runner.simulation, runner.simulation.brokenRules()
+	return runner.simulation, runner.simulation.violations()
 }
 
 // handleLine handles a line of a script. Zones and seed have an effect only before all other lines.
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -20,7 +20,7 @@
 
 // newSpreadWorld returns a cluster with the given number of machines in each zone. The first two zones have controller
 // nodes.
-func newSpreadWorld(t reporter, spread config.Spread, machinesPerZone map[string]int) *spreadWorld {
+func newSpreadWorld(t testReporter, spread config.Spread, machinesPerZone map[string]int) *spreadWorld {
 	cluster := newScaleCluster(t, 3, 0)
 	world := &spreadWorld{scaleCluster: cluster, zoneOf: map[string]string{}}
 	cluster.operator.IdleTimeoutBoots = 100
@@ -31,9 +31,9 @@
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	cluster.onRuns = func(machine, task string) { world.zoneOf[task] = cluster.workerByName[machine].zone; world.starts++ }
-	cluster.onEnds = func(task string) { delete(world.zoneOf, task) }
-	cluster.restart()
+	cluster.onRunning = func(machine, task string) { world.zoneOf[task] = cluster.workerByName[machine].zone; world.starts++ }
+	cluster.onEnd = func(task string) { delete(world.zoneOf, task) }
+	cluster.restartNodes()
 	for _, zone := range []string{"z1", "z2", "z3"} {
 		if machinesPerZone[zone] > 0 {
 			cluster.addMachines(machinesPerZone[zone], zone)
@@ -65,17 +65,17 @@
 
 // expectReplicas checks the number of replicas in each zone.
 func (world *spreadWorld) expectReplicas(what string, z1, z2, z3 int) {
-	world.test.Helper()
+	world.t.Helper()
 	if got := world.replicasByZone(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
-		world.test.Errorf("%s: replicas by zone are %v, want %d, %d, %d", what, got, z1, z2, z3)
+		world.t.Errorf("%s: replicas by zone are %v, want %d, %d, %d", what, got, z1, z2, z3)
 	}
 }
 
 // killZone kills all machines of a zone.
 func (world *spreadWorld) killZone(zone string) {
 	for _, worker := range world.workers {
-		if worker.zone == zone && !worker.dead {
-			worker.dead = true
+		if worker.zone == zone && !worker.stopped {
+			worker.stopped = true
 			worker.machine.KillAll()
 		}
 	}
