--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,4 +1,4 @@
-// Command fleetsim simulates a large fleet on one machine: real controllers, simulated workers.
+// Command fleetsim simulates a large fleet on one machine, with real controllers and simulated workers.
 package main
 
 import (
@@ -17,31 +17,30 @@
 	"bitternwing/internal/fleetsim"
 )
 
-// The exit statuses; kong ends with 80 for wrong arguments.
+// The exit statuses. Kong exits with 80 for invalid arguments.
 const (
-	exitFailure    = 1
-	exitRuleBroken = 3
-	exitPromise    = 4
+	exitFailure       = 1
+	exitRuleBroken    = 3
+	exitPromiseBroken = 4
 )
 
-// controllerPackage is the controllers' program, built where no binary is named.
+// controllerPackage is the package of the controller binary, which is built unless --binary is set.
 const controllerPackage = "./cmd/bitternwing"
 
-// cli are the flags. Kong makes them and their help from the tags.
+// cli holds the command line arguments. Kong derives them and their help from the tags.
 type cli struct {
-	Scenario  string  `arg:"" optional:"" default:"deploy/scale/smoke.json" help:"The scenario (JSON)."`
-	Binary    string  `placeholder:"FILE" help:"The controllers' program; built from these sources if absent."`
-	Out       string  `default:"target/fleetsim" placeholder:"DIR" help:"Where settings, logs and results go."`
-	Port      int     `default:"0" help:"First port of the controllers; 0: any free ones."`
-	Processes int     `default:"40" help:"The most processes to run."`
-	Scale     float64 `default:"1" help:"Simulate this share of the scenario's workers, teams and starts."`
-	Schema    bool    `help:"Print the schema of scenarios and end."`
+	Scenario  string  `arg:"" optional:"" default:"deploy/scale/smoke.json" help:"Scenario file (JSON)."`
+	Binary    string  `placeholder:"FILE" help:"Controller binary. Built from the sources in the current directory if not set."`
+	Out       string  `default:"target/fleetsim" placeholder:"DIR" help:"Directory for settings, logs and results."`
+	Port      int     `default:"0" help:"First port of the controllers, or 0 for any free ports."`
+	Processes int     `default:"40" help:"Maximum number of processes to run."`
+	Scale     float64 `default:"1" help:"Share of the scenario's workers, teams and starts to simulate."`
+	Schema    bool    `help:"Print the JSON schema of scenarios and exit."`
 }
 
-// outMode is the mode of the directory for the output.
-const outMode = 0o755
+const outDirMode = 0o755
 
-// Run simulates the scenario, and writes and prints the result.
+// Run simulates the scenario, or its sweep, and writes and prints the result.
 func (c *cli) Run() error {
 	if c.Schema {
 		_, err := os.Stdout.Write(fleetsim.ScenarioSchema())
@@ -54,7 +53,7 @@
 	if c.Scale != 1 {
 		scenario = scenario.Scale(c.Scale)
 	}
-	if err := os.MkdirAll(c.Out, outMode); err != nil {
+	if err := os.MkdirAll(c.Out, outDirMode); err != nil {
 		return err
 	}
 	binary, err := c.controllerBinary(context.Background())
@@ -69,7 +68,7 @@
 	return c.simulate(ctx, scenario, binary)
 }
 
-// simulate simulates a scenario once.
+// simulate simulates a scenario once, and shows the progress.
 func (c *cli) simulate(ctx context.Context, scenario *fleetsim.Scenario, binary string) error {
 	progress := newProgress(os.Stderr, scenario)
 	options := c.options(binary)
@@ -83,7 +82,7 @@
 }
 
 func (c *cli) options(binary string) fleetsim.Options {
-	return fleetsim.Options{Binary: binary, Dir: c.Out, BasePort: c.Port, MaxProcesses: c.Processes}
+	return fleetsim.Options{ControllerBinary: binary, Dir: c.Out, BasePort: c.Port, MaxProcesses: c.Processes}
 }
 
 // sweep simulates a scenario once for each variant and seed.
@@ -92,7 +91,7 @@
 	return errors.Join(err, fleetsim.WriteSweep(c.Out, runs), fleetsim.PrintSweep(os.Stdout, runs))
 }
 
-// controllerBinary gives the path of the controllers' program, which is built if none is named.
+// controllerBinary returns the path of the controller binary. It builds the binary unless --binary is set.
 func (c *cli) controllerBinary(ctx context.Context) (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
@@ -101,12 +100,12 @@
 	build := exec.CommandContext(ctx, "go", "build", "-o", binary, controllerPackage)
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		return "", fmt.Errorf("building %s (name a binary with --binary elsewhere): %w", controllerPackage, err)
+		return "", fmt.Errorf("build %s (use --binary outside the source directory): %w", controllerPackage, err)
 	}
 	return binary, nil
 }
 
-// write writes the result to files and prints a summary.
+// write writes the result to files, and prints a summary to w.
 func (c *cli) write(w io.Writer, result *fleetsim.Result) error {
 	data, page := filepath.Join(c.Out, "result.json"), filepath.Join(c.Out, "result.html")
 	if err := result.Write(data); err != nil {
@@ -124,20 +123,20 @@
 
 func main() {
 	var command cli
-	ctx := kong.Parse(&command, kong.Name("fleetsim"), kong.Description("Simulates a large fleet on one machine: real controllers, simulated workers."))
+	ctx := kong.Parse(&command, kong.Name("fleetsim"), kong.Description("Simulates a large fleet on one machine, with real controllers and simulated workers."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "fleetsim:", err)
 		os.Exit(exitStatus(err))
 	}
 }
 
-// exitStatus gives the exit status for an error.
+// exitStatus returns the exit status for an error.
 func exitStatus(err error) int {
 	if errors.Is(err, fleetsim.ErrRuleBroken) {
 		return exitRuleBroken
 	}
 	if errors.Is(err, fleetsim.ErrPromiseBroken) {
-		return exitPromise
+		return exitPromiseBroken
 	}
 	return exitFailure
 }
--- a/cmd/fleetsim/progress.go
+++ b/cmd/fleetsim/progress.go
@@ -7,10 +7,11 @@
 	"bitternwing/internal/fleetsim"
 )
 
-// progressIntervalS is how often a line is written where the output is no terminal.
+// progressIntervalS is the interval in seconds between lines if the output is not a terminal.
 const progressIntervalS = 10
 
-// progress shows the progress of a simulation: on a terminal one line that changes, elsewhere a line now and then.
+// progress shows the progress of a simulation. On a terminal it updates a single line, elsewhere it writes a line at
+// intervals.
 type progress struct {
 	out      *os.File
 	scenario *fleetsim.Scenario
@@ -23,10 +24,10 @@
 	return &progress{out: out, scenario: scenario, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-// show shows a second. Errors of writing are ignored: the result does not depend on them.
+// show shows the counts of a second. Write errors are ignored, as they do not affect the result.
 func (p *progress) show(second fleetsim.Second) {
 	p.seconds++
-	line := fmt.Sprintf("%4.0f of %.0f s  leader %-14s %5d workers  asked %5d/s  started %5d/s  on machines %6d  broken rules %d",
+	line := fmt.Sprintf("%4.0f of %.0f s  leader %-14s %5d workers  requested %5d/s  started %5d/s  on machines %6d  violations %d",
 		second.AtS, p.scenario.DurationS, second.Leader, second.Reporting, second.Requested, second.Started, second.OnMachine, second.Violations)
 	switch {
 	case p.terminal:
@@ -36,7 +37,7 @@
 	}
 }
 
-// end ends the line on a terminal.
+// end completes the line on a terminal.
 func (p *progress) end() {
 	if p.terminal && p.seconds > 0 {
 		_, _ = fmt.Fprintln(p.out)
--- a/internal/fleetsim/controller_settings.go
+++ b/internal/fleetsim/controller_settings.go
@@ -14,25 +14,25 @@
 	"bitternwing/internal/fleetsim/measure"
 )
 
-// allocate gives controllers names, zones and addresses, and connects them by relays.
+// allocate creates the controllers with their names, zones and addresses, and connects them by relays.
 func (c *controllers) allocate(scenario *Scenario, basePort int, traffic *measure.Traffic) error {
-	free := addresses{basePort}
+	allocator := addressAllocator{basePort}
 	for i := range scenario.Controllers.Count {
 		process := &controller{name: fmt.Sprintf("controller-%02d", i), zone: scenario.Zones[i%len(scenario.Zones)]}
 		var err error
-		if process.publicAddress, err = free.next(); err != nil {
+		if process.publicAddress, err = allocator.allocate(); err != nil {
 			return err
 		}
-		if process.internalAddress, err = free.next(); err != nil {
+		if process.internalAddress, err = allocator.allocate(); err != nil {
 			return err
 		}
 		c.list = append(c.list, process)
 	}
-	return c.connect(traffic)
+	return c.connectRelays(traffic)
 }
 
-// connect connects each controller to all others by relays.
-func (c *controllers) connect(traffic *measure.Traffic) error {
+// connectRelays creates a relay from each controller to each other one.
+func (c *controllers) connectRelays(traffic *measure.Traffic) error {
 	for _, source := range c.list {
 		for _, target := range c.list {
 			if source == target {
@@ -48,28 +48,28 @@
 	return nil
 }
 
-// addresses gives controllers addresses on loopback, from a port on, or any free ones for port 0.
-type addresses struct{ port int }
+// addressAllocator allocates loopback addresses with consecutive ports, or with any free port if nextPort is 0.
+type addressAllocator struct{ nextPort int }
 
-// next gives another address; an error names the port that is not free.
-func (a *addresses) next() (string, error) {
-	if a.port == 0 {
+// allocate returns an unused address. The error names the port if it is in use.
+func (a *addressAllocator) allocate() (string, error) {
+	if a.nextPort == 0 {
 		return emulator.FreeAddr(), nil
 	}
-	addr := fmt.Sprintf("127.0.0.1:%d", a.port)
+	addr := fmt.Sprintf("127.0.0.1:%d", a.nextPort)
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", addr)
 	if err != nil {
-		return "", fmt.Errorf("port %d: %w", a.port, err)
+		return "", fmt.Errorf("port %d: %w", a.nextPort, err)
 	}
-	a.port++
+	a.nextPort++
 	return addr, listener.Close()
 }
 
-// writeSettings writes the settings files of all controllers.
+// writeSettings writes and validates the settings files of all controllers.
 func (c *controllers) writeSettings(scenario *Scenario, params config.Params, modelPort int) error {
 	if len(scenario.Operator) > 0 {
 		if err := c.writeOperatorSettings(scenario, modelPort); err != nil {
-			return fmt.Errorf("operators' settings: %w", err)
+			return fmt.Errorf("operator settings: %w", err)
 		}
 	}
 	for _, process := range c.list {
@@ -80,16 +80,15 @@
 	return nil
 }
 
-// settingsMode is the mode of settings files.
-const settingsMode = 0o600
+const settingsFileMode = 0o600
 
 func (c *controllers) writeOperatorSettings(scenario *Scenario, modelPort int) error {
-	operator, err := scenario.operatorWith(modelPort)
+	operator, err := scenario.operatorSettings(modelPort)
 	if err != nil {
 		return err
 	}
 	c.operatorFile = filepath.Join(c.dir, "operator.json")
-	if err := os.WriteFile(c.operatorFile, operator, settingsMode); err != nil {
+	if err := os.WriteFile(c.operatorFile, operator, settingsFileMode); err != nil {
 		return err
 	}
 	_, err = config.LoadOperator(c.operatorFile)
@@ -106,14 +105,14 @@
 		Params:     params,
 	}
 	for _, relay := range process.relays {
-		settings.Peers = append(settings.Peers, config.Peer{Node: relay.target, Zone: c.named(relay.target).zone, Addr: relay.addr()})
+		settings.Peers = append(settings.Peers, config.Peer{Node: relay.target, Zone: c.byName(relay.target).zone, Addr: relay.addr()})
 	}
 	text, err := toml.Marshal(settings)
 	if err != nil {
 		return err
 	}
 	process.settingsFile = filepath.Join(c.dir, process.name+".toml")
-	if err := os.WriteFile(process.settingsFile, text, settingsMode); err != nil {
+	if err := os.WriteFile(process.settingsFile, text, settingsFileMode); err != nil {
 		return err
 	}
 	_, err = config.Load(process.settingsFile)
--- a/internal/fleetsim/controllers.go
+++ b/internal/fleetsim/controllers.go
@@ -13,17 +13,17 @@
 	"bitternwing/internal/fleetsim/measure"
 )
 
-// controller is a controller process, with all that it takes to restart it.
+// controller is a controller process and what is needed to restart it.
 type controller struct {
 	name, zone                     string
 	publicAddress, internalAddress string
 	storeAddress, cloudAddress     string
 	settingsFile                   string
-	relays                         []*relay // to the others
+	relays                         []*relay // to each other controller
 
 	cmd       *exec.Cmd
 	exited    chan struct{}
-	killed    bool // on purpose
+	killed    bool // by kill; any other exit is unexpected
 	restartAt time.Duration
 	usage     *measure.Process
 }
@@ -32,16 +32,16 @@
 type controllers struct {
 	binary          string
 	dir             string
-	operatorFile    string // of the operators' settings; empty: none
+	operatorFile    string // path of the operator settings; "" if there are none
 	now             func() time.Duration
-	unexpectedExits chan string // names
+	unexpectedExits chan string // names of controllers
 
 	mu   sync.Mutex
 	list []*controller
 }
 
-// named gives the controller of a name; nil if there is none.
-func (c *controllers) named(name string) *controller {
+// byName returns the controller with a name, or nil.
+func (c *controllers) byName(name string) *controller {
 	for _, process := range c.list {
 		if process.name == name {
 			return process
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// start starts a controller's process. Its log is kept beside its settings.
+// start starts a controller's process, and its resource measurements.
 func (c *controllers) start(process *controller) error {
 	cmd, err := c.spawn(process)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	exited := make(chan struct{})
 	c.mu.Lock()
-	process.cmd, process.exited, process.killed, process.restartAt = cmd, exited, false, never
+	process.cmd, process.exited, process.killed, process.restartAt = cmd, exited, false, noRestart
 	if process.usage == nil {
 		process.usage = measure.NewProcess(process.name, cmd.Process.Pid, c.now().Seconds())
 	} else {
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// spawn starts the program of a controller.
+// spawn starts the controller binary. Its log is appended to a file in the directory of the settings.
 func (c *controllers) spawn(process *controller) (*exec.Cmd, error) {
 	args := []string{"--config", process.settingsFile}
 	if c.operatorFile != "" {
 		args = append(args, "--operator", c.operatorFile)
 	}
-	// The process outlives every context: it ends by kill, which waits for it.
+	// The process is not bound to a context: kill ends it and waits for its exit.
 	cmd := exec.CommandContext(context.Background(), c.binary, args...)
-	log, err := os.OpenFile(filepath.Join(c.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, logMode)
+	log, err := os.OpenFile(filepath.Join(c.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, logFileMode)
 	if err != nil {
 		return nil, err
 	}
@@ -86,12 +86,11 @@
 	return cmd, cmd.Start()
 }
 
-// logMode is the mode of the controllers' logs.
-const logMode = 0o600
+const logFileMode = 0o600
 
-// awaitExit waits for the end of a process, and tells if it was unexpected.
+// awaitExit waits for a process to exit, and reports an exit that kill did not cause.
 func (c *controllers) awaitExit(process *controller, cmd *exec.Cmd, exited chan<- struct{}) {
-	_ = cmd.Wait() // a killed process ends with an error
+	_ = cmd.Wait() // killed processes return an error
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !process.killed {
@@ -110,10 +109,10 @@
 	return nil
 }
 
-// never is the restart time of a controller that is not restarted.
-const never = 0
+// noRestart is the restartAt of a controller that is not restarted.
+const noRestart = 0
 
-// kill kills a controller's process, and waits for its end. restartAt is when it is restarted, or never.
+// kill kills a controller's process and waits for its exit. It is restarted at restartAt, unless that is noRestart.
 func (c *controllers) kill(process *controller, restartAt time.Duration) error {
 	c.mu.Lock()
 	cmd, exited := process.cmd, process.exited
@@ -129,8 +128,8 @@
 	return nil
 }
 
-// restartDue restarts the controllers that are due.
-func (c *controllers) restartDue() error {
+// restartDueControllers starts the killed controllers whose restart time has come.
+func (c *controllers) restartDueControllers() error {
 	for _, process := range c.list {
 		c.mu.Lock()
 		due := process.restartAt > 0 && c.now() >= process.restartAt
@@ -145,18 +144,18 @@
 	return nil
 }
 
-// sample samples all running processes.
+// sample samples the running processes' resource usage.
 func (c *controllers) sample(atS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, process := range c.list {
 		if process.usage != nil && !process.killed {
-			_ = process.usage.Sample(atS) // process that just ended has no sample
+			_ = process.usage.Sample(atS) // fails if the process has just exited
 		}
 	}
 }
 
-// residentMB is the resident memory of all processes, as last sampled.
+// residentMB returns the resident memory of all processes in their last samples.
 func (c *controllers) residentMB() float64 {
 	sum := 0.0
 	for _, process := range c.list {
@@ -167,11 +166,11 @@
 	return sum
 }
 
-// close ends all processes and relays.
+// close kills all processes and closes their relays.
 func (c *controllers) close() error {
 	var errs error
 	for _, process := range c.list {
-		errs = errors.Join(errs, c.kill(process, never))
+		errs = errors.Join(errs, c.kill(process, noRestart))
 		for _, relay := range process.relays {
 			relay.close()
 		}
@@ -179,22 +178,22 @@
 	return errs
 }
 
-// addresses gives the public addresses, and the names by address.
-func (c *controllers) addresses() ([]string, map[string]string) {
+// publicAddresses returns the public addresses of all controllers, and the controllers' names by address.
+func (c *controllers) publicAddresses() ([]string, map[string]string) {
 	names := map[string]string{}
-	var all []string
+	var addresses []string
 	for _, process := range c.list {
-		all = append(all, process.publicAddress)
+		addresses = append(addresses, process.publicAddress)
 		names[process.publicAddress] = process.name
 	}
-	return all, names
+	return addresses, names
 }
 
-// setZonePartitioned begins or ends a partition between a zone's controllers and the others.
+// setZonePartitioned begins or ends a partition between a zone's controllers and those of the other zones.
 func (c *controllers) setZonePartitioned(zone string, partitioned bool) {
 	for _, process := range c.list {
 		for _, relay := range process.relays {
-			if (process.zone == zone) != (c.named(relay.target).zone == zone) {
+			if (process.zone == zone) != (c.byName(relay.target).zone == zone) {
 				relay.setPartitioned(partitioned)
 			}
 		}
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -11,32 +11,32 @@
 	"bitternwing/internal/simworker"
 )
 
-// scheduledAction is an action with the time at which it is due.
+// scheduledAction is an action that is due at a time after the start.
 type scheduledAction struct {
 	dueAt  time.Duration
 	action func() error
 }
 
-// schedule gives the actions of the scenario's faults, in order of their times.
-func (sim *simulation) schedule() []scheduledAction {
-	var all []scheduledAction
+// faultSchedule returns the actions that begin and end the scenario's faults, ordered by time.
+func (sim *simulation) faultSchedule() []scheduledAction {
+	var actions []scheduledAction
 	for i, f := range sim.scenario.Faults {
 		at := config.Seconds(f.AtS)
-		begin, end := sim.fault(f, uint64(i))
-		all = append(all, scheduledAction{at, begin})
+		begin, end := sim.faultActions(f, uint64(i))
+		actions = append(actions, scheduledAction{at, begin})
 		if end != nil && f.ForS > 0 {
-			all = append(all, scheduledAction{at + config.Seconds(f.ForS), end})
+			actions = append(actions, scheduledAction{at + config.Seconds(f.ForS), end})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b scheduledAction) int { return cmp.Compare(a.dueAt, b.dueAt) })
-	return all
+	slices.SortStableFunc(actions, func(a, b scheduledAction) int { return cmp.Compare(a.dueAt, b.dueAt) })
+	return actions
 }
 
-// injectDueFaults does the actions that are due.
+// injectDueFaults executes the fault actions that are due.
 func (sim *simulation) injectDueFaults() error {
-	for len(sim.faults) > 0 && sim.now() >= sim.faults[0].dueAt {
-		action := sim.faults[0].action
-		sim.faults = sim.faults[1:]
+	for len(sim.pendingFaults) > 0 && sim.now() >= sim.pendingFaults[0].dueAt {
+		action := sim.pendingFaults[0].action
+		sim.pendingFaults = sim.pendingFaults[1:]
 		if err := action(); err != nil {
 			return err
 		}
@@ -44,21 +44,22 @@
 	return nil
 }
 
-// fault gives the actions that begin and end a fault; no end: it ends by itself.
-func (sim *simulation) fault(fault Fault, number uint64) (begin, end func() error) {
+// faultActions returns the actions that begin and end a fault. end is nil for a fault without a duration. stream
+// selects the random numbers of the fault.
+func (sim *simulation) faultActions(fault Fault, stream uint64) (begin, end func() error) {
 	switch fault.Kind {
 	case KillLeader:
 		return sim.killLeader, nil
 	case KillControllers:
 		return sim.killControllers, nil
 	case KillWorkers:
-		return func() error { return killWorkers(sim.pickWorkers(fault, number)) }, nil
+		return func() error { return killWorkers(sim.pickWorkers(fault, stream)) }, nil
 	case KillWorstZone:
 		return sim.killWorstZone, nil
 	case RackUnreachable:
 		var rack []*simworker.Worker
 		begin = func() error {
-			rack = sim.pickWorkers(fault, number)
+			rack = sim.pickWorkers(fault, stream)
 			return setUnreachable(rack, true)
 		}
 		return begin, func() error { return setUnreachable(rack, false) }
@@ -68,27 +69,27 @@
 	case StoreDown:
 		return func() error { return sim.setStoreDown(true) }, func() error { return sim.setStoreDown(false) }
 	}
-	return func() error { return fmt.Errorf("a fault of the unknown kind %q", fault.Kind) }, nil
+	return func() error { return fmt.Errorf("fault of unknown kind %q", fault.Kind) }, nil
 }
 
-// restartTime is when a controller that is killed now is restarted.
+// restartTime returns when a controller that is killed now is restarted.
 func (sim *simulation) restartTime() time.Duration {
 	return sim.now() + config.Seconds(sim.scenario.Controllers.RestartS)
 }
 
 func (sim *simulation) killLeader() error {
 	name, _ := sim.leader()
-	leader := sim.controllers.named(name)
+	leader := sim.controllers.byName(name)
 	if leader == nil {
-		return fmt.Errorf("no controller leads at %.0f s", sim.now().Seconds())
+		return fmt.Errorf("no leader to kill at %.0f s", sim.now().Seconds())
 	}
-	sim.recorder.leaderKilled(name)
+	sim.recorder.recordLeaderKill(name)
 	return sim.controllers.kill(leader, sim.restartTime())
 }
 
 func (sim *simulation) killControllers() error {
-	name, _ := sim.leader()
-	sim.recorder.leaderKilled(name)
+	leader, _ := sim.leader()
+	sim.recorder.recordLeaderKill(leader)
 	for _, process := range sim.controllers.list {
 		if err := sim.controllers.kill(process, sim.restartTime()); err != nil {
 			return err
@@ -97,27 +98,28 @@
 	return nil
 }
 
-// pickWorkers draws the workers of a fault, of its zone if it names one. A rack is a run of neighbours.
-func (sim *simulation) pickWorkers(fault Fault, number uint64) []*simworker.Worker {
-	var all []*simworker.Worker
+// pickWorkers draws the workers that a fault hits, from its zone if it names one. The workers of a rack are consecutive
+// in the order of their names.
+func (sim *simulation) pickWorkers(fault Fault, stream uint64) []*simworker.Worker {
+	var candidates []*simworker.Worker
 	for _, w := range sim.fleet.Workers() {
 		if fault.Zone == "" || w.Zone() == fault.Zone {
-			all = append(all, w)
+			candidates = append(candidates, w)
 		}
 	}
-	slices.SortFunc(all, func(a, b *simworker.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
-	random := rand.New(rand.NewPCG(sim.scenario.Seed, number))
+	slices.SortFunc(candidates, func(a, b *simworker.Worker) int { return cmp.Compare(a.Name(), b.Name()) })
+	random := rand.New(rand.NewPCG(sim.scenario.Seed, stream))
 	if fault.Kind == RackUnreachable {
-		first := random.IntN(max(1, len(all)-fault.Count+1))
-		return all[first:min(len(all), first+fault.Count)]
+		first := random.IntN(max(1, len(candidates)-fault.Count+1))
+		return candidates[first:min(len(candidates), first+fault.Count)]
 	}
-	random.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
-	return all[:min(len(all), fault.Count)]
+	random.Shuffle(len(candidates), func(i, k int) { candidates[i], candidates[k] = candidates[k], candidates[i] })
+	return candidates[:min(len(candidates), fault.Count)]
 }
 
-// killWorstZone ends all machines of the zone whose loss takes the most replicas of a model.
+// killWorstZone kills all workers of the zone with the most replicas of a single model.
 func (sim *simulation) killWorstZone() error {
-	zone := sim.recorder.placements.worstZone()
+	zone := sim.recorder.placements.recordWorstZoneLoss()
 	var lost []*simworker.Worker
 	for _, w := range sim.fleet.Workers() {
 		if w.Zone() == zone {
@@ -146,7 +148,8 @@
 	return nil
 }
 
-// setZonePartitioned begins or ends a partition between a zone and all outside it.
+// setZonePartitioned begins or ends a partition between a zone and everything outside it, including the key-value store
+// and the cloud.
 func (sim *simulation) setZonePartitioned(zone string, partitioned bool) error {
 	sim.fleet.SetZonePartitioned(zone, partitioned)
 	sim.controllers.setZonePartitioned(zone, partitioned)
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -18,7 +18,7 @@
 
 const smokeFile = "../../deploy/scale/smoke.json"
 
-func smoke(t *testing.T) *Scenario {
+func smokeScenario(t *testing.T) *Scenario {
 	t.Helper()
 	s, err := LoadScenario(smokeFile)
 	if err != nil {
@@ -27,11 +27,12 @@
 	return s
 }
 
-// TestScenarios reads all scenarios that are there, and names the field of what is wrong in others.
-func TestScenarios(t *testing.T) {
+// TestParseScenario parses all scenarios in deploy/scale. It then checks that errors in a scenario are reported in one
+// line that names the field.
+func TestParseScenario(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/scale/*.json")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("scenario files = %v, %v, want at least 2", files, err)
 	}
 	for _, f := range files {
 		if _, err := LoadScenario(f); err != nil {
@@ -59,39 +60,40 @@
 		}
 		_, err := ParseScenario([]byte(changed))
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", test.new, err)
+			t.Errorf("scenario with %s: error %v, want one line that names the field", test.new, err)
 		}
 	}
 }
 
-// TestRefused refuses what the machine can't bear before anything is started.
-func TestRefused(t *testing.T) {
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+// TestRunRejectsInsufficientResources checks that Run fails with the cause if the binary, processes, memory or port
+// that it needs are not available.
+func TestRunRejectsInsufficientResources(t *testing.T) {
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
-	program, err := os.Executable()
+	defer func() { _ = listener.Close() }()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := Options{Binary: program, Dir: t.TempDir(), MaxProcesses: 4}
+	options := Options{ControllerBinary: executable, Dir: t.TempDir(), MaxProcesses: 4}
 	for want, change := range map[string]func(*Scenario, *Options){
-		"binary":    func(_ *Scenario, o *Options) { o.Binary = "/nowhere/bitternwing" },
+		"binary":    func(_ *Scenario, o *Options) { o.ControllerBinary = "/nowhere/bitternwing" },
 		"processes": func(s *Scenario, _ *Options) { s.Controllers.Count = 4 },
 		"memory":    func(s *Scenario, _ *Options) { s.Controllers.MemoryMB = 1e9 },
-		"port":      func(_ *Scenario, o *Options) { o.BasePort = l.Addr().(*net.TCPAddr).Port },
+		"port":      func(_ *Scenario, o *Options) { o.BasePort = listener.Addr().(*net.TCPAddr).Port },
 	} {
-		s, o := smoke(t), options
+		s, o := smokeScenario(t), options
 		change(s, &o)
 		if _, err := Run(context.Background(), s, o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("Run: got error %[2]v, want one that contains %[1]q", want, err)
 		}
 	}
 }
 
-// build builds the controllers' program.
-func build(t *testing.T) string {
+// buildController builds the controller binary and returns its path.
+func buildController(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "bitternwing")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "bitternwing/cmd/bitternwing").CombinedOutput(); err != nil {
@@ -100,96 +102,98 @@
 	return binary
 }
 
-// TestSmallRun simulates a small fleet through a failover, and writes the result.
-func TestSmallRun(t *testing.T) {
-	s := smoke(t).Scale(0.1)
-	s.DurationS, s.WarmUpS, s.Faults[0].AtS = 20, 2, 10
+// TestRunWithFailover simulates a small fleet with a failover, and writes and prints the result.
+func TestRunWithFailover(t *testing.T) {
+	scenario := smokeScenario(t).Scale(0.1)
+	scenario.DurationS, scenario.WarmUpS, scenario.Faults[0].AtS = 20, 2, 10
 	dir := t.TempDir()
-	res, err := Run(context.Background(), s, Options{Binary: build(t), Dir: dir, MaxProcesses: 4})
-	if err != nil || res.Ended != endedInTime {
-		t.Fatalf("%v, %+v", err, res)
+	result, err := Run(context.Background(), scenario, Options{ControllerBinary: buildController(t), Dir: dir, MaxProcesses: 4})
+	if err != nil || result.Ended != endedInTime {
+		t.Fatalf("Run: error %v, result %+v, want one that ended in time", err, result)
 	}
-	if res.Workers.Count != 20 || res.Started == 0 || res.Completed == 0 || res.Jobs.Accepted == 0 || len(res.Failovers) != 1 {
-		t.Errorf("%d workers, %d starts, %d completed, %+v, %+v", res.Workers.Count, res.Started, res.Completed, res.Jobs, res.Failovers)
+	if result.Workers.Count != 20 || result.Started == 0 || result.Completed == 0 || result.Jobs.Accepted == 0 || len(result.Failovers) != 1 {
+		t.Errorf("got %d workers, %d starts, %d completed, jobs %+v, failovers %+v; want 20 workers, some starts, completions and accepted jobs, 1 failover",
+			result.Workers.Count, result.Started, result.Completed, result.Jobs, result.Failovers)
 	}
-	if l := res.Leader(); l == nil || l.Usage.PeakMB == 0 || l.Traffic["report"].Messages == 0 || l.Traffic["state POST /txn"].Messages == 0 || l.Traffic[measure.KindPeer].Sent == 0 {
-		t.Errorf("the leader's usage is %+v", l)
+	if l := result.LongestLeader(); l == nil || l.Usage.PeakMB == 0 || l.Traffic["report"].Messages == 0 || l.Traffic["state POST /txn"].Messages == 0 || l.Traffic[measure.KindPeer].Sent == 0 {
+		t.Errorf("leader = %+v, want one with memory usage and traffic", l)
 	}
 	page, data := filepath.Join(dir, "result.html"), filepath.Join(dir, "result.json")
-	if err := errors.Join(res.WritePage(page), res.Write(data), res.Print(io.Discard)); err != nil {
+	if err := errors.Join(result.WritePage(page), result.Write(data), result.Print(io.Discard)); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(data)
-	var again Result
-	if err != nil || json.Unmarshal(text, &again) != nil || again.Started != res.Started {
-		t.Errorf("%v, %d starts of %d are kept", err, again.Started, res.Started)
+	var decoded Result
+	if err != nil || json.Unmarshal(text, &decoded) != nil || decoded.Started != result.Started {
+		t.Errorf("result.json: %v, %d starts, want %d", err, decoded.Started, result.Started)
 	}
 }
 
-// TestChildDies ends a run whose controllers can't run, with a result that says so.
-func TestChildDies(t *testing.T) {
+// TestRunEndsWhenControllerExits checks that a simulation ends if a controller exits by itself, with a result that says
+// so.
+func TestRunEndsWhenControllerExits(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "broken")
 	if err := os.WriteFile(binary, []byte("#!/bin/sh\nexit 1\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Run(context.Background(), smoke(t).Scale(0.1), Options{Binary: binary, Dir: t.TempDir(), MaxProcesses: 4})
-	if err == nil || res == nil || !strings.Contains(res.Ended, "ended by itself") {
-		t.Errorf("%v, %+v", err, res)
+	result, err := Run(context.Background(), smokeScenario(t).Scale(0.1), Options{ControllerBinary: binary, Dir: t.TempDir(), MaxProcesses: 4})
+	if err == nil || result == nil || !strings.Contains(result.Ended, "exited unexpectedly") {
+		t.Errorf("Run: error %v, result %+v, want an error and a result that names the exit", err, result)
 	}
 }
 
-// TestInterrupt ends all processes of a run that is interrupted, and gives the result so far.
-func TestInterrupt(t *testing.T) {
+// TestRunInterrupted checks that a cancelled simulation returns the result so far.
+func TestRunInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	seconds := 0
-	o := Options{Binary: build(t), Dir: t.TempDir(), MaxProcesses: 4, Progress: func(Second) {
+	options := Options{ControllerBinary: buildController(t), Dir: t.TempDir(), MaxProcesses: 4, Progress: func(Second) {
 		if seconds++; seconds == 3 {
 			cancel()
 		}
 	}}
-	res, err := Run(ctx, smoke(t).Scale(0.1), o)
-	if err == nil || res == nil || res.Ended != "interrupted" || len(res.Seconds) < 3 {
-		t.Errorf("%v, %+v", err, res)
+	result, err := Run(ctx, smokeScenario(t).Scale(0.1), options)
+	if err == nil || result == nil || result.Ended != "interrupted" || len(result.Seconds) < 3 {
+		t.Errorf("Run: error %v, result %+v, want an error and an interrupted result with at least 3 seconds", err, result)
 	}
 }
 
-// TestRelay holds back what is sent while it is cut, and delivers it then.
-func TestRelay(t *testing.T) {
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+// TestRelayPartition checks that a relay holds bytes back during a partition, and delivers and counts them afterwards.
+func TestRelayPartition(t *testing.T) {
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
+	defer func() { _ = listener.Close() }()
 	traffic := measure.NewTraffic()
-	r, err := newRelay("a", "b", l.Addr().String(), traffic)
+	relay, err := newRelay("a", "b", listener.Addr().String(), traffic)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.close()
-	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.addr())
+	defer relay.close()
+	outgoing, err := new(net.Dialer).DialContext(t.Context(), "tcp4", relay.addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	in, err := l.Accept()
+	incoming, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.setPartitioned(true)
-	if _, err := c.Write([]byte("late")); err != nil {
+	relay.setPartitioned(true)
+	if _, err := outgoing.Write([]byte("late")); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 8)
-	if err := in.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
+	if err := incoming.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := in.Read(buffer); err == nil {
-		t.Errorf("%q came through a cut", buffer[:n])
+	if n, err := incoming.Read(buffer); err == nil {
+		t.Errorf("%q was delivered during a partition", buffer[:n])
 	}
-	r.setPartitioned(false)
-	if err := in.SetReadDeadline(time.Time{}); err != nil {
+	relay.setPartitioned(false)
+	if err := incoming.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := in.Read(buffer); err != nil || string(buffer[:n]) != "late" || traffic.Of("a")[measure.KindPeer].Sent != 4 {
-		t.Errorf("%q, %v, %+v", buffer[:n], err, traffic.Of("a"))
+	if n, err := incoming.Read(buffer); err != nil || string(buffer[:n]) != "late" || traffic.ByKind("a")[measure.KindPeer].Sent != 4 {
+		t.Errorf("read %q, %v, traffic %+v; want \"late\" and 4 bytes sent", buffer[:n], err, traffic.ByKind("a"))
 	}
 }
--- a/internal/fleetsim/load/generator_test.go
+++ b/internal/fleetsim/load/generator_test.go
@@ -10,21 +10,21 @@
 
 var testClasses = []Class{
 	{Name: "batch", Kind: "array", Priority: "standard", Share: 0.9, Tasks: 10, GPUs: 0.5, CPUs: 1, MemoryGB: 1, Images: 3, ImageGB: 1, RunS: 8},
-	{Name: "rush", Kind: "service", Priority: "high", Share: 0.1, AtStart: 4, Tasks: 2, GPUs: 1, CPUs: 1, MemoryGB: 1, Images: 1, Spread: true},
+	{Name: "rush", Kind: "service", Priority: "high", Share: 0.1, InitialJobs: 4, Tasks: 2, GPUs: 1, CPUs: 1, MemoryGB: 1, Images: 1, Spread: true},
 }
 
-func testArrivals(seed uint64) (start, rest []Arrival) {
+func testArrivals(seed uint64) (initial, rest []Arrival) {
 	g := NewGenerator(seed, testClasses, []string{"red", "blue"}, 100, time.Second)
-	return g.AtStart(time.Second), g.Until(101 * time.Second)
+	return g.InitialArrivals(time.Second), g.ArrivalsUntil(101 * time.Second)
 }
 
-// TestGenerator makes the same jobs for the same seed, in order, at the requested rate, and in the form of the
-// protocol.
+// TestGenerator checks that a generator makes the same valid jobs for the same seed, ordered by time and at the
+// requested rate.
 func TestGenerator(t *testing.T) {
-	start, rest := testArrivals(7)
-	again, restAgain := testArrivals(7)
-	if !reflect.DeepEqual(start, again) || !reflect.DeepEqual(rest, restAgain) {
-		t.Error("another run made other jobs")
+	initial, rest := testArrivals(7)
+	initialAgain, restAgain := testArrivals(7)
+	if !reflect.DeepEqual(initial, initialAgain) || !reflect.DeepEqual(rest, restAgain) {
+		t.Error("two generators with the same seed made different jobs")
 	}
 	tasks, urgent, last := 0, 0, time.Duration(0)
 	for _, a := range rest {
@@ -33,7 +33,7 @@
 			urgent += a.Job.Tasks
 		}
 		if a.SubmitAt < last || a.SubmitAt > 101*time.Second {
-			t.Errorf("a job at %v after one at %v", a.SubmitAt, last)
+			t.Errorf("job at %v after one at %v, want ordered times up to 101s", a.SubmitAt, last)
 		}
 		last = a.SubmitAt
 		body, err := a.Job.Submission()
@@ -41,28 +41,28 @@
 			t.Fatal(err)
 		}
 		if job, err := wire.ParseJob(body); err != nil || !reflect.DeepEqual(job, a.Job) {
-			t.Fatalf("%s: %+v, %v", body, job, err)
+			t.Fatalf("ParseJob(%s) = %+v, %v, want the submitted job", body, job, err)
 		}
 	}
-	if len(start) != 4 || tasks < 9000 || tasks > 11000 || urgent < 800 || urgent > 1200 {
-		t.Errorf("%d jobs at the start, then %d tasks in 100 s, %d of them urgent", len(start), tasks, urgent)
+	if len(initial) != 4 || tasks < 9000 || tasks > 11000 || urgent < 800 || urgent > 1200 {
+		t.Errorf("got %d jobs at the start, then %d tasks in 100 s, %d of them urgent; want 4, 9000 to 11000, 800 to 1200", len(initial), tasks, urgent)
 	}
 }
 
-// completed knows of one completed task.
-type completed struct{ task int }
+// onlyCompleted implements Completions with one completed task.
+type onlyCompleted struct{ task int }
 
-func (c completed) Completed(_ string, task int) bool { return task == c.task }
-func (c completed) Job(string) *wire.Job              { return nil }
+func (c onlyCompleted) Completed(_ string, task int) bool { return task == c.task }
+func (c onlyCompleted) Job(string) *wire.Job              { return nil }
 
-// TestRunTime has tasks run for about their class's time, and those that have completed before not at all.
+// TestRunTime checks that tasks run for about their class's run time, and tasks that have completed before for no time.
 func TestRunTime(t *testing.T) {
 	job := &wire.Job{ID: "run-000001", Kind: wire.KindArray, Tasks: 50, EstimatedRunS: 8}
-	uploads := Uploads{completed{3}}
+	workload := Workload{onlyCompleted{3}}
 	for task := range job.Tasks {
-		d := uploads.RunTime(job, task)
-		if task == 3 && d != 0 || task != 3 && (d < 6*time.Second || d > 10*time.Second) {
-			t.Errorf("task %d runs for %v", task, d)
+		runTime := workload.RunTime(job, task)
+		if task == 3 && runTime != 0 || task != 3 && (runTime < 6*time.Second || runTime > 10*time.Second) {
+			t.Errorf("task %d runs for %v, want 0 for task 3 and 6s to 10s for others", task, runTime)
 		}
 	}
 }
--- a/internal/fleetsim/load/run_time.go
+++ b/internal/fleetsim/load/run_time.go
@@ -9,28 +9,29 @@
 	"bitternwing/internal/wire"
 )
 
-// Completions gives the submitted jobs, and tells which tasks have completed.
+// Completions looks up submitted jobs and completed tasks.
 type Completions interface {
 	Completed(job string, task int) bool
 	Job(id string) *wire.Job
 }
 
-// Uploads are the jobs that users have uploaded, as workers see them.
-type Uploads struct{ Completions }
+// Workload provides the submitted jobs and the run times of their tasks to the simulated workers.
+type Workload struct{ Completions }
 
-// runTimeSpread is by how much a task's run time differs from its class's, both ways.
+// runTimeSpread is the maximum relative deviation of a task's run time from that of its class, in either direction.
 const runTimeSpread = 0.25
 
-// RunTime is how long a task of a job runs. A task that has completed before is done at once.
-func (u Uploads) RunTime(job *wire.Job, task int) time.Duration {
+// RunTime returns how long a task runs. It depends only on the task's name. A task that has completed before takes no
+// time, one of a service runs until it is stopped.
+func (w Workload) RunTime(job *wire.Job, task int) time.Duration {
 	if job.Kind == wire.KindService {
 		return simworker.Never
 	}
-	if u.Completed(job.ID, task) {
+	if w.Completed(job.ID, task) {
 		return 0
 	}
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(wire.TaskName(job.ID, task))) // a hash takes all
+	_, _ = hash.Write([]byte(wire.TaskName(job.ID, task))) // hash.Hash never returns an error
 	fraction := float64(hash.Sum32()) / (1 << 32)
 	return config.Seconds(job.EstimatedRunS * (1 - runTimeSpread + 2*runTimeSpread*fraction))
 }
--- a/internal/fleetsim/load/transport.go
+++ b/internal/fleetsim/load/transport.go
@@ -10,10 +10,10 @@
 	"bitternwing/internal/wire"
 )
 
-// countingTransport counts requests and responses by the controller that they go to.
+// countingTransport counts requests and responses by controller and kind.
 type countingTransport struct {
 	traffic Traffic
-	names   map[string]string // of the controllers, by address
+	names   map[string]string // names of the controllers by address
 	next    http.RoundTripper
 }
 
@@ -23,13 +23,13 @@
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &countingBody{ReadCloser: resp.Body, ended: func(sent int) {
+	resp.Body = &countingBody{ReadCloser: resp.Body, onClose: func(sent int) {
 		t.traffic.Count(t.names[r.URL.Host], kindOf(r), int(max(0, r.ContentLength)), sent)
 	}}
 	return resp, nil
 }
 
-// kindOf tells the kind of a request.
+// kindOf returns the kind of a user's request.
 func kindOf(r *http.Request) simworker.MessageKind {
 	switch {
 	case r.Method == http.MethodGet:
@@ -40,11 +40,11 @@
 	return measure.KindSubmit
 }
 
-// countingBody counts the bytes of a response, and calls ended when it is closed.
+// countingBody counts the bytes read from a response, and passes the number to onClose when it is closed.
 type countingBody struct {
 	io.ReadCloser
-	bytes int
-	ended func(bytes int)
+	bytes   int
+	onClose func(bytes int)
 }
 
 func (b *countingBody) Read(p []byte) (int, error) {
@@ -54,9 +54,9 @@
 }
 
 func (b *countingBody) Close() error {
-	if b.ended != nil {
-		b.ended(b.bytes)
-		b.ended = nil
+	if b.onClose != nil {
+		b.onClose(b.bytes)
+		b.onClose = nil
 	}
 	return b.ReadCloser.Close()
 }
--- a/internal/fleetsim/load/users.go
+++ b/internal/fleetsim/load/users.go
@@ -15,17 +15,17 @@
 	"bitternwing/internal/wire"
 )
 
-// The users' times by the protocol.
+// The users' timeouts and intervals by the protocol.
 const (
 	submitTimeout = 60 * time.Second
 	pollInterval  = 5 * time.Second
 	cancelTimeout = 2 * time.Minute
 )
 
-// maxConcurrentRequests bounds the requests of all users at a time.
+// maxConcurrentRequests is the maximum number of concurrent requests of all users.
 const maxConcurrentRequests = 512
 
-// Ledger records what users submit, and the responses that they get.
+// Ledger records what users submit and the responses that they receive.
 type Ledger interface {
 	RecordSubmission(job *wire.Job)
 	RecordAccepted(id string)
@@ -33,20 +33,20 @@
 	RecordNotFound(id string)
 }
 
-// Traffic counts the messages of users.
+// Traffic counts the messages of users by controller and kind.
 type Traffic interface {
 	Count(controller string, kind simworker.MessageKind, received, sent int)
 }
 
-// Users submit jobs, poll them until they have ended, and cancel services in the end. They reach the
-// controllers in turn, as through a load balancer that knows which are healthy.
+// Users simulates users, who submit jobs, poll them until they have ended, and cancel services after their run time.
+// They reach the controllers in turn, as through a load balancer that knows which ones are healthy.
 type Users struct {
-	ledger  Ledger
-	client  *apiclient.Client
-	slots   chan struct{}
-	running sync.WaitGroup
+	ledger       Ledger
+	client       *apiclient.Client
+	requestSlots chan struct{}
+	running      sync.WaitGroup
 
-	// SubmitTimes are from the first attempt of a submission to its response.
+	// SubmitTimes holds the times from the first attempt of a submission to its response.
 	SubmitTimes *measure.Histogram
 	Submitted   atomic.Int64
 	Accepted    atomic.Int64
@@ -56,16 +56,16 @@
 	Cancelled   atomic.Int64
 }
 
-// NewUsers makes users of controllers at addresses; names are those of the controllers by address.
+// NewUsers returns users of the controllers at addresses. names holds the names of the controllers by address.
 func NewUsers(addresses []string, ledger Ledger, traffic Traffic, names map[string]string) *Users {
 	transport := &countingTransport{traffic: traffic, names: names, next: &http.Transport{
 		MaxIdleConnsPerHost: maxConcurrentRequests, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), slots: make(chan struct{}, maxConcurrentRequests),
+	return &Users{ledger: ledger, client: apiclient.NewBalanced(addresses, transport), requestSlots: make(chan struct{}, maxConcurrentRequests),
 		SubmitTimes: measure.NewHistogram()}
 }
 
-// Start has a user submit a job and follow it in the background, until the context ends.
-func (u *Users) Start(ctx context.Context, arrival Arrival) {
+// StartUser starts a user who submits a job and follows it in the background, until the job or the context ends.
+func (u *Users) StartUser(ctx context.Context, arrival Arrival) {
 	u.ledger.RecordSubmission(arrival.Job)
 	u.Submitted.Add(1)
 	u.running.Add(1)
@@ -75,10 +75,10 @@
 	}()
 }
 
-// Wait waits for all users. Their context has to have ended.
+// Wait waits for all users to end. Their context has to be done.
 func (u *Users) Wait() { u.running.Wait() }
 
-// followJob submits a job, and polls it until it has ended or is to be cancelled.
+// followJob submits a job and polls it until it has ended. It cancels a service after the run time of its class.
 func (u *Users) followJob(ctx context.Context, arrival Arrival) {
 	if !u.submit(ctx, arrival.Job) {
 		return
@@ -102,20 +102,20 @@
 	}
 }
 
-// submit submits a job; true if it was accepted.
+// submit submits a job, and reports whether it was accepted. Timeouts and refusals are counted.
 func (u *Users) submit(ctx context.Context, job *wire.Job) bool {
 	body, err := job.Submission()
 	if err != nil {
 		return false
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	_, err = u.withSlot(ctx, func() (wire.JobState, error) { return u.client.Submit(ctx, body) })
 	var refused *apiclient.RefusedError
 	switch {
 	case err == nil:
-		u.SubmitTimes.Add(time.Since(began))
+		u.SubmitTimes.Add(time.Since(startedAt))
 		u.Accepted.Add(1)
 		u.ledger.RecordAccepted(job.ID)
 		return true
@@ -127,7 +127,7 @@
 	return false
 }
 
-// poll requests the state of a job; true if it has ended.
+// poll requests the state of a job, and reports whether the job has ended.
 func (u *Users) poll(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
@@ -142,7 +142,7 @@
 	return u.countFinal(state.State)
 }
 
-// Cancel has a user cancel a job.
+// Cancel cancels a job as its user.
 func (u *Users) Cancel(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -153,7 +153,7 @@
 	}
 }
 
-// countFinal counts final states; false for others.
+// countFinal counts a final state, and reports whether the state is final.
 func (u *Users) countFinal(state wire.JobStatus) bool {
 	switch state {
 	case wire.JobDone:
@@ -167,13 +167,13 @@
 	return false
 }
 
-// withSlot makes a request once fewer than maxConcurrentRequests are under way.
+// withSlot makes a request as soon as fewer than maxConcurrentRequests are in progress.
 func (u *Users) withSlot(ctx context.Context, request func() (wire.JobState, error)) (wire.JobState, error) {
 	select {
-	case u.slots <- struct{}{}:
+	case u.requestSlots <- struct{}{}:
 	case <-ctx.Done():
 		return wire.JobState{}, ctx.Err()
 	}
-	defer func() { <-u.slots }()
+	defer func() { <-u.requestSlots }()
 	return request()
 }
--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	maxMilliseconds   = 3_600_000
+	maxValue          = 3_600_000
 	significantDigits = 3
 )
 
-// Histogram keeps times, to the millisecond.
+// Histogram is a histogram of durations in milliseconds, or of values in another unit. It is safe for concurrent use.
 type Histogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
-// NewHistogram makes an empty histogram.
+// NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{values: hdrhistogram.New(1, maxMilliseconds, significantDigits)}
+	return &Histogram{values: hdrhistogram.New(1, maxValue, significantDigits)}
 }
 
-// Add adds a time; what is beyond the range counts as its end.
+// Add adds a duration.
 func (h *Histogram) Add(duration time.Duration) { h.AddValue(duration.Milliseconds()) }
 
-// AddValue adds a value of another unit.
+// AddValue adds a value. Values outside of 0 to maxValue count as the nearest value in the range.
 func (h *Histogram) AddValue(value int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.values.RecordValue(min(max(value, 0), maxMilliseconds)) // within its range
+	_ = h.values.RecordValue(min(max(value, 0), maxValue)) // never fails within the range
 }
 
-// Summary summarizes a histogram.
+// Summary holds summary statistics of a histogram.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -42,7 +42,7 @@
 	Max   int64   `json:"max"`
 }
 
-// Summary gives the figures.
+// Summary returns the statistics of the values so far.
 func (h *Histogram) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleetsim/measure/measure_test.go
+++ b/internal/fleetsim/measure/measure_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestProcess samples this process while it works: what it used is between nothing and all cores.
+// TestProcess samples this process while it works, and checks its usage. Sampling a process that does not exist fails.
 func TestProcess(t *testing.T) {
 	p := NewProcess("self", os.Getpid(), 0)
 	for end := time.Now().Add(50 * time.Millisecond); time.Now().Before(end); {
@@ -18,35 +18,35 @@
 	if err := p.Sample(2); err != nil {
 		t.Fatal(err)
 	}
-	u := p.Usage(0)
-	if u.SampleCount != 2 || u.PeakMB <= 0 || u.PeakFiles <= 0 || u.PeakCores < u.Cores || p.Usage(1.5).SampleCount != 1 {
-		t.Errorf("%+v", u)
+	usage := p.Usage(0)
+	if usage.SampleCount != 2 || usage.PeakMB <= 0 || usage.PeakFiles <= 0 || usage.PeakCores < usage.Cores || p.Usage(1.5).SampleCount != 1 {
+		t.Errorf("usage = %+v, want 2 samples with memory and files, and one sample from 1.5 s on", usage)
 	}
-	gone := &Process{pid: -1}
-	if gone.Sample(1) == nil {
-		t.Error("a process that is not there was sampled")
+	missing := &Process{pid: -1}
+	if missing.Sample(1) == nil {
+		t.Error("sampled a process that does not exist")
 	}
 }
 
-// TestHistogram sums values up, and bounds those beyond its range.
+// TestHistogram checks the statistics, and that a value beyond the range counts as the maximum.
 func TestHistogram(t *testing.T) {
 	h := NewHistogram()
 	for i := range 100 {
 		h.Add(time.Duration(i+1) * time.Millisecond)
 	}
 	h.Add(24 * time.Hour)
-	if s := h.Summary(); s.Count != 101 || s.P50 != 51 || s.P99 != 100 || s.Max < maxMilliseconds-maxMilliseconds/1000 {
-		t.Errorf("%+v", s)
+	if s := h.Summary(); s.Count != 101 || s.P50 != 51 || s.P99 != 100 || s.Max < maxValue-maxValue/1000 {
+		t.Errorf("summary = %+v, want count 101, p50 51, p99 100, max at the end of the range", s)
 	}
 }
 
-// TestTraffic counts by controller and kind.
+// TestTraffic checks that messages and bytes are counted by controller and kind.
 func TestTraffic(t *testing.T) {
-	tr := NewTraffic()
-	tr.Count("a", KindPoll, 1, 10)
-	tr.Count("a", KindPoll, 2, 20)
-	tr.Bytes("a", KindPeer, 5, 6)
-	if got := tr.Of("a"); got[KindPoll] != (Count{2, 3, 30}) || got[KindPeer] != (Count{0, 5, 6}) || len(tr.Of("b")) != 0 {
-		t.Errorf("%+v", got)
+	traffic := NewTraffic()
+	traffic.Count("a", KindPoll, 1, 10)
+	traffic.Count("a", KindPoll, 2, 20)
+	traffic.CountBytes("a", KindPeer, 5, 6)
+	if got := traffic.ByKind("a"); got[KindPoll] != (Count{2, 3, 30}) || got[KindPeer] != (Count{0, 5, 6}) || len(traffic.ByKind("b")) != 0 {
+		t.Errorf("counts of a = %+v, want 2 polls of 3 and 30 bytes, 5 and 6 bytes of peers, none of b", got)
 	}
 }
--- a/internal/fleetsim/measure/process.go
+++ b/internal/fleetsim/measure/process.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// Sample is the resource usage of a process in a second.
+// Sample is the resource usage of a process since the previous sample.
 type Sample struct {
 	AtS       float64 `json:"at_s"`
 	Cores     float64 `json:"cores"`
@@ -14,7 +14,7 @@
 	Files     int     `json:"open_files"`
 }
 
-// Process samples a process by its id.
+// Process samples the resource usage of a process, also across restarts.
 type Process struct {
 	Name    string
 	Samples []Sample
@@ -23,30 +23,30 @@
 	lastCounters counters
 }
 
-// counters is a state of a process's counters.
+// counters holds a process's cumulative counters at a time.
 type counters struct {
 	atS           float64
 	cpuSeconds    float64
 	read, written uint64
 }
 
-// NewProcess begins to sample a process at a time in seconds.
+// NewProcess returns a sampler of the process with an id. atS is the present time in seconds since the start.
 func NewProcess(name string, pid int, atS float64) *Process {
 	p := &Process{Name: name}
 	p.Restart(pid, atS)
 	return p
 }
 
-// Restart continues with another process of the same name.
+// Restart continues the samples with a new process.
 func (p *Process) Restart(pid int, atS float64) {
 	p.pid = pid
 	p.lastCounters = counters{atS: atS}
 	if proc, err := procfs.NewProc(pid); err == nil {
-		p.lastCounters, _, _ = readCounters(proc, atS) // what can't be read yet counts from 0
+		p.lastCounters, _, _ = readCounters(proc, atS) // if this fails, counters start from 0
 	}
 }
 
-// readCounters reads a process's counters and its resident memory.
+// readCounters reads a process's counters, and its resident memory in bytes.
 func readCounters(proc procfs.Proc, atS float64) (counters, int, error) {
 	stat, err := proc.Stat()
 	if err != nil {
@@ -59,13 +59,12 @@
 	return counters{atS, stat.CPUTime(), io.RChar, io.WChar}, stat.ResidentMemory(), nil
 }
 
-// kilobyte and megabyte are the units of the samples, in bytes.
 const (
-	kilobyte = 1 << 10
-	megabyte = 1 << 20
+	bytesPerKB = 1 << 10
+	bytesPerMB = 1 << 20
 )
 
-// Sample takes a sample; an error says that the process has ended.
+// Sample takes a sample. It returns an error if the process has ended.
 func (p *Process) Sample(atS float64) error {
 	proc, err := procfs.NewProc(p.pid)
 	if err != nil {
@@ -86,16 +85,16 @@
 	p.Samples = append(p.Samples, Sample{
 		AtS:       atS,
 		Cores:     (now.cpuSeconds - p.lastCounters.cpuSeconds) / elapsed,
-		MemoryMB:  float64(resident) / megabyte,
-		ReadKB:    float64(now.read-p.lastCounters.read) / elapsed / kilobyte,
-		WrittenKB: float64(now.written-p.lastCounters.written) / elapsed / kilobyte,
+		MemoryMB:  float64(resident) / bytesPerMB,
+		ReadKB:    float64(now.read-p.lastCounters.read) / elapsed / bytesPerKB,
+		WrittenKB: float64(now.written-p.lastCounters.written) / elapsed / bytesPerKB,
 		Files:     files,
 	})
 	p.lastCounters = now
 	return nil
 }
 
-// LastMemoryMB is the resident memory in the last sample; 0: there is none.
+// LastMemoryMB returns the resident memory in the last sample, or 0 if there is none.
 func (p *Process) LastMemoryMB() float64 {
 	if len(p.Samples) == 0 {
 		return 0
@@ -114,7 +113,7 @@
 	SampleCount int     `json:"samples"`
 }
 
-// Usage summarizes the samples from a time on.
+// Usage summarizes the samples since fromS.
 func (p *Process) Usage(fromS float64) Usage {
 	var usage Usage
 	for _, s := range p.Samples {
@@ -137,7 +136,7 @@
 	return usage
 }
 
-// HalfOfMemoryMB gives half of the machine's memory.
+// HalfOfMemoryMB returns half of the machine's memory, or 0 if that is unknown.
 func HalfOfMemoryMB() (float64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -150,5 +149,5 @@
 	if info.MemTotalBytes == nil {
 		return 0, nil
 	}
-	return float64(*info.MemTotalBytes) / 2 / megabyte, nil
+	return float64(*info.MemTotalBytes) / 2 / bytesPerMB, nil
 }
--- a/internal/fleetsim/measure/traffic.go
+++ b/internal/fleetsim/measure/traffic.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/simworker"
 )
 
-// The kinds of messages beside those of the workers. Those to the key-value store and the cloud are named
-// by their method and resource.
+// The kinds of messages that are not from or to workers. Requests to the key-value store and the cloud have kinds of
+// their own, which consist of the service, method and resource.
 const (
 	KindPeer   simworker.MessageKind = "peer"
 	KindSubmit simworker.MessageKind = "submit"
@@ -16,7 +16,7 @@
 	KindCancel simworker.MessageKind = "cancel"
 )
 
-// Count is a number of messages and the bytes of their bodies, seen from the controller.
+// Count is a number of messages and the bytes of their bodies, as received and sent by the controller.
 type Count struct {
 	Messages int64 `json:"messages"`
 	Received int64 `json:"received_bytes"`
@@ -29,16 +29,16 @@
 	counts map[string]map[simworker.MessageKind]Count
 }
 
-// NewTraffic makes an empty count.
+// NewTraffic returns an empty count.
 func NewTraffic() *Traffic { return &Traffic{counts: map[string]map[simworker.MessageKind]Count{}} }
 
-// Count counts a message and its response.
+// Count counts a message and its response, with the bytes that the controller received and sent.
 func (t *Traffic) Count(controller string, kind simworker.MessageKind, received, sent int) {
 	t.add(controller, kind, Count{1, int64(received), int64(sent)})
 }
 
-// Bytes counts bytes of a stream whose messages can't be told apart.
-func (t *Traffic) Bytes(controller string, kind simworker.MessageKind, received, sent int) {
+// CountBytes counts bytes of a stream without counting its messages.
+func (t *Traffic) CountBytes(controller string, kind simworker.MessageKind, received, sent int) {
 	t.add(controller, kind, Count{0, int64(received), int64(sent)})
 }
 
@@ -57,8 +57,8 @@
 	kinds[kind] = sum
 }
 
-// Of gives a controller's counts by kind.
-func (t *Traffic) Of(controller string) map[simworker.MessageKind]Count {
+// ByKind returns a copy of a controller's counts by kind.
+func (t *Traffic) ByKind(controller string) map[simworker.MessageKind]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kinds := map[simworker.MessageKind]Count{}
--- a/internal/fleetsim/page.go
+++ b/internal/fleetsim/page.go
@@ -18,9 +18,9 @@
 )
 
 //go:embed page.html
-var pageText string
+var pageTemplate string
 
-// curve is a line of a plot.
+// curve is a line in a diagram.
 type curve struct {
 	name   string
 	points plotter.XYs
@@ -28,7 +28,7 @@
 
 const bytesPerMiB = 1 << 20
 
-// page is the data of the page of a result.
+// page is the data that pageTemplate renders.
 type page struct {
 	*Result
 	Plots []template.HTML
@@ -37,7 +37,7 @@
 // WritePage writes the result as one self-contained HTML page.
 func (r *Result) WritePage(path string) error {
 	mebibytes := func(bytes int64) string { return fmt.Sprintf("%.1f", float64(bytes)/bytesPerMiB) }
-	t, err := template.New("page").Funcs(template.FuncMap{"mib": mebibytes}).Parse(pageText)
+	t, err := template.New("page").Funcs(template.FuncMap{"mib": mebibytes}).Parse(pageTemplate)
 	if err != nil {
 		return err
 	}
@@ -56,15 +56,15 @@
 	return os.WriteFile(path, out.Bytes(), 0o600)
 }
 
-// diagram is a plot over the time of a simulation.
+// diagram is a plot of values over the time of a simulation.
 type diagram struct {
 	title, unit string
 	curves      []curve
 }
 
-// diagrams gives the diagrams of the page.
+// diagrams returns the diagrams of the page.
 func (r *Result) diagrams() []diagram {
-	perSecond := func(name string, value func(Second) float64) curve {
+	series := func(name string, value func(Second) float64) curve {
 		c := curve{name: name}
 		for _, s := range r.Seconds {
 			c.points = append(c.points, plotter.XY{X: s.AtS, Y: value(s)})
@@ -81,23 +81,23 @@
 		cores, memory = append(cores, c), append(memory, m)
 	}
 	return append(r.rolloutDiagrams(), []diagram{
-		{"Starts", "tasks a second", []curve{
-			perSecond("asked", func(second Second) float64 { return float64(second.Requested) }),
-			perSecond("started", func(second Second) float64 { return float64(second.Started) }),
-			perSecond("completed", func(second Second) float64 { return float64(second.Completed) })}},
-		{"On machines", "tasks", []curve{perSecond("tasks", func(second Second) float64 { return float64(second.OnMachine) })}},
-		{"Workers that follow the leader", "workers", []curve{perSecond("workers", func(second Second) float64 { return float64(second.Reporting) })}},
-		{"Processor time", "cores", cores},
+		{"Starts", "tasks per second", []curve{
+			series("asked", func(second Second) float64 { return float64(second.Requested) }),
+			series("started", func(second Second) float64 { return float64(second.Started) }),
+			series("completed", func(second Second) float64 { return float64(second.Completed) })}},
+		{"Tasks on machines", "tasks", []curve{series("tasks", func(second Second) float64 { return float64(second.OnMachine) })}},
+		{"Workers reporting to the leader", "workers", []curve{series("workers", func(second Second) float64 { return float64(second.Reporting) })}},
+		{"CPU usage", "cores", cores},
 		{"Resident memory", "MB", memory},
 	}...)
 }
 
-// rolloutDiagrams shows the capacity and the shares of each rollout over time.
+// rolloutDiagrams returns a diagram of the capacity and one of the traffic shares for each rollout.
 func (r *Result) rolloutDiagrams() []diagram {
 	var all []diagram
 	for i := range r.Rollouts {
 		model := &r.Rollouts[i]
-		over := func(name string, value func(rolling.Point) float64) curve {
+		series := func(name string, value func(rolling.Point) float64) curve {
 			c := curve{name: name}
 			for _, s := range model.Samples {
 				c.points = append(c.points, plotter.XY{X: s.AtS, Y: value(s)})
@@ -106,12 +106,12 @@
 		}
 		all = append(all,
 			diagram{model.Model.Name + " (" + string(model.Model.Mode) + "): capacity", "requests", []curve{
-				over("promised", func(point rolling.Point) float64 { return point.Promised }),
-				over("proved", func(point rolling.Point) float64 { return point.Proved }),
-				over("served", func(point rolling.Point) float64 { return point.Served })}},
+				series("promised", func(point rolling.Point) float64 { return point.Promised }),
+				series("proved", func(point rolling.Point) float64 { return point.Reported }),
+				series("served", func(point rolling.Point) float64 { return point.Served })}},
 			diagram{model.Model.Name + ": share of traffic", "share", []curve{
-				over("new version", func(point rolling.Point) float64 { return point.NewShare }),
-				over("old version", func(point rolling.Point) float64 { return 1 - point.NewShare })}})
+				series("new version", func(point rolling.Point) float64 { return point.NewShare }),
+				series("old version", func(point rolling.Point) float64 { return 1 - point.NewShare })}})
 	}
 	return all
 }
@@ -121,7 +121,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// svg draws a diagram.
+// svg renders the diagram as an SVG element.
 func (d *diagram) svg() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = d.title, "seconds", d.unit
@@ -147,13 +147,14 @@
 	return svgFragment(canvas)
 }
 
-// svgFragment renders a canvas as a part of a page.
+// svgFragment renders a canvas as an SVG element for an HTML page.
 func svgFragment(canvas *vgsvg.Canvas) (template.HTML, error) {
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	// Within a page an SVG has no prologue. It is safe HTML: it is drawn from numbers and the names of processes alone.
+	// An SVG element within HTML has no XML prologue. The conversion to template.HTML is safe: the SVG is drawn only
+	// from numbers and process names.
 	svg := out.Bytes()
 	return template.HTML(svg[max(0, bytes.Index(svg, []byte("<svg"))):]), nil
 }
--- a/internal/fleetsim/params.go
+++ b/internal/fleetsim/params.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/wire"
 )
 
-// catalog gives the machine types.
+// catalog returns the cloud's machine types.
 func (s *Scenario) catalog() []wire.MachineType {
 	var types []wire.MachineType
 	for _, group := range s.Machines {
@@ -28,10 +28,11 @@
 	return types
 }
 
-// clockErrorMS is the clock error in the controllers' settings: all share one clock.
+// clockErrorMS is the bound of the clock error in the controllers' settings. It is small as all processes share one
+// clock.
 const clockErrorMS = 5
 
-// params gives the controllers' settings.
+// params returns the parameters in the controllers' settings.
 func (s *Scenario) params() config.Params {
 	return config.Params{
 		Nodes:        s.Controllers.Count,
@@ -53,7 +54,7 @@
 	}
 }
 
-// teams gives the teams with their quotas, which are shares of all machines.
+// teams returns the teams. Their quotas are shares of the GPUs and CPUs of all machines.
 func (s *Scenario) teams() []config.Team {
 	gpus, cpus := 0.0, 0.0
 	for _, group := range s.Machines {
@@ -73,11 +74,11 @@
 	return teams
 }
 
-// evenShare gives one of so many even shares of a count; the first ones get the remainder.
-func evenShare(count, shares, index int) int {
-	share := count / shares
-	if index < count%shares {
-		share++
+// evenShare divides count into parts that differ by at most one, the larger ones first, and returns the part at index.
+func evenShare(count, parts, index int) int {
+	size := count / parts
+	if index < count%parts {
+		size++
 	}
-	return share
+	return size
 }
--- a/internal/fleetsim/recorder.go
+++ b/internal/fleetsim/recorder.go
@@ -11,7 +11,7 @@
 	"bitternwing/internal/wire"
 )
 
-// recorder observes the workers: it has the rules checked, and measures times.
+// recorder observes the workers. It passes what it sees to the ledger, which checks the rules, and measures times.
 type recorder struct {
 	ledger     *rules.Ledger
 	now        func() time.Duration
@@ -19,62 +19,63 @@
 
 	mu              sync.Mutex
 	jobs            map[string]*jobTimes
-	classes         map[string]*measure.Histogram // start times by class
-	urgent          *measure.Histogram            // from submission until all of an urgent job runs
+	startTimes      map[string]*measure.Histogram // times from submission to the first start of a task, by class
+	urgentTimes     *measure.Histogram            // times from submission until all tasks of an urgent job have started
 	started         int64
 	completed       int64
 	onMachine       int64
-	maxFencingToken uint64 // highest fencing token of a start
+	maxFencingToken uint64 // highest fencing token of any start
 	failovers       []Failover
 }
 
-// jobTimes are the measured times of a job.
+// jobTimes is what the recorder keeps of a job to measure its times.
 type jobTimes struct {
-	class     *load.Class
-	submitted time.Duration
-	tasks     int
-	ran       map[int]bool // by index, those that have run
+	class        *load.Class
+	submittedAt  time.Duration
+	tasks        int
+	startedTasks map[int]bool // tasks that have started at least once, by index
 }
 
-// Failover is a failover after a leader was killed.
+// Failover describes the failover after a leader was killed.
 type Failover struct {
 	AtS float64 `json:"at_s"`
-	// NextStartS is the time to the next start command of another leader; 0: there was none.
-	NextStartS   float64 `json:"next_start_s"`
-	Controller   string  `json:"controller"`
-	fencingToken uint64
+	// NextStartS is the time from the kill to the first start command of a later leader; 0 if there was none.
+	NextStartS       float64 `json:"next_start_s"`
+	Controller       string  `json:"controller"`
+	lastFencingToken uint64
 }
 
 func newRecorder(ledger *rules.Ledger, now func() time.Duration, placements *placementTracker) *recorder {
 	return &recorder{
-		ledger:     ledger,
-		now:        now,
-		placements: placements,
-		jobs:       map[string]*jobTimes{},
-		classes:    map[string]*measure.Histogram{},
-		urgent:     measure.NewHistogram(),
+		ledger:      ledger,
+		now:         now,
+		placements:  placements,
+		jobs:        map[string]*jobTimes{},
+		startTimes:  map[string]*measure.Histogram{},
+		urgentTimes: measure.NewHistogram(),
 	}
 }
 
-// submit records a job before it is submitted.
-func (r *recorder) submit(arrival load.Arrival) {
-	r.placements.submitted(arrival.Job)
+// recordSubmission records a job just before it is submitted.
+func (r *recorder) recordSubmission(arrival load.Arrival) {
+	r.placements.addService(arrival.Job)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs[arrival.Job.ID] = &jobTimes{class: arrival.Class, submitted: r.now(), tasks: arrival.Job.Tasks, ran: map[int]bool{}}
-	if r.classes[arrival.Class.Name] == nil {
-		r.classes[arrival.Class.Name] = measure.NewHistogram()
+	r.jobs[arrival.Job.ID] = &jobTimes{class: arrival.Class, submittedAt: r.now(), tasks: arrival.Job.Tasks, startedTasks: map[int]bool{}}
+	if r.startTimes[arrival.Class.Name] == nil {
+		r.startTimes[arrival.Class.Name] = measure.NewHistogram()
 	}
 }
 
-// leaderKilled records that the leader was killed.
-func (r *recorder) leaderKilled(name string) {
+// recordLeaderKill records that the leader is killed now. The failover ends with the first start that has a higher
+// fencing token than all so far.
+func (r *recorder) recordLeaderKill(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failovers = append(r.failovers, Failover{AtS: r.now().Seconds(), Controller: name, fencingToken: r.maxFencingToken})
+	r.failovers = append(r.failovers, Failover{AtS: r.now().Seconds(), Controller: name, lastFencingToken: r.maxFencingToken})
 }
 
-// StartReceived counts a start.
+// StartReceived counts a start command, and ends the failovers that wait for one of a new leader.
 func (r *recorder) StartReceived(start simworker.Start) {
 	r.placements.startReceived(start)
 	r.mu.Lock()
@@ -82,13 +83,13 @@
 	r.started++
 	r.maxFencingToken = max(r.maxFencingToken, start.FencingToken)
 	for i := range r.failovers {
-		if f := &r.failovers[i]; f.NextStartS == 0 && start.FencingToken > f.fencingToken && r.now().Seconds() > f.AtS {
+		if f := &r.failovers[i]; f.NextStartS == 0 && start.FencingToken > f.lastFencingToken && r.now().Seconds() > f.AtS {
 			f.NextStartS = r.now().Seconds() - f.AtS
 		}
 	}
 }
 
-// TaskRuns measures the time to a task's first start.
+// TaskRuns measures the time from a job's submission to the first start of each of its tasks.
 func (r *recorder) TaskRuns(machine, task string) {
 	r.ledger.TaskRuns(machine, task)
 	r.placements.taskRuns(machine, task)
@@ -97,18 +98,18 @@
 	r.onMachine++
 	id, index, _ := wire.ParseTaskName(task)
 	j := r.jobs[id]
-	if j == nil || j.ran[index] {
+	if j == nil || j.startedTasks[index] {
 		return
 	}
-	j.ran[index] = true
-	waited := r.now() - j.submitted
-	r.classes[j.class.Name].Add(waited)
-	if j.class.Urgent() && len(j.ran) == j.tasks {
-		r.urgent.Add(waited)
+	j.startedTasks[index] = true
+	waited := r.now() - j.submittedAt
+	r.startTimes[j.class.Name].Add(waited)
+	if j.class.Urgent() && len(j.startedTasks) == j.tasks {
+		r.urgentTimes.Add(waited)
 	}
 }
 
-// TaskEnds counts a task's end.
+// TaskEnds counts a task that left its machine, and whether it completed.
 func (r *recorder) TaskEnds(machine, task string, done bool) {
 	r.ledger.TaskEnds(machine, task, done)
 	r.placements.taskEnds(task)
@@ -120,7 +121,7 @@
 	}
 }
 
-// totals are counts since the start of the simulation.
+// totals holds counts of tasks: started and completed since the start of the simulation, and on a machine now.
 type totals struct{ started, completed, onMachine int64 }
 
 func (r *recorder) totals() totals {
--- a/internal/fleetsim/relay.go
+++ b/internal/fleetsim/relay.go
@@ -9,29 +9,29 @@
 	"bitternwing/internal/fleetsim/measure"
 )
 
-// relay forwards the connections of one controller to another one, so that their traffic can be
-// counted and partitioned. During a partition bytes are held back and delivered when it ends.
+// relay forwards the connections of one controller to another one. It counts their traffic and can simulate a
+// partition, during which it holds all bytes back. It delivers them when the partition ends.
 type relay struct {
-	source, target string // controllers
-	targetAddress  string // address
+	source, target string // names of the controllers
+	targetAddr     string // internal address of the target
 	listener       net.Listener
 	traffic        *measure.Traffic
 
-	mu          sync.Mutex
-	open        *sync.Cond
-	partitioned bool
-	closed      bool
-	connections map[net.Conn]bool
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	partitioned  bool
+	closed       bool
+	connections  map[net.Conn]bool
 }
 
-// newRelay makes a relay between two controllers, to the internal address of the target.
-func newRelay(source, target, targetAddress string, traffic *measure.Traffic) (*relay, error) {
+// newRelay starts a relay from one controller to another, which listens on targetAddr.
+func newRelay(source, target, targetAddr string, traffic *measure.Traffic) (*relay, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{source: source, target: target, targetAddress: targetAddress, listener: listener, traffic: traffic, connections: map[net.Conn]bool{}}
-	r.open = sync.NewCond(&r.mu)
+	r := &relay{source: source, target: target, targetAddr: targetAddr, listener: listener, traffic: traffic, connections: map[net.Conn]bool{}}
+	r.stateChanged = sync.NewCond(&r.mu)
 	go r.serve()
 	return r, nil
 }
@@ -40,47 +40,47 @@
 
 func (r *relay) serve() {
 	for {
-		in, err := r.listener.Accept()
+		incoming, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.connect(in)
+		go r.forward(incoming)
 	}
 }
 
-// connect forwards a connection until one of its sides ends it.
-func (r *relay) connect(incoming net.Conn) {
+// forward forwards a connection until either side closes it.
+func (r *relay) forward(incoming net.Conn) {
 	defer r.drop(incoming)
 	if !r.track(incoming) || !r.waitUntilOpen() {
 		return
 	}
-	out, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.targetAddress)
+	outgoing, err := new(net.Dialer).DialContext(context.Background(), "tcp4", r.targetAddr)
 	if err != nil {
 		return
 	}
-	defer r.drop(out)
-	if !r.track(out) {
+	defer r.drop(outgoing)
+	if !r.track(outgoing) {
 		return
 	}
 	go func() {
-		r.copy(out, incoming, func(bytes int) {
-			r.traffic.Bytes(r.source, measure.KindPeer, 0, bytes)
-			r.traffic.Bytes(r.target, measure.KindPeer, bytes, 0)
+		r.copy(outgoing, incoming, func(bytes int) {
+			r.traffic.CountBytes(r.source, measure.KindPeer, 0, bytes)
+			r.traffic.CountBytes(r.target, measure.KindPeer, bytes, 0)
 		})
-		r.drop(out)
+		r.drop(outgoing)
 	}()
-	r.copy(incoming, out, func(bytes int) {
-		r.traffic.Bytes(r.source, measure.KindPeer, bytes, 0)
-		r.traffic.Bytes(r.target, measure.KindPeer, 0, bytes)
+	r.copy(incoming, outgoing, func(bytes int) {
+		r.traffic.CountBytes(r.source, measure.KindPeer, bytes, 0)
+		r.traffic.CountBytes(r.target, measure.KindPeer, 0, bytes)
 	})
 }
 
-// relayBuffer is how many bytes are forwarded at a time.
-const relayBuffer = 16 << 10
+// relayBufferBytes is the size of the buffer for each direction of a connection.
+const relayBufferBytes = 16 << 10
 
-// copy copies from one side to the other, and counts the bytes.
+// copy copies from one side to the other until either fails. It calls count with the number of bytes of each read.
 func (r *relay) copy(to io.Writer, from io.Reader, count func(int)) {
-	buffer := make([]byte, relayBuffer)
+	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
@@ -98,12 +98,12 @@
 	}
 }
 
-// waitUntilOpen waits for the end of a partition; false if the relay is closed.
+// waitUntilOpen waits for the end of a partition. It returns false if the relay is closed.
 func (r *relay) waitUntilOpen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.partitioned && !r.closed {
-		r.open.Wait()
+		r.stateChanged.Wait()
 	}
 	return !r.closed
 }
@@ -113,10 +113,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.partitioned = partitioned
-	r.open.Broadcast()
+	r.stateChanged.Broadcast()
 }
 
-// track keeps a connection until drop, to close it with the relay; false if the relay is closed.
+// track registers a connection, which is closed with the relay unless drop closes it before. It returns false if the
+// relay is closed.
 func (r *relay) track(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +127,7 @@
 	return !r.closed
 }
 
-// drop closes a connection.
+// drop unregisters and closes a connection.
 func (r *relay) drop(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +140,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	r.open.Broadcast()
+	r.stateChanged.Broadcast()
 	_ = r.listener.Close()
 	for connection := range r.connections {
 		_ = connection.Close()
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -10,19 +10,19 @@
 	"bitternwing/internal/simworker"
 )
 
-// Second is the counts of a second.
+// Second holds the counts of one second of a simulation.
 type Second struct {
 	AtS        float64 `json:"at_s"`
-	Requested  int64   `json:"asked"`   // tasks submitted
+	Requested  int64   `json:"asked"`   // tasks of submitted jobs
 	Started    int64   `json:"started"` // start commands that workers received
 	Completed  int64   `json:"completed"`
 	OnMachine  int64   `json:"on_machine"`
 	Leader     string  `json:"leader"`
-	Reporting  int     `json:"reporting"` // workers that accepted the leader's response last
+	Reporting  int     `json:"reporting"` // workers that accepted their last response from the leader
 	Violations int     `json:"violations"`
 }
 
-// ProcessResult is the resource usage of a process, and its messages by kind.
+// ProcessResult is the resource usage of a process, and its traffic by kind of message.
 type ProcessResult struct {
 	Name    string                                  `json:"name"`
 	Zone    string                                  `json:"zone,omitempty"`
@@ -32,14 +32,14 @@
 	Samples []measure.Sample                        `json:"samples"`
 }
 
-// WorkerResult is the traffic of the workers, in bytes a second over windows of five seconds, both ways.
+// WorkerResult is the traffic of the workers: bytes sent and received per second, over windows of five seconds.
 type WorkerResult struct {
 	Count    int             `json:"count"`
 	Windows  measure.Summary `json:"bytes_per_s"`
 	PeakMean float64         `json:"peak_mean_bytes_per_s"`
 }
 
-// JobCounts are the numbers of jobs by their outcomes.
+// JobCounts counts jobs by outcome.
 type JobCounts struct {
 	Submitted int64 `json:"submitted"`
 	Accepted  int64 `json:"accepted"`
@@ -49,16 +49,16 @@
 	Cancelled int64 `json:"cancelled"`
 }
 
-// Result is the result of a simulation. Times are in milliseconds where nothing else is said.
+// Result is the result of a simulation. Summaries of times are in milliseconds.
 type Result struct {
 	Scenario   *Scenario         `json:"scenario"`
-	Ended      string            `json:"ended"` // why; endedInTime if nothing but the time did
+	Ended      string            `json:"ended"` // why the simulation ended; endedInTime if it reached its duration
 	DurationS  float64           `json:"duration_s"`
 	Violations []rules.Violation `json:"violations"`
 	Rollouts   []rolling.Result  `json:"rollouts,omitempty"`
-	// BrokenRollout is how a rollout broke its promise; empty: all kept theirs.
+	// BrokenRollout tells how the first rollout that failed its promise did so; "" if none failed.
 	BrokenRollout string `json:"broken_rollout,omitempty"`
-	// Spread is the cold starts of the services, and their spread over zones.
+	// Spread summarizes the cold starts of services and the spread of their replicas over zones.
 	Spread SpreadResult `json:"spread"`
 
 	Requested      int64   `json:"asked"`
@@ -66,24 +66,24 @@
 	Completed      int64   `json:"completed"`
 	RequestedPerS  float64 `json:"asked_per_s"`
 	StartedPerS    float64 `json:"started_per_s"`
-	PeakStartsPerS float64 `json:"peak_starts_per_s"` // over ten seconds
+	PeakStartsPerS float64 `json:"peak_starts_per_s"` // highest mean over ten seconds
 	PeakOnMachine  int64   `json:"peak_on_machine"`
 
 	Jobs        JobCounts                               `json:"jobs"`
 	SubmitTimes measure.Summary                         `json:"submit_ms"`
-	StartTimes  map[string]measure.Summary              `json:"start_ms"`  // by class, from submission
-	UrgentTimes measure.Summary                         `json:"urgent_ms"` // from submission until all of a job runs
+	StartTimes  map[string]measure.Summary              `json:"start_ms"`  // from submission to a task's first start, by class
+	UrgentTimes measure.Summary                         `json:"urgent_ms"` // from submission until all tasks of an urgent job have started
 	Failovers   []Failover                              `json:"failovers"`
 	Workers     WorkerResult                            `json:"workers"`
 	Processes   []ProcessResult                         `json:"processes"`
-	Direct      map[simworker.MessageKind]measure.Count `json:"direct"` // messages of controllers to workers
+	Direct      map[simworker.MessageKind]measure.Count `json:"direct"` // messages that controllers send to workers directly
 	Seconds     []Second                                `json:"seconds"`
 }
 
-// endedInTime is the reason of an end that nothing else has caused.
+// endedInTime is the value of Result.Ended for a simulation that reached its duration.
 const endedInTime = "in time"
 
-// Write writes the result as JSON.
+// Write writes the result to a JSON file.
 func (r *Result) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -92,8 +92,8 @@
 	return os.WriteFile(path, append(data, '\n'), 0o600)
 }
 
-// Leader gives the process that led the longest.
-func (r *Result) Leader() *ProcessResult {
+// LongestLeader returns the process that was the leader for the most seconds, or nil if there was no leader.
+func (r *Result) LongestLeader() *ProcessResult {
 	led := map[string]int{}
 	for _, s := range r.Seconds {
 		led[s.Leader]++
--- a/internal/fleetsim/rolling/rollout.go
+++ b/internal/fleetsim/rolling/rollout.go
@@ -19,19 +19,19 @@
 	"bitternwing/internal/simworker"
 )
 
-// Environment is the simulation around the rollouts.
+// Environment gives rollouts access to the fleet simulation.
 type Environment struct {
-	Binary      string   // of the controllers, for its commands
-	Dir         string   // for plans
-	Controllers []string // internal addresses
-	Teams       []string
-	Fleet       *simworker.Fleet
-	Now         func() time.Duration
-	Submit      func(ctx context.Context, arrival load.Arrival) // submits a job as a user does, and polls it
-	Cancel      func(ctx context.Context, id string)            // cancels it as a user does
+	ControllerBinary string   // for its rollout command
+	Dir              string   // for files with plans
+	Controllers      []string // internal addresses
+	Teams            []string
+	Fleet            *simworker.Fleet
+	Now              func() time.Duration
+	Submit           func(ctx context.Context, arrival load.Arrival) // submits a job as a user, and polls it
+	Cancel           func(ctx context.Context, id string)            // cancels a job as its user
 }
 
-// The intervals of routers and samples, and the time for a command.
+// The intervals of routers and samples, and the timeouts for a rollout command and a request for the status.
 const (
 	routerInterval = 500 * time.Millisecond
 	sampleInterval = 200 * time.Millisecond
@@ -39,38 +39,38 @@
 	statusTimeout  = 2 * time.Second
 )
 
-// Rollout is the rollout of a model while it is simulated.
+// Rollout is the simulated rollout of a model.
 type Rollout struct {
-	model       Model
-	index       int
-	team        string
-	environment *Environment
-	operator    *adminapi.Client
-	routers     []*simrouter.Router
-	old, new    []string
+	model            Model
+	index            int
+	team             string
+	environment      *Environment
+	operator         *adminapi.Client
+	routers          []*simrouter.Router
+	oldJobs, newJobs []string
 
 	mu         sync.Mutex
-	status     *operatorpb.PlanStatus // as last seen
+	status     *operatorpb.PlanStatus // nil until one was received
 	statusAt   time.Duration
-	wrongFrom  time.Duration // 0: no response is wrong yet
-	rollbackAt time.Duration // when it was first seen to roll back
+	wrongFrom  time.Duration // when wrong responses begin; 0 if not yet known
+	rollbackAt time.Duration // when the plan was first seen to roll back; 0 if never
 	result     Result
-	requests   requestCounts
+	counts     requestCounts
 }
 
-// New prepares the rollout of a model, with an index among all models of the simulation.
-func New(model Model, index int, world *Environment) (*Rollout, error) {
-	r := &Rollout{model: model, index: index, team: world.Teams[index%len(world.Teams)], environment: world,
-		old: model.jobIDs(index, rollout.OldVersion), new: model.jobIDs(index, rollout.NewVersion)}
+// New prepares the rollout of a model. index is the index of the model in the scenario.
+func New(model Model, index int, environment *Environment) (*Rollout, error) {
+	r := &Rollout{model: model, index: index, team: environment.Teams[index%len(environment.Teams)], environment: environment,
+		oldJobs: model.jobIDs(index, rollout.OldVersion), newJobs: model.jobIDs(index, rollout.NewVersion)}
 	var err error
-	if r.operator, err = adminapi.NewClient(world.Controllers[index%len(world.Controllers)]); err != nil {
+	if r.operator, err = adminapi.NewClient(environment.Controllers[index%len(environment.Controllers)]); err != nil {
 		return nil, err
 	}
 	if model.Mode == Replace {
 		return r, nil
 	}
 	for i := range model.Routers {
-		router, err := simrouter.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, world.Controllers, routerInterval)
+		router, err := simrouter.New(fmt.Sprintf("%s-%d", model.Name, i), model.Name, environment.Controllers, routerInterval)
 		if err != nil {
 			return nil, err
 		}
@@ -79,7 +79,7 @@
 	return r, nil
 }
 
-// Run simulates the rollout until the context ends.
+// Run submits the old jobs, begins the rollout at its time, and simulates and measures it until the context ends.
 func (r *Rollout) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -87,14 +87,14 @@
 		running.Add(1)
 		go func() { defer running.Done(); work(ctx) }()
 	}
-	for _, id := range r.old {
+	for _, id := range r.oldJobs {
 		r.environment.Submit(ctx, r.model.arrival(id, r.team, rollout.OldVersion))
 	}
 	r.sleepUntil(ctx, config.Seconds(r.model.AtS))
 	if r.model.Mode == Replace {
-		r.replace(ctx)
+		r.replaceJobs(ctx)
 	} else {
-		r.apply(ctx)
+		r.applyPlan(ctx)
 		for _, router := range r.routers {
 			background(router.Run)
 		}
@@ -108,52 +108,52 @@
 	_ = r.operator.Close()
 }
 
-// sleepUntil waits until a time after the start.
-func (r *Rollout) sleepUntil(ctx context.Context, moment time.Duration) {
+// sleepUntil waits until a time after the start of the simulation, or until the context ends.
+func (r *Rollout) sleepUntil(ctx context.Context, wakeAt time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(moment - r.environment.Now()):
+	case <-time.After(wakeAt - r.environment.Now()):
 	}
 }
 
-// apply applies the plan with the command, and submits the new jobs.
-func (r *Rollout) apply(ctx context.Context) {
+// applyPlan applies the plan with the rollout command, and submits the new jobs.
+func (r *Rollout) applyPlan(ctx context.Context) {
 	plan, err := r.model.plan(r.index, r.team)
 	file := filepath.Join(r.environment.Dir, r.model.Name+".plan.json")
 	if err == nil {
 		err = os.WriteFile(file, plan, 0o600)
 	}
 	if err == nil {
-		err = r.command(ctx, "apply", file)
+		err = r.runCommand(ctx, "apply", file)
 	}
 	r.recordEvent("plan applied", err)
-	for _, id := range r.new {
+	for _, id := range r.newJobs {
 		r.environment.Submit(ctx, r.model.arrival(id, r.team, rollout.NewVersion))
 	}
 }
 
-// command runs a rollout command, as operators do.
-func (r *Rollout) command(ctx context.Context, args ...string) error {
+// runCommand runs the rollout command of the controller binary, as operators do.
+func (r *Rollout) runCommand(ctx context.Context, args ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	args = append([]string{"rollout"}, args...)
-	out, err := exec.CommandContext(ctx, r.environment.Binary, append(args, "--controller", r.environment.Controllers[r.index%len(r.environment.Controllers)])...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, r.environment.ControllerBinary, append(args, "--controller", r.environment.Controllers[r.index%len(r.environment.Controllers)])...).CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, strings.TrimSpace(string(out)))
 	}
 	return nil
 }
 
-// replace cancels the old jobs as it submits the new ones.
-func (r *Rollout) replace(ctx context.Context) {
+// replaceJobs cancels the old jobs and submits the new ones at the same time.
+func (r *Rollout) replaceJobs(ctx context.Context) {
 	r.recordEvent("old jobs cancelled, new ones submitted", nil)
-	for i := range r.old {
-		go r.environment.Cancel(ctx, r.old[i])
-		r.environment.Submit(ctx, r.model.arrival(r.new[i], r.team, rollout.NewVersion))
+	for i := range r.oldJobs {
+		go r.environment.Cancel(ctx, r.oldJobs[i])
+		r.environment.Submit(ctx, r.model.arrival(r.newJobs[i], r.team, rollout.NewVersion))
 	}
 }
 
-// partitionRouter partitions the first router from all controllers for a while.
+// partitionRouter injects the partition of the first router, if the model has one.
 func (r *Rollout) partitionRouter(ctx context.Context) {
 	partition := r.model.RouterPartition
 	if partition == nil {
@@ -161,26 +161,26 @@
 	}
 	r.sleepUntil(ctx, config.Seconds(partition.AtS))
 	r.routers[0].SetPartitioned(true)
-	r.recordEvent("router cut off", nil)
+	r.recordEvent("router partitioned", nil)
 	r.sleepUntil(ctx, config.Seconds(partition.AtS+partition.ForS))
 	r.routers[0].SetPartitioned(false)
-	r.recordEvent("router back", nil)
+	r.recordEvent("router reconnected", nil)
 }
 
-// recordEvent records an event, with its error.
-func (r *Rollout) recordEvent(what string, err error) {
+// recordEvent records an event, and the error if it failed.
+func (r *Rollout) recordEvent(message string, err error) {
 	if err != nil {
-		what += ": " + err.Error()
+		message += ": " + err.Error()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Events = append(r.result.Events, Event{AtS: r.environment.Now().Seconds(), What: what})
+	r.result.Events = append(r.result.Events, Event{AtS: r.environment.Now().Seconds(), What: message})
 }
 
-// IsWrong tells whether a task responds wrongly to a request now.
+// IsWrong reports whether a task is to return a wrong response to a request now.
 func (r *Rollout) IsWrong(task string, request int64) bool {
-	wrong := r.model.Wrong
-	if wrong == nil || !strings.HasPrefix(task, r.new[0]+"/") || request%wrong.Every != 0 {
+	injected := r.model.Wrong
+	if injected == nil || !strings.HasPrefix(task, r.newJobs[0]+"/") || request%injected.Every != 0 {
 		return false
 	}
 	r.mu.Lock()
@@ -188,7 +188,7 @@
 	return r.wrongFrom > 0 && r.environment.Now() >= r.wrongFrom
 }
 
-// sampleUntilDone takes samples until the context ends.
+// sampleUntilDone takes samples until the context ends, and then completes the result.
 func (r *Rollout) sampleUntilDone(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -204,14 +204,15 @@
 			select {
 			case refreshing <- struct{}{}:
 				go func() { r.refreshStatus(ctx); <-refreshing }()
-			default: // the last request has no response yet
+			default: // the last request is still pending
 			}
 		}
 		r.sample()
 	}
 }
 
-// refreshStatus requests the status of the plan.
+// refreshStatus requests the status of the plan, and records an event if its phase or step has changed. After an error,
+// for example during a failover, the last status stays.
 func (r *Rollout) refreshStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -223,16 +224,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.status == nil || r.status.GetPhase() != status.GetPhase() || r.status.GetStep() != status.GetStep() {
-		what := fmt.Sprintf("%s, step %d", status.GetPhase(), status.GetStep())
+		message := fmt.Sprintf("%s, step %d", status.GetPhase(), status.GetStep())
 		if status.GetReason() != "" {
-			what += ": " + status.GetReason() + " " + status.GetDetail()
+			message += ": " + status.GetReason() + " " + status.GetDetail()
 		}
-		r.result.Events = append(r.result.Events, Event{AtS: now.Seconds(), What: what})
+		r.result.Events = append(r.result.Events, Event{AtS: now.Seconds(), What: message})
 	}
 	r.status, r.statusAt = status, now
 	phase := rollout.Phase(status.GetPhase())
-	if wrong := r.model.Wrong; wrong != nil && r.wrongFrom == 0 && phase == wrong.Phase {
-		r.wrongFrom = now + config.Seconds(wrong.AfterS)
+	if injected := r.model.Wrong; injected != nil && r.wrongFrom == 0 && phase == injected.Phase {
+		r.wrongFrom = now + config.Seconds(injected.AfterS)
 	}
 	if phase == rollout.RollingBack && r.rollbackAt == 0 {
 		r.rollbackAt = now
--- a/internal/fleetsim/rolling/sampling.go
+++ b/internal/fleetsim/rolling/sampling.go
@@ -10,15 +10,15 @@
 	"bitternwing/internal/simrouter"
 )
 
-// sample samples the capacity that routers reach now.
+// sample records the capacity that the routers reach now.
 func (r *Rollout) sample() {
-	served, running := r.served()
+	served, running := r.servedCapacity()
 	now := r.environment.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	point := Point{AtS: now.Seconds(), Promised: r.model.Promised, Served: served}
 	if r.status != nil {
-		point.Proved = r.status.GetOldCapacity() + r.status.GetNewCapacity()
+		point.Reported = r.status.GetOldCapacity() + r.status.GetNewCapacity()
 		point.NewShare = r.status.GetNewShare()
 		r.result.MaxWithoutStatusS = max(r.result.MaxWithoutStatusS, (now - r.statusAt).Seconds())
 	}
@@ -34,10 +34,10 @@
 	}
 }
 
-// served gives the capacity that the worst router reaches, and how many replicas run. Without a plan there are no
-// routers: then all running replicas are reached.
-func (r *Rollout) served() (capacity float64, running int) {
-	for _, id := range slices.Concat(r.old, r.new) {
+// servedCapacity returns the capacity that the worst router reaches, and the number of running replicas. In mode
+// Replace there are no routers, and all running replicas count as reached.
+func (r *Rollout) servedCapacity() (capacity float64, running int) {
+	for _, id := range slices.Concat(r.oldJobs, r.newJobs) {
 		running += r.environment.Fleet.Running(id)
 	}
 	if r.model.Mode == Replace {
@@ -45,44 +45,45 @@
 	}
 	capacity = math.Inf(1)
 	for _, router := range r.routers {
-		capacity = min(capacity, r.reached(router))
+		capacity = min(capacity, r.reachableCapacity(router))
 	}
 	return capacity, running
 }
 
-// reached gives the capacity that a router reaches. One without a routing counts as reaching the old version.
-func (r *Rollout) reached(router *simrouter.Router) float64 {
+// reachableCapacity returns the capacity that a router reaches. A router that never had a routing counts as reaching
+// all of the old version.
+func (r *Rollout) reachableCapacity(router *simrouter.Router) float64 {
 	weights := router.Weights()
 	if len(weights) == 0 && router.Generation() == nil {
 		return r.model.ReplicaCapacity * float64(r.model.Jobs*r.model.Replicas)
 	}
 	reached := 0.0
 	for _, weight := range weights {
-		if r.serves(weight) {
+		if r.isServing(weight) {
 			reached += r.model.ReplicaCapacity
 		}
 	}
 	return reached
 }
 
-// serves tells whether a replica runs where a router sends requests, and responds rightly.
-func (r *Rollout) serves(weight *operatorpb.Weight) bool {
+// isServing reports whether a replica runs at the address to which a router sends requests, and responds correctly.
+func (r *Rollout) isServing(weight *operatorpb.Weight) bool {
 	host, _, err := net.SplitHostPort(weight.GetAddress())
 	return err == nil && r.environment.Fleet.Serves(host, weight.GetTask()) && !r.IsWrong(weight.GetTask(), 0)
 }
 
-// summarize completes the result.
+// summarize completes the result with the last status and the counts.
 func (r *Rollout) summarize() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	counts, result := &r.requests, &r.result
+	counts, result := &r.counts, &r.result
 	result.Model = r.model
 	result.Phase, result.Reason = r.status.GetPhase(), r.status.GetReason()
 	result.Requests = counts.requests.Load()
-	result.Wrong, result.WrongAfter = counts.wrong.Load(), counts.wrongAfter.Load()
+	result.Wrong, result.WrongAfter = counts.wrong.Load(), counts.wrongAfterRollback.Load()
 	result.Lost, result.Doubled, result.Retried = counts.lost.Load(), counts.doubled.Load(), counts.retried.Load()
-	result.WrongForS = time.Duration(counts.lastWrong.Load() - counts.firstWrong.Load()).Seconds()
+	result.WrongForS = time.Duration(counts.lastWrongAt.Load() - counts.firstWrongAt.Load()).Seconds()
 }
 
-// Result gives the result, after Run has returned.
+// Result returns the result. It is called after Run has returned.
 func (r *Rollout) Result() Result { return r.result }
--- a/internal/fleetsim/rolling/traffic.go
+++ b/internal/fleetsim/rolling/traffic.go
@@ -11,16 +11,16 @@
 	"bitternwing/internal/simrouter"
 )
 
-// requestCounts count the responses to users.
+// requestCounts counts the requests of users by outcome.
 type requestCounts struct {
-	requests, wrong, wrongAfter, lost, doubled, retried atomic.Int64
-	firstWrong, lastWrong                               atomic.Int64 // times since the start, in nanoseconds; 0: none
+	requests, wrong, wrongAfterRollback, lost, doubled, retried atomic.Int64
+	firstWrongAt, lastWrongAt                                   atomic.Int64 // nanoseconds since the start; 0 for none
 }
 
-// maxPendingRequests bounds the requests that wait for a response.
+// maxPendingRequests is the maximum number of requests that wait for a response.
 const maxPendingRequests = 256
 
-// sendLoad sends requests through all routers in turn.
+// sendLoad sends requests at the rate of the model, through all routers in turn, until the context ends.
 func (r *Rollout) sendLoad(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.model.RequestsPerS))
 	defer ticker.Stop()
@@ -33,18 +33,18 @@
 		}
 		router := r.routers[number%len(r.routers)]
 		if router.Generation() == nil {
-			continue // it has no routing yet
+			continue // the router has no routing yet
 		}
 		pending <- struct{}{}
 		go func() {
 			defer func() { <-pending }()
-			r.request(ctx, router, fmt.Sprintf("declaration %d of %s", number, r.model.Name))
+			r.sendRequest(ctx, router, fmt.Sprintf("declaration %d of %s", number, r.model.Name))
 		}()
 	}
 }
 
-// request sends a request and counts the response.
-func (r *Rollout) request(ctx context.Context, router *simrouter.Router, prompt string) {
+// sendRequest sends a request through a router, and counts its outcome.
+func (r *Rollout) sendRequest(ctx context.Context, router *simrouter.Router, prompt string) {
 	body, err := json.Marshal(simmodelserver.Request{Model: r.model.Name, Prompt: prompt})
 	if err != nil {
 		return
@@ -53,7 +53,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	counts := &r.requests
+	counts := &r.counts
 	counts.requests.Add(1)
 	if err != nil {
 		counts.lost.Add(1)
@@ -73,15 +73,15 @@
 	}
 }
 
-// countWrong counts a wrong response.
+// countWrong counts a wrong response, and whether it came after the rollback had begun.
 func (r *Rollout) countWrong() {
 	now := r.environment.Now()
-	r.requests.wrong.Add(1)
-	r.requests.firstWrong.CompareAndSwap(0, int64(now))
-	r.requests.lastWrong.Store(int64(now))
+	r.counts.wrong.Add(1)
+	r.counts.firstWrongAt.CompareAndSwap(0, int64(now))
+	r.counts.lastWrongAt.Store(int64(now))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rollbackAt > 0 && now > r.rollbackAt {
-		r.requests.wrongAfter.Add(1)
+		r.counts.wrongAfterRollback.Add(1)
 	}
 }
--- a/internal/fleetsim/rollouts.go
+++ b/internal/fleetsim/rollouts.go
@@ -12,13 +12,13 @@
 	"bitternwing/internal/simworker"
 )
 
-// rollouts are the models whose new version is rolled out, with their model servers; nil: there are none.
+// rollouts holds the simulated rollouts of models and the model servers. It is nil if the scenario has no rollouts.
 type rollouts struct {
 	servers *simmodelserver.Server
 	models  []*rolling.Rollout
 }
 
-// setUpRollouts starts the model servers and prepares what is to be rolled out.
+// setUpRollouts starts the model servers and prepares the scenario's rollouts.
 func (sim *simulation) setUpRollouts(teams []string) error {
 	if len(sim.scenario.Rollouts) == 0 {
 		return nil
@@ -30,11 +30,11 @@
 	sim.rollouts = &rollouts{servers: simmodelserver.New(listener, sim.fleet)}
 	environment := sim.rolloutEnvironment(teams)
 	for i, model := range sim.scenario.Rollouts {
-		simulated, err := rolling.New(model, i, environment)
+		prepared, err := rolling.New(model, i, environment)
 		if err != nil {
 			return err
 		}
-		sim.rollouts.models = append(sim.rollouts.models, simulated)
+		sim.rollouts.models = append(sim.rollouts.models, prepared)
 	}
 	sim.rollouts.servers.SetWrong(sim.rollouts.isWrong)
 	return nil
@@ -42,14 +42,14 @@
 
 func (sim *simulation) rolloutEnvironment(teams []string) *rolling.Environment {
 	environment := &rolling.Environment{
-		Binary: sim.options.Binary,
-		Dir:    sim.options.Dir,
-		Teams:  teams,
-		Fleet:  sim.fleet,
-		Now:    sim.now,
+		ControllerBinary: sim.options.ControllerBinary,
+		Dir:              sim.options.Dir,
+		Teams:            teams,
+		Fleet:            sim.fleet,
+		Now:              sim.now,
 		Submit: func(ctx context.Context, arrival load.Arrival) {
-			sim.recorder.submit(arrival)
-			sim.users.Start(ctx, arrival)
+			sim.recorder.recordSubmission(arrival)
+			sim.users.StartUser(ctx, arrival)
 		},
 		Cancel: sim.users.Cancel,
 	}
@@ -59,12 +59,12 @@
 	return environment
 }
 
-// isWrong tells whether a task responds wrongly to a request now.
+// isWrong reports whether a task is to respond wrongly to a request now.
 func (r *rollouts) isWrong(task string, request int64) bool {
 	return slices.ContainsFunc(r.models, func(model *rolling.Rollout) bool { return model.IsWrong(task, request) })
 }
 
-// modelPort is the port of the model servers; 0: there are none.
+// modelPort returns the port of the model servers, or 0 if there are none.
 func (r *rollouts) modelPort() int {
 	if r == nil {
 		return 0
@@ -72,7 +72,7 @@
 	return r.servers.Port()
 }
 
-// start simulates all rollouts in the background, until the context ends.
+// start runs all rollouts in the background until the context ends. The returned group waits for them.
 func (r *rollouts) start(ctx context.Context) *sync.WaitGroup {
 	var running sync.WaitGroup
 	if r == nil {
@@ -85,30 +85,30 @@
 	return &running
 }
 
-// results gives the results of the rollouts, and the first broken promise; "": there is none.
-func (r *rollouts) results() (all []rolling.Result, broken string) {
+// results returns the results of the rollouts, and the first broken promise or "".
+func (r *rollouts) results() (all []rolling.Result, brokenPromise string) {
 	if r == nil {
 		return nil, ""
 	}
 	for _, model := range r.models {
 		result := model.Result()
-		if broken == "" {
-			broken = result.BrokenPromise()
+		if brokenPromise == "" {
+			brokenPromise = result.BrokenPromise()
 		}
 		all = append(all, result)
 	}
-	return all, broken
+	return all, brokenPromise
 }
 
-// close ends the model servers.
+// close closes the model servers.
 func (r *rollouts) close() {
 	if r != nil {
 		r.servers.Close()
 	}
 }
 
-// operatorWith gives the operators' settings of the scenario, with the port of the model servers if there are any.
-func (s *Scenario) operatorWith(modelPort int) (json.RawMessage, error) {
+// operatorSettings returns the scenario's operator settings, with the port of the model servers if that is not 0.
+func (s *Scenario) operatorSettings(modelPort int) (json.RawMessage, error) {
 	if modelPort == 0 {
 		return s.Operator, nil
 	}
--- a/internal/fleetsim/rules/ledger.go
+++ b/internal/fleetsim/rules/ledger.go
@@ -1,6 +1,7 @@
-// Package rules checks what workers and users see against the rules of the protocol: no task on two machines, no task of a
-// cancelled job after its deadline, no team beyond its limit, no accepted job that is unknown, no job that is reported as done
-// too early. It only observes the simulated workers and users, and knows nothing of the controllers' state.
+// Package rules checks what workers and users see against the rules of the protocol: No task is on two machines. No
+// task of a cancelled job is on a machine after the cancellation timeout. No team exceeds its limit. No accepted job is
+// unknown later. No job is reported as done before all its tasks have completed. The checks use only observations of
+// the simulated workers and users, never the controllers' state.
 package rules
 
 import (
@@ -12,108 +13,109 @@
 	"bitternwing/internal/wire"
 )
 
-// Rule is the protocol's name of a rule.
+// Rule is the name of a rule of the protocol.
 type Rule string
 
-// The rules that are checked.
+// The checked rules.
 const (
-	RanTwice     Rule = "ran_twice"
-	Quota        Rule = "quota"
-	RanCancelled Rule = "ran_cancelled"
-	Forgotten    Rule = "forgotten"
-	NotDone      Rule = "not_done"
+	RanTwice        Rule = "ran_twice"
+	QuotaExceeded   Rule = "quota"
+	RanCancelled    Rule = "ran_cancelled"
+	AcceptedJobLost Rule = "forgotten"
+	DoneTooEarly    Rule = "not_done"
 )
 
-// Violation is the violation of a rule, with the evidence.
+// Violation describes a violation of a rule.
 type Violation struct {
 	Rule    Rule    `json:"rule"`
 	AtS     float64 `json:"at_s"`
 	Message string  `json:"message"`
 }
 
-// maxViolations bounds the violations that are kept.
+// maxViolations is the maximum number of recorded violations. Further ones are dropped.
 const maxViolations = 100
 
-// tolerance is the rounding error of amounts after adding and subtracting.
+// tolerance allows for the rounding errors of adding and subtracting usage.
 const tolerance = 1e-6
 
-// Ledger records where each task is, and the responses to users.
+// Ledger records on which machine each task is and what users were told, and checks the rules.
 type Ledger struct {
-	cancelTime time.Duration
-	now        func() time.Duration
-	teams      map[string]config.Team
+	cancelTimeout time.Duration
+	now           func() time.Duration
+	teams         map[string]config.Team
 
 	mu         sync.Mutex
-	jobs       map[string]*job
-	used       map[string]*amount // by team
+	jobs       map[string]*jobRecord
+	usage      map[string]*teamUsage // by team
 	violations []Violation
 }
 
-// amount is the usage of a team.
-type amount struct{ gpus, cpus float64 }
+// teamUsage is what the tasks of a team use.
+type teamUsage struct{ gpus, cpus float64 }
 
-// job is the record of a job.
-type job struct {
+// jobRecord is what the ledger keeps of a job.
+type jobRecord struct {
 	spec               *wire.Job
 	accepted           bool
 	cancelAcknowledged bool
-	cancelledAt        time.Duration // when the cancellation was acknowledged
-	reported           bool          // that it ran on after that
+	cancelledAt        time.Duration // when the user was first told that the job is cancelled
+	overrunReported    bool          // CheckCancelled has recorded a violation
 	machines           map[int]string
-	done               map[int]bool
+	completed          map[int]bool
 }
 
-// NewLedger makes a ledger with a clock. After an acknowledged cancellation, all tasks have to end within cancelTime.
-func NewLedger(teams []config.Team, cancelTime time.Duration, now func() time.Duration) *Ledger {
-	l := &Ledger{cancelTime: cancelTime, now: now, teams: map[string]config.Team{}, jobs: map[string]*job{}, used: map[string]*amount{}}
+// NewLedger returns an empty ledger. All tasks of a job have to leave their machines within cancelTimeout after the
+// user was told that the job is cancelled. now is the clock.
+func NewLedger(teams []config.Team, cancelTimeout time.Duration, now func() time.Duration) *Ledger {
+	l := &Ledger{cancelTimeout: cancelTimeout, now: now, teams: map[string]config.Team{}, jobs: map[string]*jobRecord{}, usage: map[string]*teamUsage{}}
 	for _, team := range teams {
 		l.teams[team.Name] = team
-		l.used[team.Name] = &amount{}
+		l.usage[team.Name] = &teamUsage{}
 	}
 	return l
 }
 
-// RecordSubmission records a job before it is submitted.
+// RecordSubmission records a job just before it is submitted.
 func (l *Ledger) RecordSubmission(spec *wire.Job) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.jobs[spec.ID] = &job{spec: spec, machines: map[int]string{}, done: map[int]bool{}}
+	l.jobs[spec.ID] = &jobRecord{spec: spec, machines: map[int]string{}, completed: map[int]bool{}}
 }
 
-// RecordAccepted records that a submission was acknowledged.
+// RecordAccepted records that the submission of a job was accepted.
 func (l *Ledger) RecordAccepted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs[id].accepted = true
 }
 
-// RecordStatus records and checks the status of a job in a response to its user.
-func (l *Ledger) RecordStatus(id string, state wire.JobStatus) {
+// RecordStatus records and checks the status of a job that its user was told.
+func (l *Ledger) RecordStatus(id string, status wire.JobStatus) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
 	switch {
-	case state == wire.JobCancelled && !j.cancelAcknowledged:
+	case status == wire.JobCancelled && !j.cancelAcknowledged:
 		j.cancelAcknowledged, j.cancelledAt = true, l.now()
-	case state == wire.JobDone && len(j.done) < j.spec.Tasks:
-		l.recordViolation(NotDone, "%s is called done with %d of %d tasks completed", id, len(j.done), j.spec.Tasks)
+	case status == wire.JobDone && len(j.completed) < j.spec.Tasks:
+		l.recordViolation(DoneTooEarly, "%s is reported done with %d of %d tasks completed", id, len(j.completed), j.spec.Tasks)
 	}
 }
 
-// RecordNotFound checks a response to a user that there is no such job.
+// RecordNotFound checks a response to a user that says that a job does not exist.
 func (l *Ledger) RecordNotFound(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if j := l.jobs[id]; j != nil && j.accepted {
-		l.recordViolation(Forgotten, "%s was accepted and is unknown now", id)
+		l.recordViolation(AcceptedJobLost, "%s was accepted and is now unknown", id)
 	}
 }
 
-// TaskRuns checks that a task may be on a machine from now on.
+// TaskRuns records that a task is on a machine from now on, and checks that it may be there.
 func (l *Ledger) TaskRuns(machine, task string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j, index := l.find(task)
+	j, index := l.findTask(task)
 	if j == nil {
 		return
 	}
@@ -126,19 +128,19 @@
 	if l.cancelOverdue(j) {
 		l.recordViolation(RanCancelled, "%s starts on %s after its job was cancelled", task, machine)
 	}
-	l.checkLimit(j)
+	l.checkQuota(j)
 }
 
-// TaskEnds records that a task is on a machine no longer; done if it completed.
+// TaskEnds records that a task has left a machine. done is true if it completed.
 func (l *Ledger) TaskEnds(machine, task string, done bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j, index := l.find(task)
+	j, index := l.findTask(task)
 	if j == nil {
 		return
 	}
 	if done {
-		j.done[index] = true
+		j.completed[index] = true
 	}
 	if j.machines[index] == machine {
 		delete(j.machines, index)
@@ -146,15 +148,15 @@
 	}
 }
 
-// Completed tells whether a task has completed on some machine.
+// Completed reports whether a task has completed on any machine.
 func (l *Ledger) Completed(id string, index int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
-	return j != nil && j.done[index]
+	return j != nil && j.completed[index]
 }
 
-// Job gives a submitted job; nil if there is none.
+// Job returns a submitted job, or nil.
 func (l *Ledger) Job(id string) *wire.Job {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,37 +166,39 @@
 	return nil
 }
 
-// CheckCancelled checks that cancelled jobs have ended in time. It is called regularly.
+// CheckCancelled checks that tasks of cancelled jobs have left their machines in time. It is called once a second, and
+// records at most one violation for each job.
 func (l *Ledger) CheckCancelled() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, j := range l.jobs {
-		if !l.cancelOverdue(j) || j.reported {
+		if !l.cancelOverdue(j) || j.overrunReported {
 			continue
 		}
 		for index, machine := range j.machines {
-			j.reported = true
-			l.recordViolation(RanCancelled, "%s is on %s, %.1f s after its user was told that it is cancelled",
+			j.overrunReported = true
+			l.recordViolation(RanCancelled, "%s is on %s %.1f s after its user was told that it is cancelled",
 				wire.TaskName(id, index), machine, (l.now() - j.cancelledAt).Seconds())
 			break
 		}
 	}
 }
 
-// Violations gives the broken rules so far.
+// Violations returns a copy of the violations so far.
 func (l *Ledger) Violations() []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Violation(nil), l.violations...)
 }
 
-// cancelOverdue tells whether no task of a job may be on a machine any more.
-func (l *Ledger) cancelOverdue(record *job) bool {
-	return record.cancelAcknowledged && l.now() > record.cancelledAt+l.cancelTime
+// cancelOverdue reports whether the cancellation timeout of a job has passed, so that none of its tasks may be on a
+// machine.
+func (l *Ledger) cancelOverdue(j *jobRecord) bool {
+	return j.cancelAcknowledged && l.now() > j.cancelledAt+l.cancelTimeout
 }
 
-// find gives the job of a task, and the task's index; nil: there is none.
-func (l *Ledger) find(task string) (*job, int) {
+// findTask returns the record of a task's job, or nil, and the task's index.
+func (l *Ledger) findTask(task string) (*jobRecord, int) {
 	id, index, ok := wire.ParseTaskName(task)
 	if !ok {
 		return nil, 0
@@ -202,18 +206,18 @@
 	return l.jobs[id], index
 }
 
-// addUsage adds a number of tasks to the usage of their team.
-func (l *Ledger) addUsage(record *job, tasks float64) {
-	used := l.used[record.spec.Team]
-	used.gpus += tasks * record.spec.GPUs
-	used.cpus += tasks * record.spec.CPUs
+// addUsage adds a number of tasks, which may be negative, to the usage of a job's team.
+func (l *Ledger) addUsage(j *jobRecord, tasks float64) {
+	used := l.usage[j.spec.Team]
+	used.gpus += tasks * j.spec.GPUs
+	used.cpus += tasks * j.spec.CPUs
 }
 
-// checkLimit checks the usage of a job's team.
-func (l *Ledger) checkLimit(record *job) {
-	team, used := l.teams[record.spec.Team], l.used[record.spec.Team]
+// checkQuota checks the usage of a job's team against its limit.
+func (l *Ledger) checkQuota(j *jobRecord) {
+	team, used := l.teams[j.spec.Team], l.usage[j.spec.Team]
 	if team.MaxGPUs > 0 && used.gpus > team.MaxGPUs+tolerance || team.MaxCPUs > 0 && used.cpus > team.MaxCPUs+tolerance {
-		l.recordViolation(Quota, "team %s uses %.2f GPUs of %.2f and %.2f CPUs of %.2f", team.Name, used.gpus, team.MaxGPUs, used.cpus, team.MaxCPUs)
+		l.recordViolation(QuotaExceeded, "team %s uses %.2f of %.2f GPUs and %.2f of %.2f CPUs", team.Name, used.gpus, team.MaxGPUs, used.cpus, team.MaxCPUs)
 	}
 }
 
--- a/internal/fleetsim/rules/ledger_test.go
+++ b/internal/fleetsim/rules/ledger_test.go
@@ -8,7 +8,7 @@
 	"bitternwing/internal/wire"
 )
 
-// TestRules violates each rule once, which is recorded once; what comes close to it is no violation.
+// TestRules checks that a violation of each rule is recorded once, and that allowed events close to it are not.
 func TestRules(t *testing.T) {
 	type setup struct {
 		ledger *Ledger
@@ -16,15 +16,15 @@
 	}
 	const job = "run-000001"
 	for _, test := range []struct {
-		rule       Rule
-		close, bad func(setup)
+		rule             Rule
+		allowed, violate func(setup)
 	}{
 		{RanTwice, func(s setup) {
 			s.ledger.TaskRuns("m1", job+"/0")
 			s.ledger.TaskEnds("m1", job+"/0", false)
 			s.ledger.TaskRuns("m2", job+"/0")
 		}, func(s setup) { s.ledger.TaskRuns("m1", job+"/0") }},
-		{Quota, func(s setup) {
+		{QuotaExceeded, func(s setup) {
 			s.ledger.TaskRuns("m1", job+"/0")
 			s.ledger.TaskRuns("m1", job+"/1")
 		}, func(s setup) { s.ledger.TaskRuns("m1", job+"/2") }},
@@ -43,26 +43,26 @@
 			*s.now += 31 * time.Second
 			s.ledger.CheckCancelled()
 		}, func(s setup) { s.ledger.TaskRuns("m1", job+"/0") }},
-		{Forgotten, func(s setup) { s.ledger.RecordNotFound(job) }, func(s setup) {
+		{AcceptedJobLost, func(s setup) { s.ledger.RecordNotFound(job) }, func(s setup) {
 			s.ledger.RecordAccepted(job)
 			s.ledger.RecordNotFound(job)
 		}},
-		{NotDone, func(s setup) {
+		{DoneTooEarly, func(s setup) {
 			s.ledger.TaskRuns("m1", job+"/0")
 			s.ledger.TaskEnds("m1", job+"/0", true)
 		}, func(s setup) { s.ledger.RecordStatus(job, wire.JobDone) }},
 	} {
 		now := time.Duration(0)
-		l := NewLedger([]config.Team{{Name: "red", MaxGPUs: 2}}, 30*time.Second, func() time.Duration { return now })
-		l.RecordSubmission(&wire.Job{ID: job, Team: "red", Tasks: 3, GPUs: 1})
-		s := setup{l, &now}
-		test.close(s)
-		if v := l.Violations(); len(v) > 0 {
-			t.Errorf("%s: recorded too early: %v", test.rule, v)
+		ledger := NewLedger([]config.Team{{Name: "red", MaxGPUs: 2}}, 30*time.Second, func() time.Duration { return now })
+		ledger.RecordSubmission(&wire.Job{ID: job, Team: "red", Tasks: 3, GPUs: 1})
+		s := setup{ledger, &now}
+		test.allowed(s)
+		if v := ledger.Violations(); len(v) > 0 {
+			t.Errorf("%s: violations after allowed events = %v, want none", test.rule, v)
 		}
-		test.bad(s)
-		if v := l.Violations(); len(v) != 1 || v[0].Rule != test.rule {
-			t.Errorf("%s: %v", test.rule, v)
+		test.violate(s)
+		if v := ledger.Violations(); len(v) != 1 || v[0].Rule != test.rule {
+			t.Errorf("%s: violations = %v, want one of this rule", test.rule, v)
 		}
 	}
 }
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -12,12 +12,12 @@
 	"bitternwing/internal/schema"
 )
 
-// Scenario describes a simulation.
+// Scenario describes a simulation: the fleet, its load and the faults.
 type Scenario struct {
 	Name        string          `json:"name"`
 	Seed        uint64          `json:"seed"`
 	DurationS   float64         `json:"duration_s"`
-	WarmUpS     float64         `json:"warm_up_s"` // before jobs are submitted, and before means are taken
+	WarmUpS     float64         `json:"warm_up_s"` // until the first jobs are submitted; means exclude this time
 	Controllers Controllers     `json:"controllers"`
 	Zones       []string        `json:"zones"`
 	Machines    []MachineGroup  `json:"machines"`
@@ -33,7 +33,7 @@
 	Sweep       *Sweep          `json:"sweep,omitempty"`
 }
 
-// Controllers are the controller processes.
+// Controllers describes the controller processes and their limits.
 type Controllers struct {
 	Count          int     `json:"count"`
 	Cores          float64 `json:"cores"`
@@ -42,7 +42,7 @@
 	RestartS       float64 `json:"restart_s"`
 }
 
-// MachineGroup is a number of machines of a type, spread evenly over all zones.
+// MachineGroup describes machines of one type, which are spread evenly over all zones.
 type MachineGroup struct {
 	Type        string  `json:"type"`
 	Count       int     `json:"count"`
@@ -54,21 +54,21 @@
 	BootS       float64 `json:"boot_s"`
 }
 
-// Teams are all alike; their shares are of all GPUs and CPUs.
+// Teams describes teams with equal quotas, which are shares of the fleet's GPUs and CPUs.
 type Teams struct {
 	Count           int     `json:"count"`
 	GuaranteedShare float64 `json:"guaranteed_share"`
 	LimitShare      float64 `json:"limit_share"`
 }
 
-// WorkerTimes are the times of the workers' protocol.
+// WorkerTimes holds the intervals and timeouts of the workers' protocol.
 type WorkerTimes struct {
 	HeartbeatIntervalS float64 `json:"report_s"`
 	LeaseS             float64 `json:"lease_s"`
 	CancelS            float64 `json:"cancel_s"`
 }
 
-// StoreLimits are the limits of the key-value store.
+// StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -76,7 +76,7 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// CloudLimits are the limits of the cloud.
+// CloudLimits holds the limits of the cloud.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
@@ -96,7 +96,8 @@
 	StoreDown       FaultKind = "state_down"
 )
 
-// Fault is a fault that begins at a time after the start. Count is a number of workers.
+// Fault is a fault to inject. It begins AtS after the start and lasts for ForS, if its kind has an end. Count is the
+// number of workers that it hits.
 type Fault struct {
 	AtS   float64   `json:"at_s"`
 	Kind  FaultKind `json:"kind"`
@@ -108,7 +109,7 @@
 //go:embed scenario.schema.json
 var scenarioSchema []byte
 
-// ScenarioSchema is the published schema of scenarios.
+// ScenarioSchema returns the JSON schema of scenarios.
 func ScenarioSchema() []byte { return scenarioSchema }
 
 // LoadScenario reads and validates a scenario.
@@ -139,42 +140,43 @@
 	return s, s.checkRollouts()
 }
 
-// checkRollouts checks what a schema can't express of rollouts: unique names, times within the simulation, a promised capacity
-// that the old version has.
+// checkRollouts checks what the schema can't express: rollouts have unique names, begin before the end of the
+// simulation, and promise at most the capacity of the old version.
 func (s *Scenario) checkRollouts() error {
 	names := map[string]bool{}
 	for i, m := range s.Rollouts {
 		switch {
 		case names[m.Name]:
-			return fmt.Errorf("/rollouts/%d/name: is used twice", i)
+			return fmt.Errorf("/rollouts/%d/name: already used by another rollout", i)
 		case m.AtS >= s.DurationS:
-			return fmt.Errorf("/rollouts/%d/at_s: %g is not before the end of the run at %g", i, m.AtS, s.DurationS)
+			return fmt.Errorf("/rollouts/%d/at_s: %g is not before the end of the simulation at %g", i, m.AtS, s.DurationS)
 		case m.Promised > m.ReplicaCapacity*float64(m.Jobs*m.Replicas):
-			return fmt.Errorf("/rollouts/%d/promised_capacity: is more than the old version has", i)
+			return fmt.Errorf("/rollouts/%d/promised_capacity: exceeds the capacity of the old version", i)
 		}
 		names[m.Name] = true
 	}
 	return nil
 }
 
-// checkFaults checks what a schema can't express of faults: times within the simulation, and zones that there are.
+// checkFaults checks what the schema can't express: faults begin before the end of the simulation and name existing
+// zones, and the loss of a zone leaves another one with machines.
 func (s *Scenario) checkFaults() error {
 	for i, f := range s.Faults {
 		if f.AtS >= s.DurationS {
-			return fmt.Errorf("/faults/%d/at_s: %g is not before the end of the run at %g", i, f.AtS, s.DurationS)
+			return fmt.Errorf("/faults/%d/at_s: %g is not before the end of the simulation at %g", i, f.AtS, s.DurationS)
 		}
-		if f.Kind == KillWorstZone && (len(s.Zones) < 2 || s.workers() < 2) {
-			return fmt.Errorf("/faults/%d/kind: %s takes two zones and two machines at least", i, f.Kind)
+		if f.Kind == KillWorstZone && (len(s.Zones) < 2 || s.workerCount() < 2) {
+			return fmt.Errorf("/faults/%d/kind: %s requires at least two zones and two machines", i, f.Kind)
 		}
 		if f.Kind == ZonePartitioned && !slices.Contains(s.Zones, f.Zone) {
-			return fmt.Errorf("/faults/%d/zone: there is no zone %q", i, f.Zone)
+			return fmt.Errorf("/faults/%d/zone: unknown zone %q", i, f.Zone)
 		}
 	}
 	return nil
 }
 
-// workers counts the machines of all groups.
-func (s *Scenario) workers() int {
+// workerCount returns the number of machines in all groups.
+func (s *Scenario) workerCount() int {
 	count := 0
 	for _, group := range s.Machines {
 		count += group.Count
@@ -182,8 +184,8 @@
 	return count
 }
 
-// Scale gives the scenario with a share of its workers, starts, teams and connections. Controllers stay as
-// they are.
+// Scale returns a copy of the scenario with a share of its machines, teams, initial jobs and starts per second. The
+// quota shares of the remaining teams grow accordingly. The controllers stay the same.
 func (s *Scenario) Scale(share float64) *Scenario {
 	scaled := *s
 	scaled.Name = fmt.Sprintf("%s x %g", s.Name, share)
@@ -193,7 +195,7 @@
 	}
 	scaled.Classes = slices.Clone(s.Classes)
 	for i := range scaled.Classes {
-		scaled.Classes[i].AtStart = int(share * float64(s.Classes[i].AtStart))
+		scaled.Classes[i].InitialJobs = int(share * float64(s.Classes[i].InitialJobs))
 	}
 	scaled.Teams.Count = max(1, int(share*float64(s.Teams.Count)))
 	scaled.Teams.GuaranteedShare = min(1, s.Teams.GuaranteedShare/share)
--- a/internal/fleetsim/setup.go
+++ b/internal/fleetsim/setup.go
@@ -24,15 +24,15 @@
 	sim.traffic = measure.NewTraffic()
 	sim.ledger = rules.NewLedger(params.Teams, config.Seconds(s.Workers.CancelS), sim.now)
 	sim.recorder = newRecorder(sim.ledger, sim.now, newPlacementTracker(sim.now, func(machine string) string { return sim.fleet.ZoneOf(machine) }))
-	sim.self = measure.NewProcess("fleetsim", os.Getpid(), 0)
-	sim.controllers = &controllers{binary: sim.options.Binary, dir: sim.options.Dir, now: sim.now, unexpectedExits: make(chan string, maxExitsPerController*s.Controllers.Count)}
+	sim.ownUsage = measure.NewProcess("fleetsim", os.Getpid(), 0)
+	sim.controllers = &controllers{binary: sim.options.ControllerBinary, dir: sim.options.Dir, now: sim.now, unexpectedExits: make(chan string, bufferedExitsPerController*s.Controllers.Count)}
 	if err := sim.controllers.allocate(s, sim.options.BasePort, sim.traffic); err != nil {
 		return err
 	}
 	if err := sim.setUpServices(); err != nil {
 		return err
 	}
-	addresses, names := sim.controllers.addresses()
+	addresses, names := sim.controllers.publicAddresses()
 	sim.users = load.NewUsers(addresses, sim.ledger, sim.traffic, names)
 	if err := sim.setUpRollouts(teams); err != nil {
 		return err
@@ -42,28 +42,29 @@
 	}
 	warmUp := config.Seconds(s.WarmUpS)
 	sim.generator = load.NewGenerator(s.Seed, s.Classes, teams, s.StartsPerS, warmUp)
-	sim.faults = sim.schedule()
+	sim.pendingFaults = sim.faultSchedule()
 	return sim.controllers.startAll()
 }
 
-// maxExitsPerController is how many unexpected exits of a controller may wait to be seen; the first one ends the simulation.
-const maxExitsPerController = 16
+// bufferedExitsPerController is the capacity of unexpectedExits for each controller, so that reporting an exit does not
+// block. The first exit that is received ends the simulation.
+const bufferedExitsPerController = 16
 
-// setUpServices starts the key-value store, the cloud and the workers.
+// setUpServices starts the key-value store, the cloud and the workers of all machine groups.
 func (sim *simulation) setUpServices() error {
 	s := sim.scenario
 	sim.store = emulator.NewStoreServer()
 	sim.store.SetRateLimits(s.Store.RPS, s.Store.WriteRPS)
 	sim.store.SetLimits(int(s.Store.ValueKB*bytesPerKB), s.Store.TxnOps)
-	sim.store.SetObserver(sim.countService("state"))
+	sim.store.SetObserver(sim.countServiceRequests("state"))
 	if err := sim.setUpFleet(); err != nil {
 		return err
 	}
 	sim.cloud = emulator.NewCloud(s.catalog(), sim.fleet.LaunchMachine)
-	sim.cloud.SetObserver(sim.countService("cloud"))
+	sim.cloud.SetObserver(sim.countServiceRequests("cloud"))
 	sim.cloud.SetRateLimit(s.Cloud.RPS)
 	sim.cloud.EnableBootTimes()
-	if err := sim.connectControllers(); err != nil {
+	if err := sim.registerControllers(); err != nil {
 		return err
 	}
 	for _, group := range s.Machines {
@@ -77,7 +78,7 @@
 
 const bytesPerKB = 1024
 
-// setUpFleet makes the fleet, without workers.
+// setUpFleet creates the fleet, still without workers.
 func (sim *simulation) setUpFleet() error {
 	s := sim.scenario
 	var controllers []simworker.Controller
@@ -89,7 +90,7 @@
 		HeartbeatInterval: config.Seconds(s.Workers.HeartbeatIntervalS),
 		LeaseDuration:     config.Seconds(s.Workers.LeaseS),
 		Controllers:       controllers,
-		Jobs:              load.Uploads{Completions: sim.ledger},
+		Jobs:              load.Workload{Completions: sim.ledger},
 		Observer:          sim.recorder,
 		Traffic:           sim.traffic,
 	})
@@ -97,12 +98,12 @@
 		return err
 	}
 	sim.fleet = fleet
-	sim.workers = newWorkerTraffic(fleet)
+	sim.workerTraffic = newWorkerTraffic(fleet)
 	return nil
 }
 
-// connectControllers gives the controllers addresses of the services.
-func (sim *simulation) connectControllers() error {
+// registerControllers adds each controller as a client of the key-value store and the cloud, with addresses of its own.
+func (sim *simulation) registerControllers() error {
 	var err error
 	for _, c := range sim.controllers.list {
 		if c.storeAddress, err = sim.store.AddClient(c.name); err != nil {
@@ -115,15 +116,15 @@
 	return nil
 }
 
-// countService counts the requests of controllers to a service, by method and resource.
-func (sim *simulation) countService(service string) emulator.RequestObserver {
+// countServiceRequests returns an observer that counts the requests of controllers to a service by method and resource.
+func (sim *simulation) countServiceRequests(service string) emulator.RequestObserver {
 	return func(client, method, path string, received, sent int) {
-		// What a controller sends the service receives.
+		// Traffic counts from the view of the controller: it sends what the service receives.
 		sim.traffic.Count(client, simworker.MessageKind(service+" "+method+" "+resourceOf(path)), sent, received)
 	}
 }
 
-// resourceOf gives the first part of a path.
+// resourceOf returns the first segment of a path.
 func resourceOf(path string) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return "/" + first
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -16,66 +16,68 @@
 	"bitternwing/internal/simworker"
 )
 
-// Options say where and with which programs a scenario is simulated.
+// Options holds the settings of a simulation that are not part of its scenario.
 type Options struct {
-	Binary       string // of the controllers
-	Dir          string // for settings, logs and results
-	BasePort     int    // of the controllers; 0: any free ones
-	MaxProcesses int
-	Progress     func(Second) // called each second
+	ControllerBinary string
+	Dir              string // for the settings and logs of the controllers
+	BasePort         int    // first port of the controllers; 0 for any free ports
+	MaxProcesses     int
+	Progress         func(Second) // called once a second; may be nil
 }
 
-// workerMB is the memory of this process for a simulated worker, baseMB that for all else.
+// memoryMBPerWorker is the estimated memory of this process for each simulated worker, baseMemoryMB for everything
+// else.
 const (
-	workerMB = 0.1
-	baseMB   = 400
+	memoryMBPerWorker = 0.1
+	baseMemoryMB      = 400
 )
 
-// ErrRuleBroken is returned if a rule of the protocol was broken.
-var ErrRuleBroken = errors.New("a rule was broken")
+// ErrRuleBroken is returned if a rule of the protocol was violated.
+var ErrRuleBroken = errors.New("protocol rule violated")
 
-// ErrPromiseBroken is returned if a rollout did not keep its promised capacity.
-var ErrPromiseBroken = errors.New("a rollout did not keep its promise")
+// ErrPromiseBroken is returned if a rollout served less than its promised capacity, lost or mismatched responses, or
+// did not end in the expected phase.
+var ErrPromiseBroken = errors.New("rollout did not keep its promise")
 
-// simulation is a scenario while it is simulated.
+// simulation is the state of a running simulation.
 type simulation struct {
-	scenario  *Scenario
-	options   Options
-	startedAt time.Time
-	memoryMB  float64 // that all processes may use
-
-	traffic     *measure.Traffic
-	ledger      *rules.Ledger
-	recorder    *recorder
-	store       *emulator.StoreServer
-	cloud       *emulator.Cloud
-	fleet       *simworker.Fleet
-	controllers *controllers
-	users       *load.Users
-	generator   *load.Generator
-	workers     *workerTraffic
-	self        *measure.Process
-	rollouts    *rollouts
-
-	faults         []scheduledAction
+	scenario      *Scenario
+	options       Options
+	startedAt     time.Time
+	memoryLimitMB float64 // limit for the memory of all processes
+
+	traffic       *measure.Traffic
+	ledger        *rules.Ledger
+	recorder      *recorder
+	store         *emulator.StoreServer
+	cloud         *emulator.Cloud
+	fleet         *simworker.Fleet
+	controllers   *controllers
+	users         *load.Users
+	generator     *load.Generator
+	workerTraffic *workerTraffic
+	ownUsage      *measure.Process
+	rollouts      *rollouts
+
+	pendingFaults  []scheduledAction
 	requestedTasks int64
 	seconds        []Second
 	lastTotals     totals
 }
 
-// Run simulates a scenario. There is a result whenever the simulation began, also with an error.
+// Run simulates a scenario. Once the simulation has begun, it returns a result also with an error.
 func Run(ctx context.Context, scenario *Scenario, options Options) (*Result, error) {
-	r := &simulation{scenario: scenario, options: options, startedAt: time.Now()}
-	if err := r.checkResources(); err != nil {
+	sim := &simulation{scenario: scenario, options: options, startedAt: time.Now()}
+	if err := sim.checkResources(); err != nil {
 		return nil, err
 	}
-	defer r.close()
-	if err := r.setUp(); err != nil {
+	defer sim.close()
+	if err := sim.setUp(); err != nil {
 		return nil, err
 	}
-	err := r.execute(ctx)
-	r.stopControllers()
-	result := r.result(err)
+	err := sim.execute(ctx)
+	sim.stopControllers()
+	result := sim.result(err)
 	if err == nil && result.BrokenRollout != "" {
 		err = fmt.Errorf("%w: %s", ErrPromiseBroken, result.BrokenRollout)
 	}
@@ -85,53 +87,55 @@
 	return result, err
 }
 
-// checkResources refuses a simulation that takes more than the machine has.
+// checkResources returns an error if the controller binary does not exist, or if the simulation would need too many
+// processes or more than half of the machine's memory.
 func (sim *simulation) checkResources() error {
 	controllers := sim.scenario.Controllers
-	if _, err := os.Stat(sim.options.Binary); err != nil {
+	if _, err := os.Stat(sim.options.ControllerBinary); err != nil {
 		return fmt.Errorf("binary: %w", err)
 	}
 	if processes := controllers.Count + 1; processes > sim.options.MaxProcesses {
-		return fmt.Errorf("controllers: %d processes, %d at most", processes, sim.options.MaxProcesses)
+		return fmt.Errorf("controllers: %d processes needed, at most %d allowed", processes, sim.options.MaxProcesses)
 	}
-	half, err := measure.HalfOfMemoryMB()
+	halfMB, err := measure.HalfOfMemoryMB()
 	if err != nil {
 		return fmt.Errorf("memory: %w", err)
 	}
-	sim.memoryMB = half
-	needed := baseMB + workerMB*float64(sim.scenario.workers()) + controllers.MemoryMB*float64(controllers.Count)
-	if needed > half {
-		return fmt.Errorf("memory: up to %.0f MB, half of this machine's is %.0f MB", needed, half)
+	sim.memoryLimitMB = halfMB
+	neededMB := baseMemoryMB + memoryMBPerWorker*float64(sim.scenario.workerCount()) + controllers.MemoryMB*float64(controllers.Count)
+	if neededMB > halfMB {
+		return fmt.Errorf("memory: up to %.0f MB needed, limit is half of the machine's memory, %.0f MB", neededMB, halfMB)
 	}
 	return nil
 }
 
-// now is the time since the start.
+// now returns the time since the start of the simulation.
 func (sim *simulation) now() time.Duration { return time.Since(sim.startedAt) }
 
-// execute runs the scenario to its end.
+// execute runs the scenario until its duration is over or an error ends it, and waits for the users and rollouts.
 func (sim *simulation) execute(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, config.Seconds(sim.scenario.DurationS))
-	submitted := make(chan struct{})
+	submissionsDone := make(chan struct{})
 	go func() {
-		defer close(submitted)
-		sim.submitAll(ctx)
+		defer close(submissionsDone)
+		sim.submitJobs(ctx)
 	}()
-	rolled := sim.rollouts.start(ctx)
-	err := sim.untilEnd(ctx)
+	rolloutsDone := sim.rollouts.start(ctx)
+	err := sim.runTicks(ctx)
 	cancel()
-	<-submitted
-	rolled.Wait()
+	<-submissionsDone
+	rolloutsDone.Wait()
 	sim.users.Wait()
 	return err
 }
 
-// errInterrupted is returned if the context ended before the scenario did.
+// errInterrupted is returned if the context ends before the simulation has reached its duration.
 var errInterrupted = errors.New("interrupted")
 
-// untilEnd does what is due each second until the time is over or something ends the simulation.
-func (sim *simulation) untilEnd(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+// runTicks calls runTick once a second until the duration is over, the context is cancelled, a controller exits
+// unexpectedly, or runTick returns an error.
+func (sim *simulation) runTicks(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -141,22 +145,22 @@
 			}
 			return errInterrupted
 		case name := <-sim.controllers.unexpectedExits:
-			return fmt.Errorf("%s ended by itself, see %s", name, filepath.Join(sim.options.Dir, name+".log"))
+			return fmt.Errorf("%s exited unexpectedly, see %s", name, filepath.Join(sim.options.Dir, name+".log"))
 		case <-ticker.C:
-			if err := sim.everySecond(); err != nil {
+			if err := sim.runTick(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// submitStep is how often jobs are submitted that are due.
-const submitStep = 20 * time.Millisecond
+// submitInterval is the interval at which due jobs are submitted.
+const submitInterval = 20 * time.Millisecond
 
-// submitAll submits the jobs as they come.
-func (sim *simulation) submitAll(ctx context.Context) {
+// submitJobs submits the initial jobs after the warm-up, and then the others as they arrive, until the context ends.
+func (sim *simulation) submitJobs(ctx context.Context) {
 	warmUp := config.Seconds(sim.scenario.WarmUpS)
-	ticker := time.NewTicker(submitStep)
+	ticker := time.NewTicker(submitInterval)
 	defer ticker.Stop()
 	started := false
 	for {
@@ -168,26 +172,26 @@
 		if sim.now() < warmUp {
 			continue
 		}
-		due := sim.generator.Until(sim.now())
+		due := sim.generator.ArrivalsUntil(sim.now())
 		if !started {
-			due = append(sim.generator.AtStart(sim.now()), due...)
+			due = append(sim.generator.InitialArrivals(sim.now()), due...)
 			started = true
 		}
 		for _, arrival := range due {
-			sim.recorder.submit(arrival)
-			sim.users.Start(ctx, arrival)
+			sim.recorder.recordSubmission(arrival)
+			sim.users.StartUser(ctx, arrival)
 		}
 	}
 }
 
-// stopControllers ends the controllers.
+// stopControllers kills the controllers.
 func (sim *simulation) stopControllers() {
 	if sim.controllers != nil {
-		_ = sim.controllers.close() // what has ended has ended
+		_ = sim.controllers.close() // best effort at the end of the simulation
 	}
 }
 
-// close ends all that the simulation has started.
+// close stops everything that the simulation has started.
 func (sim *simulation) close() {
 	sim.stopControllers()
 	if sim.cloud != nil {
--- a/internal/fleetsim/summary.go
+++ b/internal/fleetsim/summary.go
@@ -5,7 +5,7 @@
 	"bitternwing/internal/simworker"
 )
 
-// result summarizes the simulation, which an error has ended, or its time.
+// result returns the result of the simulation, which err has ended, or its duration if err is nil.
 func (sim *simulation) result(err error) *Result {
 	totals := sim.recorder.totals()
 	measuredS := max(1, sim.now().Seconds()-sim.scenario.WarmUpS)
@@ -14,28 +14,28 @@
 		Ended:          endedInTime,
 		DurationS:      sim.now().Seconds(),
 		Violations:     sim.ledger.Violations(),
-		Requested:      sim.generator.Tasks(),
+		Requested:      sim.generator.TaskCount(),
 		Started:        totals.started,
 		Completed:      totals.completed,
-		RequestedPerS:  float64(sim.generator.Tasks()) / measuredS,
+		RequestedPerS:  float64(sim.generator.TaskCount()) / measuredS,
 		StartedPerS:    float64(totals.started) / measuredS,
-		PeakStartsPerS: peakStarts(sim.seconds),
+		PeakStartsPerS: peakStartsPerS(sim.seconds),
 		SubmitTimes:    sim.users.SubmitTimes.Summary(),
-		UrgentTimes:    sim.recorder.urgent.Summary(),
+		UrgentTimes:    sim.recorder.urgentTimes.Summary(),
 		StartTimes:     map[string]measure.Summary{},
 		Failovers:      sim.recorder.failovers,
 		Seconds:        sim.seconds,
-		Direct:         sim.traffic.Of(simworker.AnyController),
+		Direct:         sim.traffic.ByKind(simworker.AnyController),
 		Jobs:           sim.jobCounts(),
 		Spread:         sim.recorder.placements.summary(sim.fleet),
-		Workers:        WorkerResult{sim.scenario.workers(), sim.workers.windows.Summary(), sim.workers.peak},
+		Workers:        WorkerResult{sim.scenario.workerCount(), sim.workerTraffic.windows.Summary(), sim.workerTraffic.peakMean},
 		Processes:      sim.processResults(),
 	}
 	if err != nil {
 		result.Ended = err.Error()
 	}
 	result.Rollouts, result.BrokenRollout = sim.rollouts.results()
-	for class, times := range sim.recorder.classes {
+	for class, times := range sim.recorder.startTimes {
 		result.StartTimes[class] = times.Summary()
 	}
 	for _, second := range sim.seconds {
@@ -55,7 +55,7 @@
 	}
 }
 
-// processResults gives the results of the controllers, and that of this process as the last one.
+// processResults returns the results of the controllers, followed by that of this process.
 func (sim *simulation) processResults() []ProcessResult {
 	led := map[string]bool{}
 	for _, second := range sim.seconds {
@@ -68,31 +68,31 @@
 			Zone:    process.zone,
 			Led:     led[process.name],
 			Usage:   process.usage.Usage(sim.scenario.WarmUpS),
-			Traffic: sim.traffic.Of(process.name),
+			Traffic: sim.traffic.ByKind(process.name),
 			Samples: process.usage.Samples,
 		})
 	}
-	self := ProcessResult{Name: sim.self.Name, Usage: sim.self.Usage(sim.scenario.WarmUpS), Samples: sim.self.Samples}
+	self := ProcessResult{Name: sim.ownUsage.Name, Usage: sim.ownUsage.Usage(sim.scenario.WarmUpS), Samples: sim.ownUsage.Samples}
 	return append(results, self)
 }
 
-// peakWindow is over how many seconds the peak of starts is taken.
-const peakWindow = 10
+// peakWindowS is the length in seconds of the window over which the rate of starts is averaged.
+const peakWindowS = 10
 
-// peakStarts gives the most starts a second over a window.
-func peakStarts(seconds []Second) float64 {
+// peakStartsPerS returns the highest mean rate of starts over any window of peakWindowS seconds.
+func peakStartsPerS(seconds []Second) float64 {
 	peak, sum := 0.0, int64(0)
 	for i, s := range seconds {
 		sum += s.Started
-		if i >= peakWindow {
-			sum -= seconds[i-peakWindow].Started
+		if i >= peakWindowS {
+			sum -= seconds[i-peakWindowS].Started
 		}
-		if i >= peakWindow-1 {
-			first := seconds[max(0, i-peakWindow)].AtS
-			if i < peakWindow {
-				first = 0
+		if i >= peakWindowS-1 {
+			windowStartS := seconds[max(0, i-peakWindowS)].AtS
+			if i < peakWindowS {
+				windowStartS = 0
 			}
-			peak = max(peak, float64(sum)/(s.AtS-first))
+			peak = max(peak, float64(sum)/(s.AtS-windowStartS))
 		}
 	}
 	return peak
--- a/internal/fleetsim/sweep.go
+++ b/internal/fleetsim/sweep.go
@@ -8,13 +8,13 @@
 	"path/filepath"
 )
 
-// Sweep simulates a scenario several times, with other settings of the operators and other seeds.
+// Sweep describes several simulations of a scenario: one for each variant of the operator settings and each seed.
 type Sweep struct {
 	Seeds    []uint64  `json:"seeds"`
 	Variants []Variant `json:"variants"`
 }
 
-// Variant overrides settings of the operators in a scenario.
+// Variant overrides fields of the operator settings in a scenario.
 type Variant struct {
 	Name     string         `json:"name"`
 	Operator map[string]any `json:"operator"`
@@ -29,10 +29,11 @@
 	Spread     SpreadResult `json:"spread"`
 }
 
-// RunSweep simulates the variants of a scenario one after the other. It continues after a broken rule, which it returns as its error.
+// RunSweep simulates the variants of a scenario one after the other. It continues after a simulation that violated a
+// rule or broke a promise, and returns the first such error. Any other error ends the sweep.
 func RunSweep(ctx context.Context, scenario *Scenario, options Options) ([]SweepRun, error) {
 	var runs []SweepRun
-	var broken error
+	var firstErr error
 	for _, variant := range scenario.Sweep.Variants {
 		for _, seed := range scenario.Sweep.Seeds {
 			result, err := runVariant(ctx, scenario, options, variant, seed)
@@ -43,32 +44,31 @@
 			if result.Ended != endedInTime {
 				return runs, err
 			}
-			if err != nil && broken == nil {
-				broken = fmt.Errorf("%s, seed %d: %w", variant.Name, seed, err)
+			if err != nil && firstErr == nil {
+				firstErr = fmt.Errorf("%s, seed %d: %w", variant.Name, seed, err)
 			}
 		}
 	}
-	return runs, broken
+	return runs, firstErr
 }
 
-// resultsMode is the mode of directories for results.
-const resultsMode = 0o755
+const resultsDirMode = 0o755
 
-// runVariant simulates a variant, with a directory of its own.
+// runVariant simulates a variant with a seed, in a directory of its own.
 func runVariant(ctx context.Context, scenario *Scenario, options Options, variant Variant, seed uint64) (*Result, error) {
-	scenario, err := scenario.with(variant, seed)
+	scenario, err := scenario.withVariant(variant, seed)
 	if err != nil {
 		return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 	}
 	options.Dir = filepath.Join(options.Dir, fmt.Sprintf("%s-%d", variant.Name, seed))
-	if err := os.MkdirAll(options.Dir, resultsMode); err != nil {
+	if err := os.MkdirAll(options.Dir, resultsDirMode); err != nil {
 		return nil, err
 	}
 	return Run(ctx, scenario, options)
 }
 
-// with gives the scenario with a variant's settings and a seed.
-func (s *Scenario) with(variant Variant, seed uint64) (*Scenario, error) {
+// withVariant returns a copy of the scenario with a variant's operator settings and a seed.
+func (s *Scenario) withVariant(variant Variant, seed uint64) (*Scenario, error) {
 	settings := map[string]any{}
 	if len(s.Operator) > 0 {
 		if err := json.Unmarshal(s.Operator, &settings); err != nil {
--- a/internal/fleetsim/worker_traffic.go
+++ b/internal/fleetsim/worker_traffic.go
@@ -5,43 +5,43 @@
 	"bitternwing/internal/simworker"
 )
 
-// workerTrafficWindowS is over how many seconds a worker's traffic is taken.
-const workerTrafficWindowS = 5
+// trafficWindowS is the minimum length in seconds of a window over which a worker's traffic is averaged.
+const trafficWindowS = 5
 
-// workerTraffic measures what each worker sends and receives.
+// workerTraffic measures the bytes per second that each worker sends and receives.
 type workerTraffic struct {
-	fleet   *simworker.Fleet
-	atS     float64
-	last    map[string]int64   // bytes of each worker at the last sample
-	windows *measure.Histogram // bytes a second of each worker in each window
-	peak    float64            // highest mean over all workers
+	fleet       *simworker.Fleet
+	lastSampleS float64
+	lastBytes   map[string]int64   // byte counts at the last sample, by worker
+	windows     *measure.Histogram // bytes per second, one value for each worker and window
+	peakMean    float64            // highest mean over all workers in a window
 }
 
 func newWorkerTraffic(fleet *simworker.Fleet) *workerTraffic {
-	return &workerTraffic{fleet: fleet, last: map[string]int64{}, windows: measure.NewHistogram()}
+	return &workerTraffic{fleet: fleet, lastBytes: map[string]int64{}, windows: measure.NewHistogram()}
 }
 
-// sample takes the traffic of a window once it is over.
+// sample records the traffic since the last sample once a window is over.
 func (t *workerTraffic) sample(atS float64) {
-	elapsed := atS - t.atS
-	if elapsed < workerTrafficWindowS {
+	elapsed := atS - t.lastSampleS
+	if elapsed < trafficWindowS {
 		return
 	}
-	t.atS = atS
-	sum, n := 0.0, 0
+	t.lastSampleS = atS
+	sum, workers := 0.0, 0
 	for _, w := range t.fleet.Workers() {
 		total := w.Bytes()
-		before, known := t.last[w.Name()]
-		t.last[w.Name()] = total
+		previous, known := t.lastBytes[w.Name()]
+		t.lastBytes[w.Name()] = total
 		if !known {
 			continue
 		}
-		perSecond := float64(total-before) / elapsed
+		perSecond := float64(total-previous) / elapsed
 		t.windows.AddValue(int64(perSecond))
 		sum += perSecond
-		n++
+		workers++
 	}
-	if n > 0 {
-		t.peak = max(t.peak, sum/float64(n))
+	if workers > 0 {
+		t.peakMean = max(t.peakMean, sum/float64(workers))
 	}
 }
