--- a/internal/fleetsim/measure/histogram.go
+++ b/internal/fleetsim/measure/histogram.go
@@ -7,6 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// maxValue is the end of the range of a histogram: an hour, in milliseconds.
 const (
 	maxValue          = 3_600_000
 	significantDigits = 3
--- a/internal/fleetsim/recorder.go
+++ b/internal/fleetsim/recorder.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// recordLeaderKill records that the leader is killed now. The failover ends with the first start that has a higher
-// fencing token than all so far.
+// recordLeaderKill records that the leader is killed now. The failover ends with the first start command whose fencing
+// token is higher than all before.
 func (r *recorder) recordLeaderKill(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -56,7 +56,7 @@
 	DurationS  float64           `json:"duration_s"`
 	Violations []rules.Violation `json:"violations"`
 	Rollouts   []rolling.Result  `json:"rollouts,omitempty"`
-	// BrokenRollout tells how the first rollout that failed its promise did so; "" if none failed.
+	// BrokenRollout describes the first broken promise of a rollout; "" if all kept theirs.
 	BrokenRollout string `json:"broken_rollout,omitempty"`
 	// Spread summarizes the cold starts of services and the spread of their replicas over zones.
 	Spread SpreadResult `json:"spread"`
--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -46,7 +46,7 @@
 type WrongResponses struct {
 	Phase  rollout.Phase `json:"phase"`   // phase of the plan that triggers the fault
 	AfterS float64       `json:"after_s"` // delay after the phase was first seen
-	Every  int64         `json:"every"`   // one of every so many requests is answered wrongly
+	Every  int64         `json:"every"`   // n if each n-th request gets a wrong response
 }
 
 // Partition is a fault that partitions the first router from all controllers.
--- a/internal/fleetsim/setup.go
+++ b/internal/fleetsim/setup.go
@@ -47,7 +47,7 @@
 }
 
 // bufferedExitsPerController is the capacity of unexpectedExits for each controller, so that reporting an exit does not
-// block. The first exit that is received ends the simulation.
+// block. The first reported exit ends the simulation.
 const bufferedExitsPerController = 16
 
 // setUpServices starts the key-value store, the cloud and the workers of all machine groups.
