--- a/internal/core/cancel_requests.go
+++ b/internal/core/cancel_requests.go
@@ -20,7 +20,7 @@
 	retries  int
 }
 
-// cancel cancels a job. If the job has ended, it responds with its final state.
+// cancel cancels a job. If the job has ended, it responds with the final state.
 func (u *userRequests) cancel(in CancelJob) {
 	c := u.core
 	if !wire.ValidJobID(in.ID) {
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -19,9 +19,9 @@
 //   - Each other node has acknowledged the cancellation, either by having read the store up to its revision or by
 //     accepting it from this node, and the leader has resolved it: no task of the job can start any more, and none is
 //     left in a zone that renews its own leases while isolated.
-//   - The job has ended. The end is written only when nothing of the job is left on any machine.
+//   - The job has ended. The end is written only when no task of the job is left on any machine.
 //
-// Until then users get 503, as for everything that can't be confirmed. A restarted node has lost what it knew, but it
+// Until then users get 503, as for everything that can't be confirmed. A restarted node has lost its state, but it
 // renews no leases before it has read the jobs, and that read is later than the write of any cancellation that its
 // earlier incarnation acknowledged. The only exception is that it renews leases in its own zone while the zone is
 // isolated, and no task of a job with a confirmed cancellation is left there.
--- a/internal/core/cloud_calls.go
+++ b/internal/core/cloud_calls.go
@@ -4,7 +4,7 @@
 	"bitternwing/internal/wire"
 )
 
-// The effects that call the cloud.
+// Effects that call the cloud.
 
 // CloudCatalog reads the machine types.
 type CloudCatalog struct{ CallID uint64 }
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -6,10 +6,10 @@
 	"bitternwing/internal/config"
 )
 
-// cycleTimer determines when scheduling cycles run: at a regular interval, and shortly after a change. The cycles share
-// a budget of evaluations of a machine for a task, which refills with time. A cycle that exhausts the budget is
+// cycleSchedule determines when scheduling cycles run: at a regular interval, and shortly after a change. The cycles
+// share a budget of evaluations of a machine for a task, which refills with time. A cycle that exhausts the budget is
 // continued by the next one.
-type cycleTimer struct {
+type cycleSchedule struct {
 	nextAt           time.Duration
 	lastAt           time.Duration
 	evaluationsLeft  float64       // negative while the budget is overdrawn, which delays the next cycle
@@ -31,7 +31,7 @@
 
 // delayAfterExhaustion returns the time to the next cycle after one that ran out of budget. If only the bound on a
 // single cycle was reached, the next one follows after the minimum gap.
-func (t *cycleTimer) delayAfterExhaustion(c *Core) time.Duration {
+func (t *cycleSchedule) delayAfterExhaustion(c *Core) time.Duration {
 	if t.evaluationsLeft > 0 {
 		return c.times.minCycleGap
 	}
@@ -62,11 +62,11 @@
 // one check interval of evaluations and at the bound on a single cycle.
 func (l *leader) cycleBudget() int {
 	rate := l.core.evaluationsPerSecond()
-	timer := &l.cycles
-	refilled := timer.evaluationsLeft + rate*(l.core.now.Steady-timer.lastAt).Seconds()
-	timer.evaluationsLeft = min(rate*l.core.times.checkInterval.Seconds(), refilled)
+	schedule := &l.cycles
+	refilled := schedule.evaluationsLeft + rate*(l.core.now.Steady-schedule.lastAt).Seconds()
+	schedule.evaluationsLeft = min(rate*l.core.times.checkInterval.Seconds(), refilled)
 	// An overdraft is limited to what accrues until the next regular cycle.
-	timer.evaluationsLeft = max(timer.evaluationsLeft, -rate*l.core.times.cycleInterval.Seconds())
+	schedule.evaluationsLeft = max(schedule.evaluationsLeft, -rate*l.core.times.cycleInterval.Seconds())
 	maxPerCycle := l.core.times.checkInterval.Seconds() / cyclesPerCheckInterval / l.core.evaluationCost.Seconds()
-	return max(minCycleEvaluations, int(min(timer.evaluationsLeft, maxPerCycle)))
+	return max(minCycleEvaluations, int(min(schedule.evaluationsLeft, maxPerCycle)))
 }
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -10,8 +10,8 @@
 )
 
 // cycleState is the part of the leader that a scheduling cycle uses: the jobs to run, and operations on their
-// placements. It gives no access to the store, the workers or the cloud. The writer persists the decisions of a cycle,
-// and commands are sent only after that.
+// placements. It provides no access to the store, the workers or the cloud. The writer persists the decisions of a
+// cycle, and commands are sent only after that.
 type cycleState interface {
 	// queuedJobs returns the queued jobs in the order of submission.
 	queuedJobs() []*job
--- a/internal/core/dependent_lookups.go
+++ b/internal/core/dependent_lookups.go
@@ -5,9 +5,9 @@
 	"bitternwing/internal/watchcache"
 )
 
-// mayDisclose reports whether the state of an active job may be disclosed to users as its own key has it. If not, it
-// takes over the lookup: a job that depends on a cancelled one is cancelled first, and the lookup is indeterminate if
-// this node does not know yet how a dependency ended.
+// mayDisclose reports whether the state of an active job, as stored under its own key, may be disclosed to users. If
+// not, it completes the lookup itself: a job that depends on a cancelled one is cancelled first, and the lookup is
+// indeterminate if this node does not know yet how a dependency ended.
 func (u *userRequests) mayDisclose(id string, job *watchcache.Job, onResult func(lookupResult)) bool {
 	switch u.core.dependencies.graph.Status(id).State {
 	case dependency.Unresolved:
@@ -30,7 +30,7 @@
 }
 
 // cancelDependent cancels a job that depends on a cancelled one, so that a lookup of the job can be answered. The
-// leader cancels such jobs as well, but in its own time. Concurrent lookups share one write.
+// leader cancels such jobs as well, but possibly later. Concurrent lookups share one write.
 func (u *userRequests) cancelDependent(id string, job *watchcache.Job, onResult func(lookupResult)) {
 	if inFlight := u.dependentCancellations[id]; inFlight != nil {
 		inFlight.waiters = append(inFlight.waiters, onResult)
@@ -49,7 +49,7 @@
 		case cancelConfirmed:
 			onResult(confirmedLookup(d.jobAfterCancellation()))
 		case cancelConflict:
-			u.reads = append(u.reads, &lookup{id: d.id, onResult: onResult})
+			u.readQueue = append(u.readQueue, &lookup{id: d.id, onResult: onResult})
 		case cancelIndeterminate:
 			onResult(lookupResult{state: lookupIndeterminate})
 		}
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -156,10 +156,10 @@
 	d, m := r.dispatcher, r.machine
 	m.commandInFlight = false
 	d.inFlight--
-	stops := len(r.commands) > len(r.starts)
-	if stops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
+	hasStops := len(r.commands) > len(r.starts)
+	if hasStops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
 		// Reconcile the stops at once: users may be waiting for the confirmation that nothing starts any more.
-		d.reconciler.reconcileIndirect(&result.Heartbeat, originQuery)
+		d.reconciler.reconcileIndirect(&result.Heartbeat, originReply)
 	}
 	if result.Outcome == outcome.OK {
 		d.enqueue(m) // other commands may have become pending meanwhile
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -58,7 +58,7 @@
 func (h electionHost) Elected(term election.Term) {
 	c := h.core
 	c.log(Debug, "term started", "term", term.Number, "fencing_token", fencing.FirstToken(term.Number),
-		"entitled_ms", (term.LeaseDeadline - c.now.Steady).Milliseconds(), "term_revision", term.Version, "revision", c.cache.Revision())
+		"lease_remaining_ms", (term.LeaseDeadline - c.now.Steady).Milliseconds(), "term_revision", term.Version, "revision", c.cache.Revision())
 	c.leader = newLeader(c, term.Number, term.Version)
 	c.cache.ObserveTerm(stored.Term{Number: term.Number, Node: c.settings.Node}, c.cache.TermFormat(), term.Version)
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -86,11 +86,11 @@
 			}
 		}
 	}
-	if rebuilt.ModelCount() != l.replicaLedger.ModelCount() {
-		return fmt.Errorf("the ledger has %d models, want %d", l.replicaLedger.ModelCount(), rebuilt.ModelCount())
+	if rebuilt.ModelCount() != l.replicaCounts.ModelCount() {
+		return fmt.Errorf("the ledger has %d models, want %d", l.replicaCounts.ModelCount(), rebuilt.ModelCount())
 	}
 	for model := range models {
-		total, zone, machine := l.replicaLedger.Replicas(model)
+		total, zone, machine := l.replicaCounts.Replicas(model)
 		if wantTotal, wantZone, wantMachine := rebuilt.Replicas(model); total != wantTotal || zone != wantZone || machine != wantMachine {
 			return fmt.Errorf("%v has %d replicas, %d in a zone, %d on a machine; want %d, %d, %d", model, total, zone, machine, wantTotal, wantZone, wantMachine)
 		}
--- a/internal/core/get_requests.go
+++ b/internal/core/get_requests.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if final, ok := c.cache.FinalState(in.ID); ok {
-		c.respond(in.RequestID, http.StatusOK, finalJobState(in.ID, final))
+		c.respond(in.RequestID, http.StatusOK, finalJobResponse(in.ID, final))
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
@@ -38,6 +38,6 @@
 	case lookupNotFound:
 		u.respond(requestID, http.StatusNotFound, noSuchJob)
 	case lookupActive, lookupEnded:
-		u.respond(requestID, http.StatusOK, u.core.jobStateOf(id, result))
+		u.respond(requestID, http.StatusOK, u.core.jobResponseOf(id, result))
 	}
 }
--- a/internal/core/heartbeat_commands.go
+++ b/internal/core/heartbeat_commands.go
@@ -52,8 +52,8 @@
 			continue
 		}
 		attempt := attemptName{task.Task, task.Attempt}
-		if used, ok := m.directStarts[attempt]; ok {
-			m.fence.RaiseAbove(used)
+		if startToken, ok := m.directStarts[attempt]; ok {
+			m.fence.RaiseAbove(startToken)
 			delete(m.directStarts, attempt)
 		}
 		response.add(wire.Command{Op: wire.OpForget, Task: task.Task, Attempt: task.Attempt})
@@ -130,7 +130,7 @@
 		cached := b.core.cache.Job(id)
 		return cached == nil || task >= cached.Spec.Tasks
 	}
-	if j.ending {
+	if j.endPending {
 		// The job's end covers this exit and is yet to be written. The records of an ending job are no longer written,
 		// so a record that is not dirty proves nothing.
 		return false
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -69,11 +69,11 @@
 type heartbeatOrigin int
 
 const (
-	// originWorker: the worker sent it periodically, to this node or to one that relays it.
-	originWorker heartbeatOrigin = iota
-	// originQuery: the worker returned it in reply to a query or a direct command. It may arrive while a response with
+	// originPeriodic: the worker sent it periodically, to this node or to one that relays it.
+	originPeriodic heartbeatOrigin = iota
+	// originReply: the worker returned it in reply to a query or a direct command. It may arrive while a response with
 	// a start command is still in flight.
-	originQuery
+	originReply
 )
 
 // reconcileHeartbeat reconciles the state with a heartbeat and adds commands to its response. It returns the basis on
@@ -97,7 +97,7 @@
 	m.lastHeartbeat, m.lastHoldTime = r.core.now.Steady, 0
 	r.provisioner.cancelRelease(m)
 	r.handleReclaimNotice(m, heartbeat)
-	r.reconcileTasks(m, heartbeat, originWorker)
+	r.reconcileTasks(m, heartbeat, originPeriodic)
 	r.commands.addCommands(m, heartbeat, response)
 	return LeaderBasis
 }
@@ -170,7 +170,7 @@
 }
 
 // isUnknown reports whether this leader has neither seen the machine in the cloud's list nor requested it.
-func (m *machine) isUnknown() bool { return !m.inCloudList && !m.requestedHere }
+func (m *machine) isUnknown() bool { return !m.inCloudList && !m.requestedInTerm }
 
 // handleReclaimNotice records the first notice in a heartbeat that the cloud will reclaim the machine.
 func (r *reconciler) handleReclaimNotice(m *machine, heartbeat *wire.Heartbeat) {
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -62,8 +62,8 @@
 	return image, true
 }
 
-// markReady marks an image as ready, and reports whether it was expected. Hints of an earlier leader may list an image
-// twice.
+// markReady marks an image as ready, and reports whether the cache lists it. Hints of an earlier leader may list an
+// image twice.
 func (c imageCache) markReady(name string) bool {
 	found := false
 	for i := range c {
--- a/internal/core/image_hints.go
+++ b/internal/core/image_hints.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// applyPlan adds the images that the previous leader presumed to be on a machine which is new in this term.
+// apply adds the images that the previous leader presumed to be on a machine which is new in this term.
 func (h *imageHints) apply(m *machine, jobs []*job) {
 	for _, name := range h.core.cache.Images(m.name) {
 		image := newCachedImage(name, imageGB(name, jobs))
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -26,13 +26,13 @@
 
 // imagePrefetcher keeps a copy of each model's weights in each zone in which its replicas could run, within a budget.
 type imagePrefetcher struct {
-	core      *Core
-	authority leaderAuthority
-	calls     termCalls
-	machines  map[string]*machine
-	index     *capacity.Index[*schedulableMachine]
-	ledger    *topologyspread.ReplicaCounts
-	replicas  replicaFleet
+	core          *Core
+	authority     leaderAuthority
+	calls         termCalls
+	machines      map[string]*machine
+	index         *capacity.Index[*schedulableMachine]
+	replicaCounts *topologyspread.ReplicaCounts
+	replicas      replicaFleet
 
 	budget      ratelimit.Bucket // in GB
 	inFlight    int
@@ -50,13 +50,13 @@
 // newImagePrefetcher returns the prefetcher of a leader.
 func newImagePrefetcher(l *leader) imagePrefetcher {
 	return imagePrefetcher{
-		core:      l.core,
-		authority: l.leaderAuthority,
-		calls:     l.termCalls,
-		machines:  l.machines,
-		index:     l.schedulable.index,
-		ledger:    l.replicaLedger,
-		replicas:  l,
+		core:          l.core,
+		authority:     l.leaderAuthority,
+		calls:         l.termCalls,
+		machines:      l.machines,
+		index:         l.schedulable.index,
+		replicaCounts: l.replicaCounts,
+		replicas:      l,
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	p.budget.Refill(c.now.Steady, perHour/secondsPerHour, perHour)
 	services := p.replicas.servicesByModel()
-	for _, model := range p.ledger.SortedModels() {
+	for _, model := range p.replicaCounts.SortedModels() {
 		if i := slices.IndexFunc(services[model], func(j *job) bool { return !j.cancelled }); i >= 0 {
 			p.prefetchModel(services[model][i])
 		}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -17,7 +17,7 @@
 	id                     string
 	spec                   *wire.Job
 	acceptedMS             int64  // Unix time of acceptance, in milliseconds
-	queuedMS               int64  // the same, or that of the end of the last dependency; the wait counts from here
+	queuedMS               int64  // Unix time in milliseconds from which the waiting time counts: acceptance or the end of the last dependency
 	waitingForDependencies bool   // not queued yet, and without placements
 	heldByRollout          bool   // a rollout plan does not allow its tasks to start yet
 	queued                 bool   // in the leader's queue
@@ -26,7 +26,7 @@
 	version                uint64 // version of its key in the store
 	cancelled              bool
 	cancelledAt            time.Duration     // steady clock
-	ending                 bool              // the final state is being written
+	endPending             bool              // the write of the final state is queued or in flight
 	finalState             stored.FinalState // the final state being written
 
 	team   *config.Team
@@ -35,14 +35,14 @@
 	supersededRecords    map[string]uint64
 	placements           map[int]*placement            // by task
 	placementCountByZone map[string]int                // number of placements in each zone
-	replicaLedger        *topologyspread.ReplicaCounts // shared by all models
+	replicaCounts        *topologyspread.ReplicaCounts // shared by all models
 	withinGuarantee      bool                          // whether the job fits into its team's guarantee in this cycle
 	stopping             int                           // number of placements that are being stopped
 	done                 int
 	nextUnplaced         int // every task below this is done or placed
 
 	// Failure accounting, see failureAccounting.
-	ranSuccessfully bool // one of its tasks has run well on some machine
+	ranSuccessfully bool // one of its tasks has run successfully on some machine
 	failedOn        map[string]bool
 	retryAt         time.Duration // no task is started before this
 }
@@ -81,7 +81,7 @@
 		chunks:               map[int]*recordChunk{},
 		placements:           map[int]*placement{},
 		placementCountByZone: map[string]int{},
-		replicaLedger:        l.replicaLedger,
+		replicaCounts:        l.replicaCounts,
 	}
 	l.jobs[id] = j
 	j.waitingForDependencies = len(cached.Spec.Dependencies) > 0
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// applyCancellation stops all tasks of a job. Placements whose start was not sent yet end without one.
+// applyCancellation stops all tasks of a job. Placements whose start was not sent yet are ended at once.
 func (l *leader) applyCancellation(j *job, cancelledMS int64) {
 	age := time.Duration(max(0, l.core.now.WallMS-cancelledMS)) * time.Millisecond
 	j.cancelled = true
@@ -62,21 +62,22 @@
 // finishIfDone queues the write of a job's final state if the job has no placements left and is either cancelled or an
 // array all of whose tasks are done.
 func (l *leader) finishIfDone(j *job) {
-	if j.ending || len(j.placements) > 0 {
+	if j.endPending || len(j.placements) > 0 {
 		return
 	}
 	if j.cancelled || j.isArray() && j.done >= j.spec.Tasks {
-		j.ending = true
+		j.endPending = true
 		l.writer.queueEnd(j)
 	}
 }
 
-// A machine that still runs tasks of a cancelled job is released after these tenths of the time allowed for a
-// cancellation. The remaining time is for the release itself, which takes one or two calls and a retry.
 const (
+	// cancelReleaseTenths is the time after which a machine that still runs tasks of a cancelled job is released, in
+	// tenths of the time allowed for a cancellation. The remaining time is for the release itself, which takes one or
+	// two calls and a retry.
 	cancelReleaseTenths = 4
-	// cancelRecoveryTenths is the upper bound for a machine that has not sent a heartbeat to a new leader yet. The task
-	// that an earlier leader recorded may have exited long ago without its end being written.
+	// cancelRecoveryTenths is the upper bound of that time for a machine that has not sent a heartbeat to a new leader
+	// yet. The task that an earlier leader recorded may have exited long ago without its end being written.
 	cancelRecoveryTenths = 6
 )
 
--- a/internal/core/job_comparisons.go
+++ b/internal/core/job_comparisons.go
@@ -17,7 +17,7 @@
 // runComparisons sends a comparison for the queued lookups if one is due. Only one comparison is in flight at a time.
 func (u *userRequests) runComparisons() {
 	c := u.core
-	if u.comparisonInFlight || len(u.comparisons) == 0 {
+	if u.comparisonInFlight || len(u.comparisonQueue) == 0 {
 		return
 	}
 	if c.now.Steady < u.nextComparison {
@@ -37,11 +37,11 @@
 	limit := u.core.limits.maxConditions()
 	var conditions []wire.Condition
 	n := 0
-	for ; n < len(u.comparisons) && len(conditions)+maxLookupConditions <= limit; n++ {
-		conditions = append(conditions, u.comparisons[n].conditions()...)
+	for ; n < len(u.comparisonQueue) && len(conditions)+maxLookupConditions <= limit; n++ {
+		conditions = append(conditions, u.comparisonQueue[n].conditions()...)
 	}
-	batch := &comparisonBatch{requests: u, lookups: append([]*lookup(nil), u.comparisons[:n]...)}
-	u.comparisons = append(u.comparisons[:0], u.comparisons[n:]...)
+	batch := &comparisonBatch{requests: u, lookups: append([]*lookup(nil), u.comparisonQueue[:n]...)}
+	u.comparisonQueue = append(u.comparisonQueue[:0], u.comparisonQueue[n:]...)
 	return batch, conditions
 }
 
@@ -61,10 +61,10 @@
 func (u *userRequests) scheduleNextComparison() {
 	c := u.core
 	u.lastComparison = c.now.Steady
-	u.nextComparison = c.now.Steady + c.times.minCompareGap
-	if len(u.comparisons) == 0 {
+	u.nextComparison = c.now.Steady + c.times.minComparisonGap
+	if len(u.comparisonQueue) == 0 {
 		gap := time.Duration(float64(c.times.timerCoalescing) * c.slowdown())
-		u.nextComparison = c.coalesce(c.now.Steady + max(c.times.minCompareGap, gap))
+		u.nextComparison = c.coalesce(c.now.Steady + max(c.times.minComparisonGap, gap))
 	}
 }
 
@@ -78,7 +78,7 @@
 		case r.Outcome == outcome.OK, r.Outcome == outcome.Conflict && len(failed) > 0 && !l.failedIn(failed):
 			l.onResult(confirmedLookup(l.cached))
 		case r.Outcome == outcome.Conflict:
-			u.reads = append(u.reads, l)
+			u.readQueue = append(u.readQueue, l)
 		default:
 			l.onResult(lookupResult{state: lookupIndeterminate})
 		}
--- a/internal/core/job_endings.go
+++ b/internal/core/job_endings.go
@@ -18,7 +18,7 @@
 // endChangeBytes is the approximate size of each change of a job's end in the body of a transaction.
 const endChangeBytes = 256
 
-// addEndings adds queued ends of jobs to a batch while there is room.
+// addEndings adds the queued ends of jobs to a batch while there is room.
 func (w *writer) addEndings(b *writeBatch) {
 	var later []*job
 	for i, j := range w.endings {
@@ -109,7 +109,7 @@
 	l := w.leader
 	if r.Outcome == outcome.NotFound {
 		// A write of the job's end whose outcome was unknown has been applied.
-		if j.ending && l.jobs[j.id] == j {
+		if j.endPending && l.jobs[j.id] == j {
 			w.deleteOrphans(w.records.keys(j))
 			l.removeJob(j)
 		}
@@ -119,7 +119,7 @@
 		l.core.applyJobIfNewer(j.id, r.Item.Value, r.Item.Version, fromRead)
 		l.applyJobChange(j.id)
 	}
-	if j.ending {
+	if j.endPending {
 		w.queueEnd(j)
 	}
 }
--- a/internal/core/job_lookups.go
+++ b/internal/core/job_lookups.go
@@ -51,12 +51,12 @@
 // found reports whether the lookup has confirmed that the job was accepted.
 func (r lookupResult) found() bool { return r.state == lookupActive || r.state == lookupEnded }
 
-// jobStateOf returns the state of a job that was found, as users see it.
-func (c *Core) jobStateOf(id string, result lookupResult) wire.JobResponse {
+// jobResponseOf returns the response with the state of a job that was found.
+func (c *Core) jobResponseOf(id string, result lookupResult) wire.JobResponse {
 	if result.state == lookupEnded {
-		return finalJobState(id, result.final)
+		return finalJobResponse(id, result.final)
 	}
-	return c.activeJobState(id, result.job)
+	return c.activeJobResponse(id, result.job)
 }
 
 // lookUp looks a job up without waiting for other lookups to share its comparison.
@@ -80,9 +80,9 @@
 		return
 	}
 	l.cached = cached
-	u.comparisons = append(u.comparisons, l)
+	u.comparisonQueue = append(u.comparisonQueue, l)
 	if !l.batchable || u.core.storeHealth.down {
-		u.nextComparison = min(u.nextComparison, u.lastComparison+u.core.times.minCompareGap)
+		u.nextComparison = min(u.nextComparison, u.lastComparison+u.core.times.minComparisonGap)
 	}
 }
 
--- a/internal/core/job_reads.go
+++ b/internal/core/job_reads.go
@@ -19,9 +19,9 @@
 
 // runReads starts queued reads, as many as may run concurrently.
 func (u *userRequests) runReads() {
-	for u.readsInFlight < maxJobReads && len(u.reads) > 0 {
-		read := jobRead{requests: u, lookup: u.reads[0]}
-		u.reads = u.reads[1:]
+	for u.readsInFlight < maxJobReads && len(u.readQueue) > 0 {
+		read := jobRead{requests: u, lookup: u.readQueue[0]}
+		u.readQueue = u.readQueue[1:]
 		u.readsInFlight++
 		read.readActiveJob()
 	}
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// claim returns the attributes that decide which jobs a job may preempt and which may preempt it.
-func (j *job) claim() scheduling.PreemptionCriteria {
+// preemptionCriteria returns the attributes that decide which jobs a job may preempt and which may preempt it.
+func (j *job) preemptionCriteria() scheduling.PreemptionCriteria {
 	return scheduling.PreemptionCriteria{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -34,7 +34,7 @@
 	machinesByName   []*machine               // sorted by name
 	releasedMachines map[string]time.Duration // removal times by name; late heartbeats are not reconciled
 	schedulable      schedulableMachines
-	replicaLedger    *topologyspread.ReplicaCounts
+	replicaCounts    *topologyspread.ReplicaCounts
 	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
 
 	// changes counts state changes: a heartbeat that causes none needs no further work.
@@ -49,7 +49,7 @@
 	dispatcher    *commandDispatcher
 
 	// Scheduling and provisioning.
-	cycles      cycleTimer
+	cycles      cycleSchedule
 	rebalancing rebalancing
 	provisioner provisioner
 	prefetches  imagePrefetcher
@@ -76,7 +76,7 @@
 		jobs:             map[string]*job{},
 		machines:         map[string]*machine{},
 		releasedMachines: map[string]time.Duration{},
-		replicaLedger:    topologyspread.NewReplicaCounts(),
+		replicaCounts:    topologyspread.NewReplicaCounts(),
 	}
 	l.termCalls = termCalls{core: c, owner: l}
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -39,8 +39,8 @@
 }
 
 // overloaded reports whether this node has so little processor time to spare that it could not handle a larger fleet.
-// Requests that have waited count as well as late timers, because a core that handles one input after the other has its
-// timers fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
+// Requests that have waited count as well as late timers, because the timers of a core that handles one input after the
+// other still fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
 func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
 
 // updateShedding decides whether the load balancer is to send users to other nodes. Only a leader sheds users, because
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -16,13 +16,13 @@
 	machineType                *wire.MachineType
 
 	// From the cloud's list and the state of earlier leaders.
-	firstSeen     time.Duration // when this leader first learned of the machine
-	requestedAt   time.Duration // when it was requested from the cloud, as far as known
-	requestedHere bool          // this leader requested it
-	inCloudList   bool          // it was seen in the cloud's list
-	listedAt      time.Duration
-	missedLists   int  // consecutive complete lists that don't include it
-	everReported  bool // it has sent a heartbeat in this term or an earlier one
+	firstSeen       time.Duration // when this leader first learned of the machine
+	requestedAt     time.Duration // when it was requested from the cloud, as far as known
+	requestedInTerm bool          // this leader requested it in its term
+	inCloudList     bool          // it was seen in the cloud's list
+	listedAt        time.Duration
+	missedLists     int  // consecutive complete lists that don't include it
+	everReported    bool // it has sent a heartbeat in this term or an earlier one
 
 	// From its heartbeats.
 	reported      bool // it has sent a heartbeat in this term
@@ -123,8 +123,8 @@
 		}
 		j.decrementZoneCount(m.zone)
 		j.placementCountByZone[zone]++
-		if model, ok := j.model(); ok && j.replicaLedger != nil {
-			j.replicaLedger.Move(model, m.zone, zone, m.name)
+		if model, ok := j.model(); ok && j.replicaCounts != nil {
+			j.replicaCounts.Move(model, m.zone, zone, m.name)
 		}
 	}
 }
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -140,7 +140,7 @@
 func digestOfRegions(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 6))
-	world := newRegionWorld(t, 3)
+	world := newRegionSimulation(t, 3)
 	for range 2 + random.IntN(9) {
 		world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
 		world.injectFault(random)
@@ -158,7 +158,7 @@
 func digestOfRollout(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 7))
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	for range 1 + random.IntN(6) {
 		world.advance(time.Duration(1+random.IntN(60)) * 100 * time.Millisecond)
@@ -168,7 +168,7 @@
 		case 1:
 			world.lostResponses = 2
 		case 2:
-			world.delayedTransactions = 2
+			world.transactionsToDelay = 2
 		case 3:
 			world.storeDown = !world.storeDown
 		default:
@@ -176,7 +176,7 @@
 		}
 	}
 	world.heal()
-	world.commitHeld(world.store)
+	world.commitDelayed(world.store)
 	world.advance(20 * time.Second)
 	return world.digest.String()
 }
--- a/internal/core/placement_requests.go
+++ b/internal/core/placement_requests.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// GetPlacements requests the placements of a job's replicas with their costs. Only the leader answers it.
+// GetPlacements requests the placements of a job's replicas with their costs. Only the leader responds to it.
 type GetPlacements struct {
 	RequestID uint64
 	Job       string
@@ -32,7 +32,7 @@
 	AvoidedLossS float64
 }
 
-// handleGetPlacements answers with the placements of a job's replicas.
+// handleGetPlacements responds with the placements of a job's replicas.
 func (c *Core) handleGetPlacements(in GetPlacements) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -18,8 +18,8 @@
 	phase               placementPhase
 	startSequence       uint64              // of the heartbeat whose response carried the start command
 	directStartToken    uint64              // fencing token with which the start was sent directly; 0 if it was not
-	directStartInFlight bool                // a direct start has been sent and not answered yet
-	directStartSequence uint64              // the worker's sequence number in the answer to the direct start; 0 if there was none
+	directStartInFlight bool                // a direct start was sent and has no result yet
+	directStartSequence uint64              // sequence number of the heartbeat in the response to the direct start; 0 if there was none
 	imageState          capacity.ImageState // on the machine, at the time of placement
 	cost                placementCost       // of placing the replica
 	state               wire.TaskState      // as of the last heartbeat
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -83,7 +83,7 @@
 func (cycle *schedulingCycle) allowedPreemptions(j *job) (victims []*job, instances int) {
 	cycle.evaluationsLeft -= len(cycle.preemptible.jobs) / checksPerEvaluation
 	for _, victim := range cycle.preemptible.jobs {
-		if cycle.usage.MayPreempt(j.claim(), victim.claim()) && victim.shrinkable() {
+		if cycle.usage.MayPreempt(j.preemptionCriteria(), victim.preemptionCriteria()) && victim.shrinkable() {
 			victims = append(victims, victim)
 			instances += len(victim.placements)
 		}
@@ -93,7 +93,7 @@
 
 // mayPreempt reports whether a job below its minimum may preempt a placement.
 func (cycle *schedulingCycle) mayPreempt(j *job, p *placement) bool {
-	return p.stop == stopNone && p.job.shrinkable() && cycle.usage.MayPreempt(j.claim(), p.job.claim())
+	return p.stop == stopNone && p.job.shrinkable() && cycle.usage.MayPreempt(j.preemptionCriteria(), p.job.preemptionCriteria())
 }
 
 // mayPreemptIdle reports whether a job that has its minimum may preempt a placement.
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -18,11 +18,11 @@
 	leader      *leader
 	requestRate ratelimit.Bucket // for requests to the cloud
 
-	lastRequest     int // number of the last scale-out request of this term
-	requests        []*scaleOutRequest
-	scaleInQueue    []string      // names of machines to release
-	nextScaleIn     time.Duration // no scale-in request is sent before this
-	scaleInInFlight bool
+	lastRequestNumber int // number of the last scale-out request of this term
+	requests          []*scaleOutRequest
+	scaleInQueue      []string      // names of machines to release
+	nextScaleIn       time.Duration // no scale-in request is sent before this
+	scaleInInFlight   bool
 
 	nextList       time.Duration
 	listInFlight   bool          // a page is being read
@@ -197,7 +197,7 @@
 	case outcome.OK:
 		for _, name := range result.MachineNames {
 			m := l.findOrAddMachine(name)
-			m.requestedAt, m.requestedHere = result.SentAt, true
+			m.requestedAt, m.requestedInTerm = result.SentAt, true
 			m.setIdentity(request.Type, request.Zone, "", request.Spot)
 			m.setType(c.catalog.machineType(request.Type))
 		}
@@ -222,8 +222,8 @@
 	}
 }
 
-// unavailable reports whether machines of a group must not be requested now, because the zone is cut off or the cloud
-// recently had too few of them.
+// unavailable reports whether machines of a group must not be requested now, because a large part of the zone is silent
+// or the cloud recently had too few of them.
 func (p *provisioner) unavailable(group capacity.Group) bool {
 	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhaustedUntil[group]
 }
@@ -232,10 +232,10 @@
 // machines to scale in.
 func (p *provisioner) applyPlan(plan capacityPlan) {
 	for _, demand := range plan.scaleOut {
-		p.lastRequest++
+		p.lastRequestNumber++
 		p.requests = append(p.requests, &scaleOutRequest{
 			Group:         demand.Group,
-			id:            fmt.Sprintf("bw-%d-%d", p.leader.term, p.lastRequest),
+			id:            fmt.Sprintf("bw-%d-%d", p.leader.term, p.lastRequestNumber),
 			count:         min(demand.count, wire.MaxScaleOut),
 			nextAttemptAt: p.leader.core.now.Steady,
 		})
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -41,16 +41,17 @@
 }
 
 // maxRequestIntervals is the longest backoff between two requests for a team, in check intervals. The backoff grows
-// while the requests bring nothing.
+// with the number of requests since the held share last grew.
 const maxRequestIntervals = 10
 
-// requestShortfall requests the share that this region's jobs lack. Each request goes to the next of the other regions.
-func (m *quotaManager) requestShortfall(t *teamQuota, demand teamDemand) {
+// requestMissingShare requests the share that this region's jobs lack. Each request goes to the next of the other
+// regions.
+func (m *quotaManager) requestMissingShare(t *teamQuota, demand teamDemand) {
 	c := m.leader.core
 	if t.requestInFlight || c.now.Steady < t.nextRequest {
 		return
 	}
-	missing := t.account.Shortfall(t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.total))
+	missing := t.account.MissingShare(t.account.ToAccountUnits(equalShare(demand.used.Plus(demand.waiting)), t.total))
 	if missing.IsZero() {
 		return
 	}
@@ -71,7 +72,7 @@
 		Request: &RequestQuota{From: c.operator.Regions.Name, Team: t.settings.Name, Total: t.total, Share: missing}})
 }
 
-// rejectPending answers the waiting messages of other regions: they have to retry later.
+// rejectPending rejects the pending messages of other regions, which retry later.
 func (t *teamQuota) rejectPending(c *Core) {
 	for _, in := range t.requests {
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
@@ -82,7 +83,7 @@
 	t.requests, t.deliveries = nil, nil
 }
 
-// rejectPending answers the waiting messages of all teams. It is called at the end of the term.
+// rejectPending rejects the pending messages for all teams. It is called at the end of the term.
 func (m *quotaManager) rejectPending() {
 	for _, t := range m.teamsInOrder {
 		t.rejectPending(m.leader.core)
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Messages from other regions about a team's quota. Only the leader answers them; other controllers redirect to it.
+// Messages from other regions about a team's quota. Only the leader responds to them; other controllers redirect to it.
 type (
 	// RequestQuota is a request from another region in which tasks of a team wait for quota.
 	RequestQuota struct {
@@ -48,8 +48,8 @@
 	reasonTransferMissing = "an earlier transfer is missing"
 )
 
-// quotaForMessage returns the quota that a message is about. If the message can't be accepted, it answers the message
-// itself and returns nil.
+// quotaForMessage returns the quota that a message is about. If the message can't be accepted, it rejects the
+// message and returns nil.
 func (c *Core) quotaForMessage(requestID uint64, from, team string, total quota.Share) *teamQuota {
 	l := c.leaderForRequest(requestID)
 	if l == nil {
@@ -58,9 +58,9 @@
 	t := l.quotas.teams[team]
 	switch {
 	case !c.operator.Regions.Enabled():
-		c.respondRefused(requestID, reasonNoRegions)
+		c.respondRejected(requestID, reasonNoRegions)
 	case !c.operator.Regions.HasOther(from):
-		c.respondRefused(requestID, reasonNoSuchRegion)
+		c.respondRejected(requestID, reasonNoSuchRegion)
 	case t == nil:
 		c.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.total != total:
@@ -68,7 +68,7 @@
 			t.limitMismatchLogged = true // log it once a term
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
-		c.respondRefused(requestID, reasonLimitsDiffer)
+		c.respondRejected(requestID, reasonLimitsDiffer)
 	case t.account == nil || !l.mayCommit() || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
@@ -88,7 +88,7 @@
 // handleQuotaDelivery queues a transfer from another region.
 func (c *Core) handleQuotaDelivery(in DeliverQuota) {
 	if in.Transfer.To != c.operator.Regions.Name {
-		c.respondRefused(in.RequestID, reasonNoSuchRegion)
+		c.respondRejected(in.RequestID, reasonNoSuchRegion)
 		return
 	}
 	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Total); t != nil {
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -16,7 +16,7 @@
 // TestQuotaFollowsDemand submits all of a team's jobs in one region, and then in the next one. Each region in turn gets
 // the whole limit.
 func TestQuotaFollowsDemand(t *testing.T) {
-	world := newRegionWorld(t, 3)
+	world := newRegionSimulation(t, 3)
 	for region := range world.regions {
 		ids := world.submitAndWait(region, "t1", 8, 8)
 		world.waitUntil("one region uses the whole limit", func() bool { return world.regions[region].used("t1") == regionLimit })
@@ -27,7 +27,7 @@
 // TestBurstsInAllRegions submits bursts of both teams in all regions at the same time. Each team gets its guarantee and
 // its whole limit, and no more.
 func TestBurstsInAllRegions(t *testing.T) {
-	world := newRegionWorld(t, 3)
+	world := newRegionSimulation(t, 3)
 	for region := range world.regions {
 		world.submit(region, "t1", 12, 2)
 		world.submit(region, "t2", 6, 4)
@@ -42,7 +42,7 @@
 // TestRegionPartition partitions a region from the other while jobs are submitted in both. Each uses only the share
 // that it holds; after the partition, the unused share moves to the region where tasks wait.
 func TestRegionPartition(t *testing.T) {
-	world := newRegionWorld(t, 2)
+	world := newRegionSimulation(t, 2)
 	world.setPartitioned(1, true)
 	world.submit(0, "t1", 24, 2)
 	world.advance(30 * time.Second)
@@ -61,7 +61,7 @@
 // TestOneWayPartition drops the messages in one direction only, so that transfers or their acknowledgements are lost.
 func TestOneWayPartition(t *testing.T) {
 	for _, link := range [][2]int{{0, 1}, {1, 0}} {
-		world := newRegionWorld(t, 2)
+		world := newRegionSimulation(t, 2)
 		world.submit(0, "t1", 24, 2)
 		world.advance(300 * time.Millisecond)
 		world.cutLinks[link] = true
@@ -81,16 +81,16 @@
 		"leader fails":                func(r *simulatedRegion) { r.restartLeaderIfAny() },
 		"response lost":               func(r *simulatedRegion) { r.lostResponses = 2 },
 		"response lost, leader fails": func(r *simulatedRegion) { r.lostResponses = 2; r.restartLeaderIfAny() },
-		"write late, leader fails":    func(r *simulatedRegion) { r.delayedTransactions = 2; r.restartLeaderIfAny() },
-		"write late":                  func(r *simulatedRegion) { r.delayedTransactions = 2 },
-		"leader suspended":            func(r *simulatedRegion) { r.frozen = r.leaderNode().name },
+		"write late, leader fails":    func(r *simulatedRegion) { r.transactionsToDelay = 2; r.restartLeaderIfAny() },
+		"write late":                  func(r *simulatedRegion) { r.transactionsToDelay = 2 },
+		"leader suspended":            func(r *simulatedRegion) { r.frozenNode = r.leaderNode().name },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for step := range 12 {
 				for region := range 2 {
-					world := newRegionWorld(t, 2)
+					world := newRegionSimulation(t, 2)
 					world.submit(0, "t1", 24, 2)
 					world.advance(time.Duration(step) * 4 * scaleStep)
 					fault(world.regions[region])
@@ -110,7 +110,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(seed, 5))
-			world := newRegionWorld(t, 3)
+			world := newRegionSimulation(t, 3)
 			for range 2 + random.IntN(9) {
 				world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
 				world.injectFault(random)
@@ -124,7 +124,7 @@
 }
 
 // injectFault injects a random fault into a region, or changes its load.
-func (world *regionWorld) injectFault(random *rand.Rand) {
+func (world *regionSimulation) injectFault(random *rand.Rand) {
 	region := random.IntN(3)
 	r, leader := world.regions[region], world.regions[region].leaderNode()
 	switch kind := random.IntN(14); kind {
@@ -140,14 +140,14 @@
 		r.restartLeaderIfAny()
 	case 4:
 		if leader != nil {
-			r.frozen = leader.name
+			r.frozenNode = leader.name
 		}
 	case 5:
 		r.lostResponses = 2
 	case 6:
-		r.delayedTransactions = 2
+		r.transactionsToDelay = 2
 	case 7:
-		r.commitHeld(r.store)
+		r.commitDelayed(r.store)
 	case 8:
 		r.storeDown = !r.storeDown
 	case 9:
@@ -169,7 +169,7 @@
 // there, more than the region's share of that team's guarantee. The rest of the guarantee is transferred from the other
 // regions, and batch tasks are preempted.
 func TestGuaranteeTransferred(t *testing.T) {
-	world := newRegionWorldOf(t, 3, 5) // 40 GPUs in each
+	world := newRegionSimulationOf(t, 3, 5) // 40 GPUs in each
 	region := world.regions[0]
 	region.submitAt(region.nodes[0], &wire.Job{ID: "run-900000", Kind: wire.KindArray, Class: "c", Team: "t2", Tasks: 20, CPUs: 4, GPUs: 2, MemoryGB: 20,
 		Priority: "prod", Image: "img-1", ImageGB: 4, EstimatedRunS: 600, CheckpointIntervalS: 10, CheckpointTimeS: 1})
@@ -181,13 +181,13 @@
 
 // startIndeterminateTransfer has region 0 request quota from region 1, which delays the given number of writes of its
 // account. So the result of the write of the transfer is not known.
-func startIndeterminateTransfer(t *testing.T, delayedWrites int) (world *regionWorld, sender *simulatedRegion) {
+func startIndeterminateTransfer(t *testing.T, delayedWrites int) (world *regionSimulation, sender *simulatedRegion) {
 	t.Helper()
-	world = newRegionWorld(t, 2)
+	world = newRegionSimulation(t, 2)
 	sender = world.regions[1]
-	sender.delayKey, sender.delayedTransactions = "w/q/t1", delayedWrites
+	sender.delayKey, sender.transactionsToDelay = "w/q/t1", delayedWrites
 	world.submit(0, "t1", 24, 2)
-	world.waitUntil("the write of a transfer is delayed", func() bool { return len(sender.heldTransactions) > 0 })
+	world.waitUntil("the write of a transfer is delayed", func() bool { return len(sender.delayedTransactions) > 0 })
 	return world, sender
 }
 
@@ -205,13 +205,13 @@
 // share for tasks of the region itself. The write must not be applied then.
 func TestDelayedTransferWrite(t *testing.T) {
 	world, sender := startIndeterminateTransfer(t, 1)
-	delayed := sender.heldTransactions
-	sender.heldTransactions = nil
+	delayed := sender.delayedTransactions
+	sender.delayedTransactions = nil
 	world.setPartitioned(0, true) // so that there is no other transfer
 	sender.restartLeaderIfAny()
 	world.submit(1, "t1", 12, 2)
 	world.waitUntil("the region uses its own share", func() bool { return sender.used("t1") == regionLimit/2 })
-	sender.heldTransactions = delayed
+	sender.delayedTransactions = delayed
 	world.heal()
 	world.waitForFullUse("t1")
 }
@@ -219,14 +219,14 @@
 // TestSettingsWithoutRegions starts a node whose settings name no regions in a cluster that divides the limits. It must
 // not become the leader, since it would enforce the undivided limits.
 func TestSettingsWithoutRegions(t *testing.T) {
-	world := newRegionWorld(t, 2)
+	world := newRegionSimulation(t, 2)
 	region := world.regions[0]
 	withRegions := region.operator
 	region.operator = config.DefaultOperatorSettings()
 	region.startNode(1)
 	region.step(region.nodes[1], core.Tick{})
 	region.operator = withRegions
-	region.frozen, region.refusedNode = region.nodes[0].name, region.nodes[2].name
+	region.frozenNode, region.refusedNode = region.nodes[0].name, region.nodes[2].name
 	world.advance(20 * time.Second)
 	if region.nodes[1].core.PeerStatus().Leading {
 		t.Fatal("a node without regions in its settings leads")
@@ -239,7 +239,7 @@
 // TestVersionWithoutRegionsCannotLead checks that once limits are divided, the term is stored in a format that versions
 // without regions can't read. So none of them can become the leader, while this version still can after several terms.
 func TestVersionWithoutRegionsCannotLead(t *testing.T) {
-	world := newRegionWorld(t, 2)
+	world := newRegionSimulation(t, 2)
 	region := world.regions[0]
 	for range 3 {
 		item, got := region.store.Get("w/term")
@@ -256,7 +256,7 @@
 // TestLimitChanges lowers the limit in one region after the other, and then raises it. While the settings differ each
 // region stays within its part of its own limit; once they agree, all of the new limit is used.
 func TestLimitChanges(t *testing.T) {
-	world := newRegionWorld(t, 2)
+	world := newRegionSimulation(t, 2)
 	world.setLimit(0, 24)
 	world.submit(0, "t1", 24, 2)
 	ids := world.submit(1, "t1", 24, 2)
@@ -276,7 +276,7 @@
 // TestMismatchedRequests checks that requests with a different limit, from an unknown region or for an unknown team are
 // refused.
 func TestMismatchedRequests(t *testing.T) {
-	world := newRegionWorld(t, 2)
+	world := newRegionSimulation(t, 2)
 	request := core.RequestQuota{From: regionName(1), Team: "t1", Share: world.regions[0].account("t1").Total}
 	region := world.regions[0]
 	var statuses []int
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// grantRequest answers the oldest request of another region. If there is anything to transfer, it commits the transfer
-// first.
+// grantRequest responds to the oldest request of another region. If there is anything to transfer, it commits the
+// transfer first.
 func (m *quotaManager) grantRequest(t *teamQuota, demand teamDemand) {
 	c, in := m.leader.core, t.requests[0]
 	t.requests = t.requests[1:]
@@ -68,7 +68,7 @@
 	m.commit(t, next, func(r Result) { c.respondCommitted(in.RequestID, r) })
 }
 
-// respondCommitted answers a region according to the result of a commit.
+// respondCommitted responds to another region according to the result of a commit.
 func (c *Core) respondCommitted(requestID uint64, r Result) {
 	if r.Outcome == outcome.OK {
 		c.respond(requestID, http.StatusOK, nil)
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -163,7 +163,7 @@
 		}
 		if t.account != nil {
 			m.deliverTransfers(t)
-			m.requestShortfall(t, demand)
+			m.requestMissingShare(t, demand)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 			sums[j.spec.Team] = s
 		}
 		placed, all := float64(len(j.placements)), float64(len(j.placements))
-		if j.queued && !j.cancelled && !j.ending && !j.heldByRollout {
+		if j.queued && !j.cancelled && !j.endPending && !j.heldByRollout {
 			all = max(all, float64(j.unfinished()))
 		}
 		s.usedGPUs, s.usedCPUs = s.usedGPUs+placed*j.spec.GPUs, s.usedCPUs+placed*j.spec.CPUs
@@ -232,9 +232,9 @@
 // equalShare returns a share with the same amount of the limit and of the guarantee.
 func equalShare(a quota.Amount) quota.Share { return quota.Share{Limit: a, Guarantee: a} }
 
-// retained returns the share that this region keeps when another one requests some, in units of the account: what is in
-// use, and of the rest what its own waiting tasks need, but no more than half. So neither region's waiting tasks have
-// to wait until all of the other's have finished.
+// retained returns the share that this region keeps when another one requests some, in units of the account. That is
+// the share in use, and as much of the rest as the region's own waiting tasks need, but at most half of the rest. So
+// the waiting tasks of neither region have to wait until all tasks of the other have finished.
 func (t *teamQuota) retained(demand teamDemand) quota.Share {
 	held := t.held()
 	used := t.account.ToAccountUnits(equalShare(demand.used), t.total)
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -181,5 +181,5 @@
 		stray := rapid.SampledFrom([]string{f.anyJob().id + "/5", "run-999999/0"}).Draw(f.T, "which")
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 99, State: wire.TaskRunning})
 	}
-	f.l.reconciler.reconcileTasks(m, heartbeat, originWorker)
+	f.l.reconciler.reconcileTasks(m, heartbeat, originPeriodic)
 }
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -17,7 +17,7 @@
 	idleChanges := int(w.budget.Tokens() - w.urgentReserve())
 	var deferred []*recordChunk
 	for _, chunk := range w.records.dirty {
-		if chunk.job.ending || w.leader.jobs[chunk.job.id] != chunk.job {
+		if chunk.job.endPending || w.leader.jobs[chunk.job.id] != chunk.job {
 			chunk.dirty = false
 			continue
 		}
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -20,7 +20,7 @@
 }
 
 // usedBy returns the number of GPUs that a team's tasks use in all regions.
-func (world *regionWorld) usedBy(team string) float64 {
+func (world *regionSimulation) usedBy(team string) float64 {
 	sum := 0.0
 	for _, region := range world.regions {
 		sum += region.used(team)
@@ -42,7 +42,7 @@
 }
 
 // highestLimit returns the limit that the regions together may use: the highest one while their settings differ.
-func (world *regionWorld) highestLimit() float64 {
+func (world *regionSimulation) highestLimit() float64 {
 	limit := 0.0
 	for _, region := range world.regions {
 		limit = max(limit, region.limit)
@@ -51,7 +51,7 @@
 }
 
 // check checks that no team exceeds its limit, and that the shares of each team add up to the total.
-func (world *regionWorld) check() {
+func (world *regionSimulation) check() {
 	world.test.Helper()
 	for _, team := range []string{"t1", "t2"} {
 		world.overshoot = max(world.overshoot, world.usedBy(team)-world.highestLimit())
@@ -63,7 +63,7 @@
 }
 
 // checkTotal checks that the shares of a team's accounts and those in transfer add up to the total.
-func (world *regionWorld) checkTotal(team string) {
+func (world *regionSimulation) checkTotal(team string) {
 	accounts := map[string]*quota.Account{}
 	for _, region := range world.regions {
 		a := region.account(team)
@@ -88,7 +88,7 @@
 
 // waitForFullUse runs the simulation until a team uses its whole limit, and 6 s longer, since late messages might still
 // lead to more.
-func (world *regionWorld) waitForFullUse(team string) {
+func (world *regionSimulation) waitForFullUse(team string) {
 	world.test.Helper()
 	world.waitUntil("the whole limit is used", func() bool { return world.usedBy(team) == world.highestLimit() })
 	world.advance(6 * time.Second)
--- a/internal/core/region_messages_test.go
+++ b/internal/core/region_messages_test.go
@@ -19,7 +19,7 @@
 }
 
 // send sends a message, and a late copy if messages are duplicated. If the link is cut, the call times out instead.
-func (world *regionWorld) send(from *simulatedRegion, node *scaleNode, e core.CallRegion) {
+func (world *regionSimulation) send(from *simulatedRegion, node *scaleNode, e core.CallRegion) {
 	to := slices.IndexFunc(world.regions, func(region *simulatedRegion) bool { return regionName(region.number) == e.Region })
 	if to < 0 {
 		return // the region has not been created yet
@@ -60,7 +60,7 @@
 }
 
 // deliverMessages delivers the messages that are due.
-func (world *regionWorld) deliverMessages() {
+func (world *regionSimulation) deliverMessages() {
 	now := world.regions[0].now
 	due := slices.DeleteFunc(slices.Clone(world.messages), func(m regionMessage) bool { return m.due > now })
 	world.messages = slices.DeleteFunc(world.messages, func(m regionMessage) bool { return m.due <= now })
@@ -76,7 +76,7 @@
 
 // receive delivers a message to a node, and follows one redirect to the leader.
 func (region *simulatedRegion) receive(node *scaleNode, m regionMessage, relayed bool) {
-	if node.name == region.frozen {
+	if node.name == region.frozenNode {
 		m.done(outcome.Unknown)
 		return
 	}
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -11,10 +11,10 @@
 	"bitternwing/internal/wire"
 )
 
-// regionWorld is a simulation of several regions that share the limits of two teams. Each region has three controllers,
+// regionSimulation is a simulation of several regions that share the limits of two teams. Each region has three controllers,
 // a store and machines of its own. At each step it checks that no team exceeds its limit in all regions together, and
 // that the shares that the regions hold and those in transfer add up to the total.
-type regionWorld struct {
+type regionSimulation struct {
 	test    reporter
 	regions []*simulatedRegion
 	// cutLinks holds the pairs of sender and receiver between which messages are lost.
@@ -49,15 +49,15 @@
 // regionName returns the name of a region.
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// newRegionWorld returns regions with equal shares of two teams' limits. Each region has enough machines
+// newRegionSimulation returns regions with equal shares of two teams' limits. Each region has enough machines
 // for the limits of both teams.
-func newRegionWorld(t reporter, regions int) *regionWorld {
-	return newRegionWorldOf(t, regions, regionMachines)
+func newRegionSimulation(t reporter, regions int) *regionSimulation {
+	return newRegionSimulationOf(t, regions, regionMachines)
 }
 
-// newRegionWorldOf is like newRegionWorld with the given number of machines in each region.
-func newRegionWorldOf(t reporter, regions, machines int) *regionWorld {
-	world := &regionWorld{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
+// newRegionSimulationOf is like newRegionSimulation with the given number of machines in each region.
+func newRegionSimulationOf(t reporter, regions, machines int) *regionSimulation {
+	world := &regionSimulation{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
 		world.regions = append(world.regions, world.newRegion(i, regions))
 	}
@@ -66,7 +66,7 @@
 }
 
 // newRegion returns the region with the given number.
-func (world *regionWorld) newRegion(number, regions int) *simulatedRegion {
+func (world *regionSimulation) newRegion(number, regions int) *simulatedRegion {
 	region := &simulatedRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, responseHandlers: map[uint64]func(core.Response){}}
 	region.digest = newOutputDigest()
 	region.operator.IdleTimeoutBoots = 100
@@ -98,7 +98,7 @@
 }
 
 // advance runs the simulation of all regions for a while, and checks the invariants at each step.
-func (world *regionWorld) advance(d time.Duration) {
+func (world *regionSimulation) advance(d time.Duration) {
 	world.test.Helper()
 	for end := world.regions[0].now + d; world.regions[0].now < end; {
 		for _, region := range world.regions {
@@ -113,7 +113,7 @@
 }
 
 // submit submits services of one task in a region and returns their IDs.
-func (world *regionWorld) submit(region int, team string, tasks int, gpus float64) []string {
+func (world *regionSimulation) submit(region int, team string, tasks int, gpus float64) []string {
 	var ids []string
 	r := world.regions[region]
 	for range tasks {
@@ -128,7 +128,7 @@
 }
 
 // submitAndWait submits services and waits until all are accepted.
-func (world *regionWorld) submitAndWait(region int, team string, tasks int, gpus float64) []string {
+func (world *regionSimulation) submitAndWait(region int, team string, tasks int, gpus float64) []string {
 	world.test.Helper()
 	ids := world.submit(region, team, tasks, gpus)
 	world.waitUntil("all jobs are accepted", func() bool { return len(world.regions[region].unacceptedJobs) == 0 })
@@ -155,7 +155,7 @@
 }
 
 // cancel cancels jobs, repeatedly until the store has their final states.
-func (world *regionWorld) cancel(region int, ids []string) {
+func (world *regionSimulation) cancel(region int, ids []string) {
 	r := world.regions[region]
 	for _, id := range ids {
 		for range 50 {
@@ -170,7 +170,7 @@
 }
 
 // setLimit changes the limit of each team in the settings of a region's controllers, and restarts them.
-func (world *regionWorld) setLimit(region int, limit float64) {
+func (world *regionSimulation) setLimit(region int, limit float64) {
 	world.regions[region].limit = limit
 	for i, node := range world.regions[region].nodes {
 		world.regions[region].startNode(i)
@@ -180,7 +180,7 @@
 }
 
 // waitUntil runs the simulation until a condition holds, and returns how long that took.
-func (world *regionWorld) waitUntil(condition string, holds func() bool) time.Duration {
+func (world *regionSimulation) waitUntil(condition string, holds func() bool) time.Duration {
 	world.test.Helper()
 	begin := world.regions[0].now
 	for range 1200 {
@@ -194,19 +194,19 @@
 }
 
 // setPartitioned starts or ends a partition between a region and all others.
-func (world *regionWorld) setPartitioned(region int, partitioned bool) {
+func (world *regionSimulation) setPartitioned(region int, partitioned bool) {
 	for i := range world.regions {
 		world.cutLinks[[2]int{region, i}], world.cutLinks[[2]int{i, region}] = partitioned, partitioned
 	}
 }
 
 // heal ends all faults and applies the delayed writes.
-func (world *regionWorld) heal() {
+func (world *regionSimulation) heal() {
 	clear(world.cutLinks)
 	world.duplicateMessages = false
 	for _, region := range world.regions {
 		region.endStoreFaults()
-		region.commitHeld(region.store)
-		region.frozen = ""
+		region.commitDelayed(region.store)
+		region.frozenNode = ""
 	}
 }
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -130,7 +130,7 @@
 	}
 	for _, heartbeat := range heartbeats {
 		if heartbeat != nil && heartbeat.Machine != "" && fencing.TermOf(heartbeat.FencingToken) <= c.leader.term {
-			c.leader.reconciler.reconcileIndirect(heartbeat, originWorker)
+			c.leader.reconciler.reconcileIndirect(heartbeat, originPeriodic)
 		}
 	}
 }
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -29,17 +29,17 @@
 	return services
 }
 
-// countReplica adds a placement to the replica ledger, or removes it. The ledger is kept even if spreading is disabled,
-// so that replica counts are always available.
+// countReplica adds a placement to the replica counts, or removes it. The counts are maintained even if spreading is
+// disabled, so that they are always available.
 func (p *placement) countReplica(present bool) {
 	model, ok := p.job.model()
-	if !ok || p.job.replicaLedger == nil {
+	if !ok || p.job.replicaCounts == nil {
 		return
 	}
 	if present {
-		p.job.replicaLedger.Add(model, p.machine.zone, p.machine.name)
+		p.job.replicaCounts.Add(model, p.machine.zone, p.machine.name)
 	} else {
-		p.job.replicaLedger.Remove(model, p.machine.zone, p.machine.name)
+		p.job.replicaCounts.Remove(model, p.machine.zone, p.machine.name)
 	}
 }
 
@@ -66,10 +66,10 @@
 // replicaCostFor returns the cost model for a job's next replica; false if the placement does not depend on cost.
 func (cycle *schedulingCycle) replicaCostFor(j *job) (replicaCostModel, bool) {
 	model, ok := j.model()
-	if !ok || !cycle.params.spread.Enabled || j.replicaLedger == nil {
+	if !ok || !cycle.params.spread.Enabled || j.replicaCounts == nil {
 		return replicaCostModel{}, false
 	}
-	if cycle.replicaCost.job == j && cycle.replicaCostVersion == j.replicaLedger.ChangeCount() {
+	if cycle.replicaCost.job == j && cycle.replicaCostChangeCount == j.replicaCounts.ChangeCount() {
 		return cycle.replicaCost, true
 	}
 	costs := cycle.replicaCost
@@ -80,8 +80,8 @@
 		costs.fleetSize = topologyspread.DomainCounts{Zones: len(fleet.zonesFor(j)), Machines: fleet.index.Len()}
 		costs.fleet, costs.job = fleet, j
 	}
-	costs.Costs = j.replicaLedger.CostsFor(model, lossRates(cycle.params.spread), costs.fleetSize, costs.recoveryTime)
-	cycle.replicaCost, cycle.replicaCostVersion = costs, j.replicaLedger.ChangeCount()
+	costs.Costs = j.replicaCounts.CostsFor(model, lossRates(cycle.params.spread), costs.fleetSize, costs.recoveryTime)
+	cycle.replicaCost, cycle.replicaCostChangeCount = costs, j.replicaCounts.ChangeCount()
 	return costs, true
 }
 
--- a/internal/core/replica_placement_test.go
+++ b/internal/core/replica_placement_test.go
@@ -15,14 +15,14 @@
 // like those of a new version in a rollout. Then it places more replicas of the model for another job. Both must be
 // balanced over the zones.
 func TestReplicasPlacedInOneCycleAreSpread(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 9, "img-a", 8)
 	world.expectReplicas("nine replicas at once", 3, 3, 3)
 	world.runService("run-000002", 3, "img-a", 8)
 	world.expectReplicas("three more replicas of the model", 4, 4, 4)
 	disabled := spreadSettings
 	disabled.Enabled = false
-	world = newSpreadWorld(t, disabled, threeZones)
+	world = newSpreadCluster(t, disabled, threeZones)
 	world.runService("run-000001", 9, "img-a", 8)
 	if zones := world.replicasByZone(""); len(zones) > 2 {
 		t.Errorf("without spreading, the replicas are in %v, want at most two zones: the test would not detect missing spreading", zones)
@@ -38,7 +38,7 @@
 	}{{0.001, 1}, {1, 3}} {
 		spread := spreadSettings
 		spread.ZoneLossesPerDay, spread.MachineLossesPerDay = c.zoneLosses, 0
-		world := newSpreadWorld(t, spread, threeZones)
+		world := newSpreadCluster(t, spread, threeZones)
 		world.runService("run-000001", 1, "img-a", 40)
 		world.runService("run-000002", 5, "img-a", 40)
 		if zones := world.replicasByZone(""); len(zones) != c.zones {
@@ -50,10 +50,10 @@
 // TestZonesWithoutCapacity has a zone without machines, a zone with space for one replica, and an image larger than the
 // cache of a machine.
 func TestZonesWithoutCapacity(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, map[string]int{"z1": 6, "z2": 6})
+	world := newSpreadCluster(t, spreadSettings, map[string]int{"z1": 6, "z2": 6})
 	world.runService("run-000001", 8, "img-a", 8)
 	world.expectReplicas("zone z3 without machines", 4, 4, 0)
-	world = newSpreadWorld(t, spreadSettings, map[string]int{"z1": 6, "z2": 1, "z3": 6})
+	world = newSpreadCluster(t, spreadSettings, map[string]int{"z1": 6, "z2": 1, "z3": 6})
 	world.submitAt(world.nodes[0], &wire.Job{ID: "run-000009", Kind: wire.KindService, Class: "c", Team: "t2", Tasks: 1, CPUs: 4, GPUs: 7, MemoryGB: 20,
 		Priority: "prod", Zone: "z2", Image: "img-z", ImageGB: 1})
 	world.runFor(10 * time.Second)
@@ -61,7 +61,7 @@
 	if zones := world.replicasByZone("run-000001"); zones["z2"] != 1 || zones["z1"] != 4 || zones["z3"] != 4 {
 		t.Errorf("zone z2 has space for one replica: got %v, want 4, 1, 4", zones)
 	}
-	world = newSpreadWorld(t, spreadSettings, threeZones)
+	world = newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 6, "img-a", 310)
 	world.runFor(80 * time.Second)
 	world.expectReplicas("image larger than the cache", 2, 2, 2)
@@ -73,7 +73,7 @@
 	placementsWith := func(enabled bool) string {
 		spread := spreadSettings
 		spread.Enabled, spread.MachineLossesPerDay = enabled, 0
-		world := newSpreadWorld(t, spread, map[string]int{"z1": 12})
+		world := newSpreadCluster(t, spread, map[string]int{"z1": 12})
 		for i := range 8 {
 			world.runService(fmt.Sprintf("run-%06d", i), 1+i%4, fmt.Sprintf("img-%d", i%3), 8)
 		}
@@ -93,7 +93,7 @@
 func TestZoneLostWithAllReadyCopies(t *testing.T) {
 	disabled := spreadSettings
 	disabled.Enabled = false
-	world := newSpreadWorld(t, disabled, threeZones)
+	world := newSpreadCluster(t, disabled, threeZones)
 	world.runService("run-000001", 6, "img-a", 8)
 	zone := ""
 	for z, n := range world.replicasByZone("") {
@@ -118,7 +118,7 @@
 // TestRepeatedZoneLoss kills and restores a zone ten times, and restarts the leader during two of the rebalancing
 // phases. Only the replicas needed for balance may move, one at a time, and they must stay afterwards.
 func TestRepeatedZoneLoss(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 6, "img-a", 8)
 	world.expectReplicas("before the first loss", 2, 2, 2)
 	for i := range 10 {
@@ -146,7 +146,7 @@
 // TestLossOfOnlyImageCopy kills the only machine with the weights, three times. The replica must come back on another
 // machine each time.
 func TestLossOfOnlyImageCopy(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 1, "img-a", 8)
 	for range 3 {
 		holder := world.workerByTask["run-000001/0"]
@@ -163,7 +163,7 @@
 func TestRebalancingKeepsConstraints(t *testing.T) {
 	noMoves := spreadSettings
 	noMoves.MovesPerHour = 0
-	world := newSpreadWorld(t, noMoves, map[string]int{"z1": 6, "z2": 6, "z3": 6})
+	world := newSpreadCluster(t, noMoves, map[string]int{"z1": 6, "z2": 6, "z3": 6})
 	world.killZone("z3")
 	world.runFor(60 * time.Second)
 	world.runService("run-000001", 6, "img-a", 8)
@@ -171,7 +171,7 @@
 	world.runFor(60 * time.Second)
 	world.expectReplicas("no budget for moves", 3, 3, 0)
 
-	world = newSpreadWorld(t, spreadSettings, threeZones)
+	world = newSpreadCluster(t, spreadSettings, threeZones)
 	world.submitAt(world.nodes[0], &wire.Job{ID: "run-000001", Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 4, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: "img-a", ImageGB: 8, Zone: "z1"})
 	world.runFor(60 * time.Second)
@@ -180,7 +180,7 @@
 
 // TestNewLeaderCountsRunningReplicas checks that a new leader counts the running replicas before it places more.
 func TestNewLeaderCountsRunningReplicas(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 3, "img-a", 8)
 	world.restartLeader()
 	world.runFor(8 * time.Second)
@@ -196,7 +196,7 @@
 // TestPlacementCosts requests the placements of a job. For a replica that was not placed on the best fit, the response
 // must hold the cost of the best fit.
 func TestPlacementCosts(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 1, "img-a", 8)
 	world.runService("run-000002", 1, "img-b", 8)
 	world.runService("run-000003", 3, "img-a", 8)
@@ -237,7 +237,7 @@
 // exists. A new leader must treat the image on a hinted machine as unconfirmed: preferred over a machine without the
 // image, but not over a machine with a confirmed copy.
 func TestStaleImageHints(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/i/0", Value: []byte(`{"m0004":["img-a"],"m9999":["img-a"]}`)}}})
 	world.restartLeader()
 	world.runFor(12 * time.Second)
@@ -247,7 +247,7 @@
 		t.Errorf("%d replicas are on the machine with the unconfirmed image, want 1", replicas)
 	}
 
-	world = newSpreadWorld(t, spreadSettings, map[string]int{"z1": 2})
+	world = newSpreadCluster(t, spreadSettings, map[string]int{"z1": 2})
 	world.operator.Spread.MachineLossesPerDay = 0
 	for i, gpus := range []float64{6, 4} { // 4 GPUs do not fit beside 6 on one machine
 		world.submitAt(world.nodes[0], &wire.Job{ID: fmt.Sprintf("run-00000%d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 1, CPUs: 4, GPUs: gpus,
@@ -270,7 +270,7 @@
 // TestHangingMachineKeepsReplica lets the machine with the only copy of the weights hang repeatedly, each time for less
 // than its lease. Its replica must be neither restarted nor moved.
 func TestHangingMachineKeepsReplica(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, threeZones)
+	world := newSpreadCluster(t, spreadSettings, threeZones)
 	world.runService("run-000001", 1, "img-a", 8)
 	holder := world.workerByTask["run-000001/0"]
 	world.starts = 0
@@ -292,7 +292,7 @@
 	settings := spreadSettings
 	settings.ZoneLossesPerDay, settings.MachineLossesPerDay, settings.MovesPerHour = 0, 0, 0 // so that replicas stay with their weights
 	settings.PrefetchGBPerHour = 100
-	world := newSpreadWorld(t, settings, threeZones)
+	world := newSpreadCluster(t, settings, threeZones)
 	world.runService("run-000001", 3, "img-a", 40)
 	world.runService("run-000002", 1, "img-b", 40) // beyond the budget
 	if world.prefetched != 2 {
@@ -315,7 +315,7 @@
 		t.Errorf("after the loss of %s: replicas in %v, the longest wait for weights was %v", zone, n, maxWait)
 	}
 
-	world = newSpreadWorld(t, settings, threeZones)
+	world = newSpreadCluster(t, settings, threeZones)
 	world.prefetchOutcome = outcome.NotFound
 	world.runService("run-000001", 3, "img-a", 8)
 	world.runFor(20 * time.Second)
@@ -329,7 +329,7 @@
 
 // TestManyModelsOnFullFleet has no spare capacity for balancing. All replicas must run nevertheless.
 func TestManyModelsOnFullFleet(t *testing.T) {
-	world := newSpreadWorld(t, spreadSettings, map[string]int{"z1": 2, "z2": 2, "z3": 2})
+	world := newSpreadCluster(t, spreadSettings, map[string]int{"z1": 2, "z2": 2, "z3": 2})
 	for i := range 24 {
 		world.submitAt(world.nodes[0], &wire.Job{ID: fmt.Sprintf("run-%06d", i), Kind: wire.KindService, Class: "c", Team: "t1", Tasks: 2, CPUs: 1, GPUs: 1,
 			MemoryGB: 1, Priority: "prod", Image: fmt.Sprint("img-", i), ImageGB: 8})
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -31,7 +31,7 @@
 		return
 	}
 	services := l.servicesByModel()
-	for _, model := range l.replicaLedger.SortedModels() {
+	for _, model := range l.replicaCounts.SortedModels() {
 		if l.rebalancing.budget.Tokens() < 1 || !cycle.hasBudget() {
 			return
 		}
@@ -57,7 +57,7 @@
 		if j.spec.Zone != "" || j.spec.SingleZone || l.inRolloutPlan(j.id) {
 			continue // its zone is fixed, or its rollout controls it
 		}
-		zone := l.replicaLedger.ZoneToDrain(model, cycle.params.fleet.zonesFor(j))
+		zone := l.replicaCounts.ZoneToDrain(model, cycle.params.fleet.zonesFor(j))
 		for _, p := range j.placementsByTask() {
 			if zone != "" && p.machine.zone == zone && cycle.moveSavesCost(j, p, l.core.times.heartbeatInterval) {
 				return p
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -27,7 +27,7 @@
 // leaderCPUTime returns the leader's CPU time with the given number of plans, in microseconds per second.
 func leaderCPUTime(b *testing.B, plans int) float64 {
 	b.Helper()
-	world := &rolloutWorld{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
+	world := &rolloutCluster{scaleCluster: newScaleCluster(b, 1, 0), plan: &rollout.Plan{Name: "none"}}
 	world.operator.Rollouts.Enabled, world.operator.Rollouts.CheckIntervalS, world.operator.IdleTimeoutBoots = true, 1, 100
 	world.intercept = world.interceptCall
 	world.adjustParams = func(p *config.Params) {
@@ -55,7 +55,7 @@
 }
 
 // applyPlan applies a plan with jobs of its own, and submits the jobs.
-func (world *rolloutWorld) applyPlan(i int) {
+func (world *rolloutCluster) applyPlan(i int) {
 	id := func(k int) string { return fmt.Sprintf("run-%07d", 100*(i+1)+k) }
 	plan := &rollout.Plan{Name: fmt.Sprint("plan-", i), Team: "t1", PromisedCapacity: 30,
 		Old: rollout.VersionSpec{Jobs: []string{id(1), id(2)}, ReplicaCapacity: 10}, New: rollout.VersionSpec{Jobs: []string{id(3), id(4)}, ReplicaCapacity: 10},
@@ -73,7 +73,7 @@
 }
 
 // requestAllRoutings sends a request from the router of each plan.
-func (world *rolloutWorld) requestAllRoutings(plans int) {
+func (world *rolloutCluster) requestAllRoutings(plans int) {
 	for i := range plans {
 		world.lastRequest++
 		world.step(world.nodes[0], core.GetRouting{RequestID: world.lastRequest << 16, Name: fmt.Sprint("plan-", i), Router: "north"})
@@ -81,7 +81,7 @@
 }
 
 // bakingPlans returns the number of plans that are baking.
-func (world *rolloutWorld) bakingPlans() int {
+func (world *rolloutCluster) bakingPlans() int {
 	n := 0
 	for _, key := range storedKeys(world.store, "w/p/") {
 		item, got := world.store.Get(key)
--- a/internal/core/rollout_checks_test.go
+++ b/internal/core/rollout_checks_test.go
@@ -10,12 +10,12 @@
 )
 
 // servesCorrectly reports whether a replica runs and passes the checks.
-func (world *rolloutWorld) servesCorrectly(weight rollout.Weight) bool {
+func (world *rolloutCluster) servesCorrectly(weight rollout.Weight) bool {
 	return world.probe(rollout.Replica{Task: weight.Task, Attempt: weight.Attempt, Address: weight.Address, Version: weight.Version}).Verdict == rollout.Passed
 }
 
 // check checks the guarantees of a rollout in the current state, and records the phases of the plan.
-func (world *rolloutWorld) check() {
+func (world *rolloutCluster) check() {
 	r := world.record()
 	if r == nil {
 		return
@@ -40,7 +40,7 @@
 }
 
 // checkJobs checks that no new job runs before its step, and that no old job is cancelled before the plan retires them.
-func (world *rolloutWorld) checkJobs(r *rollout.Record) {
+func (world *rolloutCluster) checkJobs(r *rollout.Record) {
 	for i := range newJobs {
 		if world.runsOnWorker(newJob(i)) && (r.Phase == rollout.Pending || i > r.Step) {
 			world.test.Fatalf("new job %s runs in phase %s of step %d", newJob(i), r.Phase, r.Step)
@@ -57,7 +57,7 @@
 }
 
 // checkCapacity checks that the replicas to which a router sends traffic have at least the promised capacity.
-func (world *rolloutWorld) checkCapacity(r *rollout.Record, router *simulatedRouter) {
+func (world *rolloutCluster) checkCapacity(r *rollout.Record, router *simulatedRouter) {
 	capacity, weights := 0.0, router.weights(world.now)
 	for _, weight := range weights {
 		if world.servesCorrectly(weight) {
@@ -72,25 +72,25 @@
 
 // holdsStaleGrant reports whether a router uses a routing that was granted before the wrong answers could be detected,
 // and has had no answer since, as happens while no node leads. It uses that routing until its lease expires.
-func (world *rolloutWorld) holdsStaleGrant(r *simulatedRouter) bool {
+func (world *rolloutCluster) holdsStaleGrant(r *simulatedRouter) bool {
 	return world.wrongAnswers != nil && r.unanswered && r.grantRequestedAt < world.wrongAnswersSince+world.detectionTime && world.now < r.grantExpiresAt
 }
 
 // checkRecorded checks that a router with a routing is in the plan's record, from which the next leader learns about
 // it.
-func (world *rolloutWorld) checkRecorded(r *rollout.Record, router *simulatedRouter) {
+func (world *rolloutCluster) checkRecorded(r *rollout.Record, router *simulatedRouter) {
 	if !r.Phase.Terminal() && !slices.Contains(r.Routers, router.name) {
 		world.test.Fatalf("%v: router %s has a routing and is not recorded in phase %s of step %d: %v", world.now, router.name, r.Phase, r.Step, r.Routers)
 	}
 }
 
 // gone reports whether a router's lease expired so long ago that the plan may no longer wait for it.
-func (world *rolloutWorld) gone(r *simulatedRouter) bool {
+func (world *rolloutCluster) gone(r *simulatedRouter) bool {
 	return world.now > r.grantExpiresAt+15*time.Second
 }
 
 // cancelled reports whether a job is cancelled.
-func (world *rolloutWorld) cancelled(id string) bool {
+func (world *rolloutCluster) cancelled(id string) bool {
 	if item, got := world.store.Get("w/a/" + id); got == outcome.OK {
 		var v struct {
 			CancelledMS int64 `json:"x"`
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -17,29 +17,29 @@
 func TestLeaderFailsAtEachTransition(t *testing.T) {
 	phases := []rollout.Phase{rollout.Pending, rollout.Starting, rollout.Checking, rollout.Shifting, rollout.Baking, rollout.Completing, rollout.Retiring}
 	for _, phase := range phases {
-		for name, fault := range map[string]func(world *rolloutWorld){
-			"leader fails":  func(world *rolloutWorld) { world.restartLeaderIfAny() },
-			"response lost": func(world *rolloutWorld) { world.lostResponses = 1 },
-			"response lost, then leader fails": func(world *rolloutWorld) {
+		for name, fault := range map[string]func(world *rolloutCluster){
+			"leader fails":  func(world *rolloutCluster) { world.restartLeaderIfAny() },
+			"response lost": func(world *rolloutCluster) { world.lostResponses = 1 },
+			"response lost, then leader fails": func(world *rolloutCluster) {
 				world.lostResponses = 1
 				world.advance(300 * time.Millisecond)
 				world.restartLeaderIfAny()
 			},
-			"write late": func(world *rolloutWorld) {
-				world.delayedTransactions = 2
+			"write late": func(world *rolloutCluster) {
+				world.transactionsToDelay = 2
 				world.advance(2 * time.Second)
-				world.commitHeld(world.store)
+				world.commitDelayed(world.store)
 			},
-			"write late, then leader fails": func(world *rolloutWorld) {
-				world.delayedTransactions = 2
+			"write late, then leader fails": func(world *rolloutCluster) {
+				world.transactionsToDelay = 2
 				world.advance(time.Second)
 				world.restartLeaderIfAny()
 				world.advance(6 * time.Second)
-				world.commitHeld(world.store)
+				world.commitDelayed(world.store)
 			},
 		} {
 			t.Run(fmt.Sprint(phase, " ", name), func(t *testing.T) {
-				world := newRolloutWorld(t)
+				world := newRolloutCluster(t)
 				world.start()
 				world.waitForPhase(phase)
 				fault(world)
@@ -49,7 +49,7 @@
 	}
 	for _, phase := range phases[:len(phases)-1] { // Retiring can't be rolled back
 		t.Run(fmt.Sprint(phase, " rolling back"), func(t *testing.T) {
-			world := newRolloutWorld(t)
+			world := newRolloutCluster(t)
 			world.start()
 			world.waitForPhase(phase)
 			world.setWrongAnswers(func(task string) bool { return task > "run-000010" })
@@ -66,7 +66,7 @@
 // TestDeposedLeader has the store refuse the leader until another one is elected, and then serve it again. The outdated
 // state of the deposed leader must have no effect.
 func TestDeposedLeader(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Shifting)
 	world.refusedNode = world.leaderNode().name
@@ -79,12 +79,12 @@
 // itself the leader at first.
 func TestSuspendedLeader(t *testing.T) {
 	for _, phase := range []rollout.Phase{rollout.Checking, rollout.Baking, rollout.Completing} {
-		world := newRolloutWorld(t)
+		world := newRolloutCluster(t)
 		world.start()
 		world.waitForPhase(phase)
-		world.frozen = world.leaderNode().name
+		world.frozenNode = world.leaderNode().name
 		world.advance(9 * time.Second)
-		world.frozen = ""
+		world.frozenNode = ""
 		world.waitForPhase(rollout.Completed)
 	}
 }
@@ -93,7 +93,7 @@
 // step and during a rollback.
 func TestStoreDown(t *testing.T) {
 	for _, wrong := range []bool{false, true} {
-		world := newRolloutWorld(t)
+		world := newRolloutCluster(t)
 		world.start()
 		world.waitForPhase(rollout.Baking)
 		if wrong {
@@ -116,7 +116,7 @@
 // TestIsolatedRouter isolates one router from all controllers and another one only from the leader. The first falls
 // back to the old version; the second keeps its lease by way of the other controllers.
 func TestIsolatedRouter(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.routers[0].isolated = true
@@ -134,7 +134,7 @@
 	world.routers[0].isolated = false
 	world.waitForPhase(rollout.Completed)
 
-	world = newRolloutWorld(t)
+	world = newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.routers[0].isolated = true
@@ -146,7 +146,7 @@
 // plan ends once the faults are over.
 func TestRandomRolloutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newRolloutWorld(t)
+		world := newRolloutCluster(t)
 		world.start()
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
 			world.advance(time.Duration(rapid.IntRange(1, 60).Draw(t, "delay in tenths of a second")) * 100 * time.Millisecond)
@@ -158,9 +158,9 @@
 			case "lose responses":
 				world.lostResponses = 2
 			case "delay writes":
-				world.delayedTransactions = 2
+				world.transactionsToDelay = 2
 			case "apply delayed writes":
-				world.commitHeld(world.store)
+				world.commitDelayed(world.store)
 			case "toggle store":
 				world.storeDown = !world.storeDown
 			case "refuse leader":
@@ -184,7 +184,7 @@
 			}
 		}
 		world.heal()
-		world.commitHeld(world.store)
+		world.commitDelayed(world.store)
 		world.unreachable = nil
 		world.advance(5 * time.Second)
 		world.tryChange(rollout.Resume)
@@ -199,13 +199,13 @@
 }
 
 // heal ends the faults of the network and the store.
-func (world *rolloutWorld) heal() {
+func (world *rolloutCluster) heal() {
 	world.endStoreFaults()
 	world.routers[0].isolated, world.routers[1].unreachableNode = false, ""
 }
 
 // tryChange requests a change once, whether or not it is answered.
-func (world *rolloutWorld) tryChange(change rollout.Change) {
+func (world *rolloutCluster) tryChange(change rollout.Change) {
 	world.sendRequest(world.nodes[0], func(request uint64) core.Input {
 		return core.ChangePlan{RequestID: request, Name: world.plan.Name, Change: change}
 	})
@@ -216,7 +216,7 @@
 // TestRandomRolloutFaults.
 func TestRollbackBeforeValidation(t *testing.T) {
 	for tenths := time.Duration(10); tenths <= 60; tenths += 5 {
-		world := newRolloutWorld(t)
+		world := newRolloutCluster(t)
 		world.plan.Steps[0].BakeS = 30
 		world.start()
 		world.waitForPhase(rollout.Baking)
@@ -233,10 +233,10 @@
 // TestRouterIsolatedAfterStoreRefusal isolates a router while the store refuses the leader, and restarts a leader after
 // that. The router sent requests before and must not count as gone too early. Found by TestRandomRolloutFaults.
 func TestRouterIsolatedAfterStoreRefusal(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.advance(1200 * time.Millisecond)
-	world.commitHeld(world.store)
+	world.commitDelayed(world.store)
 	world.advance(1600 * time.Millisecond)
 	world.refusedNode = world.leaderNode().name
 	world.advance(4 * time.Second)
@@ -254,7 +254,7 @@
 // leader has failed. Without a leader routers can't be notified; they must fall back to the old version when their
 // leases expire. Found by TestRandomRolloutFaults.
 func TestReplicasFailWithoutLeader(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	for world.record().Step == 0 || world.record().Phase != rollout.Baking {
 		world.advance(100 * time.Millisecond)
@@ -269,18 +269,18 @@
 // TestRemovedRouterReturns delays the write that removes a gone router from the plan's record until the router has
 // sent a request again. The router must not be granted a routing before its name was written again.
 func TestRemovedRouterReturns(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.plan.Steps[0].BakeS, world.plan.Limits.RouterGoneS = 40, 10
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	south := world.routers[1]
 	south.isolated = true
 	world.advance(30 * time.Second)
-	world.delayedTransactions = 1
-	for len(world.heldTransactions) == 0 {
+	world.transactionsToDelay = 1
+	for len(world.delayedTransactions) == 0 {
 		world.advance(100 * time.Millisecond)
 	}
-	if key := world.heldTransactions[0].Txn.Then[0].Put; key != "w/p/"+world.plan.Name {
+	if key := world.delayedTransactions[0].Txn.Then[0].Put; key != "w/p/"+world.plan.Name {
 		t.Fatalf("a write of %s was delayed, want the plan's", key)
 	}
 	south.isolated = false
@@ -288,7 +288,7 @@
 	for south.grantRequestedAt < reconnectedAt {
 		world.advance(100 * time.Millisecond)
 	}
-	world.commitHeld(world.store)
+	world.commitDelayed(world.store)
 	world.advance(200 * time.Millisecond)
 	world.restartLeaderIfAny()
 	world.waitForPhase(rollout.Completed)
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -23,7 +23,7 @@
 type rolloutManager struct {
 	leader         *leader
 	nextCheck      time.Duration
-	runs           map[string]*activeRollout
+	activeByName   map[string]*activeRollout
 	uncommitted    map[string]*rollout.Record // new plans whose first write is in flight; they already hold their jobs
 	probesInFlight int
 }
@@ -56,10 +56,10 @@
 // newRolloutManager returns a manager that takes over each plan when it first runs.
 func newRolloutManager(l *leader) *rolloutManager {
 	return &rolloutManager{
-		leader:      l,
-		nextCheck:   l.core.now.Steady,
-		runs:        map[string]*activeRollout{},
-		uncommitted: map[string]*rollout.Record{},
+		leader:       l,
+		nextCheck:    l.core.now.Steady,
+		activeByName: map[string]*activeRollout{},
+		uncommitted:  map[string]*rollout.Record{},
 	}
 }
 
@@ -85,7 +85,7 @@
 // run advances all plans.
 func (m *rolloutManager) run() {
 	l, c := m.leader, m.leader.core
-	if c.cache.PlanCount() == 0 && len(m.runs) == 0 {
+	if c.cache.PlanCount() == 0 && len(m.activeByName) == 0 {
 		return
 	}
 	if c.now.Steady < m.nextCheck {
@@ -94,14 +94,14 @@
 	}
 	m.nextCheck = c.now.Steady + c.times.minCycleGap
 	c.wakeBy(m.nextCheck)
-	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
+	for _, name := range slices.Sorted(maps.Keys(m.activeByName)) {
 		if c.cache.Plan(name) == nil {
-			m.drop(m.runs[name])
+			m.drop(m.activeByName[name])
 		}
 	}
 	for _, name := range c.cache.PlanNames() {
 		current := c.cache.Plan(name)
-		run := m.runs[name]
+		run := m.activeByName[name]
 		if run == nil {
 			run = m.takeOver(name, current)
 		}
@@ -122,16 +122,16 @@
 		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
 		droppedRouters: map[string]bool{},
 	}
-	m.runs[name] = run
+	m.activeByName[name] = run
 	if current.Problem != nil {
 		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.Problem.Error())
 	}
 	return run
 }
 
-// drop drops the state of a plan whose record was removed, and answers the requests that wait for it.
+// drop drops the state of a plan whose record was removed, and rejects the requests that wait for it.
 func (m *rolloutManager) drop(run *activeRollout) {
-	delete(m.runs, run.name)
+	delete(m.activeByName, run.name)
 	for _, requestID := range run.pendingRequests() {
 		m.leader.core.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
@@ -149,10 +149,10 @@
 	return requests
 }
 
-// rejectPending answers all requests that wait for a commit. It is called at the end of the term.
+// rejectPending rejects all requests that wait for a commit. It is called at the end of the term.
 func (m *rolloutManager) rejectPending() {
-	for _, name := range slices.Sorted(maps.Keys(m.runs)) {
-		for _, requestID := range m.runs[name].pendingRequests() {
+	for _, name := range slices.Sorted(maps.Keys(m.activeByName)) {
+		for _, requestID := range m.activeByName[name].pendingRequests() {
 			m.leader.core.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 		}
 	}
@@ -192,7 +192,7 @@
 		}
 	}
 	if !l.mayCommit() {
-		c.refuseJoins(run.joinRequests)
+		c.rejectJoins(run.joinRequests)
 		run.joinRequests = nil
 		return
 	}
@@ -304,19 +304,19 @@
 	return o
 }
 
-// observeRolloutJob returns the state of a job. A job that was accepted and no longer exists is over; old jobs are
-// known to have been accepted.
+// observeRolloutJob returns the state of a job. A job that was accepted and no longer exists has ended; old jobs
+// are known to have been accepted.
 func (l *leader) observeRolloutJob(plan *rollout.Plan, id string, wasAccepted bool) rollout.Job {
-	e := l.core.cache.Job(id)
-	if e == nil {
+	cached := l.core.cache.Job(id)
+	if cached == nil {
 		_, ended := l.core.cache.FinalState(id)
-		over := wasAccepted || ended
-		return rollout.Job{Accepted: over, Cancelled: over, Ended: over}
+		hasEnded := wasAccepted || ended
+		return rollout.Job{Accepted: hasEnded, Cancelled: hasEnded, Ended: hasEnded}
 	}
-	if !planMatchesJob(plan, e.Spec) {
+	if !planMatchesJob(plan, cached.Spec) {
 		return rollout.Job{}
 	}
-	return rollout.Job{Accepted: true, Cancelled: e.CancelledMS != 0, Replicas: e.Spec.Tasks}
+	return rollout.Job{Accepted: true, Cancelled: cached.CancelledMS != 0, Replicas: cached.Spec.Tasks}
 }
 
 // mayRoute reports whether enough is known to compute a routing. A rollback does not wait for validations once enough
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -16,7 +16,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Requests from operators and routers about plans. Only the leader answers them; other controllers redirect to it.
+// Requests from operators and routers about plans. Only the leader responds to them; other controllers redirect to it.
 type (
 	// ApplyPlan submits a plan.
 	ApplyPlan struct {
@@ -71,8 +71,8 @@
 	reasonUnavailable      = "can't be confirmed now"
 )
 
-// leaderForRequest returns the leader if this node leads and may answer. Otherwise it answers the request itself and
-// returns nil.
+// leaderForRequest returns the leader if this node leads and may respond. Otherwise it redirects or rejects the request
+// and returns nil.
 func (c *Core) leaderForRequest(requestID uint64) *leader {
 	l := c.leader
 	if l == nil {
@@ -90,8 +90,8 @@
 	return l
 }
 
-// respondRefused answers a request that is invalid or not allowed.
-func (c *Core) respondRefused(requestID uint64, reason string) {
+// respondRejected responds to a request that is invalid or not allowed.
+func (c *Core) respondRejected(requestID uint64, reason string) {
 	c.respond(requestID, http.StatusUnprocessableEntity, wire.ErrorBody{Error: reason})
 }
 
@@ -105,13 +105,13 @@
 	current := c.cache.Plan(in.Plan.Name)
 	switch {
 	case !c.operator.Rollouts.Enabled:
-		c.respondRefused(in.RequestID, reasonRolloutsDisabled)
+		c.respondRejected(in.RequestID, reasonRolloutsDisabled)
 	case current != nil && current.Record != nil && reflect.DeepEqual(&current.Record.Plan, in.Plan):
 		c.respond(in.RequestID, http.StatusOK, l.planStatus(in.Plan.Name))
 	case current != nil:
-		c.respondRefused(in.RequestID, "/name: another plan has this name")
+		c.respondRejected(in.RequestID, "/name: another plan has this name")
 	case c.cache.PlanCount() >= c.operator.Rollouts.MaxPlans:
-		c.respondRefused(in.RequestID, fmt.Sprintf("there are %d plans already", c.cache.PlanCount()))
+		c.respondRejected(in.RequestID, fmt.Sprintf("there are %d plans already", c.cache.PlanCount()))
 	case !l.mayCommit() || len(l.rollouts.uncommitted) > 0:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	case !c.members.AllSupportRollouts():
@@ -121,7 +121,7 @@
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
 		if err := l.checkPlan(in.Plan); err != nil {
-			c.respondRefused(in.RequestID, err.Error())
+			c.respondRejected(in.RequestID, err.Error())
 			return
 		}
 		l.commitNewPlan(in)
@@ -161,12 +161,12 @@
 // usage and returns the number of their replicas.
 func (l *leader) checkOldJobs(plan *rollout.Plan, usage scheduling.TeamUsage) (replicas int, err error) {
 	for i, id := range plan.Old.Jobs {
-		e := l.core.cache.Job(id)
-		if e == nil || !l.jobAvailableForPlan(plan, id) || e.CancelledMS != 0 {
+		cached := l.core.cache.Job(id)
+		if cached == nil || !l.jobAvailableForPlan(plan, id) || cached.CancelledMS != 0 {
 			return 0, &rollout.FieldError{Field: fmt.Sprintf("/old/jobs/%d", i), Problem: problemJobUnavailable}
 		}
-		replicas += e.Spec.Tasks
-		usage.Add(plan.Team, resource.OfTask(e.Spec), e.Spec.Tasks)
+		replicas += cached.Spec.Tasks
+		usage.Add(plan.Team, resource.OfTask(cached.Spec), cached.Spec.Tasks)
 	}
 	return replicas, nil
 }
@@ -176,15 +176,15 @@
 func (l *leader) checkNewJobs(plan *rollout.Plan, usage scheduling.TeamUsage) error {
 	for i, id := range plan.New.Jobs {
 		field := fmt.Sprintf("/new/jobs/%d", i)
-		e, j := l.core.cache.Job(id), l.jobs[id]
+		cached, j := l.core.cache.Job(id), l.jobs[id]
 		_, ended := l.core.cache.FinalState(id)
 		switch {
-		case !l.jobAvailableForPlan(plan, id) || ended || e.Cancelled():
+		case !l.jobAvailableForPlan(plan, id) || ended || cached.Cancelled():
 			return &rollout.FieldError{Field: field, Problem: problemJobUnavailable}
 		case j != nil && (len(j.placements) > 0 || len(j.chunks) > 0):
 			return &rollout.FieldError{Field: field, Problem: "has been placed already"}
-		case e != nil:
-			usage.Add(plan.Team, resource.OfTask(e.Spec), e.Spec.Tasks)
+		case cached != nil:
+			usage.Add(plan.Team, resource.OfTask(cached.Spec), cached.Spec.Tasks)
 		}
 	}
 	return nil
@@ -196,8 +196,8 @@
 	if l.core.cache.PlanForJob(id) != nil {
 		return false
 	}
-	e := l.core.cache.Job(id)
-	return e == nil || planMatchesJob(plan, e.Spec)
+	cached := l.core.cache.Job(id)
+	return cached == nil || planMatchesJob(plan, cached.Spec)
 }
 
 // commitNewPlan writes a plan. Its new jobs are held back from here on, and released if the write was not applied.
@@ -206,7 +206,7 @@
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
 	value, err := json.Marshal(record)
 	if err != nil || len(value) > c.usableValueBytes() {
-		c.respondRefused(in.RequestID, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.usableValueBytes()))
+		c.respondRejected(in.RequestID, fmt.Sprintf("/: the plan is too large: %d bytes are stored, of %d", len(value), c.usableValueBytes()))
 		return
 	}
 	name := in.Plan.Name
@@ -239,12 +239,12 @@
 func (l *leader) newPlanTxn(plan *rollout.Plan, value json.RawMessage) wire.Txn {
 	txn := l.conditionalTxn(stored.PlanKey(plan.Name), 0, wire.Op{Put: stored.PlanKey(plan.Name), Value: value})
 	for _, id := range plan.Jobs() {
-		cond := wire.Condition{Key: stored.FinalStateKey(id)}
-		if e := l.core.cache.Job(id); e != nil {
-			cond = wire.Condition{Key: stored.JobKey(id), Version: e.Version}
+		condition := wire.Condition{Key: stored.FinalStateKey(id)}
+		if cached := l.core.cache.Job(id); cached != nil {
+			condition = wire.Condition{Key: stored.JobKey(id), Version: cached.Version}
 		}
 		if len(txn.If) < l.core.limits.maxConditions() {
-			txn.If = append(txn.If, cond)
+			txn.If = append(txn.If, condition)
 		}
 	}
 	return txn
@@ -272,18 +272,18 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(plan.Name)})
 }
 
-// handleChangePlan queues an operator's change of a plan. It is answered once the change is committed.
+// handleChangePlan queues an operator's change of a plan. The response is sent once the change is committed.
 func (c *Core) handleChangePlan(in ChangePlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
 		return
 	}
-	current, run := c.cache.Plan(in.Name), l.rollouts.runs[in.Name]
+	current, run := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
 	switch {
 	case current == nil:
 		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil:
-		c.respondRefused(in.RequestID, current.Problem.Error())
+		c.respondRejected(in.RequestID, current.Problem.Error())
 	case run == nil || !l.mayCommit() || len(run.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
@@ -299,7 +299,7 @@
 	next, err := current.Record.Change(pending.change, c.now.WallMS)
 	switch {
 	case err != nil:
-		c.respondRefused(pending.requestID, err.Error())
+		c.respondRejected(pending.requestID, err.Error())
 	case next == current.Record:
 		c.respond(pending.requestID, http.StatusOK, l.planStatus(run.name))
 	default:
@@ -313,7 +313,7 @@
 	}
 }
 
-// handleGetPlan answers a request for the status of a plan.
+// handleGetPlan responds with the status of a plan.
 func (c *Core) handleGetPlan(in GetPlan) {
 	l := c.leaderForRequest(in.RequestID)
 	if l == nil {
@@ -328,7 +328,7 @@
 
 // planStatus returns the status of a plan.
 func (l *leader) planStatus(name string) PlanStatus {
-	current, run := l.core.cache.Plan(name), l.rollouts.runs[name]
+	current, run := l.core.cache.Plan(name), l.rollouts.activeByName[name]
 	status := PlanStatus{Record: current.Record}
 	if current.Problem != nil {
 		status.Problem = current.Problem.Error()
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -17,7 +17,7 @@
 // as gone. The next leader has to know these routers too; therefore a router's name is committed to the plan's record
 // before its first routing is granted.
 
-// routerJoin is a routing request from a router whose name has to be recorded before it is answered.
+// routerJoin is a routing request from a router whose name has to be recorded before the response.
 type routerJoin struct {
 	requestID  uint64
 	router     string
@@ -26,8 +26,8 @@
 
 const reasonTooManyRouters = "too many routers"
 
-// recordReserveDivisor is the divisor that gives the reserve of a plan's record: routers' names may not use the last
-// 1/16 of the largest stored value, so that later transitions of the plan still fit.
+// recordReserveDivisor determines the reserve of a plan's record: routers' names may not use the last 1/16 of the
+// largest stored value, so that later transitions of the plan still fit.
 const recordReserveDivisor = 16
 
 // handleGetRouting grants a router the current routing with a lease. If the router's name is not recorded yet, the
@@ -37,7 +37,7 @@
 	if l == nil {
 		return
 	}
-	current, run := c.cache.Plan(in.Name), l.rollouts.runs[in.Name]
+	current, run := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case current == nil:
@@ -59,8 +59,8 @@
 	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
 }
 
-// noteDropped remembers the routers that a write removes from the record. The write may be applied late without an
-// answer, so these routers count as recorded again only once a later write with their names has succeeded.
+// noteDropped remembers the routers that a write removes from the record. The write may be applied late without a
+// response, so these routers count as recorded again only once a later write with their names has succeeded.
 func (run *activeRollout) noteDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
 		if !slices.Contains(after.Routers, router) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// grantRouting answers a router whose name is recorded with the current routing and a lease.
+// grantRouting responds to a router whose name is recorded, with the current routing and a lease.
 func (l *leader) grantRouting(run *activeRollout, join routerJoin) {
 	c := l.core
 	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
@@ -87,8 +87,8 @@
 	c.respond(join.requestID, http.StatusOK, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
-// commitJoins writes the names of the waiting routers to the record and then answers them. The same write removes the
-// names of routers that are gone.
+// commitJoins writes the names of the waiting routers to the record and then responds to them. The same write removes
+// the names of routers that are gone.
 func (l *leader) commitJoins(run *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
 	next := l.recordWithJoins(run, current.Record, o)
 	if next == nil {
@@ -99,7 +99,7 @@
 		joined := run.joinsInFlight
 		run.joinsInFlight = nil
 		if r.Outcome != outcome.OK || !l.hasAuthority() {
-			l.core.refuseJoins(joined)
+			l.core.rejectJoins(joined)
 			return
 		}
 		for _, join := range joined {
@@ -108,8 +108,8 @@
 	})
 }
 
-// recordWithJoins returns the record with the names of the waiting routers. If the record becomes too large, it refuses
-// the last of them; if none is left it returns nil.
+// recordWithJoins returns the record with the names of the waiting routers. If the record becomes too large, it rejects
+// the last of them; if none is left, it returns nil.
 func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Reconciled {
@@ -137,8 +137,8 @@
 	return err == nil && len(r.Routers) <= l.core.operator.Rollouts.MaxRouters && len(value) <= maxBytes-maxBytes/recordReserveDivisor
 }
 
-// refuseJoins tells routers to retry later, since their names can't be recorded now.
-func (c *Core) refuseJoins(joins []routerJoin) {
+// rejectJoins rejects the requests of routers whose names can't be recorded now. The routers retry later.
+func (c *Core) rejectJoins(joins []routerJoin) {
 	for _, join := range joins {
 		c.respondRetryLater(join.requestID, http.StatusServiceUnavailable, reasonUnavailable)
 	}
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -13,7 +13,7 @@
 // TestRolloutCompletes rolls out a new version without faults. The old version is retired, and the record of the plan
 // is kept for the configured time.
 func TestRolloutCompletes(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Completed)
 	want := "pending starting checking shifting baking starting checking shifting baking completing retiring completed"
@@ -43,7 +43,7 @@
 
 // checkRolledBack waits for the rollback and checks its reason, that only the old version runs, and that no router
 // sends traffic to the new one.
-func (world *rolloutWorld) checkRolledBack(reason rollout.Reason) {
+func (world *rolloutCluster) checkRolledBack(reason rollout.Reason) {
 	world.test.Helper()
 	world.waitForPhase(rollout.RolledBack)
 	world.advance(5 * time.Second)
@@ -85,7 +85,7 @@
 		"the old version as well, while shifting": {rollout.Shifting, func(string, int) bool { return true }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := newRolloutWorld(t)
+			world := newRolloutCluster(t)
 			world.start()
 			world.waitForPhase(test.phase)
 			probeCount := 0
@@ -102,7 +102,7 @@
 // TestRestartedReplicaIsRevalidated restarts a replica while its step bakes. The validation of the earlier attempt does
 // not count: the step has to be checked again before it goes on.
 func TestRestartedReplicaIsRevalidated(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.plan.Steps[0].BakeS = 30
 	world.start()
 	world.waitForPhase(rollout.Baking)
@@ -119,7 +119,7 @@
 // TestUnreachableReplica checks that an unreachable replica is not treated like one that answers wrongly: the step
 // waits, and the plan is rolled back only after unreachable_s.
 func TestUnreachableReplica(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.unreachable = func(task string) bool { return task == "run-000011/1" }
 	world.start()
 	world.waitForPhase(rollout.Checking)
@@ -136,7 +136,7 @@
 // TestInsufficientTeamLimit lowers the team's limit so that the new jobs of a step do not fit. The step waits without
 // affecting the old version, and the plan is rolled back after wait_s.
 func TestInsufficientTeamLimit(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.plan.Limits.WaitS = 30
 	world.apply()
 	world.limitTeam(9)
@@ -151,7 +151,7 @@
 
 // TestTwoPlans runs the plans of two teams at the same time. The rollback of one does not affect the other.
 func TestTwoPlans(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	other := &rollout.Plan{Name: "writer", Team: "t2", PromisedCapacity: 10, Checks: world.plan.Checks, Limits: world.plan.Limits,
 		Old: rollout.VersionSpec{Jobs: []string{"run-000101"}, ReplicaCapacity: 10}, New: rollout.VersionSpec{Jobs: []string{"run-000111"}, ReplicaCapacity: 10},
@@ -172,7 +172,7 @@
 
 // TestOutdatedController runs one controller of a version without rollouts. No plan is accepted until it was replaced.
 func TestOutdatedController(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.outdatedNode = world.follower().name
 	world.restart()
 	world.advance(8 * time.Second)
@@ -197,7 +197,7 @@
 
 // TestOperatorRequests pauses, resumes and aborts a plan, applies it again, and requests the status of an unknown one.
 func TestOperatorRequests(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	if response := world.change(rollout.Pause); response.Status != 200 {
@@ -235,13 +235,13 @@
 // TestOwnerCancelsJobs has the owner cancel a job of the plan. A cancelled new job causes a rollback; a cancelled old
 // job only reduces the capacity that has to be kept.
 func TestOwnerCancelsJobs(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.sendRequest(world.nodes[1], func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: newJob(1)} })
 	world.checkRolledBack(rollout.NewCancelled)
 
-	world = newRolloutWorld(t)
+	world = newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.capacityNotGuaranteed = true // the owner cancels an old job
@@ -252,7 +252,7 @@
 // TestHeldJobs checks that the new jobs of a plan are accepted and stay pending until their step. After the plan was
 // aborted they are cancelled, and jobs outside of the plan are not affected.
 func TestHeldJobs(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.apply()
 	world.submitNew()
 	world.submitAt(world.nodes[0], replicaJob("run-000050", "t1"))
@@ -286,7 +286,7 @@
 // TestRefusedPlans checks that the refusal of a plan names the invalid field and discloses nothing about jobs of other
 // teams.
 func TestRefusedPlans(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.submitAt(world.nodes[0], replicaJob("run-000060", "t2"))
 	array := replicaJob("run-000061", "t1")
 	array.Kind, array.EstimatedRunS = wire.KindArray, 60
@@ -329,7 +329,7 @@
 		t.Errorf("plan with a job of another plan: %+v", response)
 	}
 
-	world = newRolloutWorld(t)
+	world = newRolloutCluster(t)
 	world.limitTeam(9) // the old version uses 8 GPUs; a new replica of 2 GPUs does not fit
 	world.submitNew()
 	world.advance(2 * time.Second)
@@ -340,7 +340,7 @@
 
 // TestRolloutsDisabled checks that plans are refused and nothing is stored when rollouts are disabled in the settings.
 func TestRolloutsDisabled(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.operator.Rollouts.Enabled = false
 	world.restart()
 	world.advance(10 * time.Second)
@@ -351,7 +351,7 @@
 
 // TestUnreadablePlan corrupts a stored plan. Its jobs stay as they are, and the plan can't be changed.
 func TestUnreadablePlan(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	world.waitForPhase(rollout.Baking)
 	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/p/reader", Value: []byte(`"corrupt"`)}}})
@@ -367,7 +367,7 @@
 // TestVersionWithoutRolloutsCannotLead checks that from the first plan on the term is stored in a format that versions
 // without rollouts can't read. So none of them can become the leader.
 func TestVersionWithoutRolloutsCannotLead(t *testing.T) {
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.apply()
 	for range 2 {
 		item, _ := world.store.Get("w/term")
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -14,9 +14,9 @@
 	"bitternwing/internal/wire"
 )
 
-// rolloutWorld is a simulated cluster in which a plan is carried out, with model servers that may answer wrongly,
+// rolloutCluster is a simulated cluster in which a plan is carried out, with model servers that may answer wrongly,
 // routers that request their routing, and a store that may fail. It checks the guarantees of a rollout at each step.
-type rolloutWorld struct {
+type rolloutCluster struct {
 	*scaleCluster
 	plan    *rollout.Plan
 	routers []*simulatedRouter
@@ -65,10 +65,10 @@
 // newJob returns the ID of a job of the new version.
 func newJob(i int) string { return fmt.Sprintf("run-0000%02d", 11+i) }
 
-// newRolloutWorld returns a cluster in which the old version runs completely and the nodes are ready to accept a plan.
-func newRolloutWorld(t reporter) *rolloutWorld {
+// newRolloutCluster returns a cluster in which the old version runs completely and the nodes are ready to accept a plan.
+func newRolloutCluster(t reporter) *rolloutCluster {
 	cluster := newScaleCluster(t, 3, 0)
-	world := &rolloutWorld{scaleCluster: cluster}
+	world := &rolloutCluster{scaleCluster: cluster}
 	cluster.digest = newOutputDigest()
 	cluster.operator.Rollouts.Enabled, cluster.operator.Rollouts.CheckIntervalS, cluster.operator.Rollouts.CheckTimeoutS, cluster.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
 	cluster.operator.IdleTimeoutBoots = 100
@@ -101,12 +101,12 @@
 }
 
 // submitReplica submits a service of the plan's team.
-func (world *rolloutWorld) submitReplica(id string) {
+func (world *rolloutCluster) submitReplica(id string) {
 	world.submitAt(world.nodes[0], replicaJob(id, "t1"))
 }
 
 // submitNew submits the new jobs repeatedly until they are accepted.
-func (world *rolloutWorld) submitNew() {
+func (world *rolloutCluster) submitNew() {
 	for i := range newJobs {
 		for range 100 {
 			if _, got := world.store.Get("w/a/" + newJob(i)); got == outcome.OK {
@@ -119,7 +119,7 @@
 }
 
 // interceptCall simulates outdated peers, the replicas, and the faults of the store.
-func (world *rolloutWorld) interceptCall(node *scaleNode, effect core.Effect) (core.Result, bool) {
+func (world *rolloutCluster) interceptCall(node *scaleNode, effect core.Effect) (core.Result, bool) {
 	switch e := effect.(type) {
 	case core.QueryPeer:
 		if e.Node == world.outdatedNode {
@@ -150,7 +150,7 @@
 }
 
 // setWrongAnswers makes some of the new replicas answer wrongly from now on. Of old replicas only the health is probed.
-func (world *rolloutWorld) setWrongAnswers(wrong func(task string) bool) {
+func (world *rolloutCluster) setWrongAnswers(wrong func(task string) bool) {
 	world.wrongAnswers, world.wrongAnswersSince = wrong, world.now
 }
 
@@ -159,7 +159,7 @@
 const defaultDetectionTime = 2 * time.Second
 
 // probe returns the result of probing a replica.
-func (world *rolloutWorld) probe(r rollout.Replica) rollout.ProbeResult {
+func (world *rolloutCluster) probe(r rollout.Replica) rollout.ProbeResult {
 	machine := world.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
 	case machine == nil || machine.dead || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
@@ -172,7 +172,7 @@
 
 // sendRequest sends a request to a node, follows a redirect to the leader, and returns the response. It returns nil if
 // there is none in time.
-func (world *rolloutWorld) sendRequest(node *scaleNode, input func(request uint64) core.Input) *core.Response {
+func (world *rolloutCluster) sendRequest(node *scaleNode, input func(request uint64) core.Input) *core.Response {
 	world.lastRequest++
 	request := world.lastRequest << 16
 	var got *core.Response
@@ -182,7 +182,7 @@
 		}
 		return response.RequestID == request
 	}
-	if node.name == world.frozen {
+	if node.name == world.frozenNode {
 		return nil
 	}
 	world.step(node, input(request))
@@ -200,7 +200,7 @@
 }
 
 // requestUntilAnswered sends a request until the response is neither a redirect nor a request to retry later.
-func (world *rolloutWorld) requestUntilAnswered(input func(request uint64) core.Input) *core.Response {
+func (world *rolloutCluster) requestUntilAnswered(input func(request uint64) core.Input) *core.Response {
 	for range 60 {
 		if response := world.sendRequest(world.nodes[0], input); response != nil && response.Status != 503 && response.Status != 421 {
 			return response
@@ -212,12 +212,12 @@
 }
 
 // apply applies the plan.
-func (world *rolloutWorld) apply() *core.Response {
+func (world *rolloutCluster) apply() *core.Response {
 	return world.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: world.plan} })
 }
 
 // start applies the plan and submits the new jobs.
-func (world *rolloutWorld) start() {
+func (world *rolloutCluster) start() {
 	world.test.Helper()
 	if response := world.apply(); response.Status != 200 {
 		world.test.Fatalf("the plan was refused: %+v", response)
@@ -226,14 +226,14 @@
 }
 
 // change requests a change of the plan.
-func (world *rolloutWorld) change(change rollout.Change) *core.Response {
+func (world *rolloutCluster) change(change rollout.Change) *core.Response {
 	return world.requestUntilAnswered(func(request uint64) core.Input {
 		return core.ChangePlan{RequestID: request, Name: world.plan.Name, Change: change}
 	})
 }
 
 // record returns the stored record of the plan, or nil if there is none.
-func (world *rolloutWorld) record() *rollout.Record {
+func (world *rolloutCluster) record() *rollout.Record {
 	item, got := world.store.Get("w/p/" + world.plan.Name)
 	if got != outcome.OK {
 		return nil
@@ -247,7 +247,7 @@
 
 // advance runs the simulation for a while. The routers send requests every 500 ms, and the guarantees are checked at
 // each step.
-func (world *rolloutWorld) advance(d time.Duration) {
+func (world *rolloutCluster) advance(d time.Duration) {
 	for end := world.now + d; world.now < end; {
 		world.runFor(10 * scaleStep)
 		if world.now >= world.routersPolledAt+500*time.Millisecond {
@@ -261,7 +261,7 @@
 }
 
 // requestRouting sends a router's request to a node. The lease of the grant begins when the request was sent.
-func (world *rolloutWorld) requestRouting(r *simulatedRouter, node *scaleNode) {
+func (world *rolloutCluster) requestRouting(r *simulatedRouter, node *scaleNode) {
 	sentAt := world.now
 	r.unanswered = true
 	if r.isolated || node.name == r.unreachableNode {
@@ -282,7 +282,7 @@
 }
 
 // waitForPhase runs the simulation until the plan is in a phase.
-func (world *rolloutWorld) waitForPhase(phase rollout.Phase) {
+func (world *rolloutCluster) waitForPhase(phase rollout.Phase) {
 	world.test.Helper()
 	for range 3000 {
 		if r := world.record(); r != nil && r.Phase == phase {
@@ -294,7 +294,7 @@
 }
 
 // limitTeam sets the limit of the plan's team and restarts the nodes.
-func (world *rolloutWorld) limitTeam(gpus float64) {
+func (world *rolloutCluster) limitTeam(gpus float64) {
 	world.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
 	world.restart()
 	world.advance(10 * time.Second)
--- a/internal/core/scale_calls_test.go
+++ b/internal/core/scale_calls_test.go
@@ -44,7 +44,7 @@
 // queryPeer asks another node for its status. One that stands still does not answer.
 func (cluster *scaleCluster) queryPeer(effect core.QueryPeer) (core.Result, bool) {
 	for _, peer := range cluster.nodes {
-		if peer.name == effect.Node && peer.name != cluster.frozen {
+		if peer.name == effect.Node && peer.name != cluster.frozenNode {
 			if len(effect.Cancellations) > 0 {
 				// The answer says that they are known from now on.
 				cluster.lastRequest++
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -47,9 +47,9 @@
 	cloudRate             float64        // requests a second that the cloud takes; 0: all
 	cloudTokens           float64
 	// intercept may give the result of a call in place of the world, and onAnswer take an answer.
-	intercept func(*scaleNode, core.Effect) (core.Result, bool)
-	onAnswer  func(core.Response) bool
-	frozen    string // a node whose process stands still
+	intercept  func(*scaleNode, core.Effect) (core.Result, bool)
+	onAnswer   func(core.Response) bool
+	frozenNode string // a node whose process stands still
 	// prefetched counts the images that are asked for ahead of need, and prefetchOutcome is what becomes of that.
 	prefetched      int
 	prefetchOutcome outcome.Outcome
@@ -186,7 +186,7 @@
 		cluster.now += scaleStep
 		cluster.store.AdvanceTo(cluster.now)
 		for _, node := range cluster.nodes {
-			if node.name == cluster.frozen {
+			if node.name == cluster.frozenNode {
 				continue
 			}
 			results := node.results
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -4,17 +4,17 @@
 
 // schedulingCycle is one pass of the scheduler. It decides which tasks start and which are preempted.
 type schedulingCycle struct {
-	state                 cycleState
-	params                cycleParams
-	usage                 scheduling.TeamUsage
-	evaluationsLeft       int
-	placed                int                        // tasks placed in this cycle
-	unmetDemand           []unmetDemand              // tasks without a machine, the input of scale-out
-	exhaustedRequests     map[resourceRequest]bool   // requests for which no machine has free resources in this cycle
-	replicaCost           replicaCostModel           // cached for the job whose replica was placed last
-	replicaCostVersion    uint64                     // version of the replica ledger that replicaCost was calculated from
-	preemptible           *preemptibleJobs           // jobs that can be shrunk; nil until first needed
-	infeasiblePreemptions map[preemptionRequest]bool // requests for which preemption cannot free enough in this cycle
+	state                  cycleState
+	params                 cycleParams
+	usage                  scheduling.TeamUsage
+	evaluationsLeft        int
+	placed                 int                        // tasks placed in this cycle
+	unmetDemand            []unmetDemand              // tasks without a machine, the input of scale-out
+	exhaustedRequests      map[resourceRequest]bool   // requests for which no machine has free resources in this cycle
+	replicaCost            replicaCostModel           // cached for the job whose replica was placed last
+	replicaCostChangeCount uint64                     // change count of the replica counts that replicaCost was calculated from
+	preemptible            *preemptibleJobs           // jobs that can be shrunk; nil until first needed
+	infeasiblePreemptions  map[preemptionRequest]bool // requests for which preemption cannot free enough in this cycle
 }
 
 // newSchedulingCycle returns a cycle that starts from the current placements, with the evaluation budget in params.
@@ -62,7 +62,7 @@
 
 // schedulable reports whether tasks of a job may be started now.
 func (cycle *schedulingCycle) schedulable(j *job) bool {
-	return !j.cancelled && !j.ending && !j.heldByRollout && j.team != nil && cycle.params.now >= j.retryAt
+	return !j.cancelled && !j.endPending && !j.heldByRollout && j.team != nil && cycle.params.now >= j.retryAt
 }
 
 // runSchedulingCycle runs a scheduling cycle if one is due.
--- a/internal/core/size_warnings.go
+++ b/internal/core/size_warnings.go
@@ -16,15 +16,15 @@
 		return
 	}
 	c.sizeWarnings.machines = machines
-	for _, shortfall := range sizing.Check(&c.settings.Params, machines) {
-		if c.sizeWarnings.logged[shortfall.Field] {
+	for _, setting := range sizing.Check(&c.settings.Params, machines) {
+		if c.sizeWarnings.logged[setting.Field] {
 			continue
 		}
 		if c.sizeWarnings.logged == nil {
 			c.sizeWarnings.logged = map[string]bool{}
 		}
-		c.sizeWarnings.logged[shortfall.Field] = true
-		c.log(Info, "setting too small for fleet size", "field", shortfall.Field, "value", shortfall.Value, "minimum", shortfall.Minimum,
-			"workers", machines, "effect", shortfall.Effect)
+		c.sizeWarnings.logged[setting.Field] = true
+		c.log(Info, "setting too small for fleet size", "field", setting.Field, "value", setting.Value, "minimum", setting.Minimum,
+			"workers", machines, "effect", setting.Effect)
 	}
 }
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -7,8 +7,8 @@
 	"bitternwing/internal/wire"
 )
 
-// spreadWorld is a cluster with spreading of replicas enabled. It tracks the zone in which each replica runs.
-type spreadWorld struct {
+// spreadCluster is a cluster with spreading of replicas enabled. It tracks the zone in which each replica runs.
+type spreadCluster struct {
 	*scaleCluster
 	zoneOf map[string]string // by running task
 	starts int
@@ -18,11 +18,11 @@
 // loss of a machine does not.
 var spreadSettings = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaDays: 30, MovesPerHour: 1200}
 
-// newSpreadWorld returns a cluster with the given number of machines in each zone. The first two zones have controller
+// newSpreadCluster returns a cluster with the given number of machines in each zone. The first two zones have controller
 // nodes.
-func newSpreadWorld(t reporter, spread config.Spread, machinesPerZone map[string]int) *spreadWorld {
+func newSpreadCluster(t reporter, spread config.Spread, machinesPerZone map[string]int) *spreadCluster {
 	cluster := newScaleCluster(t, 3, 0)
-	world := &spreadWorld{scaleCluster: cluster, zoneOf: map[string]string{}}
+	world := &spreadCluster{scaleCluster: cluster, zoneOf: map[string]string{}}
 	cluster.operator.IdleTimeoutBoots = 100
 	cluster.operator.Spread = spread
 	cluster.adjustParams = func(p *config.Params) {
@@ -46,14 +46,14 @@
 var threeZones = map[string]int{"z1": 6, "z2": 6, "z3": 6}
 
 // runService submits a service of a model and waits until its replicas have had time to start.
-func (world *spreadWorld) runService(id string, tasks int, image string, imageGB float64) {
+func (world *spreadCluster) runService(id string, tasks int, image string, imageGB float64) {
 	world.submitAt(world.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: image, ImageGB: imageGB})
 	world.runFor(25 * time.Second)
 }
 
 // replicasByZone returns the number of running replicas in each zone, of the given job or, for "", of all jobs.
-func (world *spreadWorld) replicasByZone(job string) map[string]int {
+func (world *spreadCluster) replicasByZone(job string) map[string]int {
 	zones := map[string]int{}
 	for task, zone := range world.zoneOf {
 		if id, _, _ := wire.ParseTaskName(task); job == "" || id == job {
@@ -64,7 +64,7 @@
 }
 
 // expectReplicas checks the number of replicas in each zone.
-func (world *spreadWorld) expectReplicas(what string, z1, z2, z3 int) {
+func (world *spreadCluster) expectReplicas(what string, z1, z2, z3 int) {
 	world.test.Helper()
 	if got := world.replicasByZone(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
 		world.test.Errorf("%s: replicas by zone are %v, want %d, %d, %d", what, got, z1, z2, z3)
@@ -72,7 +72,7 @@
 }
 
 // killZone kills all machines of a zone.
-func (world *spreadWorld) killZone(zone string) {
+func (world *spreadCluster) killZone(zone string) {
 	for _, worker := range world.workers {
 		if worker.zone == zone && !worker.dead {
 			worker.dead = true
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -46,7 +46,7 @@
 		m.unansweredQueries++
 	case result.Heartbeat.Machine == m.name:
 		m.queryAnsweredAt = lm.core.now.Steady
-		lm.heartbeats.reconcileIndirect(&result.Heartbeat, originQuery)
+		lm.heartbeats.reconcileIndirect(&result.Heartbeat, originReply)
 	}
 }
 
--- a/internal/core/store_calls.go
+++ b/internal/core/store_calls.go
@@ -6,7 +6,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Calls to the key-value store.
+// Effects that call the key-value store.
 
 // StoreGet reads a key.
 type StoreGet struct {
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -11,9 +11,9 @@
 	refusedNode         string // a node that the state service refuses
 	storeDown           bool   // the state service refuses all
 	lostResponses       int    // transactions that are carried out without an answer
-	delayedTransactions int    // transactions without an answer that are carried out later
+	transactionsToDelay int    // transactions without an answer that are carried out later
 	delayKey            string // only those that write this key are; empty: any
-	heldTransactions    []core.StoreTxn
+	delayedTransactions []core.StoreTxn
 }
 
 // interceptStoreCall gives what becomes of a call to the state service in its troubles; false if nothing is the matter.
@@ -33,24 +33,24 @@
 	case s.lostResponses > 0:
 		s.lostResponses--
 		store.Txn(txn.Txn)
-	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == txn.Txn.Then[0].Put):
-		s.delayedTransactions--
-		s.heldTransactions = append(s.heldTransactions, txn)
+	case s.transactionsToDelay > 0 && (s.delayKey == "" || s.delayKey == txn.Txn.Then[0].Put):
+		s.transactionsToDelay--
+		s.delayedTransactions = append(s.delayedTransactions, txn)
 	default:
 		return core.Result{}, false
 	}
 	return core.Result{CallID: id, Outcome: outcome.Unknown}, true
 }
 
-// commitHeld carries out the transactions that were held up.
-func (s *storeFaults) commitHeld(store *emulator.Store) {
-	for _, effect := range s.heldTransactions {
+// commitDelayed carries out the transactions that were held up.
+func (s *storeFaults) commitDelayed(store *emulator.Store) {
+	for _, effect := range s.delayedTransactions {
 		store.Txn(effect.Txn)
 	}
-	s.heldTransactions = nil
+	s.delayedTransactions = nil
 }
 
 // endStoreFaults ends them, but for the transactions that are held up.
 func (s *storeFaults) endStoreFaults() {
-	s.storeDown, s.refusedNode, s.lostResponses, s.delayedTransactions, s.delayKey = false, "", 0, 0, ""
+	s.storeDown, s.refusedNode, s.lostResponses, s.transactionsToDelay, s.delayKey = false, "", 0, 0, ""
 }
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -187,16 +187,16 @@
 // state deletes that key, and the watch has delivered all earlier changes, so the final state follows from the cached
 // job.
 func (c *Core) observeJobEnd(id string) {
-	e := c.cache.Job(id)
-	if e == nil {
+	cached := c.cache.Job(id)
+	if cached == nil {
 		return
 	}
-	if e.Cancelled() {
+	if cached.Cancelled() {
 		c.cacheFinalState(id, stored.FinalState{State: wire.JobCancelled, Done: c.countsOf(id).Done, EndedMS: c.now.WallMS})
 		c.cancellations.drop(id)
 		return
 	}
-	c.cacheFinalState(id, stored.FinalState{State: wire.JobDone, Done: e.Spec.Tasks, EndedMS: c.now.WallMS})
+	c.cacheFinalState(id, stored.FinalState{State: wire.JobDone, Done: cached.Spec.Tasks, EndedMS: c.now.WallMS})
 }
 
 // finalStatesPerMB is how many final states a node caches per MiB of its memory limit.
--- a/internal/core/submission_batches.go
+++ b/internal/core/submission_batches.go
@@ -26,11 +26,11 @@
 // commitSubmissions commits waiting submissions, several in a transaction and one transaction at a time.
 func (u *userRequests) commitSubmissions() {
 	c := u.core
-	if u.submitInFlight || len(u.submissions) == 0 {
+	if u.submissionInFlight || len(u.submissionQueue) == 0 {
 		return
 	}
 	batch, txn := u.nextSubmissionBatch()
-	u.submitInFlight = true
+	u.submissionInFlight = true
 	id := c.registerStoreCall(batch.applyResult)
 	c.emit(StoreTxn{CallID: id, Txn: txn})
 }
@@ -40,8 +40,8 @@
 func (u *userRequests) nextSubmissionBatch() (*submissionBatch, wire.Txn) {
 	var txn wire.Txn
 	n, size := 0, 0
-	for ; n < len(u.submissions) && n < u.core.limits.maxChanges(); n++ {
-		s := u.submissions[n]
+	for ; n < len(u.submissionQueue) && n < u.core.limits.maxChanges(); n++ {
+		s := u.submissionQueue[n]
 		size += len(s.value) + submissionOverheadBytes
 		if n > 0 && size > maxSubmissionBatchBytes {
 			break
@@ -50,8 +50,8 @@
 		txn.If = append(txn.If, wire.Condition{Key: activeKey}, wire.Condition{Key: finalKey})
 		txn.Then = append(txn.Then, wire.Op{Put: activeKey, Value: s.value})
 	}
-	batch := &submissionBatch{requests: u, submissions: append([]*submission(nil), u.submissions[:n]...)}
-	u.submissions = append(u.submissions[:0], u.submissions[n:]...)
+	batch := &submissionBatch{requests: u, submissions: append([]*submission(nil), u.submissionQueue[:n]...)}
+	u.submissionQueue = append(u.submissionQueue[:0], u.submissionQueue[n:]...)
 	return batch, txn
 }
 
@@ -59,7 +59,7 @@
 // other submissions are queued again.
 func (b *submissionBatch) applyResult(r Result) {
 	u := b.requests
-	u.submitInFlight = false
+	u.submissionInFlight = false
 	failed := r.failedKeys()
 	for _, s := range b.submissions {
 		id := s.job.ID
@@ -70,7 +70,7 @@
 		case r.Outcome == outcome.Conflict && (failed[stored.JobKey(id)] || failed[stored.FinalStateKey(id)]):
 			u.readSubmitted(s)
 		case r.Outcome == outcome.Conflict && s.attempts < maxSubmissionAttempts:
-			u.submissions = append(u.submissions, s)
+			u.submissionQueue = append(u.submissionQueue, s)
 		default:
 			// The transaction was not applied, or its outcome is unknown and it may still be applied later. A repeated
 			// submission determines the job's state.
@@ -105,14 +105,14 @@
 func (u *userRequests) readSubmitted(s *submission) {
 	delete(u.submissionByID, s.job.ID)
 	read := submittedRead{requests: u, submission: s}
-	u.reads = append(u.reads, &lookup{id: s.job.ID, onResult: read.respond})
+	u.readQueue = append(u.readQueue, &lookup{id: s.job.ID, onResult: read.respond})
 }
 
 func (s submittedRead) respond(result lookupResult) {
 	u, id := s.requests, s.submission.job.ID
 	for _, requestID := range s.submission.requestIDs {
 		if result.found() {
-			u.respond(requestID, http.StatusOK, u.core.jobStateOf(id, result))
+			u.respond(requestID, http.StatusOK, u.core.jobResponseOf(id, result))
 		} else {
 			u.respondIndeterminate(requestID)
 		}
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -22,14 +22,14 @@
 func (u *userRequests) submitWithDependencies(in SubmitJob) {
 	check := &dependencyCheck{requests: u, request: in}
 	uncached := check.examineCached()
-	if len(uncached) > 0 && len(u.reads) > u.core.operator.MaxPendingRequests {
+	if len(uncached) > 0 && len(u.readQueue) > u.core.operator.MaxPendingRequests {
 		u.respondIndeterminate(in.RequestID) // the queue of reads is full
 		return
 	}
 	check.pendingReads = len(uncached)
 	for _, id := range uncached {
 		read := dependencyRead{check: check, id: id}
-		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, onResult: read.applyResult})
+		u.readQueue = append(u.readQueue, &lookup{id: id, existenceOnly: true, onResult: read.applyResult})
 	}
 	if check.pendingReads == 0 {
 		check.decide()
--- a/internal/core/submissions.go
+++ b/internal/core/submissions.go
@@ -22,7 +22,7 @@
 func (u *userRequests) submit(in SubmitJob) {
 	c := u.core
 	if final, ok := c.cache.FinalState(in.Job.ID); ok {
-		c.respond(in.RequestID, http.StatusOK, finalJobState(in.Job.ID, final))
+		c.respond(in.RequestID, http.StatusOK, finalJobResponse(in.Job.ID, final))
 		return
 	}
 	if u.rejectIfOverloaded(in.RequestID) {
@@ -76,7 +76,7 @@
 	}
 	s := &submission{job: in.Job, value: value, requestIDs: []uint64{in.RequestID}}
 	u.submissionByID[in.Job.ID] = s
-	u.submissions = append(u.submissions, s)
+	u.submissionQueue = append(u.submissionQueue, s)
 }
 
 // rejection is the response to a submission that can't be accepted. With status 0 it is not known whether the job can
@@ -104,7 +104,7 @@
 	u, requestID, id := s.requests, s.request.RequestID, s.request.Job.ID
 	switch {
 	case result.found():
-		u.respond(requestID, http.StatusOK, u.core.jobStateOf(id, result))
+		u.respond(requestID, http.StatusOK, u.core.jobResponseOf(id, result))
 	case result.state == lookupNotFound && s.rejection.status != 0:
 		u.respond(requestID, s.rejection.status, wire.ErrorBody{Error: s.rejection.reason})
 	default:
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -115,7 +115,7 @@
 // startResponseHandled reports whether the worker had processed or discarded the response with the start command by the
 // time it sent a heartbeat.
 func (p *placement) startResponseHandled(heartbeat *wire.Heartbeat, origin heartbeatOrigin) bool {
-	return p.startSequence == startSequenceUnknown || heartbeat.Sequence > p.startSequence && origin != originQuery
+	return p.startSequence == startSequenceUnknown || heartbeat.Sequence > p.startSequence && origin != originReply
 }
 
 // reconcileUnknownTask handles a task in a heartbeat that has no matching placement.
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -20,7 +20,7 @@
 	heartbeatTimeout   time.Duration // a machine that has been silent for longer gets no work
 	cycleInterval      time.Duration // between two regular scheduling cycles
 	minCycleGap        time.Duration // between two scheduling cycles that events trigger
-	minCompareGap      time.Duration // between two version comparisons of a node
+	minComparisonGap   time.Duration // between two version comparisons of a node
 	minWatchGap        time.Duration // between two watches of a node
 }
 
@@ -46,7 +46,7 @@
 	t.heartbeatTimeout = max(3*t.heartbeatInterval/2, 3*t.checkInterval)
 	// The nodes share the store's request rate. All together use at most half of it for comparisons and two fifths for
 	// watches.
-	t.minCompareGap = config.Seconds(6 * nodes / params.Store.Next.Effective(params.Store).RPS / 3)
+	t.minComparisonGap = config.Seconds(6 * nodes / params.Store.Next.Effective(params.Store).RPS / 3)
 	t.minWatchGap = config.Seconds(5 * nodes / params.Store.Next.Effective(params.Store).RPS / 2)
 	return t
 }
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -67,7 +67,7 @@
 	case node.storeMode == "limit":
 		result.Outcome = outcome.Dropped
 	case node.storeMode == "hold" || node.storeMode == "slow":
-		node.heldTransactions = append(node.heldTransactions, effect)
+		node.delayedTransactions = append(node.delayedTransactions, effect)
 		result.Outcome = outcome.Unknown
 	default:
 		result.Txn, result.Outcome = harness.store.Txn(effect.Txn)
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -37,13 +37,13 @@
 }
 
 type traceNode struct {
-	name             string
-	oldVersion       bool // of the version before the second layout
-	core             *core.Core
-	storeMode        string // of its requests to the state service
-	heldTransactions []core.StoreTxn
-	watches          []core.StoreWatch
-	watchesOpenedAt  time.Duration
+	name                string
+	oldVersion          bool // of the version before the second layout
+	core                *core.Core
+	storeMode           string // of its requests to the state service
+	delayedTransactions []core.StoreTxn
+	watches             []core.StoreWatch
+	watchesOpenedAt     time.Duration
 }
 
 func (harness *traceHarness) settings(name string) *config.Settings {
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -94,7 +94,7 @@
 		harness.tb.Fatalf("unknown: %v", words)
 	}
 	if words[0] == "state" && harness.argument(words, 2) == "late" {
-		harness.commitHeld(node)
+		harness.commitDelayed(node)
 		return
 	}
 	handle(harness, node, words)
@@ -194,13 +194,13 @@
 	}
 }
 
-// commitHeld carries out the transactions that were held up on their way.
-func (harness *traceHarness) commitHeld(node *traceNode) {
-	for _, effect := range node.heldTransactions {
+// commitDelayed carries out the transactions that were held up on their way.
+func (harness *traceHarness) commitDelayed(node *traceNode) {
+	for _, effect := range node.delayedTransactions {
 		result, got := harness.store.Txn(effect.Txn)
 		harness.show(node, "late transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
 	}
-	node.heldTransactions = nil
+	node.delayedTransactions = nil
 }
 
 // nextLimits reads the limits to come.
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -11,22 +11,22 @@
 
 // userRequests handles the requests of users: submissions, lookups and cancellations. A response states only what the
 // key-value store has just confirmed, except for final states and cancellations, which never change. A request whose
-// response can't be confirmed now gets 503 at once.
+// response can't be confirmed now is rejected with 503 at once.
 type userRequests struct {
-	core    *Core
-	waiting int // requests without a response yet
+	core         *Core
+	pendingCount int // requests without a response yet
 
-	comparisons        []*lookup // lookups to be confirmed by a comparison of versions
+	comparisonQueue    []*lookup // lookups to be confirmed by a comparison of versions
 	comparisonInFlight bool
 	nextComparison     time.Duration // earliest time of the next comparison
 	lastComparison     time.Duration // when the last comparison was sent
 
-	reads         []*lookup // lookups to be answered by reading the job's keys
+	readQueue     []*lookup // lookups to be answered by reading the job's keys
 	readsInFlight int
 
-	submissions    []*submission
-	submissionByID map[string]*submission
-	submitInFlight bool
+	submissionQueue    []*submission
+	submissionByID     map[string]*submission
+	submissionInFlight bool
 
 	// dependentCancellations are the cancellations of dependent jobs that are being written, by job ID.
 	dependentCancellations map[string]*dependentCancellation
@@ -44,49 +44,49 @@
 	u.commitSubmissions()
 }
 
-// rejectIfOverloaded responds with 429 and returns true if too many requests are waiting. Else it counts the request as
-// waiting.
+// rejectIfOverloaded responds with 429 and returns true if too many requests are pending. Otherwise it counts the
+// request as pending.
 func (u *userRequests) rejectIfOverloaded(requestID uint64) bool {
-	if u.waiting >= u.core.operator.MaxPendingRequests {
+	if u.pendingCount >= u.core.operator.MaxPendingRequests {
 		u.core.respondRetryLater(requestID, http.StatusTooManyRequests, "too many requests")
 		return true
 	}
-	u.waiting++
+	u.pendingCount++
 	return false
 }
 
-// respond responds to a waiting request.
+// respond responds to a pending request.
 func (u *userRequests) respond(requestID uint64, status int, body any) {
-	u.waiting--
+	u.pendingCount--
 	u.core.respond(requestID, status, body)
 }
 
-// respondIndeterminate responds with 503 to a waiting request whose response can't be confirmed now.
+// respondIndeterminate responds with 503 to a pending request whose response can't be confirmed now.
 func (u *userRequests) respondIndeterminate(requestID uint64) {
-	u.waiting--
+	u.pendingCount--
 	u.core.respondRetryLater(requestID, http.StatusServiceUnavailable, "can't be confirmed now")
 }
 
 // noSuchJob is the response body for a job that was never accepted.
 var noSuchJob = wire.ErrorBody{Error: "no such job"}
 
-// finalJobState returns the state of an ended job as users see it.
-func finalJobState(id string, final stored.FinalState) wire.JobResponse {
+// finalJobResponse returns the response with the state of an ended job.
+func finalJobResponse(id string, final stored.FinalState) wire.JobResponse {
 	running := 0
 	return wire.JobResponse{ID: id, Status: final.State, Done: &final.Done, Running: &running}
 }
 
-// activeJobState returns the state of an active job as users see it.
-func (c *Core) activeJobState(id string, job *watchcache.Job) wire.JobResponse {
+// activeJobResponse returns the response with the state of an active job.
+func (c *Core) activeJobResponse(id string, job *watchcache.Job) wire.JobResponse {
 	counts := c.countsOf(id)
-	state := wire.JobResponse{ID: id, Status: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
+	response := wire.JobResponse{ID: id, Status: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
 	switch {
 	case job.Cancelled():
-		state.Status = wire.JobCancelled
+		response.Status = wire.JobCancelled
 	case counts.Running > 0:
-		state.Status = wire.JobRunning
+		response.Status = wire.JobRunning
 	}
-	return state
+	return response
 }
 
 // countsOf returns the counts of a job's tasks. A leader counts them itself, and other nodes use the counts that the
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -171,5 +171,6 @@
 	return b
 }
 
-// Shortfall returns the share that a region has to request: what its jobs need, up to the total, beyond what it holds.
-func (a *Account) Shortfall(needed Share) Share { return needed.Min(a.Total).Minus(a.Held) }
+// MissingShare returns the share that a region has to request: what its jobs need, up to the total, beyond what it
+// holds.
+func (a *Account) MissingShare(needed Share) Share { return needed.Min(a.Total).Minus(a.Held) }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestGrantAndShortfall checks that a region grants only what it does not need, one transfer to a region at a time, and
+// TestGrantAndMissingShare checks that a region grants only what it does not need, one transfer to a region at a time, and
 // that it requests what it lacks, up to the total.
-func TestGrantAndShortfall(t *testing.T) {
+func TestGrantAndMissingShare(t *testing.T) {
 	gpus := func(limit, guarantee float64) Share {
 		return Share{Limit: RoundDown(limit, 0), Guarantee: RoundDown(guarantee, 0)}
 	}
@@ -126,7 +126,7 @@
 	if nothing := a.Grant("r0", "r1", gpus(20, 20), gpus(30, 30)); nothing != nil {
 		t.Errorf("granted although everything is needed: %+v", nothing)
 	}
-	if missing := a.Shortfall(gpus(100, 100)); missing != gpus(24, 12) {
+	if missing := a.MissingShare(gpus(100, 100)); missing != gpus(24, 12) {
 		t.Errorf("shortfall is %+v", missing)
 	}
 	if next, receipt := a.Receive(Transfer{From: "r1", To: "r0", Number: 2, Share: gpus(1, 0)}); receipt != OutOfOrder || next != a {
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -22,8 +22,8 @@
 	listRateShare = 0.4
 )
 
-// Shortfall is a setting that is too small for a fleet.
-type Shortfall struct {
+// UndersizedSetting is a setting that is too small for a fleet.
+type UndersizedSetting struct {
 	Field   string  // name in the platform configuration file
 	Value   float64 // configured value
 	Minimum float64 // lowest sufficient value
@@ -31,15 +31,15 @@
 }
 
 // String returns a one-line description of the shortfall.
-func (s Shortfall) String() string {
+func (s UndersizedSetting) String() string {
 	return fmt.Sprintf("%s is %g, must be at least %g: %s", s.Field, s.Value, s.Minimum, s.Effect)
 }
 
 // Check returns the settings that are too small for the given number of machines.
-func Check(p *config.Params, machines int) []Shortfall {
+func Check(p *config.Params, machines int) []UndersizedSetting {
 	n := float64(machines)
 	pages := math.Ceil(n / wire.MaxPageMachines)
-	requirements := []Shortfall{
+	requirements := []UndersizedSetting{
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections), connectionsPerMachine * n,
 			"workers open a new connection for each report"},
 		{"params.limits.memory_mb", p.Limits.MemoryMB, math.Ceil(baseMemoryMB + memoryMBPerMachine*n),
@@ -49,13 +49,13 @@
 		{"params.cloud.rps", p.Cloud.RPS, roundUpToHundredth(pages / (listRateShare * p.Cloud.ListLagS)),
 			"the cloud's machine list is read less often than it changes, and lost machines are detected later"},
 	}
-	var shortfalls []Shortfall
+	var undersized []UndersizedSetting
 	for _, requirement := range requirements {
 		if requirement.Value < requirement.Minimum {
-			shortfalls = append(shortfalls, requirement)
+			undersized = append(undersized, requirement)
 		}
 	}
-	return shortfalls
+	return undersized
 }
 
 // roundUpToHundredth rounds up to two decimal places.
