--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -27,7 +27,7 @@
 // plannerInput is the input of the planner in addition to the unmet demand of a scheduling cycle.
 type plannerInput struct {
 	machines []*machine         // all machines, by name
-	pending  []*scaleOutRequest // sent to the cloud and not answered yet
+	pending  []*scaleOutRequest // sent to the cloud, without a result yet
 	// unavailable reports whether machines of a group must not be requested now.
 	unavailable func(capacity.Group) bool
 	overloaded  bool    // this node could not handle the heartbeats of more machines
@@ -96,7 +96,7 @@
 		}
 		p.machinesByGroup[m.group()]++
 		overdue := p.cycle.params.now-m.requestedAt >= config.Seconds(overdueBoots*m.machineType.BootS)
-		if !m.reported && !m.everReported && !overdue {
+		if !m.reportedInTerm && !m.everReported && !overdue {
 			p.upcoming = append(p.upcoming, newPlannedMachine(m.group(), m.machineType))
 		}
 	}
--- a/internal/core/capacity_planner_test.go
+++ b/internal/core/capacity_planner_test.go
@@ -99,7 +99,7 @@
 // first, and that the headroom is kept.
 func TestPlannerScalesIn(t *testing.T) {
 	idle := func(name string, spot bool, cachedGB float64) *machine {
-		m := &machine{name: name, typeName: "small", zone: "z1", spot: spot, machineType: &plannerCatalog[1], reported: true}
+		m := &machine{name: name, typeName: "small", zone: "z1", spot: spot, machineType: &plannerCatalog[1], reportedInTerm: true}
 		m.schedulable = &schedulableMachine{machine: m}
 		m.schedulable.free.GPUs = 4
 		if cachedGB > 0 {
--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -139,7 +139,7 @@
 	if p.listStartedAt < knownSince+settled {
 		return false
 	}
-	return !m.reported || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= settled
+	return !m.reportedInTerm || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= settled
 }
 
 // pruneReleased deletes old entries from the record of released machines once there are many.
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -36,7 +36,7 @@
 
 // cycleParams are the time, the settings and the fleet of a scheduling cycle. They are constant during the cycle.
 type cycleParams struct {
-	now              time.Duration // steady clock
+	now              time.Duration // monotonic time
 	wallMS           int64         // Unix time in milliseconds
 	objectives       []config.Objective
 	spread           config.Spread
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -16,7 +16,7 @@
 // that are not in the cache are read from the key-value store. Until then the states of the jobs that depend on them
 // are not disclosed.
 //
-// A job that depends on a cancelled one is cancelled by a write of its own, either by the leader or by a node that is
+// A job that depends on a cancelled one is cancelled by a separate write, either by the leader or by a node that is
 // asked about the job. The same guarantees therefore hold as for any other cancellation: the write is a
 // compare-and-swap of the job's key, and the cancellation is confirmed to users once all nodes have acknowledged it.
 type dependencyTracker struct {
--- a/internal/core/direct_calls.go
+++ b/internal/core/direct_calls.go
@@ -21,7 +21,7 @@
 }
 
 // QueryWorker asks a worker directly for a heartbeat. Its Result is OK with the heartbeat. Any other Result means that
-// there was no answer.
+// there was no response.
 type QueryWorker struct {
 	CallID uint64
 	Addr   string
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -6,7 +6,7 @@
 // always yields the same effects.
 //
 // The main parts of a Core:
-//   - userRequests answers submissions, lookups and cancellations.
+//   - userRequests handles submissions, lookups and cancellations.
 //   - leader holds the state of a node that leads a term. It reconciles heartbeats, runs scheduling cycles, provisions
 //     machines and writes run records.
 //   - leaseRelay renews the leases of workers that can't reach the leader.
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -9,10 +9,10 @@
 	"bitternwing/internal/wire"
 )
 
-// electionHost implements election.Host for a controller.
+// electionHost implements election.Host for a node.
 type electionHost struct{ core *Core }
 
-// newElection returns this controller's participant in the leader election.
+// newElection returns this node's participant in the leader election.
 func newElection(c *Core) *election.Election {
 	return election.New(electionHost{c}, electionStore{c}, c.members, election.Timing{LeaseTTL: c.times.leaderTTL,
 		WorkerLease: c.times.lease, CheckInterval: c.times.checkInterval, RetryPause: c.times.retryPause})
--- a/internal/core/failure_accounting.go
+++ b/internal/core/failure_accounting.go
@@ -13,7 +13,7 @@
 // successfully somewhere.
 
 const (
-	// minSuccessIntervals is for how many check intervals a task has to run to count as successful.
+	// minSuccessIntervals is the number of check intervals for which a task has to run to count as successful.
 	minSuccessIntervals = 3
 	// maxBackoffLeases bounds the backoff of a suspect job, in worker leases.
 	maxBackoffLeases = 3
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -119,7 +119,7 @@
 
 // isStale reports whether a heartbeat is no newer than the last one that was reconciled in this term.
 func (m *machine) isStale(heartbeat *wire.Heartbeat) bool {
-	return m.reported && !isNewer(heartbeat, m.incarnation, m.sequence)
+	return m.reportedInTerm && !isNewer(heartbeat, m.incarnation, m.sequence)
 }
 
 // isNewer reports whether a heartbeat was sent after the one with the given incarnation and sequence number.
@@ -134,30 +134,30 @@
 func (m *machine) applyHeartbeat(heartbeat *wire.Heartbeat) {
 	m.setIdentity(heartbeat.Type, heartbeat.Zone, heartbeat.Addr, heartbeat.Spot)
 	m.setIncarnation(heartbeat.Incarnation)
-	m.reported, m.everReported, m.missedLists = true, true, 0
+	m.reportedInTerm, m.everReported, m.missedLists = true, true, 0
 	m.sequence = heartbeat.Sequence
 }
 
 // handleRegistration handles the first heartbeat of a worker in this term or of a new incarnation.
 func (r *reconciler) handleRegistration(m *machine, heartbeat *wire.Heartbeat) {
-	if heartbeat.Incarnation != m.incarnation || !m.reported {
+	if heartbeat.Incarnation != m.incarnation || !m.reportedInTerm {
 		r.changes.increment()
 	}
-	if !m.reported {
+	if !m.reportedInTerm {
 		r.core.log(Debug, "worker registered", "worker", m.name, "after", (r.core.now.Steady - m.requestedAt).String())
 		r.actions.requestCycle()
 	}
 }
 
 // updateFencingRequirement requires a machine to show a fencing token if responses may not reach it or if its heartbeat
-// may be a delayed copy. A machine that was silent gets the full time again to show the token.
+// may be a delayed copy. After a silence the machine has the full time again to show the token.
 func (r *reconciler) updateFencingRequirement(m *machine, heartbeat *wire.Heartbeat) {
 	now := r.core.now.Steady
 	switch {
-	case !m.reported && m.isUnknown() && fencing.TermOf(heartbeat.FencingToken) < r.term:
+	case !m.reportedInTerm && m.isUnknown() && fencing.TermOf(heartbeat.FencingToken) < r.term:
 		// The heartbeat may be a delayed copy from a machine that no longer exists.
 		r.requireFencingToken(m, fencing.FirstToken(r.term))
-	case m.reported && heartbeat.Incarnation > m.incarnation:
+	case m.reportedInTerm && heartbeat.Incarnation > m.incarnation:
 		r.core.log(Info, "worker restarted with new incarnation", "worker", m.name, "tasks", len(m.placements))
 		if now-m.lastHeartbeat < r.core.times.lease/2 {
 			// The worker's lease expired although its heartbeats arrived and responses were sent.
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -69,7 +69,7 @@
 // mayHold reports whether the response to a heartbeat may be held: the heartbeat is the newest one of a machine that is
 // to stay in the fleet and need not show a fencing token.
 func (h *heldResponses) mayHold(m *machine, heartbeat *wire.Heartbeat) bool {
-	newest := m.reported && m.incarnation == heartbeat.Incarnation && m.sequence == heartbeat.Sequence
+	newest := m.reportedInTerm && m.incarnation == heartbeat.Incarnation && m.sequence == heartbeat.Sequence
 	staysInFleet := !m.reclaiming && !m.releasing && !m.quarantined
 	return newest && staysInFleet && h.recovery.hasRecovered() && !m.fence.Required()
 }
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -39,7 +39,8 @@
 	*c = append(*c, image)
 }
 
-// evict removes the least recently used images that do not fit beside the most recently used one, whose size is gb.
+// evict removes the least recently used images that do not fit together with the most recently used one, whose size is
+// gb.
 func (c *imageCache) evict(gb, capacityGB float64) {
 	sum := gb
 	for i := len(*c) - 2; i >= 0; i-- {
@@ -74,7 +75,7 @@
 	return found
 }
 
-// fits reports whether an image of the given size fits beside all images in the cache.
+// fits reports whether an image of the given size fits in addition to all images in the cache.
 func (c imageCache) fits(gb, capacityGB float64) bool {
 	sum := gb
 	for i := range c {
@@ -94,7 +95,7 @@
 	return sum
 }
 
-// stateOf returns how far the machine is from having an image ready.
+// stateOf returns the state of an image on the machine.
 func (c imageCache) stateOf(name string) capacity.ImageState {
 	state := capacity.ImageAbsent
 	for i := range c {
--- a/internal/core/image_prefetch.go
+++ b/internal/core/image_prefetch.go
@@ -120,8 +120,8 @@
 }
 
 // prefetchTarget returns the machine of a zone that is to fetch a job's image. The machine has the resources for a
-// replica, fetches no other image, and has space for the image beside all others in its cache. It returns nil if there
-// is none, or if the zone already has a copy.
+// replica, fetches no other image, and has space for the image in addition to all others in its cache. It returns nil
+// if there is none, or if the zone already has a copy.
 func (p *imagePrefetcher) prefetchTarget(j *job, zone string) *machine {
 	allowed := j.groupFilter()
 	penalty := func(g capacity.Group) (capacity.ImageState, bool) { return 0, g.Zone == zone && allowed(g) }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -17,7 +17,7 @@
 	id                     string
 	spec                   *wire.Job
 	acceptedMS             int64  // Unix time of acceptance, in milliseconds
-	queuedMS               int64  // Unix time in milliseconds from which the waiting time counts: acceptance or the end of the last dependency
+	queuedMS               int64  // Unix time in milliseconds from which the waiting time counts: when the job became ready to be queued
 	waitingForDependencies bool   // not queued yet, and without placements
 	heldByRollout          bool   // a rollout plan does not allow its tasks to start yet
 	queued                 bool   // in the leader's queue
@@ -25,7 +25,7 @@
 	latestEndMS            int64  // Unix time in milliseconds by which the job has to be done for the deadlines of its dependents
 	version                uint64 // version of its key in the store
 	cancelled              bool
-	cancelledAt            time.Duration     // steady clock
+	cancelledAt            time.Duration     // monotonic time of the cancellation
 	endPending             bool              // the write of the final state is queued or in flight
 	finalState             stored.FinalState // the final state being written
 
@@ -44,7 +44,7 @@
 	// Failure accounting, see failureAccounting.
 	ranSuccessfully bool // one of its tasks has run successfully on some machine
 	failedOn        map[string]bool
-	retryAt         time.Duration // no task is started before this
+	retryAt         time.Duration // earliest time of the next task start
 }
 
 // unplaced returns the number of tasks that are neither done nor placed.
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -103,7 +103,7 @@
 func (l *leader) cancellationDeadline(p *placement) time.Duration {
 	cancelledAt, limit := p.job.cancelledAt, l.core.times.cancelDeadline
 	due := cancelledAt + limit*cancelReleaseTenths/10
-	if p.machine.reported {
+	if p.machine.reportedInTerm {
 		return due
 	}
 	reportDeadline := l.startedAt + l.core.times.lease/2
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// leader is the state of a controller that leads a term. It wires the components of a leader and runs them in order.
+// leader is the state of a node that leads a term. It wires the components of a leader and runs them in order.
 // State that several components share is a field of the leader; state that only one uses is a field of that component.
 //
 // All of it is rebuilt at the start of a term, first from the key-value store (leaderRecovery), then from the workers'
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -23,9 +23,9 @@
 	leader *leader
 
 	records      map[string]wire.Item // run records read so far, by key
-	lastKey      string               // of the last page read
+	lastKey      string               // last key of the last page read
 	readInFlight bool
-	nextRead     time.Duration // no page is read before this
+	nextRead     time.Duration // earliest time of the next read
 	recordsRead  bool          // all pages have been read
 	completedAt  time.Duration // when the last page was read
 
@@ -151,7 +151,7 @@
 	}
 	for _, entry := range entries {
 		if l.records.layout.ByTask > 0 && !entry.Key.ByTask {
-			j.supersede(stored.RunRecordKey(entry.Key), entry.Version)
+			j.addSupersededRecord(stored.RunRecordKey(entry.Key), entry.Version)
 		}
 	}
 	parts := l.records.layout.Assemble(entries)
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -25,15 +25,15 @@
 	nextConfirm     time.Duration
 	writeInFlight   bool
 	nextWrite       time.Duration
-	shards          int  // number of keys that may hold heartbeats
+	shardCount      int  // number of keys that may hold heartbeats
 	servesOtherZone bool // a worker of another zone reached this node while this zone seemed isolated
 }
 
 // relayedWorker is a worker whose lease is renewed by the relay.
 type relayedWorker struct {
-	heartbeat         *wire.Heartbeat // the newest one
+	heartbeat         *wire.Heartbeat // newest heartbeat
 	firstRenewedAt    time.Duration   // when this node first renewed the worker's lease
-	renewedAt         time.Duration   // when this node last renewed it
+	renewedAt         time.Duration   // when this node last renewed the lease
 	leaderUnreachable bool            // the worker can't reach the leader
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -25,14 +25,14 @@
 	everReported    bool // it has sent a heartbeat in this term or an earlier one
 
 	// From its heartbeats.
-	reported      bool // it has sent a heartbeat in this term
-	incarnation   uint64
-	sequence      uint64
-	lastHeartbeat time.Duration
-	lastRelayed   time.Duration // when one was last relayed, or returned by a query or a direct command
-	reclaiming    bool
-	exitedTasks   []wire.TaskStatus // exited tasks in the last heartbeat
-	orphanedTasks []wire.TaskStatus // running tasks in the last heartbeat that have no placement
+	reportedInTerm bool // it has sent a heartbeat in this term
+	incarnation    uint64
+	sequence       uint64
+	lastHeartbeat  time.Duration
+	lastRelayed    time.Duration // when a heartbeat was last relayed, or returned by a query or a direct command
+	reclaiming     bool
+	exitedTasks    []wire.TaskStatus // exited tasks in the last heartbeat
+	orphanedTasks  []wire.TaskStatus // running tasks in the last heartbeat that have no placement
 
 	// Status queries while the machine is silent, see livenessMonitor.
 	queryInFlight     bool
@@ -42,7 +42,7 @@
 
 	// The response to its last heartbeat, see heldResponses.
 	heldResponse *heldResponse // nil if none is held
-	lastHoldTime time.Duration // for how long the last response was to be held
+	lastHoldTime time.Duration // how long the last response was to be held
 
 	// Its placements and capacity.
 	placements        map[string]*placement // by task name
@@ -54,9 +54,9 @@
 	noCapacityUntil   time.Duration
 
 	// Its release, see provisioner.
-	releasing     bool
-	releaseReason releaseReason
-	releaseSent   bool // a release request may have been carried out
+	releasing           bool
+	releaseReason       releaseReason
+	releaseMaybeApplied bool // a release request may have been carried out
 
 	// Direct commands, see commandDispatcher.
 	commandInFlight bool
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -12,7 +12,7 @@
 // reachable.
 const followerQueryFactor = 2
 
-// newMembers returns this node's view of the controllers in the settings.
+// newMembers returns this node's view of all nodes in the settings.
 func newMembers(s *config.Settings, t times) *membership.Members {
 	peers := make([]membership.Node, 0, len(s.Peers))
 	for _, p := range s.Peers {
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -16,13 +16,13 @@
 	machine             *machine
 	incarnation         uint64
 	phase               placementPhase
-	startSequence       uint64              // of the heartbeat whose response carried the start command
+	startSequence       uint64              // sequence number of the heartbeat whose response carried the start command
 	directStartToken    uint64              // fencing token with which the start was sent directly; 0 if it was not
 	directStartInFlight bool                // a direct start was sent and has no result yet
 	directStartSequence uint64              // sequence number of the heartbeat in the response to the direct start; 0 if there was none
-	imageState          capacity.ImageState // on the machine, at the time of placement
-	cost                placementCost       // of placing the replica
-	state               wire.TaskState      // as of the last heartbeat
+	imageState          capacity.ImageState // state of the image on the machine at the time of placement
+	cost                placementCost       // cost of the placement of a replica
+	state               wire.TaskState      // state in the last heartbeat
 	placedAt            time.Duration
 	runningSince        time.Duration // when first reported running; 0 if it was not yet
 	// lastReconciliation is the number of the leader's last reconciliation in which the machine held the placement.
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -21,7 +21,7 @@
 	lastRequestNumber int // number of the last scale-out request of this term
 	requests          []*scaleOutRequest
 	scaleInQueue      []string      // names of machines to release
-	nextScaleIn       time.Duration // no scale-in request is sent before this
+	nextScaleIn       time.Duration // earliest time of the next scale-in request
 	scaleInInFlight   bool
 
 	nextList       time.Duration
@@ -30,7 +30,7 @@
 	nextPage       string        // last machine of the page before the next one to read; "" if no page is due
 	listedNames    map[string]bool
 	listComplete   bool                             // all pages of a list have been read in this term
-	exhaustedUntil map[capacity.Group]time.Duration // groups recently refused by the cloud are not requested before this
+	exhaustedUntil map[capacity.Group]time.Duration // by group that the cloud has refused: earliest time of the next request
 }
 
 // scaleOutRequest is a request for machines. Its ID includes the term, so it is unique. The request is retried under
@@ -120,9 +120,9 @@
 }
 
 // cancelRelease cancels the release of a silent machine that sends heartbeats again, unless a request for the release
-// may already have been applied. While the cloud is out of reach, the machine's tasks may have kept running.
+// may already have been applied. While the cloud is unreachable, the machine's tasks may have kept running.
 func (p *provisioner) cancelRelease(m *machine) {
-	if !m.releasing || m.releaseReason != releaseSilent || m.releaseSent {
+	if !m.releasing || m.releaseReason != releaseSilent || m.releaseMaybeApplied {
 		return
 	}
 	m.releasing = false
@@ -131,11 +131,11 @@
 	p.leader.requestCycle()
 }
 
-// markReleaseSent records whether a request to release the machines may have been applied.
-func (p *provisioner) markReleaseSent(names []string, maybeApplied bool) {
+// setReleaseMaybeApplied records whether a request to release the machines may have been applied.
+func (p *provisioner) setReleaseMaybeApplied(names []string, maybeApplied bool) {
 	for _, name := range names {
 		if m := p.leader.machines[name]; m != nil {
-			m.releaseSent = maybeApplied
+			m.releaseMaybeApplied = maybeApplied
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	names := append([]string(nil), p.scaleInQueue[:count]...)
 	p.scaleInQueue = append([]string(nil), p.scaleInQueue[count:]...)
 	p.scaleInInFlight = true
-	p.markReleaseSent(names, true)
+	p.setReleaseMaybeApplied(names, true)
 	id := l.registerCall(func(r Result) {
 		p.scaleInInFlight = false
 		if r.Outcome == outcome.OK {
@@ -160,7 +160,7 @@
 			return
 		}
 		if r.Outcome.CertainlyNotApplied() {
-			p.markReleaseSent(names, false)
+			p.setReleaseMaybeApplied(names, false)
 		}
 		p.scaleInQueue = append(names, p.scaleInQueue...)
 		p.nextScaleIn = c.now.Steady + c.times.checkInterval
@@ -275,7 +275,7 @@
 		return
 	}
 	for _, m := range l.machinesByName {
-		if m.reported || m.everReported || m.machineType == nil || m.releasing {
+		if m.reportedInTerm || m.everReported || m.machineType == nil || m.releasing {
 			continue
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.BootTimeoutFactor)
@@ -308,9 +308,9 @@
 	}
 	expected, reported := 0, 0
 	for _, m := range l.machinesByName {
-		if m.everReported && (m.reported || m.unansweredQueries < 2) {
+		if m.everReported && (m.reportedInTerm || m.unansweredQueries < 2) {
 			expected++
-			if m.reported {
+			if m.reportedInTerm {
 				reported++
 			}
 		}
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Messages from other regions about a team's quota. Only the leader responds to them; other controllers redirect to it.
+// Messages from other regions about a team's quota. Only the leader responds to them; other nodes redirect to it.
 type (
 	// RequestQuota is a request from another region in which tasks of a team wait for quota.
 	RequestQuota struct {
@@ -15,7 +15,7 @@
 		From      string
 		Team      string
 		Total     quota.Share // limit and guarantee by the settings of the requesting region
-		Share     quota.Share // that is missing there
+		Share     quota.Share // share that is missing there
 	}
 	// DeliverQuota delivers a transfer from another region. The response 200 acknowledges that it is committed.
 	DeliverQuota struct {
@@ -29,7 +29,7 @@
 func (RequestQuota) input() {}
 func (DeliverQuota) input() {}
 
-// CallRegion sends one of the messages to a region. Attempt selects which of the region's controllers is called.
+// CallRegion sends one of the messages to a region. Attempt selects which of the region's nodes is called.
 type CallRegion struct {
 	CallID  uint64
 	Region  string
@@ -65,7 +65,7 @@
 		c.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.total != total:
 		if !t.limitMismatchLogged {
-			t.limitMismatchLogged = true // log it once a term
+			t.limitMismatchLogged = true // log it once per term
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
 		c.respondRejected(requestID, reasonLimitsDiffer)
--- a/internal/core/quota_writes.go
+++ b/internal/core/quota_writes.go
@@ -126,7 +126,7 @@
 		t.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK && r.Item.Version > t.version {
 			c.cache.ApplyQuotaAccount(t.key, r.Item.Value, r.Item.Version)
-			m.readStored()
+			m.readStoredAccounts()
 		}
 	})
 	c.emit(StoreGet{CallID: id, Key: t.key})
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -26,10 +26,10 @@
 	effective config.Team
 	settings  *config.Team
 	total     quota.Share    // limit and guarantee in all regions together, by this node's settings
-	initial   *quota.Account // with which this region begins
-	key       string         // of the account in the store
-	account   *quota.Account // as stored; nil if it does not exist or can't be read
-	version   uint64         // of the stored account
+	initial   *quota.Account // account with which this region begins
+	key       string         // key of the account in the store
+	account   *quota.Account // stored account; nil if it does not exist or can't be read
+	version   uint64         // version of the stored account
 	// indeterminate holds accounts that may or may not have been written. The minimum of all of them is enforced.
 	indeterminate []*quota.Account
 	writeInFlight bool
@@ -42,7 +42,7 @@
 	nextRegionIndex     int // index of the region to which the next request goes
 	nextRequest         time.Duration
 	requestCount        int  // requests since the share that is held last grew
-	callCount           int  // calls sent; selects the controller that is called
+	callCount           int  // calls sent; selects the node that is called
 	limitMismatchLogged bool // whether it was logged in this term that a region has other limits of the team
 }
 
@@ -142,7 +142,7 @@
 	}
 	if m.cacheChangesSeen != c.cache.QuotaAccountChanges() {
 		m.cacheChangesSeen = c.cache.QuotaAccountChanges()
-		m.readStored()
+		m.readStoredAccounts()
 	}
 	if c.now.Steady < m.nextCheck {
 		c.wakeBy(m.nextCheck)
@@ -168,8 +168,8 @@
 	}
 }
 
-// readStored applies the accounts that were received by the watch.
-func (m *quotaManager) readStored() {
+// readStoredAccounts applies the accounts that were received by the watch.
+func (m *quotaManager) readStoredAccounts() {
 	for _, t := range m.teamsInOrder {
 		current := m.leader.core.cache.QuotaAccount(t.key)
 		if current == nil || current.Version <= t.version {
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -59,7 +59,7 @@
 	m := f.l.findOrAddMachine(fmt.Sprintf("host-%03d", f.number("name", 0, 999)))
 	m.setType(rapid.SampledFrom(f.types).Draw(f.T, "type"))
 	m.setIdentity(m.machineType.Name, rapid.SampledFrom(randomZones[1:]).Draw(f.T, "zone"), "x", f.chance("spot", 3))
-	m.reported, m.lastHeartbeat = true, f.l.core.now.Steady
+	m.reportedInTerm, m.lastHeartbeat = true, f.l.core.now.Steady
 }
 
 func (f *randomFleet) addJob() *job {
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -16,8 +16,8 @@
 // limit on the size of values.
 //
 // Version 1 of the controller finds a record by an index whose meaning depends on its settings. It would attribute
-// records of the second layout to other tasks, or delete them. So the migration waits until every controller has
-// announced that it supports both layouts. A controller that can't be reached may not support it. One that has
+// records of the second layout to other tasks, or delete them. So the migration waits until every node has
+// announced that it supports both layouts. A node that can't be reached may not support it. One that has
 // announced support once keeps it, since versions are not rolled back (docs/operating.md).
 //
 // The layout is written once, conditional on the term, and never changed again. The same transaction rewrites the term
@@ -36,7 +36,7 @@
 	leader    *leader
 	requested bool // the writer sends nothing until the migration is settled
 	inFlight  bool
-	retryAt   time.Duration // no attempt before this
+	retryAt   time.Duration // earliest time of the next attempt
 }
 
 // layout returns the current layout of the run records.
@@ -47,7 +47,7 @@
 	return record.Layout{ByIndex: record.IndexLayoutTasks(c.limits.current.ValueKB)}
 }
 
-// mayRun reports whether the run records have to be migrated and all controllers support the second layout.
+// mayRun reports whether the run records have to be migrated and all nodes support the second layout.
 func (m *layoutMigration) mayRun() bool {
 	l, c := m.leader, m.leader.core
 	return l.records.layout.ByTask == 0 && c.limits.valueLimitWillDecrease() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
@@ -124,7 +124,7 @@
 	for _, index := range slices.Sorted(maps.Keys(chunks)) {
 		chunk := chunks[index]
 		if chunk.version != 0 {
-			j.supersede(stored.RunRecordKey(old.Key(j.id, index)), chunk.version)
+			j.addSupersededRecord(stored.RunRecordKey(old.Key(j.id, index)), chunk.version)
 		}
 		needsWrite := !chunk.persisted() || chunk.rereadInFlight
 		chunk.dirty = false
@@ -142,8 +142,8 @@
 	}
 }
 
-// supersede registers a stored record of an earlier layout, to be deleted when the job ends.
-func (j *job) supersede(key string, version uint64) {
+// addSupersededRecord registers a stored record of an earlier layout, to be deleted when the job ends.
+func (j *job) addSupersededRecord(key string, version uint64) {
 	if j.supersededRecords == nil {
 		j.supersededRecords = map[string]uint64{}
 	}
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -13,7 +13,7 @@
 // writeWhenDue relays the collected heartbeats to the leader every two check intervals.
 func (r *leaseRelay) writeWhenDue() {
 	c := r.core
-	nothingToWrite := len(r.workerOrder) == 0 && r.shards == 0
+	nothingToWrite := len(r.workerOrder) == 0 && r.shardCount == 0
 	if r.writeInFlight || nothingToWrite || c.storeHealth.down {
 		return
 	}
@@ -28,7 +28,7 @@
 // relayWrite is a write of all relayed heartbeats in one or more transactions.
 type relayWrite struct {
 	relay      *leaseRelay
-	shards     int // number of keys that hold heartbeats once the write is applied
+	shardCount int // number of keys that hold heartbeats once the write is applied
 	pendingOps int // operations without a result yet
 	failed     bool
 }
@@ -42,8 +42,8 @@
 		r.core.log(Debug, "heartbeats too large to relay", "workers", tooLarge)
 	}
 	ops := r.shardOps(values)
-	write := &relayWrite{relay: r, shards: len(values), pendingOps: len(ops)}
-	r.shards = max(r.shards, len(values))
+	write := &relayWrite{relay: r, shardCount: len(values), pendingOps: len(ops)}
+	r.shardCount = max(r.shardCount, len(values))
 	opsPerTxn := min(r.core.limits.maxChanges(), wire.MaxBodyBytes*9/10/packer.MaxBytes)
 	for txnOps := range slices.Chunk(ops, opsPerTxn) {
 		write.send(txnOps)
@@ -78,7 +78,7 @@
 	for i, value := range values {
 		ops = append(ops, wire.Op{Put: stored.RelayedHeartbeatsKey(node, i), Value: value})
 	}
-	for i := len(values); i < r.shards; i++ {
+	for i := len(values); i < r.shardCount; i++ {
 		ops = append(ops, wire.Op{Delete: stored.RelayedHeartbeatsKey(node, i)})
 	}
 	return ops
@@ -113,7 +113,7 @@
 	}
 	relay.writeInFlight = false
 	if !write.failed {
-		relay.shards = write.shards
+		relay.shardCount = write.shardCount
 	}
 }
 
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -36,13 +36,13 @@
 	routers       *rollout.RouterLeases
 	routing       rollout.Routing
 	reconciled    bool
-	phase         rollout.Phase // of the record, when it was last checked
+	phase         rollout.Phase // phase of the record when it was last checked
 	phaseSince    time.Duration // when this leader first saw that phase
 	writeInFlight bool
 	retryAt       time.Duration // earliest time of the next write
 	changes       []planChange  // waiting to be committed
-	joinRequests  []routerJoin  // from routers whose names are not in the record yet
-	joinsInFlight []routerJoin  // from routers whose names are being written
+	joinRequests  []routerJoin  // requests of routers whose names are not in the record yet
+	joinsInFlight []routerJoin  // requests of routers whose names are being written
 	// droppedRouters holds the routers that a write of this term has removed from the record, or may still remove.
 	droppedRouters map[string]bool
 }
@@ -234,7 +234,7 @@
 			continue
 		}
 		for _, p := range j.placements {
-			if !p.machine.reported {
+			if !p.machine.reportedInTerm {
 				return false
 			}
 		}
@@ -382,13 +382,13 @@
 		return
 	}
 	run.writeInFlight = true
-	run.noteDropped(current.Record, next)
+	run.markDropped(current.Record, next)
 	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
 		run.writeInFlight = false
 		l.applyPlanWriteResult(run, r, value)
 		if r.Outcome == outcome.OK {
-			run.noteRecorded(next)
+			run.markRecorded(next)
 		}
 		onResult(r)
 	})
@@ -446,7 +446,7 @@
 	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(run.name)})
 }
 
-// removePlan deletes the record of an ended plan whose retention period is over.
+// removePlan deletes the record of an ended plan whose retention period has expired.
 func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
 	run.writeInFlight = true
 	l.writer.spend(1)
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -16,7 +16,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Requests from operators and routers about plans. Only the leader responds to them; other controllers redirect to it.
+// Requests from operators and routers about plans. Only the leader responds to them; other nodes redirect to it.
 type (
 	// ApplyPlan submits a plan.
 	ApplyPlan struct {
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -21,7 +21,7 @@
 type routerJoin struct {
 	requestID  uint64
 	router     string
-	generation rollout.Generation // of the routing that the router uses
+	generation rollout.Generation // generation of the routing that the router uses
 }
 
 const reasonTooManyRouters = "too many routers"
@@ -59,9 +59,9 @@
 	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
 }
 
-// noteDropped remembers the routers that a write removes from the record. The write may be applied late without a
+// markDropped remembers the routers that a write removes from the record. The write may be applied late without a
 // response, so these routers count as recorded again only once a later write with their names has succeeded.
-func (run *activeRollout) noteDropped(before, after *rollout.Record) {
+func (run *activeRollout) markDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
 		if !slices.Contains(after.Routers, router) {
 			run.droppedRouters[router] = true
@@ -69,9 +69,9 @@
 	}
 }
 
-// noteRecorded is called after a record was written. No earlier write can be applied after it, so its routers are
+// markRecorded is called after a record was written. No earlier write can be applied after it, so its routers are
 // recorded.
-func (run *activeRollout) noteRecorded(r *rollout.Record) {
+func (run *activeRollout) markRecorded(r *rollout.Record) {
 	for _, router := range r.Routers {
 		delete(run.droppedRouters, router)
 	}
--- a/internal/core/scheduling_cycle.go
+++ b/internal/core/scheduling_cycle.go
@@ -49,7 +49,7 @@
 // arrive, and its worker must have shown the required fencing token. The machine must not be about to be released,
 // reclaimed or quarantined, and must not have rejected a task for lack of capacity recently.
 func (l *leader) acceptsTasks(m *machine) bool {
-	if !m.reported || m.machineType == nil || m.fence.Required() {
+	if !m.reportedInTerm || m.machineType == nil || m.fence.Required() {
 		return false
 	}
 	if m.releasing || m.reclaiming || m.quarantined {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,15 +6,15 @@
 	"bitternwing/internal/membership"
 )
 
-// Status is a controller's status as shown to operators.
+// Status is a node's status as shown to operators.
 type Status struct {
 	Leading       bool
 	TermsLed      uint64  // terms led since the process started
 	Load          float64 // shortage of processor time, from 0 (none) to 1
 	HeldResponses int     // heartbeat responses that are held back
-	Machines      int     // machines that it manages as the leader
+	Machines      int     // machines managed as the leader
 
-	Term         uint64        // the newest term that it knows
+	Term         uint64        // newest term that this node knows
 	HasAuthority bool          // it leads, and its lease is valid or all peers confirm an outage of the key-value store
 	Recovering   time.Duration // time since its term began while its recovery is incomplete; otherwise 0
 	// LeaseRenewals counts the responses that renewed workers' leases, and CancelledStops the stops of cancelled tasks
@@ -25,7 +25,7 @@
 	StoreDown bool
 }
 
-// Status returns this controller's status at a time.
+// Status returns this node's status at a time.
 func (c *Core) Status(now time.Duration) Status {
 	s := Status{TermsLed: c.election.TermsLed(), Load: c.timerLoad.Level(now), Term: c.cache.Term().Number,
 		LeaseRenewals: c.leaseRenewals.responses, CancelledStops: c.leaseRenewals.stops,
@@ -50,7 +50,7 @@
 	}
 }
 
-// PeerStatus returns the status that this controller reports to its peers.
+// PeerStatus returns the status that this node reports to its peers.
 func (c *Core) PeerStatus() membership.Status {
 	s := membership.Status{StoreDown: c.storeHealth.down || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1,
 		Revision: c.readRevision(), RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
@@ -74,16 +74,15 @@
 	return c.cache.Revision()
 }
 
-// Healthy reports to the load balancer whether this controller takes requests. A controller that sheds load does not,
-// nor does one to which the key-value store is unavailable while others can reach it. If the store is unavailable to
-// all controllers, all remain healthy: users get a 503 at once, and no controller has to be registered again
-// afterwards.
+// Healthy reports to the load balancer whether this node takes requests. A node that sheds load does not, nor does one
+// to which the key-value store is unavailable while others can reach it. If the store is unavailable to all nodes, all
+// remain healthy: users get a 503 at once, and no node has to be registered again afterwards.
 func (c *Core) Healthy() bool {
 	if c.shedding {
 		return false
 	}
 	if !c.cache.Ready() || !c.catalog.known() {
-		// A controller that was started during an outage for all is healthy like the others.
+		// A node that was started during an outage for all nodes is as healthy as the others.
 		return c.storeHealth.down && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
 	if !c.storeHealth.down || c.storeHealth.servedRecently() {
--- a/internal/core/store_health.go
+++ b/internal/core/store_health.go
@@ -11,9 +11,9 @@
 type storeHealth struct {
 	core          *Core
 	down          bool
-	lastServedAt  time.Duration // when a call was last answered
+	lastServedAt  time.Duration // when the store last answered a call
 	probeInFlight bool
-	nextProbe     time.Duration // no probe before this
+	nextProbe     time.Duration // earliest time of the next probe
 }
 
 // observe updates the state with the outcome of a call to the store.
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -17,8 +17,8 @@
 	listing  *watchcache.Listing // the list being read; nil while watching
 	inFlight bool
 	openedAt time.Duration // when the last watch was opened
-	nextOpen time.Duration // no watch is opened before this
-	retryAt  time.Duration // no call before this, after a failure
+	nextOpen time.Duration // earliest time of the next watch
+	retryAt  time.Duration // earliest time of the next call, after a failure
 }
 
 func newStoreWatch(c *Core) *storeWatch {
@@ -192,7 +192,7 @@
 		return
 	}
 	if cached.Cancelled() {
-		c.cacheFinalState(id, stored.FinalState{State: wire.JobCancelled, Done: c.countsOf(id).Done, EndedMS: c.now.WallMS})
+		c.cacheFinalState(id, stored.FinalState{State: wire.JobCancelled, Done: c.taskCountsOf(id).Done, EndedMS: c.now.WallMS})
 		c.cancellations.drop(id)
 		return
 	}
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -12,7 +12,7 @@
 	requests      *userRequests
 	request       SubmitJob
 	pendingReads  int    // reads without a result yet
-	indeterminate bool   // a read could not be answered
+	indeterminate bool   // the result of a read is unknown
 	rejectedID    string // ID of a dependency that does not exist or never ends by itself; empty if there is none
 }
 
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -17,7 +17,7 @@
 	storeProbeInterval time.Duration // between two probes of the key-value store
 	retryPause         time.Duration // before a failed call is retried
 	timerCoalescing    time.Duration // between the times at which deferrable work is done
-	heartbeatTimeout   time.Duration // a machine that has been silent for longer gets no work
+	heartbeatTimeout   time.Duration // silence after which a machine is given no tasks
 	cycleInterval      time.Duration // between two regular scheduling cycles
 	minCycleGap        time.Duration // between two scheduling cycles that events trigger
 	minComparisonGap   time.Duration // between two version comparisons of a node
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -10,7 +10,7 @@
 	"bitternwing/internal/wire"
 )
 
-// unreachableHints stores when the machines of silent zones were last heard, as hints for the next leader. See
+// unreachableHints stores when the machines of silent zones were last heard from, as hints for the next leader. See
 // stored.UnreachableHints.
 type unreachableHints struct {
 	leader    *leader
@@ -99,8 +99,8 @@
 	return ops, afterWrite
 }
 
-// lastHeard returns when a machine that is new to this leader was last heard according to the previous leader, or the
-// current time if there is no hint.
+// lastHeard returns when a machine that is new to this leader was last heard from according to the previous leader, or
+// the current time if there is no hint.
 func (h *unreachableHints) lastHeard(name string) time.Duration {
 	c := h.leader.core
 	lastHeardMS, known := c.cache.LastHeardMS(name)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -78,7 +78,7 @@
 
 // activeJobResponse returns the response with the state of an active job.
 func (c *Core) activeJobResponse(id string, job *watchcache.Job) wire.JobResponse {
-	counts := c.countsOf(id)
+	counts := c.taskCountsOf(id)
 	response := wire.JobResponse{ID: id, Status: wire.JobPending, Running: &counts.Running, Done: &counts.Done}
 	switch {
 	case job.Cancelled():
@@ -89,9 +89,9 @@
 	return response
 }
 
-// countsOf returns the counts of a job's tasks. A leader counts them itself, and other nodes use the counts that the
-// leader has written.
-func (c *Core) countsOf(id string) stored.TaskCounts {
+// taskCountsOf returns the counts of a job's tasks. A leader counts them itself, and other nodes use the counts that
+// the leader has written.
+func (c *Core) taskCountsOf(id string) stored.TaskCounts {
 	if c.leader != nil {
 		if j := c.leader.jobs[id]; j != nil {
 			return j.taskCounts()
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -19,9 +19,9 @@
 	termStart   time.Duration
 
 	lastWithoutAuthority time.Duration            // when this leader last had no authority to act
-	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated, with its controllers
+	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated, with its nodes
 	unreachableZones     []string                 // zones of which this node can't reach a large part
-	silentZones          map[string]bool          // zones of which a large part is silent; true: so are its controllers
+	silentZones          map[string]bool          // zones of which a large part is silent; true: so are its nodes
 	queriesInFlight      int                      // status queries without a result yet
 }
 
@@ -86,9 +86,9 @@
 }
 
 // hasEverReported reports whether the machine has sent a heartbeat in this term or an earlier one.
-func (m *machine) hasEverReported() bool { return m.reported || m.everReported }
+func (m *machine) hasEverReported() bool { return m.reportedInTerm || m.everReported }
 
-// minUnansweredQueries is how many consecutive status queries must go unanswered for a machine to count as
+// minUnansweredQueries is the number of consecutive unanswered status queries after which a machine counts as
 // unresponsive.
 const minUnansweredQueries = 2
 
@@ -98,7 +98,7 @@
 	// Workers need time to find the leader again: all workers after a period in which this leader could not respond,
 	// and those of a zone that was isolated.
 	due = max(due, lm.lastWithoutAuthority+lm.unreachableTimeout())
-	if !m.reported {
+	if !m.reportedInTerm {
 		// The previous leader's record of the machine may be a heartbeat interval old, and the worker has to find the
 		// new leader.
 		due = max(due, lm.termStart+lm.core.times.lease/2)
@@ -109,12 +109,12 @@
 	return due
 }
 
-// unreachableTimeout returns for how long a machine may be silent for an unknown reason.
+// unreachableTimeout returns how long a machine may be silent for an unknown reason.
 func (lm *livenessMonitor) unreachableTimeout() time.Duration {
 	return time.Duration(float64(lm.core.times.lease) * lm.core.operator.UnreachableLeases)
 }
 
-// allowedSilence returns for how long a machine may be silent, which depends on its own state and that of its zone.
+// allowedSilence returns how long a machine may be silent, which depends on its own state and that of its zone.
 func (lm *livenessMonitor) allowedSilence(m *machine) time.Duration {
 	timeout := lm.unreachableTimeout()
 	lease := max(timeout, lm.core.times.lease)
@@ -123,9 +123,9 @@
 	unresponsive := m.unansweredQueries >= minUnansweredQueries
 	switch {
 	case isolated:
-		// The zone's own controllers renew the leases of its workers. Dead machines are detected by the cloud's list.
+		// The zone's own nodes renew the leases of its workers. Dead machines are detected by the cloud's list.
 		return time.Duration(float64(lease) * lm.core.operator.PartitionLeases)
-	case mostlySilent, unreachableZone, !m.reported && !unresponsive:
+	case mostlySilent, unreachableZone, !m.reportedInTerm && !unresponsive:
 		// Either a large part of the zone is silent, or this node can't reach it while others renew its leases. All of
 		// the zone's workers may then be looking for a node that renews their leases, including the last few that are
 		// silent. Or the worker has yet to find this leader. After this time the worker's tasks have ended with its
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -22,7 +22,7 @@
 	cancels     []*job           // jobs to be cancelled because a job that they depend on was
 	orphans     []wire.Condition // run records to be deleted, whose jobs have ended
 	inFlight    int              // transactions without a result yet
-	pausedUntil time.Duration    // no transaction before this, after one was dropped for exceeding the rate limit
+	pausedUntil time.Duration    // earliest time of the next transaction, after one was dropped for exceeding the rate limit
 	budget      ratelimit.Bucket
 
 	taskCounts      shardWriter
--- a/internal/core/zone_reachability.go
+++ b/internal/core/zone_reachability.go
@@ -34,8 +34,8 @@
 	return z.unreachable > maxSingleFailures && z.unreachable*4 > z.total
 }
 
-// maxSingleFailures is up to how many silent machines of a zone count as individual failures, whatever share of the
-// zone they are.
+// maxSingleFailures is the largest number of silent machines of a zone that count as individual failures, whatever
+// share of the zone they are.
 const maxSingleFailures = 3
 
 // checkZones finds the zones of which a large part is silent or unreachable.
@@ -81,8 +81,8 @@
 	return zones
 }
 
-// isSilent reports whether a machine that was last heard at a given time has been silent for more than a third of a
-// lease, or for longer if its last response was held.
+// isSilent reports whether a machine that was last heard from at a given time has been silent for more than a third of
+// a lease, or for longer if its last response was held.
 func (lm *livenessMonitor) isSilent(m *machine, lastHeard time.Duration) bool {
 	return lm.core.now.Steady-lastHeard > lm.core.pacer.HeartbeatTimeout(lm.core.times.lease/3, m.lastHoldTime)
 }
