--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -99,8 +99,8 @@
 const (
 	// releasedListLags is the time, in list lags, for which a released machine may still be listed.
 	releasedListLags = 10
-	// settledListLags is the time, in list lags, after which an existing machine must be listed.
-	settledListLags = 3
+	// mustBeListedLags is the time, in list lags, after which an existing machine must be listed.
+	mustBeListedLags = 3
 	// missedListsForRemoval is the number of consecutive complete lists without a machine after which the machine
 	// counts as gone.
 	missedListsForRemoval = 2
@@ -135,11 +135,11 @@
 	if m.inCloudList {
 		knownSince = m.listedAt
 	}
-	settled := settledListLags * c.times.listLag
-	if p.listStartedAt < knownSince+settled {
+	listingDelay := mustBeListedLags * c.times.listLag
+	if p.listStartedAt < knownSince+listingDelay {
 		return false
 	}
-	return !m.reportedInTerm || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= settled
+	return !m.reportedInTerm || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= listingDelay
 }
 
 // pruneReleased deletes old entries from the record of released machines once there are many.
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -14,7 +14,7 @@
 	lastAt           time.Duration
 	evaluationsLeft  float64       // negative while the budget is overdrawn, which delays the next cycle
 	minDelay         time.Duration // minimum time before the next cycle, after one that ran out of budget
-	evaluationsSpent int           // in this term
+	evaluationsSpent int           // evaluations in this term
 	resumeFrom       *job          // job at which the last cycle stopped, in the order of minimums; nil if it completed
 }
 
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -10,7 +10,7 @@
 type Time struct {
 	Steady           time.Duration // monotonic time of this process
 	WallMS           int64         // Unix time in milliseconds
-	LastStepDuration time.Duration // of the previous step, to estimate the cost of an evaluation; 0: unknown
+	LastStepDuration time.Duration // duration of the previous step, to estimate the cost of an evaluation; 0: unknown
 	QueueDelay       time.Duration // how long the input waited for this step; 0: unknown
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -64,7 +64,7 @@
 	directStarts    map[attemptName]uint64 // fencing tokens of attempts that were started directly
 
 	// Failure accounting, see failure_accounting.go.
-	failures    map[string]int // by job, since a task last started and ran successfully here
+	failures    map[string]int // number of failures by job since a task last started and ran successfully here
 	lastFailure time.Duration  // when a task last failed here
 	quarantined bool
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -55,7 +55,7 @@
 	}
 	var m *machine
 	if costs, byCost := cycle.replicaCostFor(j); byCost {
-		m = cycle.cheapestReplicaMachine(j, costs)
+		m = cycle.lowestCostReplicaMachine(j, costs)
 	} else {
 		m = cycle.bestFit(j)
 	}
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -149,7 +149,7 @@
 	idleOnly := f.chance("idle only", 3)
 	rule := cycle.preemptionRule(j, idleOnly)
 	want := scanPreemption(cycle, j, rule.mayStop)
-	got := cycle.cheapestPreemption(j, &rule)
+	got := cycle.lowestCostPreemption(j, &rule)
 	if (got == nil) != (want == nil) {
 		f.Fatalf("%s: the index chose %+v, the scan %+v", j.id, got, want)
 	}
--- a/internal/core/placement_state.go
+++ b/internal/core/placement_state.go
@@ -58,9 +58,9 @@
 const (
 	stopCancelled          stopReason = "cancelled"
 	stopDrain              stopReason = "drain"               // the machine is being released or reclaimed
-	stopPreempted          stopReason = "shrunk"              // for a job below its minimum
+	stopPreempted          stopReason = "shrunk"              // to free resources for another job
 	stopRebalanced         stopReason = "moved"               // to bring its model's replicas back into balance
-	stopCompletedElsewhere stopReason = "completed elsewhere" // by another attempt
+	stopCompletedElsewhere stopReason = "completed elsewhere" // another attempt has completed the task
 )
 
 // startSequenceUnknown marks a placement of an earlier term, whose start may have been sent.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -18,7 +18,7 @@
 	}
 	rule := cycle.preemptionRule(j, idleOnly)
 	for range tasks {
-		best := cycle.cheapestPreemption(j, &rule)
+		best := cycle.lowestCostPreemption(j, &rule)
 		if best == nil {
 			if cacheable {
 				cycle.infeasiblePreemptions[request] = true
@@ -64,9 +64,9 @@
 	clear(cycle.infeasiblePreemptions)
 }
 
-// cheapestPreemption returns the plan with the lowest preemption cost for a job's next task, and among those the first
-// by machine name; nil if there is none.
-func (cycle *schedulingCycle) cheapestPreemption(j *job, rule *preemptionRule) *preemptionPlan {
+// lowestCostPreemption returns the plan with the lowest preemption cost for a job's next task, and among those the
+// first by machine name; nil if there is none.
+func (cycle *schedulingCycle) lowestCostPreemption(j *job, rule *preemptionRule) *preemptionPlan {
 	s := &preemptionSearch{
 		cycle:   cycle,
 		job:     j,
--- a/internal/core/quota_messages.go
+++ b/internal/core/quota_messages.go
@@ -21,7 +21,7 @@
 		id := m.leader.registerCall(func(r Result) {
 			delete(t.delivering, to)
 			if r.Outcome == outcome.OK {
-				m.settleTransfer(t, to, transfer.Number)
+				m.removeAcknowledgedTransfer(t, to, transfer.Number)
 			}
 		})
 		c.emit(CallRegion{CallID: id, Region: to, Attempt: t.callCount,
@@ -29,9 +29,9 @@
 	}
 }
 
-// settleTransfer removes a transfer from the account after its receiver has acknowledged it. If that can't be written
-// now, the transfer is delivered again, acknowledged as a duplicate, and removed then.
-func (m *quotaManager) settleTransfer(t *teamQuota, to string, number uint64) {
+// removeAcknowledgedTransfer removes a transfer from the account after its receiver has acknowledged it. If that can't
+// be written now, the transfer is delivered again, acknowledged as a duplicate, and removed then.
+func (m *quotaManager) removeAcknowledgedTransfer(t *teamQuota, to string, number uint64) {
 	if t.writeInFlight || t.account == nil || !m.mayWrite() || !m.leader.mayCommit() {
 		return
 	}
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -43,7 +43,7 @@
 	nextRequest         time.Duration
 	requestCount        int  // requests since the share that is held last grew
 	callCount           int  // calls sent; selects the node that is called
-	limitMismatchLogged bool // whether it was logged in this term that a region has other limits of the team
+	limitMismatchLogged bool // a region with other limits of the team was logged in this term
 }
 
 // zeroLimit is the effective limit where nothing of a limit is held. A limit of 0 would mean that there is no limit.
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -59,7 +59,7 @@
 	topologyspread.Costs
 	fleet        fleetView
 	job          *job
-	recoveryTime time.Duration // from the loss of a replica until its replacement runs
+	recoveryTime time.Duration // time from the loss of a replica until its replacement runs
 	fleetSize    topologyspread.DomainCounts
 }
 
@@ -110,8 +110,8 @@
 	return topologyspread.ExpectedLoadSeconds(int(state), costs.fleet.imageFetchSeconds(costs.job, g.Type))
 }
 
-// cheapestReplicaMachine returns the machine with the lowest cost for a job's next replica; nil if there is none.
-func (cycle *schedulingCycle) cheapestReplicaMachine(j *job, costs replicaCostModel) *machine {
+// lowestCostReplicaMachine returns the machine with the lowest cost for a job's next replica; nil if there is none.
+func (cycle *schedulingCycle) lowestCostReplicaMachine(j *job, costs replicaCostModel) *machine {
 	allowed := j.groupFilter()
 	target, _, found, evaluated := cycle.params.fleet.index.LowestCost(capacity.CostRequest[*schedulableMachine]{
 		Required:    resource.OfTask(j.spec),
--- a/internal/core/replica_rebalancing.go
+++ b/internal/core/replica_rebalancing.go
@@ -81,7 +81,7 @@
 	j.removePlacement(p)
 	costs, _ := cycle.replicaCostFor(j)
 	currentLoss := costs.costOn(p.machine).expectedLossS
-	destination := cycle.cheapestReplicaMachine(j, costs)
+	destination := cycle.lowestCostReplicaMachine(j, costs)
 	gain := 0.0
 	if destination != nil && destination.zone != p.machine.zone {
 		destinationCost := costs.costOn(destination)
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -18,9 +18,9 @@
 	index          int // the range begins at task index * tasksPerRecord
 	highestAttempt uint64
 	done           record.Bits
-	version        uint64 // of the record's key; 0: not written yet
-	dirty          bool   // it has changes that are not yet part of a write
-	inFlight       bool   // a write of it has no result yet
+	version        uint64 // version of the record's key; 0: not written yet
+	dirty          bool   // the record has changes that are not yet part of a write
+	inFlight       bool   // a write of the record has no result yet
 	rereadInFlight bool
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -15,12 +15,12 @@
 	Machines      int     // machines managed as the leader
 
 	Term         uint64        // newest term that this node knows
-	HasAuthority bool          // it leads, and its lease is valid or all peers confirm an outage of the key-value store
-	Recovering   time.Duration // time since its term began while its recovery is incomplete; otherwise 0
+	HasAuthority bool          // this node leads, and its lease is valid or all peers confirm an outage of the key-value store
+	Recovering   time.Duration // time since the term of this leader began, until its recovery is complete; otherwise 0
 	// LeaseRenewals counts the responses that renewed workers' leases, and CancelledStops the stops of cancelled tasks
 	// in them, by basis.
 	LeaseRenewals, CancelledStops [LeaseBasisCount]uint64
-	Revision                      uint64 // up to which it has read the changes of jobs; 0: it has not read them yet
+	Revision                      uint64 // revision up to which this node has read the changes of jobs; 0: it has not read them yet
 	// StoreDown is set if the last calls to the key-value store found it unavailable.
 	StoreDown bool
 }
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -8,20 +8,20 @@
 
 // times holds the durations that are derived from the settings.
 type times struct {
-	heartbeatInterval  time.Duration // between two heartbeats of a worker
-	checkInterval      time.Duration // between two checks for failures; also the timeout of a call
-	lease              time.Duration // of a worker
-	cancelDeadline     time.Duration // for the tasks of a cancelled job to stop
-	leaderTTL          time.Duration // of the leader's lease
-	listLag            time.Duration // by which the cloud's machine list may lag behind
-	storeProbeInterval time.Duration // between two probes of the key-value store
-	retryPause         time.Duration // before a failed call is retried
-	timerCoalescing    time.Duration // between the times at which deferrable work is done
+	heartbeatInterval  time.Duration // time between two heartbeats of a worker
+	checkInterval      time.Duration // time between two checks for failures; also the timeout of a call
+	lease              time.Duration // duration of a worker's lease
+	cancelDeadline     time.Duration // time in which the tasks of a cancelled job must stop
+	leaderTTL          time.Duration // duration of the leader's lease
+	listLag            time.Duration // time by which the cloud's machine list may lag behind
+	storeProbeInterval time.Duration // time between two probes of the key-value store
+	retryPause         time.Duration // time before a failed call is retried
+	timerCoalescing    time.Duration // interval to which the times of deferrable work are rounded up
 	heartbeatTimeout   time.Duration // silence after which a machine is given no tasks
-	cycleInterval      time.Duration // between two regular scheduling cycles
-	minCycleGap        time.Duration // between two scheduling cycles that events trigger
-	minComparisonGap   time.Duration // between two version comparisons of a node
-	minWatchGap        time.Duration // between two watches of a node
+	cycleInterval      time.Duration // time between two regular scheduling cycles
+	minCycleGap        time.Duration // minimum time between two scheduling cycles that events trigger
+	minComparisonGap   time.Duration // minimum time between two version comparisons of a node
+	minWatchGap        time.Duration // minimum time between two watches of a node
 }
 
 // newTimes derives the durations from the settings.
