--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -55,8 +55,8 @@
 	pendingCancellationsPerRequest = 4
 )
 
-// awaitConfirmation reports to a callback whether a job's cancellation may be confirmed to users. It calls back at
-// once if all nodes are known to have acknowledged the cancellation and the leader to have resolved it. Else it calls
+// awaitConfirmation reports to a callback whether a job's cancellation may be confirmed to users. It calls back at once
+// if all nodes are known to have acknowledged the cancellation and the leader to have resolved it. Otherwise it calls
 // back once that is known, or once it can't be confirmed in time.
 func (r *cancellationReplicator) awaitConfirmation(id string, job *watchcache.Job, onResult func(confirmed bool)) {
 	if r.acknowledgedByAll(job.Version, nil) && r.resolvedByLeaders(id) {
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -13,11 +13,11 @@
 // placements. It provides no access to the store, the workers or the cloud. The writer persists the decisions of a
 // cycle, and commands are sent only after that.
 type cycleState interface {
-	// queuedJobs returns the queued jobs in the order of submission.
+	// queuedJobs returns the queued jobs in queue order.
 	queuedJobs() []*job
 	// nextTask returns the lowest task number, starting at from, that is neither done nor placed; -1 if there is none.
 	nextTask(j *job, from int) int
-	// assignAttempt returns the number of the next attempt at a task, and withdrawAttempt takes that number back.
+	// assignAttempt returns the number of the next attempt at a task, and withdrawAttempt frees that number again.
 	assignAttempt(j *job, task int) uint64
 	withdrawAttempt(p *placement)
 	// persist schedules the record of a task to be written.
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -50,7 +50,7 @@
 // enqueue schedules the commands for a machine to be sent by the next run.
 func (d *commandDispatcher) enqueue(m *machine) { d.pending = append(d.pending, m) }
 
-// run sends the pending commands: with the held response of a machine if there is one, else directly.
+// run sends the pending commands: with the held response of a machine if there is one, and otherwise directly.
 func (d *commandDispatcher) run() {
 	for _, m := range d.pending {
 		d.heldResponses.send(m)
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -182,8 +182,8 @@
 	r.actions.requestCycle()
 }
 
-// requireFencingToken requires a machine to show a fencing token before it gets work. A machine that does not show it
-// for half a lease is released (livenessMonitor).
+// requireFencingToken requires a machine to show a fencing token before it is given tasks. A machine that does not show
+// it for half a lease is released (livenessMonitor).
 func (r *reconciler) requireFencingToken(m *machine, token uint64) {
 	m.fence.Require(token, r.core.now.Steady)
 	r.changes.increment()
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// handleHeartbeatAsFollower renews the worker's lease if a node that does not lead may do so, and else redirects the
-// worker to the leader.
+// handleHeartbeatAsFollower renews the worker's lease if a node that does not lead may do so, and otherwise redirects
+// the worker to the leader.
 func (c *Core) handleHeartbeatAsFollower(in WorkerHeartbeat) {
 	if !c.leaseRelay.handleHeartbeat(in) {
 		c.respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{Leader: c.redirectTarget()})
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -92,7 +92,7 @@
 	return j
 }
 
-// enqueue inserts a job into the queue, which is ordered by submission.
+// enqueue inserts a job into the queue at its position.
 func (l *leader) enqueue(j *job) {
 	i := sort.Search(len(l.queue), func(i int) bool { return j.queuedBefore(l.queue[i]) })
 	l.queue = slices.Insert(l.queue, i, j)
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -49,7 +49,7 @@
 	return j.latestEndMS - milliseconds(j.spec.EstimatedRunS)
 }
 
-// position returns the place of a job in the order of submission.
+// position returns the position of a job in the queue: jobs are ordered by the start of their waiting time, then by ID.
 func (j *job) position() scheduling.QueuePosition {
 	return scheduling.QueuePosition{QueuedMS: j.queuedMS, ID: j.id}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -25,7 +25,7 @@
 
 	// Jobs.
 	jobs               map[string]*job
-	queue              []*job // in the order of acceptance
+	queue              []*job // ordered by job.position
 	appliedEvaluations uint64 // evaluation count of the dependency graph when it was last applied
 	records            runRecords
 
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -138,7 +138,7 @@
 
 // adoptWorker begins to renew a worker's lease. The worker may be able to reach the leader. Its lease is renewed once,
 // because part of it has elapsed already. With its next heartbeat the worker is redirected to the leader, and if it
-// comes back its lease is renewed from then on. It is not redirected if its zone is known to be unable to reach the
+// returns, its lease is renewed from then on. It is not redirected if its zone is known to be unable to reach the
 // leader.
 func (r *leaseRelay) adoptWorker(heartbeat *wire.Heartbeat) *relayedWorker {
 	c := r.core
@@ -243,8 +243,8 @@
 	}
 }
 
-// dropExpired drops all workers once the leader has changed, and else those whose leases this node has not renewed in
-// time.
+// dropExpired drops all workers once the leader has changed, and otherwise those whose leases this node has not renewed
+// in time.
 func (r *leaseRelay) dropExpired() {
 	c := r.core
 	if r.leadingPeer() == nil || r.term != 0 && c.cache.Leader().Term != r.term {
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A node that is short of processor time does the most important work first. It still responds to heartbeats, but holds
-// the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to spare.
-// Comparisons and scheduling cycles are deferred for longer.
+// A node that is short of processor time gives priority to the most important work. It still responds to heartbeats,
+// but holds the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to
+// spare. Comparisons and scheduling cycles are deferred for longer.
 
 // Users' requests are shed when the load rises above shedAbove, until it has fallen below shedBelow. The gap between
 // the two prevents oscillation. Above shedAbove no more machines are requested either, because each machine sends
--- a/internal/core/preemptible_jobs.go
+++ b/internal/core/preemptible_jobs.go
@@ -5,7 +5,7 @@
 	"bitternwing/internal/wire"
 )
 
-// preemptibleJobs are the jobs that can be shrunk in a cycle, in the order of submission. The list does not grow within
+// preemptibleJobs are the jobs that can be shrunk in a cycle, in queue order. The list does not grow within
 // a phase of the cycle, since a job that is placed for its minimum is at its minimum.
 type preemptibleJobs struct {
 	jobs           []*job
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// decide queues the submission if all of its dependencies were accepted, and else responds to the request.
+// decide queues the submission if all of its dependencies were accepted, and otherwise responds to the request.
 func (d *dependencyCheck) decide() {
 	u := d.requests
 	switch {
