--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -19,9 +19,9 @@
 //   - Each other node has acknowledged the cancellation, either by having read the store up to its revision or by
 //     accepting it from this node, and the leader has resolved it: no task of the job can start any more, and none is
 //     left in a zone that renews its own leases while isolated.
-//   - The job has ended. The end is written only when nothing of the job is left on any machine.
+//   - The job has ended. The end is written only when no task of the job is left on any machine.
 //
-// Until then users get 503, as for everything that can't be confirmed. A restarted node has lost what it knew, but it
+// Until then users get 503, as for everything that can't be confirmed. A restarted node has lost its state, but it
 // renews no leases before it has read the jobs, and that read is later than the write of any cancellation that its
 // earlier incarnation acknowledged. The only exception is that it renews leases in its own zone while the zone is
 // isolated, and no task of a job with a confirmed cancellation is left there.
@@ -55,8 +55,8 @@
 	pendingCancellationsPerRequest = 4
 )
 
-// awaitConfirmation reports to a callback whether a job's cancellation may be confirmed to users. It calls back at
-// once if all nodes are known to have acknowledged the cancellation and the leader to have resolved it. Else it calls
+// awaitConfirmation reports to a callback whether a job's cancellation may be confirmed to users. It calls back at once
+// if all nodes are known to have acknowledged the cancellation and the leader to have resolved it. Otherwise it calls
 // back once that is known, or once it can't be confirmed in time.
 func (r *cancellationReplicator) awaitConfirmation(id string, job *watchcache.Job, onResult func(confirmed bool)) {
 	if r.acknowledgedByAll(job.Version, nil) && r.resolvedByLeaders(id) {
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -50,7 +50,7 @@
 // enqueue schedules the commands for a machine to be sent by the next run.
 func (d *commandDispatcher) enqueue(m *machine) { d.pending = append(d.pending, m) }
 
-// run sends the pending commands: with the held response of a machine if there is one, else directly.
+// run sends the pending commands: with the held response of a machine if there is one, and otherwise directly.
 func (d *commandDispatcher) run() {
 	for _, m := range d.pending {
 		d.heldResponses.send(m)
@@ -156,10 +156,10 @@
 	d, m := r.dispatcher, r.machine
 	m.commandInFlight = false
 	d.inFlight--
-	stops := len(r.commands) > len(r.starts)
-	if stops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
+	hasStops := len(r.commands) > len(r.starts)
+	if hasStops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
 		// Reconcile the stops at once: users may be waiting for the confirmation that nothing starts any more.
-		d.reconciler.reconcileIndirect(&result.Heartbeat, originQuery)
+		d.reconciler.reconcileIndirect(&result.Heartbeat, originReply)
 	}
 	if result.Outcome == outcome.OK {
 		d.enqueue(m) // other commands may have become pending meanwhile
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -17,7 +17,7 @@
 	id                     string
 	spec                   *wire.Job
 	acceptedMS             int64  // Unix time of acceptance, in milliseconds
-	queuedMS               int64  // the same, or that of the end of the last dependency; the wait counts from here
+	queuedMS               int64  // Unix time in milliseconds from which the waiting time counts: when the job became ready to be queued
 	waitingForDependencies bool   // not queued yet, and without placements
 	heldByRollout          bool   // a rollout plan does not allow its tasks to start yet
 	queued                 bool   // in the leader's queue
@@ -25,8 +25,8 @@
 	latestEndMS            int64  // Unix time in milliseconds by which the job has to be done for the deadlines of its dependents
 	version                uint64 // version of its key in the store
 	cancelled              bool
-	cancelledAt            time.Duration     // steady clock
-	ending                 bool              // the final state is being written
+	cancelledAt            time.Duration     // monotonic time of the cancellation
+	endPending             bool              // the write of the final state is queued or in flight
 	finalState             stored.FinalState // the final state being written
 
 	team   *config.Team
@@ -35,16 +35,16 @@
 	supersededRecords    map[string]uint64
 	placements           map[int]*placement            // by task
 	placementCountByZone map[string]int                // number of placements in each zone
-	replicaLedger        *topologyspread.ReplicaCounts // shared by all models
+	replicaCounts        *topologyspread.ReplicaCounts // shared by all models
 	withinGuarantee      bool                          // whether the job fits into its team's guarantee in this cycle
 	stopping             int                           // number of placements that are being stopped
 	done                 int
 	nextUnplaced         int // every task below this is done or placed
 
 	// Failure accounting, see failureAccounting.
-	ranSuccessfully bool // one of its tasks has run well on some machine
+	ranSuccessfully bool // one of its tasks has run successfully on some machine
 	failedOn        map[string]bool
-	retryAt         time.Duration // no task is started before this
+	retryAt         time.Duration // earliest time of the next task start
 }
 
 // unplaced returns the number of tasks that are neither done nor placed.
@@ -81,7 +81,7 @@
 		chunks:               map[int]*recordChunk{},
 		placements:           map[int]*placement{},
 		placementCountByZone: map[string]int{},
-		replicaLedger:        l.replicaLedger,
+		replicaCounts:        l.replicaCounts,
 	}
 	l.jobs[id] = j
 	j.waitingForDependencies = len(cached.Spec.Dependencies) > 0
@@ -92,7 +92,7 @@
 	return j
 }
 
-// enqueue inserts a job into the queue, which is ordered by submission.
+// enqueue inserts a job into the queue at its position.
 func (l *leader) enqueue(j *job) {
 	i := sort.Search(len(l.queue), func(i int) bool { return j.queuedBefore(l.queue[i]) })
 	l.queue = slices.Insert(l.queue, i, j)
--- a/internal/core/job_scheduling.go
+++ b/internal/core/job_scheduling.go
@@ -49,7 +49,7 @@
 	return j.latestEndMS - milliseconds(j.spec.EstimatedRunS)
 }
 
-// position returns the place of a job in the order of submission.
+// position returns the position of a job in the queue: jobs are ordered by the start of their waiting time, then by ID.
 func (j *job) position() scheduling.QueuePosition {
 	return scheduling.QueuePosition{QueuedMS: j.queuedMS, ID: j.id}
 }
@@ -66,8 +66,8 @@
 	}
 }
 
-// claim returns the attributes that decide which jobs a job may preempt and which may preempt it.
-func (j *job) claim() scheduling.PreemptionCriteria {
+// preemptionCriteria returns the attributes that decide which jobs a job may preempt and which may preempt it.
+func (j *job) preemptionCriteria() scheduling.PreemptionCriteria {
 	return scheduling.PreemptionCriteria{Team: j.team, Priority: priority(j), WithinGuarantee: j.withinGuarantee}
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/topologyspread"
 )
 
-// leader is the state of a controller that leads a term. It wires the components of a leader and runs them in order.
+// leader is the state of a node that leads a term. It wires the components of a leader and runs them in order.
 // State that several components share is a field of the leader; state that only one uses is a field of that component.
 //
 // All of it is rebuilt at the start of a term, first from the key-value store (leaderRecovery), then from the workers'
@@ -25,7 +25,7 @@
 
 	// Jobs.
 	jobs               map[string]*job
-	queue              []*job // in the order of acceptance
+	queue              []*job // ordered by job.position
 	appliedEvaluations uint64 // evaluation count of the dependency graph when it was last applied
 	records            runRecords
 
@@ -34,7 +34,7 @@
 	machinesByName   []*machine               // sorted by name
 	releasedMachines map[string]time.Duration // removal times by name; late heartbeats are not reconciled
 	schedulable      schedulableMachines
-	replicaLedger    *topologyspread.ReplicaCounts
+	replicaCounts    *topologyspread.ReplicaCounts
 	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
 
 	// changes counts state changes: a heartbeat that causes none needs no further work.
@@ -49,7 +49,7 @@
 	dispatcher    *commandDispatcher
 
 	// Scheduling and provisioning.
-	cycles      cycleTimer
+	cycles      cycleSchedule
 	rebalancing rebalancing
 	provisioner provisioner
 	prefetches  imagePrefetcher
@@ -76,7 +76,7 @@
 		jobs:             map[string]*job{},
 		machines:         map[string]*machine{},
 		releasedMachines: map[string]time.Duration{},
-		replicaLedger:    topologyspread.NewReplicaCounts(),
+		replicaCounts:    topologyspread.NewReplicaCounts(),
 	}
 	l.termCalls = termCalls{core: c, owner: l}
 	l.records = runRecords{limits: c.limits, changes: &l.changes}
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A node that is short of processor time does the most important work first. It still responds to heartbeats, but holds
-// the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to spare.
-// Comparisons and scheduling cycles are deferred for longer.
+// A node that is short of processor time gives priority to the most important work. It still responds to heartbeats,
+// but holds the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to
+// spare. Comparisons and scheduling cycles are deferred for longer.
 
 // Users' requests are shed when the load rises above shedAbove, until it has fallen below shedBelow. The gap between
 // the two prevents oscillation. Above shedAbove no more machines are requested either, because each machine sends
@@ -39,8 +39,8 @@
 }
 
 // overloaded reports whether this node has so little processor time to spare that it could not handle a larger fleet.
-// Requests that have waited count as well as late timers, because a core that handles one input after the other has its
-// timers fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
+// Requests that have waited count as well as late timers, because the timers of a core that handles one input after the
+// other still fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
 func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
 
 // updateShedding decides whether the load balancer is to send users to other nodes. Only a leader sheds users, because
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -16,23 +16,23 @@
 	machineType                *wire.MachineType
 
 	// From the cloud's list and the state of earlier leaders.
-	firstSeen     time.Duration // when this leader first learned of the machine
-	requestedAt   time.Duration // when it was requested from the cloud, as far as known
-	requestedHere bool          // this leader requested it
-	inCloudList   bool          // it was seen in the cloud's list
-	listedAt      time.Duration
-	missedLists   int  // consecutive complete lists that don't include it
-	everReported  bool // it has sent a heartbeat in this term or an earlier one
+	firstSeen       time.Duration // when this leader first learned of the machine
+	requestedAt     time.Duration // when it was requested from the cloud, as far as known
+	requestedInTerm bool          // this leader requested it in its term
+	inCloudList     bool          // it was seen in the cloud's list
+	listedAt        time.Duration
+	missedLists     int  // consecutive complete lists that don't include it
+	everReported    bool // it has sent a heartbeat in this term or an earlier one
 
 	// From its heartbeats.
-	reported      bool // it has sent a heartbeat in this term
-	incarnation   uint64
-	sequence      uint64
-	lastHeartbeat time.Duration
-	lastRelayed   time.Duration // when one was last relayed, or returned by a query or a direct command
-	reclaiming    bool
-	exitedTasks   []wire.TaskStatus // exited tasks in the last heartbeat
-	orphanedTasks []wire.TaskStatus // running tasks in the last heartbeat that have no placement
+	reportedInTerm bool // it has sent a heartbeat in this term
+	incarnation    uint64
+	sequence       uint64
+	lastHeartbeat  time.Duration
+	lastRelayed    time.Duration // when a heartbeat was last relayed, or returned by a query or a direct command
+	reclaiming     bool
+	exitedTasks    []wire.TaskStatus // exited tasks in the last heartbeat
+	orphanedTasks  []wire.TaskStatus // running tasks in the last heartbeat that have no placement
 
 	// Status queries while the machine is silent, see livenessMonitor.
 	queryInFlight     bool
@@ -42,7 +42,7 @@
 
 	// The response to its last heartbeat, see heldResponses.
 	heldResponse *heldResponse // nil if none is held
-	lastHoldTime time.Duration // for how long the last response was to be held
+	lastHoldTime time.Duration // how long the last response was to be held
 
 	// Its placements and capacity.
 	placements        map[string]*placement // by task name
@@ -54,9 +54,9 @@
 	noCapacityUntil   time.Duration
 
 	// Its release, see provisioner.
-	releasing     bool
-	releaseReason releaseReason
-	releaseSent   bool // a release request may have been carried out
+	releasing           bool
+	releaseReason       releaseReason
+	releaseMaybeApplied bool // a release request may have been carried out
 
 	// Direct commands, see commandDispatcher.
 	commandInFlight bool
@@ -64,7 +64,7 @@
 	directStarts    map[attemptName]uint64 // fencing tokens of attempts that were started directly
 
 	// Failure accounting, see failure_accounting.go.
-	failures    map[string]int // by job, since a task last started and ran successfully here
+	failures    map[string]int // number of failures by job since a task last started and ran successfully here
 	lastFailure time.Duration  // when a task last failed here
 	quarantined bool
 }
@@ -123,8 +123,8 @@
 		}
 		j.decrementZoneCount(m.zone)
 		j.placementCountByZone[zone]++
-		if model, ok := j.model(); ok && j.replicaLedger != nil {
-			j.replicaLedger.Move(model, m.zone, zone, m.name)
+		if model, ok := j.model(); ok && j.replicaCounts != nil {
+			j.replicaCounts.Move(model, m.zone, zone, m.name)
 		}
 	}
 }
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -141,7 +141,7 @@
 func digestRegions(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 6))
-	world := newRegionWorld(t, 3)
+	world := newRegionSimulation(t, 3)
 	for range 2 + random.IntN(9) {
 		world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
 		world.injectFault(random)
@@ -159,7 +159,7 @@
 func digestRollout(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 7))
-	world := newRolloutWorld(t)
+	world := newRolloutCluster(t)
 	world.start()
 	for range 1 + random.IntN(6) {
 		world.advance(time.Duration(1+random.IntN(60)) * 100 * time.Millisecond)
@@ -169,7 +169,7 @@
 		case 1:
 			world.lostResponses = 2
 		case 2:
-			world.delayedTransactions = 2
+			world.transactionsToDelay = 2
 		case 3:
 			world.storeDown = !world.storeDown
 		default:
@@ -177,7 +177,7 @@
 		}
 	}
 	world.heal()
-	world.commitHeld(world.store)
+	world.commitDelayed(world.store)
 	world.advance(20 * time.Second)
 	return world.digest.String()
 }
--- a/internal/core/quota_requests.go
+++ b/internal/core/quota_requests.go
@@ -7,7 +7,7 @@
 	"bitternwing/internal/wire"
 )
 
-// Messages from other regions about a team's quota. Only the leader answers them; other controllers redirect to it.
+// Messages from other regions about a team's quota. Only the leader responds to them; other nodes redirect to it.
 type (
 	// RequestQuota is a request from another region in which tasks of a team wait for quota.
 	RequestQuota struct {
@@ -15,7 +15,7 @@
 		From      string
 		Team      string
 		Total     quota.Share // limit and guarantee by the settings of the requesting region
-		Share     quota.Share // that is missing there
+		Share     quota.Share // share that is missing there
 	}
 	// DeliverQuota delivers a transfer from another region. The response 200 acknowledges that it is committed.
 	DeliverQuota struct {
@@ -29,7 +29,7 @@
 func (RequestQuota) input() {}
 func (DeliverQuota) input() {}
 
-// CallRegion sends one of the messages to a region. Attempt selects which of the region's controllers is called.
+// CallRegion sends one of the messages to a region. Attempt selects which of the region's nodes is called.
 type CallRegion struct {
 	CallID  uint64
 	Region  string
@@ -48,8 +48,8 @@
 	reasonTransferMissing = "an earlier transfer is missing"
 )
 
-// quotaForMessage returns the quota that a message is about. If the message can't be accepted, it answers the message
-// itself and returns nil.
+// quotaForMessage returns the quota that a message is about. If the message can't be accepted, it rejects the
+// message and returns nil.
 func (c *Core) quotaForMessage(requestID uint64, from, team string, total quota.Share) *teamQuota {
 	l := c.leaderForRequest(requestID)
 	if l == nil {
@@ -58,17 +58,17 @@
 	t := l.quotas.teams[team]
 	switch {
 	case !c.operator.Regions.Enabled():
-		c.respondRefused(requestID, reasonNoRegions)
+		c.respondRejected(requestID, reasonNoRegions)
 	case !c.operator.Regions.HasOther(from):
-		c.respondRefused(requestID, reasonNoSuchRegion)
+		c.respondRejected(requestID, reasonNoSuchRegion)
 	case t == nil:
 		c.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchTeam})
 	case t.total != total:
 		if !t.limitMismatchLogged {
-			t.limitMismatchLogged = true // log it once a term
+			t.limitMismatchLogged = true // log it once per term
 			c.log(Error, "team limits differ between regions", "team", team, "region", from)
 		}
-		c.respondRefused(requestID, reasonLimitsDiffer)
+		c.respondRejected(requestID, reasonLimitsDiffer)
 	case t.account == nil || !l.mayCommit() || len(t.requests)+len(t.deliveries) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(requestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
@@ -88,7 +88,7 @@
 // handleQuotaDelivery queues a transfer from another region.
 func (c *Core) handleQuotaDelivery(in DeliverQuota) {
 	if in.Transfer.To != c.operator.Regions.Name {
-		c.respondRefused(in.RequestID, reasonNoSuchRegion)
+		c.respondRejected(in.RequestID, reasonNoSuchRegion)
 		return
 	}
 	if t := c.quotaForMessage(in.RequestID, in.Transfer.From, in.Team, in.Total); t != nil {
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -26,10 +26,10 @@
 	effective config.Team
 	settings  *config.Team
 	total     quota.Share    // limit and guarantee in all regions together, by this node's settings
-	initial   *quota.Account // with which this region begins
-	key       string         // of the account in the store
-	account   *quota.Account // as stored; nil if it does not exist or can't be read
-	version   uint64         // of the stored account
+	initial   *quota.Account // account with which this region begins
+	key       string         // key of the account in the store
+	account   *quota.Account // stored account; nil if it does not exist or can't be read
+	version   uint64         // version of the stored account
 	// indeterminate holds accounts that may or may not have been written. The minimum of all of them is enforced.
 	indeterminate []*quota.Account
 	writeInFlight bool
@@ -42,8 +42,8 @@
 	nextRegionIndex     int // index of the region to which the next request goes
 	nextRequest         time.Duration
 	requestCount        int  // requests since the share that is held last grew
-	callCount           int  // calls sent; selects the controller that is called
-	limitMismatchLogged bool // whether it was logged in this term that a region has other limits of the team
+	callCount           int  // calls sent; selects the node that is called
+	limitMismatchLogged bool // a region with other limits of the team was logged in this term
 }
 
 // zeroLimit is the effective limit where nothing of a limit is held. A limit of 0 would mean that there is no limit.
@@ -142,7 +142,7 @@
 	}
 	if m.cacheChangesSeen != c.cache.QuotaAccountChanges() {
 		m.cacheChangesSeen = c.cache.QuotaAccountChanges()
-		m.readStored()
+		m.readStoredAccounts()
 	}
 	if c.now.Steady < m.nextCheck {
 		c.wakeBy(m.nextCheck)
@@ -163,13 +163,13 @@
 		}
 		if t.account != nil {
 			m.deliverTransfers(t)
-			m.requestShortfall(t, demand)
+			m.requestMissingShare(t, demand)
 		}
 	}
 }
 
-// readStored applies the accounts that were received by the watch.
-func (m *quotaManager) readStored() {
+// readStoredAccounts applies the accounts that were received by the watch.
+func (m *quotaManager) readStoredAccounts() {
 	for _, t := range m.teamsInOrder {
 		current := m.leader.core.cache.QuotaAccount(t.key)
 		if current == nil || current.Version <= t.version {
@@ -215,7 +215,7 @@
 			sums[j.spec.Team] = s
 		}
 		placed, all := float64(len(j.placements)), float64(len(j.placements))
-		if j.queued && !j.cancelled && !j.ending && !j.heldByRollout {
+		if j.queued && !j.cancelled && !j.endPending && !j.heldByRollout {
 			all = max(all, float64(j.unfinished()))
 		}
 		s.usedGPUs, s.usedCPUs = s.usedGPUs+placed*j.spec.GPUs, s.usedCPUs+placed*j.spec.CPUs
@@ -232,9 +232,9 @@
 // equalShare returns a share with the same amount of the limit and of the guarantee.
 func equalShare(a quota.Amount) quota.Share { return quota.Share{Limit: a, Guarantee: a} }
 
-// retained returns the share that this region keeps when another one requests some, in units of the account: what is in
-// use, and of the rest what its own waiting tasks need, but no more than half. So neither region's waiting tasks have
-// to wait until all of the other's have finished.
+// retained returns the share that this region keeps when another one requests some, in units of the account. That is
+// the share in use, and as much of the rest as the region's own waiting tasks need, but at most half of the rest. So
+// the waiting tasks of neither region have to wait until all tasks of the other have finished.
 func (t *teamQuota) retained(demand teamDemand) quota.Share {
 	held := t.held()
 	used := t.account.ToAccountUnits(equalShare(demand.used), t.total)
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -61,7 +61,7 @@
 	m := f.leader.findOrAddMachine(fmt.Sprintf("host-%03d", f.intBetween("name", 0, 999)))
 	m.setType(rapid.SampledFrom(f.types).Draw(f.T, "type"))
 	m.setIdentity(m.machineType.Name, rapid.SampledFrom(randomZones[1:]).Draw(f.T, "zone"), "x", f.oneIn("spot", 3))
-	m.reported, m.lastHeartbeat = true, f.leader.core.now.Steady
+	m.reportedInTerm, m.lastHeartbeat = true, f.leader.core.now.Steady
 }
 
 func (f *randomFleet) addJob() *job {
@@ -183,5 +183,5 @@
 		unknownTask := rapid.SampledFrom([]string{f.randomJob().id + "/5", "run-999999/0"}).Draw(f.T, "unknown task name")
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: unknownTask, Attempt: 99, State: wire.TaskRunning})
 	}
-	f.leader.reconciler.reconcileTasks(m, heartbeat, originWorker)
+	f.leader.reconciler.reconcileTasks(m, heartbeat, originPeriodic)
 }
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -11,9 +11,9 @@
 	refusedNode         string // node whose calls the store refuses; empty: none
 	storeDown           bool   // the store refuses all calls
 	lostResponses       int    // number of next transactions that are committed without a response
-	delayedTransactions int    // number of next transactions that are held back without a response: see commitHeld
+	transactionsToDelay int    // number of next transactions that are held back without a response: see commitHeld
 	delayKey            string // only transactions whose first operation writes this key are held back; empty: all
-	heldTransactions    []core.StoreTxn
+	delayedTransactions []core.StoreTxn
 }
 
 // interceptStoreCall returns the result of a call to the store that a fault affects; false if none does.
@@ -33,24 +33,24 @@
 	case s.lostResponses > 0:
 		s.lostResponses--
 		store.Txn(call.Txn)
-	case s.delayedTransactions > 0 && (s.delayKey == "" || s.delayKey == call.Txn.Then[0].Put):
-		s.delayedTransactions--
-		s.heldTransactions = append(s.heldTransactions, call)
+	case s.transactionsToDelay > 0 && (s.delayKey == "" || s.delayKey == call.Txn.Then[0].Put):
+		s.transactionsToDelay--
+		s.delayedTransactions = append(s.delayedTransactions, call)
 	default:
 		return core.Result{}, false
 	}
 	return core.Result{CallID: callID, Outcome: outcome.Unknown}, true
 }
 
-// commitHeld commits the transactions that were held back.
-func (s *storeFaults) commitHeld(store *emulator.Store) {
-	for _, effect := range s.heldTransactions {
+// commitDelayed commits the transactions that were held back.
+func (s *storeFaults) commitDelayed(store *emulator.Store) {
+	for _, effect := range s.delayedTransactions {
 		store.Txn(effect.Txn)
 	}
-	s.heldTransactions = nil
+	s.delayedTransactions = nil
 }
 
 // endStoreFaults ends all faults, but does not commit the transactions that are held back.
 func (s *storeFaults) endStoreFaults() {
-	s.storeDown, s.refusedNode, s.lostResponses, s.delayedTransactions, s.delayKey = false, "", 0, 0, ""
+	s.storeDown, s.refusedNode, s.lostResponses, s.transactionsToDelay, s.delayKey = false, "", 0, 0, ""
 }
--- a/internal/core/submission_dependencies.go
+++ b/internal/core/submission_dependencies.go
@@ -12,7 +12,7 @@
 	requests      *userRequests
 	request       SubmitJob
 	pendingReads  int    // reads without a result yet
-	indeterminate bool   // a read could not be answered
+	indeterminate bool   // the result of a read is unknown
 	rejectedID    string // ID of a dependency that does not exist or never ends by itself; empty if there is none
 }
 
@@ -22,14 +22,14 @@
 func (u *userRequests) submitWithDependencies(in SubmitJob) {
 	check := &dependencyCheck{requests: u, request: in}
 	uncached := check.examineCached()
-	if len(uncached) > 0 && len(u.reads) > u.core.operator.MaxPendingRequests {
+	if len(uncached) > 0 && len(u.readQueue) > u.core.operator.MaxPendingRequests {
 		u.respondIndeterminate(in.RequestID) // the queue of reads is full
 		return
 	}
 	check.pendingReads = len(uncached)
 	for _, id := range uncached {
 		read := dependencyRead{check: check, id: id}
-		u.reads = append(u.reads, &lookup{id: id, existenceOnly: true, onResult: read.applyResult})
+		u.readQueue = append(u.readQueue, &lookup{id: id, existenceOnly: true, onResult: read.applyResult})
 	}
 	if check.pendingReads == 0 {
 		check.decide()
@@ -89,7 +89,7 @@
 	}
 }
 
-// decide queues the submission if all of its dependencies were accepted, and else responds to the request.
+// decide queues the submission if all of its dependencies were accepted, and otherwise responds to the request.
 func (d *dependencyCheck) decide() {
 	u := d.requests
 	switch {
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -8,20 +8,20 @@
 
 // times holds the durations that are derived from the settings.
 type times struct {
-	heartbeatInterval  time.Duration // between two heartbeats of a worker
-	checkInterval      time.Duration // between two checks for failures; also the timeout of a call
-	lease              time.Duration // of a worker
-	cancelDeadline     time.Duration // for the tasks of a cancelled job to stop
-	leaderTTL          time.Duration // of the leader's lease
-	listLag            time.Duration // by which the cloud's machine list may lag behind
-	storeProbeInterval time.Duration // between two probes of the key-value store
-	retryPause         time.Duration // before a failed call is retried
-	timerCoalescing    time.Duration // between the times at which deferrable work is done
-	heartbeatTimeout   time.Duration // a machine that has been silent for longer gets no work
-	cycleInterval      time.Duration // between two regular scheduling cycles
-	minCycleGap        time.Duration // between two scheduling cycles that events trigger
-	minCompareGap      time.Duration // between two version comparisons of a node
-	minWatchGap        time.Duration // between two watches of a node
+	heartbeatInterval  time.Duration // time between two heartbeats of a worker
+	checkInterval      time.Duration // time between two checks for failures; also the timeout of a call
+	lease              time.Duration // duration of a worker's lease
+	cancelDeadline     time.Duration // time in which the tasks of a cancelled job must stop
+	leaderTTL          time.Duration // duration of the leader's lease
+	listLag            time.Duration // time by which the cloud's machine list may lag behind
+	storeProbeInterval time.Duration // time between two probes of the key-value store
+	retryPause         time.Duration // time before a failed call is retried
+	timerCoalescing    time.Duration // interval to which the times of deferrable work are rounded up
+	heartbeatTimeout   time.Duration // silence after which a machine is given no tasks
+	cycleInterval      time.Duration // time between two regular scheduling cycles
+	minCycleGap        time.Duration // minimum time between two scheduling cycles that events trigger
+	minComparisonGap   time.Duration // minimum time between two version comparisons of a node
+	minWatchGap        time.Duration // minimum time between two watches of a node
 }
 
 // newTimes derives the durations from the settings.
@@ -46,7 +46,7 @@
 	t.heartbeatTimeout = max(3*t.heartbeatInterval/2, 3*t.checkInterval)
 	// The nodes share the store's request rate. All together use at most half of it for comparisons and two fifths for
 	// watches.
-	t.minCompareGap = config.Seconds(6 * nodes / params.Store.Next.Effective(params.Store).RPS / 3)
+	t.minComparisonGap = config.Seconds(6 * nodes / params.Store.Next.Effective(params.Store).RPS / 3)
 	t.minWatchGap = config.Seconds(5 * nodes / params.Store.Next.Effective(params.Store).RPS / 2)
 	return t
 }
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -39,13 +39,13 @@
 
 // traceNode is a running node of a trace.
 type traceNode struct {
-	name             string
-	oldVersion       bool // runs the version before the second record layout
-	core             *core.Core
-	storeMode        string // fault of its requests to the key-value store, or "serve"
-	heldTransactions []core.StoreTxn
-	watches          []core.StoreWatch
-	watchesOpenedAt  time.Duration
+	name                string
+	oldVersion          bool // runs the version before the second record layout
+	core                *core.Core
+	storeMode           string // fault of its requests to the key-value store, or "serve"
+	delayedTransactions []core.StoreTxn
+	watches             []core.StoreWatch
+	watchesOpenedAt     time.Duration
 }
 
 // settings returns the settings of a node that starts now.
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -96,7 +96,7 @@
 		harness.tb.Fatalf("unknown directive: %v", words)
 	}
 	if words[0] == "state" && harness.argument(words, 2) == "late" {
-		harness.commitHeldTransactions(node)
+		harness.commitDelayed(node)
 		return
 	}
 	handle(harness, node, words)
@@ -200,13 +200,13 @@
 	}
 }
 
-// commitHeldTransactions commits a node's held transactions. Their outcome is unknown to the node.
-func (harness *traceHarness) commitHeldTransactions(node *traceNode) {
-	for _, effect := range node.heldTransactions {
+// commitDelayed commits a node's delayed transactions. Their outcome is unknown to the node.
+func (harness *traceHarness) commitDelayed(node *traceNode) {
+	for _, effect := range node.delayedTransactions {
 		result, got := harness.store.Txn(effect.Txn)
 		harness.show(node, "late transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
 	}
-	node.heldTransactions = nil
+	node.delayedTransactions = nil
 }
 
 // parseNextLimits parses announced limits from words NAME=NUMBER.
