--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -78,7 +78,7 @@
 	return c.IdleStops < d.IdleStops
 }
 
-// AllRanks, passed as the exclusive upper bound of ranks, allows preemption of work of every rank.
+// AllRanks is the exclusive upper bound of ranks that allows preemption of work of every rank.
 const AllRanks = Ranks
 
 // MinCost returns a lower bound of the cost of preemption for a task if work of ranks below belowRank may be stopped.
--- a/internal/core/store_faults_test.go
+++ b/internal/core/store_faults_test.go
@@ -11,8 +11,8 @@
 	refusedNode         string // node whose calls the store refuses; empty: none
 	storeDown           bool   // the store refuses all calls
 	lostResponses       int    // number of next transactions that are committed without a response
-	transactionsToDelay int    // number of next transactions that are held back without a response: see commitHeld
-	delayKey            string // only transactions whose first operation writes this key are held back; empty: all
+	transactionsToDelay int    // number of next transactions that are delayed without a response: see commitDelayed
+	delayKey            string // only transactions whose first operation writes this key are delayed; empty: all
 	delayedTransactions []core.StoreTxn
 }
 
@@ -42,7 +42,7 @@
 	return core.Result{CallID: callID, Outcome: outcome.Unknown}, true
 }
 
-// commitDelayed commits the transactions that were held back.
+// commitDelayed commits the delayed transactions.
 func (s *storeFaults) commitDelayed(store *emulator.Store) {
 	for _, effect := range s.delayedTransactions {
 		store.Txn(effect.Txn)
@@ -50,7 +50,7 @@
 	s.delayedTransactions = nil
 }
 
-// endStoreFaults ends all faults, but does not commit the transactions that are held back.
+// endStoreFaults ends all faults, but does not commit the delayed transactions.
 func (s *storeFaults) endStoreFaults() {
 	s.storeDown, s.refusedNode, s.lostResponses, s.transactionsToDelay, s.delayKey = false, "", 0, 0, ""
 }
