--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -78,7 +78,7 @@
 func (s *Server) Status(ctx context.Context, request *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
 	// The reply acknowledges the cancellations, so it must not be sent unless they were accepted.
 	if cancellations := decodeCancellations(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
-		return nil, status.Error(codes.Unavailable, "cancellations not taken in")
+		return nil, status.Error(codes.Unavailable, "not taken in")
 	}
 	return s.statusReply(s.status()), nil
 }
