--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -1,4 +1,5 @@
-// Package sizing checks whether settings are large enough for a fleet of a given size. It is pure.
+// Package sizing checks whether settings are large enough for a fleet of a given size. It is pure: it reads no
+// files and makes no measurements.
 package sizing
 
 import (
@@ -41,11 +42,11 @@
 	pages := math.Ceil(n / wire.MaxPageMachines)
 	requirements := []Shortfall{
 		{"params.limits.max_connections", float64(p.Limits.MaxConnections), connectionsPerMachine * n,
-			"workers open a new connection for each report"},
+			"workers open a new connection for each heartbeat"},
 		{"params.limits.memory_mb", p.Limits.MemoryMB, math.Ceil(baseMemoryMB + memoryMBPerMachine*n),
 			"the leader spends most of its time on garbage collection, or is killed and replaced by another one"},
 		{"params.limits.core_share", p.Limits.CPUShare, roundUpToHundredth(coresPerMachine * n),
-			"scheduling decisions and responses to reports are delayed"},
+			"scheduling decisions and responses to heartbeats are delayed"},
 		{"params.cloud.rps", p.Cloud.RPS, roundUpToHundredth(pages / (listRateShare * p.Cloud.ListLagS)),
 			"the cloud's machine list is read less often than it changes, and lost machines are detected later"},
 	}
