--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -30,10 +30,10 @@
 	IdleTimeoutBoots float64 `json:"idle_boots"`
 	// BootTimeoutFactor is how long a machine may take to come up before it is returned, in boot times of its type.
 	BootTimeoutFactor float64 `json:"stuck_boots"`
-	// UnreachableLeases is how long a machine may be silent before it is released, in worker leases.
-	UnreachableLeases float64 `json:"silent_leases"`
-	// PartitionLeases is the same for a machine whose whole zone, including its nodes, is partitioned.
-	PartitionLeases float64 `json:"cut_leases"`
+	// UnreachableTimeoutLeases is how long a machine may be silent before it is released, in worker leases.
+	UnreachableTimeoutLeases float64 `json:"silent_leases"`
+	// PartitionTimeoutLeases is the same for a machine whose whole zone, including its nodes, is partitioned.
+	PartitionTimeoutLeases float64 `json:"cut_leases"`
 	// LeaderTTLLeases is the TTL of the leader lease, in worker leases.
 	LeaderTTLLeases float64 `json:"leader_ttl_leases"`
 	// MaxPendingRequests is how many user requests may wait at a node before it responds with status 429.
@@ -76,7 +76,7 @@
 	Enabled             bool    `json:"enabled"`
 	ZoneLossesPerDay    float64 `json:"zone_losses_per_day"`
 	MachineLossesPerDay float64 `json:"machine_losses_per_day"`
-	ReplicaDays         float64 `json:"replica_days"`
+	ReplicaLifetimeDays float64 `json:"replica_days"`
 	// MovesPerHour limits how many replicas are moved to restore the balance between zones. 0 disables moves.
 	MovesPerHour float64 `json:"moves_per_hour"`
 	// PrefetchGBPerHour limits image prefetches. The worker protocol has no prefetch request, so this is only for
@@ -87,23 +87,23 @@
 // DefaultOperatorSettings returns the built-in settings.
 func DefaultOperatorSettings() *OperatorSettings {
 	return &OperatorSettings{
-		CycleIntervalS:     5,
-		EventDrivenCycles:  true,
-		DirectStarts:       true,
-		PaceHeartbeats:     true,
-		CycleBudget:        0.25,
-		SpareShare:         0.1,
-		IdleTimeoutBoots:   1.5,
-		BootTimeoutFactor:  3,
-		UnreachableLeases:  0.8,
-		PartitionLeases:    12,
-		LeaderTTLLeases:    0.2,
-		MaxPendingRequests: 256,
+		CycleIntervalS:           5,
+		EventDrivenCycles:        true,
+		DirectStarts:             true,
+		PaceHeartbeats:           true,
+		CycleBudget:              0.25,
+		SpareShare:               0.1,
+		IdleTimeoutBoots:         1.5,
+		BootTimeoutFactor:        3,
+		UnreachableTimeoutLeases: 0.8,
+		PartitionTimeoutLeases:   12,
+		LeaderTTLLeases:          0.2,
+		MaxPendingRequests:       256,
 		Rollouts: Rollouts{ModelPort: 8000, RouterLeaseS: 15, CheckIntervalS: 2, CheckTimeoutS: 5,
 			MaxPlans: 100, MaxRouters: 100},
 		// Each zone is lost twice a year, and 57 of 8,800 machines are lost each day. A replica is placed again after a
 		// month.
-		Spread: Spread{ZoneLossesPerDay: 2.0 / 365, MachineLossesPerDay: 57.0 / 8800, ReplicaDays: 30, MovesPerHour: 60},
+		Spread: Spread{ZoneLossesPerDay: 2.0 / 365, MachineLossesPerDay: 57.0 / 8800, ReplicaLifetimeDays: 30, MovesPerHour: 60},
 	}
 }
 
--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -248,7 +248,7 @@
 // planArray plans machines for additional tasks of an array. A machine is of no use while it boots, so one is requested
 // only if there is enough work in proportion to its boot time.
 func (p *capacityPlanner) planArray(j *job, tasks int) {
-	if used := p.cycle.usage.Of(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
+	if used := p.cycle.usage.ForTeam(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
 		tasks = min(tasks, int((j.team.MaxGPUs-used.GPUs)/j.spec.GPUs))
 	}
 	for i := 0; tasks > 0 && i < len(p.upcoming); i++ {
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -150,7 +150,7 @@
 		l.enqueue(j) // a rollout plan that is being rolled back holds it, but it was placed earlier
 	}
 	for _, entry := range entries {
-		if l.records.layout.ByTask > 0 && !entry.Key.ByTask {
+		if l.records.layout.TaskLayoutTasks > 0 && !entry.Key.TaskLayout {
 			j.supersede(stored.RunRecordKey(entry.Key), entry.Version)
 		}
 	}
--- a/internal/core/random_fleet_test.go
+++ b/internal/core/random_fleet_test.go
@@ -41,7 +41,7 @@
 	}
 	rates := []float64{0, 0.001, 0.02, 1}
 	c.operator.Spread = config.Spread{Enabled: f.oneIn("spread enabled", 2), ZoneLossesPerDay: rapid.SampledFrom(rates).Draw(t, "zone losses"),
-		MachineLossesPerDay: rapid.SampledFrom(rates).Draw(t, "machine losses"), ReplicaDays: 30}
+		MachineLossesPerDay: rapid.SampledFrom(rates).Draw(t, "machine losses"), ReplicaLifetimeDays: 30}
 	for range rapid.SampledFrom([]int{1, 3, 8, 20, 60}).Draw(t, "machines") {
 		f.addMachine()
 	}
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -44,13 +44,13 @@
 	if layout, known := c.cache.RecordLayout(); known {
 		return layout
 	}
-	return record.Layout{ByIndex: record.IndexLayoutTasks(c.limits.current.ValueKB)}
+	return record.Layout{IndexLayoutTasks: record.IndexLayoutTasks(c.limits.current.ValueKB)}
 }
 
 // mayRun reports whether the run records have to be migrated and all controllers support the second layout.
 func (m *layoutMigration) mayRun() bool {
 	l, c := m.leader, m.leader.core
-	return l.records.layout.ByTask == 0 && c.limits.valueLimitWillDecrease() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
+	return l.records.layout.TaskLayoutTasks == 0 && c.limits.valueLimitWillDecrease() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
 		l.mayCommit()
 }
 
@@ -70,7 +70,7 @@
 		c.wakeBy(m.retryAt)
 		return
 	}
-	next := record.Layout{ByIndex: l.records.layout.ByIndex, ByTask: record.TaskLayoutTasks(c.limits.maxValueBytes())}
+	next := record.Layout{IndexLayoutTasks: l.records.layout.IndexLayoutTasks, TaskLayoutTasks: record.TaskLayoutTasks(c.limits.maxValueBytes())}
 	layout, layoutErr := next.Encode()
 	term, termErr := c.encodeTerm(l.storedTerm(), next)
 	if layoutErr != nil || termErr != nil {
@@ -113,7 +113,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		l.records.migrateChunks(l.jobs[id], old)
 	}
-	c.log(Info, "run record layout migrated", "by_index", next.ByIndex, "by_task", next.ByTask)
+	c.log(Info, "run record layout migrated", "by_index", next.IndexLayoutTasks, "by_task", next.TaskLayoutTasks)
 }
 
 // migrateChunks splits a job's chunks into chunks of the new layout. State that was not yet written in the old layout
@@ -128,12 +128,12 @@
 		}
 		needsWrite := !chunk.persisted() || chunk.rereadInFlight
 		chunk.dirty = false
-		first := index * old.ByIndex
-		for task := first; task < min(first+old.ByIndex, j.spec.Tasks); task++ {
+		first := index * old.IndexLayoutTasks
+		for task := first; task < min(first+old.IndexLayoutTasks, j.spec.Tasks); task++ {
 			newChunk := r.chunkOf(j, task)
 			newChunk.highestAttempt = max(newChunk.highestAttempt, chunk.highestAttempt)
 			if chunk.done.Has(task - first) {
-				newChunk.done.Set(task % r.tasksPerRecord())
+				newChunk.done.Add(task % r.tasksPerRecord())
 			}
 			if needsWrite {
 				r.markDirty(newChunk)
--- a/internal/core/relayed_heartbeats.go
+++ b/internal/core/relayed_heartbeats.go
@@ -54,7 +54,7 @@
 // format.
 func (r *leaseRelay) packer() stored.RelayedHeartbeatPacker {
 	c := r.core
-	if c.layout().ByTask > 0 {
+	if c.layout().TaskLayoutTasks > 0 {
 		return stored.RelayedHeartbeatPacker{MaxBytes: c.usableValueBytes(), Compressed: true}
 	}
 	return stored.RelayedHeartbeatPacker{MaxBytes: stored.UsableValueBytes(c.limits.maxAcceptedValueBytes())}
--- a/internal/core/replica_placement.go
+++ b/internal/core/replica_placement.go
@@ -90,7 +90,7 @@
 	return topologyspread.FailureRates{
 		ZoneLossesPerDay:    spread.ZoneLossesPerDay,
 		MachineLossesPerDay: spread.MachineLossesPerDay,
-		ReplicaLifetimeDays: spread.ReplicaDays,
+		ReplicaLifetimeDays: spread.ReplicaLifetimeDays,
 	}
 }
 
--- a/internal/core/rollout_bench_test.go
+++ b/internal/core/rollout_bench_test.go
@@ -60,7 +60,7 @@
 	plan := &rollout.Plan{Name: fmt.Sprint("plan-", i), Team: "t1", PromisedCapacity: 30,
 		Old: rollout.VersionSpec{Jobs: []string{id(1), id(2)}, ReplicaCapacity: 10}, New: rollout.VersionSpec{Jobs: []string{id(3), id(4)}, ReplicaCapacity: 10},
 		Steps:  []rollout.Step{{Jobs: []string{id(3)}, Share: 0.5, BakeS: 1e5}, {Jobs: []string{id(4)}, Share: 1}},
-		Limits: rollout.Limits{WaitS: 1000, UnreachableS: 1000, RouterGoneS: 20, KeepS: 30}}
+		Limits: rollout.Limits{WaitTimeoutS: 1000, ValidationTimeoutS: 1000, RouterGoneS: 20, RetentionS: 30}}
 	for _, job := range plan.Old.Jobs {
 		world.submitReplica(job)
 	}
--- a/internal/core/rollout_faults_test.go
+++ b/internal/core/rollout_faults_test.go
@@ -58,7 +58,7 @@
 			}
 			world.restartLeaderIfAny()
 			world.detectionTime += 4 * time.Second // without a leader routers keep their routing until the lease expires
-			world.checkRolledBack(rollout.WrongAnswer)
+			world.checkRolledBack(rollout.CheckFailed)
 		})
 	}
 }
@@ -106,7 +106,7 @@
 		world.advance(12 * time.Second)
 		world.storeDown, world.refusedNode = false, ""
 		if wrong {
-			world.checkRolledBack(rollout.WrongAnswer)
+			world.checkRolledBack(rollout.CheckFailed)
 		} else {
 			world.waitForPhase(rollout.Completed)
 		}
@@ -139,7 +139,7 @@
 	world.waitForPhase(rollout.Baking)
 	world.routers[0].isolated = true
 	world.setWrongAnswers(func(task string) bool { return task > "run-000010" })
-	world.checkRolledBack(rollout.WrongAnswer)
+	world.checkRolledBack(rollout.CheckFailed)
 }
 
 // TestRandomRolloutFaults injects random sequences of faults. The guarantees of the rollout hold throughout, and the
@@ -263,7 +263,7 @@
 	world.advance(100 * time.Millisecond)
 	world.setWrongAnswers(func(task string) bool { return task == "run-000011/1" })
 	world.unreachable = func(task string) bool { return task == "run-000012/0" }
-	world.checkRolledBack(rollout.WrongAnswer)
+	world.checkRolledBack(rollout.CheckFailed)
 }
 
 // TestRemovedRouterReturns delays the write that removes a gone router from the plan's record until the router has
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -145,7 +145,7 @@
 	if available := plan.Old.ReplicaCapacity * float64(replicas); plan.PromisedCapacity > available {
 		return &rollout.FieldError{Field: "/promised_capacity", Problem: fmt.Sprintf("is more than the old version's capacity of %g", available)}
 	}
-	used := usage.Of(plan.Team)
+	used := usage.ForTeam(plan.Team)
 	if scheduling.ExceedsLimit(used.CPUs, team.MaxCPUs) || scheduling.ExceedsLimit(used.GPUs, team.MaxGPUs) {
 		return &rollout.FieldError{Field: "/new/jobs",
 			Problem: fmt.Sprintf("with the old jobs they take %g CPUs and %g GPUs, beyond the team's limit", used.CPUs, used.GPUs)}
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -94,7 +94,7 @@
 				probeCount++
 				return test.wrong(task, probeCount)
 			})
-			world.checkRolledBack(rollout.WrongAnswer)
+			world.checkRolledBack(rollout.CheckFailed)
 		})
 	}
 }
@@ -137,7 +137,7 @@
 // affecting the old version, and the plan is rolled back after wait_s.
 func TestInsufficientTeamLimit(t *testing.T) {
 	world := newRolloutWorld(t)
-	world.plan.Limits.WaitS = 30
+	world.plan.Limits.WaitTimeoutS = 30
 	world.apply()
 	world.limitTeam(9)
 	world.submitNew()
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -79,7 +79,7 @@
 	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.VersionSpec{ReplicaCapacity: 10}, New: rollout.VersionSpec{ReplicaCapacity: 10}, PromisedCapacity: 30,
 		Checks: []rollout.Check{{Name: "sum", Request: json.RawMessage(`{}`), Expected: json.RawMessage(`1`), Script: "-"},
 			{Name: "as before", Request: json.RawMessage(`{}`), CompareWithOld: true, Script: "-"}},
-		Limits: rollout.Limits{WaitS: 60, UnreachableS: 20, RouterGoneS: 20, KeepS: 30}}
+		Limits: rollout.Limits{WaitTimeoutS: 60, ValidationTimeoutS: 20, RouterGoneS: 20, RetentionS: 30}}
 	for i := range oldJobs {
 		world.plan.Old.Jobs = append(world.plan.Old.Jobs, oldJob(i))
 		world.submitReplica(oldJob(i))
--- a/internal/core/run_records.go
+++ b/internal/core/run_records.go
@@ -64,7 +64,7 @@
 		return
 	}
 	chunk := r.chunkOf(j, task)
-	chunk.done.Set(task % r.tasksPerRecord())
+	chunk.done.Add(task % r.tasksPerRecord())
 	j.done++
 	r.markDirty(chunk)
 }
@@ -141,7 +141,7 @@
 
 // maxBytes returns the largest size of a record in bytes.
 func (r *runRecords) maxBytes() int {
-	if r.layout.ByTask > 0 {
+	if r.layout.TaskLayoutTasks > 0 {
 		return r.limits.maxValueBytes()
 	}
 	return r.limits.maxAcceptedValueBytes()
@@ -150,7 +150,7 @@
 // isFull reports whether the record of a task should take no further placements, because the store's value size limit
 // was lowered before the layout could be migrated.
 func (r *runRecords) isFull(j *job, task int) bool {
-	if r.layout.ByTask > 0 || !r.limits.nextValueLimitInEffect {
+	if r.layout.TaskLayoutTasks > 0 || !r.limits.nextValueLimitInEffect {
 		return false
 	}
 	chunk := j.chunks[task/r.tasksPerRecord()]
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -226,7 +226,7 @@
 		}
 		status := peer.core.PeerStatus()
 		if peer.oldVersion {
-			status.RecordLayouts = 0
+			status.MaxRecordLayout = 0
 		}
 		return core.Result{Outcome: outcome.OK, Peer: status}, true
 	})
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -16,7 +16,7 @@
 
 // spreadSettings are settings with which the expected loss of a zone outweighs the load of the tests' images, and the
 // loss of a machine does not.
-var spreadSettings = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaDays: 30, MovesPerHour: 1200}
+var spreadSettings = config.Spread{Enabled: true, ZoneLossesPerDay: 0.1, MachineLossesPerDay: 0.001, ReplicaLifetimeDays: 30, MovesPerHour: 1200}
 
 // newSpreadWorld returns a cluster with the given number of machines in each zone. The first two zones have controller
 // nodes.
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -53,7 +53,7 @@
 // PeerStatus returns the status that this controller reports to its peers.
 func (c *Core) PeerStatus() membership.Status {
 	s := membership.Status{StoreDown: c.storeHealth.down || !c.cache.Ready(), Term: c.cache.Term().Number, HeartbeatAge: -1,
-		Revision: c.readRevision(), RecordLayouts: recordLayoutByTask, SupportsRollouts: true}
+		Revision: c.readRevision(), MaxRecordLayout: recordLayoutByTask, SupportsRollouts: true}
 	if c.leader != nil {
 		s.Leading = true
 		s.UnreachableZones = c.leader.liveness.unreachableZones
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -213,7 +213,7 @@
 	}
 	status := peer.core.PeerStatus()
 	if peer.oldVersion {
-		status.RecordLayouts = 0
+		status.MaxRecordLayout = 0
 	}
 	return core.Result{CallID: effect.CallID, Outcome: outcome.OK, Peer: status}
 }
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -111,7 +111,7 @@
 
 // unreachableTimeout returns for how long a machine may be silent for an unknown reason.
 func (lm *livenessMonitor) unreachableTimeout() time.Duration {
-	return time.Duration(float64(lm.core.times.lease) * lm.core.operator.UnreachableLeases)
+	return time.Duration(float64(lm.core.times.lease) * lm.core.operator.UnreachableTimeoutLeases)
 }
 
 // allowedSilence returns for how long a machine may be silent, which depends on its own state and that of its zone.
@@ -124,7 +124,7 @@
 	switch {
 	case isolated:
 		// The zone's own controllers renew the leases of its workers. Dead machines are detected by the cloud's list.
-		return time.Duration(float64(lease) * lm.core.operator.PartitionLeases)
+		return time.Duration(float64(lease) * lm.core.operator.PartitionTimeoutLeases)
 	case mostlySilent, unreachableZone, !m.reported && !unresponsive:
 		// Either a large part of the zone is silent, or this node can't reach it while others renew its leases. All of
 		// the zone's workers may then be looking for a node that renews their leases, including the last few that are
--- a/internal/fleetsim/rolling/config.go
+++ b/internal/fleetsim/rolling/config.go
@@ -109,7 +109,7 @@
 		Checks: []rollout.Check{
 			{Name: "given", Request: json.RawMessage(`{"model":"m","prompt":"border post"}`), Expected: json.RawMessage(`"BORDER POST"`), Script: givenScript},
 			{Name: "as before", Request: json.RawMessage(`{"model":"m","prompt":"goods code"}`), CompareWithOld: true, Script: compareScript}},
-		Limits: rollout.Limits{WaitS: 120, UnreachableS: 60, RouterGoneS: 30, KeepS: 3600}}
+		Limits: rollout.Limits{WaitTimeoutS: 120, ValidationTimeoutS: 60, RouterGoneS: 30, RetentionS: 3600}}
 	if m.Mode == AtOnce {
 		plan.Steps = []rollout.Step{{Jobs: plan.New.Jobs, Share: 1, BakeS: m.BakeS}}
 		return json.Marshal(plan)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -23,29 +23,29 @@
 // New returns a client that sends at most perSecond requests per second over at most maxConns connections. A response may
 // have up to maxResponseBytes bytes, and at least two full pages. This limit is needed because the store does not limit
 // the size of a watch response.
-func New(addr string, perSecond float64, maxConns int, maxResponseBytes int64) *Client {
-	return &Client{httpclient.New(addr, perSecond, maxConns, max(2*maxPageBytes, maxResponseBytes))}
+func New(addr string, requestsPerSecond float64, maxConnections int, maxResponseBytes int64) *Client {
+	return &Client{httpclient.New(addr, requestsPerSecond, maxConnections, max(2*maxPageBytes, maxResponseBytes))}
 }
 
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (wire.Item, outcome.Outcome) {
 	var item wire.Item
-	o := c.http.Do(ctx, "GET", "/kv/"+key, nil, &item)
-	if o == outcome.OK && item.Version == 0 {
-		o = outcome.Unknown
+	result := c.http.Do(ctx, "GET", "/kv/"+key, nil, &item)
+	if result == outcome.OK && item.Version == 0 {
+		result = outcome.Unknown
 	}
-	return item, o
+	return item, result
 }
 
 // List reads a page of up to limit keys with a prefix, starting after the given key.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (wire.Page, outcome.Outcome) {
-	q := url.Values{"under": {prefix}, "limit": {strconv.Itoa(limit)}}
+	query := url.Values{"under": {prefix}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
 	}
 	var page wire.Page
-	o := c.http.Do(ctx, "GET", "/kv?"+q.Encode(), nil, &page)
-	return page, o
+	result := c.http.Do(ctx, "GET", "/kv?"+query.Encode(), nil, &page)
+	return page, result
 }
 
 // Txn runs a transaction: if all conditions hold, all changes are applied, otherwise none.
@@ -54,21 +54,21 @@
 		txn.If = []wire.Condition{}
 	}
 	var response wire.TxnResponse
-	o := c.http.Do(ctx, "POST", "/txn", txn, &response)
-	if o == outcome.OK && response.Revision == 0 && len(txn.Then) > 0 {
-		o = outcome.Unknown
+	result := c.http.Do(ctx, "POST", "/txn", txn, &response)
+	if result == outcome.OK && response.Revision == 0 && len(txn.Then) > 0 {
+		result = outcome.Unknown
 	}
-	return response, o
+	return response, result
 }
 
 // GrantLease requests a lease with the given time to live.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, outcome.Outcome) {
 	var response wire.LeaseResponse
-	o := c.http.Do(ctx, "POST", "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &response)
-	if o == outcome.OK && response.Lease == 0 {
-		o = outcome.Unknown
+	result := c.http.Do(ctx, "POST", "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &response)
+	if result == outcome.OK && response.Lease == 0 {
+		result = outcome.Unknown
 	}
-	return response.Lease, o
+	return response.Lease, result
 }
 
 // RenewLease extends a lease by its full time to live.
@@ -84,9 +84,9 @@
 // Watch returns the changes of keys with a prefix since a revision. If there are none it blocks until there are, for at
 // most the given wait.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, outcome.Outcome) {
-	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
+	query := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"block_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var changes wire.WatchResponse
-	o := c.http.Do(ctx, "GET", "/changes?"+q.Encode(), nil, &changes)
-	return changes, o
+	result := c.http.Do(ctx, "GET", "/changes?"+query.Encode(), nil, &changes)
+	return changes, result
 }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -61,10 +61,10 @@
 func TestProgressOfPeerOnlyGrows(t *testing.T) {
 	m := newTestMembers()
 	p := m.Peer("a")
-	answerQuery(p, Status{Revision: 7, RecordLayouts: 2, SupportsRollouts: true})
+	answerQuery(p, Status{Revision: 7, MaxRecordLayout: 2, SupportsRollouts: true})
 	answerQuery(p, Status{}) // the peer restarted and has not read the store yet
-	if p.Revision() != 7 || p.recordLayouts != 2 || !p.supportsRollouts {
-		t.Errorf("revision %d, layouts %d, rollouts %v; want 7, 2, true", p.Revision(), p.recordLayouts, p.supportsRollouts)
+	if p.Revision() != 7 || p.maxRecordLayout != 2 || !p.supportsRollouts {
+		t.Errorf("revision %d, layouts %d, rollouts %v; want 7, 2, true", p.Revision(), p.maxRecordLayout, p.supportsRollouts)
 	}
 }
 
@@ -207,7 +207,7 @@
 		if m.AllSupportRollouts() || m.AllSupportRecordLayout(2) {
 			t.Errorf("supported by all peers although %s has not reported its version's support", p.Name())
 		}
-		answerQuery(p, Status{RecordLayouts: 2, SupportsRollouts: true})
+		answerQuery(p, Status{MaxRecordLayout: 2, SupportsRollouts: true})
 	}
 	if !m.AllSupportRollouts() || !m.AllSupportRecordLayout(2) || m.AllSupportRecordLayout(3) {
 		t.Error("not supported although all peers reported rollouts and layout 2, or layout 3 supported")
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -25,7 +25,7 @@
 
 	// The progress and the version support that a peer has once reported remain valid, so these values only grow.
 	revision         uint64
-	recordLayouts    uint32
+	maxRecordLayout  uint32
 	supportsRollouts bool
 }
 
@@ -78,7 +78,7 @@
 	p.status = status
 	p.unresolved = toSet(status.UnresolvedCancellations)
 	p.revision = max(p.revision, status.Revision)
-	p.recordLayouts = max(p.recordLayouts, status.RecordLayouts)
+	p.maxRecordLayout = max(p.maxRecordLayout, status.MaxRecordLayout)
 	p.supportsRollouts = p.supportsRollouts || status.SupportsRollouts
 }
 
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -22,9 +22,9 @@
 	MoreUnresolved bool
 	// Revision is the revision up to which the controller has read all changes of jobs; 0 if it has not read them yet.
 	Revision uint64
-	// RecordLayouts is the newest layout of run records that the controller's version can read. It is 0 for version 1,
+	// MaxRecordLayout is the newest layout of run records that the controller's version can read. It is 0 for version 1,
 	// which does not report it.
-	RecordLayouts uint32
+	MaxRecordLayout uint32
 	// SupportsRollouts is set if the controller's version implements rollout plans.
 	SupportsRollouts bool
 }
--- a/internal/membership/version_support.go
+++ b/internal/membership/version_support.go
@@ -4,7 +4,7 @@
 // records.
 func (m *Members) AllSupportRecordLayout(layout uint32) bool {
 	for _, p := range m.peers {
-		if p.recordLayouts < layout {
+		if p.maxRecordLayout < layout {
 			return false
 		}
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -25,11 +25,11 @@
 }
 
 const (
-	// connectionsPerStoreConnection, connectionsPerWorkerConnection and connectionsPerProbeConnection are the divisors
+	// storeConnectionDivisor, workerConnectionDivisor and probeConnectionDivisor are the divisors
 	// that give each client its share of the connections that a node may hold.
-	connectionsPerStoreConnection  = 40
-	connectionsPerWorkerConnection = 12
-	connectionsPerProbeConnection  = 40
+	storeConnectionDivisor  = 40
+	workerConnectionDivisor = 12
+	probeConnectionDivisor  = 40
 	// minClientConnections is how many connections each of these clients may hold at least.
 	minClientConnections = 4
 	// cloudConnections is how many connections the cloud client may hold. A node makes few calls to the cloud.
@@ -53,15 +53,15 @@
 	nodes := float64(len(settings.Peers) + 1)
 	storeRate := params.Store.Next.Effective(params.Store).RPS * math.Min(1, storeRateShares/nodes)
 	c := &clients{
-		store: kvstore.New(settings.Services.Store, storeRate, max(minClientConnections, connections/connectionsPerStoreConnection),
+		store: kvstore.New(settings.Services.Store, storeRate, max(minClientConnections, connections/storeConnectionDivisor),
 			int64(params.Limits.MemoryMB*bytesPerMB*storeMemoryShare)),
 		cloud: cloud.New(settings.Services.Cloud, params.Cloud.RPS, cloudConnections),
 		// One connection per worker; the core bounds how many are in use at once. The node's connection limit grows
 		// with the number of workers, so it also serves as the limit of calls per second.
-		workers: httpclient.NewMultiHost(float64(connections), 1, max(minClientConnections, connections/connectionsPerWorkerConnection), maxWorkerResponseBytes),
+		workers: httpclient.NewMultiHost(float64(connections), 1, max(minClientConnections, connections/workerConnectionDivisor), maxWorkerResponseBytes),
 		peers:   map[string]*peer.Client{},
 		regions: map[string][]*peer.Client{},
-		prober:  probe.New(max(minClientConnections, connections/connectionsPerProbeConnection)),
+		prober:  probe.New(max(minClientConnections, connections/probeConnectionDivisor)),
 		// A tenth of the workers' lease. Calls must end well before their results are needed: workers wait at most four
 		// seconds for a response, users two seconds for the response to a poll, and a leader's lease lasts twice this
 		// timeout by default.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,9 +14,9 @@
 const scrapeTimeout = 5 * time.Second
 
 const (
-	// connectionsPerScraperConnection is the divisor that gives scrapers their share of the connections that a node may
+	// scraperConnectionDivisor is the divisor that gives scrapers their share of the connections that a node may
 	// hold.
-	connectionsPerScraperConnection = 100
+	scraperConnectionDivisor = 100
 	// minScraperConnections is how many connections scrapers have at least.
 	minScraperConnections = 2
 )
@@ -51,7 +51,7 @@
 		return
 	}
 	metricsServer := metrics.NewServer(n.metrics, metrics.Options{
-		MaxConnections: max(minScraperConnections, n.settings.Params.Limits.MaxConnections/connectionsPerScraperConnection),
+		MaxConnections: max(minScraperConnections, n.settings.Params.Limits.MaxConnections/scraperConnectionDivisor),
 		RequestTimeout: scrapeTimeout,
 		Profiles:       metricsSettings.Pprof,
 	}, n.log)
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -119,7 +119,7 @@
 	var requests atomic.Int64
 	cluster.modelServer.SetWrongResponses(func(task string, _ int64) bool { return task > "run-000010" && requests.Add(1)%3 == 0 })
 	cluster.eventually("the plan is rolled back", func() bool { return planStatus(client).GetPhase() == string(rollout.RolledBack) })
-	if status := planStatus(client); status.GetReason() != string(rollout.WrongAnswer) {
+	if status := planStatus(client); status.GetReason() != string(rollout.CheckFailed) {
 		t.Errorf("reason of the rollback: %s", status.GetReason())
 	}
 	for i := range 20 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -35,10 +35,10 @@
 
 // Reconnection backoff of a client.
 const (
-	// baseDelaysPerCallTimeout determines the first delay as a fraction of the call timeout.
-	baseDelaysPerCallTimeout = 4
-	backoffMultiplier        = 1.5
-	backoffJitter            = 0.2
+	// baseDelayDivisor determines the first delay as a fraction of the call timeout.
+	baseDelayDivisor  = 4
+	backoffMultiplier = 1.5
+	backoffJitter     = 0.2
 )
 
 // noHeartbeatAge is the heartbeat age that is sent if no heartbeat has been received.
@@ -99,7 +99,7 @@
 		Revision:      current.Revision,
 		Unsettled:     current.UnresolvedCancellations,
 		UnsettledMore: current.MoreUnresolved,
-		Layouts:       current.RecordLayouts,
+		Layouts:       current.MaxRecordLayout,
 		KnowsPlans:    current.SupportsRollouts,
 	}
 }
@@ -136,7 +136,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  callTimeout / baseDelaysPerCallTimeout,
+				BaseDelay:  callTimeout / baseDelayDivisor,
 				Multiplier: backoffMultiplier,
 				Jitter:     backoffJitter,
 				MaxDelay:   callTimeout,
@@ -170,7 +170,7 @@
 		Revision:                reply.GetRevision(),
 		UnresolvedCancellations: reply.GetUnsettled(),
 		MoreUnresolved:          reply.GetUnsettledMore(),
-		RecordLayouts:           reply.GetLayouts(),
+		MaxRecordLayout:         reply.GetLayouts(),
 		SupportsRollouts:        reply.GetKnowsPlans(),
 	}
 	if reply.GetReportAgeMs() >= 0 {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -110,8 +110,8 @@
 
 // portion returns a fraction of a share, rounded down.
 func (s Share) portion(fraction float64) Share {
-	part := func(x int64) int64 { return int64(float64(x)*fraction + roundingError) }
-	return Share{Limit: Amount{part(s.Limit.GPUs), part(s.Limit.CPUs)}, Guarantee: Amount{part(s.Guarantee.GPUs), part(s.Guarantee.CPUs)}}
+	portionOf := func(x int64) int64 { return int64(float64(x)*fraction + roundingError) }
+	return Share{Limit: Amount{portionOf(s.Limit.GPUs), portionOf(s.Limit.CPUs)}, Guarantee: Amount{portionOf(s.Guarantee.GPUs), portionOf(s.Guarantee.CPUs)}}
 }
 
 // clone returns a deep copy of the account.
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -60,7 +60,7 @@
 // scaled converts an amount that is a part of from to the same fraction of to, rounded down or up. An amount larger
 // than from counts as all of it. Where from is 0 the amount stays as it is.
 func (a Amount) scaled(from, to Amount, up bool) Amount {
-	part := func(x, from, to int64) int64 {
+	convert := func(x, from, to int64) int64 {
 		if from == 0 || from == to {
 			return x
 		}
@@ -71,7 +71,7 @@
 		}
 		return int64(quotient)
 	}
-	return Amount{part(a.GPUs, from.GPUs, to.GPUs), part(a.CPUs, from.CPUs, to.CPUs)}
+	return Amount{convert(a.GPUs, from.GPUs, to.GPUs), convert(a.CPUs, from.CPUs, to.CPUs)}
 }
 
 // Share is a share of a team's limit and of its guarantee.
--- a/internal/record/bits.go
+++ b/internal/record/bits.go
@@ -17,8 +17,8 @@
 // Has reports whether i is in the set.
 func (b Bits) Has(i int) bool { return i/wordBits < len(b) && b[i/wordBits]&(1<<(i%wordBits)) != 0 }
 
-// Set adds i to the set.
-func (b Bits) Set(i int) { b[i/wordBits] |= 1 << (i % wordBits) }
+// Add adds i to the set.
+func (b Bits) Add(i int) { b[i/wordBits] |= 1 << (i % wordBits) }
 
 // Count returns the size of the set.
 func (b Bits) Count() int {
@@ -69,7 +69,7 @@
 			continue
 		}
 		for i := max(0, first); i <= last && i < len(b)*wordBits; i++ {
-			b.Set(i)
+			b.Add(i)
 		}
 	}
 }
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -7,8 +7,8 @@
 
 // Layout determines how many tasks a record holds, for each of the two layouts.
 type Layout struct {
-	ByIndex int `json:"by_index"`          // tasks in a record of the first layout
-	ByTask  int `json:"by_task,omitempty"` // tasks in a record of the second layout; 0 while the first is in use
+	IndexLayoutTasks int `json:"by_index"`          // tasks in a record of the first layout
+	TaskLayoutTasks  int `json:"by_task,omitempty"` // tasks in a record of the second layout; 0 while the first is in use
 }
 
 // minTasks is the minimum number of tasks in a record.
@@ -30,16 +30,16 @@
 
 // TasksPerRecord returns the number of tasks in a new record.
 func (l Layout) TasksPerRecord() int {
-	if l.ByTask > 0 {
-		return l.ByTask
+	if l.TaskLayoutTasks > 0 {
+		return l.TaskLayoutTasks
 	}
-	return l.ByIndex
+	return l.IndexLayoutTasks
 }
 
 // Key returns the key of the record with the given index, whose first task is index*TasksPerRecord().
 func (l Layout) Key(job string, index int) Key {
-	if l.ByTask > 0 {
-		return Key{Job: job, ByTask: true, Ordinal: index * l.ByTask}
+	if l.TaskLayoutTasks > 0 {
+		return Key{Job: job, TaskLayout: true, Ordinal: index * l.TaskLayoutTasks}
 	}
 	return Key{Job: job, Ordinal: index}
 }
@@ -53,55 +53,55 @@
 
 // TasksIn returns the number of tasks in the record with the given key.
 func (l Layout) TasksIn(k Key) int {
-	if k.ByTask {
-		return l.ByTask
+	if k.TaskLayout {
+		return l.TaskLayoutTasks
 	}
-	return l.ByIndex
+	return l.IndexLayoutTasks
 }
 
-// Part is what is known about the tasks of one record of the current layout. Version is the version of the record's
+// AssembledRecord is what is known about the tasks of one record of the current layout. Version is the version of the record's
 // key. It is 0 if the record has not been written yet and all information comes from records of the first layout.
-type Part struct {
+type AssembledRecord struct {
 	Record
 	Version uint64
 }
 
 // Assemble merges all records of a job into parts, keyed by index.
-func (l Layout) Assemble(entries []Entry) map[int]Part {
-	parts := map[int]Part{}
+func (l Layout) Assemble(entries []Entry) map[int]AssembledRecord {
+	assembled := map[int]AssembledRecord{}
 	for _, entry := range entries {
-		if !entry.Key.ByTask && l.ByTask > 0 {
-			l.split(entry, parts)
+		if !entry.Key.TaskLayout && l.TaskLayoutTasks > 0 {
+			l.split(entry, assembled)
 		}
 	}
 	for _, entry := range entries {
 		switch {
-		case entry.Key.ByTask && l.ByTask > 0:
-			parts[entry.Key.Ordinal/l.ByTask] = Part{Record: entry.Record, Version: entry.Version}
-		case !entry.Key.ByTask && l.ByTask == 0:
-			parts[entry.Key.Ordinal] = Part{Record: entry.Record, Version: entry.Version}
+		case entry.Key.TaskLayout && l.TaskLayoutTasks > 0:
+			assembled[entry.Key.Ordinal/l.TaskLayoutTasks] = AssembledRecord{Record: entry.Record, Version: entry.Version}
+		case !entry.Key.TaskLayout && l.TaskLayoutTasks == 0:
+			assembled[entry.Key.Ordinal] = AssembledRecord{Record: entry.Record, Version: entry.Version}
 		}
 	}
-	return parts
+	return assembled
 }
 
 // split distributes a record of the first layout over parts of the second. Its highest attempt applies to each of them.
-func (l Layout) split(entry Entry, parts map[int]Part) {
-	first := entry.Key.Ordinal * l.ByIndex
-	for task := first; task < first+l.ByIndex; task++ {
-		index := task / l.ByTask
-		part, known := parts[index]
+func (l Layout) split(entry Entry, assembled map[int]AssembledRecord) {
+	first := entry.Key.Ordinal * l.IndexLayoutTasks
+	for task := first; task < first+l.IndexLayoutTasks; task++ {
+		index := task / l.TaskLayoutTasks
+		target, known := assembled[index]
 		if !known {
-			part.Record = Record{Done: NewBits(l.ByTask), Placed: map[int]Run{}}
+			target.Record = Record{Done: NewBits(l.TaskLayoutTasks), Placed: map[int]Run{}}
 		}
-		part.HighestAttempt = max(part.HighestAttempt, entry.Record.HighestAttempt)
+		target.HighestAttempt = max(target.HighestAttempt, entry.Record.HighestAttempt)
 		if entry.Record.Done.Has(task - first) {
-			part.Done.Set(task - index*l.ByTask)
+			target.Done.Add(task - index*l.TaskLayoutTasks)
 		}
 		if run, placed := entry.Record.Placed[task]; placed {
-			part.Placed[task] = run
+			target.Placed[task] = run
 		}
-		parts[index] = part
+		assembled[index] = target
 	}
 }
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -83,9 +83,9 @@
 // Key identifies a record by its job and an ordinal: the index of the record in the first layout, its first task in the
 // second.
 type Key struct {
-	Job     string
-	ByTask  bool
-	Ordinal int
+	Job        string
+	TaskLayout bool
+	Ordinal    int
 }
 
 // taskKeyPrefix precedes the task number in keys of the second layout, so that version 1 does not parse it as an index.
@@ -94,7 +94,7 @@
 // String returns the stored form of the key, without the prefix of run record keys.
 func (k Key) String() string {
 	prefix := ""
-	if k.ByTask {
+	if k.TaskLayout {
 		prefix = taskKeyPrefix
 	}
 	return k.Job + "/" + prefix + strconv.Itoa(k.Ordinal)
@@ -103,10 +103,10 @@
 // ParseKey parses the output of Key.String. It returns false if the key is malformed.
 func ParseKey(key string) (Key, bool) {
 	job, number, found := strings.Cut(key, "/")
-	number, byTask := strings.CutPrefix(number, taskKeyPrefix)
+	number, taskLayout := strings.CutPrefix(number, taskKeyPrefix)
 	ordinal, err := strconv.Atoi(number)
 	if !found || err != nil || ordinal < 0 {
 		return Key{}, false
 	}
-	return Key{Job: job, ByTask: byTask, Ordinal: ordinal}, true
+	return Key{Job: job, TaskLayout: taskLayout, Ordinal: ordinal}, true
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -45,7 +45,7 @@
 // TestSplit distributes a record of the first layout over parts of the second. A record of the second layout overrides
 // its part.
 func TestSplit(t *testing.T) {
-	layout := Layout{ByIndex: 128, ByTask: 16}
+	layout := Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 16}
 	key, _ := ParseKey(version1Key)
 	old, err := Decode(json.RawMessage(version1Value), layout.TasksIn(key))
 	if err != nil {
@@ -60,7 +60,7 @@
 		t.Fatalf("key parsed as %+v", parsed)
 	}
 	newer := Record{HighestAttempt: 9, Done: NewBits(16), Placed: map[int]Run{251: {9, "host-000008", 1}}}
-	newer.Done.Set(10) // task 250
+	newer.Done.Add(10) // task 250
 	parts := layout.Assemble([]Entry{{newKey, 31, newer}, {key, 12, old}})
 
 	if len(parts) != 8 {
@@ -81,7 +81,7 @@
 
 // TestSplitUneven checks a record size of the first layout that is not a multiple of the size of the second.
 func TestSplitUneven(t *testing.T) {
-	layout := Layout{ByIndex: 8, ByTask: 5}
+	layout := Layout{IndexLayoutTasks: 8, TaskLayoutTasks: 5}
 	record := func(highestAttempt uint64, done string) Record {
 		r := Record{HighestAttempt: highestAttempt, Done: NewBits(8), Placed: map[int]Run{}}
 		r.Done.addRanges(done)
@@ -104,7 +104,7 @@
 // TestFirstLayout checks that while only the first layout is in use, records are returned unchanged, whatever the
 // settings are now.
 func TestFirstLayout(t *testing.T) {
-	layout := Layout{ByIndex: IndexLayoutTasks(16)}
+	layout := Layout{IndexLayoutTasks: IndexLayoutTasks(16)}
 	if layout.TasksPerRecord() != 128 || layout.Key("j", 2).String() != "j/2" || IndexLayoutTasks(0.5) != 8 {
 		t.Errorf("unexpected record size or key of layout %+v", layout)
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -57,10 +57,10 @@
 
 // Limits are the timeouts of a plan, in seconds.
 type Limits struct {
-	WaitS        float64 `json:"wait_s"`        // for phases that wait for jobs, machines, capacity or routers
-	UnreachableS float64 `json:"unreachable_s"` // for the phase in which replicas are validated
-	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that sends no requests is considered gone
-	KeepS        float64 `json:"keep_s"`        // for which the record is kept after the plan has ended
+	WaitTimeoutS       float64 `json:"wait_s"`        // for phases that wait for jobs, machines, capacity or routers
+	ValidationTimeoutS float64 `json:"unreachable_s"` // for the phase in which replicas are validated
+	RouterGoneS        float64 `json:"router_gone_s"` // after which a router that sends no requests is considered gone
+	RetentionS         float64 `json:"keep_s"`        // for which the record is kept after the plan has ended
 }
 
 //go:embed plan.schema.json
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -30,7 +30,7 @@
 
 // The reasons for a rollback.
 const (
-	WrongAnswer  Reason = "wrong_answer"
+	CheckFailed  Reason = "wrong_answer"
 	Unreachable  Reason = "unreachable"
 	TimedOut     Reason = "waited_out"
 	NewCancelled Reason = "new_job_cancelled"
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -134,11 +134,11 @@
 		want   Phase // "": no transition
 		reason Reason
 	}{
-		{"wrong answer while checking", Checking, 0, func(o *Observation) { o.FailedCheck = "run-000011/0, check sum" }, RollingBack, WrongAnswer},
-		{"wrong answer while baking", Baking, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
-		{"wrong answer while completing", Completing, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, WrongAnswer},
+		{"wrong answer while checking", Checking, 0, func(o *Observation) { o.FailedCheck = "run-000011/0, check sum" }, RollingBack, CheckFailed},
+		{"wrong answer while baking", Baking, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, CheckFailed},
+		{"wrong answer while completing", Completing, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, RollingBack, CheckFailed},
 		{"wrong answer while retiring", Retiring, 1, func(o *Observation) { o.FailedCheck = "run-000011/1, check sum" }, "", ""},
-		{"wrong answer, leader not reconciled", Baking, 1, func(o *Observation) { o.Reconciled, o.FailedCheck = false, "run-000011/1, check sum" }, RollingBack, WrongAnswer},
+		{"wrong answer, leader not reconciled", Baking, 1, func(o *Observation) { o.Reconciled, o.FailedCheck = false, "run-000011/1, check sum" }, RollingBack, CheckFailed},
 		{"not validated while baking", Baking, 0, func(o *Observation) {
 			o.Jobs["run-000011"] = Job{Accepted: true, Replicas: 2, Running: 2, Validated: 1}
 		}, Checking, ""},
--- a/internal/rollout/transition.go
+++ b/internal/rollout/transition.go
@@ -43,7 +43,7 @@
 // rollBackOnFailure returns a record that rolls back if there is a failure from which the plan cannot recover, or nil.
 func (r *Record) rollBackOnFailure(o *Observation) *Record {
 	if o.FailedCheck != "" {
-		return r.rollBack(WrongAnswer, o.FailedCheck, o.NowMS)
+		return r.rollBack(CheckFailed, o.FailedCheck, o.NowMS)
 	}
 	for _, id := range r.Plan.New.Jobs {
 		if o.Jobs[id].Cancelled {
@@ -118,10 +118,10 @@
 // rollBackOnTimeout returns a record that rolls back if the current phase has timed out, or nil.
 func (r *Record) rollBackOnTimeout(o *Observation) *Record {
 	limits := r.Plan.Limits
-	reason, limit := TimedOut, limits.WaitS
+	reason, limit := TimedOut, limits.WaitTimeoutS
 	switch r.Phase {
 	case Checking:
-		reason, limit = Unreachable, limits.UnreachableS
+		reason, limit = Unreachable, limits.ValidationTimeoutS
 	case Baking:
 		limit += r.Plan.Steps[r.Step].BakeS
 	case Completing:
@@ -202,5 +202,5 @@
 
 // RetentionExpired reports whether the plan has ended and the retention period of its record is over.
 func (r *Record) RetentionExpired(o *Observation) bool {
-	return r.Phase.Terminal() && r.phaseLasted(o, r.Plan.Limits.KeepS)
+	return r.Phase.Terminal() && r.phaseLasted(o, r.Plan.Limits.RetentionS)
 }
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -65,15 +65,15 @@
 	}
 	usage.Add("a", task, 2)
 	if usage.ExceedsGuarantee(team) || !usage.WithinLimit(team, task, 2) || usage.WithinLimit(team, task, 3) {
-		t.Errorf("usage %+v with a guarantee of 4 GPUs and a limit of 8 GPUs", usage.Of("a"))
+		t.Errorf("usage %+v with a guarantee of 4 GPUs and a limit of 8 GPUs", usage.ForTeam("a"))
 	}
 	usage.Add("a", task, 1)
 	if !usage.ExceedsGuarantee(team) {
-		t.Errorf("usage %+v does not exceed a guarantee of 4 GPUs", usage.Of("a"))
+		t.Errorf("usage %+v does not exceed a guarantee of 4 GPUs", usage.ForTeam("a"))
 	}
 	usage.Add("a", task, -3)
-	if usage.Of("a") != (Usage{}) {
-		t.Errorf("usage %+v after all tasks were removed", usage.Of("a"))
+	if usage.ForTeam("a") != (Usage{}) {
+		t.Errorf("usage %+v after all tasks were removed", usage.ForTeam("a"))
 	}
 	cpuOnly := resource.Amount{CPUs: 5}
 	if !usage.WithinLimit(team, cpuOnly, 4) || usage.WithinLimit(team, cpuOnly, 5) {
--- a/internal/scheduling/team_usage.go
+++ b/internal/scheduling/team_usage.go
@@ -22,8 +22,8 @@
 // TeamUsage is the usage of each team, by team name. A task counts in every state until it is known to have ended.
 type TeamUsage map[string]*Usage
 
-// Of returns the usage of a team.
-func (u TeamUsage) Of(team string) Usage {
+// ForTeam returns the usage of a team.
+func (u TeamUsage) ForTeam(team string) Usage {
 	if usage := u[team]; usage != nil {
 		return *usage
 	}
@@ -46,14 +46,14 @@
 	if team == nil {
 		return false
 	}
-	usage := u.Of(team.Name).plus(task, tasks)
+	usage := u.ForTeam(team.Name).plus(task, tasks)
 	return !ExceedsLimit(usage.GPUs, team.MaxGPUs) && !ExceedsLimit(usage.CPUs, team.MaxCPUs)
 }
 
 // ExceedsGuarantee reports whether a team uses more than its guarantee. A team without a guarantee exceeds it as soon
 // as it uses anything.
 func (u TeamUsage) ExceedsGuarantee(team *config.Team) bool {
-	usage := u.Of(team.Name)
+	usage := u.ForTeam(team.Name)
 	if team.GuaranteedGPUs == 0 && team.GuaranteedCPUs == 0 {
 		return usage.GPUs > roundingTolerance || usage.CPUs > roundingTolerance
 	}
--- a/internal/stored/previous_version_test.go
+++ b/internal/stored/previous_version_test.go
@@ -79,7 +79,7 @@
 	images.Add("host-000231", []string{"sim:4", "train:9"})
 	unreachable := stored.NewUnreachableHintPacker(16 << 10)
 	unreachable.Add("host-000231", 1764720000100)
-	layout := record.Layout{ByIndex: 128, ByTask: 32}
+	layout := record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 32}
 	types := []wire.MachineType{{Name: "g8", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 20, SpotPrice: 8, BootS: 90, Zones: []string{"a", "b"}}}
 	return []previousValue{
 		{"a job", "w/a/run-000412", `{"job":` + previousSpec + `,"at":1764720000000}`, stored.KindJob,
@@ -142,10 +142,10 @@
 		format stored.TermFormat
 		layout record.Layout
 	}{
-		{`{"term":12,"node":"ctl-a"}`, stored.BaseTermFormat, record.Layout{ByIndex: 128}},
-		{`{"term":"12","node":"ctl-a"}`, stored.BaseTermFormat, record.Layout{ByIndex: 128, ByTask: 32}},
-		{`{"term":[12],"node":"ctl-a"}`, stored.RolloutsTermFormat, record.Layout{ByIndex: 128, ByTask: 32}},
-		{`{"term":[[12]],"node":"ctl-a"}`, stored.QuotasTermFormat, record.Layout{ByIndex: 128}},
+		{`{"term":12,"node":"ctl-a"}`, stored.BaseTermFormat, record.Layout{IndexLayoutTasks: 128}},
+		{`{"term":"12","node":"ctl-a"}`, stored.BaseTermFormat, record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 32}},
+		{`{"term":[12],"node":"ctl-a"}`, stored.RolloutsTermFormat, record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 32}},
+		{`{"term":[[12]],"node":"ctl-a"}`, stored.QuotasTermFormat, record.Layout{IndexLayoutTasks: 128}},
 	} {
 		term, format, err := stored.DecodeTerm(json.RawMessage(c.value))
 		if err != nil || term != want || format != c.format {
@@ -181,7 +181,7 @@
 
 // TestPreviousRunRecords decodes and encodes a record of each layout.
 func TestPreviousRunRecords(t *testing.T) {
-	layout := record.Layout{ByIndex: 128, ByTask: 32}
+	layout := record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 32}
 	for _, c := range []struct {
 		key, value string
 		want       record.Key
@@ -190,7 +190,7 @@
 	}{
 		{"r/run-000412/1", `{"n":7,"d":"40","p":{"131":[5,"host-000231",1]}}`, record.Key{Job: "run-000412", Ordinal: 1},
 			"40", map[int]record.Run{131: {Attempt: 5, Machine: "host-000231", Incarnation: 1}}},
-		{"r/run-000412/t64", `{"n":7,"d":"0-1,9","p":{"66":[7,"host-000231",2]}}`, record.Key{Job: "run-000412", ByTask: true, Ordinal: 64},
+		{"r/run-000412/t64", `{"n":7,"d":"0-1,9","p":{"66":[7,"host-000231",2]}}`, record.Key{Job: "run-000412", TaskLayout: true, Ordinal: 64},
 			"0-1,9", map[int]record.Run{66: {Attempt: 7, Machine: "host-000231", Incarnation: 2}}},
 	} {
 		key, ok := stored.ParseRunRecordKey(c.key)
--- a/internal/stored/production_format_test.go
+++ b/internal/stored/production_format_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("leader decoded as %+v, error %v", lead, err)
 	}
 	first := record.Record{HighestAttempt: 4, Done: record.NewBits(128), Placed: map[int]record.Run{1: {Attempt: 2, Machine: "m", Incarnation: 1}}}
-	first.Done.Set(0)
+	first.Done.Add(0)
 	value, err := first.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	for _, c := range []struct {
 		layout record.Layout
 		reads  bool
-	}{{record.Layout{ByIndex: 128}, true}, {record.Layout{ByIndex: 128, ByTask: 16}, false}} {
+	}{{record.Layout{IndexLayoutTasks: 128}, true}, {record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 16}, false}} {
 		value, err := Term{12, "a"}.Encode(BaseTermFormat, c.layout)
 		if err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 			t.Errorf("%s is decoded as %+v, format %v, error %v", value, term, format, err)
 		}
 	}
-	key := record.Layout{ByIndex: 128, ByTask: 16}.Key("run-000001", 3).String()
+	key := record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 16}.Key("run-000001", 3).String()
 	if _, err := strconv.Atoi(strings.TrimPrefix(key, "run-000001/")); err == nil {
 		t.Errorf("%s would be parsed as a record index", key)
 	}
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -14,8 +14,8 @@
 // encodedTaskCounts is the stored form of TaskCounts: running, done.
 type encodedTaskCounts [2]int
 
-// Of returns the counts of a job, or false if the shard has none.
-func (s TaskCountShard) Of(job string) (TaskCounts, bool) {
+// Counts returns the counts of a job, or false if the shard has none.
+func (s TaskCountShard) Counts(job string) (TaskCounts, bool) {
 	n, found := s[job]
 	return TaskCounts{Running: n[0], Done: n[1]}, found
 }
@@ -39,13 +39,13 @@
 
 // FindTaskCounts returns the counts of a job. The function shardOf returns the shard with the given key, or false if
 // there is none.
-func FindTaskCounts(job string, shardOf func(key string) (TaskCountShard, bool)) TaskCounts {
+func FindTaskCounts(job string, getShard func(key string) (TaskCountShard, bool)) TaskCounts {
 	for i := taskCountBucket(job); ; i += taskCountBuckets {
-		shard, used := shardOf(TaskCountKey(i))
+		shard, used := getShard(TaskCountKey(i))
 		if !used {
 			return TaskCounts{}
 		}
-		if counts, found := shard.Of(job); found {
+		if counts, found := shard.Counts(job); found {
 			return counts
 		}
 	}
--- a/internal/stored/term.go
+++ b/internal/stored/term.go
@@ -82,7 +82,7 @@
 		return json.Marshal(quotasTerm{Number: [1][1]uint64{{t.Number}}, Node: t.Node})
 	case format == RolloutsTermFormat:
 		return json.Marshal(rolloutsTerm{Number: [1]uint64{t.Number}, Node: t.Node})
-	case layout.ByTask > 0:
+	case layout.TaskLayoutTasks > 0:
 		return json.Marshal(layoutFencedTerm(t))
 	}
 	return json.Marshal(t)
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -29,19 +29,19 @@
 	ready    bool
 	revision uint64
 
-	jobs          map[string]*Job
-	leader        stored.Leader
-	leaderVersion uint64
-	term          versionedTerm
-	catalog       []wire.MachineType
-	layout        record.Layout
-	layoutVersion uint64
-	plans         plans
-	quotaAccounts quotaAccounts
-	taskCounts    map[string]*lazyValue[stored.TaskCountShard] // by key
-	images        map[string]*lazyValue[stored.ImageHints]     // by key
-	unreachable   map[string]unreachableShard                  // by key
-	finalStates   finalStates
+	jobs             map[string]*Job
+	leader           stored.Leader
+	leaderVersion    uint64
+	term             versionedTerm
+	catalog          []wire.MachineType
+	layout           record.Layout
+	layoutVersion    uint64
+	plans            plans
+	quotaAccounts    quotaAccounts
+	taskCounts       map[string]*lazyValue[stored.TaskCountShard] // by key
+	imageHints       map[string]*lazyValue[stored.ImageHints]     // by key
+	unreachableHints map[string]unreachableShard                  // by key
+	finalStates      finalStates
 }
 
 // versionedTerm is the term with the version of its key.
@@ -54,9 +54,9 @@
 // New returns an empty cache that stores up to maxFinalStates final states.
 func New(maxFinalStates int) *Cache {
 	return &Cache{jobs: map[string]*Job{}, plans: newPlans(), quotaAccounts: newQuotaAccounts(),
-		taskCounts:  map[string]*lazyValue[stored.TaskCountShard]{},
-		images:      map[string]*lazyValue[stored.ImageHints]{},
-		unreachable: map[string]unreachableShard{}, finalStates: newFinalStates(maxFinalStates)}
+		taskCounts:       map[string]*lazyValue[stored.TaskCountShard]{},
+		imageHints:       map[string]*lazyValue[stored.ImageHints]{},
+		unreachableHints: map[string]unreachableShard{}, finalStates: newFinalStates(maxFinalStates)}
 }
 
 // Ready reports whether a complete list of the watched keys has been loaded.
@@ -94,7 +94,7 @@
 	case stored.KindUnreachableHints:
 		c.applyUnreachableHints(key, value)
 	case stored.KindImageHints:
-		c.images[key] = newLazyValue(value, stored.DecodeImageHints)
+		c.imageHints[key] = newLazyValue(value, stored.DecodeImageHints)
 	case stored.KindTaskCounts:
 		c.taskCounts[key] = newLazyValue(value, stored.DecodeTaskCountShard)
 	case stored.KindRelayedHeartbeats, stored.KindUnknown:
@@ -189,7 +189,7 @@
 // Images returns the images that the image hints of an earlier leader list for a machine.
 func (c *Cache) Images(machine string) []string {
 	var images []string
-	for _, shard := range c.images {
+	for _, shard := range c.imageHints {
 		images = append(images, shard.get()[machine]...)
 	}
 	return images
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -119,9 +119,9 @@
 	if _, known := c.RecordLayout(); known {
 		t.Error("a layout is reported although none is stored")
 	}
-	layout := record.Layout{ByIndex: 128, ByTask: 32}
+	layout := record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 32}
 	c.ObserveRecordLayout(layout, 5)
-	c.ObserveRecordLayout(record.Layout{ByIndex: 128, ByTask: 16}, 4)
+	c.ObserveRecordLayout(record.Layout{IndexLayoutTasks: 128, TaskLayoutTasks: 16}, 4)
 	if got, known := c.RecordLayout(); !known || got != layout {
 		t.Errorf("layout is %+v, %v, want the newer one", got, known)
 	}
--- a/internal/watchcache/listing.go
+++ b/internal/watchcache/listing.go
@@ -28,7 +28,7 @@
 	if listed.term.version > c.term.version {
 		c.term = listed.term
 	}
-	c.taskCounts, c.images, c.unreachable = listed.taskCounts, listed.images, listed.unreachable
+	c.taskCounts, c.imageHints, c.unreachableHints = listed.taskCounts, listed.imageHints, listed.unreachableHints
 	c.plans.replace(listed.plans, listed.revision)
 	c.quotaAccounts.replace(listed.quotaAccounts, listed.revision)
 	if listed.catalog != nil {
--- a/internal/watchcache/quota_accounts.go
+++ b/internal/watchcache/quota_accounts.go
@@ -15,8 +15,8 @@
 
 // quotaAccounts holds the quota accounts by key. There are none unless there are several regions.
 type quotaAccounts struct {
-	byKey   map[string]*QuotaAccount
-	changes uint64
+	byKey       map[string]*QuotaAccount
+	changeCount uint64
 }
 
 func newQuotaAccounts() quotaAccounts { return quotaAccounts{byKey: map[string]*QuotaAccount{}} }
@@ -28,7 +28,7 @@
 	if known := a.byKey[key]; known != nil && known.Version >= version {
 		return
 	}
-	a.changes++
+	a.changeCount++
 	account, err := quota.Decode(value)
 	if err != nil {
 		account = nil
@@ -40,7 +40,7 @@
 func (a *quotaAccounts) replace(listed quotaAccounts, revision uint64) {
 	retainNewer(listed.byKey, a.byKey, revision)
 	a.byKey = listed.byKey
-	a.changes++
+	a.changeCount++
 }
 
 // QuotaAccount returns the account with the given key, or nil if there is none.
@@ -50,4 +50,4 @@
 func (c *Cache) QuotaAccountCount() int { return len(c.quotaAccounts.byKey) }
 
 // QuotaAccountChanges returns a counter that increases whenever an account may have changed.
-func (c *Cache) QuotaAccountChanges() uint64 { return c.quotaAccounts.changes }
+func (c *Cache) QuotaAccountChanges() uint64 { return c.quotaAccounts.changeCount }
--- a/internal/watchcache/unreachable_hints.go
+++ b/internal/watchcache/unreachable_hints.go
@@ -13,16 +13,16 @@
 }
 
 func (c *Cache) applyUnreachableHints(key string, value json.RawMessage) {
-	delete(c.unreachable, key)
+	delete(c.unreachableHints, key)
 	if lastHeard, err := stored.DecodeUnreachableHints(value); err == nil {
-		c.unreachable[key] = unreachableShard{lastHeardMS: lastHeard, encoded: string(value)}
+		c.unreachableHints[key] = unreachableShard{lastHeardMS: lastHeard, encoded: string(value)}
 	}
 }
 
 // LastHeardMS returns the time of day at which an earlier leader last heard from a machine, or false if there is no
 // hint. A machine can be in two shards while the hints are being rewritten. The later time is then used.
 func (c *Cache) LastHeardMS(machine string) (lastHeardMS int64, known bool) {
-	for _, shard := range c.unreachable {
+	for _, shard := range c.unreachableHints {
 		if heard, named := shard.lastHeardMS[machine]; named {
 			lastHeardMS, known = max(lastHeardMS, heard), true
 		}
@@ -34,7 +34,7 @@
 func (c *Cache) UnreachableHintValues() []string {
 	var values []string
 	for i := 0; ; i++ {
-		shard, ok := c.unreachable[stored.UnreachableHintKey(i)]
+		shard, ok := c.unreachableHints[stored.UnreachableHintKey(i)]
 		if !ok {
 			return values
 		}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -101,9 +101,9 @@
 func (j *Job) Submission() ([]byte, error) {
 	return json.Marshal(struct {
 		*Job
-		OneZone bool `json:"one_zone"`
-		Spread  bool `json:"apart"`
-		Spot    bool `json:"loaner"`
+		SingleZone  bool `json:"one_zone"`
+		SpreadZones bool `json:"apart"`
+		Spot        bool `json:"loaner"`
 	}{j, j.SingleZone, j.SpreadZones, j.Spot})
 }
 
