--- a/cmd/bitternwing/controller.go
+++ b/cmd/bitternwing/controller.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	// protojson deliberately varies its white space between builds. Scripts get a stable form.
+	// protojson deliberately varies its white space between builds. Compacting makes the output stable for scripts.
 	compact, err := json.Marshal(json.RawMessage(text))
 	if err != nil {
 		return err
--- a/cmd/bitternwing/input.go
+++ b/cmd/bitternwing/input.go
@@ -10,8 +10,8 @@
 // stdinName is the file name that means standard input.
 const stdinName = "-"
 
-// readInput reads a file or standard input. It reads at most one byte more than the largest request; the parser refuses
-// longer input.
+// readInput reads a file or standard input. It reads at most one byte more than the largest request, so that the parser
+// rejects longer input.
 func readInput(name string) ([]byte, error) {
 	if name == stdinName {
 		return readLimited(os.Stdin)
--- a/cmd/bitternwing/job.go
+++ b/cmd/bitternwing/job.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// validateJobID checks that a job id has the protocol's format.
+// validateJobID checks that a job ID has the protocol's format.
 func validateJobID(id string) error {
 	if !wire.ValidJobID(id) {
 		return fmt.Errorf("%q is no job id (run- and six to twenty digits)", id)
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -14,7 +14,7 @@
 	"bitternwing/internal/adminapi/operatorpb"
 )
 
-// ErrNotFound is returned if there is no plan with the name, or no job with the id.
+// ErrNotFound is returned if there is no plan with the name, or no job with the ID.
 var ErrNotFound = errors.New("not found")
 
 // InvalidError is returned for a malformed request. Its text names the field.
--- a/internal/adminapi/regions.go
+++ b/internal/adminapi/regions.go
@@ -11,8 +11,8 @@
 	"bitternwing/internal/quota"
 )
 
-// regionsServer implements the Regions service, which the controllers of other regions call. Its messages call a team's
-// quota an allowance.
+// regionsServer implements the Regions service, which the controllers of other regions call. In its messages, a
+// team's quota is called an allowance.
 type regionsServer struct {
 	operatorpb.UnimplementedRegionsServer
 	server *Server
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -21,8 +21,8 @@
 
 // Core handles requests, as server.Core does.
 type Core interface {
-	// Handle passes the input for a new request id to the core, and waits for the response. It returns false if the
-	// context ends before.
+	// Handle passes the input for a new request ID to the core, and waits for the response. It returns false if the
+	// context ends before the response.
 	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
 }
 
@@ -55,7 +55,7 @@
 
 // relayableRequest is a request that the local core handles, or that is relayed to the leader.
 type relayableRequest[Reply any] struct {
-	// relayed reports whether another controller relayed the request. It is not relayed again then.
+	// relayed reports whether another controller relayed the request. Such a request is not relayed again.
 	relayed bool
 	// input returns the core's input for the request.
 	input func(requestID uint64) core.Input
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -18,7 +18,7 @@
 	"bitternwing/internal/wire"
 )
 
-// ErrNotFound is returned for the id of a job that was never accepted.
+// ErrNotFound is returned for the ID of a job that was never accepted.
 var ErrNotFound = errors.New("no such job")
 
 // RefusedError is returned for a request that is invalid or can never be served. It is not retried.
--- a/internal/apiclient/client_test.go
+++ b/internal/apiclient/client_test.go
@@ -33,7 +33,8 @@
 
 const runningJob = `{"ref":"run-000412","status":"running","done":3,"running":13}`
 
-// Requests that get status 503 are retried. Statuses 400, 404 and 422 are returned as errors at once.
+// TestResponses checks that requests that get status 503 are retried, and that statuses 400, 404 and 422 are returned as
+// errors at once.
 func TestResponses(t *testing.T) {
 	unavailable := respondWith(503, `{"error":"can't be confirmed now"}`)
 	state, err := newTestClient(t, unavailable, respondWith(200, runningJob)).Show(context.Background(), "run-000412")
--- a/internal/budget/cost.go
+++ b/internal/budget/cost.go
@@ -1,5 +1,5 @@
-// Package budget measures the processor time that the evaluation of a machine for a task takes, so that scheduling
-// cycles stay within a share of the processor regardless of its speed.
+// Package budget measures the CPU time that the evaluation of a machine for a task takes, so that scheduling cycles
+// stay within a share of the CPU regardless of its speed.
 package budget
 
 import "time"
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
 // Package cloud is a client of the cloud provider's API: the catalog of machine types, scale-out, scale-in and the list
-// of machines. It does not retry requests: the caller gets the outcome of each one.
+// of machines. It does not retry requests; it returns the outcome of each one to the caller.
 package cloud
 
 import (
@@ -26,7 +26,8 @@
 // Client sends requests to the cloud.
 type Client struct{ http *httpclient.Client }
 
-// New creates a client that sends at most requestsPerSecond requests per second over at most maxConnections connections.
+// New creates a client that sends at most requestsPerSecond requests per second over at most maxConnections
+// connections.
 func New(addr string, requestsPerSecond float64, maxConnections int) *Client {
 	return &Client{httpclient.New(addr, requestsPerSecond, maxConnections, maxResponseBytes)}
 }
@@ -48,7 +49,7 @@
 	return names, result
 }
 
-// ScaleIn returns machines to the cloud.
+// ScaleIn releases machines.
 func (c *Client) ScaleIn(ctx context.Context, names []string) outcome.Outcome {
 	return c.http.Do(ctx, http.MethodPost, scaleInPath, wire.MachineNames{Machines: names}, nil)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Settings with no peers, one peer and six peers are valid.
+// TestPeerCounts checks that settings with no peers, one peer and six peers are valid.
 func TestPeerCounts(t *testing.T) {
 	withoutPeers, peerTable, _ := strings.Cut(validSettings(t), "[[siblings]]")
 	peerTable, afterPeers, _ := strings.Cut(peerTable, "[")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,7 +12,7 @@
 	"bitternwing/internal/schema"
 )
 
-// OperatorSettings are the settings that the operators choose. The schema describes and bounds each field.
+// OperatorSettings are the settings that operators may change. The schema describes each field and its bounds.
 type OperatorSettings struct {
 	// CycleIntervalS is the time between regular scheduling cycles.
 	CycleIntervalS float64 `json:"round_s"`
@@ -24,15 +24,18 @@
 	CycleBudget float64 `json:"round_budget"`
 	// PaceHeartbeats allows delaying responses to heartbeats that report no change, so that workers send fewer.
 	PaceHeartbeats bool `json:"pace_reports"`
-	// SpareShare is the free capacity kept on ordinary machines, as a share of what services use.
+	// SpareShare is the headroom for services: the GPUs to keep free on on-demand machines, as a share of those that
+	// services use.
 	SpareShare float64 `json:"spare_share"`
-	// IdleTimeoutBoots is how long an idle machine is kept before it is returned, in boot times of its type.
+	// IdleTimeoutBoots is how long a machine may be idle before it is released, in boot times of its type.
 	IdleTimeoutBoots float64 `json:"idle_boots"`
-	// BootTimeoutFactor is how long a machine may take to come up before it is returned, in boot times of its type.
+	// BootTimeoutFactor is how long a machine may take to boot before it is released, in boot times of its type.
 	BootTimeoutFactor float64 `json:"stuck_boots"`
-	// UnreachableTimeoutLeases is how long a machine may be silent before it is released, in worker leases.
+	// UnreachableTimeoutLeases is how long a machine may go without a heartbeat before it is released, in
+	// worker leases.
 	UnreachableTimeoutLeases float64 `json:"silent_leases"`
-	// PartitionTimeoutLeases is the same for a machine whose whole zone, including its nodes, is partitioned.
+	// PartitionTimeoutLeases is the same for a machine whose whole zone, including its controllers, is isolated by a
+	// network partition.
 	PartitionTimeoutLeases float64 `json:"cut_leases"`
 	// LeaderTTLLeases is the TTL of the leader lease, in worker leases.
 	LeaderTTLLeases float64 `json:"leader_ttl_leases"`
@@ -56,7 +59,7 @@
 
 // Rollouts configures stepwise rollouts of a model's new version.
 type Rollouts struct {
-	// Enabled allows new plans. Existing plans are carried out in any case.
+	// Enabled allows new plans. Existing plans continue in either case.
 	Enabled bool `json:"enabled"`
 	// ModelPort is the port of the model servers on the workers' machines.
 	ModelPort int `json:"model_port"`
@@ -70,8 +73,8 @@
 	MaxRouters int `json:"most_routers"`
 }
 
-// Spread configures the scoring of replica placements: the rates at which zones and machines are lost, and how long a
-// replica stays on its machine.
+// Spread configures the scoring of replica placements: the rates at which zones and machines are lost, and the expected
+// lifetime of a replica's placement.
 type Spread struct {
 	Enabled             bool    `json:"enabled"`
 	ZoneLossesPerDay    float64 `json:"zone_losses_per_day"`
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// State reports whether the dependencies of a job let it run.
+// State is whether the dependencies of a job allow it to start.
 type State int
 
 // The states.
@@ -145,7 +145,7 @@
 	return g.evaluations
 }
 
-// Status returns the status of an active job. For any other job all fields are zero but LatestEndMS, which is
+// Status returns the status of an active job. For any other job, all fields are zero except LatestEndMS, which is
 // NoDeadline.
 func (g *Graph) Status(id string) Status {
 	g.evaluate()
--- a/internal/election/failover_ring.go
+++ b/internal/election/failover_ring.go
@@ -4,7 +4,7 @@
 
 // failoverRing is the order in which workers try the controllers when they lose the leader, with the zone of each
 // controller. Workers find the next leader quickly if few controllers that follow the leader are lost together with its
-// zone: each controller that does not answer costs a worker almost half of its lease.
+// zone: each controller that does not respond costs a worker almost half of its lease.
 type failoverRing struct {
 	nodes     []membership.Node
 	multiZone bool
@@ -33,9 +33,9 @@
 	return r.nodes[(r.position(name)+1)%len(r.nodes)]
 }
 
-// failoverHops returns how many controllers in a row workers may try in vain after the leader when a zone is cut off.
-// That is the number of controllers directly after the leader that share one zone. It is 0 if all controllers are in
-// one zone.
+// failoverHops returns how many controllers in a row workers may try in vain after the leader when a zone is isolated
+// by a network partition. That is the number of controllers directly after the leader that share one zone. It is 0 if
+// all controllers are in one zone.
 func (r *failoverRing) failoverHops(leader string) int {
 	if !r.multiZone {
 		return 0
@@ -51,7 +51,7 @@
 }
 
 // sharesZoneWithSuccessor reports whether the successor of a controller is in the same zone. Such a controller is a
-// poor leader, because both are lost when that zone is cut off.
+// poor leader, because both are lost when that zone is isolated.
 func (r *failoverRing) sharesZoneWithSuccessor(name string) bool {
 	return r.multiZone && r.nodes[r.position(name)].Zone == r.successor(name).Zone
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -14,8 +14,7 @@
 	StoreDown() bool
 	// CandidacyBlocked returns the reason why this controller must not lead, or "" if there is none.
 	CandidacyBlocked() string
-	// HasSpareCPU reports whether there is enough processor time for a failover, which costs more than continuing the
-	// term.
+	// HasSpareCPU reports whether there is enough CPU time for a failover, which costs more than continuing the term.
 	HasSpareCPU() bool
 	// WorkersReachOnlyPeers reports whether workers reach other controllers but not this one, which leads.
 	WorkersReachOnlyPeers() bool
--- a/internal/election/preference.go
+++ b/internal/election/preference.go
@@ -55,7 +55,7 @@
 }
 
 // betterCandidateExists reports whether this leader is not suitable and another controller is. It waits until all
-// controllers that were recently heard have been reachable for some checks.
+// controllers that were recently heard from have been reachable for some checks.
 func (e *Election) betterCandidateExists() bool {
 	if !e.host.HasSpareCPU() {
 		return false
--- a/internal/election/step_down_reason.go
+++ b/internal/election/step_down_reason.go
@@ -15,7 +15,7 @@
 	LeaseExpired StepDownReason = "leader lease expired"
 	// WorkersReachOnlyPeers means that workers reach other controllers but not this one.
 	WorkersReachOnlyPeers StepDownReason = "workers reach only other nodes"
-	// BetterCandidateAvailable means that workers would find the successor of another controller sooner.
+	// BetterCandidateAvailable means that workers would find the next leader sooner if another controller led.
 	BetterCandidateAvailable StepDownReason = "better candidate available"
 	// RecordLayoutIndeterminate means that the write of a new layout of the run records may have been applied.
 	RecordLayoutIndeterminate StepDownReason = "outcome of record layout write unknown"
--- a/internal/election/store.go
+++ b/internal/election/store.go
@@ -28,7 +28,7 @@
 	TermVersion uint64
 }
 
-// Call is a request that waits for its reply.
+// Call is a call to the key-value store that waits for its reply.
 type Call interface {
 	Complete(reply Reply)
 }
--- a/internal/election/term_history.go
+++ b/internal/election/term_history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// termHistory records when the recent terms started. A leader that is short of processor time may lose its lease while
-// all workers fail over to it. If each failover takes longer than the lease lasts, the next leader fails the same way.
+// termHistory records when the recent terms started. A leader that is short of CPU time may lose its lease while all
+// workers fail over to it. If each failover takes longer than the lease lasts, the next leader fails the same way.
 // Terms that follow each other quickly therefore get longer leases, provided that the last leader is still running
 // (lastLeaderAlive).
 type termHistory struct {
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -28,7 +28,7 @@
 // Fence is the fencing state of one worker, as kept by the leader of a term.
 type Fence struct {
 	token uint64
-	// required is the token that the worker must report before it gets work; 0 if none.
+	// required is the token that the worker must report before work is sent to it; 0 if none.
 	required      uint64
 	requiredSince time.Duration
 }
@@ -66,8 +66,8 @@
 // RequiredSince returns the time since which the worker has sent heartbeats without the required token.
 func (f *Fence) RequiredSince() time.Duration { return f.requiredSince }
 
-// RestartRequirement resets RequiredSince for a worker that was silent, which gives it the full time to report the
-// token.
+// RestartRequirement resets RequiredSince for a worker whose heartbeats had stopped, so that it again has the full time
+// to report the token.
 func (f *Fence) RestartRequirement(now time.Duration) { f.requiredSince = now }
 
 // Confirm processes the token of a heartbeat and reports whether it has just met the requirement.
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -127,7 +127,7 @@
 	return outcome.Unknown
 }
 
-// outcomeOfStatus returns the outcome that a response's status stands for.
+// outcomeOfStatus returns the outcome that a response's status indicates.
 func outcomeOfStatus(status int) outcome.Outcome {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -20,9 +20,9 @@
 // maxPageBytes is the maximum size of a page of keys as returned by the store.
 const maxPageBytes = 512 << 10
 
-// New returns a client that sends at most perSecond requests per second over at most maxConns connections. A response may
-// have up to maxResponseBytes bytes, and at least two full pages. This limit is needed because the store does not limit
-// the size of a watch response.
+// New returns a client that sends at most requestsPerSecond requests per second over at most maxConnections
+// connections. A response may have up to maxResponseBytes bytes, but at least two full pages. This limit is needed
+// because the store does not limit the size of a watch response.
 func New(addr string, requestsPerSecond float64, maxConnections int, maxResponseBytes int64) *Client {
 	return &Client{httpclient.New(addr, requestsPerSecond, maxConnections, max(2*maxPageBytes, maxResponseBytes))}
 }
@@ -81,8 +81,8 @@
 	return c.http.Do(ctx, "DELETE", fmt.Sprintf("/grants/%d", lease), nil, nil)
 }
 
-// Watch returns the changes of keys with a prefix since a revision. If there are none it blocks until there are, for at
-// most the given wait.
+// Watch returns the changes of keys with a prefix after a revision. If there are none, it blocks until there are, for
+// at most the given wait.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, outcome.Outcome) {
 	query := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"block_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,12 +1,12 @@
 // Package membership keeps what a controller knows about the other controllers of its region. From this it determines
 // which of them can be reached, which one leads, whether the key-value store is available to any of them, and whether a
-// zone is cut off from the rest.
+// zone is isolated by a network partition.
 //
 // It is a failure detector in the sense of Chandra and Toueg (1996): each peer is queried periodically, and a peer that
 // does not answer is suspected, not known, to be down. Whatever follows from a suspicion must therefore be safe if the
 // suspicion is wrong. The membership itself is static and part of the settings.
 //
-// The package is pure. The time and the answers are passed in, and it has no side effects: it sends no queries, reads
+// The package is pure. The time and the replies are passed in, and it has no side effects: it sends no queries, reads
 // no clock, writes nothing, and depends neither on the leader's state nor on the cache of the store.
 package membership
 
@@ -20,11 +20,11 @@
 type Timing struct {
 	// CheckInterval is the time between two queries of a peer.
 	CheckInterval time.Duration
-	// WorkerLease is the life of a worker's lease.
+	// WorkerLease is the duration of a worker's lease.
 	WorkerLease time.Duration
 }
 
-// recentChecks is how long an answer counts as recent, in check intervals.
+// recentChecks is how long a reply counts as recent, in check intervals.
 const recentChecks = 3
 
 // Members is the set of the region's controllers as seen by one of them.
--- a/internal/membership/partition.go
+++ b/internal/membership/partition.go
@@ -18,7 +18,7 @@
 	return false
 }
 
-// OwnZoneIsolated reports whether this controller's zone seems to be cut off from everything else: no controller
+// OwnZoneIsolated reports whether this controller's zone seems to be isolated by a network partition: no controller
 // outside the zone answers, and the key-value store is available neither to this controller (storeDown) nor to any
 // other in the zone.
 //
@@ -60,8 +60,8 @@
 	return hasPeers && zone != m.self.Zone
 }
 
-// ZoneRenewsOwnLeases reports whether the controllers of a zone renew the leases of its workers while the zone is cut
-// off (OwnZoneIsolated). This requires controllers both inside and outside the zone.
+// ZoneRenewsOwnLeases reports whether the controllers of a zone renew the leases of its workers while the zone is
+// isolated (OwnZoneIsolated). This requires controllers both inside and outside the zone.
 func (m *Members) ZoneRenewsOwnLeases(zone string) bool {
 	inside, outside := false, false
 	for _, node := range m.failoverOrder {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is what a controller reports about itself in answer to the periodic queries of the others.
+// Status is what a controller reports about itself in reply to the periodic queries of the others.
 type Status struct {
 	// StoreDown is set while the key-value store is unavailable to the controller, and until it has read the store.
 	StoreDown bool
--- a/internal/membership/store_outage.go
+++ b/internal/membership/store_outage.go
@@ -25,7 +25,7 @@
 	return m.AllPeersLostStore(now)
 }
 
-// AnyPeerReachesStore reports whether the key-value store is available to a peer that was recently heard.
+// AnyPeerReachesStore reports whether the key-value store is available to a peer that was recently heard from.
 func (m *Members) AnyPeerReachesStore(now time.Duration) bool {
 	for _, p := range m.peers {
 		if m.RecentlyHeard(p, now) && !p.status.StoreDown {
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -1,6 +1,6 @@
 // Package metrics counts the inputs, requests and calls of a node and serves the counts in the Prometheus text format.
-// A setting of its own adds profiles of the process. The package must not change what the node does. Labels are kinds
-// of messages, services and outcomes; they never contain teams, jobs, images or users.
+// If a separate setting enables it, the package also serves profiles of the process. It must not change what the node
+// does. Labels are kinds of messages, services and outcomes; they never contain teams, jobs, images or users.
 package metrics
 
 import (
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -38,7 +38,7 @@
 type Options struct {
 	MaxConnections int
 	RequestTimeout time.Duration // for the whole response, after which the connection is closed even if the scraper stalls
-	Profiles       bool          // serves the profiles of net/http/pprof, too
+	Profiles       bool          // whether to serve the profiles of net/http/pprof
 }
 
 // Server serves the metrics of a recorder.
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -34,7 +34,7 @@
 // call is a call to another process that the core requested.
 type call struct {
 	operation operation
-	id        uint64 // the core's id of the call
+	id        uint64 // the core's ID of the call
 	timeout   time.Duration
 }
 
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -25,16 +25,16 @@
 }
 
 const (
-	// storeConnectionDivisor, workerConnectionDivisor and probeConnectionDivisor are the divisors
-	// that give each client its share of the connections that a node may hold.
+	// storeConnectionDivisor, workerConnectionDivisor and probeConnectionDivisor divide the node's connection limit into
+	// the limit of each client.
 	storeConnectionDivisor  = 40
 	workerConnectionDivisor = 12
 	probeConnectionDivisor  = 40
-	// minClientConnections is how many connections each of these clients may hold at least.
+	// minClientConnections is the lower bound of these limits.
 	minClientConnections = 4
-	// cloudConnections is how many connections the cloud client may hold. A node makes few calls to the cloud.
+	// cloudConnections is the connection limit of the cloud client. A node makes few calls to the cloud.
 	cloudConnections = 4
-	// storeMemoryShare is the share of the node's memory that a response of the key-value store may take.
+	// storeMemoryShare is the maximum size of a response of the key-value store as a share of the node's memory.
 	storeMemoryShare = 1.0 / 32
 	// maxWorkerResponseBytes is the maximum size of a worker's response.
 	maxWorkerResponseBytes = 1 << 20
--- a/internal/node/core_loop.go
+++ b/internal/node/core_loop.go
@@ -10,8 +10,8 @@
 // maxQueuedResults is the capacity of the queue of call results. While it is full, finished calls wait.
 const maxQueuedResults = 64
 
-// queuedInput is a request that waits for the core. Its client is gone after the deadline: the request is then skipped,
-// so that after a pause of the process the core handles only requests whose clients still wait.
+// queuedInput is a request that waits for the core. Its client stops waiting at the deadline, and the request is then
+// skipped. So after a pause of the process the core handles only requests whose clients still wait.
 type queuedInput struct {
 	input      core.Input
 	receivedAt time.Time
@@ -39,8 +39,8 @@
 }
 
 // step passes an input to the core and executes the effects that it returns. previousStepTime is how long the previous
-// step took, queueTime how long the input was queued. It returns how long this step took, and when the core wants the
-// next tick.
+// step took, queueTime how long the input was queued. It returns how long this step took, and the time for which the
+// core requests the next tick.
 func (n *Node) step(ctx context.Context, input core.Input, previousStepTime, queueTime time.Duration) (stepTime, wakeAt time.Duration) {
 	n.coreMu.Lock()
 	defer n.coreMu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// register allocates a request id and the channel on which its response will be delivered.
+// register allocates a request ID and the channel on which its response will be delivered.
 func (n *Node) register() (requestID uint64, responses <-chan core.Response) {
 	responseCh := make(chan core.Response, 1)
 	n.requestsMu.Lock()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,10 +14,9 @@
 const scrapeTimeout = 5 * time.Second
 
 const (
-	// scraperConnectionDivisor is the divisor that gives scrapers their share of the connections that a node may
-	// hold.
+	// scraperConnectionDivisor divides the node's connection limit into the limit of scrapers.
 	scraperConnectionDivisor = 100
-	// minScraperConnections is how many connections scrapers have at least.
+	// minScraperConnections is the lower bound of that limit.
 	minScraperConnections = 2
 )
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node runs the core as a controller process. It passes inputs and the current time to the core, executes the
-// effects that the core returns, and passes the results of calls back. All decisions are the core's.
+// Package node runs the core as a controller process, which is called a node. It passes inputs and the current time to
+// the core, executes the effects that the core returns, and passes the results of calls back. The core makes all
+// decisions.
 package node
 
 import (
@@ -39,7 +40,7 @@
 
 	requestsMu       sync.Mutex // guards lastRequestID and pendingResponses
 	lastRequestID    uint64
-	pendingResponses map[uint64]chan core.Response // by request id
+	pendingResponses map[uint64]chan core.Response // by request ID
 
 	clients *clients
 	metrics *metrics.Recorder // nil if metrics are off
@@ -72,10 +73,10 @@
 	return n, nil
 }
 
-// incarnationBytes is the size of the random id that distinguishes the successive processes of a node.
+// incarnationBytes is the size of the random ID that distinguishes the successive processes of a node.
 const incarnationBytes = 8
 
-// newIncarnation returns a random incarnation id in hexadecimal.
+// newIncarnation returns a random incarnation ID in hexadecimal.
 func newIncarnation() (string, error) {
 	var random [incarnationBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/internal/pacing/load.go
+++ b/internal/pacing/load.go
@@ -5,12 +5,12 @@
 
 import "time"
 
-// Load estimates how short of processor time a node is, from 0 (it keeps up) to 1. The estimate is based on how late
-// the node's own timers fire, which is all that a process can observe of an exhausted CPU quota.
+// Load estimates how short of CPU time a node is, from 0 (it keeps up) to 1. The estimate is based on how late the
+// node's own timers fire, which is all that a process can observe of an exhausted CPU quota.
 type Load struct {
 	// fullLoadDelay is the total delay of timers that raises the load from 0 to 1.
 	fullLoadDelay time.Duration
-	// tolerance is how late a timer may fire on a node with sufficient processor time.
+	// tolerance is how late a timer may fire on a node with sufficient CPU time.
 	tolerance time.Duration
 	// decay is the time in which the load falls from 1 to 0 while timers fire on time.
 	decay time.Duration
@@ -20,7 +20,7 @@
 }
 
 // maxSample limits how much a single late timer raises the load. After a suspension of the process, one timer is late
-// by the whole suspension, which says nothing about the available processor time.
+// by the whole suspension, which says nothing about the available CPU time.
 const maxSample = 0.25
 
 // toleranceRatio is the tolerance as a fraction of fullLoadDelay. The clocks of some systems have a resolution as
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -8,7 +8,7 @@
 	// fail at once, a worker's lease may last have been renewed by a heartbeat that is two such intervals old.
 	steadyIntervalLeases = 1.0 / 6
 	// maxIntervalLeases is the interval between the heartbeats of any worker at full load, in leases. A longer one
-	// would save more processor time, but leave workers less of their lease if all controllers fail at once.
+	// would save more CPU time, but leave workers less of their lease if all controllers fail at once.
 	maxIntervalLeases = 0.2
 	// maxHoldTimeouts is the longest time for which a response is held, in worker timeouts.
 	maxHoldTimeouts = 3.0 / 4
@@ -56,8 +56,8 @@
 	return hold
 }
 
-// HeartbeatTimeout returns how long a worker may be silent after its last response was held for the given time. It is
-// at least the usual timeout.
+// HeartbeatTimeout returns how long a worker may go without a heartbeat after its last response was held for the given
+// time. It is at least the usual timeout.
 func (p *Pacer) HeartbeatTimeout(usual, hold time.Duration) time.Duration {
 	return max(usual, scale(hold, heartbeatTimeoutHolds)+2*p.releaseTick)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -35,7 +35,7 @@
 
 // Reconnection backoff of a client.
 const (
-	// baseDelayDivisor determines the first delay as a fraction of the call timeout.
+	// baseDelayDivisor divides the call timeout into the first delay.
 	baseDelayDivisor  = 4
 	backoffMultiplier = 1.5
 	backoffJitter     = 0.2
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -46,7 +46,7 @@
 	OutOfOrder                // not credited: the sender has to send an earlier transfer first
 )
 
-// ErrUnreadable reports a stored account that this version can't decode.
+// ErrUnreadable is returned for a stored account that this version can't decode.
 var ErrUnreadable = errors.New("stored quota account is unreadable")
 
 // Decode decodes a stored account.
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -58,7 +58,7 @@
 func (a Amount) IsZero() bool { return a == Amount{} }
 
 // scaled converts an amount that is a part of from to the same fraction of to, rounded down or up. An amount larger
-// than from counts as all of it. Where from is 0 the amount stays as it is.
+// than from counts as all of it. Where from is 0, the amount is not converted.
 func (a Amount) scaled(from, to Amount, up bool) Amount {
 	convert := func(x, from, to int64) int64 {
 		if from == 0 || from == to {
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Layout determines how many tasks a record holds, for each of the two layouts.
+// Layout holds the number of tasks in a record for each of the two layouts, and thereby which layout is in use.
 type Layout struct {
 	IndexLayoutTasks int `json:"by_index"`          // tasks in a record of the first layout
 	TaskLayoutTasks  int `json:"by_task,omitempty"` // tasks in a record of the second layout; 0 while the first is in use
@@ -59,14 +59,15 @@
 	return l.IndexLayoutTasks
 }
 
-// AssembledRecord is what is known about the tasks of one record of the current layout. Version is the version of the record's
-// key. It is 0 if the record has not been written yet and all information comes from records of the first layout.
+// AssembledRecord is what is known about the tasks of one record of the current layout. Version is the version of the
+// record's key. It is 0 if the record has not been written yet and all information comes from records of the first
+// layout.
 type AssembledRecord struct {
 	Record
 	Version uint64
 }
 
-// Assemble merges all records of a job into parts, keyed by index.
+// Assemble merges all stored records of a job into records of the current layout, keyed by index.
 func (l Layout) Assemble(entries []Entry) map[int]AssembledRecord {
 	assembled := map[int]AssembledRecord{}
 	for _, entry := range entries {
@@ -85,7 +86,8 @@
 	return assembled
 }
 
-// split distributes a record of the first layout over parts of the second. Its highest attempt applies to each of them.
+// split distributes a record of the first layout over records of the second. Its highest attempt applies to each of
+// them.
 func (l Layout) split(entry Entry, assembled map[int]AssembledRecord) {
 	first := entry.Key.Ordinal * l.IndexLayoutTasks
 	for task := first; task < first+l.IndexLayoutTasks; task++ {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -2,10 +2,10 @@
 // done, which attempt of a task is placed on which machine, and the highest attempt number ever used.
 //
 // A job has one record for each range of its tasks in which something has happened. There are two layouts. In the
-// first, which is the only one that version 1 of the program supports, a record is identified by its index, and the
-// number of tasks in it depends on the settings at the time of writing. In the second, a record is identified by its
-// first task. The key-value store holds which layout is in use and how many tasks a record of each layout has (Layout),
-// so a change of the settings never changes the meaning of a stored record.
+// first, the index layout, a record is identified by its index, and the number of tasks in it depends on the settings
+// at the time of writing. Version 1 of the program supports only this layout. In the second, the task layout, a record
+// is identified by its first task. The key-value store holds which layout is in use and how many tasks a record of each
+// layout has (Layout), so a change of the settings never changes the meaning of a stored record.
 //
 // Once the second layout is in use, records of the first are read and deleted but never written. Records of the second
 // layout override them for the tasks that they contain.
@@ -84,7 +84,7 @@
 // second.
 type Key struct {
 	Job        string
-	TaskLayout bool
+	TaskLayout bool // whether the record has the second layout
 	Ordinal    int
 }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,9 +2,9 @@
 // old one. The old version keeps all of its replicas until the new one serves all traffic, so that a rollback is
 // possible at any time before.
 //
-// The package is pure: it reads no clock, makes no calls, and decides by an Observation only. It contains plans and
-// their state machine (Record), the validation of replicas, the routing of traffic and the leases of routers. It has no
-// notion of how jobs are placed.
+// The package is pure: it reads no clock, makes no calls, and its decisions depend on an Observation only. It contains
+// plans and their state machine (Record), the validation of replicas, the routing of traffic and the leases of routers.
+// It has no notion of how jobs are placed.
 package rollout
 
 import (
@@ -49,9 +49,9 @@
 	Request json.RawMessage `json:"request"` // body of the request
 	// Expected is passed to the script. It is absent if CompareWithOld is true.
 	Expected       json.RawMessage `json:"expected,omitempty"`
-	CompareWithOld bool            `json:"compare_with_old,omitempty"` // pass the old version's response to the same request to the script instead
-	// Script is a Starlark script. It defines check(request, answer, expected), which returns True for a correct
-	// answer.
+	CompareWithOld bool            `json:"compare_with_old,omitempty"` // expected is the old version's response to the same request
+	// Script is a Starlark script. It defines check(request, answer, expected), which returns True if the response
+	// (answer) is correct.
 	Script string `json:"script"`
 }
 
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -59,7 +59,7 @@
 	return &Record{Plan: *plan, Phase: Pending, SinceMS: nowMS}
 }
 
-// ErrUnreadable reports that a stored record cannot be interpreted by this version of the program.
+// ErrUnreadable is returned for a stored record that this version of the program cannot interpret.
 var ErrUnreadable = errors.New("the record of a plan can't be read")
 
 // Decode decodes a stored record. If only the phase is unknown, it returns both the record and the error, so that the
@@ -154,7 +154,7 @@
 	Abort  Change = "abort"
 )
 
-// RefusedError reports why a plan cannot be changed.
+// RefusedError is returned if a plan cannot be changed.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return e.Reason }
--- a/internal/rollout/validation.go
+++ b/internal/rollout/validation.go
@@ -38,10 +38,10 @@
 // The verdicts of a probe.
 const (
 	NotValidated Verdict = iota // not probed yet, or a check could not be evaluated
-	Passed                      // healthy, and all answers pass the checks
-	Failed                      // an answer fails a check
+	Passed                      // healthy, and all responses pass the checks
+	Failed                      // a response fails a check
 	NotReached                  // unreachable, or the health check fails
-	NotCompared                 // no answer of the old version is available for comparison
+	NotCompared                 // no response of the old version is available for comparison
 )
 
 var verdictNames = [...]string{"unproved", "right", "wrong", "not reached", "not compared"}
@@ -79,8 +79,7 @@
 	interval  time.Duration // between two probes of a replica
 	byReplica map[attemptKey]*validation
 	order     []attemptKey
-	// failedCheck names the first new replica that failed a check, and the check. It is kept whatever the replica
-	// answers later.
+	// failedCheck names the first new replica that failed a check, and the check. Later results do not change it.
 	failedCheck string
 }
 
--- a/internal/scheduling/instances.go
+++ b/internal/scheduling/instances.go
@@ -1,6 +1,6 @@
 // Package scheduling implements the policy of the scheduling cycle: which job is allocated more instances, which job is
-// preempted, and how much each team may use. It is pure: it has no access to machines, the store or a clock, and
-// decides by its arguments only.
+// preempted, and how much each team may use. It is pure: it has no access to machines, the store or a clock, and its
+// decisions depend on its arguments only.
 //
 // An elastic job has a minimum and a maximum number of instances. Its fulfillment score is the position of its current
 // number of instances between the two:
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -33,7 +33,7 @@
 }
 
 // SelectVictims selects the instances to stop on a machine so that a task has the resources it requires. Instances of
-// the most fulfilled jobs are selected first, and no job is taken below its minimum. It returns the indexes of the
+// the most fulfilled jobs are selected first, and no job falls below its minimum. It returns the indexes of the
 // selected instances, or false if stopping all of them would not be enough.
 func SelectVictims[J comparable](required, free resource.Amount, instances []PreemptibleInstance[J]) ([]int, bool) {
 	byFulfillment := make([]int, len(instances))
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -11,8 +11,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Validate validates a document against a schema. The error names the field; name stands for the schema in errors about
-// the schema itself.
+// Validate validates a document against a schema. The error names the field. The name identifies the schema in errors
+// about the schema itself.
 func Validate(name string, schemaText, document []byte) error {
 	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -22,8 +22,8 @@
 	openConnections atomic.Int64
 }
 
-// newConnectionTracker returns a tracker that lets users keep a third of the connections open, and workers keep theirs
-// until nine tenths are in use.
+// newConnectionTracker returns a tracker that allows users to keep a third of the connections open, and workers to keep
+// theirs until nine tenths are in use.
 func newConnectionTracker(maxConnections int) connectionTracker {
 	return connectionTracker{maxConnections: maxConnections, maxUserConnections: int64(max(1, maxConnections/3)), keepAliveLimit: int64(maxConnections - maxConnections/10)}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,7 +19,7 @@
 
 // Core handles requests.
 type Core interface {
-	// Handle passes the input for a request id to the core and waits for the response. It returns false if there is no
+	// Handle passes the input for a request ID to the core and waits for the response. It returns false if there is no
 	// response before the context ends.
 	Handle(ctx context.Context, input func(requestID uint64) core.Input) (core.Response, bool)
 	// Healthy reports whether the node can take requests.
--- a/internal/stored/job.go
+++ b/internal/stored/job.go
@@ -10,11 +10,11 @@
 // Job is an active job: one that has not ended, or a cancelled one whose tasks may still be on machines.
 type Job struct {
 	Spec        *wire.Job `json:"job"`
-	AcceptedMS  int64     `json:"at"`
-	CancelledMS int64     `json:"x,omitempty"`
+	AcceptedMS  int64     `json:"at"`          // Unix time in milliseconds
+	CancelledMS int64     `json:"x,omitempty"` // Unix time in milliseconds; 0 if the job is not cancelled
 }
 
-// errNoSpec reports a stored job without a specification.
+// errNoSpec is returned for a stored job without a specification.
 var errNoSpec = errors.New("stored job has no specification")
 
 // DecodeJob decodes a stored job.
@@ -47,8 +47,8 @@
 type FinalState struct {
 	State wire.JobStatus `json:"s"`
 	Done  int            `json:"n"`
-	// EndedMS is the time of day at which the job ended. It is 0 in final states written by versions without
-	// dependencies.
+	// EndedMS is the Unix time in milliseconds at which the job ended. It is 0 in final states written by versions
+	// without dependencies.
 	EndedMS int64 `json:"at,omitempty"`
 }
 
--- a/internal/stored/keys.go
+++ b/internal/stored/keys.go
@@ -111,7 +111,7 @@
 	{relayedHeartbeatsPrefix, KindRelayedHeartbeats},
 }
 
-// ParseWatchedKey returns the kind of a watched key and the part after its prefix: a job's id, a plan's name, or the
+// ParseWatchedKey returns the kind of a watched key and the part after its prefix: a job's ID, a plan's name, or the
 // node and shard of relayed heartbeats. The part is empty for a key of a single value.
 func ParseWatchedKey(key string) (kind Kind, name string) {
 	switch key {
--- a/internal/stored/sizes.go
+++ b/internal/stored/sizes.go
@@ -2,7 +2,8 @@
 
 import "bitternwing/internal/wire"
 
-// Values are kept below the store's limit, and one transaction body must have room for several of them.
+// The bounds of UsableValueBytes. Only nine tenths of the store's limit are used, and a transaction body must have room
+// for at least minValuesPerTxn values.
 const (
 	usableTenths    = 9
 	minValuesPerTxn = 4
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -25,7 +25,7 @@
 	return decode[TaskCountShard](value)
 }
 
-// taskCountBuckets is the number of buckets over which the counts are distributed by a hash of the job id. Bucket b
+// taskCountBuckets is the number of buckets over which the counts are distributed by a hash of the job ID. Bucket b
 // consists of the shards b, b+taskCountBuckets, b+2*taskCountBuckets and so on, as many as its counts need. Some older
 // versions only read the first shard of each bucket.
 const taskCountBuckets = 8
@@ -51,7 +51,7 @@
 	}
 }
 
-// maxTaskCountBytes is the maximum encoded size of a job's counts in addition to its id.
+// maxTaskCountBytes is the maximum encoded size of a job's counts in addition to its ID.
 const maxTaskCountBytes = len(`"":[100000,100000],`)
 
 // TaskCountPacker distributes task counts over shards, each of which fits into a value.
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -1,4 +1,5 @@
-// Package watchcache keeps a copy of the watched keys of the key-value store, which a list and a watch keep up to date.
+// Package watchcache holds a copy of the watched keys of the key-value store, which a list fills and a watch keeps up
+// to date.
 //
 // The cache may lag behind the store. State is therefore confirmed before it is reported to users, and writes are
 // conditional on the versions in the cache. The package is pure: it does not call the store, and it does not notify
@@ -123,7 +124,7 @@
 // JobCount returns the number of active jobs.
 func (c *Cache) JobCount() int { return len(c.jobs) }
 
-// JobIDs returns the sorted ids of the active jobs.
+// JobIDs returns the sorted IDs of the active jobs.
 func (c *Cache) JobIDs() []string { return slices.Sorted(maps.Keys(c.jobs)) }
 
 func (c *Cache) applyLeader(value json.RawMessage, version uint64) {
--- a/internal/watchcache/final_states.go
+++ b/internal/watchcache/final_states.go
@@ -7,7 +7,7 @@
 type finalStates struct {
 	maxCount int
 	byJob    map[string]stored.FinalState
-	order    []string // job ids, oldest entry first
+	order    []string // job IDs, oldest entry first
 }
 
 func newFinalStates(maxCount int) finalStates {
--- a/internal/watchcache/listing.go
+++ b/internal/watchcache/listing.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Replace replaces the content of the cache with the listing. Values that became known after the listing started are
-// kept. The watch delivers them, or their deletion, again.
+// Replace replaces the content of the cache with the listing. It retains values that became known after the listing
+// started. The watch delivers them, or their deletion, again.
 func (c *Cache) Replace(listing *Listing) {
 	listed := listing.listed
 	retainNewer(listed.jobs, c.jobs, listed.revision)
--- a/internal/watchcache/unreachable_hints.go
+++ b/internal/watchcache/unreachable_hints.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// LastHeardMS returns the time of day at which an earlier leader last heard from a machine, or false if there is no
-// hint. A machine can be in two shards while the hints are being rewritten. The later time is then used.
+// LastHeardMS returns the Unix time in milliseconds at which an earlier leader last heard from a machine, or false if
+// there is no hint. A machine can be in two shards while the hints are being rewritten. The later time is then used.
 func (c *Cache) LastHeardMS(machine string) (lastHeardMS int64, known bool) {
 	for _, shard := range c.unreachableHints {
 		if heard, named := shard.lastHeardMS[machine]; named {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -19,7 +19,7 @@
 	Types []MachineType `json:"rigs"`
 }
 
-// ScaleOutRequest requests machines (POST /rentals). Requests with the same id are idempotent.
+// ScaleOutRequest requests machines (POST /rentals). Requests with the same ID are idempotent.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"rig"`
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -115,10 +115,10 @@
 	Running *int      `json:"running,omitempty"`
 }
 
-// jobIDPattern is the protocol's form of a job id.
+// jobIDPattern is the protocol's form of a job ID.
 var jobIDPattern = regexp.MustCompile(`^run-[0-9]{6,20}$`)
 
-// ValidJobID reports whether a job id has the protocol's form.
+// ValidJobID reports whether a job ID has the protocol's form.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // TaskName returns the protocol's name of a task.
@@ -137,7 +137,7 @@
 	return job, task, true
 }
 
-// maxDependencyBytes is the maximum size of a dependency in a stored job: the longest job id with its quotes and a
+// maxDependencyBytes is the maximum size of a dependency in a stored job: the longest job ID with its quotes and a
 // comma.
 const maxDependencyBytes = len(`"run-01234567890123456789",`)
 
--- a/internal/wire/parse_job.go
+++ b/internal/wire/parse_job.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// text decodes a name: a string of 1 to maxNameBytes bytes. An absent field gives an empty string.
+// text decodes a name: a string of 1 to maxNameBytes bytes. It returns an empty string for an absent field.
 func (f *fields) text(name string, required bool) string {
 	raw, ok := f.get(name)
 	if !ok {
@@ -81,7 +81,7 @@
 	return text
 }
 
-// amount decodes a number from 0 to maxAmount. An absent field gives nil.
+// amount decodes a number from 0 to maxAmount. It returns nil for an absent field.
 func (f *fields) amount(name string, required bool) *float64 {
 	raw, ok := f.get(name)
 	if !ok {
@@ -101,7 +101,7 @@
 	return &amount
 }
 
-// ids decodes a list of job ids and removes repeated ones. It keeps strings that are no valid job id, because whether a
+// ids decodes a list of job IDs and removes repeated ones. It keeps strings that are no valid job ID, because whether a
 // job exists is checked elsewhere. An empty list counts as absent.
 func (f *fields) ids(name string) []string {
 	raw, ok := f.get(name)
@@ -133,7 +133,7 @@
 	return int(count)
 }
 
-// machineTypes decodes the list of allowed machine types. An absent field gives nil, which allows any type.
+// machineTypes decodes the list of allowed machine types. It returns nil for an absent field, which allows any type.
 func (f *fields) machineTypes(name string) []string {
 	raw, ok := f.get(name)
 	if !ok {
@@ -224,7 +224,7 @@
 	return job, job.checkValues()
 }
 
-// checkValues validates the job id, the kind and the priority.
+// checkValues validates the job ID, the kind and the priority.
 func (j *Job) checkValues() error {
 	switch {
 	case !ValidJobID(j.ID):
--- a/internal/wire/prefetch.go
+++ b/internal/wire/prefetch.go
@@ -4,7 +4,7 @@
 // simulated workers support it.
 const PrefetchPath = "/prefetch"
 
-// PrefetchRequest requests that a worker caches an image.
+// PrefetchRequest requests that a worker fetch an image into its cache.
 type PrefetchRequest struct {
 	Image string  `json:"image"`
 	GB    float64 `json:"gb"`
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -51,7 +51,7 @@
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// LeaseResponse is the id of a granted lease.
+// LeaseResponse is the ID of a granted lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"permit"`
 }
