--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,9 +2,9 @@
 // old one. The old version keeps all of its replicas until the new one serves all traffic, so that a rollback is
 // possible at any time before.
 //
-// The package is pure: it reads no clock, makes no calls, and decides by an Observation only. It contains plans and
-// their state machine (Record), the validation of replicas, the routing of traffic and the leases of routers. It has no
-// notion of how jobs are placed.
+// The package is pure: it reads no clock, makes no calls, and its decisions depend on an Observation only. It contains
+// plans and their state machine (Record), the validation of replicas, the routing of traffic and the leases of routers.
+// It has no notion of how jobs are placed.
 package rollout
 
 import (
@@ -49,18 +49,18 @@
 	Request json.RawMessage `json:"request"` // body of the request
 	// Expected is passed to the script. It is absent if CompareWithOld is true.
 	Expected       json.RawMessage `json:"expected,omitempty"`
-	CompareWithOld bool            `json:"compare_with_old,omitempty"` // pass the old version's response to the same request to the script instead
-	// Script is a Starlark script. It defines check(request, answer, expected), which returns True for a correct
-	// answer.
+	CompareWithOld bool            `json:"compare_with_old,omitempty"` // expected is the old version's response to the same request
+	// Script is a Starlark script. It defines check(request, answer, expected), which returns True if the response
+	// (answer) is correct.
 	Script string `json:"script"`
 }
 
 // Limits are the timeouts of a plan, in seconds.
 type Limits struct {
-	WaitS        float64 `json:"wait_s"`        // for phases that wait for jobs, machines, capacity or routers
-	UnreachableS float64 `json:"unreachable_s"` // for the phase in which replicas are validated
-	RouterGoneS  float64 `json:"router_gone_s"` // after which a router that sends no requests is considered gone
-	KeepS        float64 `json:"keep_s"`        // for which the record is kept after the plan has ended
+	WaitTimeoutS       float64 `json:"wait_s"`        // for phases that wait for jobs, machines, capacity or routers
+	ValidationTimeoutS float64 `json:"unreachable_s"` // for the phase in which replicas are validated
+	RouterGoneS        float64 `json:"router_gone_s"` // after which a router that sends no requests is considered gone
+	RetentionS         float64 `json:"keep_s"`        // for which the record is kept after the plan has ended
 }
 
 //go:embed plan.schema.json
--- a/internal/stored/task_counts.go
+++ b/internal/stored/task_counts.go
@@ -14,8 +14,8 @@
 // encodedTaskCounts is the stored form of TaskCounts: running, done.
 type encodedTaskCounts [2]int
 
-// Of returns the counts of a job, or false if the shard has none.
-func (s TaskCountShard) Of(job string) (TaskCounts, bool) {
+// Counts returns the counts of a job, or false if the shard has none.
+func (s TaskCountShard) Counts(job string) (TaskCounts, bool) {
 	n, found := s[job]
 	return TaskCounts{Running: n[0], Done: n[1]}, found
 }
@@ -25,7 +25,7 @@
 	return decode[TaskCountShard](value)
 }
 
-// taskCountBuckets is the number of buckets over which the counts are distributed by a hash of the job id. Bucket b
+// taskCountBuckets is the number of buckets over which the counts are distributed by a hash of the job ID. Bucket b
 // consists of the shards b, b+taskCountBuckets, b+2*taskCountBuckets and so on, as many as its counts need. Some older
 // versions only read the first shard of each bucket.
 const taskCountBuckets = 8
@@ -39,19 +39,19 @@
 
 // FindTaskCounts returns the counts of a job. The function shardOf returns the shard with the given key, or false if
 // there is none.
-func FindTaskCounts(job string, shardOf func(key string) (TaskCountShard, bool)) TaskCounts {
+func FindTaskCounts(job string, getShard func(key string) (TaskCountShard, bool)) TaskCounts {
 	for i := taskCountBucket(job); ; i += taskCountBuckets {
-		shard, used := shardOf(TaskCountKey(i))
+		shard, used := getShard(TaskCountKey(i))
 		if !used {
 			return TaskCounts{}
 		}
-		if counts, found := shard.Of(job); found {
+		if counts, found := shard.Counts(job); found {
 			return counts
 		}
 	}
 }
 
-// maxTaskCountBytes is the maximum encoded size of a job's counts in addition to its id.
+// maxTaskCountBytes is the maximum encoded size of a job's counts in addition to its ID.
 const maxTaskCountBytes = len(`"":[100000,100000],`)
 
 // TaskCountPacker distributes task counts over shards, each of which fits into a value.
