--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -8,35 +8,42 @@
 	"testing"
 )
 
-// Days on which troubles meet. A kept one in testdata/fault_combinations is a script, and below it what
-// came of it: who led, what started and ended where, what users were told. It fails when a rule
-// of the protocol breaks, whatever is kept. TestSearch makes up such scripts by seed; what it
-// finds becomes a kept one: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`, and
-// `-show DIR` writes script and events of a seed that fails.
+// Simulated days on which several faults coincide. A file in testdata/fault_combinations is a script, followed by the
+// events of the simulation: leader changes, tasks that start and stop, and responses to users. The test fails if a rule
+// of the protocol is violated, whatever events the file holds. TestSearch generates such scripts from seeds; one that
+// finds a violation is added to the directory: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`, and
+// `-show DIR` writes the script and the events of a seed that fails.
 //
-//	zones a=z1 b=z1 c=z2     where nodes are; first line
-//	seed 7                   of all that is left to chance
-//	next value_kb=1 ...      limits to come, in the settings
-//	old                      all nodes are of the version before the second layout of records
-//	machines z1 z1 z2-spot   up at the start
-//	room 8                   machines that the cloud has in each zone, if not 4
+//	zones a=z1 b=z1 c=z2     zones of the nodes; first line
+//	seed 7                   seed of the random numbers
+//	upcoming_limits value_kb=1 ...   announced limits, in the settings
+//	old_version              all nodes run the version before the second record layout
+//	machines z1 z1 z2-spot   machines that run at the start
+//	machines_per_zone 8      number of machines that the cloud has in each zone; default 4
 //	AT submit run-000001 kind=service tasks=2 gpus=4 team=green run=20 faulty
-//	AT cancel run-000001     AT cancel_at_end run-000001
-//	AT cancel_now            the user of some job that runs cancels it
-//	AT refuse NODE FOR       the state service refuses it; NODE may be "leader"
-//	AT cut NODE state,peers,workers,users FOR
-//	AT upgrade NODE FOR      the same as kill, and back with the new version
-//	AT limits                the limits to come are there
-//	AT kill NODE|all FOR     AT freeze NODE FOR
-//	AT short NODE|all MS FOR it is short of processor time: each step takes it so many ms
-//	AT outage FOR            AT slow UPTO FOR      AT cloud FOR
-//	AT late_writes SHARE FOR AT late_reports SHARE FOR   AT late_orders SHARE FOR
-//	AT partition FOR         AT zone_cut ZONE FOR
-//	AT hang|deaf|mute|sick MACHINE FOR              AT die|take|recall MACHINE
-//	AT boots SHARE_NEVER FACTOR FOR                 how new machines come up
-//	AT polls PER_SECOND FOR  users ask about jobs; shown is what they got
-//	AT odd                   requests that must be refused, and repeats
-//	calm AT, end AT          troubles are over; the day is
+//	AT cancel run-000001
+//	AT cancel_on_completion run-000001   cancels a job, and submits it again, once all its tasks have completed
+//	AT cancel_running        the user of a running job cancels it
+//	AT store_unavailable NODE FOR        the key-value store refuses the node's requests
+//	AT isolate NODE store,peers,workers,users FOR
+//	AT upgrade NODE FOR      like kill, but the node starts again with the new version
+//	AT enforce_limits        the key-value store enforces the announced limits
+//	AT kill NODE FOR         AT freeze NODE FOR
+//	AT overload_cpu NODE MS FOR          each step of the node takes MS milliseconds
+//	AT store_outage FOR      AT store_delay UP_TO FOR            AT cloud_outage FOR
+//	AT delayed_transactions SHARE FOR    AT delayed_heartbeats SHARE FOR    AT delayed_commands SHARE FOR
+//	AT partition_zones FOR   AT isolate_zone ZONE FOR
+//	AT hang MACHINE FOR                  the worker's process stands still
+//	AT drop_inbound MACHINE FOR          no message reaches the worker
+//	AT drop_heartbeats MACHINE FOR       the worker's heartbeats are lost
+//	AT fail_tasks MACHINE FOR            all tasks on the machine fail
+//	AT stop_machine MACHINE              AT remove_machine MACHINE    AT reclaim MACHINE
+//	AT boot_faults SHARE_NEVER FACTOR FOR   share of new machines that never boot, and factor for the boot time of the others
+//	AT poll_load PER_SECOND FOR          users poll jobs; shows the number of responses by status
+//	AT invalid_requests      requests that must be refused, and repeated ones
+//	faults_end AT, end AT    end of the last fault, end of the simulation
+//
+// NODE is the name of a node, "leader", "follower" (one that is running) or "all".
 
 var (
 	firstSeed     = flag.Uint64("first", 1, "first seed of TestSearch")
--- a/internal/core/random_script_test.go
+++ b/internal/core/random_script_test.go
@@ -42,12 +42,12 @@
 	d.add("zones %s", d.pick("a=z1 b=z1 c=z1", "a=z1 b=z1 c=z2", "a=z1 b=z2 c=z2"))
 	d.add("seed %d", seed)
 	upgrade := rand.New(rand.NewPCG(seed, 4))
-	d.add("next value_kb=1 txn_ops=4 write_rps=42")
+	d.add("upcoming_limits value_kb=1 txn_ops=4 write_rps=42")
 	if upgraded := upgrade.IntN(2) == 0; upgraded {
-		d.add("old")
+		d.add("old_version")
 		randomUpgrade(&d.text, upgrade)
 	}
-	d.add("%.1f limits", 10+100*upgrade.Float64())
+	d.add("%.1f enforce_limits", 10+100*upgrade.Float64())
 	d.add("machines z1 z1 z2 z2%s", d.pick("", " z1-spot", " z2-spot"))
 	for range 2 + d.random.IntN(3) {
 		d.moments = append(d.moments, d.between(15, 85))
@@ -64,7 +64,7 @@
 	randomShortages(&d.text, seed, d.moments)
 	randomSuccessions(&d.text, seed)
 	// The longest fault begins at 88 s and lasts 45 s; ten leaders may follow each other.
-	d.add("calm 150")
+	d.add("faults_end 150")
 	d.add("end 270")
 	return d.text.String()
 }
@@ -86,7 +86,7 @@
 		}
 		d.add("%s cancel %s", showTime(at), id)
 	case !strings.Contains(spec, "service") && d.random.IntN(3) == 0:
-		d.add("%s cancel_at_end %s", showTime(begin), id)
+		d.add("%s cancel_on_completion %s", showTime(begin), id)
 	}
 }
 
@@ -102,7 +102,7 @@
 	case 4:
 		return fmt.Sprintf("tasks=%d gpus=2 team=red run=%g", 2+d.random.IntN(5), d.between(2, 25))
 	case 5:
-		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot save=1 run=%g zone=%s", 1+d.random.IntN(6), d.between(3, 40), d.pick("z1", "z2"))
+		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot checkpoint_time=1 run=%g zone=%s", 1+d.random.IntN(6), d.between(3, 40), d.pick("z1", "z2"))
 	default:
 		return fmt.Sprintf("tasks=%d gpus=2 team=blue run=%g", 2+d.random.IntN(3), d.between(5, 60))
 	}
@@ -138,28 +138,30 @@
 
 // randomFaults make up the lines of a fault. One that is listed twice is as likely as two others.
 var randomFaults = []func(d *randomScript, f randomFault){
-	func(d *randomScript, f randomFault) { d.add("%s refuse %s %g", f.at, f.node, d.between(2, 25)) },
+	func(d *randomScript, f randomFault) {
+		d.add("%s store_unavailable %s %g", f.at, f.node, d.between(2, 25))
+	},
 	(*randomScript).addOutageOfStore,
 	(*randomScript).addCut,
 	(*randomScript).addCut,
 	func(d *randomScript, f randomFault) { d.add("%s kill %s %g", f.at, f.node, d.between(0.1, 6)) },
 	func(d *randomScript, f randomFault) { d.add("%s kill all %g", f.at, d.between(0.1, 14)) },
 	func(d *randomScript, f randomFault) { d.add("%s freeze %s %g", f.at, f.node, d.between(1, 12)) },
-	func(d *randomScript, f randomFault) { d.add("%s outage %g", f.at, d.between(1, 45)) },
+	func(d *randomScript, f randomFault) { d.add("%s store_outage %g", f.at, d.between(1, 45)) },
 	func(d *randomScript, f randomFault) {
-		d.add("%s slow %g %g", f.at, d.between(0.2, 3), d.between(5, 30))
+		d.add("%s store_delay %g %g", f.at, d.between(0.2, 3), d.between(5, 30))
 	},
 	func(d *randomScript, f randomFault) {
-		d.add("%s late_writes %g %g", f.at, d.between(0.1, 0.6), d.between(5, 30))
+		d.add("%s delayed_transactions %g %g", f.at, d.between(0.1, 0.6), d.between(5, 30))
 	},
 	func(d *randomScript, f randomFault) {
-		d.add("%s late_reports %g %g", f.at, d.between(0.1, 0.8), d.between(5, 40))
+		d.add("%s delayed_heartbeats %g %g", f.at, d.between(0.1, 0.8), d.between(5, 40))
 	},
 	(*randomScript).addLateCommands,
 	(*randomScript).addLateCommands,
-	func(d *randomScript, f randomFault) { d.add("%s partition %g", f.at, d.between(5, 40)) },
+	func(d *randomScript, f randomFault) { d.add("%s partition_zones %g", f.at, d.between(5, 40)) },
 	func(d *randomScript, f randomFault) {
-		d.add("%s zone_cut %s %g", f.at, d.pick("z1", "z2"), d.between(5, 40))
+		d.add("%s isolate_zone %s %g", f.at, d.pick("z1", "z2"), d.between(5, 40))
 	},
 	(*randomScript).addHangs,
 	(*randomScript).addLostMachine,
@@ -170,7 +172,7 @@
 // addFault adds a fault about a moment.
 func (d *randomScript) addFault(moment float64) {
 	at := showTime(moment + d.between(0, 3))
-	node := d.pick("leader", "leader", "leader", "other", "a", "b", "c")
+	node := d.pick("leader", "leader", "leader", "follower", "a", "b", "c")
 	worker := d.random.IntN(8)
 	add := randomFaults[d.random.IntN(len(randomFaults))]
 	add(d, randomFault{moment, at, node, worker})
@@ -178,19 +180,19 @@
 
 // addOutageOfStore has the key-value store refuse the leader, and soon after all nodes.
 func (d *randomScript) addOutageOfStore(f randomFault) {
-	d.add("%s refuse leader %g", showTime(f.moment), d.between(4, 14))
-	d.add("%s outage %g", showTime(f.moment+d.between(0.5, 2.5)), d.between(5, 45))
+	d.add("%s store_unavailable leader %g", showTime(f.moment), d.between(4, 14))
+	d.add("%s store_outage %g", showTime(f.moment+d.between(0.5, 2.5)), d.between(5, 45))
 }
 
 // addCut cuts a node off from some services.
 func (d *randomScript) addCut(f randomFault) {
-	services := d.pick("state", "state,peers", "state,peers", "peers", "workers", "state,peers,workers,users")
-	d.add("%s cut %s %s %g", f.at, f.node, services, d.between(3, 40))
+	services := d.pick("store", "store,peers", "store,peers", "peers", "workers", "store,peers,workers,users")
+	d.add("%s isolate %s %s %g", f.at, f.node, services, d.between(3, 40))
 }
 
 // addLateCommands has direct commands come late.
 func (d *randomScript) addLateCommands(f randomFault) {
-	d.add("%s late_orders %g %g", f.at, d.between(0.2, 1), d.between(5, 40))
+	d.add("%s delayed_commands %g %g", f.at, d.between(0.2, 1), d.between(5, 40))
 }
 
 // addHangs has two workers hang.
@@ -201,8 +203,8 @@
 
 // addLostMachine cuts a worker off in one direction, and ends another one's machine.
 func (d *randomScript) addLostMachine(f randomFault) {
-	d.add("%s %s %d %g", f.at, d.pick("deaf", "mute"), f.worker, d.between(2, 25))
-	d.add("%s %s %d", f.at, d.pick("die", "take", "recall"), f.worker+1)
+	d.add("%s %s %d %g", f.at, d.pick("drop_inbound", "drop_heartbeats"), f.worker, d.between(2, 25))
+	d.add("%s %s %d", f.at, d.pick("stop_machine", "remove_machine", "reclaim"), f.worker+1)
 }
 
 // addSuccession kills one leader after the other.
@@ -213,10 +215,10 @@
 	}
 }
 
-// addCloudOutage has the cloud refuse all requests, and users send odd ones.
+// addCloudOutage has the cloud refuse all requests, and users send invalid requests.
 func (d *randomScript) addCloudOutage(f randomFault) {
-	d.add("%s cloud %g", f.at, d.between(3, 25))
-	d.add("%s odd", f.at)
+	d.add("%s cloud_outage %g", f.at, d.between(3, 25))
+	d.add("%s invalid_requests", f.at)
 }
 
 // randomUpgrade has the nodes come back with the new version, one after the other; on some days one of
@@ -240,9 +242,9 @@
 		return
 	}
 	for _, moment := range moments {
-		node := []string{"leader", "other", "a", "b", "c", "all"}[random.IntN(6)]
+		node := []string{"leader", "follower", "a", "b", "c", "all"}[random.IntN(6)]
 		begin := max(0.5, moment-10*random.Float64())
-		fmt.Fprintf(b, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
+		fmt.Fprintf(b, "%.1f overload_cpu %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
 	}
 }
 
@@ -266,12 +268,12 @@
 		longest := []time.Duration{workerLease, cancellationLimit, cancellationLimit * 3 / 2}[random.IntN(3)]
 		return longest.Seconds() * (0.5 + 0.5*random.Float64())
 	}
-	fmt.Fprintf(b, "%.2f %s\n", begin, pick("refuse leader 14", "cut leader state 14", "cut leader state,peers 14", "kill leader 3", "freeze leader 6"))
+	fmt.Fprintf(b, "%.2f %s\n", begin, pick("store_unavailable leader 14", "isolate leader store 14", "isolate leader store,peers 14", "kill leader 3", "freeze leader 6"))
 	for range 1 + random.IntN(6) {
-		fmt.Fprintf(b, "%.2f cancel_now\n", during())
+		fmt.Fprintf(b, "%.2f cancel_running\n", during())
 	}
 	for range 1 + random.IntN(2) {
-		trouble := pick("outage", "outage", "refuse other", "cut other state,peers", "slow 2", "late_writes 0.5", "partition", "zone_cut z1")
+		trouble := pick("store_outage", "store_outage", "store_unavailable follower", "isolate follower store,peers", "store_delay 2", "delayed_transactions 0.5", "partition_zones", "isolate_zone z1")
 		fmt.Fprintf(b, "%.2f %s %.1f\n", during(), trouble, span())
 	}
 }
@@ -289,7 +291,7 @@
 			id := fmt.Sprintf("run-8%02d%03d", chain, stage)
 			needs := ""
 			if last != "" {
-				needs = " needs=" + last
+				needs = " depends_on=" + last
 			}
 			fmt.Fprintf(b, "%.1f submit %s tasks=%d gpus=0 team=green spot run=%.1f priority=%s%s\n",
 				begin+0.3*float64(stage), id, 1+random.IntN(30), 1+10*random.Float64(), priority, needs)
--- a/internal/core/script_faults_test.go
+++ b/internal/core/script_faults_test.go
@@ -25,7 +25,7 @@
 		return f.simulation.nodes
 	case "leader":
 		return []*simulatedNode{f.simulation.leader()}
-	case "other":
+	case "follower":
 		for _, node := range f.simulation.nodes {
 			if node != f.simulation.leader() && node.core != nil {
 				return []*simulatedNode{node}
@@ -57,36 +57,36 @@
 
 // faultHandlers maps the name of a fault to its handler, for all faults but those of one worker.
 var faultHandlers = map[string]func(f fault){
-	"refuse":       fault.refuseNode,
-	"cut":          fault.isolateNode,
-	"limits":       fault.applyNextLimits,
-	"kill":         fault.killNode,
-	"upgrade":      fault.killNode,
-	"freeze":       fault.freezeNode,
-	"short":        fault.slowNode,
-	"outage":       func(f fault) { f.simulation.storeOutageUntil = max(f.simulation.storeOutageUntil, f.endAt(1)) },
-	"slow":         func(f fault) { f.simulation.storeDelay, f.simulation.storeDelayUntil = f.seconds(1), f.endAt(2) },
-	"cloud":        func(f fault) { f.simulation.cloudOutageUntil = max(f.simulation.cloudOutageUntil, f.endAt(1)) },
-	"cancel_now":   func(f fault) { f.simulation.cancelRunningJob() },
-	"late_writes":  func(f fault) { f.setShareFor(&f.simulation.lateTransactionShare) },
-	"late_reports": func(f fault) { f.setShareFor(&f.simulation.lateHeartbeatShare) },
-	"late_orders":  func(f fault) { f.setShareFor(&f.simulation.lateCommandShare) },
-	"boots":        fault.setBootFaults,
-	"polls":        fault.startPolling,
-	"partition":    fault.partition,
-	"zone_cut":     fault.isolateZone,
-	"odd":          func(f fault) { f.simulation.sendOddRequests() },
+	"store_unavailable":    fault.refuseNode,
+	"isolate":              fault.isolateNode,
+	"enforce_limits":       fault.applyNextLimits,
+	"kill":                 fault.killNode,
+	"upgrade":              fault.killNode,
+	"freeze":               fault.freezeNode,
+	"overload_cpu":         fault.slowNode,
+	"store_outage":         func(f fault) { f.simulation.storeOutageUntil = max(f.simulation.storeOutageUntil, f.endAt(1)) },
+	"store_delay":          func(f fault) { f.simulation.storeDelay, f.simulation.storeDelayUntil = f.seconds(1), f.endAt(2) },
+	"cloud_outage":         func(f fault) { f.simulation.cloudOutageUntil = max(f.simulation.cloudOutageUntil, f.endAt(1)) },
+	"cancel_running":       func(f fault) { f.simulation.cancelRunningJob() },
+	"delayed_transactions": func(f fault) { f.setShareFor(&f.simulation.lateTransactionShare) },
+	"delayed_heartbeats":   func(f fault) { f.setShareFor(&f.simulation.lateHeartbeatShare) },
+	"delayed_commands":     func(f fault) { f.setShareFor(&f.simulation.lateCommandShare) },
+	"boot_faults":          fault.setBootFaults,
+	"poll_load":            fault.startPolling,
+	"partition_zones":      fault.partition,
+	"isolate_zone":         fault.isolateZone,
+	"invalid_requests":     func(f fault) { f.simulation.sendOddRequests() },
 }
 
 // workerFaultHandlers maps the name of a fault of one worker to its handler.
 var workerFaultHandlers = map[string]func(f fault, worker *simulatedWorker){
-	"hang":   func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.endAt(2)) },
-	"deaf":   func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.endAt(2)) },
-	"mute":   func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.endAt(2)) },
-	"sick":   fault.makeFaulty,
-	"die":    fault.stopMachine,
-	"take":   func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
-	"recall": fault.reclaim,
+	"hang":            func(f fault, worker *simulatedWorker) { worker.hungUntil = max(worker.hungUntil, f.endAt(2)) },
+	"drop_inbound":    func(f fault, worker *simulatedWorker) { worker.deafUntil = max(worker.deafUntil, f.endAt(2)) },
+	"drop_heartbeats": func(f fault, worker *simulatedWorker) { worker.muteUntil = max(worker.muteUntil, f.endAt(2)) },
+	"fail_tasks":      fault.makeFaulty,
+	"stop_machine":    fault.stopMachine,
+	"remove_machine":  func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
+	"reclaim":         fault.reclaim,
 }
 
 // inject injects a fault.
@@ -120,7 +120,7 @@
 	for _, node := range f.nodes() {
 		for _, service := range strings.Split(f.words[2], ",") {
 			switch service {
-			case "state":
+			case "store":
 				node.storeCutUntil = max(node.storeCutUntil, f.endAt(3))
 			case "peers":
 				node.peersCutUntil = max(node.peersCutUntil, f.endAt(3))
@@ -192,7 +192,7 @@
 		}
 	}
 	poll()
-	f.simulation.at(end+2*time.Second, func() { f.simulation.show("polls: %v", f.simulation.pollStatuses) })
+	f.simulation.at(end+2*time.Second, func() { f.simulation.show("poll responses: %v", f.simulation.pollStatuses) })
 }
 
 // partition partitions the zones from each other.
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -54,20 +54,20 @@
 // configure handles a line that configures the simulation, or schedules an event.
 func (r *scriptRunner) configure(words []string) {
 	switch words[0] {
-	case "old", "next":
+	case "old_version", "upcoming_limits":
 		r.simulation.restartNodesForUpgrade(words)
 	case "machines":
 		for i, word := range words[1:] {
 			zone, spot := strings.CutSuffix(word, "-spot")
 			r.simulation.addMachine(zone, spot, time.Duration(100*i)*time.Millisecond)
 		}
-	case "room":
+	case "machines_per_zone":
 		machines, err := strconv.Atoi(words[1])
 		if err != nil {
 			r.tb.Fatalf("invalid number: %s", words[1])
 		}
 		r.simulation.machinesPerZone = machines
-	case "calm":
+	case "faults_end":
 		r.simulation.faultsEnd = parseSeconds(r.tb, words[1])
 	case "end":
 		r.simulation.end = parseSeconds(r.tb, words[1])
@@ -78,11 +78,11 @@
 
 // restartNodesForUpgrade restarts the nodes, with the old version or with announced limits in the settings.
 func (s *simulation) restartNodesForUpgrade(words []string) {
-	if words[0] == "next" {
+	if words[0] == "upcoming_limits" {
 		s.params.Store.Next = parseNextLimits(s.tb, words[1:])
 	}
 	for _, node := range s.nodes {
-		node.oldVersion = node.oldVersion || words[0] == "old"
+		node.oldVersion = node.oldVersion || words[0] == "old_version"
 		s.killNode(node)
 		s.startNode(node)
 	}
@@ -109,7 +109,7 @@
 	case "cancel":
 		job := s.submittedJob(words[1])
 		s.at(at, func() { s.cancelJob(job) })
-	case "cancel_at_end":
+	case "cancel_on_completion":
 		job := s.submittedJob(words[1])
 		job.cancelAt = -1
 		s.at(at, func() { s.cancelAndResubmitOnceComplete(job) })
--- a/internal/core/sim_cloud_test.go
+++ b/internal/core/sim_cloud_test.go
@@ -117,7 +117,7 @@
 			return core.Result{Outcome: outcome.Unavailable}
 		}
 		s.rentedByRequest[request.RequestID] = names
-		s.show("%s rents %d in %s", node.name, len(names), request.Zone)
+		s.show("%s scales out by %d in %s", node.name, len(names), request.Zone)
 	}
 	return core.Result{Outcome: outcome.OK, MachineNames: append([]string(nil), names...)}
 }
--- a/internal/core/sim_heartbeat_test.go
+++ b/internal/core/sim_heartbeat_test.go
@@ -114,7 +114,7 @@
 	}
 	worker.fencingToken, worker.leaseRenewedAt = body.FencingToken, max(worker.leaseRenewedAt, sent)
 	if len(body.Commands) > 0 {
-		s.record("%s: answers %s token %s%s", node.name, worker.name, showToken(body.FencingToken), showCommands(body.Commands))
+		s.record("%s: responds to %s token %s%s", node.name, worker.name, showToken(body.FencingToken), showCommands(body.Commands))
 	}
 	s.execute(worker, body.Commands)
 }
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -156,9 +156,9 @@
 	if leads := node.core.PeerStatus().Leading; leads != node.wasLeading {
 		node.wasLeading = leads
 		if leads {
-			s.show("%s leads term %d", node.name, node.core.PeerStatus().Term)
+			s.show("%s becomes leader in term %d", node.name, node.core.PeerStatus().Term)
 		} else {
-			s.show("%s leads no more", node.name)
+			s.show("%s steps down", node.name)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 func (s *simulation) recordLog(node *simulatedNode, effect core.Log) {
 	s.record("%s: %s%s", node.name, effect.Message, showFields(effect.Fields))
 	if effect.Message == "worker quarantined" {
-		s.show("%s: a machine is faulty", node.name)
+		s.show("%s quarantines a machine", node.name)
 	}
 }
 
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -88,7 +88,7 @@
 				return
 			}
 			_, got := s.store.Txn(effect.Txn)
-			s.record("late transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), got)
+			s.record("delayed transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), got)
 		}
 		s.after(s.between(2*time.Second, 12*time.Second), apply)
 		incarnation := node.incarnation
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -193,7 +193,7 @@
 	s.ruleChecker.recordSubmission(big.spec)
 	s.askAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: big.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
-			s.ruleChecker.report(s.now, "odd", "a job that fits no machine gets %d", status)
+			s.ruleChecker.report(s.now, "unexpected_status", "a job that fits no machine gets %d", status)
 		}
 	})
 	s.askAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -55,7 +55,7 @@
 			s.after(s.between(time.Second, 12*time.Second), func() {
 				if worker.up && s.now >= worker.hungUntil {
 					s.expireLease(worker)
-					s.record("late orders at %s", worker.name)
+					s.record("delayed commands at %s", worker.name)
 					there(worker)
 				}
 			})
@@ -70,7 +70,7 @@
 // sendCommands sends a worker direct commands. It carries them out if they are for its incarnation, and their fencing
 // token is not older than the newest one that it has seen.
 func (s *simulation) sendCommands(node *simulatedNode, effect core.SendCommands) {
-	s.record("%s: orders %s token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
+	s.record("%s: sends commands to %s token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
 	s.callWorker(node, effect.CallID, effect.Addr, func(worker *simulatedWorker) core.Result {
 		if effect.FencingToken < worker.fencingToken || effect.Incarnation != worker.incarnation {
 			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.newHeartbeat(worker)}
@@ -88,7 +88,7 @@
 		return
 	}
 	if len(worker.tasks) > 0 {
-		s.show("%s loses its lease with %d tasks", worker.name, len(worker.tasks))
+		s.show("%s: lease expired with %d tasks", worker.name, len(worker.tasks))
 	}
 	s.killTasks(worker)
 	worker.incarnation++
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -42,7 +42,7 @@
 
 // storeUnavailable reports whether the key-value store refuses a node's requests.
 func (harness *traceHarness) storeUnavailable(node *traceNode) bool {
-	return harness.storeOutage || node.storeMode == "refuse"
+	return harness.storeOutage || node.storeMode == "unavailable"
 }
 
 // applyStoreMode returns the result that a node receives for a request other than a transaction: the node's store mode
@@ -51,9 +51,9 @@
 	switch {
 	case harness.storeUnavailable(node):
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unavailable}
-	case node.storeMode == "hold" || node.storeMode == "lose":
+	case node.storeMode == "no_responses" || node.storeMode == "lose_responses":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unknown}
-	case node.storeMode == "limit":
+	case node.storeMode == "rate_limited":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Dropped}
 	}
 	return result
@@ -66,14 +66,14 @@
 	switch {
 	case harness.storeUnavailable(node):
 		result.Outcome = outcome.Unavailable
-	case node.storeMode == "limit":
+	case node.storeMode == "rate_limited":
 		result.Outcome = outcome.Dropped
-	case node.storeMode == "hold" || node.storeMode == "slow":
+	case node.storeMode == "no_responses" || node.storeMode == "delay_transactions":
 		node.heldTransactions = append(node.heldTransactions, effect)
 		result.Outcome = outcome.Unknown
 	default:
 		result.Txn, result.Outcome = harness.store.Txn(effect.Txn)
-		if node.storeMode == "lose" {
+		if node.storeMode == "lose_responses" {
 			result = core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
 		}
 	}
@@ -90,7 +90,7 @@
 		item, result := harness.store.Get(e.Key)
 		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
 	case core.StoreList:
-		if node.storeMode == "nolist" {
+		if node.storeMode == "lose_lists" {
 			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 		}
 		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
@@ -100,9 +100,9 @@
 
 // callLease grants, renews or revokes a lease, unless the request does not reach the key-value store.
 func (harness *traceHarness) callLease(node *traceNode, effect core.Effect) core.Result {
-	notReceived := harness.storeUnavailable(node) || node.storeMode == "limit"
+	notReceived := harness.storeUnavailable(node) || node.storeMode == "rate_limited"
 	if _, grant := effect.(core.StoreGrantLease); !grant {
-		notReceived = notReceived || node.storeMode == "hold"
+		notReceived = notReceived || node.storeMode == "no_responses"
 	}
 	if notReceived {
 		return harness.applyStoreMode(node, core.Result{CallID: callID(effect)})
@@ -153,7 +153,7 @@
 		harness.machines[name] = &wire.Machine{Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineRunning}
 		result.MachineNames = append(result.MachineNames, name)
 	}
-	harness.show(node, "rents %s %s spot=%v as %s: %v", request.Type, request.Zone, request.Spot, request.RequestID, result.MachineNames)
+	harness.show(node, "scales out %s %s spot=%v as %s: %v", request.Type, request.Zone, request.Spot, request.RequestID, result.MachineNames)
 	return result
 }
 
@@ -171,7 +171,7 @@
 	return result
 }
 
-// commandOutcomes maps the argument of an orders line to the outcome of direct commands; "": no fault.
+// commandOutcomes maps the argument of a direct_commands line to the outcome of direct commands; "": no fault.
 var commandOutcomes = map[string]outcome.Outcome{
 	"":         outcome.OK,
 	"lost":     outcome.Unknown,
@@ -182,19 +182,19 @@
 // sendCommands shows direct commands and returns their outcome. No worker executes them.
 func (harness *traceHarness) sendCommands(node *traceNode, effect core.SendCommands) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: commandOutcomes[harness.commandFault]}
-	harness.show(node, "orders %s token %s%s: %s", effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands), result.Outcome)
+	harness.show(node, "sends commands to %s token %s%s: %s", effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands), result.Outcome)
 	return result
 }
 
 // queryWorker returns the heartbeat that the trace has set for the worker at an address.
 func (harness *traceHarness) queryWorker(node *traceNode, effect core.QueryWorker) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
-	if node.storeMode == "limit" {
+	if node.storeMode == "rate_limited" {
 		result.Outcome = outcome.Dropped
 	} else if heartbeat := harness.workerHeartbeats[effect.Addr]; heartbeat != nil {
 		result.Outcome, result.Heartbeat = outcome.OK, *heartbeat
 	}
-	harness.show(node, "inspects %s: %s", effect.Addr, result.Outcome)
+	harness.show(node, "queries %s: %s", effect.Addr, result.Outcome)
 	return result
 }
 
@@ -207,7 +207,7 @@
 	if len(effect.Cancellations) > 0 {
 		harness.lastRequestID++
 		for _, cancellation := range effect.Cancellations {
-			harness.show(peer, "hears that %s is cancelled", cancellation.Job)
+			harness.show(peer, "receives the cancellation of %s", cancellation.Job)
 		}
 		harness.step(peer, core.ReplicateCancellations{RequestID: harness.lastRequestID, Cancellations: effect.Cancellations})
 	}
@@ -220,7 +220,7 @@
 
 // partitioned reports whether two nodes can't reach each other.
 func (harness *traceHarness) partitioned(a, b string) bool {
-	return harness.peerPartition == "cut" || harness.peerPartition == a || harness.peerPartition == b || harness.peerPartition == "zones" && harness.zoneByNode[a] != harness.zoneByNode[b]
+	return harness.peerPartition == "all" || harness.peerPartition == a || harness.peerPartition == b || harness.peerPartition == "zones" && harness.zoneByNode[a] != harness.zoneByNode[b]
 }
 
 // checkTransactionLimits checks that a transaction keeps to the protocol's limits.
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -22,7 +22,7 @@
 	nodes            map[string]*traceNode
 	nodeNames        []string // sorted
 	lastRequestID    uint64
-	peerPartition    string                     // "cut", "zones" or the name of a node; "": none
+	peerPartition    string                     // "all", "zones" or the name of a node; "": none
 	cycleBudget      float64                    // round_budget of nodes that start from now on; 0: the default
 	spareShare       float64                    // spare_share of nodes that start from now on
 	paceHeartbeats   bool                       // pace_reports of nodes that start from now on
@@ -42,7 +42,7 @@
 	name             string
 	oldVersion       bool // runs the version before the second record layout
 	core             *core.Core
-	storeMode        string // fault of its requests to the key-value store, or "serve"
+	storeMode        string // fault of its requests to the key-value store, or "none"
 	heldTransactions []core.StoreTxn
 	watches          []core.StoreWatch
 	watchesOpenedAt  time.Duration
@@ -111,7 +111,7 @@
 			watches := node.watches
 			node.watches = nil
 			for _, effect := range watches {
-				if harness.storeOutage || node.storeMode != "serve" && node.storeMode != "slow" && node.storeMode != "nolist" {
+				if harness.storeOutage || node.storeMode != "none" && node.storeMode != "delay_transactions" && node.storeMode != "lose_lists" {
 					node.watches = append(node.watches, effect)
 					continue
 				}
--- a/internal/core/trace_jobs_test.go
+++ b/internal/core/trace_jobs_test.go
@@ -10,22 +10,22 @@
 // jobFieldSetters maps the name in a NAME=VALUE word to the function that sets the job's field. The value is also
 // passed as a number, 0 if it is none.
 var jobFieldSetters = map[string]func(job *wire.Job, value string, number float64){
-	"tasks":    func(job *wire.Job, _ string, number float64) { job.Tasks = int(number) },
-	"gpus":     func(job *wire.Job, _ string, number float64) { job.GPUs = number },
-	"cpus":     func(job *wire.Job, _ string, number float64) { job.CPUs = number },
-	"team":     func(job *wire.Job, value string, _ float64) { job.Team = value },
-	"class":    func(job *wire.Job, value string, _ float64) { job.Class = value },
-	"image":    func(job *wire.Job, value string, _ float64) { job.Image = value },
-	"priority": func(job *wire.Job, value string, _ float64) { job.Priority = wire.Priority(value) },
-	"zone":     func(job *wire.Job, value string, _ float64) { job.Zone = value },
-	"type":     func(job *wire.Job, value string, _ float64) { job.MachineTypes = []string{value} },
-	"needs":    func(job *wire.Job, value string, _ float64) { job.Dependencies = strings.Split(value, ",") },
-	"deadline": func(job *wire.Job, _ string, number float64) { job.DeadlineS = &number },
-	"estimate": func(job *wire.Job, _ string, number float64) { job.EstimatedRunS = number },
-	"spread":   func(job *wire.Job, _ string, _ float64) { job.SpreadZones = true },
-	"one_zone": func(job *wire.Job, _ string, _ float64) { job.SingleZone = true },
-	"spot":     func(job *wire.Job, _ string, _ float64) { job.Spot = true },
-	"save": func(job *wire.Job, _ string, number float64) {
+	"tasks":      func(job *wire.Job, _ string, number float64) { job.Tasks = int(number) },
+	"gpus":       func(job *wire.Job, _ string, number float64) { job.GPUs = number },
+	"cpus":       func(job *wire.Job, _ string, number float64) { job.CPUs = number },
+	"team":       func(job *wire.Job, value string, _ float64) { job.Team = value },
+	"class":      func(job *wire.Job, value string, _ float64) { job.Class = value },
+	"image":      func(job *wire.Job, value string, _ float64) { job.Image = value },
+	"priority":   func(job *wire.Job, value string, _ float64) { job.Priority = wire.Priority(value) },
+	"zone":       func(job *wire.Job, value string, _ float64) { job.Zone = value },
+	"type":       func(job *wire.Job, value string, _ float64) { job.MachineTypes = []string{value} },
+	"depends_on": func(job *wire.Job, value string, _ float64) { job.Dependencies = strings.Split(value, ",") },
+	"deadline":   func(job *wire.Job, _ string, number float64) { job.DeadlineS = &number },
+	"estimate":   func(job *wire.Job, _ string, number float64) { job.EstimatedRunS = number },
+	"spread":     func(job *wire.Job, _ string, _ float64) { job.SpreadZones = true },
+	"one_zone":   func(job *wire.Job, _ string, _ float64) { job.SingleZone = true },
+	"spot":       func(job *wire.Job, _ string, _ float64) { job.Spot = true },
+	"checkpoint_time": func(job *wire.Job, _ string, number float64) {
 		job.CheckpointIntervalS, job.CheckpointTimeS = 10, number
 	},
 	"kind": func(job *wire.Job, value string, _ float64) {
@@ -62,7 +62,7 @@
 		name, value, _ := strings.Cut(word, "=")
 		number, _ := strconv.ParseFloat(value, 64)
 		switch name {
-		case "session":
+		case "incarnation":
 			heartbeat.Incarnation = uint64(number)
 		case "seq":
 			heartbeat.Sequence = uint64(number)
@@ -72,7 +72,7 @@
 			termNumber, _ := strconv.ParseUint(term, 10, 64)
 			countNumber, _ := strconv.ParseUint(count, 10, 64)
 			heartbeat.FencingToken = termNumber*1_000_000 + countNumber
-		case "notice":
+		case "reclaim_notice":
 			heartbeat.ReclaimNoticeS = &number
 		case "spot":
 			heartbeat.Spot = true
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -20,39 +20,41 @@
 // The lines of a trace:
 //
 //	node a                 starts or restarts the process of node a
-//	node a old             the same, as the version before the second record layout: it does not report
+//	node a old_version     the same, as the version before the second record layout: it does not report
 //	                       the layout to its peers, and its settings have no announced limits
-//	next value_kb=2 ...    announced limits, in the settings of nodes that start from here on
-//	limits fall            the key-value store enforces the announced limits
+//	upcoming_limits value_kb=2 ...   announced limits, in the settings of nodes that start from here on
+//	enforce_limits         the key-value store enforces the announced limits
 //	kill a                 ends the process of node a
 //	+2s                    advances the time
 //	submit a run-000001 kind=service tasks=2 gpus=4 team=red ...
 //	poll a run-000001      cancel a run-000001
-//	report a m1 session=1 seq=4 token=1 [addr=m1:1] [spot] [zone=z2] [notice=20] [TASK#ATTEMPT=STATE[:why]] ...
-//	state a refuse         the key-value store responds to node a with 503
-//	state a lose           requests of node a are executed, but the responses are lost
-//	state a hold           requests of node a get no response, and its transactions are held until: state a late
-//	state a slow           like hold, but only for transactions
-//	state a limit          requests of node a exceed the rate limit and are dropped
-//	state a nolist         responses to list requests are lost
-//	state a serve          ends the fault
-//	outage / outage over   the key-value store refuses all requests; leases are renewed when it is over
-//	peers cut / peers join / peers NODE   partitions all nodes; ends the partition; partitions NODE from the others
-//	peers zones            nodes reach only the nodes of their own zone
+//	heartbeat a m1 incarnation=1 seq=4 token=1 [addr=m1:1] [spot] [zone=z2] [reclaim_notice=20] [TASK#ATTEMPT=STATE[:CAUSE]] ...
+//	store_fault a unavailable          the key-value store responds to node a with 503
+//	store_fault a lose_responses       requests of node a are executed, but the responses are lost
+//	store_fault a no_responses         requests of node a get no response, and its transactions are held
+//	store_fault a delay_transactions   like no_responses, but only for transactions
+//	store_fault a commit_delayed       commits the held transactions; the fault continues
+//	store_fault a rate_limited         requests of node a exceed the rate limit and are dropped
+//	store_fault a lose_lists           responses to list requests are lost
+//	store_fault a none                 ends the fault
+//	store_outage / store_outage end    the key-value store refuses all requests; leases are renewed when the outage ends
+//	partition all / partition none / partition NODE   partitions all nodes; ends the partition; partitions NODE from the others
+//	partition zones        nodes reach only the nodes of their own zone
 //	zones b=z2             zones of nodes; default z1
-//	budget 1e-9            round_budget of nodes that start from here on
-//	spare 0.1              spare_share of nodes that start from here on
-//	paced                  enables pace_reports for nodes that start from here on
-//	orders lost / orders refused / orders conflict / orders ok   outcome of direct commands
-//	cloud down / cloud up  begins or ends an outage of the cloud; cloud none: no capacity
-//	cloud fails m1         the cloud lists m1 as failed
-//	cloud hides m1         the cloud's list lacks m1, until cloud shows m1
-//	cloud drops m1         removes m1 without notice
-//	cloud has m9 [z2]      adds a machine that no node requested
-//	store KEY VALUE        writes a value directly to the key-value store
+//	cycle_budget 1e-9      round_budget of nodes that start from here on
+//	spare_share 0.1        spare_share of nodes that start from here on
+//	pace_heartbeats        enables pace_reports for nodes that start from here on
+//	direct_commands lost / refused / conflict / ok   outcome of direct commands
+//	cloud down / cloud up  begins or ends an outage of the cloud
+//	cloud no_capacity      the cloud creates no machines, until cloud up
+//	cloud fail m1          the cloud lists m1 as failed
+//	cloud unlist m1        the cloud's list lacks m1, until cloud relist m1
+//	cloud remove m1        removes m1 without notice
+//	cloud add m9 [z2]      adds a machine that no node requested
+//	put KEY VALUE          writes a value directly to the key-value store
 //	keys PREFIX            shows keys of the key-value store with their values
 //	healthy a              shows whether node a is healthy
-//	answers a m1 addr=m1:1 session=...  sets the response of worker m1 to status queries
+//	query_response a m1 addr=m1:1 incarnation=...  sets the response of worker m1 to status queries
 
 var updateTraces = flag.Bool("update", false, "rewrite the golden traces")
 
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -20,28 +20,28 @@
 var harnessDirectives = map[string]func(harness *traceHarness, words []string){
 	"node": (*traceHarness).startNode,
 	"kill": (*traceHarness).killNode,
-	"next": func(harness *traceHarness, words []string) {
+	"upcoming_limits": func(harness *traceHarness, words []string) {
 		harness.nextLimits = parseNextLimits(harness.tb, words[1:])
 	},
-	"limits": func(harness *traceHarness, _ []string) {
+	"enforce_limits": func(harness *traceHarness, _ []string) {
 		harness.store.SetLimits(int(1024**harness.nextLimits.ValueKB), *harness.nextLimits.TxnOps)
 	},
-	"store":  (*traceHarness).storeValue,
-	"keys":   (*traceHarness).showKeys,
-	"outage": (*traceHarness).setOutage,
-	"zones":  (*traceHarness).setZones,
-	"budget": func(harness *traceHarness, words []string) {
+	"put":          (*traceHarness).storeValue,
+	"keys":         (*traceHarness).showKeys,
+	"store_outage": (*traceHarness).setOutage,
+	"zones":        (*traceHarness).setZones,
+	"cycle_budget": func(harness *traceHarness, words []string) {
 		harness.cycleBudget, _ = strconv.ParseFloat(harness.argument(words, 1), 64)
 	},
-	"spare": func(harness *traceHarness, words []string) {
+	"spare_share": func(harness *traceHarness, words []string) {
 		harness.spareShare, _ = strconv.ParseFloat(harness.argument(words, 1), 64)
 	},
-	"paced": func(harness *traceHarness, _ []string) { harness.paceHeartbeats = true },
-	"orders": func(harness *traceHarness, words []string) {
+	"pace_heartbeats": func(harness *traceHarness, _ []string) { harness.paceHeartbeats = true },
+	"direct_commands": func(harness *traceHarness, words []string) {
 		harness.commandFault = strings.TrimPrefix(harness.argument(words, 1), "ok")
 	},
-	"peers": func(harness *traceHarness, words []string) {
-		harness.peerPartition = strings.TrimPrefix(harness.argument(words, 1), "join")
+	"partition": func(harness *traceHarness, words []string) {
+		harness.peerPartition = strings.TrimPrefix(harness.argument(words, 1), "none")
 	},
 	"cloud": (*traceHarness).changeCloud,
 }
@@ -57,17 +57,17 @@
 	"cancel": func(harness *traceHarness, node *traceNode, words []string) {
 		harness.step(node, core.CancelJob{RequestID: harness.lastRequestID, ID: harness.argument(words, 2)})
 	},
-	"report": func(harness *traceHarness, node *traceNode, words []string) {
+	"heartbeat": func(harness *traceHarness, node *traceNode, words []string) {
 		harness.step(node, core.WorkerHeartbeat{RequestID: harness.lastRequestID, Heartbeat: harness.parseHeartbeat(words[2:])})
 	},
-	"answers": func(harness *traceHarness, _ *traceNode, words []string) {
+	"query_response": func(harness *traceHarness, _ *traceNode, words []string) {
 		heartbeat := harness.parseHeartbeat(words[2:])
 		harness.workerHeartbeats[heartbeat.Addr] = heartbeat
 	},
 	"healthy": func(harness *traceHarness, node *traceNode, _ []string) {
 		harness.show(node, "healthy %v", node.core.Healthy())
 	},
-	"state": func(harness *traceHarness, node *traceNode, words []string) {
+	"store_fault": func(harness *traceHarness, node *traceNode, words []string) {
 		node.storeMode = harness.argument(words, 2)
 	},
 }
@@ -95,7 +95,7 @@
 	if handle == nil {
 		harness.tb.Fatalf("unknown directive: %v", words)
 	}
-	if words[0] == "state" && harness.argument(words, 2) == "late" {
+	if words[0] == "store_fault" && harness.argument(words, 2) == "commit_delayed" {
 		harness.commitHeldTransactions(node)
 		return
 	}
@@ -113,7 +113,7 @@
 
 // startNode starts or restarts a node's process.
 func (harness *traceHarness) startNode(words []string) {
-	node := &traceNode{name: harness.argument(words, 1), storeMode: "serve", oldVersion: len(words) > 2}
+	node := &traceNode{name: harness.argument(words, 1), storeMode: "none", oldVersion: len(words) > 2}
 	settings := harness.settings(node.name)
 	if node.oldVersion {
 		settings.Params.Store.Next = nil
@@ -181,17 +181,17 @@
 		harness.cloudDown = true
 	case "up":
 		harness.cloudDown, harness.cloudExhausted = false, false
-	case "none":
+	case "no_capacity":
 		harness.cloudExhausted = true
-	case "fails":
+	case "fail":
 		harness.machines[harness.argument(words, 2)].State = wire.MachineFailed
-	case "hides":
+	case "unlist":
 		harness.hiddenMachine = harness.argument(words, 2)
-	case "shows":
+	case "relist":
 		harness.hiddenMachine = ""
-	case "drops":
+	case "remove":
 		delete(harness.machines, harness.argument(words, 2))
-	case "has":
+	case "add":
 		machine := &wire.Machine{Name: harness.argument(words, 2), Type: "g8", Zone: "z1", State: wire.MachineRunning}
 		if len(words) > 3 {
 			machine.Zone = words[3]
@@ -204,7 +204,7 @@
 func (harness *traceHarness) commitHeldTransactions(node *traceNode) {
 	for _, effect := range node.heldTransactions {
 		result, got := harness.store.Txn(effect.Txn)
-		harness.show(node, "late transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
+		harness.show(node, "delayed transaction %s: %s %v", showChangedKeys(effect.Txn), got, result.Failed)
 	}
 	node.heldTransactions = nil
 }
