--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -1,6 +1,6 @@
 // Command knownred runs all tests. It fails if a test fails that is not listed in a file of known failures, which are
 // tests that fail because of a real fault that has not been fixed yet. Each line of the file has the test's full name
-// (TestTraces/gap), the cause and the issue, separated by semicolons. The file may have up to three lines. The command
+// (TestTraces/store_outage), the cause and the issue, separated by semicolons. The file may have up to three lines. The command
 // also fails if a listed test does not exist or does not fail, so that fixed tests are removed from the file. Without
 // the file all tests must pass.
 package main
