--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -8,52 +8,42 @@
 	"testing"
 )
 
-// Tests of combinations of faults. A file in testdata/fault_combinations contains a script, followed by the trace of
-// its run: which node led, which tasks started and stopped where, and what users were told. A test fails if a rule of
-// the protocol is violated, also if the trace is as expected. TestSearch generates such scripts from seeds, for example
-// with `go test ./internal/core -run TestSearch -first 1 -seeds 1000`; a script that exposes a bug is added to the
-// directory. With `-show DIR`, the script and the log of each failed seed are written to DIR.
+// Simulated days on which several faults coincide. A file in testdata/fault_combinations is a script, followed by the
+// events of the simulation: leader changes, tasks that start and stop, and responses to users. The test fails if a rule
+// of the protocol is violated, whatever events the file holds. TestSearch generates such scripts from seeds; one that
+// finds a violation is added to the directory: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`, and
+// `-show DIR` writes the script and the events of a seed that fails.
 //
-// A script consists of these lines. AT is a time, FOR a duration, both in seconds. NODE is a name, or "leader", "other"
-// (a running node that does not lead) or "all". MACHINE is a name, or an index among the workers that are up.
-//
-//	zones a=z1 b=z1 c=z2     zones of the nodes; must come before all lines but seed
-//	seed 7                   seed of the random numbers; must come before all lines but zones
-//	next value_kb=1 ...      announces store limits in the settings
-//	old                      all nodes run the version that predates the second record layout
-//	machines z1 z1 z2-spot   machines that are up at the start
-//	room 8                   number of machines that the cloud offers in each zone; default 4
+//	zones a=z1 b=z1 c=z2     zones of the nodes; first line
+//	seed 7                   seed of the random numbers
+//	upcoming_limits value_kb=1 ...   announced limits, in the settings
+//	old_version              all nodes run the version before the second record layout
+//	machines z1 z1 z2-spot   machines that run at the start
+//	machines_per_zone 8      number of machines that the cloud has in each zone; default 4
 //	AT submit run-000001 kind=service tasks=2 gpus=4 team=green run=20 faulty
 //	AT cancel run-000001
-//	AT cancel_at_end run-000001   cancels a job, and submits it again, when its last task has completed
-//	AT cancel_now            the user of a random running job cancels it
-//	AT refuse NODE FOR       the key-value store refuses the node's calls
-//	AT cut NODE state,peers,workers,users FOR       cuts the node off from the store, peers, workers or users
-//	AT upgrade NODE FOR      like kill, but the node restarts with the new version
-//	AT limits                the announced store limits take effect
-//	AT kill NODE FOR         the node's process ends, and restarts after FOR
-//	AT freeze NODE FOR       the node's process is frozen
-//	AT short NODE MS FOR     the node is short of CPU time: each step takes MS milliseconds
-//	AT outage FOR            the store refuses all calls
-//	AT slow UPTO FOR         calls to the store are delayed by up to UPTO seconds, in each direction
-//	AT cloud FOR             the cloud refuses all calls
-//	AT late_writes SHARE FOR    a fraction of transactions is committed late, without a response
-//	AT late_reports SHARE FOR   a copy of a fraction of heartbeats arrives late
-//	AT late_orders SHARE FOR    a fraction of direct calls to workers is delayed or repeated late
-//	AT partition FOR         no zone reaches another
-//	AT zone_cut ZONE FOR     the zone is cut off from the other zones, the store and the cloud
-//	AT hang MACHINE FOR      the worker hangs
-//	AT deaf MACHINE FOR      the worker receives nothing
-//	AT mute MACHINE FOR      the worker's heartbeats reach no node
-//	AT sick MACHINE FOR      all tasks on the machine fail
-//	AT die MACHINE           the machine fails without notice
-//	AT take MACHINE          the cloud removes the machine without notice
-//	AT recall MACHINE        the cloud reclaims the machine 5 s after a notice
-//	AT boots SHARE_NEVER FACTOR FOR   fraction of new machines that never boot, multiplier of the other boot times
-//	AT polls PER_SECOND FOR  random jobs are polled; the trace contains the response statuses
-//	AT odd                   requests that must be rejected, and repeats of requests
-//	calm AT                  time when the last fault ends
-//	end AT                   end of the simulation
+//	AT cancel_on_completion run-000001   cancels a job, and submits it again, once all its tasks have completed
+//	AT cancel_running        the user of a running job cancels it
+//	AT store_unavailable NODE FOR        the key-value store refuses the node's requests
+//	AT isolate NODE store,peers,workers,users FOR
+//	AT upgrade NODE FOR      like kill, but the node starts again with the new version
+//	AT enforce_limits        the key-value store enforces the announced limits
+//	AT kill NODE FOR         AT freeze NODE FOR
+//	AT overload_cpu NODE MS FOR          each step of the node takes MS milliseconds
+//	AT store_outage FOR      AT store_delay UP_TO FOR            AT cloud_outage FOR
+//	AT delayed_transactions SHARE FOR    AT delayed_heartbeats SHARE FOR    AT delayed_commands SHARE FOR
+//	AT partition_zones FOR   AT isolate_zone ZONE FOR
+//	AT hang MACHINE FOR                  the worker's process stands still
+//	AT drop_inbound MACHINE FOR          no message reaches the worker
+//	AT drop_heartbeats MACHINE FOR       the worker's heartbeats are lost
+//	AT fail_tasks MACHINE FOR            all tasks on the machine fail
+//	AT stop_machine MACHINE              AT remove_machine MACHINE    AT reclaim MACHINE
+//	AT boot_faults SHARE_NEVER FACTOR FOR   share of new machines that never boot, and factor for the boot time of the others
+//	AT poll_load PER_SECOND FOR          users poll jobs; shows the number of responses by status
+//	AT invalid_requests      requests that must be refused, and repeated ones
+//	faults_end AT, end AT    end of the last fault, end of the simulation
+//
+// NODE is the name of a node, "leader", "follower" (one that is running) or "all".
 
 var (
 	firstSeed     = flag.Uint64("first", 1, "first seed of TestSearch")
--- a/internal/core/random_script_test.go
+++ b/internal/core/random_script_test.go
@@ -46,12 +46,12 @@
 	script.addLine("zones %s", script.pick("a=z1 b=z1 c=z1", "a=z1 b=z1 c=z2", "a=z1 b=z2 c=z2"))
 	script.addLine("seed %d", seed)
 	upgrade := rand.New(rand.NewPCG(seed, 4))
-	script.addLine("next value_kb=1 txn_ops=4 write_rps=42")
+	script.addLine("upcoming_limits value_kb=1 txn_ops=4 write_rps=42")
 	if upgraded := upgrade.IntN(2) == 0; upgraded {
-		script.addLine("old")
+		script.addLine("old_version")
 		writeUpgrade(&script.text, upgrade)
 	}
-	script.addLine("%.1f limits", 10+100*upgrade.Float64())
+	script.addLine("%.1f enforce_limits", 10+100*upgrade.Float64())
 	script.addLine("machines z1 z1 z2 z2%s", script.pick("", " z1-spot", " z2-spot"))
 	for range 2 + script.random.IntN(3) {
 		script.faultTimes = append(script.faultTimes, script.between(15, 85))
@@ -68,7 +68,7 @@
 	writeCPUShortages(&script.text, seed, script.faultTimes)
 	writeFailovers(&script.text, seed)
 	// The longest fault begins at 88 s and lasts 45 s, and up to ten leaders may be killed in succession.
-	script.addLine("calm 150")
+	script.addLine("faults_end 150")
 	script.addLine("end 270")
 	return script.text.String()
 }
@@ -90,7 +90,7 @@
 		}
 		script.addLine("%s cancel %s", formatTime(at), id)
 	case !strings.Contains(spec, "service") && script.random.IntN(3) == 0:
-		script.addLine("%s cancel_at_end %s", formatTime(submitAt), id)
+		script.addLine("%s cancel_on_completion %s", formatTime(submitAt), id)
 	}
 }
 
@@ -106,7 +106,7 @@
 	case 4:
 		return fmt.Sprintf("tasks=%d gpus=2 team=red run=%g", 2+script.random.IntN(5), script.between(2, 25))
 	case 5:
-		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot save=1 run=%g zone=%s", 1+script.random.IntN(6), script.between(3, 40), script.pick("z1", "z2"))
+		return fmt.Sprintf("tasks=%d gpus=1 team=blue spot checkpoint_time=1 run=%g zone=%s", 1+script.random.IntN(6), script.between(3, 40), script.pick("z1", "z2"))
 	default:
 		return fmt.Sprintf("tasks=%d gpus=2 team=blue run=%g", 2+script.random.IntN(3), script.between(5, 60))
 	}
@@ -143,7 +143,7 @@
 // randomFaults are functions that add the lines of a fault. Listing one twice doubles its probability.
 var randomFaults = []func(script *randomScript, f randomFault){
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s refuse %s %g", f.start, f.node, script.between(2, 25))
+		script.addLine("%s store_unavailable %s %g", f.start, f.node, script.between(2, 25))
 	},
 	(*randomScript).addStoreOutage,
 	(*randomScript).addNodeCut,
@@ -158,24 +158,24 @@
 		script.addLine("%s freeze %s %g", f.start, f.node, script.between(1, 12))
 	},
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s outage %g", f.start, script.between(1, 45))
+		script.addLine("%s store_outage %g", f.start, script.between(1, 45))
 	},
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s slow %g %g", f.start, script.between(0.2, 3), script.between(5, 30))
+		script.addLine("%s store_delay %g %g", f.start, script.between(0.2, 3), script.between(5, 30))
 	},
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s late_writes %g %g", f.start, script.between(0.1, 0.6), script.between(5, 30))
+		script.addLine("%s delayed_transactions %g %g", f.start, script.between(0.1, 0.6), script.between(5, 30))
 	},
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s late_reports %g %g", f.start, script.between(0.1, 0.8), script.between(5, 40))
+		script.addLine("%s delayed_heartbeats %g %g", f.start, script.between(0.1, 0.8), script.between(5, 40))
 	},
 	(*randomScript).addLateCommands,
 	(*randomScript).addLateCommands,
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s partition %g", f.start, script.between(5, 40))
+		script.addLine("%s partition_zones %g", f.start, script.between(5, 40))
 	},
 	func(script *randomScript, f randomFault) {
-		script.addLine("%s zone_cut %s %g", f.start, script.pick("z1", "z2"), script.between(5, 40))
+		script.addLine("%s isolate_zone %s %g", f.start, script.pick("z1", "z2"), script.between(5, 40))
 	},
 	(*randomScript).addHungWorkers,
 	(*randomScript).addLostMachine,
@@ -186,7 +186,7 @@
 // addFault adds a random fault within 3 s of a fault time.
 func (script *randomScript) addFault(faultTime float64) {
 	start := formatTime(faultTime + script.between(0, 3))
-	node := script.pick("leader", "leader", "leader", "other", "a", "b", "c")
+	node := script.pick("leader", "leader", "leader", "follower", "a", "b", "c")
 	worker := script.random.IntN(8)
 	addLines := randomFaults[script.random.IntN(len(randomFaults))]
 	addLines(script, randomFault{faultTime, start, node, worker})
@@ -194,19 +194,19 @@
 
 // addStoreOutage makes the key-value store refuse the leader's calls, and soon afterwards those of all nodes.
 func (script *randomScript) addStoreOutage(f randomFault) {
-	script.addLine("%s refuse leader %g", formatTime(f.faultTime), script.between(4, 14))
-	script.addLine("%s outage %g", formatTime(f.faultTime+script.between(0.5, 2.5)), script.between(5, 45))
+	script.addLine("%s store_unavailable leader %g", formatTime(f.faultTime), script.between(4, 14))
+	script.addLine("%s store_outage %g", formatTime(f.faultTime+script.between(0.5, 2.5)), script.between(5, 45))
 }
 
 // addNodeCut cuts a node off from a random set of services.
 func (script *randomScript) addNodeCut(f randomFault) {
-	services := script.pick("state", "state,peers", "state,peers", "peers", "workers", "state,peers,workers,users")
-	script.addLine("%s cut %s %s %g", f.start, f.node, services, script.between(3, 40))
+	services := script.pick("store", "store,peers", "store,peers", "peers", "workers", "store,peers,workers,users")
+	script.addLine("%s isolate %s %s %g", f.start, f.node, services, script.between(3, 40))
 }
 
 // addLateCommands delays direct commands.
 func (script *randomScript) addLateCommands(f randomFault) {
-	script.addLine("%s late_orders %g %g", f.start, script.between(0.2, 1), script.between(5, 40))
+	script.addLine("%s delayed_commands %g %g", f.start, script.between(0.2, 1), script.between(5, 40))
 }
 
 // addHungWorkers makes two workers hang.
@@ -217,8 +217,8 @@
 
 // addLostMachine cuts a worker off in one direction, and ends the machine of another worker.
 func (script *randomScript) addLostMachine(f randomFault) {
-	script.addLine("%s %s %d %g", f.start, script.pick("deaf", "mute"), f.worker, script.between(2, 25))
-	script.addLine("%s %s %d", f.start, script.pick("die", "take", "recall"), f.worker+1)
+	script.addLine("%s %s %d %g", f.start, script.pick("drop_inbound", "drop_heartbeats"), f.worker, script.between(2, 25))
+	script.addLine("%s %s %d", f.start, script.pick("stop_machine", "remove_machine", "reclaim"), f.worker+1)
 }
 
 // addLeaderKills kills 3 to 10 leaders one after the other.
@@ -229,10 +229,10 @@
 	}
 }
 
-// addCloudOutage makes the cloud refuse all calls, and adds a line of edge-case requests.
+// addCloudOutage makes the cloud refuse all calls, and adds invalid requests.
 func (script *randomScript) addCloudOutage(f randomFault) {
-	script.addLine("%s cloud %g", f.start, script.between(3, 25))
-	script.addLine("%s odd", f.start)
+	script.addLine("%s cloud_outage %g", f.start, script.between(3, 25))
+	script.addLine("%s invalid_requests", f.start)
 }
 
 // writeUpgrade upgrades the nodes to the new version one after the other, sometimes with a delay of 30 s after a node.
@@ -255,9 +255,9 @@
 		return
 	}
 	for _, faultTime := range faultTimes {
-		node := []string{"leader", "other", "a", "b", "c", "all"}[random.IntN(6)]
+		node := []string{"leader", "follower", "a", "b", "c", "all"}[random.IntN(6)]
 		begin := max(0.5, faultTime-10*random.Float64())
-		fmt.Fprintf(text, "%.1f short %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
+		fmt.Fprintf(text, "%.1f overload_cpu %s %.0f %.1f\n", begin, node, 5+60*random.Float64(), 5+30*random.Float64())
 	}
 }
 
@@ -281,12 +281,12 @@
 		longest := []time.Duration{workerLease, cancellationLimit, cancellationLimit * 3 / 2}[random.IntN(3)]
 		return longest.Seconds() * (0.5 + 0.5*random.Float64())
 	}
-	fmt.Fprintf(text, "%.2f %s\n", begin, pick("refuse leader 14", "cut leader state 14", "cut leader state,peers 14", "kill leader 3", "freeze leader 6"))
+	fmt.Fprintf(text, "%.2f %s\n", begin, pick("store_unavailable leader 14", "isolate leader store 14", "isolate leader store,peers 14", "kill leader 3", "freeze leader 6"))
 	for range 1 + random.IntN(6) {
-		fmt.Fprintf(text, "%.2f cancel_now\n", duringFailover())
+		fmt.Fprintf(text, "%.2f cancel_running\n", duringFailover())
 	}
 	for range 1 + random.IntN(2) {
-		fault := pick("outage", "outage", "refuse other", "cut other state,peers", "slow 2", "late_writes 0.5", "partition", "zone_cut z1")
+		fault := pick("store_outage", "store_outage", "store_unavailable follower", "isolate follower store,peers", "store_delay 2", "delayed_transactions 0.5", "partition_zones", "isolate_zone z1")
 		fmt.Fprintf(text, "%.2f %s %.1f\n", duringFailover(), fault, faultDuration())
 	}
 }
@@ -304,7 +304,7 @@
 			id := fmt.Sprintf("run-8%02d%03d", chain, stage)
 			dependency := ""
 			if previousID != "" {
-				dependency = " needs=" + previousID
+				dependency = " depends_on=" + previousID
 			}
 			fmt.Fprintf(text, "%.1f submit %s tasks=%d gpus=0 team=green spot run=%.1f priority=%s%s\n",
 				submitAt+0.3*float64(stage), id, 1+random.IntN(30), 1+10*random.Float64(), priority, dependency)
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -157,9 +157,9 @@
 	if leading := node.core.PeerStatus().Leading; leading != node.leading {
 		node.leading = leading
 		if leading {
-			s.tracef("%s leads term %d", node.name, node.core.PeerStatus().Term)
+			s.tracef("%s becomes leader in term %d", node.name, node.core.PeerStatus().Term)
 		} else {
-			s.tracef("%s leads no more", node.name)
+			s.tracef("%s steps down", node.name)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 func (s *simulation) recordLog(node *simulatedNode, effect core.Log) {
 	s.logf("%s: %s%s", node.name, effect.Message, formatFields(effect.Fields))
 	if effect.Message == "worker quarantined" {
-		s.tracef("%s: a machine is faulty", node.name)
+		s.tracef("%s quarantines a machine", node.name)
 	}
 }
 
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -90,7 +90,7 @@
 				return
 			}
 			_, result := s.store.Txn(effect.Txn)
-			s.logf("late transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), result)
+			s.logf("delayed transaction of %s: %s: %s", node.name, showChangedKeys(effect.Txn), result)
 		}
 		s.after(s.between(2*time.Second, 12*time.Second), apply)
 		incarnation := node.incarnation
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -194,7 +194,7 @@
 	s.ruleChecker.recordSubmission(tooLarge.spec)
 	s.sendToAnyNode(func(request uint64) core.Input { return core.SubmitJob{RequestID: request, Job: tooLarge.spec} }, func(status int, _ wire.JobStatus) {
 		if status == 200 || status == 201 || status == 400 || status == 404 {
-			s.ruleChecker.addViolation(s.now, "odd", "submission of a job that fits no machine: got status %d, want none of 200, 201, 400 and 404", status)
+			s.ruleChecker.addViolation(s.now, "unexpected_status", "submission of a job that fits no machine: got status %d, want none of 200, 201, 400 and 404", status)
 		}
 	})
 	s.sendToAnyNode(func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: "run-999002"} }, func(status int, state wire.JobStatus) {
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -56,7 +56,7 @@
 			s.after(s.between(time.Second, 12*time.Second), func() {
 				if worker.up && s.now >= worker.hungUntil {
 					s.expireLease(worker)
-					s.logf("late direct call handled by %s", worker.name)
+					s.logf("delayed commands handled by %s", worker.name)
 					handle(worker)
 				}
 			})
@@ -71,7 +71,7 @@
 // sendCommands sends direct commands to a worker. The worker executes them if they name its current incarnation and
 // their fencing token is not lower than the highest one that it has received.
 func (s *simulation) sendCommands(node *simulatedNode, effect core.SendCommands) {
-	s.logf("%s: sends direct commands to %s, token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
+	s.logf("%s: sends commands to %s, token %s%s", node.name, effect.Addr, showToken(effect.FencingToken), showCommands(effect.Commands))
 	s.callWorker(node, effect.CallID, effect.Addr, func(worker *simulatedWorker) core.Result {
 		if effect.FencingToken < worker.fencingToken || effect.Incarnation != worker.incarnation {
 			return core.Result{Outcome: outcome.Conflict, Heartbeat: *s.newHeartbeat(worker)}
@@ -89,7 +89,7 @@
 		return
 	}
 	if len(worker.tasks) > 0 {
-		s.tracef("%s loses its lease with %d tasks", worker.name, len(worker.tasks))
+		s.tracef("%s: lease expired with %d tasks", worker.name, len(worker.tasks))
 	}
 	s.killTasks(worker)
 	worker.incarnation++
