--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -39,11 +39,11 @@
 // machines, and which idle machines to release. It uses neither the cloud nor the store.
 type capacityPlanner struct {
 	plannerInput
-	cycle                *schedulingCycle
-	upcoming             []*plannedMachine
-	machinesByGroup      map[capacity.Group]int // existing and upcoming machines
-	zonesByJob           map[*job]map[string]int
-	pendingArrayMachines float64 // array work that does not justify a machine yet, in machines
+	cycle                 *schedulingCycle
+	upcoming              []*plannedMachine
+	machinesByGroup       map[capacity.Group]int // existing and upcoming machines
+	zonesByJob            map[*job]map[string]int
+	pendingArrayWorkBoots float64 // array work for which no machine is planned yet, in boot times of a machine
 }
 
 // plannedMachine is an upcoming machine: booting, requested or planned.
@@ -83,8 +83,8 @@
 	return p
 }
 
-// overdueBoots is the time since its request, in boot times, after which a machine without a heartbeat no longer counts
-// as upcoming, so that tasks do not keep waiting for it.
+// overdueBoots is how long after its request, in boot times, a machine without a heartbeat counts as upcoming. Tasks do
+// not wait for it any longer.
 const overdueBoots = 1.5
 
 // addBooting counts the existing machines by group, and adds those that have not sent a heartbeat yet to the upcoming
@@ -302,15 +302,15 @@
 func (p *capacityPlanner) justifiesMachine(j *job, m *plannedMachine) bool {
 	share := 1 - m.free.GPUs/max(1, m.machineType.GPUs)
 	work := share * max(j.spec.EstimatedRunS, 1) / m.machineType.BootS
-	p.pendingArrayMachines += work
+	p.pendingArrayWorkBoots += work
 	if !m.Spot && j.spec.Spot {
 		// An on-demand machine in place of a spot machine is justified only by more work.
-		p.pendingArrayMachines -= work * (1 - m.machineType.SpotPrice/m.machineType.Price)
+		p.pendingArrayWorkBoots -= work * (1 - m.machineType.SpotPrice/m.machineType.Price)
 	}
-	if p.pendingArrayMachines < minMachineWorkBoots {
+	if p.pendingArrayWorkBoots < minMachineWorkBoots {
 		return false
 	}
-	p.pendingArrayMachines--
+	p.pendingArrayWorkBoots--
 	return true
 }
 
--- a/internal/core/cloud_list.go
+++ b/internal/core/cloud_list.go
@@ -104,8 +104,8 @@
 	// missedListsForRemoval is the number of consecutive complete lists without a machine after which the machine
 	// counts as gone.
 	missedListsForRemoval = 2
-	// maxReleasedMachines and releasedRetentionLeases bound the record of released machines: above this number of
-	// entries, those older than this many leases are deleted.
+	// maxReleasedMachines and releasedRetentionLeases bound releasedMachines: above this number of entries, those older
+	// than this many leases are deleted.
 	maxReleasedMachines     = 1000
 	releasedRetentionLeases = 30
 )
@@ -142,7 +142,7 @@
 	return !m.reportedInTerm || c.now.Steady-m.lastHeardDirectlyOrRelayed() >= listingDelay
 }
 
-// pruneReleased deletes old entries from the record of released machines once there are many.
+// pruneReleased deletes old entries from releasedMachines once there are many.
 func (p *provisioner) pruneReleased() {
 	l, c := p.leader, p.leader.core
 	if len(l.releasedMachines) <= maxReleasedMachines {
--- a/internal/core/cycle_budget.go
+++ b/internal/core/cycle_budget.go
@@ -39,8 +39,8 @@
 	return min(max(c.times.checkInterval/2, debt), c.times.cycleInterval)
 }
 
-// evaluationsPerSecond returns the rate of evaluations that fits into the share of processor time configured for
-// scheduling cycles.
+// evaluationsPerSecond returns the rate of evaluations that fits into the share of CPU time configured for scheduling
+// cycles.
 func (c *Core) evaluationsPerSecond() float64 {
 	return c.operator.CycleBudget * c.settings.Params.Limits.CPUShare / c.evaluationCost.Seconds()
 }
--- a/internal/core/cycle_state.go
+++ b/internal/core/cycle_state.go
@@ -40,13 +40,13 @@
 	wallMS           int64         // Unix time in milliseconds
 	objectives       []config.Objective
 	spread           config.Spread
-	lossDetection    time.Duration // time by which the loss of a machine is certain to be detected
+	lossDetection    time.Duration // time within which the loss of a machine is certain to be detected
 	resumeFrom       *job          // job at which the previous cycle ran out of budget; nil if it completed
 	fleet            fleetView
 	evaluationBudget int
 }
 
-// lossDetectionLeases is the time, in worker leases, by which the loss of a machine is certain to be detected.
+// lossDetectionLeases is the time, in worker leases, within which the loss of a machine is certain to be detected.
 const lossDetectionLeases = 1.1
 
 func (l *leader) cycleParams(evaluationBudget int) cycleParams {
--- a/internal/core/direct_commands.go
+++ b/internal/core/direct_commands.go
@@ -159,7 +159,7 @@
 	hasStops := len(r.commands) > len(r.starts)
 	if hasStops && result.Outcome == outcome.OK && result.Heartbeat.Machine == m.name {
 		// Reconcile the stops at once: users may be waiting for the confirmation that nothing starts any more.
-		d.reconciler.reconcileIndirect(&result.Heartbeat, originReply)
+		d.reconciler.reconcileIndirect(&result.Heartbeat, originRequested)
 	}
 	if result.Outcome == outcome.OK {
 		d.enqueue(m) // other commands may have become pending meanwhile
--- a/internal/core/elastic_allocation.go
+++ b/internal/core/elastic_allocation.go
@@ -30,7 +30,7 @@
 
 // allocateForDeadlines allocates free resources to arrays that would otherwise miss their deadline or the objective of
 // their class, in the order of their latest start. It takes precedence over the order of fulfillment: with equal
-// shares, all competing arrays would finish at about the same time and late; one after another, most finish in time. It
+// shares, all competing arrays would end at about the same time and late; one after another, most end in time. It
 // preempts no tasks.
 func (cycle *schedulingCycle) allocateForDeadlines(jobs []*job) {
 	var late []*job
--- a/internal/core/headroom.go
+++ b/internal/core/headroom.go
@@ -81,7 +81,7 @@
 	return latest
 }
 
-// surplusMachines returns the idle machines to scale in. On-demand machines that are needed for headroom are kept.
+// surplusMachines returns the idle machines to release. On-demand machines that are needed for headroom are kept.
 // Machines with the smallest image cache contents go first, since the other caches are more likely to hold the image of
 // the next service.
 func (p *capacityPlanner) surplusMachines() []*machine {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -37,7 +37,7 @@
 	placementEnder
 	recoveryState
 	findOrAddMachine(name string) *machine
-	finishIfDone(j *job)
+	queueEndIfDone(j *job)
 	requestCycle()
 }
 
@@ -71,9 +71,9 @@
 const (
 	// originPeriodic: the worker sent it periodically, to this node or to one that relays it.
 	originPeriodic heartbeatOrigin = iota
-	// originReply: the worker returned it in reply to a query or a direct command. It may arrive while a response with
-	// a start command is still in flight.
-	originReply
+	// originRequested: the worker returned it in response to a query or a direct command. It may arrive while a response
+	// with a start command is still in flight.
+	originRequested
 )
 
 // reconcileHeartbeat reconciles the state with a heartbeat and adds commands to its response. It returns the basis on
@@ -103,7 +103,7 @@
 }
 
 // reconcileIndirect reconciles the state with a heartbeat that another node relayed or that the worker returned in
-// reply to a query or a direct command. Such a heartbeat shows which tasks the machine has and that it is alive. Its
+// response to a query or a direct command. Such a heartbeat shows which tasks the machine has and that it is alive. Its
 // response, if there is one, is sent by the relaying node and carries no start commands.
 func (r *reconciler) reconcileIndirect(heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
 	m := r.machines[heartbeat.Machine]
--- a/internal/core/held_responses.go
+++ b/internal/core/held_responses.go
@@ -109,7 +109,8 @@
 	h.core.renewLease(held.requestID, basis, max(m.fence.Token(), held.heartbeat.FencingToken), response)
 }
 
-// supersede ends a machine's held response because the worker has sent a newer heartbeat and no longer waits for it.
+// supersede responds to the heartbeat of a machine's held response without commands, because the worker has sent a
+// newer heartbeat and no longer waits for the response.
 func (h *heldResponses) supersede(m *machine) {
 	held := m.heldResponse
 	if held == nil {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -22,7 +22,7 @@
 	heldByRollout          bool   // a rollout plan does not allow its tasks to start yet
 	queued                 bool   // in the leader's queue
 	rank                   int    // highest priority among the job and its dependents
-	latestEndMS            int64  // Unix time in milliseconds by which the job has to be done for the deadlines of its dependents
+	latestEndMS            int64  // Unix time in milliseconds by which the job has to be done to meet the deadlines of its dependents
 	version                uint64 // version of its key in the store
 	cancelled              bool
 	cancelledAt            time.Duration     // monotonic time of the cancellation
@@ -31,7 +31,8 @@
 
 	team   *config.Team
 	chunks map[int]*recordChunk
-	// supersededRecords are the keys of the job's records in an old layout, with their versions.
+	// supersededRecords are the keys of the job's records in the index layout, with their versions, after the migration
+	// to the task layout.
 	supersededRecords    map[string]uint64
 	placements           map[int]*placement            // by task
 	placementCountByZone map[string]int                // number of placements in each zone
@@ -65,8 +66,8 @@
 	return stored.TaskCounts{Running: running, Done: j.done}
 }
 
-// addJob adds a job. A job with dependencies is not queued until they are done, and one held by a rollout plan not
-// until it is released.
+// addJob adds a job. A job with dependencies is queued only once they are done, and one held by a rollout plan only
+// once the plan lets it start.
 func (l *leader) addJob(id string, cached *watchcache.Job) *job {
 	status := l.core.dependencies.graph.Status(id)
 	j := &job{
--- a/internal/core/job_changes.go
+++ b/internal/core/job_changes.go
@@ -46,7 +46,7 @@
 		l.dispatcher.enqueue(p.machine)
 	}
 	l.requestCycle()
-	l.finishIfDone(j)
+	l.queueEndIfDone(j)
 }
 
 // placementsByTask returns a job's placements in task order.
@@ -59,9 +59,9 @@
 	return placements
 }
 
-// finishIfDone queues the write of a job's final state if the job has no placements left and is either cancelled or an
-// array all of whose tasks are done.
-func (l *leader) finishIfDone(j *job) {
+// queueEndIfDone queues the write of a job's final state if the job has no placements left and is either cancelled or
+// an array all of whose tasks are done.
+func (l *leader) queueEndIfDone(j *job) {
 	if j.endPending || len(j.placements) > 0 {
 		return
 	}
@@ -77,7 +77,8 @@
 	// two calls and a retry.
 	cancelReleaseTenths = 4
 	// cancelRecoveryTenths is the upper bound of that time for a machine that has not sent a heartbeat to a new leader
-	// yet. The task that an earlier leader recorded may have exited long ago without its end being written.
+	// yet. Such a machine is given more time, since the task that an earlier leader recorded may have exited long ago
+	// without its end being written.
 	cancelRecoveryTenths = 6
 )
 
--- a/internal/core/job_reads.go
+++ b/internal/core/job_reads.go
@@ -42,34 +42,34 @@
 		r.readFinalState()
 		return
 	}
-	r.finish(lookupResult{state: lookupIndeterminate})
+	r.complete(lookupResult{state: lookupIndeterminate})
 }
 
-// discloseActiveJob finishes the lookup with an active job that was read, if users may be told its state.
+// discloseActiveJob completes the lookup with an active job that was read, if users may be told its state.
 func (r jobRead) discloseActiveJob(item wire.Item) {
 	u, id := r.requests, r.lookup.id
 	value, err := stored.DecodeJob(item.Value)
 	if err != nil {
-		r.finish(lookupResult{state: lookupIndeterminate})
+		r.complete(lookupResult{state: lookupIndeterminate})
 		return
 	}
 	job := &watchcache.Job{Job: value, Version: item.Version}
 	if r.lookup.existenceOnly {
-		r.finish(confirmedLookup(job))
+		r.complete(confirmedLookup(job))
 		return
 	}
 	if job.Cancelled() {
 		u.core.applyJobIfNewer(id, item.Value, item.Version, fromRead)
-		u.resolveCancelled(id, job, r.finish)
+		u.resolveCancelled(id, job, r.complete)
 		return
 	}
 	if len(job.Spec.Dependencies) > 0 {
 		u.core.applyJobIfNewer(id, item.Value, item.Version, fromRead)
-		if !u.mayDisclose(id, job, r.finish) {
+		if !u.mayDisclose(id, job, r.complete) {
 			return
 		}
 	}
-	r.finish(confirmedLookup(job))
+	r.complete(confirmedLookup(job))
 }
 
 func (r jobRead) readFinalState() {
@@ -80,20 +80,20 @@
 
 func (r jobRead) applyFinalState(result Result) {
 	if result.Outcome == outcome.NotFound {
-		r.finish(lookupResult{state: lookupNotFound})
+		r.complete(lookupResult{state: lookupNotFound})
 		return
 	}
 	final, err := stored.DecodeFinalState(result.Item.Value)
 	if result.Outcome != outcome.OK || err != nil {
-		r.finish(lookupResult{state: lookupIndeterminate})
+		r.complete(lookupResult{state: lookupIndeterminate})
 		return
 	}
 	r.requests.core.cacheFinalState(r.lookup.id, final)
-	r.finish(endedLookup(final))
+	r.complete(endedLookup(final))
 }
 
-// finish completes the lookup, so that the next queued read may start.
-func (r jobRead) finish(result lookupResult) {
+// complete completes the lookup, so that the next queued read may start.
+func (r jobRead) complete(result lookupResult) {
 	r.requests.readsInFlight--
 	r.lookup.onResult(result)
 }
--- a/internal/core/leader_dependencies.go
+++ b/internal/core/leader_dependencies.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// updateWaitingJob queues or cancels a job that waits for its dependencies, once their outcome decides that.
+// updateWaitingJob queues a waiting job once its dependencies are done, or cancels it if it depends on a cancelled job.
 func (l *leader) updateWaitingJob(j *job) {
 	switch l.core.dependencies.graph.Status(j.id).State {
 	case dependency.Ready:
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -99,7 +99,7 @@
 	for _, id := range ids {
 		j := l.jobs[id]
 		l.applyJobChange(id)
-		l.finishIfDone(j)
+		l.queueEndIfDone(j)
 	}
 	c.log(Info, "leader recovered state", "term", l.term, "jobs", len(l.jobs))
 	r.logFailover()
@@ -154,15 +154,15 @@
 			j.addSupersededRecord(stored.RunRecordKey(entry.Key), entry.Version)
 		}
 	}
-	parts := l.records.layout.Assemble(entries)
-	for _, index := range slices.Sorted(maps.Keys(parts)) {
-		part := parts[index]
+	assembledByIndex := l.records.layout.Assemble(entries)
+	for _, index := range slices.Sorted(maps.Keys(assembledByIndex)) {
+		assembled := assembledByIndex[index]
 		chunk := l.records.chunkOf(j, index*l.records.tasksPerRecord())
-		chunk.version, chunk.highestAttempt, chunk.done = part.Version, part.HighestAttempt, part.Done
-		j.done += part.Done.Count()
-		for _, task := range slices.Sorted(maps.Keys(part.Placed)) {
+		chunk.version, chunk.highestAttempt, chunk.done = assembled.Version, assembled.HighestAttempt, assembled.Done
+		j.done += assembled.Done.Count()
+		for _, task := range slices.Sorted(maps.Keys(assembled.Placed)) {
 			if task < j.spec.Tasks {
-				r.adoptPlacement(j, task, part.Placed[task])
+				r.adoptPlacement(j, task, assembled.Placed[task])
 			}
 		}
 	}
--- a/internal/core/lease_relay.go
+++ b/internal/core/lease_relay.go
@@ -182,8 +182,8 @@
 //
 // The response repeats the worker's own fencing token, so it does not override any leader, and it starts no tasks. It
 // is safe whichever node leads, because a placement never ends by a time-out: a task counts as running until there is
-// evidence that it has ended. A node that has lost the network on its own must not keep its workers, because they could
-// find the leader. Such a node detects this by workers of other zones that still reach it.
+// evidence that it has ended. A node that alone has lost its connection to the other nodes must not keep its workers,
+// because they could find the leader. Such a node recognizes this by workers of other zones that still reach it.
 //
 // Renewal may continue for as long as the outage lasts. In an isolated zone no task is left of a job whose cancellation
 // was confirmed to a user. Elsewhere only a node that knew the jobs before the outage renews leases, and such a node
--- a/internal/core/load_shedding.go
+++ b/internal/core/load_shedding.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A node that is short of processor time gives priority to the most important work. It still responds to heartbeats,
-// but holds the responses for longer (see heldResponses). Users' requests are shed to nodes with processor time to
-// spare. Comparisons and scheduling cycles are deferred for longer.
+// A node that is short of CPU time gives priority to the most important work. It still responds to heartbeats, but
+// holds the responses for longer (see heldResponses). Users' requests are shed to nodes with CPU time to spare. The
+// delays between comparisons and between scheduling cycles are extended.
 
 // Users' requests are shed when the load rises above shedAbove, until it has fallen below shedBelow. The gap between
 // the two prevents oscillation. Above shedAbove no more machines are requested either, because each machine sends
@@ -17,13 +17,13 @@
 // maxSlowdown is the slowdown at full load.
 const maxSlowdown = 4
 
-// slowdown returns the factor by which deferrable work is deferred for longer under the present load.
+// slowdown returns the factor by which the delays of deferrable work are extended under the present load.
 func (c *Core) slowdown() float64 {
 	return 1 + (maxSlowdown-1)*c.timerLoad.Level(c.now.Steady)
 }
 
-// observeLoad updates the load estimates by how much later this step runs than the last step asked to be woken, and by
-// how long its input has waited.
+// observeLoad updates the load estimates with the delay of this step after its scheduled wake-up, and with how long its
+// input has waited.
 func (c *Core) observeLoad() {
 	late := time.Duration(0)
 	if c.wakeAt != 0 {
@@ -38,7 +38,7 @@
 	c.updateShedding()
 }
 
-// overloaded reports whether this node has so little processor time to spare that it could not handle a larger fleet.
+// overloaded reports whether this node has so little CPU time to spare that it could not handle a larger fleet.
 // Requests that have waited count as well as late timers, because the timers of a core that handles one input after the
 // other still fire in time. Waiting requests count only here: a burst of requests is no reason to defer work.
 func (c *Core) overloaded() bool { return c.requestLoad.Level(c.now.Steady) > shedAbove }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -38,7 +38,7 @@
 	queryInFlight     bool
 	queriedAt         time.Duration // when its worker was last queried
 	queryAnsweredAt   time.Duration // when its worker last answered a query
-	unansweredQueries int           // consecutive queries without an answer since it was last heard from
+	unansweredQueries int           // consecutive queries without a response since it was last heard from
 
 	// The response to its last heartbeat, see heldResponses.
 	heldResponse *heldResponse // nil if none is held
@@ -168,7 +168,7 @@
 	return max(m.lastHeartbeat, m.lastRelayed)
 }
 
-// lastHeardDirectly returns when the machine last sent this node a heartbeat or an answer to a status query.
+// lastHeardDirectly returns when the machine last sent this node a heartbeat or a response to a status query.
 func (m *machine) lastHeardDirectly() time.Duration {
 	return max(m.lastHeartbeat, m.queryAnsweredAt)
 }
--- a/internal/core/machine_placements.go
+++ b/internal/core/machine_placements.go
@@ -49,5 +49,5 @@
 	j.nextUnplaced = min(j.nextUnplaced, p.task)
 	l.records.markDirty(l.records.chunkOf(j, p.task))
 	l.requestCycle()
-	l.finishIfDone(j)
+	l.queueEndIfDone(j)
 }
--- a/internal/core/peer_queries.go
+++ b/internal/core/peer_queries.go
@@ -52,15 +52,15 @@
 func (c *Core) peerQueryInterval(p *membership.Peer) time.Duration {
 	status := p.Status()
 	bothFollow := c.leader == nil && !status.Leading
-	bothServed := !c.storeHealth.down && !status.StoreDown
-	if bothFollow && bothServed && p.Reachable() && c.members.Leader(c.now.Steady) != "" {
+	storeAvailableToBoth := !c.storeHealth.down && !status.StoreDown
+	if bothFollow && storeAvailableToBoth && p.Reachable() && c.members.Leader(c.now.Steady) != "" {
 		return followerQueryFactor * c.times.checkInterval
 	}
 	return c.times.checkInterval
 }
 
 // peerQuery is a query for a peer's status. It also carries the cancellations that the peer has not acknowledged, and
-// the reply acknowledges them.
+// the response acknowledges them.
 type peerQuery struct {
 	core          *Core
 	peer          *membership.Peer
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -6,9 +6,9 @@
 )
 
 // zoneFilter returns a predicate for the zones in which the job's next task may run, given the zones of its other
-// tasks. Tasks that are being stopped or are on silent machines count. A new leader learns the zone of a machine of an
-// earlier term from the cloud's list or from a heartbeat; until then, a task on it counts in every zone if the job is
-// spread over zones.
+// tasks. Tasks that are being stopped or are on silent machines count too. A new leader learns the zone of a machine of
+// an earlier term from the cloud's list or from a heartbeat; until then, a task on it counts in every zone if the job
+// is spread over zones.
 func (j *job) zoneFilter() func(zone string) bool {
 	s := j.spec
 	if !s.SingleZone && !s.SpreadZones {
@@ -45,9 +45,9 @@
 const onDemandPenalty = capacity.MaxPenalty
 
 // findMachine returns the machine for a job's next task; nil if no machine has the resources. Machines with the image
-// come first, except that jobs that allow spot machines prefer those. Among equals the best fit is taken, so that other
-// machines become idle and can be scaled in. If spreading of replicas is enabled, a service's replica is placed where
-// the sum of image load time and expected loss of its zone and machine is lowest.
+// come first, but a job that allows spot machines prefers any of these to an on-demand machine. Among equals the best
+// fit is taken, so that other machines become idle and can be released. If spreading of replicas is enabled, a
+// service's replica is placed where the sum of image load time and expected loss of its zone and machine is lowest.
 func (cycle *schedulingCycle) findMachine(j *job) *machine {
 	request, cacheable := resourceRequestOf(j)
 	if cacheable && cycle.exhaustedRequests[request] {
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -8,9 +8,9 @@
 
 // preemptFor preempts instances to make room for tasks of a job. It chooses the machines where the fewest instances
 // have to stop, and there the instances of the most fulfilled jobs above their minimum. The resources to be freed are
-// reserved within this cycle. Each cycle derives the reservations again, so an instance that is already stopping is not
-// followed by another one for the same task. It reports whether all tasks have, or will have, a machine. With idleOnly,
-// only idle-priority work is preempted.
+// reserved within this cycle. Each cycle derives the reservations again, so no further instance is stopped for a task
+// for which one is already stopping. It reports whether all tasks have, or will have, a machine. With idleOnly, only
+// idle-priority work is preempted.
 func (cycle *schedulingCycle) preemptFor(j *job, tasks int, idleOnly bool) bool {
 	request, cacheable := preemptionRequestOf(j, idleOnly)
 	if cacheable && cycle.infeasiblePreemptions[request] {
@@ -58,7 +58,8 @@
 	cycle.state.updateCapacityIndex(target)
 }
 
-// clearFailedRequests discards the record of failed requests, since they may succeed after resources were freed.
+// clearFailedRequests discards the requests that failed in this cycle, since they may succeed after resources were
+// freed.
 func (cycle *schedulingCycle) clearFailedRequests() {
 	clear(cycle.exhaustedRequests)
 	clear(cycle.infeasiblePreemptions)
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -222,14 +222,14 @@
 	}
 }
 
-// unavailable reports whether machines of a group must not be requested now, because a large part of the zone is silent
-// or the cloud recently had too few of them.
+// unavailable reports whether machines of a group must not be requested now, because a large part of its zone is silent
+// or the cloud recently had too few machines of the group.
 func (p *provisioner) unavailable(group capacity.Group) bool {
 	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhaustedUntil[group]
 }
 
 // applyPlan carries out a capacity plan: it queues a request for each group that lacks machines, and releases the
-// machines to scale in.
+// surplus machines.
 func (p *provisioner) applyPlan(plan capacityPlan) {
 	for _, demand := range plan.scaleOut {
 		p.lastRequestNumber++
@@ -280,7 +280,7 @@
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.BootTimeoutFactor)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
-			// The machine is older than this term: it may be running but not have found this leader yet.
+			// The machine is older than this term: it may be running without having found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -234,7 +234,7 @@
 
 // retained returns the share that this region keeps when another one requests some, in units of the account. That is
 // the share in use, and as much of the rest as the region's own waiting tasks need, but at most half of the rest. So
-// the waiting tasks of neither region have to wait until all tasks of the other have finished.
+// the waiting tasks of neither region have to wait until all tasks of the other have ended.
 func (t *teamQuota) retained(demand teamDemand) quota.Share {
 	held := t.held()
 	used := t.account.ToAccountUnits(equalShare(demand.used), t.total)
--- a/internal/core/record_layout_migration.go
+++ b/internal/core/record_layout_migration.go
@@ -12,23 +12,23 @@
 	"bitternwing/internal/wire"
 )
 
-// This file migrates the run records to their second layout. That happens once, when the settings announce a smaller
-// limit on the size of values.
+// This file migrates the run records from the index layout to the task layout. That happens once, when the settings
+// announce a smaller limit on the size of values.
 //
-// Version 1 of the controller finds a record by an index whose meaning depends on its settings. It would attribute
-// records of the second layout to other tasks, or delete them. So the migration waits until every node has
-// announced that it supports both layouts. A node that can't be reached may not support it. One that has
-// announced support once keeps it, since versions are not rolled back (docs/operating.md).
+// Version 1 of the program finds a record by an index whose meaning depends on its settings. It would attribute records
+// of the task layout to other tasks, or delete them. So the migration waits until every node has announced that it
+// supports both layouts. A node that can't be reached may not support it. One that has announced support once keeps it,
+// since versions are not rolled back (docs/operating.md).
 //
 // The layout is written once, conditional on the term, and never changed again. The same transaction rewrites the term
 // in a format that version 1 can't read, so none of its nodes wins another election. It also changes the version of the
 // term key, so a candidate that has not seen the layout can't win the next term, and writes that are still in flight
 // fail.
 //
-// Before the migration records are written in the first layout and may become too large; see revertUnwritten and
+// Before the migration records are written in the index layout and may become too large; see revertUnwritten and
 // isFull.
 
-// recordLayoutByTask is the number of the second layout, by which nodes announce to each other that they support it.
+// recordLayoutByTask is the number of the task layout, by which nodes announce to each other that they support it.
 const recordLayoutByTask = 2
 
 // layoutMigration migrates the run records of a leader. It changes the version of the leader's term key.
@@ -47,15 +47,15 @@
 	return record.Layout{IndexLayoutTasks: record.IndexLayoutTasks(c.limits.current.ValueKB)}
 }
 
-// mayRun reports whether the run records have to be migrated and all nodes support the second layout.
+// mayRun reports whether the run records have to be migrated and all nodes support the task layout.
 func (m *layoutMigration) mayRun() bool {
 	l, c := m.leader, m.leader.core
 	return l.records.layout.TaskLayoutTasks == 0 && c.limits.valueLimitWillDecrease() && c.members.AllSupportRecordLayout(recordLayoutByTask) &&
 		l.mayCommit()
 }
 
-// run writes the second layout once it may be used and no transaction is in flight. A record of the first layout that
-// was written after the migration would contradict newer records of the same tasks.
+// run writes the task layout once it may be used and no transaction is in flight. A record of the index layout that was
+// written after the migration would contradict newer records of the same tasks.
 func (m *layoutMigration) run() {
 	l, c := m.leader, m.leader.core
 	if !m.mayRun() {
@@ -84,7 +84,7 @@
 	}})
 }
 
-// applyResult handles the result of writing the second layout.
+// applyResult handles the result of writing the task layout.
 func (m *layoutMigration) applyResult(next record.Layout, r Result) {
 	c := m.leader.core
 	m.inFlight = false
@@ -101,8 +101,8 @@
 	}
 }
 
-// applyLayout switches to the second layout. Records of the first layout remain stored; a record of the second
-// overrides them for its tasks once one of these changes.
+// applyLayout switches to the task layout. Records of the index layout remain stored; a record of the task layout
+// overrides them for its tasks once the state of one of these changes.
 func (m *layoutMigration) applyLayout(next record.Layout, version uint64) {
 	l, c, old := m.leader, m.leader.core, m.leader.records.layout
 	l.termVersion = version
@@ -142,7 +142,7 @@
 	}
 }
 
-// addSupersededRecord registers a stored record of an earlier layout, to be deleted when the job ends.
+// addSupersededRecord registers a stored record of the index layout, to be deleted when the job ends.
 func (j *job) addSupersededRecord(key string, version uint64) {
 	if j.supersededRecords == nil {
 		j.supersededRecords = map[string]uint64{}
--- a/internal/core/record_writes.go
+++ b/internal/core/record_writes.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// revertUnwritten ends the uncommitted placements of a record of the first layout that has become too large to be
+// revertUnwritten ends the uncommitted placements of a record of the index layout that has become too large to be
 // written. If the record is still too large, it is written once more of its tasks have ended.
 func (w *writer) revertUnwritten(chunk *recordChunk) {
 	for _, p := range w.records.placementsIn(chunk) {
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -273,8 +273,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(c.operator.Rollouts.ModelPort)), true
 }
 
-// observeRollout returns the state of a plan's jobs and replicas. It reports the routers as missing;
-// addRouterObservations adds their state once the leader has reconciled.
+// observeRollout returns the state of a plan's jobs and replicas. It assumes that routers are outdated and that the new
+// version receives traffic; addRouterObservations replaces this by the state of the routers once the leader has
+// reconciled.
 func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
 	o := &rollout.Observation{
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -200,7 +200,8 @@
 	return cached == nil || planMatchesJob(plan, cached.Spec)
 }
 
-// commitNewPlan writes a plan. Its new jobs are held back from here on, and released if the write was not applied.
+// commitNewPlan writes a plan. Its new jobs are held back from here on, unless the write turns out not to have been
+// applied.
 func (l *leader) commitNewPlan(in ApplyPlan) {
 	c := l.core
 	record := rollout.NewRecord(in.Plan, c.now.WallMS)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -10,7 +10,7 @@
 type Status struct {
 	Leading       bool
 	TermsLed      uint64  // terms led since the process started
-	Load          float64 // shortage of processor time, from 0 (none) to 1
+	Load          float64 // shortage of CPU time, from 0 (none) to 1
 	HeldResponses int     // heartbeat responses that are held back
 	Machines      int     // machines managed as the leader
 
@@ -85,7 +85,7 @@
 		// A node that was started during an outage for all nodes is as healthy as the others.
 		return c.storeHealth.down && len(c.members.Peers()) > 0 && c.members.AllPeersLostStore(c.now.Steady)
 	}
-	if !c.storeHealth.down || c.storeHealth.servedRecently() {
+	if !c.storeHealth.down || c.storeHealth.answeredRecently() {
 		return true
 	}
 	return c.storeOutageConfirmed()
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -3,7 +3,7 @@
 import "bitternwing/internal/outcome"
 
 // queryStatus queries a worker that has sent this node no heartbeat for a while, if a query is due. A machine that is
-// down, hung or unreachable does not answer. A worker that has not found the leader yet does, and reports its tasks.
+// down, hung or unreachable does not answer. A worker that has not found the leader yet answers with its tasks.
 func (lm *livenessMonitor) queryStatus(m *machine) {
 	if m.lastHeardDirectlyOrRelayed() > m.queriedAt {
 		m.unansweredQueries = 0
@@ -46,7 +46,7 @@
 		m.unansweredQueries++
 	case result.Heartbeat.Machine == m.name:
 		m.queryAnsweredAt = lm.core.now.Steady
-		lm.heartbeats.reconcileIndirect(&result.Heartbeat, originReply)
+		lm.heartbeats.reconcileIndirect(&result.Heartbeat, originRequested)
 	}
 }
 
--- a/internal/core/store_health.go
+++ b/internal/core/store_health.go
@@ -9,11 +9,11 @@
 
 // storeHealth tracks whether the key-value store is available to this node, by the outcomes of the node's calls.
 type storeHealth struct {
-	core          *Core
-	down          bool
-	lastServedAt  time.Duration // when the store last answered a call
-	probeInFlight bool
-	nextProbe     time.Duration // earliest time of the next probe
+	core           *Core
+	down           bool
+	lastAnsweredAt time.Duration // when the store last answered a call
+	probeInFlight  bool
+	nextProbe      time.Duration // earliest time of the next probe
 }
 
 // observe updates the state with the outcome of a call to the store.
@@ -23,7 +23,7 @@
 	}
 	down := o == outcome.Unavailable || o == outcome.Unknown
 	if !down {
-		h.lastServedAt = h.core.now.Steady
+		h.lastAnsweredAt = h.core.now.Steady
 	}
 	if down == h.down {
 		return
@@ -47,7 +47,7 @@
 	if h.down {
 		interval /= 2
 	}
-	if due := c.coalesce(h.lastServedAt + interval); c.now.Steady < due && !h.down {
+	if due := c.coalesce(h.lastAnsweredAt + interval); c.now.Steady < due && !h.down {
 		c.wakeBy(due)
 		return
 	}
@@ -63,7 +63,7 @@
 
 func (h *storeHealth) applyProbe(Result) { h.probeInFlight = false }
 
-// servedRecently reports whether the store answered a call of this node within the last check interval.
-func (h *storeHealth) servedRecently() bool {
-	return h.core.now.Steady-h.lastServedAt < h.core.times.checkInterval
+// answeredRecently reports whether the store answered a call of this node within the last check interval.
+func (h *storeHealth) answeredRecently() bool {
+	return h.core.now.Steady-h.lastAnsweredAt < h.core.times.checkInterval
 }
--- a/internal/core/store_limits.go
+++ b/internal/core/store_limits.go
@@ -38,7 +38,7 @@
 func (l *storeLimits) maxConditions() int { return maxConditionsPerChange * l.next.TxnOps }
 
 // maxAcceptedValueBytes returns the size in bytes of the largest value that the store may still accept. It applies to
-// run records and relayed heartbeats as long as the first layout of the run records is in use, since they may not fit
+// run records and relayed heartbeats as long as the index layout of the run records is in use, since they may not fit
 // into the future limit until then.
 func (l *storeLimits) maxAcceptedValueBytes() int {
 	if l.nextValueLimitInEffect {
--- a/internal/core/store_watch.go
+++ b/internal/core/store_watch.go
@@ -68,13 +68,13 @@
 			w.list(r.Page.Items[n-1].Key)
 			return
 		}
-		w.finishList()
+		w.applyList()
 	})
 	c.emit(StoreList{CallID: id, Prefix: stored.WatchedPrefix, After: after})
 }
 
-// finishList replaces the cache's contents by the listed keys and updates the components that depend on jobs and plans.
-func (w *storeWatch) finishList() {
+// applyList replaces the cache's contents by the listed keys and updates the components that depend on jobs and plans.
+func (w *storeWatch) applyList() {
 	c := w.core
 	c.cache.Replace(w.listing)
 	w.inFlight, w.listing = false, nil
--- a/internal/core/task_reconciliation.go
+++ b/internal/core/task_reconciliation.go
@@ -12,8 +12,8 @@
 //
 // A task that is missing from the heartbeat is known to be absent only if the heartbeat carries this term's fencing
 // token. The worker has then processed a response of this term, after which no start command of an earlier term can
-// take effect. Each earlier response of this term was either processed or discarded, except if the heartbeat is a reply
-// to a query.
+// take effect. Each earlier response of this term was either processed or discarded, except if the heartbeat was
+// returned in response to a query.
 func (r *reconciler) reconcileTasks(m *machine, heartbeat *wire.Heartbeat, origin heartbeatOrigin) {
 	if m.fence.Confirm(heartbeat.FencingToken) {
 		r.actions.requestCycle()
@@ -115,7 +115,7 @@
 // startResponseHandled reports whether the worker had processed or discarded the response with the start command by the
 // time it sent a heartbeat.
 func (p *placement) startResponseHandled(heartbeat *wire.Heartbeat, origin heartbeatOrigin) bool {
-	return p.startSequence == startSequenceUnknown || heartbeat.Sequence > p.startSequence && origin != originReply
+	return p.startSequence == startSequenceUnknown || heartbeat.Sequence > p.startSequence && origin != originRequested
 }
 
 // reconcileUnknownTask handles a task in a heartbeat that has no matching placement.
@@ -146,7 +146,7 @@
 			p.requestStop(stopImmediate, stopCompletedElsewhere)
 		}
 	}
-	r.actions.finishIfDone(j)
+	r.actions.queueEndIfDone(j)
 }
 
 // handleTaskExit handles the exit of a task and ends its placement.
--- a/internal/core/unreachable_hints.go
+++ b/internal/core/unreachable_hints.go
@@ -10,8 +10,8 @@
 	"bitternwing/internal/wire"
 )
 
-// unreachableHints stores when the machines of silent zones were last heard from, as hints for the next leader. See
-// stored.UnreachableHints.
+// unreachableHints stores when the machines of mostly silent zones were last heard from, as hints for the next leader.
+// See stored.UnreachableHints.
 type unreachableHints struct {
 	leader    *leader
 	nextWrite time.Duration
@@ -111,7 +111,7 @@
 	return c.now.Steady - max(0, silence)
 }
 
-// maxClockError returns the maximum error of a node's time of day.
+// maxClockError returns the maximum error of a node's wall clock.
 func (c *Core) maxClockError() time.Duration {
 	return time.Duration(c.settings.Params.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/core/worker_liveness.go
+++ b/internal/core/worker_liveness.go
@@ -19,9 +19,9 @@
 	termStart   time.Duration
 
 	lastWithoutAuthority time.Duration            // when this leader last had no authority to act
-	zoneIsolatedAt       map[string]time.Duration // when a zone was last seen isolated, with its nodes
+	zoneIsolatedAt       map[string]time.Duration // when a zone was last found to be isolated
 	unreachableZones     []string                 // zones of which this node can't reach a large part
-	silentZones          map[string]bool          // zones of which a large part is silent; true: so are its nodes
+	silentZones          map[string]bool          // zones of which a large part is silent; true: isolated, since its nodes don't answer either
 	queriesInFlight      int                      // status queries without a result yet
 }
 
@@ -55,7 +55,7 @@
 }
 
 // check releases machines that have been silent for too long, drains those that will be reclaimed or are faulty, and
-// queries silent ones.
+// queries the workers of silent ones.
 func (lm *livenessMonitor) check(machines []*machine) {
 	lm.checkZones(machines)
 	hasAuthority := lm.authority.hasAuthority()
@@ -99,8 +99,8 @@
 	// and those of a zone that was isolated.
 	due = max(due, lm.lastWithoutAuthority+lm.unreachableTimeout())
 	if !m.reportedInTerm {
-		// The previous leader's record of the machine may be a heartbeat interval old, and the worker has to find the
-		// new leader.
+		// What the previous leader stored about the machine may be a heartbeat interval old, and the worker has to find
+		// the new leader.
 		due = max(due, lm.termStart+lm.core.times.lease/2)
 	}
 	if isolatedAt, wasIsolated := lm.zoneIsolatedAt[m.zone]; wasIsolated {
@@ -126,9 +126,9 @@
 		// The zone's own nodes renew the leases of its workers. Dead machines are detected by the cloud's list.
 		return time.Duration(float64(lease) * lm.core.operator.PartitionTimeoutLeases)
 	case mostlySilent, unreachableZone, !m.reportedInTerm && !unresponsive:
-		// Either a large part of the zone is silent, or this node can't reach it while others renew its leases. All of
-		// the zone's workers may then be looking for a node that renews their leases, including the last few that are
-		// silent. Or the worker has yet to find this leader. After this time the worker's tasks have ended with its
+		// Either a large part of the zone is silent, or this node can't reach it while others renew the leases there,
+		// or the worker has yet to find this leader. All of the zone's workers may be looking for a node that renews
+		// their leases, including the last few that are silent. After this time the worker's tasks have ended with its
 		// lease, or this leader has heard of the worker, because a heartbeat is relayed within half a heartbeat
 		// interval.
 		return lease * 11 / 10
@@ -144,7 +144,7 @@
 	return m.lastRelayed != 0 && lm.core.now.Steady-m.lastRelayed <= period
 }
 
-// drain evicts the tasks that write checkpoints from a machine that will be reclaimed, and all tasks from a faulty one.
+// drain stops the tasks that write checkpoints on a machine that will be reclaimed, and all tasks on a faulty one.
 func (lm *livenessMonitor) drain(m *machine) {
 	for _, p := range m.placementsSnapshot() {
 		switch {
--- a/internal/core/zone_reachability.go
+++ b/internal/core/zone_reachability.go
@@ -17,10 +17,10 @@
 // of leaders rather than the machines themselves.
 //
 // In the leader's own zone the network is a likely cause only if nearly all machines are unreachable. A partition
-// between zones makes no machine of the leader's own zone unreachable, so a smaller number of silent machines there are
-// dead, hung or cut off from all nodes. In its own zone only what this node hears itself counts. If relayed heartbeats
-// counted, the first one would turn the machines whose workers have yet to find another node into individual failures,
-// and they would be released at once.
+// between zones makes no machine of the leader's own zone unreachable, so if fewer machines there are silent, these are
+// dead, hung or unreachable for all nodes. In its own zone only what this node hears itself counts. If relayed
+// heartbeats counted, then after the first one the machines whose workers have yet to find another node would count as
+// individual failures and be released at once.
 func (z *zoneReachability) mostlySilent(ownZone bool) bool {
 	if ownZone {
 		return z.unreachable > maxSingleFailures && z.unreachable*4 > 3*z.total
