--- a/internal/core/capacity_planner.go
+++ b/internal/core/capacity_planner.go
@@ -245,7 +245,7 @@
 	p.machinesByGroup[m.Group]--
 }
 
-// planArray plans machines for additional tasks of an array. A machine is of no use while it boots, so one is requested
+// planArray plans machines for additional tasks of an array. A machine does no work while it boots, so one is requested
 // only if there is enough work in proportion to its boot time.
 func (p *capacityPlanner) planArray(j *job, tasks int) {
 	if used := p.cycle.usage.ForTeam(j.spec.Team); j.team.MaxGPUs > 0 && j.spec.GPUs > 0 {
--- a/internal/core/heartbeat_reconciliation.go
+++ b/internal/core/heartbeat_reconciliation.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// heartbeatOrigin is why a worker sent a heartbeat.
+// heartbeatOrigin tells whether a worker sent a heartbeat periodically or was asked for it.
 type heartbeatOrigin int
 
 const (
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -32,7 +32,7 @@
 	// Machines.
 	machines         map[string]*machine
 	machinesByName   []*machine               // sorted by name
-	releasedMachines map[string]time.Duration // removal times by name; late heartbeats are not reconciled
+	releasedMachines map[string]time.Duration // removal times by name; late heartbeats of these machines are not reconciled
 	schedulable      schedulableMachines
 	replicaCounts    *topologyspread.ReplicaCounts
 	nextFleetCheck   time.Duration // when machines and cancelled jobs are checked next
--- a/internal/core/leader_recovery.go
+++ b/internal/core/leader_recovery.go
@@ -18,7 +18,7 @@
 // earlier leaders that arrive later fail, since the version of the term key has changed.
 //
 // Until then the leader only renews the leases of workers, which would expire otherwise, and stops the tasks that it
-// knows to be cancelled, as every node does that renews a lease. It makes no other decisions.
+// knows to be cancelled, like every node that renews a lease. It makes no other decisions.
 type leaderRecovery struct {
 	leader *leader
 
--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -27,10 +27,10 @@
 	nextList       time.Duration
 	listInFlight   bool          // a page is being read
 	listStartedAt  time.Duration // when the first page of the current list was requested
-	nextPage       string        // last machine of the page before the next one to read; "" if no page is due
+	nextPage       string        // name of the machine after which the next page begins; "" if no page is due
 	listedNames    map[string]bool
 	listComplete   bool                             // all pages of a list have been read in this term
-	exhaustedUntil map[capacity.Group]time.Duration // by group that the cloud has refused: earliest time of the next request
+	exhaustedUntil map[capacity.Group]time.Duration // earliest time of the next request, by group that the cloud has refused
 }
 
 // scaleOutRequest is a request for machines. Its ID includes the term, so it is unique. The request is retried under
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -41,7 +41,7 @@
 	requestInFlight     bool
 	nextRegionIndex     int // index of the region to which the next request goes
 	nextRequest         time.Duration
-	requestCount        int  // requests since the share that is held last grew
+	requestCount        int  // requests since the held share last grew
 	callCount           int  // calls sent; selects the node that is called
 	limitMismatchLogged bool // a region with other limits of the team was logged in this term
 }
--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -214,7 +214,7 @@
 }
 
 // reconcile marks the plan as reconciled once this leader has received a heartbeat from each machine with tasks of the
-// plan and has probed each replica. After a deadline it does so regardless: a worker that has not reached the leader
+// plan and has probed each replica. After a deadline it does so in any case: a worker that has not reached the leader
 // within its lease has stopped its tasks.
 func (run *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
 	c := l.core
