--- a/internal/core/provisioner.go
+++ b/internal/core/provisioner.go
@@ -27,10 +27,10 @@
 	nextList       time.Duration
 	listInFlight   bool          // a page is being read
 	listStartedAt  time.Duration // when the first page of the current list was requested
-	nextPage       string        // last machine of the page before the next one to read; "" if no page is due
+	nextPage       string        // name of the machine after which the next page begins; "" if no page is due
 	listedNames    map[string]bool
 	listComplete   bool                             // all pages of a list have been read in this term
-	exhaustedUntil map[capacity.Group]time.Duration // by group that the cloud has refused: earliest time of the next request
+	exhaustedUntil map[capacity.Group]time.Duration // earliest time of the next request, by group that the cloud has refused
 }
 
 // scaleOutRequest is a request for machines. Its ID includes the term, so it is unique. The request is retried under
@@ -222,14 +222,14 @@
 	}
 }
 
-// unavailable reports whether machines of a group must not be requested now, because a large part of the zone is silent
-// or the cloud recently had too few of them.
+// unavailable reports whether machines of a group must not be requested now, because a large part of its zone is silent
+// or the cloud recently had too few machines of the group.
 func (p *provisioner) unavailable(group capacity.Group) bool {
 	return p.leader.liveness.zoneSilent(group.Zone) || p.leader.core.now.Steady < p.exhaustedUntil[group]
 }
 
 // applyPlan carries out a capacity plan: it queues a request for each group that lacks machines, and releases the
-// machines to scale in.
+// surplus machines.
 func (p *provisioner) applyPlan(plan capacityPlan) {
 	for _, demand := range plan.scaleOut {
 		p.lastRequestNumber++
@@ -280,7 +280,7 @@
 		}
 		due := m.requestedAt + config.Seconds(m.machineType.BootS*c.operator.BootTimeoutFactor)
 		if m.firstSeen == l.startedAt || m.firstSeen < l.startedAt+c.times.lease {
-			// The machine is older than this term: it may be running but not have found this leader yet.
+			// The machine is older than this term: it may be running without having found this leader yet.
 			due = max(due, l.startedAt+2*c.times.lease)
 		}
 		if c.now.Steady >= due {
