--- a/internal/core/capacity_index_test.go
+++ b/internal/core/capacity_index_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestTakeoverOfFullFleet checks a change of leader on a full fleet, in which all workers send heartbeats to the new
-// leader at once. The new index must match the running tasks, no machine with work may be released, and waiting tasks
+// leader at once. The new index must match the running tasks, no machine with tasks may be released, and waiting tasks
 // must continue to be placed.
 func TestTakeoverOfFullFleet(t *testing.T) {
 	cluster := fullCluster(t, 3, 300)
@@ -45,7 +45,7 @@
 	cluster.runFor(60 * time.Second)
 	cluster.checkCapacityIndex()
 	if running < 2900 || cluster.counts.releasedWithTasks > 0 || cluster.startedTasks-started < 10 {
-		t.Errorf("%d tasks ran before the change of leader, %d machines with work were released, %d tasks were started after it; want at least 2900, none, at least 10",
+		t.Errorf("%d tasks ran before the change of leader, %d machines with tasks were released, %d tasks were started after it; want at least 2900, none, at least 10",
 			running, cluster.counts.releasedWithTasks, cluster.startedTasks-started)
 	}
 }
@@ -63,7 +63,7 @@
 	cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 60, GPUs: 4})
 	cluster.runFor(5 * time.Second)
 	if reachable, partitioned := cluster.lastJobByZone(); reachable == 0 || partitioned > 0 {
-		t.Errorf("%d tasks were started in the reachable zone and %d in the partitioned zone, want some and none", reachable, partitioned)
+		t.Errorf("got %d started tasks in the reachable zone and %d in the partitioned zone, want some and none", reachable, partitioned)
 	}
 	cluster.isolatedZone = ""
 	cluster.runFor(20 * time.Second)
@@ -71,7 +71,7 @@
 	cluster.submit(wire.Job{Kind: wire.KindArray, Tasks: 400, GPUs: 1})
 	cluster.runFor(10 * time.Second)
 	if reachable, partitioned := cluster.lastJobByZone(); partitioned == 0 {
-		t.Errorf("%d tasks were started in the other zone and none in the zone that is reachable again", reachable)
+		t.Errorf("got %d started tasks in the other zone and none in the zone that is reachable again, want some there", reachable)
 	}
 }
 
@@ -101,10 +101,10 @@
 	cluster.runFor(20 * time.Second)
 	// The limit of the team is 1,500 tasks.
 	if cluster.startedTasks != 1500 {
-		t.Errorf("%d tasks were started, want 1500", cluster.startedTasks)
+		t.Errorf("got %d started tasks, want 1500", cluster.startedTasks)
 	}
 	if perStart := float64(node.Evaluations()-before) / float64(cluster.startedTasks); perStart > 100 {
-		t.Errorf("%.0f evaluations per started task, want at most 100", perStart)
+		t.Errorf("got %.0f evaluations per started task, want at most 100", perStart)
 	}
 	cluster.checkCapacityIndex()
 }
@@ -128,7 +128,7 @@
 	// At most eight cycles a second, and two kinds of jobs for each team. Each kind costs a few evaluations, and one
 	// for every four jobs that could be shrunk.
 	if maxEvaluations := seconds * 8 * 2 * len(cluster.lastSettings.Params.Teams) * 40; evaluations > maxEvaluations || cluster.startedTasks > started {
-		t.Errorf("%d evaluations in %d s for a backlog of %d jobs, want at most %d and no starts", evaluations, seconds, 2*jobs, maxEvaluations)
+		t.Errorf("got %d evaluations in %d s for a backlog of %d jobs, want at most %d and no starts", evaluations, seconds, 2*jobs, maxEvaluations)
 	}
 	cluster.checkCapacityIndex()
 }
--- a/internal/core/capacity_planner_test.go
+++ b/internal/core/capacity_planner_test.go
@@ -90,7 +90,7 @@
 			machines += demand.count
 		}
 		if machines != c.machines {
-			t.Errorf("%d machines for tasks of %g s, want %d", machines, c.runS, c.machines)
+			t.Errorf("got %d machines for tasks of %g s, want %d", machines, c.runS, c.machines)
 		}
 	}
 }
@@ -113,9 +113,9 @@
 	machines := []*machine{idle("a", false, 8), idle("b", false, 0), idle("c", true, 0)}
 	plan := planFor(plannerInput{machines: machines, spareShare: 0.1, idleBoots: 1}, busyService)
 	if want := []*machine{machines[1], machines[2]}; !slices.Equal(plan.scaleIn, want) {
-		t.Errorf("%d machines are scaled in, want b and c", len(plan.scaleIn))
+		t.Errorf("got %d machines to scale in, want b and c", len(plan.scaleIn))
 	}
 	if plan := planFor(plannerInput{machines: machines, spareShare: 0.1, idleBoots: 100}, busyService); len(plan.scaleIn) > 0 {
-		t.Errorf("%d machines are scaled in before they have been idle long enough", len(plan.scaleIn))
+		t.Errorf("got %d machines to scale in before they have been idle long enough, want 0", len(plan.scaleIn))
 	}
 }
--- a/internal/core/direct_commands_test.go
+++ b/internal/core/direct_commands_test.go
@@ -25,8 +25,8 @@
 }
 
 // TestDirectCommandsAreBounded stops a task on more machines than there may be direct commands in flight. The limit
-// must never be exceeded, each result must let the next command be sent, and each machine must be sent its stop exactly
-// once.
+// must never be exceeded, each result must free a slot for the next command, and each machine must be sent its stop
+// exactly once.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	const excess = 7
 	l := newLeaderWithPeers()
@@ -57,11 +57,11 @@
 		d.run()
 		inFlight = append(inFlight, takeCommands(c)...)
 		if len(inFlight) > d.maxInFlight() {
-			t.Fatalf("%d commands in flight, above the limit", len(inFlight))
+			t.Fatalf("got %d commands in flight, want at most the limit", len(inFlight))
 		}
 	}
 	if len(sent) != machines || d.inFlight != 0 {
-		t.Errorf("%d of %d machines were sent their stops, %d commands still in flight", len(sent), machines, d.inFlight)
+		t.Errorf("got stops for %d of %d machines and %d commands in flight, want all and 0", len(sent), machines, d.inFlight)
 	}
 	for name, times := range sent {
 		if times != 1 {
--- a/internal/core/failure_accounting_test.go
+++ b/internal/core/failure_accounting_test.go
@@ -33,7 +33,7 @@
 	}
 	f.fail("b", "m1")
 	if !f.machines["m1"].quarantined || f.machines["m2"].quarantined {
-		t.Error("after two jobs failed on a machine, it is not the only one quarantined")
+		t.Error("after two jobs failed on a machine, want exactly this machine quarantined")
 	}
 }
 
@@ -49,11 +49,11 @@
 	}
 	f.fail("a", "m3")
 	if suspect.retryAt <= first {
-		t.Errorf("the backoff is %v after the third machine, %v before", suspect.retryAt, first)
+		t.Errorf("got retry time %v after the third failure, want it later than %v", suspect.retryAt, first)
 	}
 	for name, m := range f.machines {
 		if len(m.failures) > 0 || m.quarantined {
-			t.Errorf("failures of a suspect job count against %s: %v", name, m.failures)
+			t.Errorf("%s: got failures %v of a suspect job, want none and no quarantine", name, m.failures)
 		}
 	}
 	f.fail("b", "m1")
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -8,42 +8,68 @@
 	"testing"
 )
 
-// Simulated days on which several faults coincide. A file in testdata/fault_combinations is a script, followed by the
-// events of the simulation: leader changes, tasks that start and stop, and responses to users. The test fails if a rule
-// of the protocol is violated, whatever events the file holds. TestSearch generates such scripts from seeds; one that
-// finds a violation is added to the directory: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`, and
-// `-show DIR` writes the script and the events of a seed that fails.
+// The scripts in testdata/fault_combinations run simulations in which several faults coincide. Each file holds a script,
+// followed by the trace of its simulation: leader changes, tasks that start and stop, and responses to users. The test
+// compares the trace, and fails if a rule of the protocol is violated, whatever trace the file holds. TestSearch runs
+// scripts that are generated from seeds: `go test ./internal/core -run TestSearch -first 1 -seeds 1000`. With
+// `-show DIR` it writes the script and the events of a seed that fails. A script that finds a violation is added to the
+// directory.
+//
+// These lines configure the simulation. Zones and seed precede all others:
+//
+//	zones a=z1 b=z1 c=z2             zones of the nodes
+//	seed 7                           seed of the random numbers; default 1
+//	upcoming_limits value_kb=1 txn_ops=4 write_rps=42   announced limits, in the settings
+//	old_version                      all nodes run the version before the second record layout
+//	machines z1 z1 z2-spot           zones of the machines that run at the start; -spot marks spot machines
+//	machines_per_zone 8              number of machines that the cloud has in each zone; default 4
+//	faults_end AT                    end of the last fault
+//	end AT                           end of the simulation
+//
+// All other lines are events. AT is the time of the event in seconds; FOR is the duration of a fault in seconds.
+//
+// Requests of users:
 //
-//	zones a=z1 b=z1 c=z2     zones of the nodes; first line
-//	seed 7                   seed of the random numbers
-//	upcoming_limits value_kb=1 ...   announced limits, in the settings
-//	old_version              all nodes run the version before the second record layout
-//	machines z1 z1 z2-spot   machines that run at the start
-//	machines_per_zone 8      number of machines that the cloud has in each zone; default 4
 //	AT submit run-000001 kind=service tasks=2 gpus=4 team=green run=20 faulty
-//	AT cancel run-000001
-//	AT cancel_on_completion run-000001   cancels a job, and submits it again, once all its tasks have completed
-//	AT cancel_running        the user of a running job cancels it
-//	AT store_unavailable NODE FOR        the key-value store refuses the node's requests
-//	AT isolate NODE store,peers,workers,users FOR
-//	AT upgrade NODE FOR      like kill, but the node starts again with the new version
-//	AT enforce_limits        the key-value store enforces the announced limits
-//	AT kill NODE FOR         AT freeze NODE FOR
-//	AT overload_cpu NODE MS FOR          each step of the node takes MS milliseconds
-//	AT store_outage FOR      AT store_delay UP_TO FOR            AT cloud_outage FOR
-//	AT delayed_transactions SHARE FOR    AT delayed_heartbeats SHARE FOR    AT delayed_commands SHARE FOR
-//	AT partition_zones FOR   AT isolate_zone ZONE FOR
-//	AT hang MACHINE FOR                  the worker's process stands still
-//	AT drop_inbound MACHINE FOR          no message reaches the worker
-//	AT drop_heartbeats MACHINE FOR       the worker's heartbeats are lost
-//	AT fail_tasks MACHINE FOR            all tasks on the machine fail
-//	AT stop_machine MACHINE              AT remove_machine MACHINE    AT reclaim MACHINE
-//	AT boot_faults SHARE_NEVER FACTOR FOR   share of new machines that never boot, and factor for the boot time of the others
-//	AT poll_load PER_SECOND FOR          users poll jobs; shows the number of responses by status
-//	AT invalid_requests      requests that must be refused, and repeated ones
-//	faults_end AT, end AT    end of the last fault, end of the simulation
+//	                                 a job as in traces, of team green by default; run is the run time of its tasks in
+//	                                 seconds, and the tasks of a faulty job fail
+//	AT cancel JOB                    cancels a job of an earlier line
+//	AT cancel_on_completion JOB      cancels a job once all its tasks have completed, and submits it again
+//	AT cancel_running                cancels a random running job
+//	AT poll_load PER_SECOND FOR      users poll jobs; the trace shows the number of responses by status
+//	AT invalid_requests              requests that must be refused, and repeated ones
+//
+// Faults of nodes. NODE is the name of a node, "leader", "follower" (one that is running) or "all":
+//
+//	AT kill NODE FOR                 ends the node's process, which starts again after FOR
+//	AT upgrade NODE FOR              like kill, but the node starts again with the new version
+//	AT freeze NODE FOR               suspends the node's process
+//	AT overload_cpu NODE MS FOR      each step of the node takes MS milliseconds
+//	AT store_unavailable NODE FOR    the key-value store refuses the node's requests
+//	AT isolate NODE store,peers,workers,users FOR   cuts the node off from the listed ones
+//
+// Faults of the key-value store, the cloud and the network. SHARE is a fraction:
+//
+//	AT enforce_limits                the key-value store enforces the announced limits
+//	AT store_outage FOR              the key-value store refuses all requests
+//	AT store_delay UP_TO FOR         delays requests to the key-value store and responses by up to UP_TO seconds
+//	AT cloud_outage FOR              the cloud refuses all calls
+//	AT delayed_transactions SHARE FOR   transactions are committed late, without a response
+//	AT delayed_heartbeats SHARE FOR  a second copy of heartbeats arrives late
+//	AT delayed_commands SHARE FOR    calls to workers are delayed, or repeated late
+//	AT partition_zones FOR           no zone reaches another
+//	AT isolate_zone ZONE FOR         cuts the zone off from other zones, the key-value store, the cloud and users
+//
+// Faults of machines. MACHINE is the name of a machine, or a number that selects one of those that are up:
 //
-// NODE is the name of a node, "leader", "follower" (one that is running) or "all".
+//	AT hang MACHINE FOR              the worker's process is suspended
+//	AT drop_inbound MACHINE FOR      no message reaches the worker
+//	AT drop_heartbeats MACHINE FOR   the worker's heartbeats are lost
+//	AT fail_tasks MACHINE FOR        all tasks on the machine fail
+//	AT stop_machine MACHINE          the machine stops without notice
+//	AT remove_machine MACHINE        the machine ends and is removed from the cloud's list
+//	AT reclaim MACHINE               the cloud reclaims the machine 5 s after a reclaim notice
+//	AT boot_faults SHARE FACTOR FOR  SHARE of the new machines never boot; FACTOR multiplies the boot time of the others
 
 var (
 	firstSeed     = flag.Uint64("first", 1, "first seed of TestSearch")
--- a/internal/core/image_cache_test.go
+++ b/internal/core/image_cache_test.go
@@ -58,7 +58,7 @@
 	check("once a is ready", "a", capacity.ImageReady)
 	check("once a is ready", "b", capacity.ImageAbsent)
 	if got := m.images.readyGB(); got != 3 {
-		t.Errorf("%v GB are ready, want 3", got)
+		t.Errorf("got %v GB ready, want 3", got)
 	}
 	if !m.images.fits(7, 10) || m.images.fits(7.5, 10) {
 		t.Error("with 3 of 10 GB in use, 7 GB must fit and 7.5 GB must not")
--- a/internal/core/large_fleet_test.go
+++ b/internal/core/large_fleet_test.go
@@ -124,7 +124,7 @@
 	cluster.submitServices(machines, 5) // one on each machine
 	cluster.runFor(10 * time.Second)
 	if len(cluster.workerByTask) != machines {
-		t.Fatalf("%d of %d machines have a task", len(cluster.workerByTask), machines)
+		t.Fatalf("got %d machines with a task, want %d", len(cluster.workerByTask), machines)
 	}
 	cluster.isolatedZone = "z3"
 	cluster.runFor(9 * time.Second)
@@ -174,12 +174,12 @@
 		}
 	}
 	if len(cluster.liveServices) != jobs || len(cluster.workerByTask) != jobs || notRunning > 0 {
-		t.Errorf("got %d jobs with %d tasks, %d of them not reported as running", len(cluster.liveServices), len(cluster.workerByTask), notRunning)
+		t.Errorf("got %d jobs with %d tasks, %d of them not reported as running; want one task for each job, and 0", len(cluster.liveServices), len(cluster.workerByTask), notRunning)
 	}
 }
 
 // TestManyUnresolvedCancellations cancels more jobs at once than a node's status can list as unresolved. Their tasks
-// wait for an image on machines that no longer respond. No user may be told that one of these jobs is cancelled.
+// wait for an image on machines that no longer respond. No response may report one of these jobs as cancelled.
 func TestManyUnresolvedCancellations(t *testing.T) {
 	cluster := newLargeScaleCluster(t, 2, 0)
 	cluster.adjustParams = func(p *config.Params) { p.Store.WriteRPS = 1000 }
@@ -199,7 +199,7 @@
 	}
 	cluster.runFor(3 * time.Second)
 	if len(cluster.workerByTask) != jobs {
-		t.Fatalf("%d of %d tasks wait for their image", len(cluster.workerByTask), jobs)
+		t.Fatalf("got %d tasks that wait for their image, want %d", len(cluster.workerByTask), jobs)
 	}
 	for _, worker := range cluster.workers {
 		worker.stopped = true
--- a/internal/core/leader_authority_test.go
+++ b/internal/core/leader_authority_test.go
@@ -40,7 +40,7 @@
 		{"a peer knows a newer term", func(c *Core, peer *membership.Peer) {
 			peer.QueryAnswered(c.now.Steady, membership.Status{StoreDown: true, Term: 4})
 		}, false},
-		{"the peers were not heard recently", func(c *Core, _ *membership.Peer) { c.now.Steady += c.times.lease }, false},
+		{"no peer has answered recently", func(c *Core, _ *membership.Peer) { c.now.Steady += c.times.lease }, false},
 	} {
 		l := newLeaderWithPeers()
 		tc.change(l.core, l.core.members.Peer("c"))
--- a/internal/core/leader_recovery_test.go
+++ b/internal/core/leader_recovery_test.go
@@ -41,11 +41,11 @@
 		}
 	}
 	if !c.leader.recovery.recordsRead || len(c.leader.recovery.records) != pages || len(read) != pages {
-		t.Errorf("read %d records from %d pages, recordsRead = %v", len(c.leader.recovery.records), len(read), c.leader.recovery.recordsRead)
+		t.Errorf("got %d records from %d pages, recordsRead = %v; want one record from each page, and true", len(c.leader.recovery.records), len(read), c.leader.recovery.recordsRead)
 	}
 	for after, reads := range read {
 		if reads != 1 {
-			t.Errorf("the page after %q was read %d times", after, reads)
+			t.Errorf("page after %q: got %d reads, want 1", after, reads)
 		}
 	}
 }
--- a/internal/core/lease_responses_test.go
+++ b/internal/core/lease_responses_test.go
@@ -97,12 +97,12 @@
 			for _, command := range response.commands {
 				name := attemptName{command.Task, command.Attempt}
 				if seen[name] {
-					t.Fatalf("the response has two commands for %v", name)
+					t.Fatalf("got two commands for %v in one response, want one", name)
 				}
 				seen[name] = true
 			}
 			if len(response.commands) > maxCommands {
-				t.Fatalf("the response has %d commands, above the limit", len(response.commands))
+				t.Fatalf("got a response with %d commands, want at most the limit", len(response.commands))
 			}
 			if left == 0 {
 				return
--- a/internal/core/load_shedding_test.go
+++ b/internal/core/load_shedding_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestLeaderShedsUsers slows the leader down until it is short of processor time. It must tell the load balancer to
-// send users to the other nodes, which are not slow, until it has processor time to spare again. If no other node is
-// up, it must keep serving users.
+// TestLeaderShedsUsers overloads the leader's CPU. The leader must report itself as unhealthy, so that the load balancer
+// sends users to the other nodes, until the overload ends. If no other node is up, it must continue to serve users.
 func TestLeaderShedsUsers(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -39,7 +38,7 @@
 					othersShed = othersShed || node != leader && node.core != nil && !node.core.Healthy()
 				}
 			})
-			leader.stepTime, leader.slowUntil = 160*time.Millisecond, 25*time.Second
+			leader.stepTime, leader.overloadedUntil = 160*time.Millisecond, 25*time.Second
 			s.end = 25 * time.Second
 			s.run()
 			if shed != test.wantShed || othersShed {
@@ -49,7 +48,7 @@
 			s.end = 45 * time.Second
 			s.run()
 			if !leader.core.Healthy() {
-				t.Error("the leader still sheds users although it has processor time to spare")
+				t.Error("the leader sheds users 20 s after the end of the CPU overload, want it healthy")
 			}
 		})
 	}
--- a/internal/core/output_digest_test.go
+++ b/internal/core/output_digest_test.go
@@ -20,7 +20,7 @@
 	"bitternwing/internal/core"
 )
 
-// Digests of the output of seeded simulations. A refactoring must leave each of them unchanged. After an intended
+// Digests of the output of seeded simulations. A refactoring must not change them. After an intended
 // change of behaviour, regenerate the file with -digests.
 const (
 	digestFile = "testdata/digests.txt"
@@ -141,15 +141,15 @@
 func digestRegions(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 6))
-	world := newRegionSimulation(t, 3)
+	sim := newRegionSimulation(t, 3)
 	for range 2 + random.IntN(9) {
-		world.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
-		world.injectFault(random)
+		sim.advance(time.Duration(1+random.IntN(40)) * 100 * time.Millisecond)
+		sim.injectFault(random)
 	}
-	world.heal()
-	world.advance(5 * time.Second)
+	sim.heal()
+	sim.advance(5 * time.Second)
 	var digests []string
-	for _, region := range world.regions {
+	for _, region := range sim.regions {
 		digests = append(digests, region.digest.String())
 	}
 	return strings.Join(digests, ",")
@@ -159,27 +159,27 @@
 func digestRollout(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 7))
-	world := newRolloutCluster(t)
-	world.start()
+	cluster := newRolloutCluster(t)
+	cluster.start()
 	for range 1 + random.IntN(6) {
-		world.advance(time.Duration(1+random.IntN(60)) * 100 * time.Millisecond)
+		cluster.advance(time.Duration(1+random.IntN(60)) * 100 * time.Millisecond)
 		switch random.IntN(5) {
 		case 0:
-			world.restartLeaderIfAny()
+			cluster.restartLeaderIfAny()
 		case 1:
-			world.lostResponses = 2
+			cluster.lostResponses = 2
 		case 2:
-			world.transactionsToDelay = 2
+			cluster.transactionsToDelay = 2
 		case 3:
-			world.storeDown = !world.storeDown
+			cluster.storeDown = !cluster.storeDown
 		default:
-			world.routers[0].isolated = !world.routers[0].isolated
+			cluster.routers[0].isolated = !cluster.routers[0].isolated
 		}
 	}
-	world.heal()
-	world.commitDelayed(world.store)
-	world.advance(20 * time.Second)
-	return world.digest.String()
+	cluster.heal()
+	cluster.commitDelayed(cluster.store)
+	cluster.advance(20 * time.Second)
+	return cluster.digest.String()
 }
 
 // digestKinds are the kinds of simulations in digestFile.
--- a/internal/core/placement_oracle_test.go
+++ b/internal/core/placement_oracle_test.go
@@ -155,7 +155,7 @@
 	}
 	request, cacheable := preemptionRequestOf(j, idleOnly)
 	if cacheable && cycle.infeasiblePreemptions[request] && want != nil {
-		f.Fatalf("%s could preempt on %s, but the request is recorded as infeasible", j.id, want.machine.machine.name)
+		f.Fatalf("%s can preempt on %s, but the request is recorded as infeasible", j.id, want.machine.machine.name)
 	}
 	if got == nil {
 		if cacheable {
--- a/internal/core/random_script_test.go
+++ b/internal/core/random_script_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	writePipelines(&script.text, seed, script.faultTimes)
-	writeCPUShortages(&script.text, seed, script.faultTimes)
+	writeCPUOverloads(&script.text, seed, script.faultTimes)
 	writeFailovers(&script.text, seed)
 	// The longest fault begins at 88 s and lasts 45 s, and up to ten leaders may be killed in succession.
 	script.addLine("faults_end 150")
@@ -146,8 +146,8 @@
 		script.addLine("%s store_unavailable %s %g", f.start, f.node, script.between(2, 25))
 	},
 	(*randomScript).addStoreOutage,
-	(*randomScript).addNodeCut,
-	(*randomScript).addNodeCut,
+	(*randomScript).addNodeIsolation,
+	(*randomScript).addNodeIsolation,
 	func(script *randomScript, f randomFault) {
 		script.addLine("%s kill %s %g", f.start, f.node, script.between(0.1, 6))
 	},
@@ -169,8 +169,8 @@
 	func(script *randomScript, f randomFault) {
 		script.addLine("%s delayed_heartbeats %g %g", f.start, script.between(0.1, 0.8), script.between(5, 40))
 	},
-	(*randomScript).addLateCommands,
-	(*randomScript).addLateCommands,
+	(*randomScript).addDelayedCommands,
+	(*randomScript).addDelayedCommands,
 	func(script *randomScript, f randomFault) {
 		script.addLine("%s partition_zones %g", f.start, script.between(5, 40))
 	},
@@ -198,14 +198,14 @@
 	script.addLine("%s store_outage %g", formatTime(f.faultTime+script.between(0.5, 2.5)), script.between(5, 45))
 }
 
-// addNodeCut cuts a node off from a random set of services.
-func (script *randomScript) addNodeCut(f randomFault) {
+// addNodeIsolation cuts a node off from a random selection of the key-value store, peers, workers and users.
+func (script *randomScript) addNodeIsolation(f randomFault) {
 	services := script.pick("store", "store,peers", "store,peers", "peers", "workers", "store,peers,workers,users")
 	script.addLine("%s isolate %s %s %g", f.start, f.node, services, script.between(3, 40))
 }
 
-// addLateCommands delays direct commands.
-func (script *randomScript) addLateCommands(f randomFault) {
+// addDelayedCommands delays direct commands.
+func (script *randomScript) addDelayedCommands(f randomFault) {
 	script.addLine("%s delayed_commands %g %g", f.start, script.between(0.2, 1), script.between(5, 40))
 }
 
@@ -247,9 +247,9 @@
 	}
 }
 
-// writeCPUShortages makes nodes run short of CPU time around the fault times, in a third of the scripts. It uses its
+// writeCPUOverloads overloads the CPUs of nodes around the fault times, in a third of the scripts. It uses its
 // own random source, so that the rest of a seed's script does not change.
-func writeCPUShortages(text *strings.Builder, seed uint64, faultTimes []float64) {
+func writeCPUOverloads(text *strings.Builder, seed uint64, faultTimes []float64) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	if random.IntN(3) > 0 {
 		return
--- a/internal/core/region_checks_test.go
+++ b/internal/core/region_checks_test.go
@@ -20,9 +20,9 @@
 }
 
 // usedBy returns the number of GPUs that a team's tasks use in all regions.
-func (world *regionSimulation) usedBy(team string) float64 {
+func (sim *regionSimulation) usedBy(team string) float64 {
 	sum := 0.0
-	for _, region := range world.regions {
+	for _, region := range sim.regions {
 		sum += region.used(team)
 	}
 	return sum
@@ -42,30 +42,30 @@
 }
 
 // highestLimit returns the limit that the regions together may use: the highest one while their settings differ.
-func (world *regionSimulation) highestLimit() float64 {
+func (sim *regionSimulation) highestLimit() float64 {
 	limit := 0.0
-	for _, region := range world.regions {
+	for _, region := range sim.regions {
 		limit = max(limit, region.limit)
 	}
 	return limit
 }
 
 // check checks that no team exceeds its limit, and that the shares of each team add up to the total.
-func (world *regionSimulation) check() {
-	world.test.Helper()
+func (sim *regionSimulation) check() {
+	sim.t.Helper()
 	for _, team := range []string{"t1", "t2"} {
-		world.overshoot = max(world.overshoot, world.usedBy(team)-world.highestLimit())
-		if world.overshoot > 0 {
-			world.test.Fatalf("%v: team %s uses %g GPUs, more than its limit", world.regions[0].now, team, world.usedBy(team))
+		sim.overshoot = max(sim.overshoot, sim.usedBy(team)-sim.highestLimit())
+		if sim.overshoot > 0 {
+			sim.t.Fatalf("%v: team %s: got %g GPUs in use, want at most its limit", sim.regions[0].now, team, sim.usedBy(team))
 		}
-		world.checkTotal(team)
+		sim.checkTotal(team)
 	}
 }
 
 // checkTotal checks that the shares of a team's accounts and those in transfer add up to the total.
-func (world *regionSimulation) checkTotal(team string) {
+func (sim *regionSimulation) checkTotal(team string) {
 	accounts := map[string]*quota.Account{}
-	for _, region := range world.regions {
+	for _, region := range sim.regions {
 		a := region.account(team)
 		if a == nil {
 			return
@@ -82,17 +82,17 @@
 		}
 	}
 	if total := accounts[regionName(0)].Total; sum != total {
-		world.test.Fatalf("%v: shares add up to %+v for team %s, want %+v", world.regions[0].now, sum, team, total)
+		sim.t.Fatalf("%v: sum of shares: got %+v for team %s, want %+v", sim.regions[0].now, sum, team, total)
 	}
 }
 
 // waitForFullUse runs the simulation until a team uses its whole limit, and 6 s longer, since late messages might still
 // lead to more.
-func (world *regionSimulation) waitForFullUse(team string) {
-	world.test.Helper()
-	world.waitUntil("the whole limit is used", func() bool { return world.usedBy(team) == world.highestLimit() })
-	world.advance(6 * time.Second)
-	if used := world.usedBy(team); used != world.highestLimit() {
-		world.test.Fatalf("team %s uses %g GPUs 6 s after it used its whole limit", team, used)
+func (sim *regionSimulation) waitForFullUse(team string) {
+	sim.t.Helper()
+	sim.waitUntil("the whole limit is used", func() bool { return sim.usedBy(team) == sim.highestLimit() })
+	sim.advance(6 * time.Second)
+	if used := sim.usedBy(team); used != sim.highestLimit() {
+		sim.t.Fatalf("team %s: got %g GPUs in use 6 s after its whole limit was used, want the limit", team, used)
 	}
 }
--- a/internal/core/region_messages_test.go
+++ b/internal/core/region_messages_test.go
@@ -19,13 +19,13 @@
 }
 
 // send sends a message, and a late copy if messages are duplicated. If the link is cut, the call times out instead.
-func (world *regionSimulation) send(from *simulatedRegion, node *scaleNode, e core.CallRegion) {
-	to := slices.IndexFunc(world.regions, func(region *simulatedRegion) bool { return regionName(region.number) == e.Region })
+func (sim *regionSimulation) send(from *simulatedRegion, node *scaleNode, e core.CallRegion) {
+	to := slices.IndexFunc(sim.regions, func(region *simulatedRegion) bool { return regionName(region.number) == e.Region })
 	if to < 0 {
 		return // the region has not been created yet
 	}
 	if e.Deliver != nil {
-		world.transfers++
+		sim.transfers++
 	}
 	sender, sentAt, completed := node.core, from.now, false
 	message := regionMessage{due: from.now + regionLatency, to: to, node: e.Attempt % 3, input: func(request uint64) core.Input {
@@ -41,35 +41,35 @@
 		// The response goes back to the process that sent the message, if it still runs.
 		if node.core == sender && !completed {
 			completed = true
-			if world.cutLinks[[2]int{to, from.number}] {
+			if sim.cutLinks[[2]int{to, from.number}] {
 				got = outcome.Unknown
 			}
 			node.results = append(node.results, core.Result{CallID: e.CallID, Outcome: got, SentAt: sentAt})
 		}
 	}}
-	if world.cutLinks[[2]int{from.number, to}] {
-		world.messages = append(world.messages, regionMessage{due: from.now + 3*time.Second, to: -1, done: message.done})
+	if sim.cutLinks[[2]int{from.number, to}] {
+		sim.messages = append(sim.messages, regionMessage{due: from.now + 3*time.Second, to: -1, done: message.done})
 		return
 	}
-	world.messages = append(world.messages, message)
-	if world.duplicateMessages {
+	sim.messages = append(sim.messages, message)
+	if sim.duplicateMessages {
 		late := message
 		late.due += 5 * time.Second
-		world.messages = append(world.messages, late)
+		sim.messages = append(sim.messages, late)
 	}
 }
 
 // deliverMessages delivers the messages that are due.
-func (world *regionSimulation) deliverMessages() {
-	now := world.regions[0].now
-	due := slices.DeleteFunc(slices.Clone(world.messages), func(m regionMessage) bool { return m.due > now })
-	world.messages = slices.DeleteFunc(world.messages, func(m regionMessage) bool { return m.due <= now })
+func (sim *regionSimulation) deliverMessages() {
+	now := sim.regions[0].now
+	due := slices.DeleteFunc(slices.Clone(sim.messages), func(m regionMessage) bool { return m.due > now })
+	sim.messages = slices.DeleteFunc(sim.messages, func(m regionMessage) bool { return m.due <= now })
 	for _, m := range due {
 		if m.to < 0 {
 			m.done(outcome.Unknown) // the call has timed out
 			continue
 		}
-		region := world.regions[m.to]
+		region := sim.regions[m.to]
 		region.receive(region.nodes[m.node], m, false)
 	}
 }
--- a/internal/core/region_world_test.go
+++ b/internal/core/region_world_test.go
@@ -11,11 +11,11 @@
 	"bitternwing/internal/wire"
 )
 
-// regionSimulation is a simulation of several regions that share the limits of two teams. Each region has three controllers,
-// a store and machines of its own. At each step it checks that no team exceeds its limit in all regions together, and
-// that the shares that the regions hold and those in transfer add up to the total.
+// regionSimulation is a simulation of several regions that share the limits of two teams. Each region has three
+// controllers, a store and machines of its own. At each step it checks that no team exceeds its limit in all regions
+// together, and that the shares that the regions hold and those in transfer add up to the total.
 type regionSimulation struct {
-	test    testReporter
+	t       testReporter
 	regions []*simulatedRegion
 	// cutLinks holds the pairs of sender and receiver between which messages are lost.
 	cutLinks          map[[2]int]bool
@@ -57,17 +57,17 @@
 
 // newRegionSimulationOf is like newRegionSimulation with the given number of machines in each region.
 func newRegionSimulationOf(t testReporter, regions, machines int) *regionSimulation {
-	world := &regionSimulation{test: t, cutLinks: map[[2]int]bool{}, machines: machines}
+	sim := &regionSimulation{t: t, cutLinks: map[[2]int]bool{}, machines: machines}
 	for i := range regions {
-		world.regions = append(world.regions, world.newRegion(i, regions))
+		sim.regions = append(sim.regions, sim.newRegion(i, regions))
 	}
-	world.advance(15 * time.Second)
-	return world
+	sim.advance(15 * time.Second)
+	return sim
 }
 
 // newRegion returns the region with the given number.
-func (world *regionSimulation) newRegion(number, regions int) *simulatedRegion {
-	region := &simulatedRegion{scaleCluster: newScaleCluster(world.test, 3, 0), number: number, limit: regionLimit, responseHandlers: map[uint64]func(core.Response){}}
+func (sim *regionSimulation) newRegion(number, regions int) *simulatedRegion {
+	region := &simulatedRegion{scaleCluster: newScaleCluster(sim.t, 3, 0), number: number, limit: regionLimit, responseHandlers: map[uint64]func(core.Response){}}
 	region.digest = newOutputDigest()
 	region.operator.IdleTimeoutBoots = 100
 	region.operator.Regions = config.Regions{Name: regionName(number)}
@@ -79,7 +79,7 @@
 	}
 	region.interceptEffect = func(node *scaleNode, effect core.Effect) (core.Result, bool) {
 		if e, ok := effect.(core.CallRegion); ok {
-			world.send(region, node, e)
+			sim.send(region, node, e)
 			return core.Result{}, false
 		}
 		return region.interceptStoreCall(node.name, region.store, effect)
@@ -93,33 +93,33 @@
 		return answered != nil
 	}
 	region.restartNodes()
-	region.addMachines(world.machines, "z1", "z2")
+	region.addMachines(sim.machines, "z1", "z2")
 	return region
 }
 
 // advance runs the simulation of all regions for a while, and checks the invariants at each step.
-func (world *regionSimulation) advance(d time.Duration) {
-	world.test.Helper()
-	for end := world.regions[0].now + d; world.regions[0].now < end; {
-		for _, region := range world.regions {
+func (sim *regionSimulation) advance(d time.Duration) {
+	sim.t.Helper()
+	for end := sim.regions[0].now + d; sim.regions[0].now < end; {
+		for _, region := range sim.regions {
 			region.runFor(scaleStep)
 		}
-		world.deliverMessages()
-		world.check()
-		for _, region := range world.regions {
+		sim.deliverMessages()
+		sim.check()
+		for _, region := range sim.regions {
 			region.resubmit()
 		}
 	}
 }
 
 // submit submits services of one task in a region and returns their IDs.
-func (world *regionSimulation) submit(region int, team string, tasks int, gpus float64) []string {
+func (sim *regionSimulation) submit(region int, team string, tasks int, gpus float64) []string {
 	var ids []string
-	r := world.regions[region]
+	r := sim.regions[region]
 	for range tasks {
-		world.submittedJobs++
-		id := fmt.Sprintf("run-%06d", world.submittedJobs)
-		r.submitAt(r.nodes[world.submittedJobs%3], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: team, Tasks: 1, CPUs: 4, GPUs: gpus, MemoryGB: 20,
+		sim.submittedJobs++
+		id := fmt.Sprintf("run-%06d", sim.submittedJobs)
+		r.submitAt(r.nodes[sim.submittedJobs%3], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: team, Tasks: 1, CPUs: 4, GPUs: gpus, MemoryGB: 20,
 			Priority: "prod", Image: "img-1", ImageGB: 4})
 		ids = append(ids, id)
 	}
@@ -128,10 +128,10 @@
 }
 
 // submitAndWait submits services and waits until all are accepted.
-func (world *regionSimulation) submitAndWait(region int, team string, tasks int, gpus float64) []string {
-	world.test.Helper()
-	ids := world.submit(region, team, tasks, gpus)
-	world.waitUntil("all jobs are accepted", func() bool { return len(world.regions[region].unacceptedJobs) == 0 })
+func (sim *regionSimulation) submitAndWait(region int, team string, tasks int, gpus float64) []string {
+	sim.t.Helper()
+	ids := sim.submit(region, team, tasks, gpus)
+	sim.waitUntil("all jobs are accepted", func() bool { return len(sim.regions[region].unacceptedJobs) == 0 })
 	return ids
 }
 
@@ -155,56 +155,56 @@
 }
 
 // cancel cancels jobs, repeatedly until the store has their final states.
-func (world *regionSimulation) cancel(region int, ids []string) {
-	r := world.regions[region]
+func (sim *regionSimulation) cancel(region int, ids []string) {
+	r := sim.regions[region]
 	for _, id := range ids {
 		for range 50 {
 			if _, got := r.store.Get("f/" + id); got == outcome.OK {
 				break
 			}
 			r.lastRequest++
-			r.step(r.nodes[world.submittedJobs%3], core.CancelJob{RequestID: r.lastRequest << 16, ID: id})
-			world.advance(100 * time.Millisecond)
+			r.step(r.nodes[sim.submittedJobs%3], core.CancelJob{RequestID: r.lastRequest << 16, ID: id})
+			sim.advance(100 * time.Millisecond)
 		}
 	}
 }
 
 // setLimit changes the limit of each team in the settings of a region's controllers, and restarts them.
-func (world *regionSimulation) setLimit(region int, limit float64) {
-	world.regions[region].limit = limit
-	for i, node := range world.regions[region].nodes {
-		world.regions[region].startNode(i)
-		world.regions[region].step(node, core.Tick{})
+func (sim *regionSimulation) setLimit(region int, limit float64) {
+	sim.regions[region].limit = limit
+	for i, node := range sim.regions[region].nodes {
+		sim.regions[region].startNode(i)
+		sim.regions[region].step(node, core.Tick{})
 	}
-	world.advance(8 * time.Second)
+	sim.advance(8 * time.Second)
 }
 
 // waitUntil runs the simulation until a condition holds, and returns how long that took.
-func (world *regionSimulation) waitUntil(condition string, holds func() bool) time.Duration {
-	world.test.Helper()
-	begin := world.regions[0].now
+func (sim *regionSimulation) waitUntil(condition string, holds func() bool) time.Duration {
+	sim.t.Helper()
+	begin := sim.regions[0].now
 	for range 1200 {
 		if holds() {
-			return world.regions[0].now - begin
+			return sim.regions[0].now - begin
 		}
-		world.advance(100 * time.Millisecond)
+		sim.advance(100 * time.Millisecond)
 	}
-	world.test.Fatalf("not reached within 2 minutes: %s", condition)
+	sim.t.Fatalf("not reached within 2 minutes: %s", condition)
 	return 0
 }
 
 // setPartitioned starts or ends a partition between a region and all others.
-func (world *regionSimulation) setPartitioned(region int, partitioned bool) {
-	for i := range world.regions {
-		world.cutLinks[[2]int{region, i}], world.cutLinks[[2]int{i, region}] = partitioned, partitioned
+func (sim *regionSimulation) setPartitioned(region int, partitioned bool) {
+	for i := range sim.regions {
+		sim.cutLinks[[2]int{region, i}], sim.cutLinks[[2]int{i, region}] = partitioned, partitioned
 	}
 }
 
 // heal ends all faults and applies the delayed writes.
-func (world *regionSimulation) heal() {
-	clear(world.cutLinks)
-	world.duplicateMessages = false
-	for _, region := range world.regions {
+func (sim *regionSimulation) heal() {
+	clear(sim.cutLinks)
+	sim.duplicateMessages = false
+	for _, region := range sim.regions {
 		region.endStoreFaults()
 		region.commitDelayed(region.store)
 		region.frozenNode = ""
--- a/internal/core/renewal_check_test.go
+++ b/internal/core/renewal_check_test.go
@@ -11,7 +11,8 @@
 
 // checkRenewal checks the response to a heartbeat. If the response renews the worker's lease, it must stop every task
 // of the heartbeat whose job the node knows to be cancelled, up to the maximum number of commands. This holds whichever
-// node leads, whether or not the key-value store is available, and whether or not a user was told of the cancellation.
+// node leads, whether or not the key-value store is available, and whether or not the cancellation was confirmed to a
+// user.
 func (s *simulation) checkRenewal(node *simulatedNode, r core.Response) {
 	heartbeat := node.pendingHeartbeats[r.RequestID]
 	delete(node.pendingHeartbeats, r.RequestID)
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -13,57 +13,57 @@
 // TestRolloutCompletes rolls out a new version without faults. The old version is retired, and the record of the plan
 // is kept for the configured time.
 func TestRolloutCompletes(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.start()
-	world.waitForPhase(rollout.Completed)
+	cluster := newRolloutCluster(t)
+	cluster.start()
+	cluster.waitForPhase(rollout.Completed)
 	want := "pending starting checking shifting baking starting checking shifting baking completing retiring completed"
-	if got := strings.Join(world.phases, " "); !strings.HasSuffix(want, got) || len(world.phases) < 8 {
-		t.Errorf("unexpected phases: %s", got)
+	if got := strings.Join(cluster.phases, " "); !strings.HasSuffix(want, got) || len(cluster.phases) < 8 {
+		t.Errorf("got phases %s, want those of a completed rollout, in order", got)
 	}
 	for i := range newJobs {
-		if !world.hasTaskOnWorker(newJob(i)) || world.cancelled(newJob(i)) {
-			t.Errorf("new job %s does not run", newJob(i))
+		if !cluster.hasTaskOnWorker(newJob(i)) || cluster.cancelled(newJob(i)) {
+			t.Errorf("new job %s does not run or is cancelled, want it running", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if world.hasTaskOnWorker(oldJob(i)) || !world.cancelled(oldJob(i)) {
-			t.Errorf("old job %s still runs or is not cancelled", oldJob(i))
+		if cluster.hasTaskOnWorker(oldJob(i)) || !cluster.cancelled(oldJob(i)) {
+			t.Errorf("old job %s runs or is not cancelled, want it cancelled", oldJob(i))
 		}
 	}
-	world.advance(20 * time.Second) // routers use the plan's routing until the record is removed
-	response := world.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "reader"} })
+	cluster.advance(20 * time.Second) // routers use the plan's routing until the record is removed
+	response := cluster.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "reader"} })
 	if status, ok := response.Body.(core.PlanStatus); !ok || status.Capacity.New != 10*newJobs*replicasOfJob {
-		t.Errorf("status of a completed plan lacks its replicas: %+v", response.Body)
+		t.Errorf("status of a completed plan: got %+v, want the capacity of all new replicas", response.Body)
 	}
-	world.advance(20 * time.Second)
-	if r := world.record(); r != nil {
-		t.Errorf("record is not removed after its retention period: %+v", r)
+	cluster.advance(20 * time.Second)
+	if r := cluster.record(); r != nil {
+		t.Errorf("after the retention period: got record %+v, want none", r)
 	}
 }
 
 // checkRolledBack waits for the rollback and checks its reason, that only the old version runs, and that no router
 // sends traffic to the new one.
-func (world *rolloutCluster) checkRolledBack(reason rollout.Reason) {
-	world.t.Helper()
-	world.waitForPhase(rollout.RolledBack)
-	world.advance(5 * time.Second)
-	if r := world.record(); r.Reason != reason {
-		world.t.Errorf("rolled back for reason %q, detail %q, want reason %q", r.Reason, r.Detail, reason)
+func (cluster *rolloutCluster) checkRolledBack(reason rollout.Reason) {
+	cluster.t.Helper()
+	cluster.waitForPhase(rollout.RolledBack)
+	cluster.advance(5 * time.Second)
+	if r := cluster.record(); r.Reason != reason {
+		cluster.t.Errorf("got a rollback for reason %q, detail %q, want reason %q", r.Reason, r.Detail, reason)
 	}
 	for i := range newJobs {
-		if world.hasTaskOnWorker(newJob(i)) {
-			world.t.Errorf("new job %s still runs", newJob(i))
+		if cluster.hasTaskOnWorker(newJob(i)) {
+			cluster.t.Errorf("new job %s still runs", newJob(i))
 		}
 	}
 	for i := range oldJobs {
-		if !world.capacityNotGuaranteed && (world.cancelled(oldJob(i)) || !world.hasTaskOnWorker(oldJob(i))) {
-			world.t.Errorf("old job %s does not run", oldJob(i))
+		if !cluster.capacityNotGuaranteed && (cluster.cancelled(oldJob(i)) || !cluster.hasTaskOnWorker(oldJob(i))) {
+			cluster.t.Errorf("old job %s does not run", oldJob(i))
 		}
 	}
-	for _, r := range world.routers {
-		for _, weight := range r.weights(world.now) {
+	for _, r := range cluster.routers {
+		for _, weight := range r.weights(cluster.now) {
 			if weight.Version == rollout.NewVersion {
-				world.t.Errorf("router %s sends traffic to %s", r.name, weight.Task)
+				cluster.t.Errorf("router %s sends traffic to %s", r.name, weight.Task)
 			}
 		}
 	}
@@ -85,200 +85,201 @@
 		"the old version as well, while shifting": {rollout.Shifting, func(string, int) bool { return true }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := newRolloutCluster(t)
-			world.start()
-			world.waitForPhase(test.phase)
+			cluster := newRolloutCluster(t)
+			cluster.start()
+			cluster.waitForPhase(test.phase)
 			probeCount := 0
-			world.capacityNotGuaranteed = strings.HasPrefix(name, "the old") // failing old replicas reduce the capacity, whatever the rollout does
-			world.setWrongAnswers(func(task string) bool {
+			cluster.capacityNotGuaranteed = strings.HasPrefix(name, "the old") // the rollout can't prevent failures of old replicas
+			cluster.setWrongAnswers(func(task string) bool {
 				probeCount++
 				return test.wrong(task, probeCount)
 			})
-			world.checkRolledBack(rollout.CheckFailed)
+			cluster.checkRolledBack(rollout.CheckFailed)
 		})
 	}
 }
 
 // TestRestartedReplicaIsRevalidated restarts a replica while its step bakes. The validation of the earlier attempt does
-// not count: the step has to be checked again before it goes on.
+// not count: the step has to be checked again before it continues.
 func TestRestartedReplicaIsRevalidated(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.plan.Steps[0].BakeS = 30
-	world.start()
-	world.waitForPhase(rollout.Baking)
-	for _, worker := range world.workers {
+	cluster := newRolloutCluster(t)
+	cluster.plan.Steps[0].BakeS = 30
+	cluster.start()
+	cluster.waitForPhase(rollout.Baking)
+	for _, worker := range cluster.workers {
 		if worker.machine.Holds("run-000011/0") && !worker.machine.Holds("run-000001/0") && !worker.machine.Holds("run-000002/0") {
 			worker.stopped = true
 		}
 	}
-	world.capacityNotGuaranteed = true
-	world.waitForPhase(rollout.Checking)
-	world.waitForPhase(rollout.Completed)
+	cluster.capacityNotGuaranteed = true
+	cluster.waitForPhase(rollout.Checking)
+	cluster.waitForPhase(rollout.Completed)
 }
 
 // TestUnreachableReplica checks that an unreachable replica is not treated like one that answers wrongly: the step
 // waits, and the plan is rolled back only after unreachable_s.
 func TestUnreachableReplica(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.unreachable = func(task string) bool { return task == "run-000011/1" }
-	world.start()
-	world.waitForPhase(rollout.Checking)
-	world.advance(10 * time.Second)
-	if r := world.record(); r.Phase != rollout.Checking {
-		t.Fatalf("the step does not wait for the unreachable replica: %+v", r)
-	}
-	world.unreachable = nil
-	world.waitForPhase(rollout.Baking)
-	world.unreachable = func(task string) bool { return task == "run-000011/1" }
-	world.checkRolledBack(rollout.Unreachable)
+	cluster := newRolloutCluster(t)
+	cluster.unreachable = func(task string) bool { return task == "run-000011/1" }
+	cluster.start()
+	cluster.waitForPhase(rollout.Checking)
+	cluster.advance(10 * time.Second)
+	if r := cluster.record(); r.Phase != rollout.Checking {
+		t.Fatalf("got record %+v, want a step that waits in phase checking for the unreachable replica", r)
+	}
+	cluster.unreachable = nil
+	cluster.waitForPhase(rollout.Baking)
+	cluster.unreachable = func(task string) bool { return task == "run-000011/1" }
+	cluster.checkRolledBack(rollout.Unreachable)
 }
 
 // TestInsufficientTeamLimit lowers the team's limit so that the new jobs of a step do not fit. The step waits without
 // affecting the old version, and the plan is rolled back after wait_s.
 func TestInsufficientTeamLimit(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.plan.Limits.WaitTimeoutS = 30
-	world.apply()
-	world.limitTeam(9)
-	world.submitNew()
-	world.waitForPhase(rollout.Starting)
-	world.advance(15 * time.Second)
-	if r := world.record(); r.Phase != rollout.Starting || world.hasTaskOnWorker(newJob(0)) {
-		t.Errorf("the step does not wait for quota: %+v", r)
-	}
-	world.checkRolledBack(rollout.TimedOut)
+	cluster := newRolloutCluster(t)
+	cluster.plan.Limits.WaitTimeoutS = 30
+	cluster.apply()
+	cluster.limitTeam(9)
+	cluster.submitNew()
+	cluster.waitForPhase(rollout.Starting)
+	cluster.advance(15 * time.Second)
+	if r := cluster.record(); r.Phase != rollout.Starting || cluster.hasTaskOnWorker(newJob(0)) {
+		t.Errorf("got record %+v, want a step that waits in phase starting for quota", r)
+	}
+	cluster.checkRolledBack(rollout.TimedOut)
 }
 
 // TestTwoPlans runs the plans of two teams at the same time. The rollback of one does not affect the other.
 func TestTwoPlans(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.start()
-	other := &rollout.Plan{Name: "writer", Team: "t2", PromisedCapacity: 10, Checks: world.plan.Checks, Limits: world.plan.Limits,
+	cluster := newRolloutCluster(t)
+	cluster.start()
+	other := &rollout.Plan{Name: "writer", Team: "t2", PromisedCapacity: 10, Checks: cluster.plan.Checks, Limits: cluster.plan.Limits,
 		Old: rollout.VersionSpec{Jobs: []string{"run-000101"}, ReplicaCapacity: 10}, New: rollout.VersionSpec{Jobs: []string{"run-000111"}, ReplicaCapacity: 10},
 		Steps: []rollout.Step{{Jobs: []string{"run-000111"}, Share: 1, BakeS: 1}}}
-	world.submitAt(world.nodes[0], replicaJob("run-000101", "t2"))
-	world.advance(8 * time.Second)
-	if response := world.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: other} }); response.Status != 200 {
-		t.Fatalf("the second plan was refused: %+v", response)
-	}
-	world.submitAt(world.nodes[0], replicaJob("run-000111", "t2"))
-	world.setWrongAnswers(func(task string) bool { return task == "run-000111/0" })
-	world.waitForPhase(rollout.Completed)
-	world.advance(10 * time.Second)
-	if !world.cancelled("run-000111") || world.cancelled("run-000101") || !world.hasTaskOnWorker("run-000101") {
+	cluster.submitAt(cluster.nodes[0], replicaJob("run-000101", "t2"))
+	cluster.advance(8 * time.Second)
+	if response := cluster.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: other} }); response.Status != 200 {
+		t.Fatalf("second plan: got %+v, want status 200", response)
+	}
+	cluster.submitAt(cluster.nodes[0], replicaJob("run-000111", "t2"))
+	cluster.setWrongAnswers(func(task string) bool { return task == "run-000111/0" })
+	cluster.waitForPhase(rollout.Completed)
+	cluster.advance(10 * time.Second)
+	if !cluster.cancelled("run-000111") || cluster.cancelled("run-000101") || !cluster.hasTaskOnWorker("run-000101") {
 		t.Error("the plan whose new version answers wrongly was not rolled back")
 	}
 }
 
-// TestOutdatedController runs one controller of a version without rollouts. No plan is accepted until it was replaced.
+// TestOutdatedController runs one controller of a version without rollouts. No plan may be accepted until it is
+// replaced.
 func TestOutdatedController(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.outdatedNode = world.followerNode().name
-	world.restartNodes()
-	world.advance(8 * time.Second)
-	for world.leaderNode().name == world.outdatedNode {
-		world.restartLeader()
-		world.advance(8 * time.Second)
+	cluster := newRolloutCluster(t)
+	cluster.outdatedNode = cluster.followerNode().name
+	cluster.restartNodes()
+	cluster.advance(8 * time.Second)
+	for cluster.leaderNode().name == cluster.outdatedNode {
+		cluster.restartLeader()
+		cluster.advance(8 * time.Second)
 	}
 	for range 5 {
-		response := world.sendRequest(world.nodes[0], func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: world.plan} })
+		response := cluster.sendRequest(cluster.nodes[0], func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: cluster.plan} })
 		if response == nil || response.Status != 503 {
-			t.Errorf("a plan was not refused with 503: %+v", response)
+			t.Errorf("plan with an outdated controller: got %+v, want status 503", response)
 		}
-		world.advance(time.Second)
+		cluster.advance(time.Second)
 	}
-	if r := world.record(); r != nil {
-		t.Errorf("a plan was stored: %+v", r)
+	if r := cluster.record(); r != nil {
+		t.Errorf("got stored plan %+v, want none", r)
 	}
-	world.outdatedNode = ""
-	world.start()
-	world.waitForPhase(rollout.Completed)
+	cluster.outdatedNode = ""
+	cluster.start()
+	cluster.waitForPhase(rollout.Completed)
 }
 
 // TestOperatorRequests pauses, resumes and aborts a plan, applies it again, and requests the status of an unknown one.
 func TestOperatorRequests(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.start()
-	world.waitForPhase(rollout.Baking)
-	if response := world.change(rollout.Pause); response.Status != 200 {
+	cluster := newRolloutCluster(t)
+	cluster.start()
+	cluster.waitForPhase(rollout.Baking)
+	if response := cluster.change(rollout.Pause); response.Status != 200 {
 		t.Error(response)
 	}
-	world.advance(20 * time.Second)
-	if r := world.record(); r.Phase != rollout.Baking || r.PausedMS == 0 {
-		t.Errorf("a paused plan advances: %+v", r)
+	cluster.advance(20 * time.Second)
+	if r := cluster.record(); r.Phase != rollout.Baking || r.PausedMS == 0 {
+		t.Errorf("paused plan: got record %+v, want it paused in phase baking", r)
 	}
-	if response := world.change(rollout.Resume); response.Status != 200 {
+	if response := cluster.change(rollout.Resume); response.Status != 200 {
 		t.Error(response)
 	}
-	world.waitForPhase(rollout.Completing)
-	if response := world.apply(); response.Status != 200 {
-		t.Errorf("applying the same plan again: %+v", response)
+	cluster.waitForPhase(rollout.Completing)
+	if response := cluster.apply(); response.Status != 200 {
+		t.Errorf("applying the same plan again: got %+v, want status 200", response)
 	}
-	world.plan.PromisedCapacity = 20
-	if response := world.apply(); response.Status != 422 {
-		t.Errorf("applying a different plan of the same name: %+v", response)
+	cluster.plan.PromisedCapacity = 20
+	if response := cluster.apply(); response.Status != 422 {
+		t.Errorf("applying a different plan of the same name: got %+v, want status 422", response)
 	}
-	world.plan.PromisedCapacity = 30
-	if response := world.change(rollout.Abort); response.Status != 200 {
+	cluster.plan.PromisedCapacity = 30
+	if response := cluster.change(rollout.Abort); response.Status != 200 {
 		t.Error(response)
 	}
-	world.checkRolledBack(rollout.Aborted)
-	if response := world.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "writer"} }); response.Status != 404 {
-		t.Errorf("status of an unknown plan: %+v", response)
+	cluster.checkRolledBack(rollout.Aborted)
+	if response := cluster.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "writer"} }); response.Status != 404 {
+		t.Errorf("status of an unknown plan: got %+v, want status 404", response)
 	}
-	response := world.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "reader"} })
+	response := cluster.requestUntilAnswered(func(request uint64) core.Input { return core.GetPlan{RequestID: request, Name: "reader"} })
 	if status, ok := response.Body.(core.PlanStatus); !ok || status.Record.Phase != rollout.RolledBack {
-		t.Errorf("status of an aborted plan: %+v", response)
+		t.Errorf("status of an aborted plan: got %+v, want phase rolled back", response)
 	}
 }
 
-// TestOwnerCancelsJobs has the owner cancel a job of the plan. A cancelled new job causes a rollback; a cancelled old
+// TestOwnerCancelsJobs cancels a job of the plan as its owner. A cancelled new job causes a rollback; a cancelled old
 // job only reduces the capacity that has to be kept.
 func TestOwnerCancelsJobs(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.start()
-	world.waitForPhase(rollout.Baking)
-	world.sendRequest(world.nodes[1], func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: newJob(1)} })
-	world.checkRolledBack(rollout.NewCancelled)
+	cluster := newRolloutCluster(t)
+	cluster.start()
+	cluster.waitForPhase(rollout.Baking)
+	cluster.sendRequest(cluster.nodes[1], func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: newJob(1)} })
+	cluster.checkRolledBack(rollout.NewCancelled)
 
-	world = newRolloutCluster(t)
-	world.start()
-	world.waitForPhase(rollout.Baking)
-	world.capacityNotGuaranteed = true // the owner cancels an old job
-	world.sendRequest(world.nodes[1], func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: oldJob(1)} })
-	world.waitForPhase(rollout.Completed)
+	cluster = newRolloutCluster(t)
+	cluster.start()
+	cluster.waitForPhase(rollout.Baking)
+	cluster.capacityNotGuaranteed = true // the owner cancels an old job
+	cluster.sendRequest(cluster.nodes[1], func(request uint64) core.Input { return core.CancelJob{RequestID: request, ID: oldJob(1)} })
+	cluster.waitForPhase(rollout.Completed)
 }
 
 // TestHeldJobs checks that the new jobs of a plan are accepted and stay pending until their step. After the plan was
 // aborted they are cancelled, and jobs outside of the plan are not affected.
 func TestHeldJobs(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.apply()
-	world.submitNew()
-	world.submitAt(world.nodes[0], replicaJob("run-000050", "t1"))
-	world.routers[0].isolated, world.routers[1].isolated = true, true
-	world.unreachable = func(task string) bool { return task < "run-000010" } // so the plan stays pending
-	world.advance(10 * time.Second)
+	cluster := newRolloutCluster(t)
+	cluster.apply()
+	cluster.submitNew()
+	cluster.submitAt(cluster.nodes[0], replicaJob("run-000050", "t1"))
+	cluster.routers[0].isolated, cluster.routers[1].isolated = true, true
+	cluster.unreachable = func(task string) bool { return task < "run-000010" } // so that the plan remains pending
+	cluster.advance(10 * time.Second)
 	for i := range newJobs {
-		response := world.sendRequest(world.nodes[i], func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: newJob(i)} })
+		response := cluster.sendRequest(cluster.nodes[i], func(request uint64) core.Input { return core.GetJob{RequestID: request, ID: newJob(i)} })
 		if s, ok := response.Body.(wire.JobResponse); !ok || s.Status != wire.JobPending {
-			t.Errorf("held job %s is not pending: %+v", newJob(i), response)
+			t.Errorf("held job %s: got %+v, want it pending", newJob(i), response)
 		}
 	}
-	if !world.hasTaskOnWorker("run-000050") {
-		t.Error("a job outside of the plan is held back")
+	if !cluster.hasTaskOnWorker("run-000050") {
+		t.Error("a job outside of the plan does not run, want it running")
 	}
-	world.restartLeaderIfAny()
-	world.advance(10 * time.Second)
-	world.change(rollout.Abort)
-	world.unreachable = nil
-	world.checkRolledBack(rollout.Aborted)
+	cluster.restartLeaderIfAny()
+	cluster.advance(10 * time.Second)
+	cluster.change(rollout.Abort)
+	cluster.unreachable = nil
+	cluster.checkRolledBack(rollout.Aborted)
 	for i := range newJobs {
-		if !world.cancelled(newJob(i)) {
+		if !cluster.cancelled(newJob(i)) {
 			t.Errorf("new job %s is not cancelled", newJob(i))
 		}
 	}
-	if world.cancelled("run-000050") {
+	if cluster.cancelled("run-000050") {
 		t.Error("a job outside of the plan was cancelled")
 	}
 }
@@ -286,95 +287,95 @@
 // TestRefusedPlans checks that the refusal of a plan names the invalid field and discloses nothing about jobs of other
 // teams.
 func TestRefusedPlans(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.submitAt(world.nodes[0], replicaJob("run-000060", "t2"))
+	cluster := newRolloutCluster(t)
+	cluster.submitAt(cluster.nodes[0], replicaJob("run-000060", "t2"))
 	array := replicaJob("run-000061", "t1")
 	array.Kind, array.EstimatedRunS = wire.KindArray, 60
-	world.submitAt(world.nodes[0], array)
-	world.submitReplica("run-000062")
-	world.advance(8 * time.Second)
-	valid := *world.plan
+	cluster.submitAt(cluster.nodes[0], array)
+	cluster.submitReplica("run-000062")
+	cluster.advance(8 * time.Second)
+	valid := *cluster.plan
 	refuse := func(change func(p *rollout.Plan), field string) string {
 		t.Helper()
 		p := valid
 		p.Old.Jobs, p.New.Jobs = append([]string{}, valid.Old.Jobs...), append([]string{}, valid.New.Jobs...)
 		p.Name = "other"
 		change(&p)
-		world.plan = &p
-		response := world.apply()
+		cluster.plan = &p
+		response := cluster.apply()
 		body, ok := response.Body.(wire.ErrorBody)
-		if response.Status != 422 || !ok || !strings.HasPrefix(body.Error, field) || world.record() != nil {
-			t.Errorf("%s: %+v", field, response)
+		if response.Status != 422 || !ok || !strings.HasPrefix(body.Error, field) || cluster.record() != nil {
+			t.Errorf("%s: got %+v, want status 422 with an error for this field, and no stored plan", field, response)
 		}
 		return strings.TrimPrefix(body.Error, field)
 	}
 	refuse(func(p *rollout.Plan) { p.Team = "nobody" }, "/team")
 	unknown := refuse(func(p *rollout.Plan) { p.Old.Jobs[1] = "run-000099" }, "/old/jobs/1")
-	theirs := refuse(func(p *rollout.Plan) { p.Old.Jobs[1] = "run-000060" }, "/old/jobs/1")
-	if unknown != theirs {
-		t.Errorf("messages distinguish an unknown job from another team's: %q, %q", unknown, theirs)
+	ofOtherTeam := refuse(func(p *rollout.Plan) { p.Old.Jobs[1] = "run-000060" }, "/old/jobs/1")
+	if unknown != ofOtherTeam {
+		t.Errorf("got messages %q for an unknown job and %q for another team's, want the same", unknown, ofOtherTeam)
 	}
 	refuse(func(p *rollout.Plan) { p.Old.Jobs[1] = "run-000061" }, "/old/jobs/1")
 	refuse(func(p *rollout.Plan) { p.New.Jobs[0] = "run-000060" }, "/new/jobs/0")
 	refuse(func(p *rollout.Plan) { p.New.Jobs[0] = "run-000062" }, "/new/jobs/0")
 	refuse(func(p *rollout.Plan) { p.PromisedCapacity = 50 }, "/promised_capacity")
-	world.plan = &valid
-	if response := world.apply(); response.Status != 200 {
+	cluster.plan = &valid
+	if response := cluster.apply(); response.Status != 200 {
 		t.Fatal(response)
 	}
 	p := valid
 	p.Name = "second"
-	world.plan = &p
-	if response := world.apply(); response.Status != 422 || !strings.HasPrefix(response.Body.(wire.ErrorBody).Error, "/old/jobs/0") {
-		t.Errorf("plan with a job of another plan: %+v", response)
+	cluster.plan = &p
+	if response := cluster.apply(); response.Status != 422 || !strings.HasPrefix(response.Body.(wire.ErrorBody).Error, "/old/jobs/0") {
+		t.Errorf("plan with a job of another plan: got %+v, want status 422 for /old/jobs/0", response)
 	}
 
-	world = newRolloutCluster(t)
-	world.limitTeam(9) // the old version uses 8 GPUs; a new replica of 2 GPUs does not fit
-	world.submitNew()
-	world.advance(2 * time.Second)
-	if response := world.apply(); response.Status != 422 || !strings.HasPrefix(response.Body.(wire.ErrorBody).Error, "/new/jobs") {
-		t.Errorf("plan beyond the team's limit: %+v", response)
+	cluster = newRolloutCluster(t)
+	cluster.limitTeam(9) // the old version uses 8 GPUs; a new replica of 2 GPUs does not fit
+	cluster.submitNew()
+	cluster.advance(2 * time.Second)
+	if response := cluster.apply(); response.Status != 422 || !strings.HasPrefix(response.Body.(wire.ErrorBody).Error, "/new/jobs") {
+		t.Errorf("plan beyond the team's limit: got %+v, want status 422 for /new/jobs", response)
 	}
 }
 
 // TestRolloutsDisabled checks that plans are refused and nothing is stored when rollouts are disabled in the settings.
 func TestRolloutsDisabled(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.operator.Rollouts.Enabled = false
-	world.restartNodes()
-	world.advance(10 * time.Second)
-	if response := world.apply(); response.Status != 422 || len(storedKeys(world.store, "w/p/")) > 0 {
-		t.Errorf("plan with rollouts disabled: %+v", response)
+	cluster := newRolloutCluster(t)
+	cluster.operator.Rollouts.Enabled = false
+	cluster.restartNodes()
+	cluster.advance(10 * time.Second)
+	if response := cluster.apply(); response.Status != 422 || len(storedKeys(cluster.store, "w/p/")) > 0 {
+		t.Errorf("plan with rollouts disabled: got %+v, want status 422 and nothing stored", response)
 	}
 }
 
 // TestUnreadablePlan corrupts a stored plan. Its jobs stay as they are, and the plan can't be changed.
 func TestUnreadablePlan(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.start()
-	world.waitForPhase(rollout.Baking)
-	world.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/p/reader", Value: []byte(`"corrupt"`)}}})
-	world.runFor(20 * time.Second)
-	if world.hasTaskOnWorker(newJob(1)) || !world.hasTaskOnWorker(newJob(0)) || !world.hasTaskOnWorker(oldJob(0)) {
+	cluster := newRolloutCluster(t)
+	cluster.start()
+	cluster.waitForPhase(rollout.Baking)
+	cluster.store.Txn(wire.Txn{Then: []wire.Op{{Put: "w/p/reader", Value: []byte(`"corrupt"`)}}})
+	cluster.runFor(20 * time.Second)
+	if cluster.hasTaskOnWorker(newJob(1)) || !cluster.hasTaskOnWorker(newJob(0)) || !cluster.hasTaskOnWorker(oldJob(0)) {
 		t.Error("jobs of an unreadable plan were started or cancelled")
 	}
-	if response := world.change(rollout.Abort); response.Status != 422 {
-		t.Errorf("changing an unreadable plan: %+v", response)
+	if response := cluster.change(rollout.Abort); response.Status != 422 {
+		t.Errorf("changing an unreadable plan: got %+v, want status 422", response)
 	}
 }
 
 // TestVersionWithoutRolloutsCannotLead checks that from the first plan on the term is stored in a format that versions
 // without rollouts can't read. So none of them can become the leader.
 func TestVersionWithoutRolloutsCannotLead(t *testing.T) {
-	world := newRolloutCluster(t)
-	world.apply()
+	cluster := newRolloutCluster(t)
+	cluster.apply()
 	for range 2 {
-		item, _ := world.store.Get("w/term")
+		item, _ := cluster.store.Get("w/term")
 		if core.ReadableBeforeRollouts(item.Value) {
-			t.Errorf("an older version can read the term %s", item.Value)
+			t.Errorf("got term %s, want one that versions without rollouts can't read", item.Value)
 		}
-		world.restartLeaderIfAny()
-		world.advance(6 * time.Second)
+		cluster.restartLeaderIfAny()
+		cluster.advance(6 * time.Second)
 	}
 }
--- a/internal/core/rollout_world_test.go
+++ b/internal/core/rollout_world_test.go
@@ -26,12 +26,12 @@
 	detectionTime         time.Duration          // how long wrong answers may affect routing
 	unreachable           func(task string) bool // whether a replica can't be probed; nil if all can
 	outdatedNode          string                 // node that runs a version without rollouts
-	capacityNotGuaranteed bool                   // the test takes away capacity itself, so the rollout can't guarantee it
+	capacityNotGuaranteed bool                   // the test removes capacity itself, so the rollout can't guarantee it
 	storeFaults
 
 	routersPolledAt time.Duration // when routers last sent their requests
 	lastPhase       rollout.Phase
-	phases          []string // through which the plan has gone
+	phases          []string // of the plan so far, in order
 }
 
 // simulatedRouter is a router that follows the lease protocol.
@@ -67,31 +67,31 @@
 
 // newRolloutCluster returns a cluster in which the old version runs completely and the nodes are ready to accept a plan.
 func newRolloutCluster(t testReporter) *rolloutCluster {
-	cluster := newScaleCluster(t, 3, 0)
-	world := &rolloutCluster{scaleCluster: cluster}
-	cluster.digest = newOutputDigest()
-	cluster.operator.Rollouts.Enabled, cluster.operator.Rollouts.CheckIntervalS, cluster.operator.Rollouts.CheckTimeoutS, cluster.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
-	cluster.operator.IdleTimeoutBoots = 100
-	cluster.interceptEffect = world.interceptCall
-	cluster.restartNodes()
-	cluster.addMachines(8, "z1", "z2")
-	cluster.runFor(4 * time.Second)
-	world.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.VersionSpec{ReplicaCapacity: 10}, New: rollout.VersionSpec{ReplicaCapacity: 10}, PromisedCapacity: 30,
+	base := newScaleCluster(t, 3, 0)
+	cluster := &rolloutCluster{scaleCluster: base}
+	base.digest = newOutputDigest()
+	base.operator.Rollouts.Enabled, base.operator.Rollouts.CheckIntervalS, base.operator.Rollouts.CheckTimeoutS, base.operator.Rollouts.RouterLeaseS = true, 0.5, 1, 4
+	base.operator.IdleTimeoutBoots = 100
+	base.interceptEffect = cluster.interceptCall
+	base.restartNodes()
+	base.addMachines(8, "z1", "z2")
+	base.runFor(4 * time.Second)
+	cluster.plan = &rollout.Plan{Name: "reader", Team: "t1", Old: rollout.VersionSpec{ReplicaCapacity: 10}, New: rollout.VersionSpec{ReplicaCapacity: 10}, PromisedCapacity: 30,
 		Checks: []rollout.Check{{Name: "sum", Request: json.RawMessage(`{}`), Expected: json.RawMessage(`1`), Script: "-"},
 			{Name: "as before", Request: json.RawMessage(`{}`), CompareWithOld: true, Script: "-"}},
 		Limits: rollout.Limits{WaitTimeoutS: 60, ValidationTimeoutS: 20, RouterGoneS: 20, RetentionS: 30}}
 	for i := range oldJobs {
-		world.plan.Old.Jobs = append(world.plan.Old.Jobs, oldJob(i))
-		world.submitReplica(oldJob(i))
+		cluster.plan.Old.Jobs = append(cluster.plan.Old.Jobs, oldJob(i))
+		cluster.submitReplica(oldJob(i))
 	}
 	for i := range newJobs {
-		world.plan.New.Jobs = append(world.plan.New.Jobs, newJob(i))
-		world.plan.Steps = append(world.plan.Steps, rollout.Step{Jobs: []string{newJob(i)}, Share: float64(i+1) / newJobs, BakeS: 3})
+		cluster.plan.New.Jobs = append(cluster.plan.New.Jobs, newJob(i))
+		cluster.plan.Steps = append(cluster.plan.Steps, rollout.Step{Jobs: []string{newJob(i)}, Share: float64(i+1) / newJobs, BakeS: 3})
 	}
-	world.detectionTime = defaultDetectionTime
-	world.routers = []*simulatedRouter{{name: "north"}, {name: "south"}}
-	world.advance(15 * time.Second)
-	return world
+	cluster.detectionTime = defaultDetectionTime
+	cluster.routers = []*simulatedRouter{{name: "north"}, {name: "south"}}
+	cluster.advance(15 * time.Second)
+	return cluster
 }
 
 // replicaJob returns a service of a team with replicasOfJob replicas.
@@ -101,42 +101,42 @@
 }
 
 // submitReplica submits a service of the plan's team.
-func (world *rolloutCluster) submitReplica(id string) {
-	world.submitAt(world.nodes[0], replicaJob(id, "t1"))
+func (cluster *rolloutCluster) submitReplica(id string) {
+	cluster.submitAt(cluster.nodes[0], replicaJob(id, "t1"))
 }
 
 // submitNew submits the new jobs repeatedly until they are accepted.
-func (world *rolloutCluster) submitNew() {
+func (cluster *rolloutCluster) submitNew() {
 	for i := range newJobs {
 		for range 100 {
-			if _, got := world.store.Get("w/a/" + newJob(i)); got == outcome.OK {
+			if _, got := cluster.store.Get("w/a/" + newJob(i)); got == outcome.OK {
 				break
 			}
-			world.submitReplica(newJob(i))
-			world.advance(200 * time.Millisecond)
+			cluster.submitReplica(newJob(i))
+			cluster.advance(200 * time.Millisecond)
 		}
 	}
 }
 
 // interceptCall simulates outdated peers, the replicas, and the faults of the store.
-func (world *rolloutCluster) interceptCall(node *scaleNode, effect core.Effect) (core.Result, bool) {
+func (cluster *rolloutCluster) interceptCall(node *scaleNode, effect core.Effect) (core.Result, bool) {
 	switch e := effect.(type) {
 	case core.QueryPeer:
-		if e.Node == world.outdatedNode {
+		if e.Node == cluster.outdatedNode {
 			// A version without rollouts does not set the field.
-			result, ok := world.queryPeer(e)
+			result, ok := cluster.queryPeer(e)
 			result.Peer.SupportsRollouts = false
 			return result, ok
 		}
 	case core.ProbeReplica:
-		answer := world.probe(e.Probe.Replica)
+		answer := cluster.probe(e.Probe.Replica)
 		compares := slices.ContainsFunc(e.Checks, func(c rollout.Check) bool { return c.CompareWithOld })
-		if answer.Verdict == rollout.Passed && compares && (e.Probe.Reference == nil || world.probe(*e.Probe.Reference).Verdict != rollout.Passed) {
+		if answer.Verdict == rollout.Passed && compares && (e.Probe.Reference == nil || cluster.probe(*e.Probe.Reference).Verdict != rollout.Passed) {
 			answer = rollout.ProbeResult{Verdict: rollout.NotCompared, Check: "as before"}
 		}
 		return core.Result{CallID: e.CallID, Outcome: outcome.OK, Probe: answer}, true
 	}
-	return world.interceptStoreCall(node.name, world.store, effect)
+	return cluster.interceptStoreCall(node.name, cluster.store, effect)
 }
 
 // storeCallID returns the ID of a call to the store, and false for other effects. Watches stay open during an outage
@@ -150,8 +150,8 @@
 }
 
 // setWrongAnswers makes some of the new replicas answer wrongly from now on. Of old replicas only the health is probed.
-func (world *rolloutCluster) setWrongAnswers(wrong func(task string) bool) {
-	world.wrongAnswers, world.wrongAnswersSince = wrong, world.now
+func (cluster *rolloutCluster) setWrongAnswers(wrong func(task string) bool) {
+	cluster.wrongAnswers, cluster.wrongAnswersSince = wrong, cluster.now
 }
 
 // defaultDetectionTime is the time in which a failing replica is detected and routers have a new routing. It covers a
@@ -159,12 +159,12 @@
 const defaultDetectionTime = 2 * time.Second
 
 // probe returns the result of probing a replica.
-func (world *rolloutCluster) probe(r rollout.Replica) rollout.ProbeResult {
-	machine := world.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
+func (cluster *rolloutCluster) probe(r rollout.Replica) rollout.ProbeResult {
+	worker := cluster.workerByAddr[strings.TrimSuffix(r.Address, modelPort)+"9000"]
 	switch {
-	case machine == nil || machine.stopped || !machine.machine.Holds(r.Task) || world.unreachable != nil && world.unreachable(r.Task):
+	case worker == nil || worker.stopped || !worker.machine.Holds(r.Task) || cluster.unreachable != nil && cluster.unreachable(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.NotReached}
-	case r.Version == rollout.NewVersion && world.wrongAnswers != nil && world.wrongAnswers(r.Task):
+	case r.Version == rollout.NewVersion && cluster.wrongAnswers != nil && cluster.wrongAnswers(r.Task):
 		return rollout.ProbeResult{Verdict: rollout.Failed, Check: "sum"}
 	}
 	return rollout.ProbeResult{Verdict: rollout.Passed}
@@ -172,103 +172,103 @@
 
 // sendRequest sends a request to a node, follows a redirect to the leader, and returns the response. It returns nil if
 // there is none in time.
-func (world *rolloutCluster) sendRequest(node *scaleNode, input func(request uint64) core.Input) *core.Response {
-	world.lastRequest++
-	request := world.lastRequest << 16
+func (cluster *rolloutCluster) sendRequest(node *scaleNode, input func(request uint64) core.Input) *core.Response {
+	cluster.lastRequest++
+	request := cluster.lastRequest << 16
 	var got *core.Response
-	world.onResponse = func(response core.Response) bool {
+	cluster.onResponse = func(response core.Response) bool {
 		if response.RequestID == request {
 			got = &response
 		}
 		return response.RequestID == request
 	}
-	if node.name == world.frozenNode {
+	if node.name == cluster.frozenNode {
 		return nil
 	}
-	world.step(node, input(request))
+	cluster.step(node, input(request))
 	if got != nil && got.Status == 421 {
-		for _, peer := range world.nodes {
+		for _, peer := range cluster.nodes {
 			if to, ok := got.Body.(wire.Redirect); ok && peer.name == to.Leader {
-				return world.sendRequest(peer, input)
+				return cluster.sendRequest(peer, input)
 			}
 		}
 	}
 	for i := 0; got == nil && i < 200; i++ {
-		world.runFor(scaleStep)
+		cluster.runFor(scaleStep)
 	}
 	return got
 }
 
 // requestUntilAnswered sends a request until the response is neither a redirect nor a request to retry later.
-func (world *rolloutCluster) requestUntilAnswered(input func(request uint64) core.Input) *core.Response {
+func (cluster *rolloutCluster) requestUntilAnswered(input func(request uint64) core.Input) *core.Response {
 	for range 60 {
-		if response := world.sendRequest(world.nodes[0], input); response != nil && response.Status != 503 && response.Status != 421 {
+		if response := cluster.sendRequest(cluster.nodes[0], input); response != nil && response.Status != 503 && response.Status != 421 {
 			return response
 		}
-		world.advance(200 * time.Millisecond)
+		cluster.advance(200 * time.Millisecond)
 	}
-	world.t.Fatal("request was not answered after 60 attempts")
+	cluster.t.Fatal("request was not answered after 60 attempts")
 	return nil
 }
 
 // apply applies the plan.
-func (world *rolloutCluster) apply() *core.Response {
-	return world.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: world.plan} })
+func (cluster *rolloutCluster) apply() *core.Response {
+	return cluster.requestUntilAnswered(func(request uint64) core.Input { return core.ApplyPlan{RequestID: request, Plan: cluster.plan} })
 }
 
 // start applies the plan and submits the new jobs.
-func (world *rolloutCluster) start() {
-	world.t.Helper()
-	if response := world.apply(); response.Status != 200 {
-		world.t.Fatalf("the plan was refused: %+v", response)
+func (cluster *rolloutCluster) start() {
+	cluster.t.Helper()
+	if response := cluster.apply(); response.Status != 200 {
+		cluster.t.Fatalf("applying the plan: got %+v, want status 200", response)
 	}
-	world.submitNew()
+	cluster.submitNew()
 }
 
 // change requests a change of the plan.
-func (world *rolloutCluster) change(change rollout.Change) *core.Response {
-	return world.requestUntilAnswered(func(request uint64) core.Input {
-		return core.ChangePlan{RequestID: request, Name: world.plan.Name, Change: change}
+func (cluster *rolloutCluster) change(change rollout.Change) *core.Response {
+	return cluster.requestUntilAnswered(func(request uint64) core.Input {
+		return core.ChangePlan{RequestID: request, Name: cluster.plan.Name, Change: change}
 	})
 }
 
 // record returns the stored record of the plan, or nil if there is none.
-func (world *rolloutCluster) record() *rollout.Record {
-	item, got := world.store.Get("w/p/" + world.plan.Name)
+func (cluster *rolloutCluster) record() *rollout.Record {
+	item, got := cluster.store.Get("w/p/" + cluster.plan.Name)
 	if got != outcome.OK {
 		return nil
 	}
 	r, err := rollout.Decode(item.Value)
 	if err != nil {
-		world.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return r
 }
 
 // advance runs the simulation for a while. The routers send requests every 500 ms, and the guarantees are checked at
 // each step.
-func (world *rolloutCluster) advance(d time.Duration) {
-	for end := world.now + d; world.now < end; {
-		world.runFor(10 * scaleStep)
-		if world.now >= world.routersPolledAt+500*time.Millisecond {
-			world.routersPolledAt = world.now
-			for i, r := range world.routers {
-				world.requestRouting(r, world.nodes[(i+int(world.now/time.Second))%len(world.nodes)])
+func (cluster *rolloutCluster) advance(d time.Duration) {
+	for end := cluster.now + d; cluster.now < end; {
+		cluster.runFor(10 * scaleStep)
+		if cluster.now >= cluster.routersPolledAt+500*time.Millisecond {
+			cluster.routersPolledAt = cluster.now
+			for i, r := range cluster.routers {
+				cluster.requestRouting(r, cluster.nodes[(i+int(cluster.now/time.Second))%len(cluster.nodes)])
 			}
 		}
-		world.check()
+		cluster.check()
 	}
 }
 
 // requestRouting sends a router's request to a node. The lease of the grant begins when the request was sent.
-func (world *rolloutCluster) requestRouting(r *simulatedRouter, node *scaleNode) {
-	sentAt := world.now
+func (cluster *rolloutCluster) requestRouting(r *simulatedRouter, node *scaleNode) {
+	sentAt := cluster.now
 	r.unanswered = true
 	if r.isolated || node.name == r.unreachableNode {
 		return
 	}
-	response := world.sendRequest(node, func(request uint64) core.Input {
-		return core.GetRouting{RequestID: request, Name: world.plan.Name, Router: r.name, Generation: r.grant.Routing.Generation}
+	response := cluster.sendRequest(node, func(request uint64) core.Input {
+		return core.GetRouting{RequestID: request, Name: cluster.plan.Name, Router: r.name, Generation: r.grant.Routing.Generation}
 	})
 	if response == nil || response.Status != 200 {
 		return
@@ -282,20 +282,20 @@
 }
 
 // waitForPhase runs the simulation until the plan is in a phase.
-func (world *rolloutCluster) waitForPhase(phase rollout.Phase) {
-	world.t.Helper()
+func (cluster *rolloutCluster) waitForPhase(phase rollout.Phase) {
+	cluster.t.Helper()
 	for range 3000 {
-		if r := world.record(); r != nil && r.Phase == phase {
+		if r := cluster.record(); r != nil && r.Phase == phase {
 			return
 		}
-		world.advance(100 * time.Millisecond)
+		cluster.advance(100 * time.Millisecond)
 	}
-	world.t.Fatalf("phase %s was not reached: %v, %+v", phase, world.phases, world.record())
+	cluster.t.Fatalf("phase %s was not reached: got phases %v, record %+v", phase, cluster.phases, cluster.record())
 }
 
 // limitTeam sets the limit of the plan's team and restarts the nodes.
-func (world *rolloutCluster) limitTeam(gpus float64) {
-	world.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
-	world.restartNodes()
-	world.advance(10 * time.Second)
+func (cluster *rolloutCluster) limitTeam(gpus float64) {
+	cluster.adjustParams = func(p *config.Params) { p.Teams[1].MaxGPUs = gpus }
+	cluster.restartNodes()
+	cluster.advance(10 * time.Second)
 }
--- a/internal/core/rule_breaks_test.go
+++ b/internal/core/rule_breaks_test.go
@@ -93,7 +93,7 @@
 		checker.recordResponse(seconds(1), userResponse{seconds(1), requestSubmit, checkedID, 201, wire.JobPending})
 		checker.recordResponse(seconds(3), userResponse{seconds(2), requestSubmit, checkedID, 422, ""})
 	},
-	"invented answer": func(checker *ruleChecker) {
+	"invented response": func(checker *ruleChecker) {
 		checker.recordResponse(seconds(1), userResponse{seconds(1), requestPoll, otherID, 200, wire.JobPending})
 	},
 	"invented start": func(checker *ruleChecker) {
@@ -107,12 +107,12 @@
 		checker.recordResponse(seconds(2), userResponse{seconds(1), requestCancel, checkedID, 200, wire.JobCancelled})
 		checker.recordResponse(seconds(4), userResponse{seconds(3), requestPoll, checkedID, 200, wire.JobRunning})
 	},
-	"went_back unasked": func(checker *ruleChecker) {
+	"went_back without request": func(checker *ruleChecker) {
 		checker.recordResponse(seconds(2), userResponse{seconds(1), requestPoll, checkedID, 200, wire.JobCancelled})
 	},
 }
 
-// TestRuleChecker checks that each check reports its violation, once and under the right rule.
+// TestRuleChecker checks that the checker reports each violation exactly once, under its rule.
 func TestRuleChecker(t *testing.T) {
 	for rule, violate := range ruleViolations {
 		checker := newRuleChecker(map[string]float64{"red": 8}, cancellationLimit)
--- a/internal/core/rule_checker_test.go
+++ b/internal/core/rule_checker_test.go
@@ -9,9 +9,9 @@
 	"bitternwing/internal/wire"
 )
 
-// ruleChecker checks the rules of the protocol during a simulation. It observes what is on the machines and what users
-// are told, and nothing of the nodes' state. A task is on its machine from the moment its image has been fetched until
-// it exits, it is killed or the machine is gone.
+// ruleChecker checks the rules of the protocol during a simulation. It observes the tasks on the machines and the
+// responses to users, and nothing of the nodes' state. A task is on its machine from the moment its image has been
+// fetched until it exits, it is killed or the machine is gone.
 type ruleChecker struct {
 	gpuLimits         map[string]float64 // by team
 	cancellationLimit time.Duration      // within which the tasks of a cancelled job must have ended
@@ -21,15 +21,15 @@
 	violations     []string
 }
 
-// checkedJob is what the checker knows about a job.
+// checkedJob is a job as the checker has observed it.
 type checkedJob struct {
 	spec            *wire.Job
 	submitted       bool
-	acceptedAt      time.Duration // when a user was first told that it is accepted; 0: not yet
+	acceptedAt      time.Duration // when a response first confirmed the job; 0: not yet
 	cancelRequested bool          // its user requested its cancellation
 	finalState      wire.JobStatus
-	finalAt         time.Duration // when a user was first told of a final state
-	cancelledAt     time.Duration // when a user was first told that it is cancelled; 0: not yet
+	finalAt         time.Duration // when a response first reported a final state
+	cancelledAt     time.Duration // when a response first reported the job as cancelled; 0: not yet
 	doneTasks       map[int]bool
 }
 
@@ -46,7 +46,7 @@
 	checker.violations = append(checker.violations, fmt.Sprintf("%.3f %s: %s", now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// recordSubmission records that a user submits or cancels a job. It returns what the checker knows about the job.
+// recordSubmission records that a user submits or cancels a job. It returns the checked job.
 func (checker *ruleChecker) recordSubmission(spec *wire.Job) *checkedJob {
 	job := checker.jobs[spec.ID]
 	if job == nil {
@@ -136,7 +136,7 @@
 	return inZone, elsewhere
 }
 
-// checkNotCancelled checks that no user has been told that a started task's job is cancelled.
+// checkNotCancelled checks that no response has reported a started task's job as cancelled.
 func (checker *ruleChecker) checkNotCancelled(now time.Duration, job *checkedJob, start taskStart) {
 	if job.cancelledAt == 0 {
 		return
@@ -145,7 +145,7 @@
 	if now <= job.cancelledAt+checker.cancellationLimit {
 		rule = "started_cancelled"
 	}
-	checker.addViolation(now, rule, "%s starts on %s, its user was told of the cancellation at %.3f", start.task, start.machine, job.cancelledAt.Seconds())
+	checker.addViolation(now, rule, "%s starts on %s after its job was reported as cancelled at %.3f", start.task, start.machine, job.cancelledAt.Seconds())
 }
 
 // recordEnd records that a task is no longer on a machine; done if it completed there.
@@ -165,7 +165,7 @@
 			continue
 		}
 		for _, machine := range sortedKeys(checker.machinesByTask[task]) {
-			checker.addViolation(now, "ran_cancelled", "%s is still on %s, its user was told of the cancellation at %.3f", task, machine, job.cancelledAt.Seconds())
+			checker.addViolation(now, "ran_cancelled", "%s is still on %s after its job was reported as cancelled at %.3f", task, machine, job.cancelledAt.Seconds())
 			delete(checker.machinesByTask[task], machine) // avoids reporting it again
 		}
 	}
@@ -189,12 +189,12 @@
 	state   wire.JobStatus
 }
 
-// confirmsJob reports whether the response says that the job is known.
+// confirmsJob reports whether the response confirms that the job is known.
 func (response userResponse) confirmsJob() bool {
 	return response.status == 200 || response.status == 201
 }
 
-// deniesJob reports whether the response says that the job is not known or is rejected.
+// deniesJob reports whether the job is unknown or rejected according to the response.
 func (response userResponse) deniesJob() bool {
 	return response.status == 404 || response.request == requestSubmit && (response.status == 400 || response.status == 422)
 }
@@ -205,13 +205,13 @@
 	job := checker.jobs[response.job]
 	if job == nil || !job.submitted {
 		if response.confirmsJob() {
-			checker.addViolation(now, "invented", "%s of %s, which was never submitted, gets %d", response.request, response.job, response.status)
+			checker.addViolation(now, "invented", "%s of %s, which was never submitted: got status %d", response.request, response.job, response.status)
 		}
 		return
 	}
 	if !response.confirmsJob() {
 		if job.acceptedAt != 0 && response.sentAt > job.acceptedAt && response.deniesJob() {
-			checker.addViolation(now, "forgotten", "%s of %s gets %d", response.request, response.job, response.status)
+			checker.addViolation(now, "forgotten", "%s of %s, which was accepted: got status %d", response.request, response.job, response.status)
 		}
 		return
 	}
@@ -227,9 +227,9 @@
 func (checker *ruleChecker) checkState(now time.Duration, job *checkedJob, response userResponse) {
 	switch {
 	case job.finalState != "" && response.state != job.finalState && response.sentAt > job.finalAt:
-		checker.addViolation(now, "went_back", "%s of %s says %s after %s", response.request, response.job, response.state, job.finalState)
+		checker.addViolation(now, "went_back", "%s of %s: got state %s after %s", response.request, response.job, response.state, job.finalState)
 	case response.state == wire.JobCancelled && !checker.cancellationRequested(job):
-		checker.addViolation(now, "went_back", "%s of %s says %s without a cancel request", response.request, response.job, response.state)
+		checker.addViolation(now, "went_back", "%s of %s: got state %s without a cancel request", response.request, response.job, response.state)
 	}
 }
 
@@ -239,12 +239,11 @@
 		return
 	}
 	if cancelledAt := checker.dependencyCancelledAt(job); cancelledAt != 0 && response.sentAt > cancelledAt+checker.cancellationLimit {
-		checker.addViolation(now, "orphaned", "%s of %s says %s, a dependency was reported as cancelled at %.3f", response.request, response.job, response.state, cancelledAt.Seconds())
+		checker.addViolation(now, "orphaned", "%s of %s: got state %s, although a dependency was reported as cancelled at %.3f", response.request, response.job, response.state, cancelledAt.Seconds())
 	}
 }
 
-// recordState records the state that a user was told, and checks that a job is reported as done only after all its
-// tasks.
+// recordState records the state in a response, and checks that a job is reported as done only after all its tasks.
 func (checker *ruleChecker) recordState(now time.Duration, job *checkedJob, response userResponse) {
 	if job.finalState == "" {
 		job.finalAt = now
@@ -254,7 +253,7 @@
 	case wire.JobDone:
 		job.finalState = response.state
 		if len(job.doneTasks) < job.spec.Tasks {
-			checker.addViolation(now, "not_done", "%s of %s says done with %d of %d tasks", response.request, response.job, len(job.doneTasks), job.spec.Tasks)
+			checker.addViolation(now, "not_done", "%s of %s: got state done with %d of %d tasks done", response.request, response.job, len(job.doneTasks), job.spec.Tasks)
 		}
 	case wire.JobCancelled:
 		if job.cancelledAt == 0 {
@@ -265,7 +264,7 @@
 }
 
 // cancellationRequested reports whether the cancellation of a job or of one of its dependencies was requested. A
-// request for a job that is done doesn't count.
+// request for a job that is done does not count.
 func (checker *ruleChecker) cancellationRequested(job *checkedJob) bool {
 	if job.cancelRequested && job.finalState != wire.JobDone {
 		return true
@@ -278,8 +277,8 @@
 	return false
 }
 
-// dependencyCancelledAt returns when a user was first told that a direct or indirect dependency of a job is cancelled;
-// 0 if none is.
+// dependencyCancelledAt returns when a direct or indirect dependency of a job was first reported as cancelled; 0 if
+// none was.
 func (checker *ruleChecker) dependencyCancelledAt(job *checkedJob) time.Duration {
 	earliest := time.Duration(0)
 	for _, id := range job.spec.Dependencies {
--- a/internal/core/scale_cluster_test.go
+++ b/internal/core/scale_cluster_test.go
@@ -22,7 +22,7 @@
 }
 
 // scaleCluster runs cores against an emulated key-value store, a simulated cloud and many simulated workers. Time
-// advances in steps of scaleStep: a call made in one step is answered in the next. It counts the calls that the nodes
+// advances in steps of scaleStep: the response to a call arrives in the next step. It counts the calls that the nodes
 // make.
 type scaleCluster struct {
 	t                     testReporter
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -16,7 +16,7 @@
 	cluster := newLargeScaleCluster(t, 7, 1000)
 	cluster.runLoad(500, 60, 60)
 	if cluster.rentedMachines < 600 {
-		t.Fatalf("%d machines are up, want at least 600 for a meaningful load", cluster.rentedMachines)
+		t.Fatalf("got %d machines that are up, want at least 600 for a meaningful load", cluster.rentedMachines)
 	}
 	cluster.counts = scaleCounts{}
 	cluster.restartLeader()
--- a/internal/core/script_faults_test.go
+++ b/internal/core/script_faults_test.go
@@ -57,20 +57,20 @@
 
 // faultHandlers maps the name of a fault to its handler, for all faults but those of one worker.
 var faultHandlers = map[string]func(f fault){
-	"store_unavailable":    fault.refuseNode,
+	"store_unavailable":    fault.refuseStoreRequests,
 	"isolate":              fault.isolateNode,
-	"enforce_limits":       fault.applyNextLimits,
+	"enforce_limits":       fault.enforceLimits,
 	"kill":                 fault.killNode,
 	"upgrade":              fault.killNode,
 	"freeze":               fault.freezeNode,
-	"overload_cpu":         fault.slowNode,
+	"overload_cpu":         fault.overloadCPU,
 	"store_outage":         func(f fault) { f.simulation.storeOutageUntil = max(f.simulation.storeOutageUntil, f.endAt(1)) },
 	"store_delay":          func(f fault) { f.simulation.storeDelay, f.simulation.storeDelayUntil = f.seconds(1), f.endAt(2) },
 	"cloud_outage":         func(f fault) { f.simulation.cloudOutageUntil = max(f.simulation.cloudOutageUntil, f.endAt(1)) },
 	"cancel_running":       func(f fault) { f.simulation.cancelRunningJob() },
-	"delayed_transactions": func(f fault) { f.setShareFor(&f.simulation.lateTransactionShare) },
-	"delayed_heartbeats":   func(f fault) { f.setShareFor(&f.simulation.lateHeartbeatShare) },
-	"delayed_commands":     func(f fault) { f.setShareFor(&f.simulation.lateCommandShare) },
+	"delayed_transactions": func(f fault) { f.setShareFor(&f.simulation.delayedTransactionShare) },
+	"delayed_heartbeats":   func(f fault) { f.setShareFor(&f.simulation.delayedHeartbeatShare) },
+	"delayed_commands":     func(f fault) { f.setShareFor(&f.simulation.delayedCommandShare) },
 	"boot_faults":          fault.setBootFaults,
 	"poll_load":            fault.startPolling,
 	"partition_zones":      fault.partition,
@@ -87,7 +87,7 @@
 	"drop_heartbeats": func(f fault, worker *simulatedWorker) {
 		worker.outboundCutUntil = max(worker.outboundCutUntil, f.endAt(2))
 	},
-	"fail_tasks":     fault.makeFaulty,
+	"fail_tasks":     fault.failTasks,
 	"stop_machine":   fault.stopMachine,
 	"remove_machine": func(f fault, worker *simulatedWorker) { f.simulation.removeMachine(worker) },
 	"reclaim":        fault.reclaim,
@@ -112,8 +112,8 @@
 	handle(f, worker)
 }
 
-// refuseNode has the key-value store refuse a node's requests.
-func (f fault) refuseNode() {
+// refuseStoreRequests makes the key-value store refuse a node's requests.
+func (f fault) refuseStoreRequests() {
 	for _, node := range f.nodes() {
 		node.storeRefusedUntil = max(node.storeRefusedUntil, f.endAt(2))
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-// applyNextLimits has the key-value store enforce the announced limits.
-func (f fault) applyNextLimits() {
+// enforceLimits makes the key-value store enforce the announced limits.
+func (f fault) enforceLimits() {
 	next := f.simulation.params.Store.Next
 	f.simulation.store.SetLimits(int(1024**next.ValueKB), *next.TxnOps)
 }
@@ -165,10 +165,10 @@
 	}
 }
 
-// slowNode has each step of a node take as many milliseconds as the second argument.
-func (f fault) slowNode() {
+// overloadCPU makes each step of a node take as many milliseconds as the second argument.
+func (f fault) overloadCPU() {
 	for _, node := range f.nodes() {
-		node.stepTime, node.slowUntil = f.seconds(2)/1000, f.endAt(3)
+		node.stepTime, node.overloadedUntil = f.seconds(2)/1000, f.endAt(3)
 	}
 }
 
@@ -184,7 +184,7 @@
 	f.simulation.at(f.endAt(3), func() { f.simulation.bootFailureShare, f.simulation.bootFactor = 0, 0 })
 }
 
-// startPolling has users poll jobs at a rate, and shows how many responses had each status.
+// startPolling makes users poll jobs at a rate, and afterwards adds the number of responses by status to the trace.
 func (f fault) startPolling() {
 	end := f.endAt(2)
 	interval := time.Duration(float64(time.Second) / f.seconds(1).Seconds())
@@ -211,8 +211,8 @@
 	f.simulation.at(f.endAt(2), func() { f.simulation.isolatedZone = "" })
 }
 
-// makeFaulty has all tasks on a machine fail while the fault lasts.
-func (f fault) makeFaulty(worker *simulatedWorker) {
+// failTasks makes all tasks on a machine fail while the fault lasts.
+func (f fault) failTasks(worker *simulatedWorker) {
 	worker.faulty = true
 	f.simulation.at(f.endAt(2), func() { worker.faulty = false })
 }
@@ -223,7 +223,7 @@
 	f.simulation.killTasks(worker)
 }
 
-// reclaim has the cloud reclaim a machine 5 s after the reclaim notice.
+// reclaim reclaims a machine 5 s after its worker has received the reclaim notice.
 func (f fault) reclaim(worker *simulatedWorker) {
 	worker.reclaimNotice = true
 	f.simulation.sendHeartbeatSoon(worker)
--- a/internal/core/script_test.go
+++ b/internal/core/script_test.go
@@ -79,7 +79,7 @@
 // restartNodesForUpgrade restarts the nodes, with the old version or with announced limits in the settings.
 func (s *simulation) restartNodesForUpgrade(words []string) {
 	if words[0] == "upcoming_limits" {
-		s.params.Store.Next = parseNextLimits(s.tb, words[1:])
+		s.params.Store.Next = parseUpcomingLimits(s.tb, words[1:])
 	}
 	for _, node := range s.nodes {
 		node.oldVersion = node.oldVersion || words[0] == "old_version"
--- a/internal/core/search_test.go
+++ b/internal/core/search_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestSearchRepeats checks that a simulation is deterministic: two runs of the same script give identical logs.
+// TestSearchRepeats checks that a simulation is deterministic: two runs of the same script produce identical logs.
 func TestSearchRepeats(t *testing.T) {
 	first, _ := runScript(t, generateScript(5))
 	second, _ := runScript(t, generateScript(5))
--- a/internal/core/shard_writer_test.go
+++ b/internal/core/shard_writer_test.go
@@ -27,7 +27,7 @@
 		got = append(got, op.Put+"="+string(op.Value))
 	}
 	if want := []string{"w/n/2={}", `w/n/4={"c":[2,1]}`}; !slices.Equal(got, want) {
-		t.Errorf("changes are %v", got)
+		t.Errorf("got changes %v, want those of shards 2 and 4", got)
 	}
 }
 
@@ -35,9 +35,9 @@
 func TestConflictingKeys(t *testing.T) {
 	failed := wire.TxnResponse{Failed: []string{stored.TermKey}}
 	if keys := (Result{Outcome: outcome.Conflict, Txn: failed}).conflictingKeys(); len(keys) != 1 || !keys[stored.TermKey] {
-		t.Errorf("after a conflict the keys are %v", keys)
+		t.Errorf("after a conflict: got keys %v, want only the term", keys)
 	}
 	if keys := (Result{Outcome: outcome.Unknown, Txn: failed}).conflictingKeys(); len(keys) != 0 {
-		t.Errorf("after an unknown outcome the keys are %v", keys)
+		t.Errorf("after an unknown outcome: got keys %v, want none", keys)
 	}
 }
--- a/internal/core/sim_heartbeat_test.go
+++ b/internal/core/sim_heartbeat_test.go
@@ -48,7 +48,7 @@
 		}
 	})
 	reachable := func() bool { return s.reachesWorker(node, worker) && s.now >= worker.outboundCutUntil }
-	if s.lateHeartbeatShare > 0 && s.random.Float64() < s.lateHeartbeatShare {
+	if s.delayedHeartbeatShare > 0 && s.random.Float64() < s.delayedHeartbeatShare {
 		s.after(s.between(2*time.Second, 15*time.Second), func() {
 			if node := s.nodes[s.random.IntN(len(s.nodes))]; node.core != nil {
 				s.deliverHeartbeat(node, heartbeat, nil)
--- a/internal/core/sim_node_test.go
+++ b/internal/core/sim_node_test.go
@@ -13,17 +13,17 @@
 
 // simulatedNode is a node of a simulation. It outlives restarts of its process.
 type simulatedNode struct {
-	name, zone    string
-	core          *core.Core // nil while its process is down
-	incarnation   int        // changes whenever the process starts or is killed
-	startedAt     time.Duration
-	nextTick      time.Duration
-	frozenUntil   time.Duration
-	slowUntil     time.Duration // until then each step takes stepTime
-	stepTime      time.Duration
-	busyUntil     time.Duration // when the last step completes
-	queuedResults []queuedInput // results of calls; a node handles them before all other inputs
-	queuedInputs  []queuedInput
+	name, zone      string
+	core            *core.Core // nil while its process is down
+	incarnation     int        // changes whenever the process starts or is killed
+	startedAt       time.Duration
+	nextTick        time.Duration
+	frozenUntil     time.Duration
+	overloadedUntil time.Duration // until then each step takes stepTime
+	stepTime        time.Duration
+	busyUntil       time.Duration // when the last step completes
+	queuedResults   []queuedInput // results of calls; a node handles them before all other inputs
+	queuedInputs    []queuedInput
 
 	storeRefusedUntil time.Duration
 	storeCutUntil     time.Duration
@@ -76,7 +76,7 @@
 type queuedInput struct {
 	input     core.Input
 	arrivedAt time.Duration
-	expiresAt time.Duration // when its sender gives up; 0: never
+	expiresAt time.Duration // when its sender times out; 0: never
 }
 
 // deliverInput delivers an input to a node, or queues it while the node is frozen or busy.
@@ -84,7 +84,7 @@
 	s.deliverInputUntil(node, input, 0)
 }
 
-// deliverInputUntil is deliverInput for an input whose sender gives up at expiresAt; 0: never.
+// deliverInputUntil is deliverInput for an input whose sender times out at expiresAt; 0: never.
 func (s *simulation) deliverInputUntil(node *simulatedNode, input core.Input, expiresAt time.Duration) {
 	if node.core == nil {
 		return
@@ -138,7 +138,7 @@
 // stepNode passes an input to a node's core and performs the effects.
 func (s *simulation) stepNode(node *simulatedNode, input core.Input, waited time.Duration) {
 	effects := node.core.Step(core.Time{Steady: node.steadyTime(s.now), WallMS: 1_000_000 + s.now.Milliseconds(), QueueDelay: waited}, input)
-	if s.now < node.slowUntil {
+	if s.now < node.overloadedUntil {
 		node.busyUntil = s.now + node.stepTime
 	}
 	for _, effect := range effects {
--- a/internal/core/sim_store_test.go
+++ b/internal/core/sim_store_test.go
@@ -76,13 +76,13 @@
 	})
 }
 
-// commitTxn commits a transaction. While lateTransactionShare is set, that fraction is committed only after the call
+// commitTxn commits a transaction. While delayedTransactionShare is set, that fraction is committed only after the call
 // has timed out at the node.
 func (s *simulation) commitTxn(node *simulatedNode, effect core.StoreTxn) {
 	if len(effect.Txn.Then) > s.params.Store.TxnOps || len(effect.Txn.If) > 4*s.params.Store.TxnOps {
 		s.tb.Errorf("transaction with %d changes and %d conditions exceeds the limits", len(effect.Txn.Then), len(effect.Txn.If))
 	}
-	if s.lateTransactionShare > 0 && s.random.Float64() < s.lateTransactionShare && s.now >= node.storeRefusedUntil && s.now >= s.storeOutageUntil {
+	if s.delayedTransactionShare > 0 && s.random.Float64() < s.delayedTransactionShare && s.now >= node.storeRefusedUntil && s.now >= s.storeOutageUntil {
 		var apply func()
 		apply = func() {
 			if s.now < s.storeOutageUntil {
--- a/internal/core/sim_task_test.go
+++ b/internal/core/sim_task_test.go
@@ -22,7 +22,8 @@
 	clear(worker.tasks)
 }
 
-// removeFromMachine invalidates a task's timers and tells the rule checker that the task is no longer on its machine.
+// removeFromMachine invalidates a task's timers and records at the rule checker that the task is no longer on its
+// machine.
 func (s *simulation) removeFromMachine(worker *simulatedWorker, task *simulatedTask, done bool) {
 	task.generation++
 	if task.onMachine {
--- a/internal/core/sim_test.go
+++ b/internal/core/sim_test.go
@@ -13,8 +13,8 @@
 )
 
 // simulation runs a cluster of cores against a simulated key-value store, cloud, users and workers. Every message takes
-// time, and the injected faults are ones that occur in production. A ruleChecker observes what happens on the machines
-// and what users are told. A run is deterministic: it depends only on the script and its seed.
+// time, and the injected faults are ones that occur in production. A ruleChecker observes the tasks on the machines and
+// the responses to users. A run is deterministic: it depends only on the script and its seed.
 type simulation struct {
 	tb          testing.TB
 	random      *rand.Rand
@@ -39,15 +39,15 @@
 	storeOutageUntil, cloudOutageUntil time.Duration // the store or the cloud refuses all calls until then
 	storeDelay                         time.Duration // maximum additional delay of a store call, in each direction
 	storeDelayUntil                    time.Duration
-	lateTransactionShare               float64 // fraction of transactions that are committed late, without a response
-	lateHeartbeatShare                 float64 // fraction of heartbeats of which a second copy arrives late
+	delayedTransactionShare            float64 // fraction of transactions that are committed late, without a response
+	delayedHeartbeatShare              float64 // fraction of heartbeats of which a second copy arrives late
 	bootFailureShare                   float64 // fraction of new machines that never boot
 	bootFactor                         float64 // multiplier of the boot times of the others; 0: none
-	lateCommandShare                   float64 // fraction of direct calls to workers that are delayed or repeated late
+	delayedCommandShare                float64 // fraction of direct calls to workers that are delayed or repeated late
 	partitioned                        bool    // no zone reaches another
-	isolatedZone                       string  // zone cut off from the other zones, the store and the cloud; empty: none
+	isolatedZone                       string  // zone cut off from other zones, store, cloud and users; empty: none
 
-	pollStatuses map[int]int // number of responses to the polls of a "polls" line, by status
+	pollStatuses map[int]int // number of responses to the polls of poll_load lines, by status
 
 	faultsEnd time.Duration // when the last fault of the script ends
 	end       time.Duration
--- a/internal/core/sim_user_test.go
+++ b/internal/core/sim_user_test.go
@@ -7,11 +7,11 @@
 	"bitternwing/internal/wire"
 )
 
-// simulatedJob is a job and what its user knows about it.
+// simulatedJob is a job, with the results of its user's requests.
 type simulatedJob struct {
 	spec           *wire.Job
 	submitAt       time.Duration
-	cancelAt       time.Duration // not 0: a cancel_at_end line cancels the job once its tasks are complete
+	cancelAt       time.Duration // not 0: a cancel_on_completion line cancels the job once all its tasks have completed
 	runSeconds     float64
 	faulty         bool // its tasks fail on every machine
 	accepted       bool
@@ -225,19 +225,19 @@
 		switch {
 		case checked == nil || job.rejectedStatus != 0:
 		case !job.accepted:
-			checker.addViolation(s.now, "stuck", "%s is not accepted", job.spec.ID)
+			checker.addViolation(s.now, "stuck", "%s is not accepted, want it accepted or rejected", job.spec.ID)
 		case checker.cancellationRequested(checked) && checked.finalState == "":
-			checker.addViolation(s.now, "stuck", "%s is not cancelled", job.spec.ID)
+			checker.addViolation(s.now, "stuck", "%s is not cancelled, although its cancellation was requested", job.spec.ID)
 		case checker.cancellationRequested(checked) || checked.cancelRequested || job.faulty:
 		case job.spec.Kind == wire.KindArray && checked.finalState != wire.JobDone:
-			checker.addViolation(s.now, "stuck", "%s is not done: %d of %d tasks", job.spec.ID, len(checked.doneTasks), job.spec.Tasks)
+			checker.addViolation(s.now, "stuck", "%s is not done: got %d done tasks, want %d", job.spec.ID, len(checked.doneTasks), job.spec.Tasks)
 		case job.spec.Kind != wire.KindArray:
 			running := 0
 			for task := 0; task < job.spec.Tasks; task++ {
 				running += len(checker.machinesByTask[wire.TaskName(job.spec.ID, task)])
 			}
 			if running != job.spec.Tasks {
-				checker.addViolation(s.now, "stuck", "%s has %d of %d replicas", job.spec.ID, running, job.spec.Tasks)
+				checker.addViolation(s.now, "stuck", "%s: got %d running replicas, want %d", job.spec.ID, running, job.spec.Tasks)
 			}
 		}
 	}
--- a/internal/core/sim_worker_test.go
+++ b/internal/core/sim_worker_test.go
@@ -37,7 +37,7 @@
 	heartbeatGeneration int // incremented per heartbeat; responses to earlier ones are dropped
 }
 
-// callWorker makes a node's direct call to a worker. While lateCommandShare is set, that fraction is handled late or
+// callWorker makes a node's direct call to a worker. While delayedCommandShare is set, that fraction is handled late or
 // twice.
 func (s *simulation) callWorker(node *simulatedNode, id uint64, addr string, handle func(*simulatedWorker) core.Result) {
 	worker := s.workerByName[strings.TrimSuffix(addr, ":1")]
@@ -51,7 +51,7 @@
 			return core.Result{}, false
 		}
 		s.expireLease(worker)
-		if s.lateCommandShare > 0 && s.random.Float64() < s.lateCommandShare {
+		if s.delayedCommandShare > 0 && s.random.Float64() < s.delayedCommandShare {
 			// Either the call is delayed in the network for seconds, or it is handled now and repeated later.
 			s.after(s.between(time.Second, 12*time.Second), func() {
 				if worker.up && s.now >= worker.hungUntil {
--- a/internal/core/spread_world_test.go
+++ b/internal/core/spread_world_test.go
@@ -21,41 +21,41 @@
 // newSpreadCluster returns a cluster with the given number of machines in each zone. The first two zones have controller
 // nodes.
 func newSpreadCluster(t testReporter, spread config.Spread, machinesPerZone map[string]int) *spreadCluster {
-	cluster := newScaleCluster(t, 3, 0)
-	world := &spreadCluster{scaleCluster: cluster, zoneOf: map[string]string{}}
-	cluster.operator.IdleTimeoutBoots = 100
-	cluster.operator.Spread = spread
-	cluster.adjustParams = func(p *config.Params) {
+	base := newScaleCluster(t, 3, 0)
+	cluster := &spreadCluster{scaleCluster: base, zoneOf: map[string]string{}}
+	base.operator.IdleTimeoutBoots = 100
+	base.operator.Spread = spread
+	base.adjustParams = func(p *config.Params) {
 		p.Store.RPS, p.Store.WriteRPS = 1000, 1000
 		for i := range p.Teams {
 			p.Teams[i].MaxGPUs = 0
 		}
 	}
-	cluster.onRunning = func(machine, task string) { world.zoneOf[task] = cluster.workerByName[machine].zone; world.starts++ }
-	cluster.onEnd = func(task string) { delete(world.zoneOf, task) }
-	cluster.restartNodes()
+	base.onRunning = func(machine, task string) { cluster.zoneOf[task] = base.workerByName[machine].zone; cluster.starts++ }
+	base.onEnd = func(task string) { delete(cluster.zoneOf, task) }
+	base.restartNodes()
 	for _, zone := range []string{"z1", "z2", "z3"} {
 		if machinesPerZone[zone] > 0 {
-			cluster.addMachines(machinesPerZone[zone], zone)
+			base.addMachines(machinesPerZone[zone], zone)
 		}
 	}
-	cluster.runFor(10 * time.Second)
-	return world
+	base.runFor(10 * time.Second)
+	return cluster
 }
 
 var threeZones = map[string]int{"z1": 6, "z2": 6, "z3": 6}
 
 // runService submits a service of a model and waits until its replicas have had time to start.
-func (world *spreadCluster) runService(id string, tasks int, image string, imageGB float64) {
-	world.submitAt(world.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
+func (cluster *spreadCluster) runService(id string, tasks int, image string, imageGB float64) {
+	cluster.submitAt(cluster.nodes[0], &wire.Job{ID: id, Kind: wire.KindService, Class: "c", Team: "t1", Tasks: tasks, CPUs: 4, GPUs: 1, MemoryGB: 20,
 		Priority: "prod", Image: image, ImageGB: imageGB})
-	world.runFor(25 * time.Second)
+	cluster.runFor(25 * time.Second)
 }
 
 // replicasByZone returns the number of running replicas in each zone, of the given job or, for "", of all jobs.
-func (world *spreadCluster) replicasByZone(job string) map[string]int {
+func (cluster *spreadCluster) replicasByZone(job string) map[string]int {
 	zones := map[string]int{}
-	for task, zone := range world.zoneOf {
+	for task, zone := range cluster.zoneOf {
 		if id, _, _ := wire.ParseTaskName(task); job == "" || id == job {
 			zones[zone]++
 		}
@@ -64,16 +64,16 @@
 }
 
 // expectReplicas checks the number of replicas in each zone.
-func (world *spreadCluster) expectReplicas(what string, z1, z2, z3 int) {
-	world.t.Helper()
-	if got := world.replicasByZone(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
-		world.t.Errorf("%s: replicas by zone are %v, want %d, %d, %d", what, got, z1, z2, z3)
+func (cluster *spreadCluster) expectReplicas(what string, z1, z2, z3 int) {
+	cluster.t.Helper()
+	if got := cluster.replicasByZone(""); got["z1"] != z1 || got["z2"] != z2 || got["z3"] != z3 {
+		cluster.t.Errorf("%s: got replicas by zone %v, want %d, %d, %d", what, got, z1, z2, z3)
 	}
 }
 
 // killZone kills all machines of a zone.
-func (world *spreadCluster) killZone(zone string) {
-	for _, worker := range world.workers {
+func (cluster *spreadCluster) killZone(zone string) {
+	for _, worker := range cluster.workers {
 		if worker.zone == zone && !worker.stopped {
 			worker.stopped = true
 			worker.machine.KillAll()
--- a/internal/core/trace_effects_test.go
+++ b/internal/core/trace_effects_test.go
@@ -42,38 +42,38 @@
 
 // storeUnavailable reports whether the key-value store refuses a node's requests.
 func (harness *traceHarness) storeUnavailable(node *traceNode) bool {
-	return harness.storeOutage || node.storeMode == "unavailable"
+	return harness.storeOutage || node.storeFault == "unavailable"
 }
 
-// applyStoreMode returns the result that a node receives for a request other than a transaction: the node's store mode
-// may have it refused, dropped or lost.
-func (harness *traceHarness) applyStoreMode(node *traceNode, result core.Result) core.Result {
+// applyStoreFault returns the result that a node receives for a request other than a transaction: the node's store fault
+// may refuse or drop it, or lose the response.
+func (harness *traceHarness) applyStoreFault(node *traceNode, result core.Result) core.Result {
 	switch {
 	case harness.storeUnavailable(node):
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unavailable}
-	case node.storeMode == "no_responses" || node.storeMode == "lose_responses":
+	case node.storeFault == "no_responses" || node.storeFault == "lose_responses":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Unknown}
-	case node.storeMode == "rate_limited":
+	case node.storeFault == "rate_limited":
 		return core.Result{CallID: result.CallID, Outcome: outcome.Dropped}
 	}
 	return result
 }
 
-// transact commits a transaction, unless the node's store mode prevents it.
+// transact commits a transaction, unless the node's store fault prevents it.
 func (harness *traceHarness) transact(node *traceNode, effect core.StoreTxn) core.Result {
 	harness.checkTransactionLimits(effect.Txn)
 	result := core.Result{CallID: effect.CallID}
 	switch {
 	case harness.storeUnavailable(node):
 		result.Outcome = outcome.Unavailable
-	case node.storeMode == "rate_limited":
+	case node.storeFault == "rate_limited":
 		result.Outcome = outcome.Dropped
-	case node.storeMode == "no_responses" || node.storeMode == "delay_transactions":
+	case node.storeFault == "no_responses" || node.storeFault == "delay_transactions":
 		node.delayedTransactions = append(node.delayedTransactions, effect)
 		result.Outcome = outcome.Unknown
 	default:
 		result.Txn, result.Outcome = harness.store.Txn(effect.Txn)
-		if node.storeMode == "lose_responses" {
+		if node.storeFault == "lose_responses" {
 			result = core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
 		}
 	}
@@ -88,32 +88,32 @@
 	switch e := effect.(type) {
 	case core.StoreGet:
 		item, result := harness.store.Get(e.Key)
-		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
+		return harness.applyStoreFault(node, core.Result{CallID: e.CallID, Outcome: result, Item: item})
 	case core.StoreList:
-		if node.storeMode == "lose_lists" {
+		if node.storeFault == "lose_lists" {
 			return core.Result{CallID: e.CallID, Outcome: outcome.Unknown}
 		}
-		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
+		return harness.applyStoreFault(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Page: harness.store.List(e.Prefix, e.After, 500)})
 	}
 	return core.Result{}
 }
 
 // callLease grants, renews or revokes a lease, unless the request does not reach the key-value store.
 func (harness *traceHarness) callLease(node *traceNode, effect core.Effect) core.Result {
-	notReceived := harness.storeUnavailable(node) || node.storeMode == "rate_limited"
+	notReceived := harness.storeUnavailable(node) || node.storeFault == "rate_limited"
 	if _, grant := effect.(core.StoreGrantLease); !grant {
-		notReceived = notReceived || node.storeMode == "no_responses"
+		notReceived = notReceived || node.storeFault == "no_responses"
 	}
 	if notReceived {
-		return harness.applyStoreMode(node, core.Result{CallID: callID(effect)})
+		return harness.applyStoreFault(node, core.Result{CallID: callID(effect)})
 	}
 	switch e := effect.(type) {
 	case core.StoreGrantLease:
-		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: harness.store.GrantLease(e.TTL)})
+		return harness.applyStoreFault(node, core.Result{CallID: e.CallID, Outcome: outcome.OK, Lease: harness.store.GrantLease(e.TTL)})
 	case core.StoreRenewLease:
-		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: harness.store.RenewLease(e.Lease)})
+		return harness.applyStoreFault(node, core.Result{CallID: e.CallID, Outcome: harness.store.RenewLease(e.Lease)})
 	case core.StoreRevokeLease:
-		return harness.applyStoreMode(node, core.Result{CallID: e.CallID, Outcome: harness.store.RevokeLease(e.Lease)})
+		return harness.applyStoreFault(node, core.Result{CallID: e.CallID, Outcome: harness.store.RevokeLease(e.Lease)})
 	}
 	return core.Result{}
 }
@@ -189,7 +189,7 @@
 // queryWorker returns the heartbeat that the trace has set for the worker at an address.
 func (harness *traceHarness) queryWorker(node *traceNode, effect core.QueryWorker) core.Result {
 	result := core.Result{CallID: effect.CallID, Outcome: outcome.Unknown}
-	if node.storeMode == "rate_limited" {
+	if node.storeFault == "rate_limited" {
 		result.Outcome = outcome.Dropped
 	} else if heartbeat := harness.workerHeartbeats[effect.Addr]; heartbeat != nil {
 		result.Outcome, result.Heartbeat = outcome.OK, *heartbeat
@@ -232,7 +232,7 @@
 	}
 	for _, op := range txn.Then {
 		if float64(len(op.Value)) > 1024*store.ValueKB {
-			harness.tb.Errorf("value of %d bytes for %s is above the limit", len(op.Value), op.Put)
+			harness.tb.Errorf("got a value of %d bytes for %s, want at most the limit", len(op.Value), op.Put)
 		}
 	}
 }
--- a/internal/core/trace_harness_test.go
+++ b/internal/core/trace_harness_test.go
@@ -30,7 +30,7 @@
 	hiddenMachine    string                     // machine that is missing from the cloud's list; "": none
 	workerHeartbeats map[string]*wire.Heartbeat // responses to status queries, by worker address
 	commandFault     string                     // key of commandOutcomes
-	nextLimits       *config.UpcomingLimits     // announced limits, for nodes that start from now on
+	upcomingLimits   *config.UpcomingLimits     // announced limits, for nodes that start from now on
 
 	cloudDown, cloudExhausted bool
 	machines                  map[string]*wire.Machine
@@ -42,7 +42,7 @@
 	name                string
 	oldVersion          bool // runs the version before the second record layout
 	core                *core.Core
-	storeMode           string // fault of its requests to the key-value store, or "none"
+	storeFault          string // fault of its requests to the key-value store, or "none"
 	delayedTransactions []core.StoreTxn
 	watches             []core.StoreWatch
 	watchesOpenedAt     time.Duration
@@ -69,7 +69,7 @@
 		Store:      config.Store{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
 		Cloud:      config.Cloud{RPS: 2, ListLagS: 5},
 		Limits:     config.ProcessLimits{CPUShare: 0.06, MemoryMB: 98, MaxConnections: 600}}
-	settings.Params.Store.Next = harness.nextLimits
+	settings.Params.Store.Next = harness.upcomingLimits
 	settings.Operator.SpareShare = harness.spareShare
 	settings.Operator.PaceHeartbeats = harness.paceHeartbeats
 	if harness.cycleBudget > 0 {
@@ -98,12 +98,12 @@
 				harness.step(node, core.Tick{})
 			}
 		}
-		harness.answerWatches()
+		harness.respondToWatches()
 	}
 }
 
-// answerWatches responds to watches that have changes or have timed out, until no more do.
-func (harness *traceHarness) answerWatches() {
+// respondToWatches responds to watches that have changes or have timed out, until no more do.
+func (harness *traceHarness) respondToWatches() {
 	for progressed := true; progressed; {
 		progressed = false
 		for _, name := range append([]string(nil), harness.nodeNames...) {
@@ -111,7 +111,7 @@
 			watches := node.watches
 			node.watches = nil
 			for _, effect := range watches {
-				if harness.storeOutage || node.storeMode != "none" && node.storeMode != "delay_transactions" && node.storeMode != "lose_lists" {
+				if harness.storeOutage || node.storeFault != "none" && node.storeFault != "delay_transactions" && node.storeFault != "lose_lists" {
 					node.watches = append(node.watches, effect)
 					continue
 				}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -26,20 +26,21 @@
 //	enforce_limits         the key-value store enforces the announced limits
 //	kill a                 ends the process of node a
 //	+2s                    advances the time
-//	submit a run-000001 kind=service tasks=2 gpus=4 team=red ...
-//	poll a run-000001      cancel a run-000001
+//	submit a run-000001 kind=service tasks=2 gpus=4 team=red ...   submits a job; the other fields are in jobFieldSetters
+//	poll a run-000001      requests the status of a job
+//	cancel a run-000001    cancels a job
 //	heartbeat a m1 incarnation=1 seq=4 token=1 [addr=m1:1] [spot] [zone=z2] [reclaim_notice=20] [TASK#ATTEMPT=STATE[:CAUSE]] ...
 //	store_fault a unavailable          the key-value store responds to node a with 503
 //	store_fault a lose_responses       requests of node a are executed, but the responses are lost
-//	store_fault a no_responses         requests of node a get no response, and its transactions are held
+//	store_fault a no_responses         requests of node a get no response, and its transactions are delayed
 //	store_fault a delay_transactions   like no_responses, but only for transactions
-//	store_fault a commit_delayed       commits the held transactions; the fault continues
+//	store_fault a commit_delayed       commits the delayed transactions; the fault continues
 //	store_fault a rate_limited         requests of node a exceed the rate limit and are dropped
 //	store_fault a lose_lists           responses to list requests are lost
 //	store_fault a none                 ends the fault
 //	store_outage / store_outage end    the key-value store refuses all requests; leases are renewed when the outage ends
 //	partition all / partition none / partition NODE   partitions all nodes; ends the partition; partitions NODE from the others
-//	partition zones        nodes reach only the nodes of their own zone
+//	partition zones        nodes reach only the peers in their own zone
 //	zones b=z2             zones of nodes; default z1
 //	cycle_budget 1e-9      round_budget of nodes that start from here on
 //	spare_share 0.1        spare_share of nodes that start from here on
@@ -52,7 +53,7 @@
 //	cloud remove m1        removes m1 without notice
 //	cloud add m9 [z2]      adds a machine that no node requested
 //	put KEY VALUE          writes a value directly to the key-value store
-//	keys PREFIX            shows keys of the key-value store with their values
+//	keys PREFIX            shows keys of the key-value store, and the beginning of their values
 //	healthy a              shows whether node a is healthy
 //	query_response a m1 addr=m1:1 incarnation=...  sets the response of worker m1 to status queries
 
--- a/internal/core/trace_words_test.go
+++ b/internal/core/trace_words_test.go
@@ -21,10 +21,10 @@
 	"node": (*traceHarness).startNode,
 	"kill": (*traceHarness).killNode,
 	"upcoming_limits": func(harness *traceHarness, words []string) {
-		harness.nextLimits = parseNextLimits(harness.tb, words[1:])
+		harness.upcomingLimits = parseUpcomingLimits(harness.tb, words[1:])
 	},
 	"enforce_limits": func(harness *traceHarness, _ []string) {
-		harness.store.SetLimits(int(1024**harness.nextLimits.ValueKB), *harness.nextLimits.TxnOps)
+		harness.store.SetLimits(int(1024**harness.upcomingLimits.ValueKB), *harness.upcomingLimits.TxnOps)
 	},
 	"put":          (*traceHarness).storeValue,
 	"keys":         (*traceHarness).showKeys,
@@ -68,7 +68,7 @@
 		harness.show(node, "healthy %v", node.core.Healthy())
 	},
 	"store_fault": func(harness *traceHarness, node *traceNode, words []string) {
-		node.storeMode = harness.argument(words, 2)
+		node.storeFault = harness.argument(words, 2)
 	},
 }
 
@@ -100,7 +100,7 @@
 		return
 	}
 	handle(harness, node, words)
-	harness.answerWatches()
+	harness.respondToWatches()
 }
 
 // argument returns a required word of a line.
@@ -113,7 +113,7 @@
 
 // startNode starts or restarts a node's process.
 func (harness *traceHarness) startNode(words []string) {
-	node := &traceNode{name: harness.argument(words, 1), storeMode: "none", oldVersion: len(words) > 2}
+	node := &traceNode{name: harness.argument(words, 1), storeFault: "none", oldVersion: len(words) > 2}
 	settings := harness.settings(node.name)
 	if node.oldVersion {
 		settings.Params.Store.Next = nil
@@ -126,7 +126,7 @@
 	}
 	sort.Strings(harness.nodeNames)
 	harness.step(node, core.Tick{})
-	harness.answerWatches()
+	harness.respondToWatches()
 }
 
 // killNode ends a node's process.
@@ -209,8 +209,8 @@
 	node.delayedTransactions = nil
 }
 
-// parseNextLimits parses announced limits from words NAME=NUMBER.
-func parseNextLimits(tb testing.TB, words []string) *config.UpcomingLimits {
+// parseUpcomingLimits parses announced limits from words NAME=NUMBER.
+func parseUpcomingLimits(tb testing.TB, words []string) *config.UpcomingLimits {
 	tb.Helper()
 	limits := &config.UpcomingLimits{}
 	for _, word := range words {
