--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -78,7 +78,7 @@
 // register returns the ID of a new call, whose result completes the election's call.
 func (s electionStore) register(call election.Call) uint64 {
 	return s.core.registerStoreCall(func(r Result) {
-		call.Complete(election.Reply{Outcome: r.Outcome, SentAt: r.SentAt, Lease: r.Lease, Revision: r.Txn.Revision})
+		call.Complete(election.Response{Outcome: r.Outcome, SentAt: r.SentAt, Lease: r.Lease, Revision: r.Txn.Revision})
 	})
 }
 
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -40,7 +40,7 @@
 }
 
 // Complete claims the next term with the granted lease.
-func (c *candidateLeaseGrant) Complete(grant Reply) {
+func (c *candidateLeaseGrant) Complete(grant Response) {
 	e := c.election
 	if grant.Outcome != outcome.OK {
 		e.campaignFailed()
@@ -66,28 +66,28 @@
 }
 
 // Complete starts the term if the claim was applied. An indeterminate claim may have been applied or may still be. In
-// that case the watch later shows this controller as the leader, and revokePredecessorLease revokes the lease.
-func (c *termClaim) Complete(reply Reply) {
+// that case the watch later shows this node as the leader, and revokePredecessorLease revokes the lease.
+func (c *termClaim) Complete(response Response) {
 	e := c.election
-	if reply.Outcome != outcome.OK {
+	if response.Outcome != outcome.OK {
 		e.store.RevokeLease(c.claim.Lease, unusedLeaseRevocation{})
 		e.campaignFailed()
 		return
 	}
 	e.campaignInFlight = false
-	e.becomeLeader(c.claim.Term, reply.Revision, c.lease)
+	e.becomeLeader(c.claim.Term, response.Revision, c.lease)
 }
 
-// predecessorRevocation is the pending revocation of the lease of an earlier process of this controller. No campaign
-// starts until it completes.
+// predecessorRevocation is the pending revocation of the lease of an earlier process of this node. No campaign starts
+// until it completes.
 type predecessorRevocation struct{ election *Election }
 
 // Complete allows campaigns again.
-func (c *predecessorRevocation) Complete(Reply) { c.election.campaignInFlight = false }
+func (c *predecessorRevocation) Complete(Response) { c.election.campaignInFlight = false }
 
-// unusedLeaseRevocation is the pending revocation of a lease that this controller does not need. Without the revocation
-// the lease would expire on its own.
+// unusedLeaseRevocation is the pending revocation of a lease that this node does not need. Without the revocation the
+// lease would expire on its own.
 type unusedLeaseRevocation struct{}
 
-// Complete ignores the reply.
-func (unusedLeaseRevocation) Complete(Reply) {}
+// Complete ignores the response.
+func (unusedLeaseRevocation) Complete(Response) {}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,4 +1,4 @@
-// Package election decides whether a controller leads.
+// Package election decides whether a controller node leads.
 //
 // A leader holds a lease (Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
 // consistency", 1989): the leader key in the key-value store exists for as long as the lease is renewed. The term
@@ -6,11 +6,11 @@
 // lease. A candidate wins by one compare-and-swap that creates the leader key and increments the term key.
 //
 // Safety rests on the term alone. Every write of a leader is conditional on the version of the term key, and the
-// fencing tokens that workers compare are derived from the term. The lease only prevents two controllers from deposing
-// each other in turn.
+// fencing tokens that workers compare are derived from the term. The lease only prevents two nodes from deposing each
+// other in turn.
 //
-// The package has no side effects of its own. It calls the key-value store through Store and the controller through
-// Host. It must not depend on what a leader does with its term, nor on how the keys are encoded.
+// The package has no side effects of its own. It calls the key-value store through Store and the node through Host. It
+// must not depend on what a leader does with its term, nor on how the keys are encoded.
 package election
 
 import (
@@ -32,7 +32,7 @@
 	RetryPause time.Duration
 }
 
-// Election is one controller's participation in leader election.
+// Election is one node's participation in leader election.
 type Election struct {
 	host    Host
 	store   Store
@@ -53,7 +53,7 @@
 	lease            leaderLease
 }
 
-// New returns an Election for a controller that does not lead.
+// New returns an Election for a node that does not lead.
 func New(host Host, store Store, members *membership.Members, timing Timing) *Election {
 	return &Election{host: host, store: store, members: members, ring: newFailoverRing(members), timing: timing}
 }
@@ -74,7 +74,7 @@
 	return true
 }
 
-// Run performs whatever is due: a leader renews its lease, any other controller campaigns for the next term.
+// Run performs whatever is due: a leader renews its lease, any other node campaigns for the next term.
 func (e *Election) Run() {
 	view := e.host.View()
 	e.history.observe(e.host.Now(), view.Term.Number)
@@ -90,8 +90,8 @@
 	}
 }
 
-// revokePredecessorLease revokes the lease if the leader key names this controller. The holder is then an earlier
-// process of this controller, which has ended, or this process itself, if the reply to its claim was lost.
+// revokePredecessorLease revokes the lease if the leader key names this node. The holder is then an earlier process of
+// this node, which has ended, or this process itself, if the response to its claim was lost.
 func (e *Election) revokePredecessorLease(view View) {
 	now := e.host.Now()
 	if view.Leader.Node != e.members.Self().Name || now < e.nextCampaign {
@@ -125,7 +125,7 @@
 	e.campaign()
 }
 
-// becomeLeader starts a term that this controller has won.
+// becomeLeader starts a term that this node has won.
 func (e *Election) becomeLeader(term, version uint64, lease leaderLease) {
 	now := e.host.Now()
 	e.leading, e.term, e.termStartedAt = true, term, now
@@ -137,7 +137,7 @@
 	e.host.Elected(Term{Number: term, Version: version, LeaseDeadline: lease.deadline})
 }
 
-// StepDown ends the current term. It has no effect on a controller that does not lead.
+// StepDown ends the current term. It has no effect on a node that does not lead.
 func (e *Election) StepDown(reason StepDownReason) {
 	if !e.leading {
 		return
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -39,7 +39,7 @@
 	election              *Election
 }
 
-// newFake returns a fake for controller a in zone 1. Each digit of peerZones is the zone of one peer: b, c and so on.
+// newFake returns a fake for node a in zone 1. Each digit of peerZones is the zone of one peer: b, c and so on.
 func newFake(t *testing.T, peerZones string) *fake {
 	t.Helper()
 	f := &fake{T: t, now: time.Minute, view: View{Ready: true, Vacant: true, Term: TermView{Number: 7, Node: "b", Version: 70}}}
@@ -104,12 +104,12 @@
 	}
 }
 
-// winElection lets controller a win the next term with lease 5. No time passes meanwhile.
+// winElection lets node a win the next term with lease 5. No time passes meanwhile.
 func (f *fake) winElection() {
 	f.Helper()
 	f.election.Run()
-	f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
-	f.pop("claim").call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
+	f.pop("grant").call.Complete(Response{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
+	f.pop("claim").call.Complete(Response{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
 	f.view.Term, f.view.Vacant = TermView{Number: f.view.Term.Number + 1, Node: "a", Version: 71}, false
 }
 
@@ -128,12 +128,12 @@
 	f.wantNoRequest()
 	sentAt := f.now
 	f.now += time.Second
-	grant.call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: sentAt})
+	grant.call.Complete(Response{Outcome: outcome.OK, Lease: 5, SentAt: sentAt})
 	claim := f.pop("claim")
 	if want := (Claim{Term: 8, Lease: 5, TermVersion: 70}); claim.claim != want {
 		t.Errorf("claim is %+v, want %+v", claim.claim, want)
 	}
-	claim.call.Complete(Reply{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
+	claim.call.Complete(Response{Outcome: outcome.OK, Revision: 71, SentAt: f.now})
 	deadline := sentAt + testTiming.LeaseTTL - 4*time.Millisecond // MaxClockDrift of 4 s
 	if want := (Term{Number: 8, Version: 71, LeaseDeadline: deadline}); len(f.terms) != 1 || f.terms[0] != want {
 		t.Errorf("terms are %+v, want %+v", f.terms, want)
@@ -147,8 +147,8 @@
 	for _, result := range []outcome.Outcome{outcome.Conflict, outcome.Unknown, outcome.Unavailable} {
 		f := newFake(t, "")
 		f.election.Run()
-		f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
-		f.pop("claim").call.Complete(Reply{Outcome: result})
+		f.pop("grant").call.Complete(Response{Outcome: outcome.OK, Lease: 5, SentAt: f.now})
+		f.pop("claim").call.Complete(Response{Outcome: result})
 		if lease := f.pop("revoke").lease; lease != 5 {
 			t.Errorf("%v: lease %d is revoked, want 5", result, lease)
 		}
@@ -167,7 +167,7 @@
 	f := newFake(t, "")
 	f.election.Run()
 	f.view.Vacant = false
-	f.pop("grant").call.Complete(Reply{Outcome: outcome.OK, Lease: 5})
+	f.pop("grant").call.Complete(Response{Outcome: outcome.OK, Lease: 5})
 	f.pop("revoke")
 	f.wantNoRequest()
 }
@@ -184,7 +184,7 @@
 		f := newFake(t, "")
 		f.claimErr = tt.claim
 		f.election.Run()
-		f.pop("grant").call.Complete(Reply{Outcome: tt.grant, Lease: 5})
+		f.pop("grant").call.Complete(Response{Outcome: tt.grant, Lease: 5})
 		f.wantNoRequest()
 		f.election.Run()
 		f.wantNoRequest()
@@ -229,7 +229,7 @@
 		t.Errorf("lease %d is revoked, want 4", revoke.lease)
 	}
 	f.wantNoRequest()
-	revoke.call.Complete(Reply{Outcome: outcome.OK})
+	revoke.call.Complete(Response{Outcome: outcome.OK})
 	f.view.Vacant = true
 	f.now += testTiming.RetryPause
 	f.election.Run()
@@ -243,13 +243,13 @@
 	f.election.Run()
 	renew := f.pop("renew")
 	f.wantNoRequest()
-	renew.call.Complete(Reply{Outcome: outcome.Unavailable})
+	renew.call.Complete(Response{Outcome: outcome.Unavailable})
 	f.election.Run()
 	f.wantNoRequest()
 	f.now += testTiming.LeaseTTL / renewalRetriesPerTTL
 	f.election.Run()
 	sentAt := f.now
-	f.pop("renew").call.Complete(Reply{Outcome: outcome.OK, SentAt: sentAt})
+	f.pop("renew").call.Complete(Response{Outcome: outcome.OK, SentAt: sentAt})
 	if !f.election.LeaseValidAt(sentAt+testTiming.LeaseTTL*99/100) || f.election.LeaseValidAt(sentAt+testTiming.LeaseTTL) {
 		t.Error("the deadline is not one TTL after the renewal was sent")
 	}
@@ -271,7 +271,7 @@
 	if f.election.LeaseValid() || len(f.stepDowns) > 0 {
 		t.Errorf("lease valid past its deadline, or step-downs %v, want none", f.stepDowns)
 	}
-	renew.call.Complete(Reply{Outcome: outcome.OK, SentAt: f.now})
+	renew.call.Complete(Response{Outcome: outcome.OK, SentAt: f.now})
 	if !f.election.LeaseValid() {
 		t.Error("the lease is not valid after the renewal")
 	}
@@ -284,7 +284,7 @@
 		trigger func(*fake)
 	}{
 		{NewerTermObserved, false, func(f *fake) { f.view.Term.Number++ }},
-		{LeaseExpired, false, func(f *fake) { f.election.Run(); f.pop("renew").call.Complete(Reply{Outcome: outcome.NotFound}) }},
+		{LeaseExpired, false, func(f *fake) { f.election.Run(); f.pop("renew").call.Complete(Response{Outcome: outcome.NotFound}) }},
 		{WorkersReachOnlyPeers, true, func(f *fake) { f.workersReachOnlyPeers = true }},
 		{TermSuperseded, false, func(f *fake) { f.election.StepDown(TermSuperseded) }},
 	} {
@@ -301,7 +301,7 @@
 		f.wantNoRequest()
 		f.election.StepDown(TermSuperseded)
 		if len(f.stepDowns) != 1 {
-			t.Errorf("%s: a controller that does not lead stepped down again", tt.want)
+			t.Errorf("%s: a node that does not lead stepped down again", tt.want)
 		}
 	}
 }
@@ -312,7 +312,7 @@
 	f.election.Run()
 	renew := f.pop("renew")
 	f.election.StepDown(TermSuperseded)
-	renew.call.Complete(Reply{Outcome: outcome.NotFound})
+	renew.call.Complete(Response{Outcome: outcome.NotFound})
 	if len(f.stepDowns) != 1 {
 		t.Errorf("step-downs are %v, want exactly one", f.stepDowns)
 	}
@@ -328,8 +328,8 @@
 	}{
 		{"one zone each", "23", false, 0},
 		{"the successor shares the zone", "12", false, check / 2},
-		{"two controllers of one zone follow", "22", false, check / 4},
-		{"four controllers of one zone follow", "2222", false, check / 2},
+		{"two nodes of one zone follow", "22", false, check / 4},
+		{"four nodes of one zone follow", "2222", false, check / 2},
 		{"the successor is down, but not that of another candidate", "23", true, check / 2},
 	} {
 		f := newFake(t, tt.peerZones)
@@ -356,7 +356,7 @@
 		{"its successor shares its zone", "12", 3 * testTiming.WorkerLease, false, membership.Status{}, true},
 		{"its successor is in another zone", "21", 3 * testTiming.WorkerLease, false, membership.Status{}, false},
 		{"its term is recent", "12", testTiming.WorkerLease, false, membership.Status{}, false},
-		{"it is short of processor time", "12", 3 * testTiming.WorkerLease, true, membership.Status{}, false},
+		{"it is short of CPU time", "12", 3 * testTiming.WorkerLease, true, membership.Status{}, false},
 		{"no peer reaches the store", "12", 3 * testTiming.WorkerLease, false, membership.Status{StoreDown: true}, false},
 	} {
 		f := newFake(t, tt.peerZones)
--- a/internal/election/failover_ring.go
+++ b/internal/election/failover_ring.go
@@ -2,9 +2,9 @@
 
 import "bitternwing/internal/membership"
 
-// failoverRing is the order in which workers try the controllers when they lose the leader, with the zone of each
-// controller. Workers find the next leader quickly if few controllers that follow the leader are lost together with its
-// zone: each controller that does not respond costs a worker almost half of its lease.
+// failoverRing is the order in which workers try the nodes when they lose the leader, with the zone of each node.
+// Workers find the next leader quickly if few nodes that follow the leader are lost together with its zone: each node
+// that does not respond costs a worker almost half of its lease.
 type failoverRing struct {
 	nodes     []membership.Node
 	multiZone bool
@@ -18,7 +18,7 @@
 	return r
 }
 
-// position returns the index of a controller in the ring.
+// position returns the index of a node in the ring.
 func (r *failoverRing) position(name string) int {
 	for i, node := range r.nodes {
 		if node.Name == name {
@@ -28,14 +28,14 @@
 	return 0
 }
 
-// successor returns the controller that workers try after the named one.
+// successor returns the node that workers try after the named one.
 func (r *failoverRing) successor(name string) membership.Node {
 	return r.nodes[(r.position(name)+1)%len(r.nodes)]
 }
 
-// failoverHops returns how many controllers in a row workers may try in vain after the leader when a zone is isolated
-// by a network partition. That is the number of controllers directly after the leader that share one zone. It is 0 if
-// all controllers are in one zone.
+// failoverHops returns how many nodes in a row workers may try in vain after the leader when a zone is isolated by a
+// network partition. That is the number of nodes directly after the leader that share one zone. It is 0 if all nodes
+// are in one zone.
 func (r *failoverRing) failoverHops(leader string) int {
 	if !r.multiZone {
 		return 0
@@ -50,8 +50,8 @@
 	return hops
 }
 
-// sharesZoneWithSuccessor reports whether the successor of a controller is in the same zone. Such a controller is a
-// poor leader, because both are lost when that zone is isolated.
+// sharesZoneWithSuccessor reports whether the successor of a node is in the same zone. Such a node is a poor leader,
+// because both are lost when that zone is isolated.
 func (r *failoverRing) sharesZoneWithSuccessor(name string) bool {
 	return r.multiZone && r.nodes[r.position(name)].Zone == r.successor(name).Zone
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Host is the controller that takes part in an election.
+// Host is the node that takes part in an election.
 type Host interface {
 	// Now returns the monotonic time of the current step.
 	Now() time.Duration
 	// WakeBy requests that Run be called no later than the given time.
 	WakeBy(at time.Duration)
-	// View returns the leadership as the controller last read it from the store.
+	// View returns the leadership as the node last read it from the store.
 	View() View
-	// StoreDown reports whether the store is unavailable to this controller.
+	// StoreDown reports whether the store is unavailable to this node.
 	StoreDown() bool
-	// CandidacyBlocked returns the reason why this controller must not lead, or "" if there is none.
+	// CandidacyBlocked returns the reason why this node must not lead, or "" if there is none.
 	CandidacyBlocked() string
 	// HasSpareCPU reports whether there is enough CPU time for a failover, which costs more than continuing the term.
 	HasSpareCPU() bool
-	// WorkersReachOnlyPeers reports whether workers reach other controllers but not this one, which leads.
+	// WorkersReachOnlyPeers reports whether workers reach other nodes but not this one, which leads.
 	WorkersReachOnlyPeers() bool
 
-	// Elected is called when this controller has won a term.
+	// Elected is called when this node has won a term.
 	Elected(term Term)
-	// SteppedDown is called when the term of this controller ends.
+	// SteppedDown is called when the term of this node ends.
 	SteppedDown(reason StepDownReason)
 
 	LogDebug(message string, fields ...any)
@@ -29,7 +29,7 @@
 	LogError(message string, fields ...any)
 }
 
-// Term is a term that this controller has won.
+// Term is a term that this node has won.
 type Term struct {
 	Number uint64
 	// Version is the version of the term key. The writes of a leader are conditional on it.
@@ -38,8 +38,8 @@
 	LeaseDeadline time.Duration
 }
 
-// View is the leadership as shown by the controller's cache of the store. It may be stale. Writes based on it are
-// conditional on the versions read.
+// View is the leadership as shown by the node's cache of the store. It may be stale. Writes based on it are conditional
+// on the versions read.
 type View struct {
 	// Ready is set once the cache has been filled.
 	Ready bool
@@ -55,7 +55,7 @@
 	Lease uint64
 }
 
-// TermView is the content of the term key: the newest term and the controller that won it.
+// TermView is the content of the term key: the newest term and the node that won it.
 type TermView struct {
 	Number  uint64
 	Node    string
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -27,7 +27,7 @@
 
 // newLeaderLease returns the lease that was granted. Its time to live began when the store created it, which was not
 // before the request was sent.
-func newLeaderLease(grant Reply, ttl time.Duration) leaderLease {
+func newLeaderLease(grant Response, ttl time.Duration) leaderLease {
 	l := leaderLease{id: grant.Lease, ttl: ttl}
 	l.deadline = grant.SentAt + l.safeDuration()
 	return l
@@ -41,9 +41,9 @@
 // validAt reports whether the lease is certainly held at the given time.
 func (l *leaderLease) validAt(now time.Duration) bool { return now < l.deadline }
 
-// maintainLease renews the lease of a leader, or steps down if another controller would be a better leader. Once the
-// lease may have expired, a leader only waits: it writes nothing and starts nothing until a renewal shows whether it
-// still holds the lease, for instance after an outage of the store.
+// maintainLease renews the lease of a leader, or steps down if another node would be a better leader. Once the lease
+// may have expired, a leader only waits: it writes nothing and starts nothing until a renewal shows whether it still
+// holds the lease, for instance after an outage of the store.
 func (e *Election) maintainLease(view View) {
 	if view.Term.Number > e.term {
 		e.StepDown(NewerTermObserved)
@@ -66,8 +66,8 @@
 	e.store.RenewLease(e.lease.id, &leaseRenewal{e, e.lease.id})
 }
 
-// handOverReason returns the reason for handing the next term over to another controller, if there is one. A leader
-// hands over only while its lease is valid, because otherwise it can't know whether it still leads.
+// handOverReason returns the reason for handing the next term over to another node, if there is one. A leader hands
+// over only while its lease is valid, because otherwise it can't know whether it still leads.
 func (e *Election) handOverReason() (reason StepDownReason, handOver bool) {
 	switch {
 	case !e.LeaseValid():
@@ -87,7 +87,7 @@
 }
 
 // Complete extends the deadline. If the store no longer knows the lease, the term ends.
-func (c *leaseRenewal) Complete(reply Reply) {
+func (c *leaseRenewal) Complete(response Response) {
 	e := c.election
 	l := &e.lease
 	if !e.leading || l.id != c.lease {
@@ -95,17 +95,17 @@
 	}
 	now := e.host.Now()
 	l.renewalInFlight = false
-	if reply.Outcome == outcome.NotFound {
+	if response.Outcome == outcome.NotFound {
 		e.StepDown(LeaseExpired)
 		return
 	}
-	if reply.Outcome != outcome.OK {
+	if response.Outcome != outcome.OK {
 		l.nextRenewal = now + l.ttl/renewalRetriesPerTTL
 		return
 	}
 	if !l.validAt(now) {
 		e.host.LogDebug("leader lease renewed after expiry", "term", e.term, "after_ms", (now - l.deadline).Milliseconds())
 	}
-	l.deadline = max(l.deadline, reply.SentAt+l.safeDuration())
-	l.nextRenewal = reply.SentAt + l.ttl/renewalsPerTTL
+	l.deadline = max(l.deadline, response.SentAt+l.safeDuration())
+	l.nextRenewal = response.SentAt + l.ttl/renewalsPerTTL
 }
--- a/internal/election/preference.go
+++ b/internal/election/preference.go
@@ -4,10 +4,10 @@
 
 // Delays before a campaign, as fractions of CheckInterval.
 const (
-	// hopDelayDivisor divides CheckInterval into the delay for each controller in a row, after the first, that workers
-	// may try in vain.
+	// hopDelayDivisor divides CheckInterval into the delay for each node in a row, after the first, that workers may
+	// try in vain.
 	hopDelayDivisor = 4
-	// maxDelayedHops limits how many of these controllers are counted.
+	// maxDelayedHops limits how many of these nodes are counted.
 	maxDelayedHops = 2
 	// poorCandidateDelayDivisor divides CheckInterval into the additional delay of a candidate that would be a poor
 	// leader.
@@ -28,7 +28,7 @@
 	return delay
 }
 
-// anyCandidate reports whether some other controller is able to lead and satisfies the predicate.
+// anyCandidate reports whether some other node is able to lead and satisfies the predicate.
 func (e *Election) anyCandidate(suitable func(name string) bool) bool {
 	for _, p := range e.members.Peers() {
 		if e.members.RecentlyHeard(p, e.host.Now()) && !p.Status().StoreDown && suitable(p.Name()) {
@@ -38,24 +38,24 @@
 	return false
 }
 
-// successorDown reports whether the successor of the named controller has not answered for longer than the given time.
-// If the named controller led and then hung, its workers would wait for both in turn, which takes their whole lease.
-func (e *Election) successorDown(name string, silence time.Duration) bool {
+// successorDown reports whether the successor of the named node has not answered for longer than the timeout. If the
+// named node led and then hung, its workers would wait for both in turn, which takes their whole lease.
+func (e *Election) successorDown(name string, timeout time.Duration) bool {
 	p := e.members.Peer(e.ring.successor(name).Name)
-	return p != nil && e.members.SuspectedDown(p, e.host.Now(), silence)
+	return p != nil && e.members.SuspectedDown(p, e.host.Now(), timeout)
 }
 
-// successorUp reports whether the successor of the named controller is not suspected to be down.
+// successorUp reports whether the successor of the named node is not suspected to be down.
 func (e *Election) successorUp(name string) bool { return !e.successorDown(name, 0) }
 
-// suitableLeader reports whether workers would find the next leader quickly if the named controller led. Its successor
-// must be in another zone and must have answered within the duration of a worker's lease.
+// suitableLeader reports whether workers would find the next leader quickly if the named node led. Its successor must
+// be in another zone and must have answered within the duration of a worker's lease.
 func (e *Election) suitableLeader(name string) bool {
 	return !e.ring.sharesZoneWithSuccessor(name) && !e.successorDown(name, e.timing.WorkerLease)
 }
 
-// betterCandidateExists reports whether this leader is not suitable and another controller is. It waits until all
-// controllers that were recently heard from have been reachable for some checks.
+// betterCandidateExists reports whether this leader is not suitable and another node is. It waits until all nodes that
+// were recently heard from have been reachable for some checks.
 func (e *Election) betterCandidateExists() bool {
 	if !e.host.HasSpareCPU() {
 		return false
@@ -65,7 +65,7 @@
 		return false
 	}
 	for _, p := range e.members.Peers() {
-		// After a partition the controllers become reachable one after another.
+		// After a network partition the nodes become reachable one after another.
 		if e.members.RecentlyHeard(p, now) && !e.members.ReachableForChecks(p, now) {
 			return false
 		}
--- a/internal/election/step_down_reason.go
+++ b/internal/election/step_down_reason.go
@@ -13,9 +13,9 @@
 	TermSuperseded StepDownReason = "term superseded"
 	// LeaseExpired means that the store no longer knows the leader's lease.
 	LeaseExpired StepDownReason = "leader lease expired"
-	// WorkersReachOnlyPeers means that workers reach other controllers but not this one.
+	// WorkersReachOnlyPeers means that workers reach other nodes but not this one.
 	WorkersReachOnlyPeers StepDownReason = "workers reach only other nodes"
-	// BetterCandidateAvailable means that workers would find the next leader sooner if another controller led.
+	// BetterCandidateAvailable means that workers would find the next leader sooner if another node led.
 	BetterCandidateAvailable StepDownReason = "better candidate available"
 	// RecordLayoutIndeterminate means that the write of a new layout of the run records may have been applied.
 	RecordLayoutIndeterminate StepDownReason = "outcome of record layout write unknown"
--- a/internal/election/store.go
+++ b/internal/election/store.go
@@ -7,7 +7,7 @@
 )
 
 // Store is the part of the key-value store's interface that an election needs. Each method sends a request and returns
-// at once. The reply is passed to the Call in a later step.
+// at once. The response is passed to the Call in a later step.
 type Store interface {
 	// GrantLease requests a new lease.
 	GrantLease(ttl time.Duration, call Call)
@@ -28,13 +28,13 @@
 	TermVersion uint64
 }
 
-// Call is a call to the key-value store that waits for its reply.
+// Call is a call to the key-value store that waits for its response.
 type Call interface {
-	Complete(reply Reply)
+	Complete(response Response)
 }
 
-// Reply is the reply to a call.
-type Reply struct {
+// Response is the response to a call.
+type Response struct {
 	Outcome outcome.Outcome
 	// SentAt is the time at which the request was sent. The store processed it no earlier.
 	SentAt time.Duration
--- a/internal/election/term_history.go
+++ b/internal/election/term_history.go
@@ -17,7 +17,7 @@
 	// maxRecentTerms limits how many starts are stored. Fewer are enough to reach the longest lease.
 	maxRecentTerms = 8
 	// maxTTLLeases is the longest time to live of a leader's lease, in worker leases. After a leader has failed, its
-	// workers depend on the other controllers to renew their leases until the leader's lease expires and the next term
+	// workers depend on the other nodes to renew their leases until the leader's lease expires and the next term
 	// starts.
 	maxTTLLeases = 0.5
 )
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,4 +1,4 @@
-// Package membership keeps what a controller knows about the other controllers of its region. From this it determines
+// Package membership keeps what a controller node knows about the other nodes of its region. From this it determines
 // which of them can be reached, which one leads, whether the key-value store is available to any of them, and whether a
 // zone is isolated by a network partition.
 //
@@ -6,7 +6,7 @@
 // does not answer is suspected, not known, to be down. Whatever follows from a suspicion must therefore be safe if the
 // suspicion is wrong. The membership itself is static and part of the settings.
 //
-// The package is pure. The time and the replies are passed in, and it has no side effects: it sends no queries, reads
+// The package is pure. The time and the responses are passed in, and it has no side effects: it sends no queries, reads
 // no clock, writes nothing, and depends neither on the leader's state nor on the cache of the store.
 package membership
 
@@ -24,10 +24,10 @@
 	WorkerLease time.Duration
 }
 
-// recentChecks is how long a reply counts as recent, in check intervals.
+// recentChecks is how long a response counts as recent, in check intervals.
 const recentChecks = 3
 
-// Members is the set of the region's controllers as seen by one of them.
+// Members is the set of the region's nodes as seen by one of them.
 type Members struct {
 	self          Node
 	peers         []*Peer
@@ -35,7 +35,7 @@
 	timing        Timing
 }
 
-// New returns the view of a controller that has not heard from any peer yet.
+// New returns the view of a node that has not heard from any peer yet.
 func New(self Node, peers []Node, timing Timing) *Members {
 	m := &Members{self: self, timing: timing, failoverOrder: append([]Node{self}, peers...)}
 	for _, peer := range peers {
@@ -45,10 +45,10 @@
 	return m
 }
 
-// Self returns the controller that has this view.
+// Self returns the node that has this view.
 func (m *Members) Self() Node { return m.self }
 
-// Peers returns the other controllers, in the order of the settings.
+// Peers returns the other nodes, in the order of the settings.
 func (m *Members) Peers() []*Peer { return m.peers }
 
 // Peer returns the peer with the given name, or nil if there is none.
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// FailoverOrder returns all controllers in the order in which workers try them when they lose the leader. The order is
-// a ring: after the last one, workers try the first.
+// FailoverOrder returns all nodes in the order in which workers try them when they lose the leader. The order is a
+// ring: after the last one, workers try the first.
 func (m *Members) FailoverOrder() []Node { return m.failoverOrder }
 
 // RecentlyHeard reports whether a peer is reachable and answered within the last recentChecks checks.
@@ -76,14 +76,14 @@
 	return now-p.reachableSince >= recentChecks*m.timing.CheckInterval
 }
 
-// SuspectedDown reports whether a peer has not answered for longer than the given time. A peer that relays heartbeats
-// of workers is alive even if this controller can't reach it, for instance when two zones can't reach each other.
-func (m *Members) SuspectedDown(p *Peer, now, silence time.Duration) bool {
+// SuspectedDown reports whether a peer has not answered for longer than the timeout. A peer that relays heartbeats
+// of workers is alive even if this node can't reach it, for instance when two zones can't reach each other.
+func (m *Members) SuspectedDown(p *Peer, now, timeout time.Duration) bool {
 	relays := p.relayedAt != 0 && now-p.relayedAt < m.timing.WorkerLease
-	return p.queryCompleted && !p.reachable && now-p.heardAt > silence && !relays
+	return p.queryCompleted && !p.reachable && now-p.heardAt > timeout && !relays
 }
 
-// ObserveRelay records that a controller relays heartbeats of workers, whether or not this controller can reach it.
+// ObserveRelay records that a node relays heartbeats of workers, whether or not this node can reach it.
 func (m *Members) ObserveRelay(node string, now time.Duration) {
 	if p := m.Peer(node); p != nil {
 		p.relayedAt = now
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -12,8 +12,8 @@
 	start         = time.Minute
 )
 
-// newTestMembers returns the view of controller b in zone z1. Controller a is in the same zone, c and d are in z2. All
-// peers answered a query at start.
+// newTestMembers returns the view of node b in zone z1. Node a is in the same zone, c and d are in z2. All peers
+// answered a query at start.
 func newTestMembers() *Members {
 	m := New(Node{"b", "z1"}, []Node{{"d", "z2"}, {"a", "z1"}, {"c", "z2"}}, Timing{CheckInterval: checkInterval, WorkerLease: workerLease})
 	for _, p := range m.Peers() {
@@ -43,14 +43,14 @@
 	}
 }
 
-func TestAnswerIsRecentForAFewChecks(t *testing.T) {
+func TestResponseIsRecentForAFewChecks(t *testing.T) {
 	m := newTestMembers()
 	p := m.Peer("a")
 	if !m.RecentlyHeard(p, start+2*checkInterval) {
-		t.Error("an answer two checks ago does not count as recent")
+		t.Error("a response two checks ago does not count as recent")
 	}
 	if m.RecentlyHeard(p, start+recentChecks*checkInterval) {
-		t.Error("an answer three checks ago counts as recent")
+		t.Error("a response three checks ago counts as recent")
 	}
 	failQuery(p, start+checkInterval)
 	if m.RecentlyHeard(p, start+checkInterval) {
@@ -91,7 +91,7 @@
 		t.Errorf("leader is %q, want a, which has the newer term", got)
 	}
 	if got := m.Leader(start + recentChecks*checkInterval); got != "" {
-		t.Errorf("leader is %q, want none: the answers are not recent", got)
+		t.Errorf("leader is %q, want none: the responses are not recent", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	failQuery(p, now)
 	if !m.SuspectedDown(p, now, 0) || m.SuspectedDown(p, now, 2*checkInterval) {
-		t.Error("a peer that does not answer is not suspected exactly when it has been silent for longer than the given time")
+		t.Error("a peer that does not answer is not suspected exactly when it has not answered for longer than the timeout")
 	}
 	m.ObserveRelay("c", now)
 	if m.SuspectedDown(p, now+workerLease-1, 0) || !m.SuspectedDown(p, now+workerLease, 0) {
@@ -141,10 +141,10 @@
 	}
 	answerQuery(m.Peer("d"), Status{HeartbeatAge: time.Second})
 	if !m.WorkersReachOnlyPeers(start, start-silence) {
-		t.Error("not detected: a peer received a heartbeat 1 s ago, this controller none for a third of a lease")
+		t.Error("not detected: a peer received a heartbeat 1 s ago, this node none for a third of a lease")
 	}
 	if m.WorkersReachOnlyPeers(start, start-silence+1) {
-		t.Error("detected although this controller received a heartbeat less than a third of a lease ago")
+		t.Error("detected although this node received a heartbeat less than a third of a lease ago")
 	}
 }
 
@@ -160,11 +160,11 @@
 		storeDown bool
 		want      bool
 	}{
-		{"neither an outside controller nor the store is reachable", func(*Members) {}, true, true},
-		{"this controller reaches the store", func(*Members) {}, false, false},
-		{"an outside controller answers", func(m *Members) { answerQuery(m.Peer("d"), Status{StoreDown: true}) }, true, false},
-		{"a controller in the zone reaches the store", func(m *Members) { answerQuery(m.Peer("a"), Status{}) }, true, false},
-		{"no other controller in the zone answers", func(m *Members) { failQuery(m.Peer("a"), start) }, true, false},
+		{"neither an outside node nor the store is reachable", func(*Members) {}, true, true},
+		{"this node reaches the store", func(*Members) {}, false, false},
+		{"an outside node answers", func(m *Members) { answerQuery(m.Peer("d"), Status{StoreDown: true}) }, true, false},
+		{"a node in the zone reaches the store", func(m *Members) { answerQuery(m.Peer("a"), Status{}) }, true, false},
+		{"no other node in the zone answers", func(m *Members) { failQuery(m.Peer("a"), start) }, true, false},
 	} {
 		m := newTestMembers()
 		isolate(m)
@@ -197,7 +197,7 @@
 		t.Error("the zones that renew their own leases are not exactly z1 and z2")
 	}
 	if New(Node{"a", "z1"}, []Node{{"b", "z1"}}, Timing{}).ZoneRenewsOwnLeases("z1") {
-		t.Error("a zone with all controllers is said to renew its own leases")
+		t.Error("a zone with all nodes is said to renew its own leases")
 	}
 }
 
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Node is a controller and its failure domain.
+// Node is a controller node and its failure domain.
 type Node struct {
 	Name string
 	Zone string
 }
 
-// Peer is what is known about another controller. A zero time means never.
+// Peer is what is known about another node. A zero time means never.
 type Peer struct {
 	node Node
 
@@ -35,7 +35,7 @@
 // Zone returns the peer's failure domain.
 func (p *Peer) Zone() string { return p.node.Zone }
 
-// Status returns the status in the peer's last reply, or the zero value if there was none.
+// Status returns the status in the peer's last response, or the zero value if there was none.
 func (p *Peer) Status() *Status { return &p.status }
 
 // Reachable reports whether the last query was answered.
@@ -47,7 +47,7 @@
 // QueriedAt returns when the last query was sent, or 0 if none was.
 func (p *Peer) QueriedAt() time.Duration { return p.queriedAt }
 
-// QueryInFlight reports whether a query is waiting for its reply.
+// QueryInFlight reports whether a query is waiting for its response.
 func (p *Peer) QueryInFlight() bool { return p.queryInFlight }
 
 // Unreachable reports whether the peer was queried and did not answer the last completed query.
@@ -62,13 +62,13 @@
 	p.queriedAt = now
 }
 
-// QueryFailed records that a query ended without a reply.
+// QueryFailed records that a query ended without a response.
 func (p *Peer) QueryFailed() {
 	p.queryInFlight, p.queryCompleted = false, true
 	p.reachable = false
 }
 
-// QueryAnswered records the reply to a query.
+// QueryAnswered records the response to a query.
 func (p *Peer) QueryAnswered(now time.Duration, status Status) {
 	p.queryInFlight, p.queryCompleted = false, true
 	if !p.reachable {
--- a/internal/membership/store_outage.go
+++ b/internal/membership/store_outage.go
@@ -15,7 +15,7 @@
 }
 
 // StoreOutageConfirmed reports whether every peer recently answered that the key-value store is unavailable to it, and
-// none knows a term newer than the given one. In that case no controller can win a newer term.
+// none knows a term newer than the given one. In that case no node can win a newer term.
 func (m *Members) StoreOutageConfirmed(now time.Duration, term uint64) bool {
 	for _, p := range m.peers {
 		if p.status.Term > term {
--- a/internal/pacing/load.go
+++ b/internal/pacing/load.go
@@ -1,5 +1,5 @@
 // Package pacing decides how often workers send heartbeats. A worker has only one heartbeat in flight at a time, so a
-// controller that holds back a response also delays the worker's next heartbeat. The package is pure: the time is an
+// node that holds back a response also delays the worker's next heartbeat. The package is pure: the time is an
 // argument.
 package pacing
 
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -4,11 +4,11 @@
 
 // Durations of a Pacer relative to the settings of the workers.
 const (
-	// steadyIntervalLeases is the interval between the heartbeats of a steady worker, in leases. If all controllers
-	// fail at once, a worker's lease may last have been renewed by a heartbeat that is two such intervals old.
+	// steadyIntervalLeases is the interval between the heartbeats of a steady worker, in leases. If all nodes fail at
+	// once, a worker's lease may last have been renewed by a heartbeat that is two such intervals old.
 	steadyIntervalLeases = 1.0 / 6
 	// maxIntervalLeases is the interval between the heartbeats of any worker at full load, in leases. A longer one
-	// would save more CPU time, but leave workers less of their lease if all controllers fail at once.
+	// would save more CPU time, but leave workers less of their lease if all nodes fail at once.
 	maxIntervalLeases = 0.2
 	// maxHoldTimeouts is the longest time for which a response is held, in worker timeouts.
 	maxHoldTimeouts = 3.0 / 4
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -74,8 +74,8 @@
 		{"timers on time", 100 * time.Millisecond, 0, 0, 0},
 		{"a coarse clock", 50 * time.Millisecond, 30 * time.Millisecond, 0, 0},
 		{"an occasional late timer", second, 100 * time.Millisecond, 0, 0.1},
-		{"short of processor time", 200 * time.Millisecond, 150 * time.Millisecond, 0.5, 1},
-		{"very short of processor time", 500 * time.Millisecond, 400 * time.Millisecond, 0.9, 1},
+		{"short of CPU time", 200 * time.Millisecond, 150 * time.Millisecond, 0.5, 1},
+		{"very short of CPU time", 500 * time.Millisecond, 400 * time.Millisecond, 0.9, 1},
 	} {
 		l := NewLoad(second, 10*second)
 		now := second
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer implements the gRPC service between controllers: each queries the status of the others and replicates
-// cancellations to them. The package only converts messages to and from the types of the core.
+// Package peer implements the gRPC service between controller nodes: each queries the status of the others and
+// replicates cancellations to them. The package only converts messages to and from the types of the core.
 package peer
 
 import (
@@ -44,7 +44,7 @@
 // noHeartbeatAge is the heartbeat age that is sent if no heartbeat has been received.
 const noHeartbeatAge = -1
 
-// Server serves the status of a controller.
+// Server serves the status of a node.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	node                 string
@@ -76,15 +76,15 @@
 
 // Status implements peerpb.PeerServer.
 func (s *Server) Status(ctx context.Context, request *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	// The reply acknowledges the cancellations, so it must not be sent unless they were accepted.
+	// The response acknowledges the cancellations, so it must not be sent unless they were accepted.
 	if cancellations := decodeCancellations(request.GetCancellations()); len(cancellations) > 0 && !s.receiveCancellations(ctx, cancellations) {
 		return nil, status.Error(codes.Unavailable, "not taken in")
 	}
-	return s.statusReply(s.status()), nil
+	return s.statusResponse(s.status()), nil
 }
 
-// statusReply converts the status to a message.
-func (s *Server) statusReply(current membership.Status) *peerpb.StatusReply {
+// statusResponse converts the status to a message.
+func (s *Server) statusResponse(current membership.Status) *peerpb.StatusReply {
 	age := int64(noHeartbeatAge)
 	if current.HeartbeatAge >= 0 {
 		age = current.HeartbeatAge.Milliseconds()
@@ -120,14 +120,14 @@
 	return messages
 }
 
-// Client is a client of one other controller.
+// Client is a client of one other node.
 type Client struct {
 	self       string
 	connection *grpc.ClientConn
 	rpc        peerpb.PeerClient
 }
 
-// NewClient returns a client of the controller at an address. It connects on the first call.
+// NewClient returns a client of the node at an address. It connects on the first call.
 func NewClient(self, addr string, callTimeout time.Duration) (*Client, error) {
 	connection, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -155,26 +155,26 @@
 // Close closes the connection.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// Status queries the controller's status and replicates cancellations to it.
+// Status queries the node's status and replicates cancellations to it.
 func (c *Client) Status(ctx context.Context, cancellations []core.Cancellation) (membership.Status, outcome.Outcome) {
-	reply, err := c.rpc.Status(ctx, &peerpb.StatusRequest{Node: c.self, Cancellations: encodeCancellations(cancellations)})
+	response, err := c.rpc.Status(ctx, &peerpb.StatusRequest{Node: c.self, Cancellations: encodeCancellations(cancellations)})
 	if err != nil {
 		return membership.Status{}, outcome.Unknown
 	}
 	current := membership.Status{
-		StoreDown:               reply.GetStateDown(),
-		Term:                    reply.GetTerm(),
-		Leading:                 reply.GetLeads(),
+		StoreDown:               response.GetStateDown(),
+		Term:                    response.GetTerm(),
+		Leading:                 response.GetLeads(),
 		HeartbeatAge:            noHeartbeatAge,
-		UnreachableZones:        reply.GetZonesApart(),
-		Revision:                reply.GetRevision(),
-		UnresolvedCancellations: reply.GetUnsettled(),
-		MoreUnresolved:          reply.GetUnsettledMore(),
-		MaxRecordLayout:         reply.GetLayouts(),
-		SupportsRollouts:        reply.GetKnowsPlans(),
+		UnreachableZones:        response.GetZonesApart(),
+		Revision:                response.GetRevision(),
+		UnresolvedCancellations: response.GetUnsettled(),
+		MoreUnresolved:          response.GetUnsettledMore(),
+		MaxRecordLayout:         response.GetLayouts(),
+		SupportsRollouts:        response.GetKnowsPlans(),
 	}
-	if reply.GetReportAgeMs() >= 0 {
-		current.HeartbeatAge = time.Duration(reply.GetReportAgeMs()) * time.Millisecond
+	if response.GetReportAgeMs() >= 0 {
+		current.HeartbeatAge = time.Duration(response.GetReportAgeMs()) * time.Millisecond
 	}
 	return current, outcome.OK
 }
--- a/internal/peer/peerpb/doc.go
+++ b/internal/peer/peerpb/doc.go
@@ -1,2 +1,3 @@
-// Package peerpb contains the messages and stubs of the gRPC service between controllers, generated from peer.proto.
+// Package peerpb contains the messages and stubs of the gRPC service between controller nodes, generated from
+// peer.proto.
 package peerpb
--- a/internal/stored/doc.go
+++ b/internal/stored/doc.go
@@ -1,5 +1,5 @@
-// Package stored defines how the controllers store their state in the consensus-backed key-value store: the keys, the
-// encoding of the values, and the limits on their sizes.
+// Package stored defines how the controller nodes store their state in the consensus-backed key-value store: the keys,
+// the encoding of the values, and the limits on their sizes.
 //
 // During an upgrade, nodes of two versions run side by side, and values written long ago are read for as long as their
 // keys exist. The meaning of a key or JSON tag therefore never changes. A new meaning gets a new key or field, and if
--- a/internal/stored/keys.go
+++ b/internal/stored/keys.go
@@ -20,7 +20,7 @@
 	LeaderKey       = "w/lead"    // the Leader; attached to the leader's lease
 	TermKey         = "w/term"    // the Term; incremented with each election
 	CatalogKey      = "w/catalog" // the machine types that the cloud offers
-	RecordLayoutKey = "w/layout"  // the record.Layout in use; absent for the first layout
+	RecordLayoutKey = "w/layout"  // the record.Layout in use; absent for the index layout
 
 	// unreachableHintKey is the first shard of the unreachable hints. Older versions read only this shard.
 	unreachableHintKey = "w/s"
--- a/internal/stored/production_format_test.go
+++ b/internal/stored/production_format_test.go
@@ -99,11 +99,11 @@
 	}
 	old, err := decode[productionRecord](value)
 	if err != nil || old.Next != 4 || old.Done != "0" || string(old.Placed["1"]) != `[2,"m",1]` {
-		t.Errorf("record of the first layout not decoded as expected: %s", value)
+		t.Errorf("record of the index layout not decoded as expected: %s", value)
 	}
 }
 
-// TestProductionIsFenced checks that a node of that version can win a term, but no longer once the second layout is in
+// TestProductionIsFenced checks that a node of that version can win a term, but no longer once the task layout is in
 // use, whose records it would delete.
 func TestProductionIsFenced(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/stored/term.go
+++ b/internal/stored/term.go
@@ -33,7 +33,7 @@
 type TermFormat int
 
 const (
-	// BaseTermFormat can be read by all versions or, once the second layout of run records is in use, by those that
+	// BaseTermFormat can be read by all versions or, once the task layout of run records is in use, by those that
 	// support that layout.
 	BaseTermFormat TermFormat = iota
 	// RolloutsTermFormat can be read by versions that support rollout plans. Other versions would start jobs that plans
@@ -59,7 +59,7 @@
 // The encodings of the term other than Term itself, which is the first one. A value in one encoding can't be decoded as
 // any other.
 type (
-	// layoutFencedTerm is the BaseTermFormat once the second layout of run records is in use. Version 1, which would
+	// layoutFencedTerm is the BaseTermFormat once the task layout of run records is in use. Version 1, which would
 	// delete records of that layout as orphans, can't decode it.
 	layoutFencedTerm struct {
 		Number uint64 `json:"term,string"`
--- a/internal/stored/unreachable_hints.go
+++ b/internal/stored/unreachable_hints.go
@@ -2,10 +2,10 @@
 
 import "encoding/json"
 
-// UnreachableHints is one shard of the times at which machines were last heard from, by machine, in Unix milliseconds.
-// The leader writes them for the machines of unreachable zones, so that an election does not restart the time after
-// which they are released. They are hints and not proof: a wrong one only causes a machine to be released too soon, and
-// a task is only considered ended once the cloud confirms that its machine no longer exists.
+// UnreachableHints is one shard of the times at which machines were last heard from, by machine, as Unix time in
+// milliseconds. The leader writes them for the machines of unreachable zones, so that an election does not restart the
+// time after which they are released. They are hints and not proof: a wrong one only causes a machine to be released
+// too soon, and a task is only considered ended once the cloud confirms that its machine no longer exists.
 type UnreachableHints map[string]int64
 
 // DecodeUnreachableHints decodes a shard of the unreachable hints.
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// RecordLayout returns the layout of the run records. The result is false while the first layout is in use, which is
+// RecordLayout returns the layout of the run records. The result is false while the index layout is in use, which is
 // not stored.
 func (c *Cache) RecordLayout() (record.Layout, bool) { return c.layout, c.layoutVersion != 0 }
 
