--- a/internal/core/rollout_manager.go
+++ b/internal/core/rollout_manager.go
@@ -101,12 +101,12 @@
 	}
 	for _, name := range c.cache.PlanNames() {
 		current := c.cache.Plan(name)
-		run := m.activeByName[name]
-		if run == nil {
-			run = m.takeOver(name, current)
+		active := m.activeByName[name]
+		if active == nil {
+			active = m.takeOver(name, current)
 		}
 		if current.Problem == nil {
-			l.runRollout(run, current)
+			l.runRollout(active, current)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // takeOver takes over a plan. It starts without an earlier leader's knowledge of the plan's replicas and routers.
 func (m *rolloutManager) takeOver(name string, current *watchcache.Plan) *activeRollout {
 	c := m.leader.core
-	run := &activeRollout{
+	active := &activeRollout{
 		name:           name,
 		takenOverAt:    c.now.Steady,
 		validations:    rollout.NewValidations(c.probeInterval()),
@@ -122,28 +122,28 @@
 		routing:        rollout.Routing{Generation: rollout.Generation{Term: m.leader.term}},
 		droppedRouters: map[string]bool{},
 	}
-	m.activeByName[name] = run
+	m.activeByName[name] = active
 	if current.Problem != nil {
 		c.log(Error, "rollout plan unreadable, skipped", "plan", name, "error", current.Problem.Error())
 	}
-	return run
+	return active
 }
 
 // drop drops the state of a plan whose record was removed, and rejects the requests that wait for it.
-func (m *rolloutManager) drop(run *activeRollout) {
-	delete(m.activeByName, run.name)
-	for _, requestID := range run.pendingRequests() {
+func (m *rolloutManager) drop(active *activeRollout) {
+	delete(m.activeByName, active.name)
+	for _, requestID := range active.pendingRequests() {
 		m.leader.core.respond(requestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	}
 }
 
 // pendingRequests returns the IDs of the requests that wait for a commit of the plan.
-func (run *activeRollout) pendingRequests() []uint64 {
+func (active *activeRollout) pendingRequests() []uint64 {
 	var requests []uint64
-	for _, pending := range run.changes {
+	for _, pending := range active.changes {
 		requests = append(requests, pending.requestID)
 	}
-	for _, pending := range slices.Concat(run.joinRequests, run.joinsInFlight) {
+	for _, pending := range slices.Concat(active.joinRequests, active.joinsInFlight) {
 		requests = append(requests, pending.requestID)
 	}
 	return requests
@@ -172,19 +172,19 @@
 
 // runRollout probes the plan's replicas, updates its routing, queues the cancellations that are due, and starts at most
 // one write of its record.
-func (l *leader) runRollout(run *activeRollout, current *watchcache.Plan) {
+func (l *leader) runRollout(active *activeRollout, current *watchcache.Plan) {
 	c, r := l.core, current.Record
 	replicas := l.replicasOf(&r.Plan)
-	run.validations.SetReplicas(replicas)
-	run.reconcile(l, &r.Plan)
-	if run.phase != r.Phase {
-		run.phase, run.phaseSince = r.Phase, c.now.Steady
+	active.validations.SetReplicas(replicas)
+	active.reconcile(l, &r.Plan)
+	if active.phase != r.Phase {
+		active.phase, active.phaseSince = r.Phase, c.now.Steady
 	}
-	l.probeReplicas(run, r) // also of an ended plan: routers use its routing until it is removed
-	o := l.observeRollout(run, r)
-	if run.mayRoute(r, o) && l.hasAuthority() {
-		run.updateRouting(c, r, o)
-		l.addRouterObservations(run, r, o)
+	l.probeReplicas(active, r) // also of an ended plan: routers use its routing until it is removed
+	o := l.observeRollout(active, r)
+	if active.mayRoute(r, o) && l.hasAuthority() {
+		active.updateRouting(c, r, o)
+		l.addRouterObservations(active, r, o)
 	}
 	for _, id := range r.JobsToCancel(o) {
 		if j := l.jobs[id]; j != nil && !j.cancelled {
@@ -192,23 +192,23 @@
 		}
 	}
 	if !l.mayCommit() {
-		c.rejectJoins(run.joinRequests)
-		run.joinRequests = nil
+		c.rejectJoins(active.joinRequests)
+		active.joinRequests = nil
 		return
 	}
-	if run.writeInFlight || c.now.Steady < run.retryAt {
+	if active.writeInFlight || c.now.Steady < active.retryAt {
 		return
 	}
 	switch {
-	case len(run.changes) > 0:
-		l.commitChange(run, current)
+	case len(active.changes) > 0:
+		l.commitChange(active, current)
 	case r.RetentionExpired(o):
-		l.removePlan(run, current)
-	case len(run.joinRequests) > 0:
-		l.commitJoins(run, current, o)
+		l.removePlan(active, current)
+	case len(active.joinRequests) > 0:
+		l.commitJoins(active, current, o)
 	default:
 		if next := r.Next(o); next != nil {
-			l.commitTransition(run, current, next, func(Result) {})
+			l.commitTransition(active, current, next, func(Result) {})
 		}
 	}
 }
@@ -216,14 +216,14 @@
 // reconcile marks the plan as reconciled once this leader has received a heartbeat from each machine with tasks of the
 // plan and has probed each replica. After a deadline it does so in any case: a worker that has not reached the leader
 // within its lease has stopped its tasks.
-func (run *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
+func (active *activeRollout) reconcile(l *leader, plan *rollout.Plan) {
 	c := l.core
-	if run.reconciled {
+	if active.reconciled {
 		return
 	}
-	deadline := run.takenOverAt + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
-	reported := c.now.Steady >= run.takenOverAt+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
-	run.reconciled = c.now.Steady >= deadline || reported && run.validations.AllProbed()
+	deadline := active.takenOverAt + c.times.lease + 2*c.probeInterval() + c.probeTimeout()
+	reported := c.now.Steady >= active.takenOverAt+c.times.heartbeatTimeout && l.allPlanMachinesReported(plan)
+	active.reconciled = c.now.Steady >= deadline || reported && active.validations.AllProbed()
 }
 
 // allPlanMachinesReported reports whether each machine with a task of a plan has sent a heartbeat in this term.
@@ -276,15 +276,15 @@
 // observeRollout returns the state of a plan's jobs and replicas. It assumes that routers are outdated and that the new
 // version receives traffic; addRouterObservations replaces this by the state of the routers once the leader has
 // reconciled.
-func (l *leader) observeRollout(run *activeRollout, r *rollout.Record) *rollout.Observation {
+func (l *leader) observeRollout(active *activeRollout, r *rollout.Record) *rollout.Observation {
 	c := l.core
 	o := &rollout.Observation{
 		NowMS:              c.now.WallMS,
 		ClockErrorMS:       c.maxClockError().Milliseconds(),
-		Reconciled:         run.reconciled,
+		Reconciled:         active.reconciled,
 		Jobs:               map[string]rollout.Job{},
-		Revalidated:        run.validations.NewValidatedSince(run.phaseSince, c.now.Steady),
-		FailedCheck:        run.validations.FailedCheck(),
+		Revalidated:        active.validations.NewValidatedSince(active.phaseSince, c.now.Steady),
+		FailedCheck:        active.validations.FailedCheck(),
 		NewReceivesTraffic: true,
 		RoutersOutdated:    true,
 	}
@@ -294,7 +294,7 @@
 	for _, id := range r.Plan.New.Jobs {
 		o.Jobs[id] = l.observeRolloutJob(&r.Plan, id, false)
 	}
-	for _, s := range run.validations.States(c.now.Steady) {
+	for _, s := range active.validations.States(c.now.Steady) {
 		j := o.Jobs[s.Replica.Job]
 		j.Running++
 		if s.Validated {
@@ -322,42 +322,42 @@
 
 // mayRoute reports whether enough is known to compute a routing. A rollback does not wait for validations once enough
 // replicas of the old version run: the sooner traffic returns to them, the fewer wrong answers are served.
-func (run *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
-	return run.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldCapacityRunning(o)
+func (active *activeRollout) mayRoute(r *rollout.Record, o *rollout.Observation) bool {
+	return active.reconciled || r.Phase == rollout.RollingBack && r.Plan.OldCapacityRunning(o)
 }
 
 // updateRouting recomputes a plan's routing from the validations of its replicas, and increments the revision if it
 // changes.
-func (run *activeRollout) updateRouting(c *Core, r *rollout.Record, o *rollout.Observation) {
+func (active *activeRollout) updateRouting(c *Core, r *rollout.Record, o *rollout.Observation) {
 	capacity := r.Plan.CapacityOf(o)
-	if !run.reconciled {
+	if !active.reconciled {
 		capacity.New = 0 // route to the old version, which runs although it is not validated yet
 	}
-	routing := rollout.ComputeRouting(r, capacity, run.validations.States(c.now.Steady))
-	routing.Generation = run.routing.Generation
-	if routing.Generation.Revision > 0 && routing.SameWeights(&run.routing) {
+	routing := rollout.ComputeRouting(r, capacity, active.validations.States(c.now.Steady))
+	routing.Generation = active.routing.Generation
+	if routing.Generation.Revision > 0 && routing.SameWeights(&active.routing) {
 		return
 	}
 	routing.Generation.Revision++
-	run.routing = routing
-	c.log(Debug, "rollout routing updated", "plan", run.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
+	active.routing = routing
+	c.log(Debug, "rollout routing updated", "plan", active.name, "term", routing.Generation.Term, "revision", routing.Generation.Revision,
 		"replicas", len(routing.Weights), "target_share", r.TargetShare(), "old_capacity", capacity.Old, "new_capacity", capacity.New)
 }
 
 // probeReplicas sends the probes that are due. Replicas of the new version also have to pass the plan's checks.
-func (l *leader) probeReplicas(run *activeRollout, record *rollout.Record) {
+func (l *leader) probeReplicas(active *activeRollout, record *rollout.Record) {
 	m := l.rollouts
-	for _, probe := range run.validations.DueProbes(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
+	for _, probe := range active.validations.DueProbes(l.core.now.Steady, l.core.maxReplicaProbes()-m.probesInFlight) {
 		m.probesInFlight++
 		id := l.registerCall(func(r Result) {
 			m.probesInFlight--
 			if r.Outcome == outcome.Dropped {
-				run.validations.ProbeNotSent(probe.Replica)
+				active.validations.ProbeNotSent(probe.Replica)
 				return
 			}
-			run.validations.RecordResult(probe.Replica, r.Probe, l.core.now.Steady)
+			active.validations.RecordResult(probe.Replica, r.Probe, l.core.now.Steady)
 			if r.Probe.Verdict != rollout.Passed {
-				l.core.log(Debug, "replica not validated", "plan", run.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
+				l.core.log(Debug, "replica not validated", "plan", active.name, "task", probe.Replica.Task, "verdict", r.Probe.Verdict.String(),
 					"check", r.Probe.Check)
 			}
 		})
@@ -376,86 +376,86 @@
 
 // commitPlan writes a plan's next record, and calls onResult with the result. The record takes effect once the write is
 // known to have succeeded.
-func (l *leader) commitPlan(run *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
+func (l *leader) commitPlan(active *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
 	c := l.core
 	value, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
-	run.writeInFlight = true
-	run.markDropped(current.Record, next)
+	active.writeInFlight = true
+	active.markDropped(current.Record, next)
 	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
-		run.writeInFlight = false
-		l.applyPlanWriteResult(run, r, value)
+		active.writeInFlight = false
+		l.applyPlanWriteResult(active, r, value)
 		if r.Outcome == outcome.OK {
-			run.markRecorded(next)
+			active.markRecorded(next)
 		}
 		onResult(r)
 	})
-	key := stored.PlanKey(run.name)
+	key := stored.PlanKey(active.name)
 	c.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Put: key, Value: value})})
 }
 
 // commitTransition writes a plan's next phase or an operator's change, and logs it once it is committed.
-func (l *leader) commitTransition(run *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
-	l.commitPlan(run, current, next, func(r Result) {
+func (l *leader) commitTransition(active *activeRollout, current *watchcache.Plan, next *rollout.Record, onResult func(Result)) {
+	l.commitPlan(active, current, next, func(r Result) {
 		if r.Outcome == outcome.OK {
-			l.logPlan(run, next)
+			l.logPlan(active, next)
 		}
 		onResult(r)
 	})
 }
 
 // logPlan logs a committed transition with the plan's capacity.
-func (l *leader) logPlan(run *activeRollout, record *rollout.Record) {
-	capacity := record.Plan.CapacityOf(l.observeRollout(run, record))
-	l.core.log(Info, "rollout phase committed", "plan", run.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
+func (l *leader) logPlan(active *activeRollout, record *rollout.Record) {
+	capacity := record.Plan.CapacityOf(l.observeRollout(active, record))
+	l.core.log(Info, "rollout phase committed", "plan", active.name, "phase", string(record.Phase), "step", record.Step+1, "share", record.Share,
 		"reason", string(record.Reason), "detail", record.Detail, "paused", record.PausedMS != 0,
 		"old_capacity", capacity.Old, "new_capacity", capacity.New, "promised", capacity.Promised,
-		"routers", len(run.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)))
+		"routers", len(active.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)))
 }
 
 // applyPlanWriteResult handles the result of a write of a plan. The value is nil if the write removes the plan.
-func (l *leader) applyPlanWriteResult(run *activeRollout, r Result, value json.RawMessage) {
+func (l *leader) applyPlanWriteResult(active *activeRollout, r Result, value json.RawMessage) {
 	c := l.core
 	switch {
 	case r.Outcome == outcome.OK:
-		c.applyPlan(run.name, value, r.Txn.Revision)
+		c.applyPlan(active.name, value, r.Txn.Revision)
 	case termSuperseded(r):
 		c.election.StepDown(election.TermSuperseded)
 	case r.Outcome == outcome.Conflict, r.Outcome == outcome.Unknown:
 		// An earlier write was applied after all, or this one may still be applied: read what is stored.
-		l.rereadPlan(run)
+		l.rereadPlan(active)
 	default:
-		run.retryAt = c.now.Steady + c.times.retryPause
-		c.wakeBy(run.retryAt)
+		active.retryAt = c.now.Steady + c.times.retryPause
+		c.wakeBy(active.retryAt)
 	}
 }
 
 // rereadPlan reads the stored record of a plan and applies it.
-func (l *leader) rereadPlan(run *activeRollout) {
+func (l *leader) rereadPlan(active *activeRollout) {
 	c := l.core
-	run.writeInFlight = true
+	active.writeInFlight = true
 	id := l.registerStoreCall(func(r Result) {
-		run.writeInFlight = false
-		run.retryAt = c.now.Steady + c.times.retryPause
+		active.writeInFlight = false
+		active.retryAt = c.now.Steady + c.times.retryPause
 		if r.Outcome == outcome.OK {
-			c.applyPlan(run.name, r.Item.Value, r.Item.Version)
+			c.applyPlan(active.name, r.Item.Value, r.Item.Version)
 		}
 	})
-	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(run.name)})
+	c.emit(StoreGet{CallID: id, Key: stored.PlanKey(active.name)})
 }
 
 // removePlan deletes the record of an ended plan whose retention period has expired.
-func (l *leader) removePlan(run *activeRollout, current *watchcache.Plan) {
-	run.writeInFlight = true
+func (l *leader) removePlan(active *activeRollout, current *watchcache.Plan) {
+	active.writeInFlight = true
 	l.writer.spend(1)
 	id := l.registerStoreCall(func(r Result) {
-		run.writeInFlight = false
-		l.applyPlanWriteResult(run, r, nil)
+		active.writeInFlight = false
+		l.applyPlanWriteResult(active, r, nil)
 	})
-	key := stored.PlanKey(run.name)
+	key := stored.PlanKey(active.name)
 	l.core.emit(StoreTxn{CallID: id, Txn: l.conditionalTxn(key, current.Version, wire.Op{Delete: key})})
 }
 
--- a/internal/core/rollout_requests.go
+++ b/internal/core/rollout_requests.go
@@ -279,34 +279,34 @@
 	if l == nil {
 		return
 	}
-	current, run := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
+	current, active := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
 	switch {
 	case current == nil:
 		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
 	case current.Problem != nil:
 		c.respondRejected(in.RequestID, current.Problem.Error())
-	case run == nil || !l.mayCommit() || len(run.changes) >= c.operator.MaxPendingRequests:
+	case active == nil || !l.mayCommit() || len(active.changes) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
-		run.changes = append(run.changes, planChange{in.RequestID, in.Change})
+		active.changes = append(active.changes, planChange{in.RequestID, in.Change})
 		l.rollouts.nextCheck = c.now.Steady
 	}
 }
 
 // commitChange commits the oldest queued change.
-func (l *leader) commitChange(run *activeRollout, current *watchcache.Plan) {
-	c, pending := l.core, run.changes[0]
-	run.changes = run.changes[1:]
+func (l *leader) commitChange(active *activeRollout, current *watchcache.Plan) {
+	c, pending := l.core, active.changes[0]
+	active.changes = active.changes[1:]
 	next, err := current.Record.Change(pending.change, c.now.WallMS)
 	switch {
 	case err != nil:
 		c.respondRejected(pending.requestID, err.Error())
 	case next == current.Record:
-		c.respond(pending.requestID, http.StatusOK, l.planStatus(run.name))
+		c.respond(pending.requestID, http.StatusOK, l.planStatus(active.name))
 	default:
-		l.commitTransition(run, current, next, func(r Result) {
+		l.commitTransition(active, current, next, func(r Result) {
 			if r.Outcome == outcome.OK {
-				c.respond(pending.requestID, http.StatusOK, l.planStatus(run.name))
+				c.respond(pending.requestID, http.StatusOK, l.planStatus(active.name))
 			} else {
 				c.respondRetryLater(pending.requestID, http.StatusServiceUnavailable, reasonUnavailable)
 			}
@@ -329,18 +329,18 @@
 
 // planStatus returns the status of a plan.
 func (l *leader) planStatus(name string) PlanStatus {
-	current, run := l.core.cache.Plan(name), l.rollouts.activeByName[name]
+	current, active := l.core.cache.Plan(name), l.rollouts.activeByName[name]
 	status := PlanStatus{Record: current.Record}
 	if current.Problem != nil {
 		status.Problem = current.Problem.Error()
 		return status
 	}
-	if run == nil {
+	if active == nil {
 		return status
 	}
-	o := l.observeRollout(run, current.Record)
-	status.Reconciled, status.Capacity, status.Routing = run.reconciled, current.Record.Plan.CapacityOf(o), run.routing
-	status.Replicas = run.validations.States(l.core.now.Steady)
-	status.Routers = run.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)
+	o := l.observeRollout(active, current.Record)
+	status.Reconciled, status.Capacity, status.Routing = active.reconciled, current.Record.Plan.CapacityOf(o), active.routing
+	status.Replicas = active.validations.States(l.core.now.Steady)
+	status.Routers = active.routers.Active(nil, l.core.routingHoldTime(), l.core.now.Steady)
 	return status
 }
--- a/internal/core/rollout_routers.go
+++ b/internal/core/rollout_routers.go
@@ -37,95 +37,95 @@
 	if l == nil {
 		return
 	}
-	current, run := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
+	current, active := c.cache.Plan(in.Name), l.rollouts.activeByName[in.Name]
 	join := routerJoin{in.RequestID, in.Router, in.Generation}
 	switch {
 	case current == nil:
 		c.respond(in.RequestID, http.StatusNotFound, wire.ErrorBody{Error: reasonNoSuchPlan})
-	case current.Problem != nil || run == nil || run.routing.Generation.Revision == 0:
+	case current.Problem != nil || active == nil || active.routing.Generation.Revision == 0:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
-	case run.isRecorded(current.Record, in.Router):
-		l.grantRouting(run, join)
-	case !l.mayCommit() || len(run.joinRequests) >= c.operator.MaxPendingRequests:
+	case active.isRecorded(current.Record, in.Router):
+		l.grantRouting(active, join)
+	case !l.mayCommit() || len(active.joinRequests) >= c.operator.MaxPendingRequests:
 		c.respondRetryLater(in.RequestID, http.StatusServiceUnavailable, reasonUnavailable)
 	default:
-		run.joinRequests = append(run.joinRequests, join)
+		active.joinRequests = append(active.joinRequests, join)
 		l.rollouts.nextCheck = c.now.Steady
 	}
 }
 
 // isRecorded reports whether a router's name is in the plan's record and no write that may still be applied removes it.
-func (run *activeRollout) isRecorded(r *rollout.Record, router string) bool {
-	return slices.Contains(r.Routers, router) && !run.droppedRouters[router]
+func (active *activeRollout) isRecorded(r *rollout.Record, router string) bool {
+	return slices.Contains(r.Routers, router) && !active.droppedRouters[router]
 }
 
 // markDropped remembers the routers that a write removes from the record. The write may be applied late without a
 // response, so these routers count as recorded again only once a later write with their names has succeeded.
-func (run *activeRollout) markDropped(before, after *rollout.Record) {
+func (active *activeRollout) markDropped(before, after *rollout.Record) {
 	for _, router := range before.Routers {
 		if !slices.Contains(after.Routers, router) {
-			run.droppedRouters[router] = true
+			active.droppedRouters[router] = true
 		}
 	}
 }
 
 // markRecorded is called after a record was written. No earlier write can be applied after it, so its routers are
 // recorded.
-func (run *activeRollout) markRecorded(r *rollout.Record) {
+func (active *activeRollout) markRecorded(r *rollout.Record) {
 	for _, router := range r.Routers {
-		delete(run.droppedRouters, router)
+		delete(active.droppedRouters, router)
 	}
 }
 
 // grantRouting responds to a router whose name is recorded, with the current routing and a lease.
-func (l *leader) grantRouting(run *activeRollout, join routerJoin) {
+func (l *leader) grantRouting(active *activeRollout, join routerJoin) {
 	c := l.core
-	if !run.routers.Grant(join.router, join.generation, run.routing.Generation, c.now.Steady) {
+	if !active.routers.Grant(join.router, join.generation, active.routing.Generation, c.now.Steady) {
 		c.respondRetryLater(join.requestID, http.StatusTooManyRequests, reasonTooManyRouters)
 		return
 	}
-	c.respond(join.requestID, http.StatusOK, RoutingGrant{Routing: run.routing, LeaseMS: c.routerLease().Milliseconds()})
+	c.respond(join.requestID, http.StatusOK, RoutingGrant{Routing: active.routing, LeaseMS: c.routerLease().Milliseconds()})
 }
 
 // commitJoins writes the names of the waiting routers to the record and then responds to them. The same write removes
 // the names of routers that are gone.
-func (l *leader) commitJoins(run *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
-	next := l.recordWithJoins(run, current.Record, o)
+func (l *leader) commitJoins(active *activeRollout, current *watchcache.Plan, o *rollout.Observation) {
+	next := l.recordWithJoins(active, current.Record, o)
 	if next == nil {
 		return
 	}
-	run.joinsInFlight, run.joinRequests = run.joinRequests, nil
-	l.commitPlan(run, current, next, func(r Result) {
-		joined := run.joinsInFlight
-		run.joinsInFlight = nil
+	active.joinsInFlight, active.joinRequests = active.joinRequests, nil
+	l.commitPlan(active, current, next, func(r Result) {
+		joined := active.joinsInFlight
+		active.joinsInFlight = nil
 		if r.Outcome != outcome.OK || !l.hasAuthority() {
 			l.core.rejectJoins(joined)
 			return
 		}
 		for _, join := range joined {
-			l.grantRouting(run, join)
+			l.grantRouting(active, join)
 		}
 	})
 }
 
 // recordWithJoins returns the record with the names of the waiting routers. If the record becomes too large, it rejects
 // the last of them; if none is left, it returns nil.
-func (l *leader) recordWithJoins(run *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
+func (l *leader) recordWithJoins(active *activeRollout, r *rollout.Record, o *rollout.Observation) *rollout.Record {
 	known := r.Routers
 	if o.Reconciled {
 		known = o.ActiveRouters
 	}
-	for len(run.joinRequests) > 0 {
+	for len(active.joinRequests) > 0 {
 		var names []string
-		for _, join := range run.joinRequests {
+		for _, join := range active.joinRequests {
 			names = append(names, join.router)
 		}
 		if next := r.WithRouters(known, names); l.recordFits(next) {
 			return next
 		}
-		last := len(run.joinRequests) - 1
-		l.core.respondRetryLater(run.joinRequests[last].requestID, http.StatusTooManyRequests, reasonTooManyRouters)
-		run.joinRequests = run.joinRequests[:last]
+		last := len(active.joinRequests) - 1
+		l.core.respondRetryLater(active.joinRequests[last].requestID, http.StatusTooManyRequests, reasonTooManyRouters)
+		active.joinRequests = active.joinRequests[:last]
 	}
 	return nil
 }
@@ -145,14 +145,14 @@
 }
 
 // addRouterObservations adds the state of the routers to an observation, if the leader has reconciled.
-func (l *leader) addRouterObservations(run *activeRollout, r *rollout.Record, o *rollout.Observation) {
-	now, generation := l.core.now.Steady, run.routing.Generation
+func (l *leader) addRouterObservations(active *activeRollout, r *rollout.Record, o *rollout.Observation) {
+	now, generation := l.core.now.Steady, active.routing.Generation
 	goneAfter := config.Seconds(r.Plan.Limits.RouterGoneS)
-	if !run.reconciled {
+	if !active.reconciled {
 		return
 	}
-	o.NewReceivesTraffic = run.routing.NewReceivesTraffic()
-	o.RoutersCurrent = run.routers.AllCurrent(generation, now)
-	o.ActiveRouters = run.routers.Active(r.Routers, goneAfter, now)
-	o.RoutersOutdated = run.routers.AnyOutdated(o.ActiveRouters, generation, goneAfter, now)
+	o.NewReceivesTraffic = active.routing.NewReceivesTraffic()
+	o.RoutersCurrent = active.routers.AllCurrent(generation, now)
+	o.ActiveRouters = active.routers.Active(r.Routers, goneAfter, now)
+	o.RoutersOutdated = active.routers.AnyOutdated(o.ActiveRouters, generation, goneAfter, now)
 }
